--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -19,7 +19,7 @@
 //
 //	ch := &balance.Chooser{Rand: rand.New(rand.NewPCG(1, 2))}
 //	ch.Update(now, board.Backends(), len(fleet.Serving()))
-//	server, err := ch.Pick(now, balance.Ask{Service: "feltapp", Customer: "kedelsyn", Share: 0.5})
+//	server, err := ch.Pick(now, balance.Request{Service: "feltapp", Customer: "kedelsyn", Share: 0.5})
 //	... // err is a refusal.Refusal
 //	ch.Done(now, server, balance.Outcome{Customer: "kedelsyn", Result: balance.Success})
 //
@@ -50,22 +50,22 @@
 
 // What the zero value of a field of [Settings] stands for.
 const (
-	DefaultFailures    = 5
-	DefaultEject       = 5 * clock.Second
-	DefaultEjectMost   = 5 * clock.Minute
-	DefaultForgive     = 2 * clock.Minute
-	DefaultSlowStart   = 10 * clock.Second
-	DefaultReportStale = 5 * clock.Second
-	DefaultSlots       = 16
-	DefaultActive      = clock.Second
-	DefaultPartSlack   = 2.0
-	DefaultLendSlack   = 3.0
-	DefaultRetryAfter  = clock.Second
+	DefaultFailures     = 5
+	DefaultBaseEjection = 5 * clock.Second
+	DefaultMaxEjection  = 5 * clock.Minute
+	DefaultForgiveAfter = 2 * clock.Minute
+	DefaultSlowStart    = 10 * clock.Second
+	DefaultReportStale  = 5 * clock.Second
+	DefaultSlots        = 16
+	DefaultActiveSpan   = clock.Second
+	DefaultPartSlack    = 2.0
+	DefaultLendSlack    = 3.0
+	DefaultRetryAfter   = clock.Second
 )
 
-// leastWeight is the part of its requests that a server gets at the begin of
+// minWeight is the part of its requests that a server gets at the begin of
 // its slow start.
-const leastWeight = 0.1
+const minWeight = 0.1
 
 type (
 	// Result of a request.
@@ -81,21 +81,21 @@
 
 	// Settings of a Chooser. A zero field stands for its default.
 	Settings struct {
-		Failures    int          // failures in a row that eject a server
-		Eject       clock.Millis // first ejection; the next ones double
-		EjectMost   clock.Millis // longest ejection
-		Forgive     clock.Millis // time since an ejection's end after which the next is short again
-		SlowStart   clock.Millis // from a server's return to its full part
-		ReportStale clock.Millis // age after which a load report says nothing
-		Slots       int          // room of a server that reports none
-		Active      clock.Millis // how long a customer's unused part is held back after its last request
-		PartSlack   float64      // standard deviations by which a customer may exceed its part at this VM
-		LendSlack   float64      // standard deviations by which all may exceed this VM's part of the room
-		RetryAfter  clock.Millis // told to a customer whose share is used up
+		Failures     int          // failures in a row that eject a server
+		BaseEjection clock.Millis // first ejection; the next ones double
+		MaxEjection  clock.Millis // longest ejection
+		ForgiveAfter clock.Millis // time since an ejection's end after which the next is short again
+		SlowStart    clock.Millis // from a server's return to its full part
+		ReportStale  clock.Millis // age after which a load report says nothing
+		Slots        int          // room of a server that reports none
+		ActiveSpan   clock.Millis // how long a customer's unused part is held back after its last request
+		PartSlack    float64      // standard deviations by which a customer may exceed its part at this VM
+		LendSlack    float64      // standard deviations by which all may exceed this VM's part of the room
+		RetryAfter   clock.Millis // told to a customer whose share is used up
 	}
 
-	// Ask is all that a choice needs.
-	Ask struct {
+	// Request is all that a choice needs.
+	Request struct {
 		Service  string
 		Customer string
 		Share    float64  // part of the service's room in the whole fleet, from 0 to 1
@@ -121,11 +121,11 @@
 		servers   []*server // sorted by ID, leaving ones left out
 		customers map[string]*customer
 		inFlight  int
-		crowd     crowd
+		queue     queueEstimate
 		senders   senders
 
 		comparedAt clock.Millis
-		crowded    bool // by the reports there is more work than room
+		overloaded bool // by the reports there is more work than room
 	}
 )
 
@@ -137,7 +137,7 @@
 	first := len(ch.servers) == 0
 	for _, svc := range ch.services {
 		svc.servers = svc.servers[:0]
-		svc.forget(now, ch.Settings.Active)
+		svc.evictIdle(now, ch.Settings.ActiveSpan)
 	}
 	listed := make(map[string]bool, len(bk.Servers))
 	for _, bs := range bk.Servers {
@@ -148,11 +148,11 @@
 		ch.updateServer(now, bs, bk.Reports[bs.ID], first)
 	}
 	for _, svc := range ch.services {
-		svc.compare(now, ch.Settings)
+		svc.findOutliers(now, ch.Settings)
 	}
 	for id, srv := range ch.servers {
 		if !listed[id] {
-			srv.away = true
+			srv.unavailable = true
 			if srv.inFlight == 0 {
 				delete(ch.servers, id)
 			}
@@ -163,23 +163,23 @@
 func (ch *Chooser) updateServer(now clock.Millis, bs board.BackendServer, rep board.LoadReport, first bool) {
 	srv := ch.servers[bs.ID]
 	if srv == nil {
-		srv = &server{id: bs.ID, service: bs.Service, away: !first}
+		srv = &server{id: bs.ID, service: bs.Service, unavailable: !first}
 		ch.servers[bs.ID] = srv
 	}
 	if srv.inFlight == 0 {
 		srv.service = bs.Service
 	}
 	if srv.address != bs.Address {
-		srv.address, srv.gone = bs.Address, false
+		srv.address, srv.replaced = bs.Address, false
 	}
 	// A server that was given to another service first ends what it has.
 	away := bs.Leaving || rep.Leaving || srv.service != bs.Service
-	if srv.away && !away {
-		srv.since = now // slow start
-		srv.ramps = true
+	if srv.unavailable && !away {
+		srv.returnedAt = now // slow start
+		srv.rampingUp = true
 	}
-	srv.away = away
-	srv.heed(rep, ch.Settings)
+	srv.unavailable = away
+	srv.applyReport(rep, ch.Settings)
 	if !away {
 		svc := ch.service(bs.Service)
 		svc.servers = append(svc.servers, srv)
@@ -189,44 +189,44 @@
 // Pick chooses a server and counts the request as in flight on it. The error
 // is a [refusal.Refusal] that says NotRun. A server of Exclude is chosen only
 // if no other is left.
-func (ch *Chooser) Pick(now clock.Millis, ask Ask) (string, error) {
+func (ch *Chooser) Pick(now clock.Millis, req Request) (string, error) {
 	ch.prepare()
-	svc := ch.services[ask.Service]
+	svc := ch.services[req.Service]
 	if svc == nil || len(svc.servers) == 0 {
 		return "", refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.NoBackend,
 			RetryAfter: ch.Settings.RetryAfter, Detail: "no server of the service takes new work"}
 	}
-	if now-svc.comparedAt >= compareEvery {
-		svc.compare(now, ch.Settings) // reports may have grown stale
+	if now-svc.comparedAt >= compareInterval {
+		svc.findOutliers(now, ch.Settings) // reports may have grown stale
 	}
-	cu := svc.customer(ask.Customer)
-	cu.note(now, ask.Share, ch.Settings.Active)
+	cu := svc.customer(req.Customer)
+	cu.recordRequest(now, req.Share, ch.Settings.ActiveSpan)
 	if !ch.admits(now, svc, cu) {
 		return "", refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.ShareExceeded,
 			RetryAfter: ch.Settings.RetryAfter, Detail: "the share of the service is used up and nothing is left to lend"}
 	}
-	if len(ask.Exclude) == 0 && ch.turnsAway(now, svc, ask) {
+	if len(req.Exclude) == 0 && ch.rejectsForQueue(now, svc, req) {
 		return "", refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.TargetUnreachable,
 			RetryAfter: ch.Settings.RetryAfter, Detail: "the line before the servers is too long"}
 	}
-	fit := svc.fit(now, ask.Exclude)
+	fit := svc.candidates(now, req.Exclude)
 	if len(fit) == 0 {
 		return "", refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.NoBackend,
-			RetryAfter: ch.Rests(now, ask.Service), Detail: "all servers of the service asked for rest"}
+			RetryAfter: ch.BackoffLeft(now, req.Service), Detail: "all servers of the service asked for rest"}
 	}
 	srv := ch.choose(now, fit)
 	srv.inFlight++
 	svc.inFlight++
-	cu.took()
+	cu.addInFlight()
 	return srv.id, nil
 }
 
-// turnsAway decides whether a request is refused for the line before the servers.
-func (ch *Chooser) turnsAway(now clock.Millis, svc *service, ask Ask) bool {
-	svc.senders.note(now, ask.Sender)
-	part := svc.crowd.refuses(now, ask.Objective, usefulPart)
-	if part > 0 && svc.senders.fits(now, ask.Sender, refusedPart) {
-		part = svc.crowd.refuses(now, ask.Objective, usefulToFew)
+// rejectsForQueue decides whether a request is refused for the line before the servers.
+func (ch *Chooser) rejectsForQueue(now clock.Millis, svc *service, req Request) bool {
+	svc.senders.add(now, req.Sender)
+	part := svc.queue.refusalPart(now, req.Objective, maxWaitPart)
+	if part > 0 && svc.senders.withinFairShare(now, req.Sender, assumedRefusalPart) {
+		part = svc.queue.refusalPart(now, req.Objective, maxWaitPartLight)
 	}
 	return ch.Rand.Float64() < part
 }
@@ -244,7 +244,7 @@
 		cu.inFlight--
 	}
 	if out.Load != nil {
-		svc.crowd.hear(now, *out.Load, out.Took)
+		svc.queue.observe(now, *out.Load, out.Took)
 	}
 	switch out.Result {
 	case Success:
@@ -256,22 +256,22 @@
 	case Busy:
 		srv.busyUntil = now + ch.Settings.ReportStale
 	case Gone:
-		srv.gone = true
+		srv.replaced = true
 	case Cancelled:
 	}
 }
 
-// Rest notes that a server asked for rest for a span: it gets nothing until then, be
+// BackOff notes that a server asked for rest for a span: it gets nothing until then, be
 // there another one or not.
-func (ch *Chooser) Rest(now clock.Millis, id string, span clock.Millis) {
+func (ch *Chooser) BackOff(now clock.Millis, id string, span clock.Millis) {
 	if srv := ch.servers[id]; srv != nil {
 		srv.backoffUntil = max(srv.backoffUntil, now+span)
 	}
 }
 
-// Rests is how long it takes until the first of a service's servers has rested; zero if
+// BackoffLeft is how long it takes until the first of a service's servers has rested; zero if
 // some server does not rest, or there is none.
-func (ch *Chooser) Rests(now clock.Millis, service string) clock.Millis {
+func (ch *Chooser) BackoffLeft(now clock.Millis, service string) clock.Millis {
 	svc := ch.services[service]
 	if svc == nil || len(svc.servers) == 0 || slices.ContainsFunc(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) }) {
 		return 0
@@ -283,7 +283,7 @@
 // choose takes the server under the least pressure, one of them at random if
 // there are several. A returning server stands for choice only now and then.
 func (ch *Chooser) choose(now clock.Millis, fit []*server) *server {
-	standing := keep(fit, func(srv *server) bool {
+	standing := filter(fit, func(srv *server) bool {
 		weight := srv.weight(now, ch.Settings)
 		return weight == 1 || ch.Rand.Float64() < weight
 	})
@@ -306,14 +306,14 @@
 	return best
 }
 
-// fit lists the servers to choose from among those that do not rest: those not ejected
+// candidates lists the servers to choose from among those that do not rest: those not ejected
 // or gone and not tried before, if there are any; else those not tried; else those not
 // ejected; else all.
-func (svc *service) fit(now clock.Millis, exclude []string) []*server {
-	awake := keep(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) })
-	untried := keep(awake, func(srv *server) bool { return !slices.Contains(exclude, srv.id) })
+func (svc *service) candidates(now clock.Millis, exclude []string) []*server {
+	awake := filter(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) })
+	untried := filter(awake, func(srv *server) bool { return !slices.Contains(exclude, srv.id) })
 	for _, some := range [][]*server{untried, awake} {
-		if well := keep(some, func(srv *server) bool { return !srv.ejected(now) && !srv.gone }); len(well) > 0 {
+		if well := filter(some, func(srv *server) bool { return !srv.ejected(now) && !srv.replaced }); len(well) > 0 {
 			return well
 		}
 		if len(some) > 0 {
@@ -323,7 +323,7 @@
 	return awake
 }
 
-func keep(from []*server, wanted func(*server) bool) []*server {
+func filter(from []*server, wanted func(*server) bool) []*server {
 	out := make([]*server, 0, len(from))
 	for _, srv := range from {
 		if wanted(srv) {
@@ -365,17 +365,17 @@
 
 func (st Settings) withDefaults() Settings {
 	return Settings{
-		Failures:    orDefault(st.Failures, DefaultFailures),
-		Eject:       orDefault(st.Eject, DefaultEject),
-		EjectMost:   orDefault(st.EjectMost, DefaultEjectMost),
-		Forgive:     orDefault(st.Forgive, DefaultForgive),
-		SlowStart:   orDefault(st.SlowStart, DefaultSlowStart),
-		ReportStale: orDefault(st.ReportStale, DefaultReportStale),
-		Slots:       orDefault(st.Slots, DefaultSlots),
-		Active:      orDefault(st.Active, DefaultActive),
-		PartSlack:   orDefault(st.PartSlack, DefaultPartSlack),
-		LendSlack:   orDefault(st.LendSlack, DefaultLendSlack),
-		RetryAfter:  orDefault(st.RetryAfter, DefaultRetryAfter),
+		Failures:     orDefault(st.Failures, DefaultFailures),
+		BaseEjection: orDefault(st.BaseEjection, DefaultBaseEjection),
+		MaxEjection:  orDefault(st.MaxEjection, DefaultMaxEjection),
+		ForgiveAfter: orDefault(st.ForgiveAfter, DefaultForgiveAfter),
+		SlowStart:    orDefault(st.SlowStart, DefaultSlowStart),
+		ReportStale:  orDefault(st.ReportStale, DefaultReportStale),
+		Slots:        orDefault(st.Slots, DefaultSlots),
+		ActiveSpan:   orDefault(st.ActiveSpan, DefaultActiveSpan),
+		PartSlack:    orDefault(st.PartSlack, DefaultPartSlack),
+		LendSlack:    orDefault(st.LendSlack, DefaultLendSlack),
+		RetryAfter:   orDefault(st.RetryAfter, DefaultRetryAfter),
 	}
 }
 
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -32,7 +32,7 @@
 
 func pick(t *testing.T, ch *Chooser, now clock.Millis, exclude ...string) string {
 	t.Helper()
-	id, err := ch.Pick(now, Ask{Service: svcName, Customer: "cu", Share: 1, Exclude: exclude})
+	id, err := ch.Pick(now, Request{Service: svcName, Customer: "cu", Share: 1, Exclude: exclude})
 	assert.NilError(t, err)
 	return id
 }
@@ -76,12 +76,12 @@
 
 func TestNoServer(t *testing.T) {
 	ch := chooser(1)
-	_, err := ch.Pick(0, Ask{Service: svcName, Customer: "cu"})
+	_, err := ch.Pick(0, Request{Service: svcName, Customer: "cu"})
 	assert.Equal(t, refused(t, err).Reason, refusal.NoBackend)
 	bk := backends(1, 4)
 	bk.Servers[0].Leaving = true
 	ch.Update(0, bk, 1)
-	_, err = ch.Pick(0, Ask{Service: svcName, Customer: "cu"})
+	_, err = ch.Pick(0, Request{Service: svcName, Customer: "cu"})
 	assert.Equal(t, refused(t, err).Reason, refusal.NoBackend)
 }
 
@@ -126,7 +126,7 @@
 	assert.Equal(t, got["s02"], DefaultFailures)
 	srv := ch.servers["s02"]
 	now := clock.Millis(0)
-	for _, span := range []clock.Millis{DefaultEject, 2 * DefaultEject, 4 * DefaultEject} {
+	for _, span := range []clock.Millis{DefaultBaseEjection, 2 * DefaultBaseEjection, 4 * DefaultBaseEjection} {
 		assert.Equal(t, srv.ejectedUntil-now, span)
 		assert.Equal(t, counts(t, ch, srv.ejectedUntil-1, 200, bad)["s02"], 0)
 		// Back, and out again at its first failure.
@@ -136,7 +136,7 @@
 	now = srv.ejectedUntil + DefaultSlowStart
 	assert.Assert(t, counts(t, ch, now, 400, always(Success))["s02"] > 50)
 	assert.Equal(t, srv.ejections, 4)
-	now += DefaultForgive
+	now += DefaultForgiveAfter
 	counts(t, ch, now, 100, always(Success))
 	assert.Equal(t, srv.ejections, 0)
 }
@@ -213,7 +213,7 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 200).Draw(rt, "pass"))
 			if rapid.Bool().Draw(rt, "pick") {
-				ask := Ask{Service: svcName, Customer: rapid.SampledFrom([]string{"cu", "other"}).Draw(rt, "customer"), Share: 0.5}
+				ask := Request{Service: svcName, Customer: rapid.SampledFrom([]string{"cu", "other"}).Draw(rt, "customer"), Share: 0.5}
 				if id, err := ch.Pick(now, ask); err == nil {
 					flights = append(flights, flight{id, ask.Customer})
 				} else if refused(t, err).Reason != refusal.ShareExceeded {
@@ -253,7 +253,7 @@
 	t.Helper()
 	var ids []string
 	for len(ids) < most {
-		id, err := ch.Pick(now, Ask{Service: svcName, Customer: customer, Share: share})
+		id, err := ch.Pick(now, Request{Service: svcName, Customer: customer, Share: share})
 		if err != nil {
 			assert.Equal(t, refused(t, err).Reason, refusal.ShareExceeded)
 			break
@@ -284,7 +284,7 @@
 	}
 	assert.Equal(t, len(admitted(t, ch, 4, "flood", 0.5, 1000)), 0)
 	// When the other is gone for the span, its part is lent.
-	assert.Equal(t, len(admitted(t, ch, 3+DefaultActive, "flood", 0.5, 1000)), 16)
+	assert.Equal(t, len(admitted(t, ch, 3+DefaultActiveSpan, "flood", 0.5, 1000)), 16)
 }
 
 // While the reports show queues, nobody has more than the own part.
@@ -341,7 +341,7 @@
 	}
 	ch.Update(0, list("10.0.0.1:80"), 1)
 	pick := func(exclude ...string) string {
-		id, err := ch.Pick(0, Ask{Service: "s", Share: 1, Exclude: exclude})
+		id, err := ch.Pick(0, Request{Service: "s", Share: 1, Exclude: exclude})
 		assert.NilError(t, err)
 		return id
 	}
@@ -361,20 +361,20 @@
 func TestRestingServerGetsNothing(t *testing.T) {
 	ch := chooser(1)
 	ch.Update(0, backends(2, 4), 1)
-	ch.Rest(0, "s00", 500)
-	ch.Rest(0, "nobody", 500)
+	ch.BackOff(0, "s00", 500)
+	ch.BackOff(0, "nobody", 500)
 	for range 20 {
 		assert.Equal(t, try(t, ch, 400, always(Failure)), "s01")
 	}
 	assert.Equal(t, pick(t, ch, 400, "s01"), "s01", "one that was tried is better than one that rests")
-	assert.Equal(t, ch.Rests(400, svcName), clock.Millis(0))
-	ch.Rest(400, "s01", 1000)
-	_, err := ch.Pick(450, Ask{Service: svcName, Share: 1})
+	assert.Equal(t, ch.BackoffLeft(400, svcName), clock.Millis(0))
+	ch.BackOff(400, "s01", 1000)
+	_, err := ch.Pick(450, Request{Service: svcName, Share: 1})
 	var rf refusal.Refusal
 	assert.Assert(t, errors.As(err, &rf))
 	assert.Equal(t, rf.Ran, refusal.NotRun)
 	assert.Equal(t, rf.RetryAfter, clock.Millis(50))
-	assert.Equal(t, ch.Rests(450, svcName), clock.Millis(50))
+	assert.Equal(t, ch.BackoffLeft(450, svcName), clock.Millis(50))
 	assert.Equal(t, pick(t, ch, 500), "s00")
-	assert.Equal(t, ch.Rests(500, "nobody's"), clock.Millis(0))
+	assert.Equal(t, ch.BackoffLeft(500, "nobody's"), clock.Millis(0))
 }
--- a/internal/balance/compare_test.go
+++ b/internal/balance/compare_test.go
@@ -18,10 +18,10 @@
 // The trial: a few VMs choose among servers that serve some requests at once
 // and queue the rest, and report their load late.
 const (
-	trialSlots = 16
-	trialMean  = 80                // milliseconds of service
-	trialEvery = clock.Second      // between reports
-	trialLag   = clock.Millis(200) // of a report
+	trialSlots          = 16
+	trialMean           = 80                // milliseconds of service
+	trialReportInterval = clock.Second      // between reports
+	trialLag            = clock.Millis(200) // of a report
 )
 
 type (
@@ -43,7 +43,7 @@
 		vms, servers int
 		customers    []trialCustomer
 		span         clock.Millis // of arrivals
-		slow         float64      // how many times slower the first server is
+		slowdown     float64      // how many times slower the first server is
 		policy       policy
 
 		running []int
@@ -60,14 +60,14 @@
 		takes    clock.Millis
 	}
 
-	happening struct {
+	trialEvent struct {
 		at  clock.Millis
 		seq int
 		do  func(now clock.Millis)
 	}
 
 	events struct {
-		heap []happening
+		heap []trialEvent
 		seq  int
 	}
 )
@@ -78,7 +78,7 @@
 	return cmp.Or(cmp.Compare(one.at, two.at), cmp.Compare(one.seq, two.seq)) < 0
 }
 func (ev *events) Swap(ix, jx int) { ev.heap[ix], ev.heap[jx] = ev.heap[jx], ev.heap[ix] }
-func (ev *events) Push(what any)   { ev.heap = append(ev.heap, what.(happening)) }
+func (ev *events) Push(what any)   { ev.heap = append(ev.heap, what.(trialEvent)) }
 func (ev *events) Pop() any {
 	last := ev.heap[len(ev.heap)-1]
 	ev.heap = ev.heap[:len(ev.heap)-1]
@@ -87,7 +87,7 @@
 
 func (tl *trial) at(when clock.Millis, do func(now clock.Millis)) {
 	tl.due.seq++
-	heap.Push(&tl.due, happening{when, tl.due.seq, do})
+	heap.Push(&tl.due, trialEvent{when, tl.due.seq, do})
 }
 
 // run offers the load for the span and lets all end.
@@ -99,8 +99,8 @@
 	}
 	tl.at(0, tl.report)
 	for tl.due.Len() > 0 {
-		hp := heap.Pop(&tl.due).(happening)
-		hp.do(hp.at)
+		te := heap.Pop(&tl.due).(trialEvent)
+		te.do(te.at)
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // arrive brings all requests of a customer in one millisecond.
 func (tl *trial) arrive(now clock.Millis, cu trialCustomer) {
-	perMilli := cu.load * (float64(tl.servers) - 1 + 1/tl.slow) * trialSlots / trialMean
+	perMilli := cu.load * (float64(tl.servers) - 1 + 1/tl.slowdown) * trialSlots / trialMean
 	for gap := tl.rng.ExpFloat64(); gap < perMilli; gap += tl.rng.ExpFloat64() {
 		vm := tl.rng.IntN(tl.vms)
 		takes := clock.Millis(tl.rng.ExpFloat64()*trialMean) + 1
@@ -125,7 +125,7 @@
 			continue
 		}
 		if srv == 0 {
-			takes = clock.Millis(float64(takes) * tl.slow)
+			takes = clock.Millis(float64(takes) * tl.slowdown)
 		}
 		tl.queues[srv] = append(tl.queues[srv], job{cu, vm, now, takes})
 		tl.start(now, srv)
@@ -153,7 +153,7 @@
 	loads := tl.loads()
 	tl.at(now+trialLag, func(now clock.Millis) { tl.policy.report(now, loads) })
 	if now < tl.span {
-		tl.at(now+trialEvery, tl.report)
+		tl.at(now+trialReportInterval, tl.report)
 	}
 }
 
@@ -232,7 +232,7 @@
 }
 
 func (cs *choosers) pick(now clock.Millis, vm int, cu trialCustomer) int {
-	id, err := cs.all[vm].Pick(now, Ask{Service: svcName, Customer: cu.name, Share: cu.share})
+	id, err := cs.all[vm].Pick(now, Request{Service: svcName, Customer: cu.name, Share: cu.share})
 	if err != nil {
 		return -1
 	}
@@ -262,7 +262,7 @@
 )
 
 func newTrial(name string, seed uint64, vms, servers int) *trial {
-	tl := &trial{rng: rand.New(rand.NewPCG(seed, 7)), vms: vms, servers: servers, slow: 1, span: clock.Minute}
+	tl := &trial{rng: rand.New(rand.NewPCG(seed, 7)), vms: vms, servers: servers, slowdown: 1, span: clock.Minute}
 	draw := rand.New(rand.NewPCG(seed, 8))
 	switch name {
 	case polRoundRobin:
@@ -310,7 +310,7 @@
 	mean := map[string]float64{}
 	for _, name := range []string{polRoundRobin, polLeastReported, polTwoByReport, polChooser, polOracle} {
 		tl := newTrial(name, seed, sh.vms, sh.servers)
-		tl.slow = sh.slow
+		tl.slowdown = sh.slow
 		tl.span = clock.Minute / 2 / clock.Millis(sh.vms/48+1)
 		tl.customers = []trialCustomer{{"cu", sh.load, 1}}
 		tl.run()
--- a/internal/balance/crowd_test.go
+++ b/internal/balance/crowd_test.go
@@ -16,36 +16,36 @@
 // The load of the test: a fleet before a plain service that is asked for more than it
 // can do.
 const (
-	loadVMs       = 69
-	loadServers   = 5
-	loadSlots     = 6
-	loadQueue     = 24
-	loadWork      = 60 // ms in the mean, evenly from a third to five thirds of it
-	loadObjective = 300 * clock.Millis(1)
-	loadBack      = 50 * clock.Millis(1) // when a refused caller comes back, once
-	loadFails     = 1.0 / 7              // of requests fail at a server
-	loadCrossing  = 3 * clock.Millis(1)
-	loadRate      = 211.0 // requests a second, of which a burst is so many times as many
-	loadBurst     = 2.8
-	loadBurstFrom = 4 * clock.Second
-	loadBurstTo   = 9 * clock.Second
-	loadEnd       = 14 * clock.Second
-	loadSenders   = 16
-	loadMany      = "sender 0"       // who sends a burst
-	loadSeen      = 2 * clock.Second // from its begin until the VMs have seen who sends it
+	loadVMs         = 69
+	loadServers     = 5
+	loadSlots       = 6
+	loadQueue       = 24
+	loadMeanWork    = 60 // ms in the mean, evenly from a third to five thirds of it
+	loadObjective   = 300 * clock.Millis(1)
+	loadRetryDelay  = 50 * clock.Millis(1) // when a refused caller comes back, once
+	loadFailurePart = 1.0 / 7              // of requests fail at a server
+	loadCrossing    = 3 * clock.Millis(1)
+	loadRate        = 211.0 // requests a second, of which a burst is so many times as many
+	loadBurst       = 2.8
+	loadBurstFrom   = 4 * clock.Second
+	loadBurstTo     = 9 * clock.Second
+	loadEnd         = 14 * clock.Second
+	loadSenders     = 16
+	loadBurstSender = "sender 0"       // who sends a burst
+	loadDetection   = 2 * clock.Second // from its begin until the VMs have seen who sends it
 )
 
 type (
 	// loadSim is the fleet and the servers in virtual time.
 	loadSim struct {
-		rnd     *rand.Rand
-		whose   *rand.Rand // draws senders
-		vms     []*Chooser
-		servers map[string]*loadServer
-		events  []loadEvent
-		heed    bool // the choosers hear what servers tell, and of the objective
-		// named has the choosers hear whose a request is.
-		named bool
+		rnd        *rand.Rand
+		whose      *rand.Rand // draws senders
+		vms        []*Chooser
+		servers    map[string]*loadServer
+		events     []loadEvent
+		useReports bool // the choosers hear what servers tell, and of the objective
+		// nameSenders has the choosers hear whose a request is.
+		nameSenders bool
 
 		asked, inTime, late, refused, failed int
 		others                               struct{ asked, inTime, refused int } // of all senders but the first
@@ -59,14 +59,14 @@
 	}
 
 	loadRequest struct {
-		vm     int
-		sender string
-		began  clock.Millis
-		sent   clock.Millis
-		back   bool // its caller was refused before
-		tried  []string
-		fails  bool // always
-		server string
+		vm        int
+		sender    string
+		began     clock.Millis
+		sent      clock.Millis
+		returning bool // its caller was refused before
+		tried     []string
+		fails     bool // always
+		server    string
 	}
 
 	loadEvent struct {
@@ -81,7 +81,7 @@
 }
 
 func newLoadSim(seed uint64, heed bool) *loadSim {
-	ls := &loadSim{rnd: rand.New(rand.NewPCG(seed, 5)), whose: rand.New(rand.NewPCG(seed, 6)), servers: make(map[string]*loadServer), heed: heed}
+	ls := &loadSim{rnd: rand.New(rand.NewPCG(seed, 5)), whose: rand.New(rand.NewPCG(seed, 6)), servers: make(map[string]*loadServer), useReports: heed}
 	var list []board.BackendServer
 	for ix := range loadServers {
 		id := string(rune('a' + ix))
@@ -106,7 +106,7 @@
 			rate *= loadBurst
 		}
 		at += ls.rnd.ExpFloat64() * 1000 / rate
-		rq := &loadRequest{vm: ls.rnd.IntN(loadVMs), began: clock.Millis(at), fails: ls.rnd.Float64() < loadFails/2}
+		rq := &loadRequest{vm: ls.rnd.IntN(loadVMs), began: clock.Millis(at), fails: ls.rnd.Float64() < loadFailurePart/2}
 		rq.sender = ls.senderAt(rq.began)
 		ls.after(rq.began, func(now clock.Millis) { ls.send(now, rq) })
 	}
@@ -123,20 +123,20 @@
 func (ls *loadSim) senderAt(at clock.Millis) string {
 	burst := at >= loadBurstFrom && at < loadBurstTo
 	if burst && ls.whose.Float64() >= 1/loadBurst {
-		return loadMany
+		return loadBurstSender
 	}
 	return fmt.Sprint("sender ", ls.whose.IntN(loadSenders))
 }
 
-// counts tells whether a request came in the burst.
-func (rq *loadRequest) counts() bool { return rq.began >= loadBurstFrom && rq.began < loadBurstTo }
+// inBurst tells whether a request came in the burst.
+func (rq *loadRequest) inBurst() bool { return rq.began >= loadBurstFrom && rq.began < loadBurstTo }
 
-func (ls *loadSim) note(rq *loadRequest, count *int) {
-	if rq.counts() {
+func (ls *loadSim) count(rq *loadRequest, count *int) {
+	if rq.inBurst() {
 		ls.asked++
 		*count++
 	}
-	if rq.sender == loadMany || !rq.counts() || rq.began < loadBurstFrom+loadSeen {
+	if rq.sender == loadBurstSender || !rq.inBurst() || rq.began < loadBurstFrom+loadDetection {
 		return
 	}
 	ls.others.asked++
@@ -149,16 +149,16 @@
 }
 
 func (ls *loadSim) send(now clock.Millis, rq *loadRequest) {
-	ask := Ask{Service: "s", Share: 1, Exclude: rq.tried}
-	if ls.heed {
+	ask := Request{Service: "s", Share: 1, Exclude: rq.tried}
+	if ls.useReports {
 		ask.Objective = loadObjective
 	}
-	if ls.named {
+	if ls.nameSenders {
 		ask.Sender = rq.sender
 	}
 	id, err := ls.vms[rq.vm].Pick(now, ask)
 	if err != nil {
-		ls.comeBack(now, rq)
+		ls.retryOnce(now, rq)
 		return
 	}
 	rq.sent, rq.server = now, id
@@ -166,14 +166,14 @@
 	ls.after(now+loadCrossing, func(now clock.Millis) { ls.arrive(now, rq) })
 }
 
-func (ls *loadSim) comeBack(now clock.Millis, rq *loadRequest) {
-	if rq.back {
-		ls.note(rq, &ls.refused)
+func (ls *loadSim) retryOnce(now clock.Millis, rq *loadRequest) {
+	if rq.returning {
+		ls.count(rq, &ls.refused)
 		return
 	}
-	rq.back, rq.tried = true, nil
+	rq.returning, rq.tried = true, nil
 	rq.vm = ls.rnd.IntN(loadVMs)
-	ls.after(now+loadBack, func(now clock.Millis) { ls.send(now, rq) })
+	ls.after(now+loadRetryDelay, func(now clock.Millis) { ls.send(now, rq) })
 }
 
 func (ls *loadSim) arrive(now clock.Millis, rq *loadRequest) {
@@ -190,12 +190,12 @@
 			ls.send(now, rq)
 			return
 		}
-		ls.comeBack(now, rq)
+		ls.retryOnce(now, rq)
 	}
 }
 
 func (ls *loadSim) work(now clock.Millis, srv *loadServer, rq *loadRequest) {
-	span := loadWork * (1 + 4*ls.rnd.Float64()) / 3 / srv.speed
+	span := loadMeanWork * (1 + 4*ls.rnd.Float64()) / 3 / srv.speed
 	ls.after(now+clock.Millis(span), func(now clock.Millis) { ls.done(now, srv, rq) })
 }
 
@@ -214,26 +214,26 @@
 func (ls *loadSim) answered(now clock.Millis, srv *loadServer, rq *loadRequest, ld Load) {
 	ch := ls.vms[rq.vm]
 	out := Outcome{Result: Success, Took: now - rq.sent}
-	if ls.heed {
+	if ls.useReports {
 		out.Load = &ld
 	}
-	failed := rq.fails || ls.rnd.Float64() < loadFails/2
+	failed := rq.fails || ls.rnd.Float64() < loadFailurePart/2
 	if failed {
 		out.Result = Failure
 	}
 	ch.Done(now, srv.id, out)
-	crowded := ls.heed && ch.Crowded(now, "s", loadObjective)
+	crowded := ls.useReports && ch.RefusesForQueue(now, "s", loadObjective)
 	switch {
 	case failed && len(rq.tried) < 2 && !crowded:
 		ls.send(now, rq)
-	case failed && !rq.back:
-		ls.comeBack(now, rq)
+	case failed && !rq.returning:
+		ls.retryOnce(now, rq)
 	case failed:
-		ls.note(rq, &ls.failed)
+		ls.count(rq, &ls.failed)
 	case now-rq.began <= loadObjective:
-		ls.note(rq, &ls.inTime)
+		ls.count(rq, &ls.inTime)
 	default:
-		ls.note(rq, &ls.late)
+		ls.count(rq, &ls.late)
 	}
 }
 
@@ -254,21 +254,21 @@
 
 // Where there is room nobody is refused, and a word that is old counts no more.
 func TestNobodyIsRefusedWhereThereIsRoom(t *testing.T) {
-	var cr crowd
-	assert.Equal(t, cr.refuses(0, loadObjective, usefulPart), 0.0)
+	var cr queueEstimate
+	assert.Equal(t, cr.refusalPart(0, loadObjective, maxWaitPart), 0.0)
 	for now := clock.Millis(1); now < 1000; now += 100 {
-		cr.hear(now, Load{Running: 6, Slots: 6}, 60)
+		cr.observe(now, Load{Running: 6, Slots: 6}, 60)
 	}
-	assert.Equal(t, cr.refuses(1000, loadObjective, usefulPart), 0.0)
+	assert.Equal(t, cr.refusalPart(1000, loadObjective, maxWaitPart), 0.0)
 	for now := clock.Millis(1000); now < 2000; now += 100 {
-		cr.hear(now, Load{Running: 6, Waiting: 24, Slots: 6}, 300)
+		cr.observe(now, Load{Running: 6, Waiting: 24, Slots: 6}, 300)
 	}
-	assert.Equal(t, cr.refuses(2000, loadObjective, usefulPart), refuseMost)
-	assert.Equal(t, cr.refuses(2000, 0, usefulPart), 0.0, "without an objective nobody is late")
-	assert.Equal(t, cr.refuses(2000, 50, usefulPart), 0.0, "the objective can't be met anyway")
-	assert.Equal(t, cr.refuses(2000+6*waitHalf, loadObjective, usefulPart), 0.0)
-	cr.hear(2000, Load{}, 60)
-	assert.Equal(t, cr.refuses(2000, loadObjective, usefulPart), refuseMost, "a word without places says nothing")
+	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart)
+	assert.Equal(t, cr.refusalPart(2000, 0, maxWaitPart), 0.0, "without an objective nobody is late")
+	assert.Equal(t, cr.refusalPart(2000, 50, maxWaitPart), 0.0, "the objective can't be met anyway")
+	assert.Equal(t, cr.refusalPart(2000+6*waitHalfLife, loadObjective, maxWaitPart), 0.0)
+	cr.observe(2000, Load{}, 60)
+	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart, "a word without places says nothing")
 }
 
 // A burst that one sender makes is that sender's to bear: two seconds after its begin at
@@ -277,7 +277,7 @@
 func TestOneSenderDoesNotPushOutTheOthers(t *testing.T) {
 	for seed := range uint64(5) {
 		fair, alike := newLoadSim(seed, true), newLoadSim(seed, true)
-		fair.named = true
+		fair.nameSenders = true
 		with, without := fair.play(), alike.play()
 		ot, was := fair.others, alike.others
 		t.Logf("seed %d: of the others' in time %.2f, all alike %.2f; refused %.3f and %.3f; of all in time %.2f and %.2f", seed,
--- a/internal/balance/customer.go
+++ b/internal/balance/customer.go
@@ -11,11 +11,11 @@
 	share    float64
 	inFlight int
 
-	// The most requests in flight at once, in this span of Settings.Active
+	// The most requests in flight at once, in this span of Settings.ActiveSpan
 	// and in the one before.
-	peak, peakBefore int
-	spanBegan        clock.Millis
-	asked            clock.Millis // last request
+	peak, previousPeak int
+	spanBegan          clock.Millis
+	lastRequest        clock.Millis // last request
 }
 
 func (svc *service) customer(name string) *customer {
@@ -27,27 +27,27 @@
 	return cu
 }
 
-// forget drops customers that have been quiet for long.
-func (svc *service) forget(now, active clock.Millis) {
+// evictIdle drops customers that have been quiet for long.
+func (svc *service) evictIdle(now, active clock.Millis) {
 	for name, cu := range svc.customers {
-		if cu.inFlight == 0 && now-cu.asked > 2*active {
+		if cu.inFlight == 0 && now-cu.lastRequest > 2*active {
 			delete(svc.customers, name)
 		}
 	}
 }
 
-// note takes a new ask and begins a new span if one is over.
-func (cu *customer) note(now clock.Millis, share float64, active clock.Millis) {
-	cu.share, cu.asked = share, now
+// recordRequest takes a new ask and begins a new span if one is over.
+func (cu *customer) recordRequest(now clock.Millis, share float64, active clock.Millis) {
+	cu.share, cu.lastRequest = share, now
 	switch past := now - cu.spanBegan; {
 	case past >= 2*active:
-		cu.peakBefore, cu.peak, cu.spanBegan = 0, cu.inFlight, now
+		cu.previousPeak, cu.peak, cu.spanBegan = 0, cu.inFlight, now
 	case past >= active:
-		cu.peakBefore, cu.peak, cu.spanBegan = cu.peak, cu.inFlight, now
+		cu.previousPeak, cu.peak, cu.spanBegan = cu.peak, cu.inFlight, now
 	}
 }
 
-func (cu *customer) took() {
+func (cu *customer) addInFlight() {
 	cu.inFlight++
 	cu.peak = max(cu.peak, cu.inFlight)
 }
@@ -62,13 +62,13 @@
 // withSlack adds standard deviations of a Poisson count to its mean.
 func withSlack(mean, deviations float64) float64 { return mean + deviations*math.Sqrt(mean) }
 
-// heldBack is how much of the customer's part is not lent, for it was used
+// reserved is how much of the customer's part is not lent, for it was used
 // lately and may be wanted again: up to twice the latest peak.
-func (cu *customer) heldBack(now clock.Millis, room float64, st Settings) int {
-	if now-cu.asked > st.Active {
+func (cu *customer) reserved(now clock.Millis, room float64, st Settings) int {
+	if now-cu.lastRequest > st.ActiveSpan {
 		return 0
 	}
-	likely := 2 * max(cu.peak, cu.peakBefore)
+	likely := 2 * max(cu.peak, cu.previousPeak)
 	return max(0, min(cu.part(room, st), likely)-cu.inFlight)
 }
 
@@ -76,20 +76,20 @@
 // within its own part always, beyond it while there is room that no other
 // customer is likely to want.
 func (ch *Chooser) admits(now clock.Millis, svc *service, cu *customer) bool {
-	room := float64(svc.room()) / float64(ch.vms)
+	room := float64(svc.totalSlots()) / float64(ch.vms)
 	if cu.inFlight < cu.part(room, ch.Settings) {
 		return true
 	}
 	left := ch.lendable(now, svc, room) - svc.inFlight
 	for _, other := range svc.customers {
 		if other != cu {
-			left -= other.heldBack(now, room, ch.Settings)
+			left -= other.reserved(now, room, ch.Settings)
 		}
 	}
 	return left >= 1
 }
 
-func (svc *service) room() int {
+func (svc *service) totalSlots() int {
 	sum := 0
 	for _, srv := range svc.servers {
 		sum += srv.slots
@@ -104,13 +104,13 @@
 // report, they don't take the same free room all at once. While the reports
 // show more work than room there is no slack.
 func (ch *Chooser) lendable(now clock.Millis, svc *service, room float64) int {
-	if svc.crowded {
+	if svc.overloaded {
 		return int(room)
 	}
 	reported := 0.0
 	for _, srv := range svc.servers {
-		if srv.fresh(now, ch.Settings) {
-			reported += float64(srv.inFlightThen) + float64(srv.freeThen)/float64(ch.vms)
+		if srv.hasFreshReport(now, ch.Settings) {
+			reported += float64(srv.inFlightAtReport) + float64(srv.freeAtReport)/float64(ch.vms)
 		}
 	}
 	return int(max(withSlack(room, ch.Settings.LendSlack), reported))
--- a/internal/balance/example_test.go
+++ b/internal/balance/example_test.go
@@ -17,12 +17,12 @@
 		{ID: "kiosk-1", Service: "kiosk-api", Role: board.Plain},
 		{ID: "kiosk-2", Service: "kiosk-api", Role: board.Plain, Leaving: true},
 	}}, 6)
-	ask := balance.Ask{Service: "kiosk-api", Customer: "hoa-lua", Share: 0.5}
+	ask := balance.Request{Service: "kiosk-api", Customer: "hoa-lua", Share: 0.5}
 	server, err := ch.Pick(10, ask)
 	fmt.Println(server, err)
 	ch.Done(25, server, balance.Outcome{Customer: "hoa-lua", Result: balance.Success})
 
-	_, err = ch.Pick(30, balance.Ask{Service: "summary-llm", Customer: "hoa-lua"})
+	_, err = ch.Pick(30, balance.Request{Service: "summary-llm", Customer: "hoa-lua"})
 	var rf refusal.Refusal
 	fmt.Println(errors.As(err, &rf), rf.Ran, rf.Reason)
 	// Output:
@@ -41,7 +41,7 @@
 			ch.Update(0, bk, 6)
 			b.ReportAllocs()
 			for b.Loop() {
-				server, err := ch.Pick(1, balance.Ask{Service: "svc", Customer: "cu", Share: 0.5})
+				server, err := ch.Pick(1, balance.Request{Service: "svc", Customer: "cu", Share: 0.5})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -17,18 +17,18 @@
 	recentGain = 0.5
 	// A server stands out whose smoothed load is above the mean by this many
 	// standard deviations of a Poisson count, and this many requests.
-	outDeviations = 2
-	outRequests   = 1
-	// compareEvery is how often servers are compared anew without a report.
-	compareEvery = clock.Second
+	outlierDeviations = 2
+	outlierRequests   = 1
+	// compareInterval is how often servers are compared anew without a report.
+	compareInterval = clock.Second
 )
 
 // server is what this VM knows of one backend server.
 type server struct {
 	id, service string
 	address     string
-	gone        bool // another server answered at the address
-	away        bool // leaving, or no longer listed
+	replaced    bool // another server answered at the address
+	unavailable bool // leaving, or no longer listed
 	inFlight    int  // requests of this VM
 
 	slots        int
@@ -40,10 +40,10 @@
 	backoffUntil clock.Millis // it asked for rest until then; zero: it did not
 
 	// At the last report.
-	inFlightThen, freeThen int
+	inFlightAtReport, freeAtReport int
 
-	ramps bool         // slow start runs from since
-	since clock.Millis // last return
+	rampingUp  bool         // slow start runs from since
+	returnedAt clock.Millis // last return
 
 	failures     int // in a row
 	ejections    int // in a row, each ends the longer
@@ -51,8 +51,8 @@
 	probation    bool // no answer yet since the last ejection
 }
 
-// heed takes a load report once.
-func (srv *server) heed(rep board.LoadReport, st Settings) {
+// applyReport takes a load report once.
+func (srv *server) applyReport(rep board.LoadReport, st Settings) {
 	if srv.slots == 0 {
 		srv.slots = st.Slots
 	}
@@ -63,7 +63,7 @@
 		srv.slots = rep.Slots
 	}
 	load := max(rep.Running+rep.Queued, srv.inFlight)
-	if srv.fresh(rep.At, st) {
+	if srv.hasFreshReport(rep.At, st) {
 		srv.load += reportGain * (float64(load) - srv.load)
 		srv.recent += recentGain * (float64(load) - srv.recent)
 	} else {
@@ -71,34 +71,34 @@
 	}
 	srv.reportedAt = rep.At
 	srv.busyUntil = 0
-	srv.inFlightThen = srv.inFlight
-	srv.freeThen = max(0, srv.slots-load)
+	srv.inFlightAtReport = srv.inFlight
+	srv.freeAtReport = max(0, srv.slots-load)
 }
 
-// compare finds the servers that stand out, for each slot that they have, and
+// findOutliers finds the servers that stand out, for each slot that they have, and
 // whether all together have more work than room.
-func (svc *service) compare(now clock.Millis, st Settings) {
+func (svc *service) findOutliers(now clock.Millis, st Settings) {
 	svc.comparedAt = now
 	var load, recent, slots float64
 	for _, srv := range svc.servers {
-		if srv.fresh(now, st) {
+		if srv.hasFreshReport(now, st) {
 			load += srv.load
 			recent += srv.recent
 			slots += float64(srv.slots)
 		}
 	}
-	svc.crowded = recent > slots
+	svc.overloaded = recent > slots
 	for _, srv := range svc.servers {
 		srv.excess = 0
-		if srv.fresh(now, st) {
+		if srv.hasFreshReport(now, st) {
 			usual := load / slots * float64(srv.slots)
-			srv.excess = max(0, srv.load-usual-outDeviations*math.Sqrt(usual)-outRequests)
+			srv.excess = max(0, srv.load-usual-outlierDeviations*math.Sqrt(usual)-outlierRequests)
 		}
 	}
 }
 
-// fresh tells whether the last report still says something.
-func (srv *server) fresh(now clock.Millis, st Settings) bool {
+// hasFreshReport tells whether the last report still says something.
+func (srv *server) hasFreshReport(now clock.Millis, st Settings) bool {
 	return srv.reportedAt > 0 && now-srv.reportedAt <= st.ReportStale
 }
 
@@ -115,11 +115,11 @@
 
 // weight is the part of its requests that the server gets, as it returns.
 func (srv *server) weight(now clock.Millis, st Settings) float64 {
-	if !srv.ramps {
+	if !srv.rampingUp {
 		return 1
 	}
-	part := float64(now-srv.since) / float64(st.SlowStart)
-	return min(max(part, leastWeight), 1)
+	part := float64(now-srv.returnedAt) / float64(st.SlowStart)
+	return min(max(part, minWeight), 1)
 }
 
 func (srv *server) isBackingOff(now clock.Millis) bool {
@@ -140,21 +140,21 @@
 }
 
 func (srv *server) eject(now clock.Millis, st Settings) {
-	span := st.Eject
+	span := st.BaseEjection
 	for range srv.ejections {
-		span = min(2*span, st.EjectMost)
+		span = min(2*span, st.MaxEjection)
 	}
 	srv.ejections++
 	srv.failures, srv.probation = 0, true
 	srv.ejectedUntil = now + span
-	srv.ramps, srv.since = true, srv.ejectedUntil
+	srv.rampingUp, srv.returnedAt = true, srv.ejectedUntil
 }
 
 // succeeded ends a row of failures. Ejections are forgiven when the server
 // has done well for long enough.
 func (srv *server) succeeded(now clock.Millis, st Settings) {
 	srv.failures, srv.probation = 0, false
-	if now-srv.ejectedUntil >= st.Forgive {
+	if now-srv.ejectedUntil >= st.ForgiveAfter {
 		srv.ejections = 0
 	}
 }
--- a/internal/charge/bound_test.go
+++ b/internal/charge/bound_test.go
@@ -18,11 +18,11 @@
 const (
 	boundVMs  = 12
 	boundSpan = 20 * time.Second
-	// boundAsks is how many requests come to each VM in a second: several times what
+	// boundRequestRate is how many requests come to each VM in a second: several times what
 	// the limit allows, so that all that may run does.
-	boundAsks = 20
-	// boundUnserved of the requests that are let through do not run.
-	boundUnserved = 0.05
+	boundRequestRate = 20
+	// boundUnservedPart of the requests that are let through do not run.
+	boundUnservedPart = 0.05
 )
 
 // boundSeeds is how many are played; more are played by hand.
@@ -57,7 +57,7 @@
 
 // disturb has VMs answer nobody for a while, keepers more than others, and other VMs
 // keep the quotas.
-func disturb(nt *net, rnd *rand.Rand, names []string, span time.Duration) {
+func disturb(nt *testNet, rnd *rand.Rand, names []string, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		time.Sleep(time.Duration(rnd.Int64N(int64(1500 * time.Millisecond))))
 		nt.mu.Lock()
@@ -81,18 +81,18 @@
 	}
 }
 
-// overask has requests of all sizes come to a VM, without regard to the limit.
-func overask(t *testing.T, nt *net, name string, rnd *rand.Rand, lim quota.Limit, rn *ran, start time.Time) {
+// overload has requests of all sizes come to a VM, without regard to the limit.
+func overload(t *testing.T, nt *testNet, name string, rnd *rand.Rand, lim quota.Limit, rn *ran, start time.Time) {
 	var open sync.WaitGroup
 	for time.Since(start) < boundSpan {
-		time.Sleep(time.Duration(rnd.ExpFloat64() / boundAsks * float64(time.Second)))
+		time.Sleep(time.Duration(rnd.ExpFloat64() / boundRequestRate * float64(time.Second)))
 		tokens := 100.0
 		if rnd.IntN(3) == 0 {
-			tokens = lostGeneration
+			tokens = generationTokens
 		}
-		unserved := rnd.Float64() < boundUnserved
+		unserved := rnd.Float64() < boundUnservedPart
 		open.Go(func() {
-			or := charge.Order{Customer: "c", Limit: lim, Tokens: tokens, Patience: 180}
+			or := charge.Order{Customer: "c", Limit: lim, Tokens: tokens, MaxWait: 180}
 			switch err := nt.vms[name].Charge(t.Context(), or); {
 			case err != nil:
 			case unserved:
@@ -125,7 +125,7 @@
 				all.Go(func() { disturb(nt, rand.New(rand.NewPCG(seed, 36)), names, boundSpan) })
 				for _, name := range names {
 					one := rand.New(rand.NewPCG(rnd.Uint64(), 37))
-					all.Go(func() { overask(t, nt, name, one, lim, rn, start) })
+					all.Go(func() { overload(t, nt, name, one, lim, rn, start) })
 				}
 				all.Wait()
 				time.Sleep(5 * time.Second) // until what disturb had begun is over
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -11,7 +11,7 @@
 //
 //	ch := &charge.Charger{Self: "vm-7", ID: rand.Uint64() | 1, Settings: st, Peers: peers, Limit: limit, Log: lg}
 //	go ch.Run(ctx)
-//	err := ch.Charge(ctx, charge.Order{Customer: "c", Limit: lim, Tokens: 7000, Patience: 180})
+//	err := ch.Charge(ctx, charge.Order{Customer: "c", Limit: lim, Tokens: 7000, MaxWait: 180})
 //	if err != nil { ... } // a refusal.Refusal
 //	ch.GiveBack(order) // it did not run
 package charge
@@ -59,9 +59,9 @@
 		// is not known yet.
 		VMs() int
 		// AskQuota asks a VM.
-		AskQuota(ctx context.Context, vm string, ask quota.Ask) (quota.Answer, error)
+		AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error)
 		// TellQuota tells it what needs no answer.
-		TellQuota(vm string, ask quota.Ask)
+		TellQuota(vm string, ask quota.Request)
 	}
 
 	// Order is what one request takes.
@@ -69,7 +69,7 @@
 		Customer string
 		Limit    quota.Limit
 		Tokens   float64
-		Patience clock.Millis // that the request may wait where no keeper answers
+		MaxWait  clock.Millis // that the request may wait where no keeper answers
 	}
 
 	// Charger charges the requests of one VM, and keeps a shard of the quotas for all
@@ -89,14 +89,14 @@
 		Log     event.Logger
 		Scope   tally.Scope
 
-		once    sync.Once  // makes the shards
-		mu      sync.Mutex // guards all below
-		shards  [quota.Shards]*shard
-		reached map[string]clock.Millis // customers whose quota is used up, and when it last was
+		once      sync.Once  // makes the shards
+		mu        sync.Mutex // guards all below
+		shards    [quota.Shards]*shard
+		exhausted map[string]clock.Millis // customers whose quota is used up, and when it last was
 	}
 
-	// try is what became of one try to charge a request.
-	try struct {
+	// attempt is what became of one attempt to charge a request.
+	attempt struct {
 		granted  bool
 		answered bool         // by all keepers, now or just before; else one is not asked or silent
 		wait     clock.Millis // until there is room, if they answered that there is none
@@ -111,72 +111,72 @@
 
 // Charge takes a request's tokens. The error is a refusal.Refusal.
 func (ch *Charger) Charge(ctx context.Context, or Order) error {
-	until := ch.now() + or.Patience
+	until := ch.now() + or.MaxWait
 	for {
-		tr := ch.try(ctx, or)
+		tr := ch.attempt(ctx, or)
 		switch {
 		case tr.granted:
-			ch.note(or, tr)
+			ch.record(or, tr)
 			return nil
 		case tr.answered:
-			ch.note(or, tr)
-			return refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.ShareExceeded, RetryAfter: backAfter(tr.wait),
+			ch.record(or, tr)
+			return refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.ShareExceeded, RetryAfter: retryAfter(tr.wait),
 				Detail: "the customer's quota is used up"}
 		case ctx.Err() != nil || ch.now()+keeperRetryInterval >= until:
-			ch.count("Away")
-			return refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QuotaAway, RetryAfter: ch.backLater(),
+			ch.countOutcome("Away")
+			return refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QuotaAway, RetryAfter: ch.retryAfterUnavailable(),
 				Detail: "the VM that keeps the customers' quotas does not answer, or has just begun"}
 		}
 		clock.Sleep(ctx, keeperRetryInterval)
 	}
 }
 
-// backAfter is when a caller is told to come back who finds room after a span.
-func backAfter(wait clock.Millis) clock.Millis {
+// retryAfter is when a caller is told to come back who finds room after a span.
+func retryAfter(wait clock.Millis) clock.Millis {
 	wait = max(minRetryAfter, wait)
 	return wait + clock.Millis(retryAfterJitter*rand.Float64()*float64(wait))
 }
 
-// backLater is when the quota can be asked for again: when a keeper that has begun
+// retryAfterUnavailable is when the quota can be asked for again: when a keeper that has begun
 // has settled, or when the lease of one that is gone has run out.
-func (ch *Charger) backLater() clock.Millis {
-	ch.ready()
+func (ch *Charger) retryAfterUnavailable() clock.Millis {
+	ch.ensureShards()
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now, left := ch.now(), clock.Millis(0)
 	for _, sh := range ch.shards {
-		if vm := sh.account.Holder(now); vm != "" && now >= sh.silent[vm] {
-			left = max(left, quota.Settle)
+		if vm := sh.account.Holder(now); vm != "" && now >= sh.unresponsiveUntil[vm] {
+			left = max(left, quota.SettleTime)
 		} else {
 			left = max(left, sh.account.LeaseLeft(now)+leaseCheckInterval)
 		}
 	}
-	return backAfter(left)
+	return retryAfter(left)
 }
 
-// ready makes the shards.
-func (ch *Charger) ready() {
+// ensureShards makes the shards.
+func (ch *Charger) ensureShards() {
 	ch.once.Do(func() {
-		st := ch.Settings.Shard()
+		st := ch.Settings.PerShard()
 		for ix := range ch.shards {
 			ch.shards[ix] = &shard{index: ix, keeper: quota.Keeper{ID: ch.ID, Settings: st},
-				account: quota.Account{Shard: ix, Settings: st}, silent: make(map[string]clock.Millis),
-				denied: make(map[string]denial), asking: make(map[string]bool)}
+				account: quota.Account{Shard: ix, Settings: st}, unresponsiveUntil: make(map[string]clock.Millis),
+				denials: make(map[string]denial), requestingCredit: make(map[string]bool)}
 		}
 	})
 }
 
 // GiveBack gives back what was taken for a request that did not run.
 func (ch *Charger) GiveBack(or Order) {
-	ch.ready()
+	ch.ensureShards()
 	for _, sh := range ch.shards {
-		ch.giveBack(sh, or.Customer, or.Limit.Shard(), or.Tokens/quota.Shards)
+		ch.giveBack(sh, or.Customer, or.Limit.PerShard(), or.Tokens/quota.Shards)
 	}
 }
 
 // Run renews this VM's lease until the context ends.
 func (ch *Charger) Run(ctx context.Context) {
-	ch.ready()
+	ch.ensureShards()
 	forgot := ch.now()
 	for clock.Sleep(ctx, leaseCheckInterval) {
 		if ch.Limited() {
@@ -184,13 +184,13 @@
 		}
 		if now := ch.now(); now-forgot >= evictInterval {
 			forgot = now
-			ch.forget()
+			ch.evict()
 		}
 	}
 }
 
-// forget drops what is kept of customers that have no limit any more.
-func (ch *Charger) forget() {
+// evict drops what is kept of customers that have no limit any more.
+func (ch *Charger) evict() {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	limited := func(customer string) bool {
@@ -198,43 +198,43 @@
 		return ok && lim.Limited()
 	}
 	for _, sh := range ch.shards {
-		sh.forget(limited)
+		sh.evict(limited)
 	}
 }
 
 func (ch *Charger) now() clock.Millis { return clock.Or(ch.Clock).Now() }
 
-// note counts a request, and tells when a customer's quota is used up, and when it
+// record counts a request, and tells when a customer's quota is used up, and when it
 // has been free again for a while.
-func (ch *Charger) note(or Order, tr try) {
+func (ch *Charger) record(or Order, tr attempt) {
 	if tr.granted {
-		ch.count("Granted")
+		ch.countOutcome("Granted")
 	} else {
-		ch.count("Exceeded")
+		ch.countOutcome("Exceeded")
 	}
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
-	last, reached := ch.reached[or.Customer]
+	last, reached := ch.exhausted[or.Customer]
 	switch {
 	case tr.granted && (!reached || now-last < freeAfter):
 		return
 	case tr.granted:
-		delete(ch.reached, or.Customer)
+		delete(ch.exhausted, or.Customer)
 		ch.Log.Log(event.QuotaFree, event.F("Customer", or.Customer), event.F("Keepers", ch.holders()))
 		return
-	case ch.reached == nil:
-		ch.reached = make(map[string]clock.Millis)
+	case ch.exhausted == nil:
+		ch.exhausted = make(map[string]clock.Millis)
 	}
-	ch.reached[or.Customer] = now
+	ch.exhausted[or.Customer] = now
 	if !reached {
 		ch.Log.Log(event.QuotaReached, event.F("Customer", or.Customer), event.F("Tokens", or.Tokens), event.F("Rate", or.Limit.Rate),
 			event.F("Burst", or.Limit.Burst), event.F("Wait", tr.wait.String()), event.F("Keepers", ch.holders()))
 	}
 }
 
-// count counts a request by what became of it.
-func (ch *Charger) count(outcome string) {
+// countOutcome counts a request by what became of it.
+func (ch *Charger) countOutcome(outcome string) {
 	if ch.Scope != nil {
 		ch.Scope.Tagged(map[string]string{"Outcome": outcome}).Counter("Charges").Inc(1)
 	}
--- a/internal/charge/charge_test.go
+++ b/internal/charge/charge_test.go
@@ -18,23 +18,23 @@
 )
 
 type (
-	// net joins the VMs of a test.
-	net struct {
-		mu     sync.Mutex
-		vms    map[string]*charge.Charger
-		names  []string
-		keeper string          // of the first shard
-		second string          // keeper of the second shard; empty: the VM after the first one
-		cut    map[string]bool // VMs that answer nobody
-		asks   int
-		delay  time.Duration
+	// testNet joins the VMs of a test.
+	testNet struct {
+		mu       sync.Mutex
+		vms      map[string]*charge.Charger
+		names    []string
+		keeper   string          // of the first shard
+		second   string          // keeper of the second shard; empty: the VM after the first one
+		cut      map[string]bool // VMs that answer nobody
+		requests int
+		delay    time.Duration
 
 		unlimited bool // no customer has a limit
 	}
 
 	// peers is the net as one VM sees it.
 	peers struct {
-		net  *net
+		net  *testNet
 		self string
 	}
 
@@ -64,37 +64,37 @@
 
 func (pe peers) VMs() int { return len(pe.net.vms) }
 
-func (pe peers) AskQuota(ctx context.Context, vm string, ask quota.Ask) (quota.Answer, error) {
+func (pe peers) AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error) {
 	pe.net.mu.Lock()
-	pe.net.asks++
+	pe.net.requests++
 	cut := pe.net.cut[vm]
 	pe.net.mu.Unlock()
 	if cut {
 		<-ctx.Done()
-		return quota.Answer{}, errCut
+		return quota.Response{}, errCut
 	}
 	time.Sleep(pe.net.delay)
-	return pe.net.vms[vm].Answer(pe.self, 1, ask), nil
+	return pe.net.vms[vm].Handle(pe.self, 1, ask), nil
 }
 
-func (pe peers) TellQuota(vm string, ask quota.Ask) { pe.net.vms[vm].Answer(pe.self, 1, ask) }
+func (pe peers) TellQuota(vm string, ask quota.Request) { pe.net.vms[vm].Handle(pe.self, 1, ask) }
 
-func (nt *net) asked() int {
+func (nt *testNet) requestCount() int {
 	nt.mu.Lock()
 	defer nt.mu.Unlock()
-	return nt.asks
+	return nt.requests
 }
 
-func (nt *net) limited() bool {
+func (nt *testNet) limited() bool {
 	nt.mu.Lock()
 	defer nt.mu.Unlock()
 	return !nt.unlimited
 }
 
 // newNet makes VMs of which one keeps the quotas, and runs them until the test ends.
-func newNet(t *testing.T, st quota.Settings, names ...string) *net {
+func newNet(t *testing.T, st quota.Settings, names ...string) *testNet {
 	t.Helper()
-	nt := &net{vms: make(map[string]*charge.Charger), names: names, keeper: names[0], cut: make(map[string]bool), delay: 3 * time.Millisecond}
+	nt := &testNet{vms: make(map[string]*charge.Charger), names: names, keeper: names[0], cut: make(map[string]bool), delay: 3 * time.Millisecond}
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	for ix, name := range names {
@@ -111,7 +111,7 @@
 }
 
 func order(tokens float64) charge.Order {
-	return charge.Order{Customer: "c", Limit: limit, Tokens: tokens, Patience: 180}
+	return charge.Order{Customer: "c", Limit: limit, Tokens: tokens, MaxWait: 180}
 }
 
 func refusalOf(t *testing.T, err error) refusal.Refusal {
@@ -166,12 +166,12 @@
 		time.Sleep(5 * time.Second)
 		for nt.vms["b"].Charge(t.Context(), order(10000)) == nil {
 		}
-		before := nt.asked()
+		before := nt.requestCount()
 		for range 1000 {
 			_ = nt.vms["b"].Charge(t.Context(), order(10000)) // one may find room
 			time.Sleep(time.Millisecond)
 		}
-		assert.Assert(t, nt.asked()-before < 40, "%d asks in a second", nt.asked()-before)
+		assert.Assert(t, nt.requestCount()-before < 40, "%d asks in a second", nt.requestCount()-before)
 	})
 }
 
@@ -189,7 +189,7 @@
 		rf := refusalOf(t, nt.vms["b"].Charge(t.Context(), order(100000)))
 		assert.Equal(t, rf.Reason, refusal.QuotaAway)
 		assert.Assert(t, time.Since(began) <= 250*time.Millisecond)
-		assert.Assert(t, rf.RetryAfter > 0 && rf.RetryAfter <= 2*(quota.Lease+100), "%v", rf.RetryAfter)
+		assert.Assert(t, rf.RetryAfter > 0 && rf.RetryAfter <= 2*(quota.LeaseDuration+100), "%v", rf.RetryAfter)
 		time.Sleep(time.Second) // until it counts as dead
 		nt.mu.Lock()
 		nt.keeper = "c"
@@ -205,10 +205,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, quota.Settings{Window: 8 * clock.Second}, "a", "b", "c")
 		or := order(100)
-		or.Patience = 60
+		or.MaxWait = 60
 		rf := refusalOf(t, nt.vms["b"].Charge(t.Context(), or))
 		assert.Equal(t, rf.Reason, refusal.QuotaAway)
-		assert.Assert(t, rf.RetryAfter <= 2*quota.Settle, "%v", rf.RetryAfter)
+		assert.Assert(t, rf.RetryAfter <= 2*quota.SettleTime, "%v", rf.RetryAfter)
 		time.Sleep(rf.RetryAfter.Std())
 		assert.NilError(t, nt.vms["b"].Charge(t.Context(), or))
 	})
@@ -236,14 +236,14 @@
 		nt.unlimited = true
 		nt.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, nt.asked(), 0)
+		assert.Equal(t, nt.requestCount(), 0)
 	})
 }
 
 // Before the fleet's size is known a VM has no part of a limit.
 func TestAloneBeforeTheFleetIsKnown(t *testing.T) {
-	ch := &charge.Charger{Self: "a", ID: 1, Peers: peers{&net{}, "a"}}
+	ch := &charge.Charger{Self: "a", ID: 1, Peers: peers{&testNet{}, "a"}}
 	or := order(1)
-	or.Patience = 0
+	or.MaxWait = 0
 	assert.Equal(t, refusalOf(t, ch.Charge(t.Context(), or)).Reason, refusal.QuotaAway)
 }
--- a/internal/charge/lost_test.go
+++ b/internal/charge/lost_test.go
@@ -16,28 +16,28 @@
 
 const (
 	lostVMs = 24
-	// lostNotice is when the VMs see that the keeper is gone.
-	lostNotice = time.Second
-	// lostSpan is how long a lost keeper may be felt.
-	lostSpan = 2 * time.Second
-	// lostUse of its limit is what the customer sends, a tenth of it as plain
+	// lossNoticeDelay is when the VMs see that the keeper is gone.
+	lossNoticeDelay = time.Second
+	// lossSpan is how long a lost keeper may be felt.
+	lossSpan = 2 * time.Second
+	// lossUtilization of its limit is what the customer sends, a tenth of it as plain
 	// requests.
-	lostUse        = 0.55
-	lostGeneration = 7700
-	lostPlain      = 100
+	lossUtilization  = 0.55
+	generationTokens = 7700
+	plainTokens      = 100
 )
 
 // lostLimit is that of a small customer: of its generations four fit a second.
 var lostLimit = quota.Limit{Rate: 29000, Burst: 29000}
 
-// asked counts requests, and those that were refused.
-type asked struct {
+// requestCounts counts requests, and those that were refused.
+type requestCounts struct {
 	mu             sync.Mutex
 	count, refused int
 }
 
 // ask has requests of one size come at random VMs for a span.
-func (as *asked) ask(t *testing.T, nt *net, rnd *rand.Rand, names []string, span time.Duration, tokens, perSecond float64) {
+func (rc *requestCounts) ask(t *testing.T, nt *testNet, rnd *rand.Rand, names []string, span time.Duration, tokens, perSecond float64) {
 	var open sync.WaitGroup
 	for end := time.Now().Add(span); ; {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
@@ -46,21 +46,21 @@
 		}
 		vm := nt.vms[names[rnd.IntN(len(names))]]
 		open.Go(func() {
-			err := vm.Charge(t.Context(), charge.Order{Customer: "c", Limit: lostLimit, Tokens: tokens, Patience: 180})
-			as.mu.Lock()
-			defer as.mu.Unlock()
-			as.count++
+			err := vm.Charge(t.Context(), charge.Order{Customer: "c", Limit: lostLimit, Tokens: tokens, MaxWait: 180})
+			rc.mu.Lock()
+			defer rc.mu.Unlock()
+			rc.count++
 			if err != nil {
-				as.refused++
+				rc.refused++
 			}
 		})
 	}
 	open.Wait()
 }
 
-// lose plays the loss of a keeper, and counts the requests of the span after it.
-func lose(t *testing.T, seed uint64) (plain, generations *asked) {
-	plain, generations = &asked{}, &asked{}
+// playKeeperLoss plays the loss of a keeper, and counts the requests of the span after it.
+func playKeeperLoss(t *testing.T, seed uint64) (plain, generations *requestCounts) {
+	plain, generations = &requestCounts{}, &requestCounts{}
 	synctest.Test(t, func(t *testing.T) {
 		var names []string
 		for ix := range lostVMs {
@@ -71,28 +71,30 @@
 		for _, vm := range nt.vms {
 			vm.Limit = func(customer string) (quota.Limit, bool) { return lostLimit, customer == "c" }
 		}
-		both := func(span time.Duration, names []string, plain, generations *asked) {
+		both := func(span time.Duration, names []string, plain, generations *requestCounts) {
 			var open sync.WaitGroup
 			rest := rand.New(rand.NewPCG(seed, 34))
-			open.Go(func() { plain.ask(t, nt, rest, names, span, lostPlain, 0.1*lostUse*lostLimit.Rate/lostPlain) })
 			open.Go(func() {
-				generations.ask(t, nt, rnd, names, span, lostGeneration, 0.9*lostUse*lostLimit.Rate/lostGeneration)
+				plain.ask(t, nt, rest, names, span, plainTokens, 0.1*lossUtilization*lostLimit.Rate/plainTokens)
+			})
+			open.Go(func() {
+				generations.ask(t, nt, rnd, names, span, generationTokens, 0.9*lossUtilization*lostLimit.Rate/generationTokens)
 			})
 			open.Wait()
 		}
-		before := &asked{}
+		before := &requestCounts{}
 		time.Sleep(5 * time.Second)
 		both(10*time.Second, names, before, before)
 		assert.Equal(t, before.refused, 0, "below the limit nothing is refused")
 		nt.mu.Lock()
 		nt.cut[names[0]] = true
 		nt.mu.Unlock()
-		time.AfterFunc(lostNotice, func() {
+		time.AfterFunc(lossNoticeDelay, func() {
 			nt.mu.Lock()
 			defer nt.mu.Unlock()
 			nt.keeper = names[1]
 		})
-		both(lostSpan, names[1:], plain, generations)
+		both(lossSpan, names[1:], plain, generations)
 	})
 	return plain, generations
 }
@@ -102,7 +104,7 @@
 func TestKeeperLost(t *testing.T) {
 	var plain, generations, lostPlain, lostGenerations int
 	for seed := range uint64(30) {
-		pl, ge := lose(t, seed)
+		pl, ge := playKeeperLoss(t, seed)
 		plain, lostPlain = plain+pl.count, lostPlain+pl.refused
 		generations, lostGenerations = generations+ge.count, lostGenerations+ge.refused
 	}
--- a/internal/charge/shard.go
+++ b/internal/charge/shard.go
@@ -10,102 +10,102 @@
 )
 
 const (
-	// askTimeout bounds one request to a keeper.
-	askTimeout = 40 * clock.Millis(1)
+	// requestTimeout bounds one request to a keeper.
+	requestTimeout = 40 * clock.Millis(1)
 	// unresponsiveFor is how long a keeper that did not answer is not asked again.
 	unresponsiveFor = 200 * clock.Millis(1)
-	// deniedFor bounds how long a keeper's word that there is no room stands
+	// maxDenialTTL bounds how long a keeper's word that there is no room stands
 	// without asking again: a customer far beyond its limit would make it answer
 	// each of its requests.
-	deniedFor = 60 * clock.Millis(1)
+	maxDenialTTL = 60 * clock.Millis(1)
 )
 
 type (
 	// shard is what this VM has of one shard of the limits. The Charger's lock guards
 	// it.
 	shard struct {
-		index   int
-		keeper  quota.Keeper
-		account quota.Account
-		silent  map[string]clock.Millis // keepers that did not answer, until when they are not asked
-		denied  map[string]denial       // by customer
-		asking  map[string]bool         // customers for whom credit is being asked
-		holder  string                  // VM that held the lease when that was looked at last
+		index             int
+		keeper            quota.Keeper
+		account           quota.Account
+		unresponsiveUntil map[string]clock.Millis // keepers that did not answer, until when they are not asked
+		denials           map[string]denial       // by customer
+		requestingCredit  map[string]bool         // customers for whom credit is being asked
+		holder            string                  // VM that held the lease when that was looked at last
 	}
 
 	// denial is a keeper's word that there is no room.
 	denial struct {
 		tokens float64 // that were asked for
 		until  clock.Millis
-		room   clock.Millis // when there will be
+		roomAt clock.Millis // when there will be
 	}
 )
 
-// askedAt is the VM to ask: the one that holds the lease on this VM's part, or else the
+// keeperFor is the VM to ask: the one that holds the lease on this VM's part, or else the
 // shard's keeper as this VM sees the fleet.
-func (sh *shard) askedAt(now clock.Millis, keeper string) string {
+func (sh *shard) keeperFor(now clock.Millis, keeper string) string {
 	if vm := sh.account.Holder(now); vm != "" {
 		return vm
 	}
 	return keeper
 }
 
-// deniedAlready tells whether the keeper said just now that there is no room for so
+// cachedDenial tells whether the keeper said just now that there is no room for so
 // many tokens, and how long there will be none.
-func (sh *shard) deniedAlready(now clock.Millis, customer string, tokens float64) (wait clock.Millis, denied bool) {
-	de := sh.denied[customer]
+func (sh *shard) cachedDenial(now clock.Millis, customer string, tokens float64) (wait clock.Millis, denied bool) {
+	de := sh.denials[customer]
 	if now >= de.until || tokens < de.tokens {
 		return 0, false
 	}
-	return de.room - now, true
+	return de.roomAt - now, true
 }
 
 // needsCredit tells whether credit is to be asked for now.
 func (sh *shard) needsCredit(now clock.Millis, vms int, vm string, or Order) bool {
-	return vm != "" && !sh.asking[or.Customer] && now >= sh.silent[vm] && now >= sh.denied[or.Customer].until &&
-		sh.account.Low(vms, or.Customer, or.Limit.Shard(), or.Tokens/quota.Shards)
+	return vm != "" && !sh.requestingCredit[or.Customer] && now >= sh.unresponsiveUntil[vm] && now >= sh.denials[or.Customer].until &&
+		sh.account.NeedsCredit(vms, or.Customer, or.Limit.PerShard(), or.Tokens/quota.Shards)
 }
 
-// forget drops what is kept of customers that are not wanted any more.
-func (sh *shard) forget(wanted func(customer string) bool) {
-	sh.keeper.Forget(wanted)
-	sh.account.Forget(wanted)
-	for customer := range sh.denied {
+// evict drops what is kept of customers that are not wanted any more.
+func (sh *shard) evict(wanted func(customer string) bool) {
+	sh.keeper.Evict(wanted)
+	sh.account.Evict(wanted)
+	for customer := range sh.denials {
 		if !wanted(customer) {
-			delete(sh.denied, customer)
+			delete(sh.denials, customer)
 		}
 	}
 }
 
-// ask asks a shard's keeper for tokens. The second result tells whether the keeper
+// requestTokens asks a shard's keeper for tokens. The second result tells whether the keeper
 // answered and knows what there is.
-func (ch *Charger) ask(ctx context.Context, sh *shard, vm string, vms int, or Order) (quota.Answer, bool) {
-	lim := or.Limit.Shard()
+func (ch *Charger) requestTokens(ctx context.Context, sh *shard, vm string, vms int, or Order) (quota.Response, bool) {
+	lim := or.Limit.PerShard()
 	ch.mu.Lock()
-	ask := sh.account.Ask(ch.now(), vms, vm, or.Customer, lim, or.Tokens)
+	ask := sh.account.NewRequest(ch.now(), vms, vm, or.Customer, lim, or.Tokens)
 	ch.mu.Unlock()
 	ans, err := ch.exchange(ctx, sh, vm, vms, ask, lim)
 	return ans, err == nil && ans.Known
 }
 
-// askCredit asks for credit alone.
-func (ch *Charger) askCredit(sh *shard, vm string, vms int, or Order) {
-	_, _ = ch.ask(context.Background(), sh, vm, vms, or.withTokens(0)) // a request that finds none asks for itself
+// requestCredit asks for credit alone.
+func (ch *Charger) requestCredit(sh *shard, vm string, vms int, or Order) {
+	_, _ = ch.requestTokens(context.Background(), sh, vm, vms, or.withTokens(0)) // a request that finds none asks for itself
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	delete(sh.asking, or.Customer)
+	delete(sh.requestingCredit, or.Customer)
 }
 
 // exchange asks a keeper, which may be this VM, and takes its answer.
-func (ch *Charger) exchange(ctx context.Context, sh *shard, vm string, vms int, ask quota.Ask, lim quota.Limit) (quota.Answer, error) {
+func (ch *Charger) exchange(ctx context.Context, sh *shard, vm string, vms int, req quota.Request, lim quota.Limit) (quota.Response, error) {
 	asked := ch.now()
-	var ans quota.Answer
+	var ans quota.Response
 	var err error
 	if vm == ch.Self {
-		ans = ch.Answer(vm, 0, ask)
+		ans = ch.Handle(vm, 0, req)
 	} else {
-		within, stop := context.WithTimeout(ctx, askTimeout.Std())
-		ans, err = ch.Peers.AskQuota(within, vm, ask)
+		within, stop := context.WithTimeout(ctx, requestTimeout.Std())
+		ans, err = ch.Peers.AskQuota(within, vm, req)
 		stop()
 	}
 	ch.mu.Lock()
@@ -113,29 +113,29 @@
 	now := ch.now()
 	if err != nil {
 		if ctx.Err() == nil {
-			ch.noteSilent(now, sh, vm, err)
+			ch.markUnresponsive(now, sh, vm, err)
 		}
 		return ans, err
 	}
-	sh.account.Answered(now, asked, vms, vm, ask, lim, ans)
-	ch.noteHolder(now, sh)
+	sh.account.ApplyResponse(now, asked, vms, vm, req, lim, ans)
+	ch.logHolderChange(now, sh)
 	return ans, nil
 }
 
-// Answer answers another VM as the keeper of a shard.
-func (ch *Charger) Answer(vm string, life uint64, ask quota.Ask) quota.Answer {
-	ch.ready()
+// Handle answers another VM as the keeper of a shard.
+func (ch *Charger) Handle(vm string, incarnation uint64, req quota.Request) quota.Response {
+	ch.ensureShards()
 	var lim *quota.Limit
-	if ask.Customer != "" {
-		if known, ok := ch.Limit(ask.Customer); ok {
-			part := known.Shard()
+	if req.Customer != "" {
+		if known, ok := ch.Limit(req.Customer); ok {
+			part := known.PerShard()
 			lim = &part
 		}
 	}
 	vms := ch.Peers.VMs()
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	return ch.shards[ask.Shard].keeper.Answer(ch.now(), vms, vm, life, ask, lim)
+	return ch.shards[req.Shard].keeper.Handle(ch.now(), vms, vm, incarnation, req, lim)
 }
 
 // giveBack gives back tokens of a shard that were not used.
@@ -149,7 +149,7 @@
 	switch {
 	case !tell:
 	case vm == ch.Self:
-		ch.Answer(vm, 0, ask)
+		ch.Handle(vm, 0, ask)
 	default:
 		ch.Peers.TellQuota(vm, ask)
 	}
@@ -174,7 +174,7 @@
 		_, _ = ch.exchange(ctx, sh, holder, vms, ask, quota.Limit{}) // or it runs out
 	}
 	for range 2 { // a lease that begins is told at once
-		ask, due := ch.renewal(sh, vm, vms)
+		ask, due := ch.renewalRequest(sh, vm, vms)
 		if !due {
 			return
 		}
@@ -184,21 +184,21 @@
 	}
 }
 
-// renewal is the word by which a lease is renewed or begun, if it is time.
-func (ch *Charger) renewal(sh *shard, vm string, vms int) (ask quota.Ask, due bool) {
+// renewalRequest is the word by which a lease is renewed or begun, if it is time.
+func (ch *Charger) renewalRequest(sh *shard, vm string, vms int) (ask quota.Request, due bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
-	ch.noteHolder(now, sh)
+	ch.logHolderChange(now, sh)
 	holder := sh.account.Holder(now)
-	if vm == "" || holder != "" && holder != vm || now < sh.silent[vm] || !sh.account.Due(now, vm) {
+	if vm == "" || holder != "" && holder != vm || now < sh.unresponsiveUntil[vm] || !sh.account.RenewalDue(now, vm) {
 		return ask, false
 	}
-	return sh.account.Word(now, vms, vm), true
+	return sh.account.LeaseRequest(now, vms, vm), true
 }
 
 // release ends the lease of a VM that should not hold it.
-func (ch *Charger) release(sh *shard, vm string, vms int) (ask quota.Ask, holder string, ends bool) {
+func (ch *Charger) release(sh *shard, vm string, vms int) (ask quota.Request, holder string, ends bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
@@ -206,27 +206,27 @@
 	if vm == "" || holder == "" || holder == vm {
 		return ask, "", false
 	}
-	return sh.account.Release(now, vms), holder, now >= sh.silent[holder]
+	return sh.account.ReleaseRequest(now, vms), holder, now >= sh.unresponsiveUntil[holder]
 }
 
-// noteDenied has a keeper's word that there is no room stand for a while.
-func (ch *Charger) noteDenied(sh *shard, or Order, wait clock.Millis) {
+// cacheDenial has a keeper's word that there is no room stand for a while.
+func (ch *Charger) cacheDenial(sh *shard, or Order, wait clock.Millis) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
-	sh.denied[or.Customer] = denial{tokens: or.Tokens, until: now + min(wait, deniedFor), room: now + wait}
+	sh.denials[or.Customer] = denial{tokens: or.Tokens, until: now + min(wait, maxDenialTTL), roomAt: now + wait}
 }
 
-// noteSilent has a keeper that did not answer not asked for a while. The lock is held.
-func (ch *Charger) noteSilent(now clock.Millis, sh *shard, vm string, err error) {
-	sh.silent[vm] = now + unresponsiveFor
+// markUnresponsive has a keeper that did not answer not asked for a while. The lock is held.
+func (ch *Charger) markUnresponsive(now clock.Millis, sh *shard, vm string, err error) {
+	sh.unresponsiveUntil[vm] = now + unresponsiveFor
 	ch.Log.Log(event.QuotaSilent, event.F("Other", vm), event.F("Shard", sh.index),
 		event.F("LeaseLeft", sh.account.LeaseLeft(now).String()), event.F("Error", err.Error()))
 }
 
-// noteHolder tells that another VM keeps a shard of the quotas for this one. The lock
+// logHolderChange tells that another VM keeps a shard of the quotas for this one. The lock
 // is held.
-func (ch *Charger) noteHolder(now clock.Millis, sh *shard) {
+func (ch *Charger) logHolderChange(now clock.Millis, sh *shard) {
 	if vm := sh.account.Holder(now); vm != sh.holder {
 		ch.Log.Log(event.QuotaKeeperChanged, event.F("Other", vm), event.F("Shard", sh.index), event.F("Before", sh.holder))
 		sh.holder = vm
--- a/internal/charge/sizes_test.go
+++ b/internal/charge/sizes_test.go
@@ -29,11 +29,11 @@
 	lost  []int // the VMs that are lost; 0 and 1 keep the shards
 }
 
-// asks counts requests, and those that were refused.
-type asks struct{ plain, noPlain, generations, noGenerations int }
+// lossCounts counts requests, and those that were refused.
+type lossCounts struct{ plain, plainRefused, generations, generationsRefused int }
 
 // play counts the requests of the two seconds after the loss.
-func (kl keeperLoss) play(t *testing.T, seed uint64) (as asks) {
+func (kl keeperLoss) play(t *testing.T, seed uint64) (lc lossCounts) {
 	synctest.Test(t, func(t *testing.T) {
 		names := vmNames(kl.vms)
 		nt := newNet(t, settings, names...)
@@ -51,7 +51,7 @@
 			nt.cut[names[ix]] = true
 		}
 		nt.mu.Unlock()
-		time.AfterFunc(lostNotice, func() {
+		time.AfterFunc(lossNoticeDelay, func() {
 			nt.mu.Lock()
 			defer nt.mu.Unlock()
 			if nt.cut[nt.keeper] {
@@ -61,30 +61,30 @@
 				nt.second = names[3]
 			}
 		})
-		as = kl.ask(t, nt, names[2:], rnd, lostSpan)
+		lc = kl.ask(t, nt, names[2:], rnd, lossSpan)
 	})
-	return as
+	return lc
 }
 
 // ask has generations and plain requests come at random VMs for a span, a tenth of the
 // tokens for plain ones.
-func (kl keeperLoss) ask(t *testing.T, nt *net, names []string, rnd *rand.Rand, span time.Duration) asks {
+func (kl keeperLoss) ask(t *testing.T, nt *testNet, names []string, rnd *rand.Rand, span time.Duration) lossCounts {
 	var open sync.WaitGroup
 	var mu sync.Mutex
-	var as asks
-	tokens := lostUse * kl.limit.Rate
-	generations, plain := 0.9*tokens/lostGeneration, 0.1*tokens/lostPlain
+	var lc lossCounts
+	tokens := lossUtilization * kl.limit.Rate
+	generations, plain := 0.9*tokens/generationTokens, 0.1*tokens/plainTokens
 	for end := time.Now().Add(span); ; {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / (generations + plain) * float64(time.Second)))
 		if time.Now().After(end) {
 			break
 		}
-		vm, need, count, refused := nt.vms[names[rnd.IntN(len(names))]], float64(lostPlain), &as.plain, &as.noPlain
+		vm, need, count, refused := nt.vms[names[rnd.IntN(len(names))]], float64(plainTokens), &lc.plain, &lc.plainRefused
 		if rnd.Float64() < generations/(generations+plain) {
-			need, count, refused = lostGeneration, &as.generations, &as.noGenerations
+			need, count, refused = generationTokens, &lc.generations, &lc.generationsRefused
 		}
 		open.Go(func() {
-			err := vm.Charge(t.Context(), charge.Order{Customer: "c", Limit: kl.limit, Tokens: need, Patience: 180})
+			err := vm.Charge(t.Context(), charge.Order{Customer: "c", Limit: kl.limit, Tokens: need, MaxWait: 180})
 			mu.Lock()
 			defer mu.Unlock()
 			*count++
@@ -94,17 +94,17 @@
 		})
 	}
 	open.Wait()
-	return as
+	return lc
 }
 
-// all sums plays.
-func (kl keeperLoss) all(t *testing.T, seeds uint64) (sum asks) {
+// playAll sums plays.
+func (kl keeperLoss) playAll(t *testing.T, seeds uint64) (sum lossCounts) {
 	for seed := range seeds {
-		as := kl.play(t, seed)
-		sum.plain, sum.noPlain = sum.plain+as.plain, sum.noPlain+as.noPlain
-		sum.generations, sum.noGenerations = sum.generations+as.generations, sum.noGenerations+as.noGenerations
+		lc := kl.play(t, seed)
+		sum.plain, sum.plainRefused = sum.plain+lc.plain, sum.plainRefused+lc.plainRefused
+		sum.generations, sum.generationsRefused = sum.generations+lc.generations, sum.generationsRefused+lc.generationsRefused
 	}
-	t.Logf("refused: %d of %d plain requests, %d of %d generations", sum.noPlain, sum.plain, sum.noGenerations, sum.generations)
+	t.Logf("refused: %d of %d plain requests, %d of %d generations", sum.plainRefused, sum.plain, sum.generationsRefused, sum.generations)
 	return sum
 }
 
@@ -115,8 +115,8 @@
 		for _, lim := range []quota.Limit{{Rate: 29000, Burst: 29000}, {Rate: 163000, Burst: 163000}} {
 			for _, lost := range [][]int{nil, {0}, {1}} {
 				t.Run(fmt.Sprintf("%d VMs, %.0f tokens a second, lost %v", vms, lim.Rate, lost), func(t *testing.T) {
-					as := keeperLoss{vms: vms, limit: lim, lost: lost}.all(t, seeds)
-					assert.Assert(t, (as.noPlain+as.noGenerations)*100 <= as.plain+as.generations)
+					as := keeperLoss{vms: vms, limit: lim, lost: lost}.playAll(t, seeds)
+					assert.Assert(t, (as.plainRefused+as.generationsRefused)*100 <= as.plain+as.generations)
 				})
 			}
 		}
@@ -126,6 +126,6 @@
 // Where both keepers are lost at once generations are refused until others hold the
 // leases.
 func TestBothKeepersLost(t *testing.T) {
-	as := keeperLoss{vms: 24, limit: lostLimit, lost: []int{0, 1}}.all(t, 10)
-	assert.Assert(t, as.noGenerations < as.generations)
+	as := keeperLoss{vms: 24, limit: lostLimit, lost: []int{0, 1}}.playAll(t, 10)
+	assert.Assert(t, as.generationsRefused < as.generations)
 }
--- a/internal/charge/take.go
+++ b/internal/charge/take.go
@@ -11,52 +11,52 @@
 // reply is what one shard says to a request. It may be asked, unless it has denied the
 // request or has no keeper to ask.
 type reply struct {
-	sh      *shard
-	vm      string // its keeper
-	granted bool
-	denied  bool
-	away    bool         // it has no keeper that answers
-	wait    clock.Millis // until there is room, if it denied
+	sh          *shard
+	vm          string // its keeper
+	granted     bool
+	denied      bool
+	unavailable bool         // it has no keeper that answers
+	wait        clock.Millis // until there is room, if it denied
 }
 
-// try takes the tokens from what is here, or asks the keepers for them once.
-func (ch *Charger) try(ctx context.Context, or Order) try {
-	ch.ready()
+// attempt takes the tokens from what is here, or asks the keepers for them once.
+func (ch *Charger) attempt(ctx context.Context, or Order) attempt {
+	ch.ensureShards()
 	vms, keepers := ch.Peers.VMs(), ch.Peers.Keepers()
 	if ch.takeCredit(vms, keepers, or) {
-		return try{granted: true, answered: true}
+		return attempt{granted: true, answered: true}
 	}
-	replies := ch.known(keepers, or)
+	replies := ch.localReplies(keepers, or)
 	open := askable(replies)
 	part := or.withTokens(or.Tokens / float64(max(1, len(open))))
-	ch.askEach(ctx, open, vms, part)
-	if ch.complete(ctx, open, vms, part) || ch.takeAlone(replies, vms, or) {
-		return try{granted: true, answered: true}
+	ch.requestEach(ctx, open, vms, part)
+	if ch.completeGrants(ctx, open, vms, part) || ch.takeLocal(replies, vms, or) {
+		return attempt{granted: true, answered: true}
 	}
-	tr := try{answered: true}
+	tr := attempt{answered: true}
 	for _, re := range replies {
-		tr.answered = tr.answered && !re.away
+		tr.answered = tr.answered && !re.unavailable
 		tr.wait = max(tr.wait, re.wait)
 	}
 	return tr
 }
 
-// known is what the shards' replies to a request are without asking: those of which a
+// localReplies is what the shards' replies to a request are without asking: those of which a
 // denial stands, or whose keeper is silent, are not asked. The others share the tokens,
 // which a shard may have denied that has room for its equal part.
-func (ch *Charger) known(keepers [quota.Shards]string, or Order) []*reply {
+func (ch *Charger) localReplies(keepers [quota.Shards]string, or Order) []*reply {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
 	replies := make([]*reply, len(ch.shards))
 	for ix, sh := range ch.shards {
-		vm := sh.askedAt(now, keepers[ix])
-		replies[ix] = &reply{sh: sh, vm: vm, away: vm == "" || now < sh.silent[vm]}
+		vm := sh.keeperFor(now, keepers[ix])
+		replies[ix] = &reply{sh: sh, vm: vm, unavailable: vm == "" || now < sh.unresponsiveUntil[vm]}
 	}
 	for open := askable(replies); len(open) > 0; open = askable(replies) {
 		part := or.Tokens / float64(len(open))
 		for _, re := range open {
-			re.wait, re.denied = re.sh.deniedAlready(now, or.Customer, part)
+			re.wait, re.denied = re.sh.cachedDenial(now, or.Customer, part)
 		}
 		if len(askable(replies)) == len(open) {
 			break
@@ -69,33 +69,33 @@
 func askable(replies []*reply) []*reply {
 	var open []*reply
 	for _, re := range replies {
-		if !re.away && !re.denied {
+		if !re.unavailable && !re.denied {
 			open = append(open, re)
 		}
 	}
 	return open
 }
 
-// askEach asks the shards for a part each, at the same time.
-func (ch *Charger) askEach(ctx context.Context, open []*reply, vms int, part Order) {
+// requestEach asks the shards for a part each, at the same time.
+func (ch *Charger) requestEach(ctx context.Context, open []*reply, vms int, part Order) {
 	var asks sync.WaitGroup
 	for _, re := range open {
 		asks.Go(func() {
-			ans, known := ch.ask(ctx, re.sh, re.vm, vms, part)
-			re.granted, re.denied, re.away = known && ans.Granted, known && !ans.Granted, !known
+			ans, known := ch.requestTokens(ctx, re.sh, re.vm, vms, part)
+			re.granted, re.denied, re.unavailable = known && ans.Granted, known && !ans.Granted, !known
 			if re.denied {
 				re.wait = ans.Wait
-				ch.noteDenied(re.sh, part, ans.Wait)
+				ch.cacheDenial(re.sh, part, ans.Wait)
 			}
 		})
 	}
 	asks.Wait()
 }
 
-// complete tells whether the shards that were asked for a part each granted all. Where
+// completeGrants tells whether the shards that were asked for a part each granted all. Where
 // some granted theirs, the first of those is asked for what the others did not, and all
 // of it is given back if that is not there either.
-func (ch *Charger) complete(ctx context.Context, asked []*reply, vms int, part Order) bool {
+func (ch *Charger) completeGrants(ctx context.Context, asked []*reply, vms int, part Order) bool {
 	var granted []*reply
 	for _, re := range asked {
 		if re.granted {
@@ -109,12 +109,12 @@
 	case missing == 0:
 		return true
 	}
-	ans, known := ch.ask(ctx, granted[0].sh, granted[0].vm, vms, part.withTokens(part.Tokens*float64(missing)))
+	ans, known := ch.requestTokens(ctx, granted[0].sh, granted[0].vm, vms, part.withTokens(part.Tokens*float64(missing)))
 	if known && ans.Granted {
 		return true
 	}
 	for _, re := range granted {
-		ch.giveBack(re.sh, part.Customer, part.Limit.Shard(), part.Tokens)
+		ch.giveBack(re.sh, part.Customer, part.Limit.PerShard(), part.Tokens)
 	}
 	return false
 }
@@ -124,7 +124,7 @@
 func (ch *Charger) takeCredit(vms int, keepers [quota.Shards]string, or Order) bool {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	now, lim := ch.now(), or.Limit.Shard()
+	now, lim := ch.now(), or.Limit.PerShard()
 	taken := takeFrom(ch.shards[:], or.Tokens, func(sh *shard) float64 {
 		return sh.account.Credit(now, vms, or.Customer, lim)
 	}, func(sh *shard, tokens float64) {
@@ -134,30 +134,30 @@
 		return false
 	}
 	for ix, sh := range ch.shards {
-		if vm := sh.askedAt(now, keepers[ix]); sh.needsCredit(now, vms, vm, or) {
-			sh.asking[or.Customer] = true
-			go ch.askCredit(sh, vm, vms, or)
+		if vm := sh.keeperFor(now, keepers[ix]); sh.needsCredit(now, vms, vm, or) {
+			sh.requestingCredit[or.Customer] = true
+			go ch.requestCredit(sh, vm, vms, or)
 		}
 	}
 	return true
 }
 
-// takeAlone takes the tokens from this VM's own part of the shards whose keepers do not
+// takeLocal takes the tokens from this VM's own part of the shards whose keepers do not
 // answer. The part's size is not known before the fleet's is.
-func (ch *Charger) takeAlone(replies []*reply, vms int, or Order) bool {
+func (ch *Charger) takeLocal(replies []*reply, vms int, or Order) bool {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	now, lim := ch.now(), or.Limit.Shard()
+	now, lim := ch.now(), or.Limit.PerShard()
 	var away []*shard
 	for _, re := range replies {
-		if re.away {
+		if re.unavailable {
 			away = append(away, re.sh)
 		}
 	}
 	return vms > 0 && len(away) > 0 && takeFrom(away, or.Tokens, func(sh *shard) float64 {
-		return sh.account.Alone(now, vms, or.Customer, lim)
+		return sh.account.LocalTokens(now, vms, or.Customer, lim)
 	}, func(sh *shard, tokens float64) {
-		sh.account.TakeAlone(now, vms, or.Customer, lim, tokens)
+		sh.account.TakeLocal(now, vms, or.Customer, lim, tokens)
 	})
 }
 
--- a/internal/entry/again.go
+++ b/internal/entry/again.go
@@ -29,7 +29,7 @@
 		Deadline:          rn.deadline,
 	}
 	switch vd := rn.vm.decideRetry(at).(type) {
-	case retry.Again:
+	case retry.Retry:
 		if !clock.Sleep(ctx, vd.After) {
 			return context.Cause(ctx)
 		}
@@ -72,7 +72,7 @@
 	vd := vm.retries.Decide(vm.Clock.Now(), at)
 	vm.retries.mu.Unlock()
 	switch vd := vd.(type) {
-	case retry.Again:
+	case retry.Retry:
 		vm.retries.count.Inc(at.Service, refusal.Reason(vd.Reason))
 	case retry.GiveUp:
 		vm.retries.count.Inc(at.Service, refusal.Reason(vd.Reason))
@@ -84,7 +84,7 @@
 func (vm *VM) earnRetry(customer, service string) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
-	vm.retries.Request(vm.Clock.Now(), customer, service)
+	vm.retries.RecordRequest(vm.Clock.Now(), customer, service)
 }
 
 // quickAccountantTimeout is how long a quick request looks for its accountant: a part
--- a/internal/entry/hedge_test.go
+++ b/internal/entry/hedge_test.go
@@ -75,7 +75,7 @@
 // has a call in flight already.
 func (rg *hedgeRig) slowFirst(t *testing.T) {
 	t.Helper()
-	id, err := rg.vm.pick(balance.Ask{Service: "kiosk-api", Customer: "other", Share: 1})
+	id, err := rg.vm.pick(balance.Request{Service: "kiosk-api", Customer: "other", Share: 1})
 	assert.NilError(t, err)
 	first := 'b' - id[0] // the index of the other one
 	rg.servers[first].Control.Set(standin.Faults{Paths: []string{"/status"}, Slow: hedgeSlow})
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -74,7 +74,7 @@
 	done := make(chan plainAttempt, 2)
 	began := make(chan string, 1)
 	rn.vm.wg.Go(func() { done <- rn.tryPlain(ctx, call, tried, began) })
-	ask := retry.HedgeAsk{
+	ask := retry.HedgeRequest{
 		Customer:   rn.id.Customer,
 		Service:    rn.req.Class.Service,
 		Idempotent: rn.req.Class.Idempotent,
@@ -152,7 +152,7 @@
 func (rn *run) callPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (string, service.Response, error) {
 	vm := rn.vm
 	var none service.Response
-	id, err := vm.pick(balance.Ask{
+	id, err := vm.pick(balance.Request{
 		Service:  rn.req.Class.Service,
 		Customer: rn.id.Customer,
 		Share:    rn.req.Class.Share,
@@ -194,12 +194,12 @@
 	if server, span := backend.RetryAfterOf(err); span > 0 {
 		vm.chooser.mu.Lock()
 		defer vm.chooser.mu.Unlock()
-		vm.chooser.Rest(vm.Clock.Now(), server, span)
+		vm.chooser.BackOff(vm.Clock.Now(), server, span)
 	}
 }
 
 // hedgeAfter asks the retry policy when to hedge a request, if at all.
-func (vm *VM) hedgeAfter(ask retry.HedgeAsk) (clock.Millis, bool) {
+func (vm *VM) hedgeAfter(ask retry.HedgeRequest) (clock.Millis, bool) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
 	hd, ok := vm.retries.Hedge(vm.Clock.Now(), ask).(retry.Hedge)
@@ -207,9 +207,9 @@
 }
 
 // takeHedge pays for a hedge and counts what the policy said.
-func (vm *VM) takeHedge(ask retry.HedgeAsk) bool {
+func (vm *VM) takeHedge(ask retry.HedgeRequest) bool {
 	vm.retries.mu.Lock()
-	reason, ok := vm.retries.TakeHedge(vm.Clock.Now(), ask)
+	reason, ok := vm.retries.SpendHedge(vm.Clock.Now(), ask)
 	vm.retries.mu.Unlock()
 	vm.retries.count.Inc(ask.Service, refusal.Reason(reason))
 	return ok
@@ -219,7 +219,7 @@
 func (vm *VM) tookPlain(name string, took clock.Millis) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
-	vm.retries.Observe(name, took)
+	vm.retries.ObserveLatency(name, took)
 }
 
 func plainOutcome(ctx context.Context, err error) balance.Result {
@@ -267,7 +267,7 @@
 }
 
 // pick chooses a server of a plain service.
-func (vm *VM) pick(ask balance.Ask) (string, error) {
+func (vm *VM) pick(ask balance.Request) (string, error) {
 	vm.chooser.mu.Lock()
 	defer vm.chooser.mu.Unlock()
 	return vm.chooser.Pick(vm.Clock.Now(), ask)
--- a/internal/fleet/ask.go
+++ b/internal/fleet/ask.go
@@ -71,7 +71,7 @@
 }
 
 // ask asks a VM for a place.
-func (fl *Fleet) ask(ctx context.Context, vm board.VM, ask usage.PlaceAsk) (usage.PlaceAnswer, error) {
+func (fl *Fleet) ask(ctx context.Context, vm board.VM, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	return fl.asks.await(ctx, func(number uint64) error {
 		return fl.peers.Datagram(vm, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: askToWire(number, ask)}})
 	})
@@ -89,25 +89,25 @@
 	_ = fl.peers.Datagram(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAnswer{PlaceAnswer: answer}})
 }
 
-func askToWire(number uint64, ask usage.PlaceAsk) *peerpb.PlaceAsk {
-	return &peerpb.PlaceAsk{Number: number, Service: ask.Ask.Service, Returning: ask.Ask.Returning, Turn: ask.Ask.Turn, Age: uint32(ask.Ask.Age),
-		Tokens: uint32(ask.Run.Tokens), Left: uint32(ask.Run.Left), Reserve: uint32(ask.Reserve),
-		MayWait: uint32(max(0, ask.MayWait)), MayWaitBack: uint32(max(0, ask.MayWaitBack)), Skip: ask.Skip, Prompt: ask.Prompt}
+func askToWire(number uint64, ask usage.PlacementRequest) *peerpb.PlaceAsk {
+	return &peerpb.PlaceAsk{Number: number, Service: ask.Waiting.Service, Returning: ask.Waiting.Returning, Turn: ask.Waiting.Turn, Age: uint32(ask.Waiting.Age),
+		Tokens: uint32(ask.Run.Tokens), Left: uint32(ask.Run.Left), Reserve: uint32(ask.ReserveTokens),
+		MayWait: uint32(max(0, ask.MaxWait)), MayWaitBack: uint32(max(0, ask.MaxWaitReturning)), Skip: ask.Excluded, Prompt: ask.NeedsPrefill}
 }
 
-func askFromWire(pa *peerpb.PlaceAsk) usage.PlaceAsk {
-	return usage.PlaceAsk{
-		Ask: usage.Ask{Service: pa.GetService(), Returning: pa.GetReturning(), Turn: pa.GetTurn(), Age: clock.Millis(pa.GetAge())},
-		Run: usage.Run{Tokens: int(pa.GetTokens()), Left: int(pa.GetLeft())}, Reserve: int(pa.GetReserve()),
-		MayWait: clock.Millis(pa.GetMayWait()), MayWaitBack: clock.Millis(pa.GetMayWaitBack()), Skip: pa.GetSkip(), Prompt: pa.GetPrompt()}
+func askFromWire(pa *peerpb.PlaceAsk) usage.PlacementRequest {
+	return usage.PlacementRequest{
+		Waiting: usage.WaitingRequest{Service: pa.GetService(), Returning: pa.GetReturning(), Turn: pa.GetTurn(), Age: clock.Millis(pa.GetAge())},
+		Run:     usage.Run{Tokens: int(pa.GetTokens()), Left: int(pa.GetLeft())}, ReserveTokens: int(pa.GetReserve()),
+		MaxWait: clock.Millis(pa.GetMayWait()), MaxWaitReturning: clock.Millis(pa.GetMayWaitBack()), Excluded: pa.GetSkip(), NeedsPrefill: pa.GetPrompt()}
 }
 
-func answerToWire(number uint64, ans usage.PlaceAnswer) *peerpb.PlaceAnswer {
-	return &peerpb.PlaceAnswer{Number: number, Known: ans.Known, Engines: ans.Engines, Before: uint32(ans.Before), Short: ans.Short,
-		Prefill: ans.Prefill, Ahead: uint32(ans.Ahead), Doubtful: ans.Doubtful}
+func answerToWire(number uint64, ans usage.PlacementReply) *peerpb.PlaceAnswer {
+	return &peerpb.PlaceAnswer{Number: number, Known: ans.Informed, Engines: ans.Engines, Before: uint32(ans.RequestsAhead), Short: ans.Shortage,
+		Prefill: ans.Prefill, Ahead: uint32(ans.QueuedTokens), Doubtful: ans.Doubtful}
 }
 
-func answerFromWire(pa *peerpb.PlaceAnswer) usage.PlaceAnswer {
-	return usage.PlaceAnswer{Known: pa.GetKnown(), Engines: pa.GetEngines(), Before: int(pa.GetBefore()), Short: pa.GetShort(),
-		Prefill: pa.GetPrefill(), Ahead: int(pa.GetAhead()), Doubtful: pa.GetDoubtful()}
+func answerFromWire(pa *peerpb.PlaceAnswer) usage.PlacementReply {
+	return usage.PlacementReply{Informed: pa.GetKnown(), Engines: pa.GetEngines(), RequestsAhead: int(pa.GetBefore()), Shortage: pa.GetShort(),
+		Prefill: pa.GetPrefill(), QueuedTokens: int(pa.GetAhead()), Doubtful: pa.GetDoubtful()}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -48,10 +48,10 @@
 	// Usage hears what another VM has at model engines; nil drops it.
 	Usage func(vm string, rp usage.Report)
 	// Place chooses engines for a request of another VM; nil answers no asks.
-	Place func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer
+	Place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
 	// Quota answers another VM, which is in one of its lives, as a keeper of the
 	// customers' quotas; nil answers no asks.
-	Quota func(vm string, life uint64, ask quota.Ask) quota.Answer
+	Quota func(vm string, life uint64, ask quota.Request) quota.Response
 	// Changed hears of each new view of the fleet; nil drops it.
 	Changed func(view *board.Fleet)
 	// End hears at which server's end a request was there; nil drops it.
@@ -61,8 +61,8 @@
 
 	view       atomic.Pointer[board.Fleet]
 	schedulers atomic.Pointer[schedulers]
-	asks       asks[usage.PlaceAnswer]
-	quotaAsks  asks[quota.Answer]
+	asks       asks[usage.PlacementReply]
+	quotaAsks  asks[quota.Response]
 	keepers    atomic.Pointer[keepers]
 	latest     map[string]wordOrder // by VM: the newest word on usage that was heard
 	large      map[string]*pieces   // by topic
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -108,8 +108,8 @@
 		ne := &fleet.Neighbours{Self: board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%02d", ix)}, FailureDomain: fmt.Sprint(ix % 4), Peer: freePort(t), Caller: "10.0.0.1:80"},
 			Name: "t", Store: st, Ready: func() bool { return true }, Size: func(int) {}, Moved: func() {}, News: func(topic.News) {},
 			Usage: func(string, usage.Report) {},
-			Place: func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer {
-				return usage.PlaceAnswer{Known: true, Engines: []string{ask.Ask.Service + " for " + vm}}
+			Place: func(vm string, ask usage.PlacementRequest) usage.PlacementReply {
+				return usage.PlacementReply{Informed: true, Engines: []string{ask.Waiting.Service + " for " + vm}}
 			}}
 		ne.Prepare()
 		fleets = append(fleets, ne)
@@ -128,10 +128,10 @@
 	until(t, "one answers", func() bool {
 		within, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		ans, err := ne.Ask(within, vms[0], usage.PlaceAsk{Ask: usage.Ask{Service: "m"}})
-		return err == nil && ans.Known && len(ans.Engines) == 1 && ans.Engines[0] == "m for "+ne.Self.ID
+		ans, err := ne.Ask(within, vms[0], usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "m"}})
+		return err == nil && ans.Informed && len(ans.Engines) == 1 && ans.Engines[0] == "m for "+ne.Self.ID
 	})
-	_, err := ne.Ask(ctx, "stranger", usage.PlaceAsk{})
+	_, err := ne.Ask(ctx, "stranger", usage.PlacementRequest{})
 	assert.Assert(t, err != nil)
 }
 
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -98,7 +98,7 @@
 // startVM starts a further life of a VM.
 func (ps *placeSim) startVM(ctx context.Context, ix int) *simVM {
 	rl := &relay.Relay{Clock: ps.clock, Rand: rand.New(rand.NewPCG(ps.seed, uint64(ix))),
-		Settings: relay.Settings{Budget: retry.Settings{Burst: 3, Floor: 0.001, Ratio: 0.1, Base: 1}}}
+		Settings: relay.Settings{Budget: retry.Settings{Burst: 3, Refill: 0.001, Ratio: 0.1, BaseBackoff: 1}}}
 	vm := ps.newVM(ctx, ix, simHears{usage: rl.HeardUsage, place: rl.AnswerPlace, moved: rl.TellAgain})
 	rl.Servers, rl.Others, rl.Schedulers = simServers{ps, vm}, vm.ne.Others, vm
 	ps.configure(rl)
@@ -320,7 +320,7 @@
 	termWell = 300 * clock.Millis(1)
 	// termFault is the same whatever failed: what a VM had counts until its word is
 	// stale, and the next ask follows.
-	termFault = usage.Stale + termWell
+	termFault = usage.ReportTTL + termWell
 	// tookMost is how long a request may wait in vain: its own span, an ask of each
 	// scheduler, and an engine that declines.
 	tookMost = relay.DefaultWait + 100*clock.Millis(1)
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -73,13 +73,13 @@
 
 		Ready func() bool // tells whether this VM takes requests
 		Usage func(vm string, rp usage.Report)
-		Place func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer    // chooses engines for a request of another VM
-		Quota func(vm string, life uint64, ask quota.Ask) quota.Answer // answers as the keeper of the customers' quotas
-		End   func(en suspect.End)                                     // hears at which server's end a request was there
-		Moved func()                                                   // hears that other VMs are the schedulers now
-		News  func(nw topic.News)                                      // hears what others read of any topic
-		Size  func(vms int)                                            // hears how many VMs there are
-		Again func(kind string)                                        // hears what this VM wrote again: Secret or Entry; may be nil
+		Place func(vm string, ask usage.PlacementRequest) usage.PlacementReply // chooses engines for a request of another VM
+		Quota func(vm string, life uint64, ask quota.Request) quota.Response   // answers as the keeper of the customers' quotas
+		End   func(en suspect.End)                                             // hears at which server's end a request was there
+		Moved func()                                                           // hears that other VMs are the schedulers now
+		News  func(nw topic.News)                                              // hears what others read of any topic
+		Size  func(vms int)                                                    // hears how many VMs there are
+		Again func(kind string)                                                // hears what this VM wrote again: Secret or Entry; may be nil
 
 		// Topic follows the topic; it is there from Prepare on.
 		Topic *topic.Follower
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -69,7 +69,7 @@
 	// simHears is what a VM does with others' words; a nil field drops them.
 	simHears struct {
 		usage func(vm string, rp usage.Report)
-		place func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer
+		place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
 		moved func()
 		news  func(nw topic.News)
 	}
@@ -320,9 +320,9 @@
 }
 
 // Ask asks a VM for a place by the simulated network.
-func (vm *simVM) Ask(ctx context.Context, to string, ask usage.PlaceAsk) (usage.PlaceAnswer, error) {
+func (vm *simVM) Ask(ctx context.Context, to string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	if !slices.ContainsFunc(vm.fl.Schedulers(), func(other board.VM) bool { return other.ID == to }) {
-		return usage.PlaceAnswer{}, errNotScheduler
+		return usage.PlacementReply{}, errNotScheduler
 	}
 	number, answer := vm.fl.asks.begin()
 	defer vm.fl.asks.forget(number)
@@ -331,7 +331,7 @@
 	case ans := <-answer:
 		return ans, nil
 	case <-ctx.Done():
-		return usage.PlaceAnswer{}, ctx.Err()
+		return usage.PlacementReply{}, ctx.Err()
 	}
 }
 
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -100,10 +100,10 @@
 }
 
 // AskQuota asks a VM as the keeper of the customers' quotas.
-func (ne *Neighbours) AskQuota(ctx context.Context, vm string, ask quota.Ask) (quota.Answer, error) {
+func (ne *Neighbours) AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error) {
 	fl, to, err := ne.peer(vm)
 	if err != nil {
-		return quota.Answer{}, err
+		return quota.Response{}, err
 	}
 	return fl.quotaAsks.await(ctx, func(number uint64) error {
 		return fl.peers.Datagram(to, quotaAskToWire(number, ask))
@@ -111,7 +111,7 @@
 }
 
 // TellQuota tells it what needs no answer.
-func (ne *Neighbours) TellQuota(vm string, ask quota.Ask) {
+func (ne *Neighbours) TellQuota(vm string, ask quota.Request) {
 	if fl, to, err := ne.peer(vm); err == nil {
 		_ = fl.peers.Datagram(to, quotaAskToWire(0, ask)) // what is lost was the customer's, and comes in anew
 	}
@@ -147,28 +147,28 @@
 	_ = fl.peers.Datagram(to, quotaAnswerToWire(qa.GetNumber(), ans)) // the asker goes on without it
 }
 
-func quotaAskToWire(number uint64, ask quota.Ask) *peerpb.Datagram {
+func quotaAskToWire(number uint64, ask quota.Request) *peerpb.Datagram {
 	return &peerpb.Datagram{Body: &peerpb.Datagram_QuotaAsk{QuotaAsk: &peerpb.QuotaAsk{
-		Number: number, Shard: uint32(ask.Shard), Serial: ask.Number, Keeper: ask.Keeper, Heard: uint64(max(0, ask.Heard)),
-		Customer: ask.Customer, Need: ask.Need, Ahead: ask.Ahead, Back: ask.Back, Release: ask.Release, Slack: ask.Slack}}}
+		Number: number, Shard: uint32(ask.Shard), Serial: ask.Sequence, Keeper: ask.KeeperID, Heard: uint64(max(0, ask.KeeperTime)),
+		Customer: ask.Customer, Need: ask.Need, Ahead: ask.Credit, Back: ask.Returned, Release: ask.Release, Slack: ask.LendsSlack}}}
 }
 
 // quotaAskFromWire reads an ask. What is no number of tokens is none.
-func quotaAskFromWire(qa *peerpb.QuotaAsk) quota.Ask {
-	return quota.Ask{Shard: int(qa.GetShard()), Number: qa.GetSerial(), Keeper: qa.GetKeeper(), Heard: clock.Millis(qa.GetHeard()), Customer: qa.GetCustomer(),
-		Need: tokensOf(qa.GetNeed()), Ahead: tokensOf(qa.GetAhead()), Back: tokensOf(qa.GetBack()),
-		Release: qa.GetRelease(), Slack: qa.GetSlack()}
+func quotaAskFromWire(qa *peerpb.QuotaAsk) quota.Request {
+	return quota.Request{Shard: int(qa.GetShard()), Sequence: qa.GetSerial(), KeeperID: qa.GetKeeper(), KeeperTime: clock.Millis(qa.GetHeard()), Customer: qa.GetCustomer(),
+		Need: tokensOf(qa.GetNeed()), Credit: tokensOf(qa.GetAhead()), Returned: tokensOf(qa.GetBack()),
+		Release: qa.GetRelease(), LendsSlack: qa.GetSlack()}
 }
 
-func quotaAnswerToWire(number uint64, ans quota.Answer) *peerpb.Datagram {
+func quotaAnswerToWire(number uint64, ans quota.Response) *peerpb.Datagram {
 	return &peerpb.Datagram{Body: &peerpb.Datagram_QuotaAnswer{QuotaAnswer: &peerpb.QuotaAnswer{
-		Number: number, Keeper: ans.Keeper, Time: uint64(max(0, ans.Time)), Known: ans.Known, Granted: ans.Granted,
-		Credit: ans.Credit, Wait: uint32(max(0, ans.Wait)), Owes: ans.Owes}}}
+		Number: number, Keeper: ans.KeeperID, Time: uint64(max(0, ans.Time)), Known: ans.Known, Granted: ans.Granted,
+		Credit: ans.Credit, Wait: uint32(max(0, ans.Wait)), Owes: ans.InDebt}}}
 }
 
-func quotaAnswerFromWire(qa *peerpb.QuotaAnswer) quota.Answer {
-	return quota.Answer{Keeper: qa.GetKeeper(), Time: clock.Millis(qa.GetTime()), Known: qa.GetKnown(), Granted: qa.GetGranted(),
-		Credit: tokensOf(qa.GetCredit()), Wait: clock.Millis(qa.GetWait()), Owes: qa.GetOwes()}
+func quotaAnswerFromWire(qa *peerpb.QuotaAnswer) quota.Response {
+	return quota.Response{KeeperID: qa.GetKeeper(), Time: clock.Millis(qa.GetTime()), Known: qa.GetKnown(), Granted: qa.GetGranted(),
+		Credit: tokensOf(qa.GetCredit()), Wait: clock.Millis(qa.GetWait()), InDebt: qa.GetOwes()}
 }
 
 // tokensOf reads a number of tokens.
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -64,13 +64,13 @@
 // An ask and its answer are on the wire what they were, and one of a shard that there is
 // not is not answered.
 func TestQuotaOnTheWire(t *testing.T) {
-	ask := quota.Ask{Shard: 1, Number: 7, Keeper: 8, Heard: 9, Customer: "c", Need: 10, Ahead: 11, Back: 12, Release: true, Slack: true}
+	ask := quota.Request{Shard: 1, Sequence: 7, KeeperID: 8, KeeperTime: 9, Customer: "c", Need: 10, Credit: 11, Returned: 12, Release: true, LendsSlack: true}
 	assert.Equal(t, quotaAskFromWire(quotaAskToWire(3, ask).GetQuotaAsk()), ask)
-	ans := quota.Answer{Keeper: 1, Time: 2, Known: true, Granted: true, Credit: 3, Wait: 4, Owes: true}
+	ans := quota.Response{KeeperID: 1, Time: 2, Known: true, Granted: true, Credit: 3, Wait: 4, InDebt: true}
 	assert.Equal(t, quotaAnswerFromWire(quotaAnswerToWire(3, ans).GetQuotaAnswer()), ans)
-	fl := &Fleet{Quota: func(string, uint64, quota.Ask) quota.Answer {
+	fl := &Fleet{Quota: func(string, uint64, quota.Request) quota.Response {
 		t.Error("the shard is none")
-		return quota.Answer{}
+		return quota.Response{}
 	}}
 	fl.heardQuotaAsk(&peerpb.Datagram{Body: &peerpb.Datagram_QuotaAsk{QuotaAsk: &peerpb.QuotaAsk{Shard: quota.Shards}}}, netip.AddrPort{})
 }
--- a/internal/fleet/schedulers.go
+++ b/internal/fleet/schedulers.go
@@ -90,15 +90,15 @@
 }
 
 // Ask asks a scheduler for a place.
-func (ne *Neighbours) Ask(ctx context.Context, vm string, ask usage.PlaceAsk) (usage.PlaceAnswer, error) {
+func (ne *Neighbours) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	fl := ne.joined()
 	if fl == nil {
-		return usage.PlaceAnswer{}, errNotJoined
+		return usage.PlacementReply{}, errNotJoined
 	}
 	list := fl.Schedulers()
 	at := slices.IndexFunc(list, func(other board.VM) bool { return other.ID == vm })
 	if at < 0 {
-		return usage.PlaceAnswer{}, errNotScheduler
+		return usage.PlacementReply{}, errNotScheduler
 	}
 	return fl.ask(ctx, list[at], ask)
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -131,7 +131,7 @@
 
 func usageToWire(rp usage.Report) *peerpb.Usage {
 	byEngine := make(map[string]*peerpb.EngineUsage)
-	out := &peerpb.Usage{Avoided: rp.Avoided, Failing: rp.Failing, Short: rp.Short}
+	out := &peerpb.Usage{Avoided: rp.Avoided, Failing: rp.Failing, Short: rp.Shortage}
 	at := func(engine string) *peerpb.EngineUsage {
 		en := byEngine[engine]
 		if en == nil {
@@ -153,7 +153,7 @@
 	return out
 }
 
-func queuesToWire(waiting []usage.Ask) []*peerpb.Queue {
+func queuesToWire(waiting []usage.WaitingRequest) []*peerpb.Queue {
 	byService := make(map[string]*peerpb.Queue)
 	var out []*peerpb.Queue
 	for _, ak := range waiting {
@@ -168,18 +168,18 @@
 	return out
 }
 
-func queuesFromWire(queues []*peerpb.Queue) []usage.Ask {
-	var out []usage.Ask
+func queuesFromWire(queues []*peerpb.Queue) []usage.WaitingRequest {
+	var out []usage.WaitingRequest
 	for _, qu := range queues {
 		for _, wt := range qu.GetWaiters() {
-			out = append(out, usage.Ask{Service: qu.GetService(), Returning: wt.GetReturning(), Turn: wt.GetTurn(), Age: clock.Millis(wt.GetAge())})
+			out = append(out, usage.WaitingRequest{Service: qu.GetService(), Returning: wt.GetReturning(), Turn: wt.GetTurn(), Age: clock.Millis(wt.GetAge())})
 		}
 	}
 	return out
 }
 
 func usageFromWire(us *peerpb.Usage) usage.Report {
-	rp := usage.Report{Prompts: make(map[string]int), Avoided: us.GetAvoided(), Failing: us.GetFailing(), Short: us.GetShort(),
+	rp := usage.Report{Prompts: make(map[string]int), Avoided: us.GetAvoided(), Failing: us.GetFailing(), Shortage: us.GetShort(),
 		Waiting: queuesFromWire(us.GetQueues())}
 	for _, en := range us.GetEngines() {
 		if en.GetPrompts() > 0 {
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -20,12 +20,12 @@
 
 func TestUsageOnTheWire(t *testing.T) {
 	rp := usage.Report{
-		Runs:    []usage.Run{{Engine: "e1", Tokens: 5000, Left: 400}, {Engine: "e1", Tokens: 9000}, {Engine: "e2", Tokens: 1, Left: 2}},
-		Prompts: map[string]int{"f1": 5200, "e1": 7},
-		Avoided: []string{"e3"},
-		Failing: []string{"e4", "e5"},
-		Short:   true,
-		Waiting: []usage.Ask{
+		Runs:     []usage.Run{{Engine: "e1", Tokens: 5000, Left: 400}, {Engine: "e1", Tokens: 9000}, {Engine: "e2", Tokens: 1, Left: 2}},
+		Prompts:  map[string]int{"f1": 5200, "e1": 7},
+		Avoided:  []string{"e3"},
+		Failing:  []string{"e4", "e5"},
+		Shortage: true,
+		Waiting: []usage.WaitingRequest{
 			{Service: "s", Returning: true, Turn: 1 << 31, Age: 900}, {Service: "s", Turn: 7, Age: 120}, {Service: "s", Age: 3},
 			{Service: "t", Age: 40},
 		},
@@ -136,9 +136,9 @@
 }
 
 func TestAskOnTheWire(t *testing.T) {
-	ask := usage.PlaceAsk{Ask: usage.Ask{Service: "s", Returning: true, Turn: 1 << 31, Age: 90}, Run: usage.Run{Tokens: 5200, Left: 2000},
-		Reserve: 5500, MayWait: 180, MayWaitBack: 2800, Skip: []string{"e1", "e2"}, Prompt: true}
+	ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "s", Returning: true, Turn: 1 << 31, Age: 90}, Run: usage.Run{Tokens: 5200, Left: 2000},
+		ReserveTokens: 5500, MaxWait: 180, MaxWaitReturning: 2800, Excluded: []string{"e1", "e2"}, NeedsPrefill: true}
 	assert.DeepEqual(t, askFromWire(askToWire(7, ask)), ask)
-	ans := usage.PlaceAnswer{Known: true, Engines: []string{"e3", "e4"}, Before: 3, Short: true, Prefill: "f1", Ahead: 5200, Doubtful: true}
+	ans := usage.PlacementReply{Informed: true, Engines: []string{"e3", "e4"}, RequestsAhead: 3, Shortage: true, Prefill: "f1", QueuedTokens: 5200, Doubtful: true}
 	assert.DeepEqual(t, answerFromWire(answerToWire(7, ans)), ans)
 }
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// paceKeep is what earlier observations weigh against a new one: about
+	// paceDecay is what earlier observations weigh against a new one: about
 	// twenty count.
-	paceKeep = 0.95
-	// paceSpread is the standard deviation of sizes, over their mean, from which
+	paceDecay = 0.95
+	// minSizeSpread is the standard deviation of sizes, over their mean, from which
 	// a constant part can be told from one that grows with the size.
-	paceSpread = 0.2
-	// leastGrowth is the part of the mean time by size that at least grows with the
+	minSizeSpread = 0.2
+	// minGrowthPart is the part of the mean time by size that at least grows with the
 	// size: large work does not take as long as small, whatever a few showed.
-	leastGrowth = 0.5
+	minGrowthPart = 0.5
 )
 
 // pace is how long work takes by its size: a constant part and one that grows
@@ -28,12 +28,12 @@
 		sum *float64
 		val float64
 	}{{&pc.weight, 1}, {&pc.sizes, sz}, {&pc.times, tm}, {&pc.squares, sz * sz}, {&pc.products, sz * tm}} {
-		*term.sum = paceKeep**term.sum + term.val
+		*term.sum = paceDecay**term.sum + term.val
 	}
 }
 
-// time is how long work of a size takes; zero if none was observed.
-func (pc pace) time(size int) clock.Millis {
+// estimate is how long work of a size takes; zero if none was observed.
+func (pc pace) estimate(size int) clock.Millis {
 	if pc.weight == 0 {
 		return 0
 	}
@@ -51,9 +51,9 @@
 	meanSize, meanTime := pc.sizes/pc.weight, pc.times/pc.weight
 	variance := pc.squares/pc.weight - meanSize*meanSize
 	growth := meanTime / meanSize
-	if variance > paceSpread*paceSpread*meanSize*meanSize {
+	if variance > minSizeSpread*minSizeSpread*meanSize*meanSize {
 		covariance := pc.products/pc.weight - meanSize*meanTime
-		growth = min(growth, max(leastGrowth*growth, covariance/variance))
+		growth = min(growth, max(minGrowthPart*growth, covariance/variance))
 	}
 	return growth
 }
--- a/internal/pool/pace_test.go
+++ b/internal/pool/pace_test.go
@@ -27,14 +27,14 @@
 			for _, size := range tc.sizes {
 				pc.add(size, line(size))
 			}
-			got := pc.time(tc.ask)
+			got := pc.estimate(tc.ask)
 			assert.Assert(t, got >= tc.want-1 && got <= tc.want+1, "%s", got)
 		})
 	}
 	var pc pace
 	pc.add(0, 30)
 	pc.add(0, 50)
-	assert.Assert(t, pc.time(0) >= 40 && pc.time(0) <= 42, "a mean where nothing has a size")
+	assert.Assert(t, pc.estimate(0) >= 40 && pc.estimate(0) <= 42, "a mean where nothing has a size")
 }
 
 func TestPaceFollows(t *testing.T) {
@@ -45,5 +45,5 @@
 	for range 200 {
 		pc.add(1000, 200)
 	}
-	assert.Assert(t, pc.time(1000) >= 199, "%s", pc.time(1000))
+	assert.Assert(t, pc.estimate(1000) >= 199, "%s", pc.estimate(1000))
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -38,26 +38,26 @@
 
 // decoders asks without a limit.
 func decoders(po *pool.Pool, now clock.Millis, tokens int) []board.BackendServer {
-	return po.Decoders(now, pool.Want{Tokens: tokens, Limit: 1, Need: func(string, int) int { return 0 }})
+	return po.DecodeCandidates(now, pool.Requirements{Tokens: tokens, Limit: 1, Peak: func(string, int) int { return 0 }})
 }
 
 // prefiller asks for engines that have nothing before them.
 func prefiller(po *pool.Pool, now clock.Millis) (board.BackendServer, bool) {
-	pf, ok := po.Prefiller(now, pool.Prompt{Tokens: 1000, Ahead: func(string) int { return 0 }})
+	pf, ok := po.ChoosePrefill(now, pool.Prompt{Tokens: 1000, QueuedTokens: func(string) int { return 0 }})
 	return pf.Server, ok
 }
 
 func TestReturningRequestsGoFirst(t *testing.T) {
 	po := newPool(board.Decode)
-	first := po.Enter(0, pool.Ask{})
-	second := po.Enter(0, pool.Ask{})
-	back := po.Enter(0, pool.Ask{Returning: true})
+	first := po.Enter(0, pool.Request{})
+	second := po.Enter(0, pool.Request{})
+	back := po.Enter(0, pool.Request{Returning: true})
 	if first.Turn() > second.Turn() {
 		first, second = second, first
 	}
 	var order []*pool.Ticket
 	for _, want := range []*pool.Ticket{back, first, second} {
-		assert.Assert(t, po.First(want, false))
+		assert.Assert(t, po.IsFirst(want, false))
 		order = append(order, want)
 		po.Leave(want)
 	}
@@ -67,13 +67,13 @@
 
 func TestNewRequestsGoFirstWherePlacesAreWanting(t *testing.T) {
 	po := newPool(board.Decode)
-	back := po.Enter(0, pool.Ask{Returning: true})
-	assert.Assert(t, po.First(back, true), "no new one waits")
-	fresh := po.Enter(0, pool.Ask{})
-	assert.Assert(t, po.First(fresh, true))
-	assert.Assert(t, !po.First(back, true))
-	assert.Assert(t, po.First(back, false))
-	assert.Assert(t, !po.First(fresh, false))
+	back := po.Enter(0, pool.Request{Returning: true})
+	assert.Assert(t, po.IsFirst(back, true), "no new one waits")
+	fresh := po.Enter(0, pool.Request{})
+	assert.Assert(t, po.IsFirst(fresh, true))
+	assert.Assert(t, !po.IsFirst(back, true))
+	assert.Assert(t, po.IsFirst(back, false))
+	assert.Assert(t, !po.IsFirst(fresh, false))
 }
 
 // Who must leave room for further requests is not sent to engines that have
@@ -83,7 +83,7 @@
 	needs := map[string]int{"a": 500, "b": 300}
 	need := func(id string, more int) int { return needs[id] + 150*(more-1) }
 	for spare, want := range [][]string{{"b", "a"}, {"b"}, {"b"}, nil} {
-		assert.DeepEqual(t, ids(po.Decoders(0, pool.Want{Limit: 649, Spare: spare, Need: need})), want)
+		assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Limit: 649, Headroom: spare, Peak: need})), want)
 	}
 }
 
@@ -91,16 +91,16 @@
 func TestDecodersThatComeLast(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Decode)
 	needs := map[string]int{"a": 0, "b": 300, "c": 200}
-	want := pool.Want{Limit: 500, Need: func(id string, _ int) int { return needs[id] }, Last: func(id string) bool { return id == "a" }}
-	assert.DeepEqual(t, ids(po.Decoders(0, want)), []string{"c", "b", "a"})
+	want := pool.Requirements{Limit: 500, Peak: func(id string, _ int) int { return needs[id] }, LastResort: func(id string) bool { return id == "a" }}
+	assert.DeepEqual(t, ids(po.DecodeCandidates(0, want)), []string{"c", "b", "a"})
 }
 
 func TestDecodersThatNeedLeastComeFirst(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 100, "d": 0}
 	need := func(id string, more int) int { return needs[id] + 100*(more-1) }
-	assert.DeepEqual(t, ids(po.Decoders(0, pool.Want{Tokens: 10, Limit: 500, Need: need})), []string{"d", "b", "a"})
-	assert.DeepEqual(t, ids(po.Decoders(0, pool.Want{Tokens: 10, Limit: 499, Need: need})), []string{"d", "b"})
+	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 500, Peak: need})), []string{"d", "b", "a"})
+	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 499, Peak: need})), []string{"d", "b"})
 }
 
 // A request takes no room that others, which wait for longer, take first.
@@ -118,19 +118,19 @@
 		{3, nil},
 		{9, nil},
 	} {
-		assert.DeepEqual(t, ids(po.Decoders(0, pool.Want{Limit: 399, Before: tc.before, Need: need})), tc.want)
+		assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Limit: 399, Ahead: tc.before, Peak: need})), tc.want)
 	}
 }
 
 func TestFullEngineIsAskedAgainLaterOrForLess(t *testing.T) {
 	po := newPool(board.Decode)
-	po.Full(100, "a", 1000)
+	po.MarkFull(100, "a", 1000)
 	assert.Equal(t, len(decoders(po, 101, 1000)), 0)
 	assert.Equal(t, len(decoders(po, 101, 999)), 1, "a smaller one may fit")
 	assert.Equal(t, len(decoders(po, 5000, 1000)), 1)
-	po.Full(100, "a", 1000)
-	po.Take("a")
-	po.Free("a")
+	po.MarkFull(100, "a", 1000)
+	po.AddRun("a")
+	po.EndRun("a")
 	assert.Equal(t, len(decoders(po, 101, 1000)), 1, "a run of this VM ended there")
 }
 
@@ -142,21 +142,21 @@
 	assert.Equal(t, len(decoders(po, 0, 1)), 0)
 	_, ok := prefiller(po, 0)
 	assert.Assert(t, !ok)
-	assert.Assert(t, !po.Takes(0, "a"))
+	assert.Assert(t, !po.AcceptsWork(0, "a"))
 }
 
 func TestFailedEngineIsPassedOver(t *testing.T) {
 	po := newPool(board.Prefill, board.Prefill, board.Decode)
-	po.Failed(0, "a")
+	po.MarkFailed(0, "a")
 	bs, _ := prefiller(po, 1)
 	assert.Equal(t, bs.ID, "b")
-	po.Failed(0, "b")
+	po.MarkFailed(0, "b")
 	_, ok := prefiller(po, 1)
 	assert.Assert(t, !ok, "a decode engine can compute the prompt instead")
-	po.Worked("a")
+	po.MarkWorking("a")
 	bs, _ = prefiller(po, 1)
 	assert.Equal(t, bs.ID, "a")
-	po.Failed(0, "c")
+	po.MarkFailed(0, "c")
 	assert.Equal(t, len(decoders(po, 1, 1)), 1, "one that failed is better than none")
 }
 
@@ -164,10 +164,10 @@
 // changes, however often the same entry is read.
 func TestDeniedEntry(t *testing.T) {
 	po := newPool(board.Decode, board.Decode)
-	po.Deny("a")
+	po.RejectEntry("a")
 	po.Update(engines(board.Decode, board.Decode))
 	assert.DeepEqual(t, ids(decoders(po, 0, 1)), []string{"b"})
-	assert.Assert(t, !po.Takes(0, "a"))
+	assert.Assert(t, !po.AcceptsWork(0, "a"))
 	po.Update(engines(board.Prefill, board.Decode))
 	bs, ok := prefiller(po, 0)
 	assert.Assert(t, ok)
@@ -183,9 +183,9 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				fresh = append(fresh, po.Enter(0, pool.Ask{}))
+				fresh = append(fresh, po.Enter(0, pool.Request{}))
 			case 1:
-				back = append(back, po.Enter(0, pool.Ask{Returning: true}))
+				back = append(back, po.Enter(0, pool.Request{Returning: true}))
 			default:
 				all := slices.Concat(back, fresh)
 				if len(all) == 0 {
@@ -202,7 +202,7 @@
 			all := slices.Concat(back, fresh)
 			assert.Equal(t, po.Waiting(), len(all))
 			for ix, tk := range all {
-				assert.Equal(t, po.First(tk, false), ix == 0)
+				assert.Equal(t, po.IsFirst(tk, false), ix == 0)
 			}
 		}
 	})
@@ -211,37 +211,37 @@
 // The highest priority goes first, and within it the order is as among equals.
 func TestQueueByPriority(t *testing.T) {
 	po := &pool.Pool{Rand: rand.New(rand.NewPCG(1, 2))}
-	low := po.Enter(0, pool.Ask{Returning: true, Priority: 2})
-	newLow := po.Enter(0, pool.Ask{Priority: 2})
-	back := po.Enter(0, pool.Ask{Returning: true, Priority: 1})
-	fresh := po.Enter(0, pool.Ask{Priority: 1})
+	low := po.Enter(0, pool.Request{Returning: true, Priority: 2})
+	newLow := po.Enter(0, pool.Request{Priority: 2})
+	back := po.Enter(0, pool.Request{Returning: true, Priority: 1})
+	fresh := po.Enter(0, pool.Request{Priority: 1})
 	queue := []*pool.Ticket{back, fresh, low, newLow}
 	for _, tk := range queue {
-		assert.Equal(t, po.First(tk, false), tk == back)
-		assert.Equal(t, po.First(tk, true), tk == fresh)
+		assert.Equal(t, po.IsFirst(tk, false), tk == back)
+		assert.Equal(t, po.IsFirst(tk, true), tk == fresh)
 	}
 	po.Leave(back)
 	po.Leave(fresh)
-	assert.Assert(t, po.First(low, false) && po.First(newLow, true))
+	assert.Assert(t, po.IsFirst(low, false) && po.IsFirst(newLow, true))
 }
 
 // An engine that asked for rest is asked for nothing until then, be there another one
 // or not.
 func TestRestingEngineGetsNothing(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill)
-	po.Rest(0, "a", 500)
+	po.BackOff(0, "a", 500)
 	assert.DeepEqual(t, ids(decoders(po, 499, 1)), []string{"b"})
-	assert.Equal(t, po.Rests(0), clock.Millis(0), "b does not")
-	po.Rest(0, "b", 800)
-	po.Rest(0, "c", 900)
-	po.Rest(0, "nobody", 900)
+	assert.Equal(t, po.BackoffLeft(0), clock.Millis(0), "b does not")
+	po.BackOff(0, "b", 800)
+	po.BackOff(0, "c", 900)
+	po.BackOff(0, "nobody", 900)
 	assert.Equal(t, len(decoders(po, 499, 1)), 0)
-	assert.Equal(t, po.Rests(100), clock.Millis(400))
-	assert.Assert(t, !po.Takes(499, "a") && po.Takes(500, "a"))
-	assert.DeepEqual(t, po.Passed(600), []string{"b", "c"})
+	assert.Equal(t, po.BackoffLeft(100), clock.Millis(400))
+	assert.Assert(t, !po.AcceptsWork(499, "a") && po.AcceptsWork(500, "a"))
+	assert.DeepEqual(t, po.Unavailable(600), []string{"b", "c"})
 	_, ok := prefiller(po, 899)
-	assert.Assert(t, !ok && !po.Computes(899, "c"))
-	po.Rest(600, "b", 1)
+	assert.Assert(t, !ok && !po.CanPrefill(899, "c"))
+	po.BackOff(600, "b", 1)
 	assert.DeepEqual(t, ids(decoders(po, 700, 1)), []string{"a"}) // a shorter word does not end a longer rest
 	assert.Equal(t, len(decoders(po, 900, 1)), 2)
 	_, ok = prefiller(po, 900)
--- a/internal/pool/prefill.go
+++ b/internal/pool/prefill.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// farLater is how many times as long as the decode engine the prefill engine
+	// lateFactor is how many times as long as the decode engine the prefill engine
 	// takes where it is better to hold up the decode engine's runs although the
 	// request is late either way.
-	farLater = 2
-	// itselfPrior is how many times as long as a prefill engine a decode engine
+	lateFactor = 2
+	// decoderSlowdownPrior is how many times as long as a prefill engine a decode engine
 	// takes for a prompt, until one was observed: it reads at half the speed and
 	// between the tokens of its runs.
-	itselfPrior = 3
-	// fastest is the least part of the time of all engines together that one of them
+	decoderSlowdownPrior = 3
+	// minTimePart is the least part of the time of all engines together that one of them
 	// is taken to need.
-	fastest = 0.5
-	// shownFully is how many prompts of an engine show its own pace.
-	shownFully = 3
+	minTimePart = 0.5
+	// minOwnObservations is how many prompts of an engine show its own pace.
+	minOwnObservations = 3
 )
 
 type (
@@ -29,39 +29,39 @@
 	Prompt struct {
 		Tokens int
 		Domain string // failure domain of the decode engine; the memory moves there
-		// Ahead is the tokens of prompts that an engine has before this one.
-		Ahead func(id string) int
-		// Last tells whether an engine is chosen only if no other is left; nil:
+		// QueuedTokens is the tokens of prompts that an engine has before this one.
+		QueuedTokens func(id string) int
+		// LastResort tells whether an engine is chosen only if no other is left; nil:
 		// none is.
-		Last func(id string) bool
+		LastResort func(id string) bool
 	}
 
 	// Prefill is where a prompt is computed.
 	Prefill struct {
-		Server board.BackendServer
-		Ahead  int          // tokens of prompts before it
-		Takes  clock.Millis // expected, with those before it; zero if no speed was observed yet
+		Server       board.BackendServer
+		QueuedTokens int          // tokens of prompts before it
+		ExpectedTime clock.Millis // expected, with those before it; zero if no speed was observed yet
 	}
 
-	// Start is what of a generation's time to its first event is spent already.
-	Start struct {
+	// StartBudget is what of a generation's time to its first event is spent already.
+	StartBudget struct {
 		Spent     clock.Millis // since the request came
 		Objective clock.Millis // for the first event; zero: none
 	}
 )
 
-// Prefiller chooses the engine that is expected to be done first with a prompt,
+// ChoosePrefill chooses the engine that is expected to be done first with a prompt,
 // by chance among equals. One in another failure domain than the decode
 // engine counts as having the prompt itself before it once more: the move
 // between domains takes twice as long and is paid for, and that is worth a wait
 // as long as the prompt takes. An engine that failed just now is left out.
 // There may be none.
-func (po *Pool) Prefiller(now clock.Millis, pr Prompt) (Prefill, bool) {
+func (po *Pool) ChoosePrefill(now clock.Millis, pr Prompt) (Prefill, bool) {
 	var fit []*engine
 	costs := make(map[*engine]int)
 	ahead := make(map[*engine]int)
-	for _, en := range po.staying(now, board.Prefill) {
-		ahead[en] = pr.Ahead(en.server.ID)
+	for _, en := range po.available(now, board.Prefill) {
+		ahead[en] = pr.QueuedTokens(en.server.ID)
 		if now < en.failedUntil || ahead[en] == math.MaxInt {
 			continue
 		}
@@ -71,19 +71,19 @@
 			tokens += pr.Tokens
 		}
 		// Without a pace of one, all read alike.
-		costs[en] = int(cmp.Or(po.readTime(en, tokens), clock.Millis(tokens)))
+		costs[en] = int(cmp.Or(po.prefillTime(en, tokens), clock.Millis(tokens)))
 	}
 	if len(fit) == 0 {
 		return Prefill{}, false
 	}
-	po.order(fit, func(en *engine) int {
-		if pr.Last != nil && pr.Last(en.server.ID) {
+	po.sortByLoad(fit, func(en *engine) int {
+		if pr.LastResort != nil && pr.LastResort(en.server.ID) {
 			return math.MaxInt
 		}
 		return costs[en]
 	})
 	best := fit[0]
-	return Prefill{Server: best.server, Ahead: ahead[best], Takes: po.readTime(best, ahead[best]+pr.Tokens)}, true
+	return Prefill{Server: best.server, QueuedTokens: ahead[best], ExpectedTime: po.prefillTime(best, ahead[best]+pr.Tokens)}, true
 }
 
 // PrefillAt is a prefill at an engine that another VM chose.
@@ -92,75 +92,75 @@
 	if en == nil {
 		return Prefill{}, false
 	}
-	return Prefill{Server: en.server, Ahead: ahead, Takes: po.readTime(en, ahead+tokens)}, true
+	return Prefill{Server: en.server, QueuedTokens: ahead, ExpectedTime: po.prefillTime(en, ahead+tokens)}, true
 }
 
-// Computes tells whether an engine computes prompts and did not fail just now.
-func (po *Pool) Computes(now clock.Millis, id string) bool {
+// CanPrefill tells whether an engine computes prompts and did not fail just now.
+func (po *Pool) CanPrefill(now clock.Millis, id string) bool {
 	en := po.engines[id]
-	return en != nil && en.takes(now) && en.server.Role == board.Prefill && now >= en.failedUntil
+	return en != nil && en.acceptsWork(now) && en.server.Role == board.Prefill && now >= en.failedUntil
 }
 
-// readTime is how long an engine takes for so many tokens of prompts; zero if
+// prefillTime is how long an engine takes for so many tokens of prompts; zero if
 // no engine was observed.
-func (po *Pool) readTime(en *engine, tokens int) clock.Millis {
-	all := po.reading.time(tokens)
-	own := en.reading.time(tokens)
+func (po *Pool) prefillTime(en *engine, tokens int) clock.Millis {
+	all := po.prefillPace.estimate(tokens)
+	own := en.prefillPace.estimate(tokens)
 	// What one of its first prompts showed may have been an exception.
-	if known := en.reading.weight / shownFully; known < 1 {
+	if known := en.prefillPace.weight / minOwnObservations; known < 1 {
 		own = clock.Millis(known*float64(own) + (1-known)*float64(all))
 	}
-	return max(own, clock.Millis(fastest*float64(all)))
+	return max(own, clock.Millis(minTimePart*float64(all)))
 }
 
-// Read notes how long a prefill took. What was before it at the engine may have
+// ObservePrefill notes how long a prefill took. What was before it at the engine may have
 // been partly done, so that only a prefill with nothing before it shows the
 // pace.
-func (po *Pool) Read(pf Prefill, tokens int, took clock.Millis) {
+func (po *Pool) ObservePrefill(pf Prefill, tokens int, took clock.Millis) {
 	en := po.engines[pf.Server.ID]
-	if en == nil || pf.Ahead > 0 {
+	if en == nil || pf.QueuedTokens > 0 {
 		return
 	}
-	en.reading.add(tokens, took)
-	po.reading.add(tokens, took)
+	en.prefillPace.add(tokens, took)
+	po.prefillPace.add(tokens, took)
 }
 
-// Itself tells whether the decode engine should compute a prompt itself, with so
+// ShouldPrefillAtDecoder tells whether the decode engine should compute a prompt itself, with so
 // many tokens of other prompts before it there. That holds up its other runs, a
 // tenth of an engine's work for each of them, so it is for a burst of prompts in
 // which the prefill engine would be done too late for the request's objective and
 // the decode engine in time, or where both are late and the prefill engine by
 // far.
-func (po *Pool) Itself(pf Prefill, tokens, ahead int, st Start) bool {
-	if st.Objective == 0 || pf.Takes == 0 {
+func (po *Pool) ShouldPrefillAtDecoder(pf Prefill, tokens, ahead int, st StartBudget) bool {
+	if st.Objective == 0 || pf.ExpectedTime == 0 {
 		return false
 	}
-	left := st.Objective - st.Spent - po.beginning.time(0)
-	itself := po.itselfTime(ahead + tokens)
+	left := st.Objective - st.Spent - po.firstEventPace.estimate(0)
+	itself := po.decoderPrefillTime(ahead + tokens)
 	switch {
-	case pf.Takes <= left:
+	case pf.ExpectedTime <= left:
 		return false
 	case itself <= left:
 		return true
 	default:
-		return farLater*itself < pf.Takes
+		return lateFactor*itself < pf.ExpectedTime
 	}
 }
 
-// itselfTime is how long a decode engine takes for prompts beside its runs.
-func (po *Pool) itselfTime(tokens int) clock.Millis {
-	if took := po.itself.time(tokens); took > 0 {
+// decoderPrefillTime is how long a decode engine takes for prompts beside its runs.
+func (po *Pool) decoderPrefillTime(tokens int) clock.Millis {
+	if took := po.decoderPrefillPace.estimate(tokens); took > 0 {
 		return took
 	}
-	return itselfPrior * po.reading.time(tokens)
+	return decoderSlowdownPrior * po.prefillPace.estimate(tokens)
 }
 
-// Began notes the time from a decode's order to its first event, of a prompt
+// ObserveFirstEvent notes the time from a decode's order to its first event, of a prompt
 // that was computed elsewhere.
-func (po *Pool) Began(took clock.Millis) { po.beginning.add(0, took) }
+func (po *Pool) ObserveFirstEvent(took clock.Millis) { po.firstEventPace.add(0, took) }
 
-// BeganItself notes the same where the decode engine computed the prompt, with
+// ObserveDecoderPrefill notes the same where the decode engine computed the prompt, with
 // nothing before it.
-func (po *Pool) BeganItself(tokens int, took clock.Millis) {
-	po.itself.add(tokens, max(1, took-po.beginning.time(0)))
+func (po *Pool) ObserveDecoderPrefill(tokens int, took clock.Millis) {
+	po.decoderPrefillPace.add(tokens, max(1, took-po.firstEventPace.estimate(0)))
 }
--- a/internal/pool/prefill_test.go
+++ b/internal/pool/prefill_test.go
@@ -11,13 +11,13 @@
 	"alderdyke/pkg/clock"
 )
 
-// near and far are two prefill engines in failure domains of their own.
-func near(loads map[string]int) (*pool.Pool, pool.Prompt) {
+// twoDomainPool and far are two prefill engines in failure domains of their own.
+func twoDomainPool(loads map[string]int) (*pool.Pool, pool.Prompt) {
 	po := newPool(board.Prefill, board.Prefill)
 	list := engines(board.Prefill, board.Prefill)
 	list[0].FailureDomain, list[1].FailureDomain = "x", "y"
 	po.Update(list)
-	return po, pool.Prompt{Tokens: 5000, Domain: "x", Ahead: func(id string) int { return loads[id] }}
+	return po, pool.Prompt{Tokens: 5000, Domain: "x", QueuedTokens: func(id string) int { return loads[id] }}
 }
 
 func TestPrefillerThatIsDoneFirst(t *testing.T) {
@@ -33,17 +33,17 @@
 		{"avoided", map[string]int{"a": math.MaxInt, "b": 9000}, "x", "b"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			po, pr := near(tc.ahead)
+			po, pr := twoDomainPool(tc.ahead)
 			pr.Domain = tc.domain
-			pf, ok := po.Prefiller(0, pr)
+			pf, ok := po.ChoosePrefill(0, pr)
 			assert.Assert(t, ok)
 			assert.Equal(t, pf.Server.ID, tc.want)
-			assert.Equal(t, pf.Ahead, tc.ahead[tc.want])
-			assert.Equal(t, pf.Takes, clock.Millis(0), "no pace was seen yet")
+			assert.Equal(t, pf.QueuedTokens, tc.ahead[tc.want])
+			assert.Equal(t, pf.ExpectedTime, clock.Millis(0), "no pace was seen yet")
 		})
 	}
-	po, pr := near(map[string]int{"a": math.MaxInt, "b": math.MaxInt})
-	_, ok := po.Prefiller(0, pr)
+	po, pr := twoDomainPool(map[string]int{"a": math.MaxInt, "b": math.MaxInt})
+	_, ok := po.ChoosePrefill(0, pr)
 	assert.Assert(t, !ok, "all are avoided")
 }
 
@@ -51,7 +51,7 @@
 // before it than that makes up for.
 func TestPrefillerByTheSpeedThatItShows(t *testing.T) {
 	ahead := map[string]int{}
-	po, pr := near(ahead)
+	po, pr := twoDomainPool(ahead)
 	pr.Domain = "z"
 	for _, id := range []string{"a", "b"} {
 		for _, tokens := range []int{2000, 5000, 9000, 3000} {
@@ -59,43 +59,43 @@
 			if id == "b" {
 				perMilli = 25
 			}
-			po.Read(pool.Prefill{Server: board.BackendServer{ID: id}}, tokens, clock.Millis(20+tokens/perMilli))
-			po.Read(pool.Prefill{Server: board.BackendServer{ID: id}, Ahead: 1000}, tokens, 1) // tells nothing
+			po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: id}}, tokens, clock.Millis(20+tokens/perMilli))
+			po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: id}, QueuedTokens: 1000}, tokens, 1) // tells nothing
 		}
 	}
 	ahead["a"] = 4000
-	pf, _ := po.Prefiller(0, pr)
+	pf, _ := po.ChoosePrefill(0, pr)
 	assert.Equal(t, pf.Server.ID, "a")
-	assert.Assert(t, pf.Takes >= 195 && pf.Takes <= 205, "20 ms and 9,000 tokens at 50 in a millisecond: %s", pf.Takes)
+	assert.Assert(t, pf.ExpectedTime >= 195 && pf.ExpectedTime <= 205, "20 ms and 9,000 tokens at 50 in a millisecond: %s", pf.ExpectedTime)
 	ahead["a"] = 12000
-	pf, _ = po.Prefiller(0, pr)
+	pf, _ = po.ChoosePrefill(0, pr)
 	assert.Equal(t, pf.Server.ID, "b")
 }
 
 func TestPromptThatTheDecodeEngineComputes(t *testing.T) {
-	po, _ := near(nil)
+	po, _ := twoDomainPool(nil)
 	for _, tokens := range []int{2000, 5000, 9000, 3000} {
-		po.Read(pool.Prefill{Server: board.BackendServer{ID: "a"}}, tokens, clock.Millis(tokens/50))
-		po.Began(60)
+		po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: "a"}}, tokens, clock.Millis(tokens/50))
+		po.ObserveFirstEvent(60)
 	}
 	const tokens = 5000 // 100 ms at a prefill engine, 300 at a decode engine
 	for _, tc := range []struct {
 		name  string
 		takes clock.Millis
 		ahead int
-		start pool.Start
+		start pool.StartBudget
 		want  bool
 	}{
-		{"in time either way", 700, 0, pool.Start{Spent: 100, Objective: 900}, false},
-		{"too late at the prefill engine", 800, 0, pool.Start{Spent: 100, Objective: 900}, true},
-		{"that has a prompt already", 800, 9000, pool.Start{Spent: 100, Objective: 900}, false},
-		{"late either way", 500, 0, pool.Start{Spent: 800, Objective: 900}, false},
-		{"late either way, by far", 700, 0, pool.Start{Spent: 800, Objective: 900}, true},
-		{"no objective", 5000, 0, pool.Start{}, false},
-		{"no speed is known", 0, 0, pool.Start{Spent: 800, Objective: 900}, false},
+		{"in time either way", 700, 0, pool.StartBudget{Spent: 100, Objective: 900}, false},
+		{"too late at the prefill engine", 800, 0, pool.StartBudget{Spent: 100, Objective: 900}, true},
+		{"that has a prompt already", 800, 9000, pool.StartBudget{Spent: 100, Objective: 900}, false},
+		{"late either way", 500, 0, pool.StartBudget{Spent: 800, Objective: 900}, false},
+		{"late either way, by far", 700, 0, pool.StartBudget{Spent: 800, Objective: 900}, true},
+		{"no objective", 5000, 0, pool.StartBudget{}, false},
+		{"no speed is known", 0, 0, pool.StartBudget{Spent: 800, Objective: 900}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, po.Itself(pool.Prefill{Takes: tc.takes}, tokens, tc.ahead, tc.start), tc.want)
+			assert.Equal(t, po.ShouldPrefillAtDecoder(pool.Prefill{ExpectedTime: tc.takes}, tokens, tc.ahead, tc.start), tc.want)
 		})
 	}
 }
@@ -121,8 +121,8 @@
 			free := make(map[string]clock.Millis) // when an engine is done
 			po := newPool(board.Prefill, board.Prefill)
 			for _, size := range []int{2000, 5000, 9000, 3000} {
-				po.Read(pool.Prefill{Server: board.BackendServer{ID: "a"}}, size, clock.Millis(size/40))
-				po.Began(60)
+				po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: "a"}}, size, clock.Millis(size/40))
+				po.ObserveFirstEvent(60)
 			}
 			// read has an engine compute a prompt behind those before it.
 			read := func(now clock.Millis, id string, perMilli int) clock.Millis {
@@ -135,11 +135,11 @@
 			var late, itself int
 			decoders := []string{"d1", "d2", "d3", "d4", "d5", "d6"}
 			for now, nth := clock.Millis(0), 0; now < length; now, nth = now+tc.every, nth+1 {
-				pf, ok := po.Prefiller(now, pool.Prompt{Tokens: tokens, Ahead: ahead(now, 40)})
+				pf, ok := po.ChoosePrefill(now, pool.Prompt{Tokens: tokens, QueuedTokens: ahead(now, 40)})
 				assert.Assert(t, ok)
 				decoder := decoders[nth%len(decoders)]
 				var done clock.Millis
-				if po.Itself(pf, tokens, ahead(now, 14)(decoder), pool.Start{Objective: objective}) {
+				if po.ShouldPrefillAtDecoder(pf, tokens, ahead(now, 14)(decoder), pool.StartBudget{Objective: objective}) {
 					itself++
 					done = read(now, decoder, 14)
 				} else {
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -9,26 +9,26 @@
 )
 
 type (
-	// Ask is a generation that needs a place.
-	Ask struct {
+	// Request is a generation that needs a place.
+	Request struct {
 		Returning bool // it was refused before
 		Priority  int  // the lowest number goes first
 	}
 
 	// Ticket is a request's turn in the queue.
 	Ticket struct {
-		ask   Ask
-		turn  usage.Turn
-		since clock.Millis
-		tried bool // it found no place yet
+		request Request
+		turn    usage.Turn
+		since   clock.Millis
+		tried   bool // it found no place yet
 	}
 )
 
 // Enter puts a request into the queue. Its turn is drawn by chance: all VMs
 // must see one order, and agree on no time. A request waits for so short a time
 // that arrival would be no fairer.
-func (po *Pool) Enter(now clock.Millis, ask Ask) *Ticket {
-	tk := &Ticket{ask: ask, turn: usage.NewTurn(ask.Priority, po.Rand.Uint32()), since: now}
+func (po *Pool) Enter(now clock.Millis, req Request) *Ticket {
+	tk := &Ticket{request: req, turn: usage.NewTurn(req.Priority, po.Rand.Uint32()), since: now}
 	at, _ := slices.BinarySearchFunc(po.queue, tk, compare)
 	po.queue = slices.Insert(po.queue, at, tk)
 	return tk
@@ -38,8 +38,8 @@
 	if byPriority := cmp.Compare(usage.PriorityOf(ta.turn), usage.PriorityOf(tb.turn)); byPriority != 0 {
 		return byPriority
 	}
-	if ta.ask.Returning != tb.ask.Returning {
-		if ta.ask.Returning {
+	if ta.request.Returning != tb.request.Returning {
+		if ta.request.Returning {
 			return -1
 		}
 		return 1
@@ -54,19 +54,19 @@
 	}
 }
 
-// First tells whether it is the request's turn. While places are wanting, new
+// IsFirst tells whether it is the request's turn. While places are wanting, new
 // requests go before returning ones of their priority: who is refused twice is as
 // many either way, and a place is worth more to who is not late yet.
-func (po *Pool) First(tk *Ticket, wanting bool) bool {
+func (po *Pool) IsFirst(tk *Ticket, shortage bool) bool {
 	if len(po.queue) == 0 {
 		return false
 	}
 	first := po.queue[0]
 	for _, other := range po.queue {
-		if !wanting || usage.PriorityOf(other.turn) != usage.PriorityOf(first.turn) {
+		if !shortage || usage.PriorityOf(other.turn) != usage.PriorityOf(first.turn) {
 			break
 		}
-		if !other.ask.Returning {
+		if !other.request.Returning {
 			return other == tk
 		}
 	}
@@ -76,16 +76,16 @@
 // Waiting is the number of requests in the queue.
 func (po *Pool) Waiting() int { return len(po.queue) }
 
-// Tried notes that a request found no place, and tells whether that is new.
-func (po *Pool) Tried(tk *Ticket) bool {
+// MarkTried notes that a request found no place, and tells whether that is new.
+func (po *Pool) MarkTried(tk *Ticket) bool {
 	fresh := !tk.tried
 	tk.tried = true
 	return fresh
 }
 
-// Tickets lists the requests that found no place yet, in the order of their
+// TriedTickets lists the requests that found no place yet, in the order of their
 // turns.
-func (po *Pool) Tickets() []*Ticket {
+func (po *Pool) TriedTickets() []*Ticket {
 	var out []*Ticket
 	for _, tk := range po.queue {
 		if tk.tried {
@@ -95,8 +95,8 @@
 	return out
 }
 
-// Ask is the generation that the ticket is for.
-func (tk *Ticket) Ask() Ask { return tk.ask }
+// Request is the generation that the ticket is for.
+func (tk *Ticket) Request() Request { return tk.request }
 
 // Turn is the request's place in the order of all VMs; the lowest goes first.
 func (tk *Ticket) Turn() usage.Turn { return tk.turn }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -9,19 +9,19 @@
 		Settings Settings
 		Shard    int // whose keepers it asks
 
-		lent    loan
-		slack   slackLoan
-		number  uint64
-		own     map[string]*ownBucket
-		credits map[string]float64
-		now     clock.Millis
-		alone   float64 // span for which the whole fleet would have had this VM's own part, in ms
+		lent     loan
+		slack    slackLoan
+		sequence uint64
+		own      map[string]*ownBucket
+		credits  map[string]float64
+		now      clock.Millis
+		ownTime  float64 // span for which the whole fleet would have had this VM's own part, in ms
 	}
 
 	// ownBucket is a customer's tokens of this VM's own part.
 	ownBucket struct {
 		bucket
-		now clock.Millis // when what was taken of the slack was looked at last
+		recoveredAt clock.Millis // when what was taken of the slack was looked at last
 	}
 
 	// slackLoan is the part of the slack that this VM lends.
@@ -32,13 +32,13 @@
 
 	// loan is the lease on this VM's part, as the VM that lends it sees it.
 	loan struct {
-		vm    string
-		id    uint64       // of the keeper's process
-		heard clock.Millis // the keeper's own time in its last answer
-		since clock.Millis // when that answer was asked for
-		until clock.Millis // when the lease runs out, by this VM's clock
-		ends  bool         // it is not renewed any more
-		told  bool         // the keeper was told that it holds the lease
+		vm          string
+		id          uint64       // of the keeper's process
+		keeperTime  clock.Millis // the keeper's own time in its last answer
+		requestedAt clock.Millis // when that answer was asked for
+		until       clock.Millis // when the lease runs out, by this VM's clock
+		releasing   bool         // it is not renewed any more
+		announced   bool         // the keeper was told that it holds the lease
 	}
 )
 
@@ -48,13 +48,13 @@
 	return ac.creditOf(customer, lim, vms)
 }
 
-// Alone is the most that TakeAlone takes now.
-func (ac *Account) Alone(now clock.Millis, vms int, customer string, lim Limit) float64 {
+// LocalTokens is the most that TakeLocal takes now.
+func (ac *Account) LocalTokens(now clock.Millis, vms int, customer string, lim Limit) float64 {
 	ac.advance(now, vms)
-	spare := ac.Settings.spareOf(lim, vms)
-	bu := ac.ownOf(customer)
-	bu.fill(ac.alone, lim, 1/float64(max(1, vms)))
-	bu.recover(now, spare, ac.Settings.Window)
+	spare := ac.Settings.slackTokensPerVM(lim, vms)
+	bu := ac.ownBucketOf(customer)
+	bu.fill(ac.ownTime, lim, 1/float64(max(1, vms)))
+	bu.recoverSlack(now, spare, ac.Settings.Window)
 	return max(0, bu.level+spare+ac.creditOf(customer, lim, vms))
 }
 
@@ -70,16 +70,16 @@
 	return true
 }
 
-// TakeAlone takes them from this VM's own part of the limit, where no keeper
+// TakeLocal takes them from this VM's own part of the limit, where no keeper
 // answers. While a keeper may hold a lease on that part no more comes in, but what
 // is there is this VM's.
-func (ac *Account) TakeAlone(now clock.Millis, vms int, customer string, lim Limit, tokens float64) bool {
-	if ac.Alone(now, vms, customer, lim) < tokens {
+func (ac *Account) TakeLocal(now clock.Millis, vms int, customer string, lim Limit, tokens float64) bool {
+	if ac.LocalTokens(now, vms, customer, lim) < tokens {
 		return false
 	}
 	credit := ac.creditOf(customer, lim, vms)
 	ac.credits[customer] = max(0, credit-tokens)
-	ac.ownOf(customer).level -= max(0, tokens-credit)
+	ac.ownBucketOf(customer).level -= max(0, tokens-credit)
 	return true
 }
 
@@ -91,36 +91,36 @@
 	if now <= ac.now {
 		return
 	}
-	ac.alone += float64(max(0, now-max(ac.now, ac.lent.until))) / float64(max(1, vms))
+	ac.ownTime += float64(max(0, now-max(ac.now, ac.lent.until))) / float64(max(1, vms))
 	ac.now = now
 }
 
-func (ac *Account) ownOf(customer string) *ownBucket {
+func (ac *Account) ownBucketOf(customer string) *ownBucket {
 	bu := ac.own[customer]
 	if bu == nil {
-		bu = &ownBucket{bucket: bucket{at: ac.alone}, now: ac.now}
+		bu = &ownBucket{bucket: bucket{at: ac.ownTime}, recoveredAt: ac.now}
 		ac.own[customer] = bu
 	}
 	return bu
 }
 
-// recover gives back what was taken of the slack, all of it within a window,
+// recoverSlack gives back what was taken of the slack, all of it within a window,
 // whether this VM has its own part or lends it.
-func (ob *ownBucket) recover(now clock.Millis, spare float64, window clock.Millis) {
+func (ob *ownBucket) recoverSlack(now clock.Millis, spare float64, window clock.Millis) {
 	if ob.level < 0 && window > 0 {
-		ob.level = min(0, ob.level+spare*float64(now-ob.now)/float64(window))
+		ob.level = min(0, ob.level+spare*float64(now-ob.recoveredAt)/float64(window))
 	}
-	ob.now = now
+	ob.recoveredAt = now
 }
 
 func (ac *Account) creditOf(customer string, lim Limit, vms int) float64 {
-	return min(ac.credits[customer], ac.Settings.spareOf(lim, vms))
+	return min(ac.credits[customer], ac.Settings.slackTokensPerVM(lim, vms))
 }
 
-// Low tells whether credit is to be asked for: there is less than two requests of
+// NeedsCredit tells whether credit is to be asked for: there is less than two requests of
 // a size take, and room for it.
-func (ac *Account) Low(vms int, customer string, lim Limit, tokens float64) bool {
-	most := ac.Settings.spareOf(lim, vms)
+func (ac *Account) NeedsCredit(vms int, customer string, lim Limit, tokens float64) bool {
+	most := ac.Settings.slackTokensPerVM(lim, vms)
 	return most >= tokens && ac.creditOf(customer, lim, vms) < min(most, 2*tokens)
 }
 
@@ -135,30 +135,30 @@
 // LeaseLeft is how long the lease on this VM's part goes on.
 func (ac *Account) LeaseLeft(now clock.Millis) clock.Millis { return max(0, ac.lent.until-now) }
 
-// Due tells whether a lease with a keeper is to be begun, told or renewed.
-func (ac *Account) Due(now clock.Millis, vm string) bool {
-	return ac.lent.vm != vm || !ac.lent.told || now-ac.lent.since >= Renew
+// RenewalDue tells whether a lease with a keeper is to be begun, told or renewed.
+func (ac *Account) RenewalDue(now clock.Millis, vm string) bool {
+	return ac.lent.vm != vm || !ac.lent.announced || now-ac.lent.requestedAt >= RenewInterval
 }
 
-// Ask is what a keeper is asked: for a request's tokens, and for as much credit as is
+// NewRequest is what a keeper is asked: for a request's tokens, and for as much credit as is
 // wanting. It is to be the keeper that holds the lease, if one does.
-func (ac *Account) Ask(now clock.Millis, vms int, vm, customer string, lim Limit, tokens float64) Ask {
-	ask := ac.Word(now, vms, vm)
-	ask.Customer, ask.Need = customer, tokens
-	ask.Ahead = max(0, ac.Settings.spareOf(lim, vms)-ac.creditOf(customer, lim, vms))
-	return ask
+func (ac *Account) NewRequest(now clock.Millis, vms int, vm, customer string, lim Limit, tokens float64) Request {
+	req := ac.LeaseRequest(now, vms, vm)
+	req.Customer, req.Need = customer, tokens
+	req.Credit = max(0, ac.Settings.slackTokensPerVM(lim, vms)-ac.creditOf(customer, lim, vms))
+	return req
 }
 
-// Word is what a keeper is told for its lease alone.
-func (ac *Account) Word(now clock.Millis, vms int, vm string) Ask {
+// LeaseRequest is what a keeper is told for its lease alone.
+func (ac *Account) LeaseRequest(now clock.Millis, vms int, vm string) Request {
 	ac.advance(now, vms)
-	ac.number++
-	ask := Ask{Shard: ac.Shard, Number: ac.number}
-	if ac.lent.vm == vm && now < ac.lent.until && !ac.lent.ends {
-		ask.Keeper, ask.Heard, ac.lent.told = ac.lent.id, ac.lent.heard, true
-		ask.Slack = ac.lendSlack(now)
+	ac.sequence++
+	req := Request{Shard: ac.Shard, Sequence: ac.sequence}
+	if ac.lent.vm == vm && now < ac.lent.until && !ac.lent.releasing {
+		req.KeeperID, req.KeeperTime, ac.lent.announced = ac.lent.id, ac.lent.keeperTime, true
+		req.LendsSlack = ac.lendSlack(now)
 	}
-	return ask
+	return req
 }
 
 // lendSlack lends the part of the slack to the keeper that holds the lease, unless
@@ -173,21 +173,21 @@
 }
 
 // endSlack notes that a keeper has released its lease.
-func (ac *Account) endSlack(now clock.Millis, ans Answer) {
+func (ac *Account) endSlack(now clock.Millis, rsp Response) {
 	switch {
-	case ac.slack.keeper != ans.Keeper:
-	case ans.Owes:
+	case ac.slack.keeper != rsp.KeeperID:
+	case rsp.InDebt:
 		ac.slack.until = min(ac.slack.until, now)
 	default:
 		ac.slack = slackLoan{}
 	}
 }
 
-// Release is the word by which a lease ends before it has run out. From then on it
+// ReleaseRequest is the word by which a lease ends before it has run out. From then on it
 // is not renewed; the keeper is asked still, until another one is.
-func (ac *Account) Release(now clock.Millis, vms int) Ask {
-	ac.lent.ends = true
-	ask := ac.Word(now, vms, ac.lent.vm)
+func (ac *Account) ReleaseRequest(now clock.Millis, vms int) Request {
+	ac.lent.releasing = true
+	ask := ac.LeaseRequest(now, vms, ac.lent.vm)
 	ask.Release = true
 	return ask
 }
@@ -195,44 +195,44 @@
 // GiveBack is the word by which tokens that were taken for a request that did not
 // run are given back, beyond what is kept here as credit. The second result tells
 // whether there are any.
-func (ac *Account) GiveBack(now clock.Millis, vms int, customer string, lim Limit, tokens float64) (Ask, bool) {
+func (ac *Account) GiveBack(now clock.Millis, vms int, customer string, lim Limit, tokens float64) (Request, bool) {
 	ac.advance(now, vms)
 	credit := ac.creditOf(customer, lim, vms)
-	kept := max(0, min(tokens, ac.Settings.spareOf(lim, vms)-credit))
+	kept := max(0, min(tokens, ac.Settings.slackTokensPerVM(lim, vms)-credit))
 	ac.credits[customer] = credit + kept
 	if tokens -= kept; tokens <= 0 || ac.Holder(now) == "" {
-		return Ask{}, false
+		return Request{}, false
 	}
-	ask := ac.Word(now, vms, ac.lent.vm)
-	ask.Customer, ask.Back = customer, tokens
+	ask := ac.LeaseRequest(now, vms, ac.lent.vm)
+	ask.Customer, ask.Returned = customer, tokens
 	return ask, true
 }
 
-// Answered takes a keeper's answer to what was asked at a point. An answer of a
+// ApplyResponse takes a keeper's answer to what was asked at a point. An answer of a
 // keeper that does not hold the lease while another one does changes nothing but
 // the credit.
-func (ac *Account) Answered(now, asked clock.Millis, vms int, vm string, ask Ask, lim Limit, ans Answer) {
+func (ac *Account) ApplyResponse(now, asked clock.Millis, vms int, vm string, req Request, lim Limit, rsp Response) {
 	ac.advance(now, vms)
-	if ans.Credit > 0 {
-		ac.credits[ask.Customer] = ac.creditOf(ask.Customer, lim, vms) + ans.Credit
+	if rsp.Credit > 0 {
+		ac.credits[req.Customer] = ac.creditOf(req.Customer, lim, vms) + rsp.Credit
 	}
-	same := ac.lent.vm == vm && ac.lent.id == ans.Keeper
+	same := ac.lent.vm == vm && ac.lent.id == rsp.KeeperID
 	switch {
-	case same && ask.Release:
+	case same && req.Release:
 		ac.lent.until = min(ac.lent.until, now)
-		ac.endSlack(now, ans)
+		ac.endSlack(now, rsp)
 		return
-	case !same && now < ac.lent.until, same && ac.lent.ends && now < ac.lent.until:
+	case !same && now < ac.lent.until, same && ac.lent.releasing && now < ac.lent.until:
 		return
-	case same && ans.Time < ac.lent.heard:
+	case same && rsp.Time < ac.lent.keeperTime:
 		return // a newer one came before
 	}
-	told := same && now < ac.lent.until && ac.lent.told
-	ac.lent = loan{vm: vm, id: ans.Keeper, heard: ans.Time, since: asked, until: max(ac.lent.until, now+Lease), told: told}
+	told := same && now < ac.lent.until && ac.lent.announced
+	ac.lent = loan{vm: vm, id: rsp.KeeperID, keeperTime: rsp.Time, requestedAt: asked, until: max(ac.lent.until, now+LeaseDuration), announced: told}
 }
 
-// Forget drops what is kept of customers that are not wanted any more.
-func (ac *Account) Forget(wanted func(customer string) bool) {
+// Evict drops what is kept of customers that are not wanted any more.
+func (ac *Account) Evict(wanted func(customer string) bool) {
 	for customer := range ac.own {
 		if !wanted(customer) {
 			delete(ac.own, customer)
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -22,7 +22,7 @@
 				if ix%4 == 0 {
 					now++
 				}
-				ke.Answer(now, vms, names[ix%vms], 1, quota.Ask{Number: uint64(ix), Keeper: 1, Heard: max(0, now-5), Customer: customer, Need: simSmall}, &simLimit)
+				ke.Handle(now, vms, names[ix%vms], 1, quota.Request{Sequence: uint64(ix), KeeperID: 1, KeeperTime: max(0, now-5), Customer: customer, Need: simSmall}, &simLimit)
 			}
 		})
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -4,7 +4,7 @@
 // # Shares that are lent for a time
 //
 // Of N VMs each owns an N-th part of every customer's rate. A VM may use its own
-// part, or lend it for a short time (a lease, [Lease]) to a keeper, which is one of
+// part, or lend it for a short time (a lease, [LeaseDuration]) to a keeper, which is one of
 // the VMs. A keeper pools the parts that it was lent: its token buckets fill at as
 // many N-ths of the rate as it holds leases. A part is never in two hands: a VM
 // uses its own, or lends it to another keeper, only after the lease has run out by
@@ -18,7 +18,7 @@
 //
 // # Shards
 //
-// Each limit is split into [Shards] equal shards ([Limit.Shard], [Settings.Shard]),
+// Each limit is split into [Shards] equal shards ([Limit.PerShard], [Settings.PerShard]),
 // each with an Account at every VM and a Keeper of its own. A request takes an equal
 // part of each. Where the keeper of one shard does not answer, the other one is asked
 // for all of it, so that the loss of a VM leaves half of the rate and of the burst in
@@ -40,14 +40,14 @@
 //
 // # Usage
 //
-//	st, limit = st.Shard(), limit.Shard()
+//	st, limit = st.PerShard(), limit.PerShard()
 //	ke := &quota.Keeper{Settings: st, ID: rand.Uint64()}
-//	ans := ke.Answer(now, vms, "vm-7", life, ask, &limit) // at the keeper of a shard
+//	rsp := ke.Handle(now, vms, "vm-7", incarnation, req, &limit) // at the keeper of a shard
 //
 //	ac := &quota.Account{Settings: st} // of the same shard
 //	if ac.Take(now, vms, customer, limit, tokens) { ... } // by what the VM has here
-//	ask := ac.Ask(now, vms, "vm-2", customer, limit, tokens) // or a keeper is asked
-//	ac.Answered(now, asked, vms, "vm-2", ask, limit, ans)
+//	req := ac.NewRequest(now, vms, "vm-2", customer, limit, tokens) // or a keeper is asked
+//	ac.ApplyResponse(now, asked, vms, "vm-2", req, limit, rsp)
 //
 // A Keeper and an Account do no I/O and are not safe for concurrent use.
 package quota
@@ -57,29 +57,29 @@
 const (
 	// Shards is how many keepers, at most, share each limit.
 	Shards = 2
-	// Lease is how long a VM lends its part to a keeper. It is what requests
+	// LeaseDuration is how long a VM lends its part to a keeper. It is what requests
 	// wait at worst, beside finding out, after a keeper has died; and the most
 	// that a keeper may be silent, frozen or cut off before its VMs leave it.
-	Lease = 1500 * clock.Millis(1)
-	// Renew is how old a VM's lease may get before it is renewed. Words that are
+	LeaseDuration = 1500 * clock.Millis(1)
+	// RenewInterval is how old a VM's lease may get before it is renewed. Words that are
 	// lost are said again after a fifth of a second, and three may be. The keeper
 	// of 300 VMs hears 500 words a second.
-	Renew = 600 * clock.Millis(1)
-	// Settle is how long a keeper that held no leases does not say that there is no
+	RenewInterval = 600 * clock.Millis(1)
+	// SettleTime is how long a keeper that held no leases does not say that there is no
 	// room: the VMs lend it their parts within two looks at their leases, and its
 	// buckets begin empty. Without it a fleet whose VMs had all been killed turned
 	// customers away who were far below their limits.
-	Settle = 500 * clock.Millis(1)
-	// slackPart is what one use of the slack may take of it: a keeper, the VMs'
+	SettleTime = 500 * clock.Millis(1)
+	// slackFraction is what one use of the slack may take of it: a keeper, the VMs'
 	// credit, and VMs alone, which in one window may take theirs twice.
-	slackPart = 0.15
-	// amplePart of a full bucket has to be there for a keeper to give credit:
+	slackFraction = 0.15
+	// creditThreshold of a full bucket has to be there for a keeper to give credit:
 	// what is scarce goes to requests that are there.
-	amplePart = 0.25
-	// mainPart of the fleet's parts is what one keeper at most holds more than. It
+	creditThreshold = 0.25
+	// majorityPart of the fleet's parts is what one keeper at most holds more than. It
 	// alone grants a request that is larger than a full bucket: where each of
 	// many small keepers did, a fleet in pieces would pass its limits.
-	mainPart = 0.5
+	majorityPart = 0.5
 )
 
 type (
@@ -96,30 +96,30 @@
 		Slack  float64      // tokens beyond that
 	}
 
-	// Ask is what a VM asks of a keeper. Each also renews the lease on the VM's
+	// Request is what a VM asks of a keeper. Each also renews the lease on the VM's
 	// part.
-	Ask struct {
-		Shard    int          // that it is about, from 0
-		Number   uint64       // of the VM's asks; grows
-		Keeper   uint64       // the keeper's process that holds the VM's lease; zero: none does
-		Heard    clock.Millis // the keeper's own time in its last answer to the VM
-		Customer string       // empty: nothing is asked for
-		Need     float64      // tokens that a request takes, all or none
-		Ahead    float64      // tokens that are wanted as credit beyond
-		Back     float64      // tokens that were taken before and not used
-		Release  bool         // the lease ends here
-		Slack    bool         // the lease is on the VM's part of the slack too
+	Request struct {
+		Shard      int          // that it is about, from 0
+		Sequence   uint64       // of the VM's asks; grows
+		KeeperID   uint64       // the keeper's process that holds the VM's lease; zero: none does
+		KeeperTime clock.Millis // the keeper's own time in its last answer to the VM
+		Customer   string       // empty: nothing is asked for
+		Need       float64      // tokens that a request takes, all or none
+		Credit     float64      // tokens that are wanted as credit beyond
+		Returned   float64      // tokens that were taken before and not used
+		Release    bool         // the lease ends here
+		LendsSlack bool         // the lease is on the VM's part of the slack too
 	}
 
-	// Answer is the keeper's.
-	Answer struct {
-		Keeper  uint64       // its process
-		Time    clock.Millis // by its own clock
-		Known   bool         // it knows a limit of the customer and what there is of it; else the rest says nothing
-		Granted bool         // the request may run
-		Credit  float64      // tokens beyond it
-		Wait    clock.Millis // after which there will be as many as were needed
-		Owes    bool         // it has given out tokens that have not come in yet
+	// Response is the keeper's.
+	Response struct {
+		KeeperID uint64       // its process
+		Time     clock.Millis // by its own clock
+		Known    bool         // it knows a limit of the customer and what there is of it; else the rest says nothing
+		Granted  bool         // the request may run
+		Credit   float64      // tokens beyond it
+		Wait     clock.Millis // after which there will be as many as were needed
+		InDebt   bool         // it has given out tokens that have not come in yet
 	}
 
 	// bucket is one customer's tokens in one hand.
@@ -133,27 +133,29 @@
 // Limited tells whether there is a limit.
 func (lim Limit) Limited() bool { return lim.Rate > 0 }
 
-// Shard is one shard's part of the limit.
-func (lim Limit) Shard() Limit {
+// PerShard is one shard's part of the limit.
+func (lim Limit) PerShard() Limit {
 	return Limit{Rate: lim.Rate / Shards, Burst: lim.Burst / Shards}
 }
 
-// Shard is what the settings are for one shard.
-func (st Settings) Shard() Settings {
+// PerShard is what the settings are for one shard.
+func (st Settings) PerShard() Settings {
 	st.Slack /= Shards
 	return st
 }
 
-// spare is the tokens beyond the limit that one use of the slack may take, in the
+// slackTokens is the tokens beyond the limit that one use of the slack may take, in the
 // whole fleet.
-func (st Settings) spare(lim Limit) float64 {
+func (st Settings) slackTokens(lim Limit) float64 {
 	window := float64(st.Window) / float64(clock.Second)
-	return slackPart * (st.Excess*(lim.Rate*window+lim.Burst) + st.Slack)
+	return slackFraction * (st.Excess*(lim.Rate*window+lim.Burst) + st.Slack)
 }
 
-// spareOf is one VM's part of that: the most that it holds as credit, and that it may
+// slackTokensPerVM is one VM's part of that: the most that it holds as credit, and that it may
 // take alone.
-func (st Settings) spareOf(lim Limit, vms int) float64 { return st.spare(lim) / float64(max(1, vms)) }
+func (st Settings) slackTokensPerVM(lim Limit, vms int) float64 {
+	return st.slackTokens(lim) / float64(max(1, vms))
+}
 
 // fill adds what came in since the bucket was filled last, at a part of the rate:
 // at is the pool's time, in which a millisecond of the whole fleet's leases is a
@@ -164,8 +166,8 @@
 	bu.at, bu.rate = at, lim.Rate
 }
 
-// owes tells whether tokens were taken that have not come in by a point of the pool's
+// inDebt tells whether tokens were taken that have not come in by a point of the pool's
 // time.
-func (bu *bucket) owes(at float64) bool {
+func (bu *bucket) inDebt(at float64) bool {
 	return bu.level+bu.rate*(at-bu.at)/float64(clock.Second) < 0
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	simStep    = 10 * clock.Millis(1)
-	simSpan    = 60 * clock.Second
-	simVMs     = 24
-	simDelay   = 3 * clock.Millis(1)   // longest of a message on a sound network
-	simSlow    = 40 * clock.Millis(1)  // the same on one with faults
-	simHeldUp  = 900 * clock.Millis(1) // of one that is
-	simNotice  = 2 * clock.Second      // longest until a VM sees a change of the fleet
-	simPatient = 60 * clock.Millis(1)  // for an answer
-	simBig     = 7000.0
-	simSmall   = 200.0
-	customer   = "c"
-	// simUnserved of the requests find no server and are given back, and simAway
+	simStep          = 10 * clock.Millis(1)
+	simSpan          = 60 * clock.Second
+	simVMs           = 24
+	simDelay         = 3 * clock.Millis(1)   // longest of a message on a sound network
+	simSlow          = 40 * clock.Millis(1)  // the same on one with faults
+	simStall         = 900 * clock.Millis(1) // of one that is
+	simViewDelay     = 2 * clock.Second      // longest until a VM sees a change of the fleet
+	simAnswerTimeout = 60 * clock.Millis(1)  // for an answer
+	simBig           = 7000.0
+	simSmall         = 200.0
+	customer         = "c"
+	// unservedPart of the requests find no server and are given back, and unansweredPart
 	// of the times a VM takes its keeper for silent.
-	simUnserved = 0.05
-	simAway     = 0.2
+	unservedPart   = 0.05
+	unansweredPart = 0.2
 )
 
 // seeds is how many are played; more are played by hand.
@@ -37,44 +37,44 @@
 type (
 	// simVM is one VM of a simulated fleet, in its present life.
 	simVM struct {
-		name   string
-		life   uint64
-		ke     quota.Keeper
-		ac     quota.Account
-		down   clock.Millis // until when it does not run
-		frozen clock.Millis // until when it runs nothing
-		side   int          // of a cut network
-		silent map[string]clock.Millis
-		view   string // the VM that it takes for the keeper
-		seen   clock.Millis
-		inbox  []message
+		name              string
+		incarnation       uint64
+		ke                quota.Keeper
+		ac                quota.Account
+		down              clock.Millis // until when it does not run
+		frozen            clock.Millis // until when it runs nothing
+		side              int          // of a cut network
+		unresponsiveUntil map[string]clock.Millis
+		view              string // the VM that it takes for the keeper
+		nextView          clock.Millis
+		inbox             []message
 	}
 
 	// message is an ask, or the answer to one.
 	message struct {
-		at     clock.Millis // when it arrives
-		from   string       // the VM that sent it
-		asker  string       // the VM that asked, in one of its lives
-		life   uint64       // of the asker
-		ask    quota.Ask
-		asked  clock.Millis  // when
-		tokens float64       // of the request that waits for the answer
-		answer *quota.Answer // nil: it is the ask
+		at          clock.Millis // when it arrives
+		from        string       // the VM that sent it
+		asker       string       // the VM that asked, in one of its lives
+		incarnation uint64       // of the asker
+		ask         quota.Request
+		asked       clock.Millis    // when
+		tokens      float64         // of the request that waits for the answer
+		answer      *quota.Response // nil: it is the ask
 	}
 
 	// sim plays a fleet in virtual time: callers ask all that they can.
 	sim struct {
-		rnd   *rand.Rand
-		now   clock.Millis
-		vms   map[string]*simVM
-		order []string
-		lim   quota.Limit
-		st    quota.Settings
-		ran   []ranAt
-		asked int
-		cuts  clock.Millis // until when the network is cut
-		delay clock.Millis // longest of a message that is not held up
-		lossy bool
+		rnd      *rand.Rand
+		now      clock.Millis
+		vms      map[string]*simVM
+		order    []string
+		lim      quota.Limit
+		st       quota.Settings
+		ran      []ranAt
+		asked    int
+		cutUntil clock.Millis // until when the network is cut
+		delay    clock.Millis // longest of a message that is not held up
+		faulty   bool
 	}
 
 	ranAt struct {
@@ -95,25 +95,25 @@
 }
 
 func (sm *sim) start(vm *simVM) {
-	vm.life++
+	vm.incarnation++
 	vm.ke = quota.Keeper{Settings: sm.st, ID: sm.rnd.Uint64() | 1}
 	vm.ac = quota.Account{Settings: sm.st}
-	vm.silent, vm.inbox = make(map[string]clock.Millis), nil
-	vm.seen = 0
+	vm.unresponsiveUntil, vm.inbox = make(map[string]clock.Millis), nil
+	vm.nextView = 0
 }
 
-func (sm *sim) chance(perSecond float64) bool {
+func (sm *sim) happens(perSecond float64) bool {
 	return sm.rnd.Float64() < perSecond*float64(simStep)/float64(clock.Second)
 }
 
 func (sm *sim) up(vm *simVM) bool { return sm.now >= vm.down && sm.now >= vm.frozen }
 
-// look has a VM see the fleet as it is now: the first that runs on its side.
-func (sm *sim) look(vm *simVM) {
-	if sm.now < vm.seen {
+// updateView has a VM see the fleet as it is now: the first that runs on its side.
+func (sm *sim) updateView(vm *simVM) {
+	if sm.now < vm.nextView {
 		return
 	}
-	vm.seen = sm.now + simNotice/2 + clock.Millis(sm.rnd.Int64N(int64(simNotice/2)))
+	vm.nextView = sm.now + simViewDelay/2 + clock.Millis(sm.rnd.Int64N(int64(simViewDelay/2)))
 	for _, name := range sm.order {
 		if other := sm.vms[name]; sm.up(other) && other.side == vm.side {
 			vm.view = name
@@ -124,25 +124,25 @@
 
 // send has a message arrive later, or never.
 func (sm *sim) send(from, to *simVM, ms message) {
-	if from.side != to.side || sm.lossy && sm.rnd.Float64() < 0.02 {
+	if from.side != to.side || sm.faulty && sm.rnd.Float64() < 0.02 {
 		return
 	}
 	ms.from, ms.at = from.name, sm.now+1+clock.Millis(sm.rnd.Int64N(int64(sm.delay)))
-	if sm.lossy && sm.rnd.Float64() < 0.01 {
-		ms.at += clock.Millis(sm.rnd.Int64N(int64(simHeldUp)))
+	if sm.faulty && sm.rnd.Float64() < 0.01 {
+		ms.at += clock.Millis(sm.rnd.Int64N(int64(simStall)))
 	}
 	to.inbox = append(to.inbox, ms)
 }
 
 // faults has things go wrong by chance.
 func (sm *sim) faults() {
-	if sm.now >= sm.cuts {
+	if sm.now >= sm.cutUntil {
 		for _, vm := range sm.vms {
 			vm.side = 0
 		}
 	}
-	if sm.now >= sm.cuts+3*clock.Second && sm.chance(0.15) {
-		sm.cuts = sm.now + clock.Second + clock.Millis(sm.rnd.Int64N(int64(8*clock.Second)))
+	if sm.now >= sm.cutUntil+3*clock.Second && sm.happens(0.15) {
+		sm.cutUntil = sm.now + clock.Second + clock.Millis(sm.rnd.Int64N(int64(8*clock.Second)))
 		part := sm.rnd.Float64()
 		for _, name := range sm.order {
 			if sm.rnd.Float64() < part {
@@ -150,7 +150,7 @@
 			}
 		}
 	}
-	herd := sm.chance(0.05)
+	herd := sm.happens(0.05)
 	part := sm.rnd.Float64()
 	for _, name := range sm.order {
 		vm := sm.vms[name]
@@ -158,10 +158,10 @@
 			continue
 		}
 		switch {
-		case herd && sm.rnd.Float64() < part, sm.chance(0.02), name == sm.order[0] && sm.chance(0.08):
+		case herd && sm.rnd.Float64() < part, sm.happens(0.02), name == sm.order[0] && sm.happens(0.08):
 			vm.down = sm.now + 300 + clock.Millis(sm.rnd.Int64N(2000))
 			sm.start(vm)
-		case sm.chance(0.02), name == sm.order[0] && sm.chance(0.08):
+		case sm.happens(0.02), name == sm.order[0] && sm.happens(0.08):
 			vm.frozen = sm.now + clock.Millis(sm.rnd.Int64N(int64(5*clock.Second)))
 		}
 	}
@@ -182,14 +182,14 @@
 	for _, ms := range due {
 		sm.take(vm, ms)
 	}
-	sm.look(vm)
-	if holder := vm.ac.Holder(sm.now); holder != "" && holder != vm.view && sm.now >= vm.silent[holder] {
-		vm.silent[holder] = sm.now + 100
-		sm.ask(vm, holder, vm.ac.Release(sm.now, simVMs), 0)
+	sm.updateView(vm)
+	if holder := vm.ac.Holder(sm.now); holder != "" && holder != vm.view && sm.now >= vm.unresponsiveUntil[holder] {
+		vm.unresponsiveUntil[holder] = sm.now + 100
+		sm.ask(vm, holder, vm.ac.ReleaseRequest(sm.now, simVMs), 0)
 	}
-	if holder := vm.ac.Holder(sm.now); (holder == "" || holder == vm.view) && vm.ac.Due(sm.now, vm.view) && sm.now >= vm.silent[vm.view] {
-		ask := vm.ac.Word(sm.now, simVMs, vm.view)
-		vm.silent[vm.view] = sm.now + 100
+	if holder := vm.ac.Holder(sm.now); (holder == "" || holder == vm.view) && vm.ac.RenewalDue(sm.now, vm.view) && sm.now >= vm.unresponsiveUntil[vm.view] {
+		ask := vm.ac.LeaseRequest(sm.now, simVMs, vm.view)
+		vm.unresponsiveUntil[vm.view] = sm.now + 100
 		sm.ask(vm, vm.view, ask, 0)
 	}
 	for sm.rnd.Float64() < perSecond*float64(simStep)/float64(clock.Second) {
@@ -212,18 +212,18 @@
 	if to == "" {
 		to = vm.view
 	}
-	if sm.lossy && sm.rnd.Float64() < simAway {
-		if vm.ac.TakeAlone(sm.now, simVMs, customer, sm.lim, tokens) {
+	if sm.faulty && sm.rnd.Float64() < unansweredPart {
+		if vm.ac.TakeLocal(sm.now, simVMs, customer, sm.lim, tokens) {
 			sm.runOrGiveBack(vm, tokens)
 		}
 		return
 	}
-	sm.ask(vm, to, vm.ac.Ask(sm.now, simVMs, to, customer, sm.lim, tokens), tokens)
+	sm.ask(vm, to, vm.ac.NewRequest(sm.now, simVMs, to, customer, sm.lim, tokens), tokens)
 }
 
 // ask sends an ask to a keeper, which may be the VM itself.
-func (sm *sim) ask(vm *simVM, to string, ask quota.Ask, tokens float64) {
-	ms := message{from: vm.name, asker: vm.name, life: vm.life, ask: ask, asked: sm.now, tokens: tokens}
+func (sm *sim) ask(vm *simVM, to string, ask quota.Request, tokens float64) {
+	ms := message{from: vm.name, asker: vm.name, incarnation: vm.incarnation, ask: ask, asked: sm.now, tokens: tokens}
 	if to == vm.name {
 		sm.take(vm, ms)
 		return
@@ -234,7 +234,7 @@
 // take has a VM take a message: an ask as the keeper, or an answer to its own.
 func (sm *sim) take(vm *simVM, ms message) {
 	if ms.answer == nil {
-		ans := vm.ke.Answer(sm.now, simVMs, ms.asker, ms.life, ms.ask, &sm.lim)
+		ans := vm.ke.Handle(sm.now, simVMs, ms.asker, ms.incarnation, ms.ask, &sm.lim)
 		ms.answer = &ans
 		if ms.asker != vm.name {
 			sm.send(vm, sm.vms[ms.asker], ms)
@@ -242,18 +242,18 @@
 		}
 		ms.from = vm.name
 	}
-	if ms.life != vm.life {
+	if ms.incarnation != vm.incarnation {
 		return // another life of this VM asked
 	}
-	vm.ac.Answered(sm.now, ms.asked, simVMs, ms.from, ms.ask, sm.lim, *ms.answer)
-	if ms.tokens > 0 && ms.answer.Granted && sm.now-ms.asked <= simPatient {
+	vm.ac.ApplyResponse(sm.now, ms.asked, simVMs, ms.from, ms.ask, sm.lim, *ms.answer)
+	if ms.tokens > 0 && ms.answer.Granted && sm.now-ms.asked <= simAnswerTimeout {
 		sm.runOrGiveBack(vm, ms.tokens)
 	}
 }
 
 // runOrGiveBack runs a request whose tokens were taken, or finds no server for it.
 func (sm *sim) runOrGiveBack(vm *simVM, tokens float64) {
-	if sm.rnd.Float64() >= simUnserved {
+	if sm.rnd.Float64() >= unservedPart {
 		sm.ran = append(sm.ran, ranAt{sm.now, tokens})
 		return
 	}
@@ -264,7 +264,7 @@
 
 // play plays so long, with demand and, if wanted, faults.
 func (sm *sim) play(span clock.Millis, perSecond float64, faults bool) {
-	sm.lossy, sm.delay = faults, simDelay
+	sm.faulty, sm.delay = faults, simDelay
 	if faults {
 		sm.delay = simSlow
 	}
@@ -334,9 +334,9 @@
 	worst := 0.0
 	for seed := range *seeds {
 		for _, lim := range []quota.Limit{simLimit, {Rate: 26000, Burst: 94000}} {
-			may := bound(lim.Shard(), simSettings.Shard())
+			may := bound(lim.PerShard(), simSettings.PerShard())
 			assert.Equal(t, may*quota.Shards, bound(lim, simSettings))
-			sm := newSim(seed, lim.Shard(), simSettings.Shard())
+			sm := newSim(seed, lim.PerShard(), simSettings.PerShard())
 			sm.play(simSpan, 40, true)
 			got := sm.most(simSettings.Window)
 			worst = max(worst, got/may)
--- a/internal/relay/arrivals.go
+++ b/internal/relay/arrivals.go
@@ -100,7 +100,7 @@
 		ex.arrivals.credit -= price
 		return price, true
 	}
-	return price, rl.budget.Take(rl.now(), "", ex.svc.Name, price)
+	return price, rl.budget.Spend(rl.now(), "", ex.svc.Name, price)
 }
 
 // reserveArrival pays for one more arrival before the run that it follows is stopped: a run
@@ -109,7 +109,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	ex := rn.ex
-	if _, there := rl.runs[rn]; !there || !rl.budget.Take(rl.now(), "", ex.svc.Name, 1) {
+	if _, there := rl.runs[rn]; !there || !rl.budget.Spend(rl.now(), "", ex.svc.Name, 1) {
 		return false
 	}
 	ex.arrivals.credit++
@@ -121,7 +121,7 @@
 func (rl *Relay) allowsTwo(ex *exchange) bool {
 	ar := &ex.arrivals
 	price := ar.price(callPrefill) + ar.price(callDecode)
-	return ar.credit+rl.budget.Left(rl.now(), "", ex.svc.Name) >= price
+	return ar.credit+rl.budget.Balance(rl.now(), "", ex.svc.Name) >= price
 }
 
 // refund gives back what was paid for and not used.
@@ -129,7 +129,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	if ex.arrivals.credit > 0 {
-		rl.budget.Return(rl.now(), "", ex.svc.Name, ex.arrivals.credit)
+		rl.budget.Refund(rl.now(), "", ex.svc.Name, ex.arrivals.credit)
 		ex.arrivals.credit = 0
 	}
 }
--- a/internal/relay/arrivals_test.go
+++ b/internal/relay/arrivals_test.go
@@ -159,7 +159,7 @@
 // newFleetRig is a VM of a fleet that may repeat so many attempts, beside a small part
 // of its requests, in ten seconds.
 func newFleetRig(t *testing.T, slack float64) (*relay.Relay, *servers) {
-	return newRigWith(t, 2, relay.Settings{Slack: slack, Budget: retry.Settings{Ratio: rigRatio, Floor: 0.001, Base: 1}})
+	return newRigWith(t, 2, relay.Settings{Slack: slack, Budget: retry.Settings{Ratio: rigRatio, Refill: 0.001, BaseBackoff: 1}})
 }
 
 // A VM that started again had its whole part of what the fleet may repeat, as if its
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -23,8 +23,8 @@
 	}{{"room", 4, 0}, {"nearly full", 9, 100}, {"full", 12, 100}} {
 		bb.Run(tc.name, func(bb *testing.B) {
 			rl := scheduler(bb, tc.runs, tc.waiting)
-			ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model", Turn: 1 << 31}, Run: usage.Run{Tokens: 5200, Left: 2000}, Reserve: 5500,
-				MayWait: 180, MayWaitBack: 2800, Prompt: true}
+			ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "model", Turn: 1 << 31}, Run: usage.Run{Tokens: 5200, Left: 2000}, ReserveTokens: 5500,
+				MaxWait: 180, MaxWaitReturning: 2800, NeedsPrefill: true}
 			for bb.Loop() {
 				rl.AnswerPlace("vm-0", ask)
 				rl.HeardUsage("vm-0", usage.Report{}) // so that no place stays taken
@@ -57,7 +57,7 @@
 			rp.Runs = append(rp.Runs, usage.Run{Engine: list[run%engines].ID, Tokens: 5200 + 100*(run%20), Left: 200 * (run % 10)})
 		}
 		if ix < waiting {
-			rp.Waiting = []usage.Ask{{Service: "model", Turn: uint32(ix + 1)}}
+			rp.Waiting = []usage.WaitingRequest{{Service: "model", Turn: uint32(ix + 1)}}
 		}
 		rl.HeardUsage(name, rp)
 	}
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -38,7 +38,7 @@
 				rl, sv := newRig(t)
 				others(rl)
 				tell := func() {
-					rp := usage.Report{Short: true}
+					rp := usage.Report{Shortage: true}
 					for _, engine := range []string{"d1", "d2"} {
 						rp.Runs = append(rp.Runs, usage.Run{Engine: engine, Tokens: tc.tokens})
 					}
--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -187,7 +187,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				// An engine that declines costs three arrivals, the one that goes on two.
-				rl, sv := newRigWith(t, 2, relay.Settings{Budget: retry.Settings{Burst: 5, Floor: 0.001, Ratio: rigRatio, Base: 1}})
+				rl, sv := newRigWith(t, 2, relay.Settings{Budget: retry.Settings{Burst: 5, Refill: 0.001, Ratio: rigRatio, BaseBackoff: 1}})
 				withDecoders(rl, "d3", "d4")
 				second := ""
 				sv.onSend = func(_ context.Context, nth int, se sent) (*http.Response, error) {
--- a/internal/relay/customer.go
+++ b/internal/relay/customer.go
@@ -76,7 +76,7 @@
 	if req.Prompt != nil {
 		tokens = req.Prompt.Tokens + req.Prompt.Most
 	}
-	return &charge.Order{Customer: cu.Name, Limit: cu.Limit, Tokens: cu.Cost(tokens), Patience: rl.placeWait(rt, false)}
+	return &charge.Order{Customer: cu.Name, Limit: cu.Limit, Tokens: cu.Cost(tokens), MaxWait: rl.placeWait(rt, false)}
 }
 
 // charge takes a request's tokens from its customer's quota.
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -52,7 +52,7 @@
 	dec := decoding{ordered: rl.now(), itself: itself, begun: func() {}, end: func() {}}
 	if itself {
 		rl.mu.Lock()
-		dec.ahead = rl.ledger.Prompts(dec.ordered, pl.server.ID)
+		dec.ahead = rl.ledger.PromptTokens(dec.ordered, pl.server.ID)
 		rl.mu.Unlock()
 		dec.begun = rl.readsItself(pl, ex.req.Prompt.Tokens)
 	}
@@ -136,7 +136,7 @@
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	if !rl.poolOf(pl.service).Takes(rl.now(), pl.server.ID) {
+	if !rl.poolOf(pl.service).AcceptsWork(rl.now(), pl.server.ID) {
 		return errLeft
 	}
 	return nil
@@ -223,11 +223,11 @@
 	po := rl.poolOf(ex.svc.Name)
 	switch _, why := backend.OutcomeOf(err); why {
 	case backend.Unknown:
-		po.Deny(server)
+		po.RejectEntry(server)
 		rl.ledger.Avoid(server, rl.now()+goneFor)
 		rl.usageMoved()
 	case backend.WrongRole:
-		po.Deny(server)
+		po.RejectEntry(server)
 	default:
 		rl.failed(po, server)
 	}
@@ -236,14 +236,14 @@
 // failed has this VM pass an engine over, and the others ask it last. The lock is
 // held.
 func (rl *Relay) failed(po *pool.Pool, server string) {
-	rl.ledger.Failed(server, po.Failed(rl.now(), server))
+	rl.ledger.MarkFailed(server, po.MarkFailed(rl.now(), server))
 	rl.usageMoved()
 }
 
 // worked ends that. The lock is held.
 func (rl *Relay) worked(po *pool.Pool, server string) {
-	po.Worked(server)
-	rl.ledger.Worked(server)
+	po.MarkWorking(server)
+	rl.ledger.ClearFailed(server)
 }
 
 // prefill has the prompt computed for a decode at a place. Without a handle the
@@ -268,19 +268,19 @@
 // choosePrefill chooses the engine that computes a prompt and counts it there;
 // none if the decode engine is to do it.
 func (rl *Relay) choosePrefill(ex *exchange, pl place) (pool.Prefill, bool) {
-	st := pool.Start{Spent: rl.now() - ex.req.Came, Objective: ex.rt.Objective}
+	st := pool.StartBudget{Spent: rl.now() - ex.req.Came, Objective: ex.rt.Objective}
 	pf, itself := rl.takePrefill(ex, pl, st)
 	rl.count("Prompts", map[string]string{"Itself": strconv.FormatBool(itself)})
 	if itself {
 		rl.Log.Log(event.RelayNoPrefill, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("Doubt", pl.doubt),
-			event.F("Best", pf.Server.ID), event.F("Ahead", pf.Ahead), event.F("Would", pf.Takes.String()), event.F("Spent", st.Spent.String()))
+			event.F("Best", pf.Server.ID), event.F("Ahead", pf.QueuedTokens), event.F("Would", pf.ExpectedTime.String()), event.F("Spent", st.Spent.String()))
 	}
 	return pf, !itself
 }
 
 // takePrefill chooses the engine and counts the prompt there, or tells that the
 // decode engine computes it itself.
-func (rl *Relay) takePrefill(ex *exchange, pl place, st pool.Start) (pf pool.Prefill, itself bool) {
+func (rl *Relay) takePrefill(ex *exchange, pl place, st pool.StartBudget) (pf pool.Prefill, itself bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now, tokens := rl.now(), ex.req.Prompt.Tokens
@@ -289,10 +289,10 @@
 	// An engine that may be gone first shows that it is there: reservations are
 	// taken also when another one answers in its place. Where the budget pays for
 	// one more arrival only, that is the decode's.
-	if !ok || pl.doubt || !rl.allowsTwo(ex) || po.Itself(pf, tokens, rl.ledger.Prompts(now, pl.server.ID), st) {
+	if !ok || pl.doubt || !rl.allowsTwo(ex) || po.ShouldPrefillAtDecoder(pf, tokens, rl.ledger.PromptTokens(now, pl.server.ID), st) {
 		return pf, true
 	}
-	rl.ledger.Prompt(pf.Server.ID, tokens)
+	rl.ledger.AddPrompt(pf.Server.ID, tokens)
 	rl.usageMoved()
 	return pf, false
 }
@@ -300,7 +300,7 @@
 // prefillOf is the engine that was chosen with a place, if it still computes
 // prompts, or one that is chosen now. The lock is held.
 func (rl *Relay) prefillOf(now clock.Millis, po *pool.Pool, pl place, tokens int) (pool.Prefill, bool) {
-	if pl.prefill != nil && po.Computes(now, pl.prefill.Server.ID) {
+	if pl.prefill != nil && po.CanPrefill(now, pl.prefill.Server.ID) {
 		return *pl.prefill, true
 	}
 	return rl.prefillFor(now, po, tokens, pl.server)
@@ -309,8 +309,8 @@
 // prefillFor chooses the engine that computes a prompt for a decode. The lock is
 // held.
 func (rl *Relay) prefillFor(now clock.Millis, po *pool.Pool, tokens int, decode board.BackendServer) (pool.Prefill, bool) {
-	return po.Prefiller(now, pool.Prompt{Tokens: tokens, Domain: decode.FailureDomain, Ahead: rl.promptsAt(now),
-		Last: func(id string) bool { return rl.ledger.Failing(now, id) }})
+	return po.ChoosePrefill(now, pool.Prompt{Tokens: tokens, Domain: decode.FailureDomain, QueuedTokens: rl.promptsAt(now),
+		LastResort: func(id string) bool { return rl.ledger.Failing(now, id) }})
 }
 
 // prefillAt has the prompt computed at an engine.
@@ -328,12 +328,12 @@
 	})
 	took := rl.now() - began
 	rl.mu.Lock()
-	rl.ledger.Prompt(pf.Server.ID, -tokens)
+	rl.ledger.AddPrompt(pf.Server.ID, -tokens)
 	rl.usageMoved()
 	if err == nil {
 		po := rl.poolOf(ex.svc.Name)
 		rl.worked(po, pf.Server.ID)
-		po.Read(pf, tokens, took)
+		po.ObservePrefill(pf, tokens, took)
 	}
 	rl.mu.Unlock()
 	if err != nil {
@@ -343,6 +343,6 @@
 		rl.fault(ctx, ex, pf.Server.ID, err)
 	}
 	rl.Log.Log(event.RelayPrefill, append(fields, event.F("Request", ex.req.ID), event.F("Server", pf.Server.ID),
-		event.F("Ahead", pf.Ahead), event.F("Expected", pf.Takes.String()), event.F("Took", took.String()), event.F("Error", text(err)))...)
+		event.F("Ahead", pf.QueuedTokens), event.F("Expected", pf.ExpectedTime.String()), event.F("Took", took.String()), event.F("Error", text(err)))...)
 	return hd, err
 }
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -9,7 +9,7 @@
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.ledger.Learn(rn.ex.rt.Name, pr.Hint, rn.made)
+	rl.ledger.ObserveAnswer(rn.ex.rt.Name, pr.Hint, rn.made)
 }
 
 // learnBegin notes how long a decode took to its first event.
@@ -22,8 +22,8 @@
 	po, took := rl.poolOf(rn.ex.svc.Name), rl.now()-rn.ordered
 	switch {
 	case !rn.itself:
-		po.Began(took)
+		po.ObserveFirstEvent(took)
 	case rn.ahead == 0:
-		po.BeganItself(rn.ex.req.Prompt.Tokens, took)
+		po.ObserveDecoderPrefill(rn.ex.req.Prompt.Tokens, took)
 	}
 }
--- a/internal/relay/need.go
+++ b/internal/relay/need.go
@@ -33,7 +33,7 @@
 	most, guess := pr.Most, pr.Most
 	if pr.Hint > 0 {
 		most = min(most, int(rl.Settings.HintFactor*float64(pr.Hint)))
-		guess = min(guess, rl.ledger.Expect(ex.rt.Name, pr.Hint))
+		guess = min(guess, rl.ledger.ExpectedTokens(ex.rt.Name, pr.Hint))
 	}
 	nd := need{run: usage.Run{Tokens: blocks(pr.Tokens), Left: blocks(guess)}, reserve: blocks(pr.Tokens + most), limit: noLimit}
 	if ex.svc.Engines.Memory > 0 && known {
@@ -61,7 +61,7 @@
 	others, whole := rl.Others()
 	silent := 0
 	for _, vm := range others {
-		if !rl.ledger.Hears(now, vm) {
+		if !rl.ledger.HasFreshReport(now, vm) {
 			silent++
 		}
 	}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -69,7 +69,7 @@
 	rl.mu.Lock()
 	back := rl.returning(ex)
 	po := rl.poolOf(ex.svc.Name)
-	tk := po.Enter(rl.now(), pool.Ask{Returning: back, Priority: ex.priority})
+	tk := po.Enter(rl.now(), pool.Request{Returning: back, Priority: ex.priority})
 	waiting := po.Waiting()
 	rl.mu.Unlock()
 	defer func() {
@@ -108,7 +108,7 @@
 func (rl *Relay) noteNoPlace(ex *exchange, po *pool.Pool, fields ...event.Field) {
 	rl.mu.Lock()
 	now, nd := rl.now(), rl.needOf(ex, rl.hears)
-	least, engines := po.Least(now, pool.Want{Need: rl.peakAt(now, nd.run)})
+	least, engines := po.LowestPeak(now, pool.Requirements{Peak: rl.peakAt(now, nd.run)})
 	rl.mu.Unlock()
 	rl.count("NoPlace", map[string]string{"Room": strconv.FormatBool(least <= nd.limit)})
 	rl.Log.Log(event.RelayNoPlace, append(fields, event.F("Request", ex.req.ID), event.F("Tokens", ex.req.Prompt.Tokens),
@@ -169,7 +169,7 @@
 	tr.short, tr.before = ch.short, ch.before
 	if len(ch.list) == 0 {
 		rl.mu.Lock()
-		if po.Tried(tk) {
+		if po.MarkTried(tk) {
 			rl.usageMoved()
 		}
 		rl.mu.Unlock()
@@ -206,7 +206,7 @@
 	rl.heedRest(err)
 	if _, why := backend.OutcomeOf(err); why == backend.Full {
 		rl.mu.Lock()
-		rl.poolOf(ex.svc.Name).Full(rl.now(), bs.ID, nd.reserve)
+		rl.poolOf(ex.svc.Name).MarkFull(rl.now(), bs.ID, nd.reserve)
 		rl.mu.Unlock()
 		return place{}, false
 	}
@@ -230,7 +230,7 @@
 // another VM just now. An engine that died looks empty, so that all VMs would
 // choose it, and each would have to find out for itself. The lock is held.
 func (rl *Relay) lastAt(now clock.Millis) func(id string) bool {
-	return func(id string) bool { return rl.ledger.Prompts(now, id) > 0 || rl.ledger.Failing(now, id) }
+	return func(id string) bool { return rl.ledger.PromptTokens(now, id) > 0 || rl.ledger.Failing(now, id) }
 }
 
 func (rl *Relay) reserve(ctx context.Context, ex *exchange, bs board.BackendServer, tokens int) (string, error) {
@@ -243,7 +243,7 @@
 func (rl *Relay) takePlace(pl place, run usage.Run) place {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.poolOf(pl.service).Take(pl.server.ID)
+	rl.poolOf(pl.service).AddRun(pl.server.ID)
 	run.Engine = pl.server.ID
 	pl.entry = rl.ledger.Begin(run)
 	rl.usageMoved()
@@ -254,7 +254,7 @@
 func (rl *Relay) leavePlace(pl place) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.poolOf(pl.service).Free(pl.server.ID)
+	rl.poolOf(pl.service).EndRun(pl.server.ID)
 	rl.ledger.End(pl.entry)
 	rl.usageMoved()
 	rl.signal()
@@ -265,12 +265,12 @@
 func (rl *Relay) readsItself(pl place, tokens int) (done func()) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.ledger.Prompt(pl.server.ID, tokens)
+	rl.ledger.AddPrompt(pl.server.ID, tokens)
 	rl.usageMoved()
 	return sync.OnceFunc(func() {
 		rl.mu.Lock()
 		defer rl.mu.Unlock()
-		rl.ledger.Prompt(pl.server.ID, -tokens)
+		rl.ledger.AddPrompt(pl.server.ID, -tokens)
 		rl.usageMoved()
 	})
 }
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -82,11 +82,11 @@
 func (rl *Relay) pick(ex *exchange) (board.BackendServer, error) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	id, err := rl.chooser.Pick(rl.now(), balance.Ask{Service: ex.svc.Name, Share: 1, Exclude: ex.tried,
+	id, err := rl.chooser.Pick(rl.now(), balance.Request{Service: ex.svc.Name, Share: 1, Exclude: ex.tried,
 		Sender: ex.named(), Objective: ex.rt.Objective})
 	if err != nil {
 		if rf, ok := errors.AsType[refusal.Refusal](err); ok {
-			return board.BackendServer{}, rf.WithRetryAfter(max(rl.Settings.PlainBack, rl.chooser.Rests(rl.now(), ex.svc.Name)))
+			return board.BackendServer{}, rf.WithRetryAfter(max(rl.Settings.PlainBack, rl.chooser.BackoffLeft(rl.now(), ex.svc.Name)))
 		}
 		return board.BackendServer{}, refuse(refusal.NoBackend, rl.Settings.PlainBack, err.Error())
 	}
@@ -129,7 +129,7 @@
 	rl.mu.Lock()
 	rl.chooser.Done(rl.now(), bs.ID, balance.Outcome{Result: resultOf(ctx, at), Took: took, Load: rl.loadOf(at.rsp)})
 	if at.err == nil {
-		rl.budget.Observe(ex.svc.Name, took)
+		rl.budget.ObserveLatency(ex.svc.Name, took)
 	}
 	rl.mu.Unlock()
 	rl.Log.Log(event.RelayAttempt, append(fields, event.F("Request", ex.req.ID), event.F("Server", bs.ID),
@@ -196,7 +196,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now := rl.now()
-	return rl.chooser.Crowded(now, ex.svc.Name, ex.rt.Objective) || rl.chooser.Rests(now, ex.svc.Name) > 0
+	return rl.chooser.RefusesForQueue(now, ex.svc.Name, ex.rt.Objective) || rl.chooser.BackoffLeft(now, ex.svc.Name) > 0
 }
 
 // again decides what follows a failed attempt: nil is another attempt, whose
@@ -217,9 +217,9 @@
 	verdict := rl.budget.Decide(rl.now(), retry.Attempt{
 		Service: ex.svc.Name, Idempotent: mayRepeat, Number: number,
 		Last:              refusal.Refusal{Ran: ran, Reason: refusal.BackendFailed, Detail: failed.Error()},
-		EarlierMayHaveRun: ex.ran > 0, Deadline: ex.until, Need: need, Cost: cost,
+		EarlierMayHaveRun: ex.ran > 0, Deadline: ex.until, MinTime: need, Cost: cost,
 	})
-	ag, ok := verdict.(retry.Again)
+	ag, ok := verdict.(retry.Retry)
 	if ok {
 		ex.arrivals.credit += cost
 	}
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -83,5 +83,5 @@
 func (rl *Relay) besides(engine string) int {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	return max(0, rl.ledger.Runs(rl.now(), engine)-1)
+	return max(0, rl.ledger.RunCount(rl.now(), engine)-1)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -360,7 +360,7 @@
 	rl.prepare()
 	ex.rt = rt
 	ex.svc = tb.Service(rt.Service(rl.Rand.Float64()))
-	rl.budget.Request(rl.now(), "", ex.svc.Name)
+	rl.budget.RecordRequest(rl.now(), "", ex.svc.Name)
 	rl.mu.Unlock()
 	ex.until = req.Came + rt.Timeout
 	if req.Left > 0 && (rt.Timeout == 0 || req.Left < rt.Timeout) {
@@ -388,7 +388,7 @@
 	rl.once = true
 	rl.Settings = rl.Settings.withDefaults()
 	rl.chooser = &balance.Chooser{Rand: rl.Rand, Settings: balance.Settings{
-		Failures: rl.Settings.Failures, Eject: rl.Settings.Eject, SlowStart: rl.Settings.SlowStart}}
+		Failures: rl.Settings.Failures, BaseEjection: rl.Settings.Eject, SlowStart: rl.Settings.SlowStart}}
 	rl.budget = &retry.Policy{Rand: rl.Rand, Settings: rl.Settings.Budget}
 	rl.divide()
 	rl.pools = make(map[string]*pool.Pool)
--- a/internal/relay/rest.go
+++ b/internal/relay/rest.go
@@ -20,9 +20,9 @@
 	}
 	rl.mu.Lock()
 	now := rl.now()
-	rl.chooser.Rest(now, server, span)
+	rl.chooser.BackOff(now, server, span)
 	if bs, listed := rl.Backends().Server(server); listed {
-		rl.poolOf(bs.Service).Rest(now, server, span)
+		rl.poolOf(bs.Service).BackOff(now, server, span)
 	}
 	rl.mu.Unlock()
 	rl.count("Rests", nil)
@@ -34,7 +34,7 @@
 func (rl *Relay) allRest(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
 	rl.mu.Lock()
 	now := rl.now()
-	rests := po.Rests(now)
+	rests := po.BackoffLeft(now)
 	rl.mu.Unlock()
 	if rests == 0 || now+rests <= until {
 		return nil
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -211,7 +211,7 @@
 // newRigOf makes a relay whose chance begins with the seed.
 func newRigOf(t *testing.T, seed uint64) (*relay.Relay, *servers) {
 	t.Helper()
-	return newRigWith(t, seed, relay.Settings{Budget: retry.Settings{Burst: rigBurst, Floor: 0.001, Ratio: rigRatio, Base: 1}})
+	return newRigWith(t, seed, relay.Settings{Budget: retry.Settings{Burst: rigBurst, Refill: 0.001, Ratio: rigRatio, BaseBackoff: 1}})
 }
 
 // newRigWith makes one with settings.
