--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -45,7 +45,7 @@
 		// itself, and tells whether it may.
 		Before() (vms []string, here bool)
 		// Ask asks one of them.
-		Ask(ctx context.Context, vm string, ask usage.PlaceAsk) (usage.PlaceAnswer, error)
+		Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error)
 	}
 
 	// roomKey is a service and how many further requests must have room.
@@ -77,8 +77,8 @@
 	vms, here := rl.schedulers()
 	rl.mu.Lock()
 	now := rl.now()
-	short := rl.ledger.Short(now)
-	if !po.First(tk, short) {
+	short := rl.ledger.HasShortage(now)
+	if !po.IsFirst(tk, short) {
 		rl.mu.Unlock()
 		return choice{short: short}
 	}
@@ -115,11 +115,11 @@
 
 // chooseHere chooses by what this VM knows of all. The lock is held.
 func (rl *Relay) chooseHere(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) choice {
-	ch := choice{need: rl.needOf(ex, rl.inSync()), short: rl.ledger.Short(now)}
+	ch := choice{need: rl.needOf(ex, rl.inSync()), short: rl.ledger.HasShortage(now)}
 	if ch.need.limit != noLimit {
-		ch.before = rl.ledger.Before(now, askOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
+		ch.before = rl.ledger.CountAhead(now, askOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
 	}
-	ch.list = po.Decoders(now, rl.wantOf(now, ch.need, ch.before, spare(tk.Ask().Returning, ch.short)))
+	ch.list = po.DecodeCandidates(now, rl.wantOf(now, ch.need, ch.before, spare(tk.Request().Returning, ch.short)))
 	ch.doubt = len(ch.list) > 0 && rl.ledger.Doubtful(now, ch.list[0].ID)
 	return ch
 }
@@ -127,40 +127,40 @@
 // chooseBlindly chooses by this VM's own runs alone. The lock is held.
 func (rl *Relay) chooseBlindly(now clock.Millis, ex *exchange, po *pool.Pool) choice {
 	rl.setInSync(false, 0, 0, false)
-	ch := choice{need: rl.needOf(ex, false), short: rl.ledger.Short(now)}
-	ch.list = po.Decoders(now, rl.wantOf(now, ch.need, 0, 0))
+	ch := choice{need: rl.needOf(ex, false), short: rl.ledger.HasShortage(now)}
+	ch.list = po.DecodeCandidates(now, rl.wantOf(now, ch.need, 0, 0))
 	return ch
 }
 
 // wantOf is what a request wants of the decode engines. The lock is held.
-func (rl *Relay) wantOf(now clock.Millis, nd need, before, spare int) pool.Want {
-	return pool.Want{Tokens: nd.reserve, Limit: nd.limit, Before: before, Spare: spare, Need: rl.peakAt(now, nd.run), Last: rl.lastAt(now)}
+func (rl *Relay) wantOf(now clock.Millis, nd need, before, spare int) pool.Requirements {
+	return pool.Requirements{Tokens: nd.reserve, Limit: nd.limit, Ahead: before, Headroom: spare, Peak: rl.peakAt(now, nd.run), LastResort: rl.lastAt(now)}
 }
 
 // placeAsk is what the scheduler is asked. The lock is held.
-func (rl *Relay) placeAsk(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) usage.PlaceAsk {
+func (rl *Relay) placeAsk(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) usage.PlacementRequest {
 	nd := rl.needOf(ex, true)
-	skip := po.Passed(now)
-	return usage.PlaceAsk{Ask: askOf(now, ex.svc.Name, tk), Run: nd.run, Reserve: nd.reserve, Prompt: true,
-		MayWait: rl.placeWait(ex.rt, false), MayWaitBack: rl.placeWait(ex.rt, true), Skip: skip[:min(len(skip), mostSkips)]}
+	skip := po.Unavailable(now)
+	return usage.PlacementRequest{Waiting: askOf(now, ex.svc.Name, tk), Run: nd.run, ReserveTokens: nd.reserve, NeedsPrefill: true,
+		MaxWait: rl.placeWait(ex.rt, false), MaxWaitReturning: rl.placeWait(ex.rt, true), Excluded: skip[:min(len(skip), mostSkips)]}
 }
 
 // askPlace asks the VMs in turn until one knows.
-func (rl *Relay) askPlace(ctx context.Context, vms []string, ask usage.PlaceAsk) (ans usage.PlaceAnswer, by string, ok bool) {
+func (rl *Relay) askPlace(ctx context.Context, vms []string, ask usage.PlacementRequest) (ans usage.PlacementReply, by string, ok bool) {
 	for _, vm := range vms {
 		within, stop := context.WithTimeout(ctx, askTimeout.Std())
 		ans, err := rl.Schedulers.Ask(within, vm, ask)
 		stop()
 		if ctx.Err() != nil {
-			return usage.PlaceAnswer{}, "", false
+			return usage.PlacementReply{}, "", false
 		}
-		if err == nil && ans.Known {
+		if err == nil && ans.Informed {
 			rl.count("Asks", map[string]string{"Outcome": "Known"})
 			return ans, vm, true
 		}
 		rl.noteSilent(vm, err)
 	}
-	return usage.PlaceAnswer{}, "", false
+	return usage.PlacementReply{}, "", false
 }
 
 // noteSilent has a VM that did not answer, or does not know, not asked for a
@@ -181,14 +181,14 @@
 }
 
 // chosen takes another VM's answer. The lock is held.
-func (rl *Relay) chosen(ex *exchange, po *pool.Pool, by string, ans usage.PlaceAnswer) choice {
+func (rl *Relay) chosen(ex *exchange, po *pool.Pool, by string, ans usage.PlacementReply) choice {
 	now := rl.now()
 	rl.setInSync(true, 0, 0, true)
-	if ans.Short {
-		rl.ledger.HeardShort(now)
+	if ans.Shortage {
+		rl.ledger.MarkRemoteShortage(now)
 	}
-	ch := choice{by: by, need: rl.needOf(ex, true), before: ans.Before, short: ans.Short, doubt: ans.Doubtful, list: rl.stayingOf(po, ans.Engines)}
-	if pf, ok := po.PrefillAt(ans.Prefill, ans.Ahead, ex.req.Prompt.Tokens); ok {
+	ch := choice{by: by, need: rl.needOf(ex, true), before: ans.RequestsAhead, short: ans.Shortage, doubt: ans.Doubtful, list: rl.stayingOf(po, ans.Engines)}
+	if pf, ok := po.PrefillAt(ans.Prefill, ans.QueuedTokens, ex.req.Prompt.Tokens); ok {
 		ch.prefill = &pf
 	}
 	return ch
@@ -199,7 +199,7 @@
 func (rl *Relay) stayingOf(po *pool.Pool, ids []string) []board.BackendServer {
 	var out []board.BackendServer
 	for _, id := range ids {
-		if bs, ok := rl.Backends().Server(id); ok && po.Takes(rl.now(), id) {
+		if bs, ok := rl.Backends().Server(id); ok && po.AcceptsWork(rl.now(), id) {
 			out = append(out, bs)
 		}
 	}
@@ -208,32 +208,32 @@
 
 // AnswerPlace chooses engines for a request of another VM, and counts the first
 // as taken.
-func (rl *Relay) AnswerPlace(vm string, ask usage.PlaceAsk) usage.PlaceAnswer {
+func (rl *Relay) AnswerPlace(vm string, ask usage.PlacementRequest) usage.PlacementReply {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	rl.prepare()
 	now, tb := rl.now(), rl.table.Load()
 	if tb == nil || !rl.hearsLately(now) {
-		return usage.PlaceAnswer{}
+		return usage.PlacementReply{}
 	}
-	svc := tb.Service(ask.Ask.Service)
+	svc := tb.Service(ask.Waiting.Service)
 	if svc.Engines == nil || svc.Engines.Memory <= 0 {
-		return usage.PlaceAnswer{}
+		return usage.PlacementReply{}
 	}
-	ans := usage.PlaceAnswer{Known: true, Short: rl.ledger.Short(now)}
+	ans := usage.PlacementReply{Informed: true, Shortage: rl.ledger.HasShortage(now)}
 	po := rl.poolOf(svc.Name)
 	if !rl.hasRoom(now, po, svc, ask) {
 		return ans
 	}
-	ans.Before = rl.ledger.Before(now, ask.Ask, func(back bool) clock.Millis {
+	ans.RequestsAhead = rl.ledger.CountAhead(now, ask.Waiting, func(back bool) clock.Millis {
 		if back {
-			return ask.MayWaitBack
+			return ask.MaxWaitReturning
 		}
-		return ask.MayWait
+		return ask.MaxWait
 	})
-	nd := need{run: ask.Run, reserve: ask.Reserve, limit: rl.limitOf(svc)}
-	list := po.Decoders(now, rl.wantOf(now, nd, ans.Before, spare(ask.Ask.Returning, ans.Short)))
-	list = slices.DeleteFunc(list, func(bs board.BackendServer) bool { return slices.Contains(ask.Skip, bs.ID) })
+	nd := need{run: ask.Run, reserve: ask.ReserveTokens, limit: rl.limitOf(svc)}
+	list := po.DecodeCandidates(now, rl.wantOf(now, nd, ans.RequestsAhead, spare(ask.Waiting.Returning, ans.Shortage)))
+	list = slices.DeleteFunc(list, func(bs board.BackendServer) bool { return slices.Contains(ask.Excluded, bs.ID) })
 	for _, bs := range list[:min(len(list), mostChoices)] {
 		ans.Engines = append(ans.Engines, bs.ID)
 	}
@@ -246,13 +246,13 @@
 // hasRoom tells whether any engine has room for a request. At the end of a burst
 // hundreds ask in vain each second, and no request finds room that is as large as
 // one that found none just now. The lock is held.
-func (rl *Relay) hasRoom(now clock.Millis, po *pool.Pool, svc route.Service, ask usage.PlaceAsk) bool {
-	key := roomKey{svc.Name, spare(ask.Ask.Returning, rl.ledger.Short(now))}
+func (rl *Relay) hasRoom(now clock.Millis, po *pool.Pool, svc route.Service, ask usage.PlacementRequest) bool {
+	key := roomKey{svc.Name, spare(ask.Waiting.Returning, rl.ledger.HasShortage(now))}
 	none := rl.noRoom[key]
 	if now < none.until && ask.Run.Tokens >= none.tokens {
 		return false
 	}
-	if po.Room(now, pool.Want{Limit: rl.limitOf(svc), Spare: key.spare, Need: rl.peakAt(now, ask.Run)}) {
+	if po.HasRoom(now, pool.Requirements{Limit: rl.limitOf(svc), Headroom: key.spare, Peak: rl.peakAt(now, ask.Run)}) {
 		return true
 	}
 	if rl.noRoom == nil {
@@ -274,17 +274,17 @@
 
 // assume counts a place, and the prompt at an engine near it, as taken by the
 // VM that asked. The lock is held.
-func (rl *Relay) assume(now clock.Millis, vm string, po *pool.Pool, ask usage.PlaceAsk, at board.BackendServer, ans *usage.PlaceAnswer) {
+func (rl *Relay) assume(now clock.Millis, vm string, po *pool.Pool, ask usage.PlacementRequest, at board.BackendServer, ans *usage.PlacementReply) {
 	ans.Doubtful = rl.ledger.Doubtful(now, at.ID)
-	if ask.Prompt && !ans.Doubtful {
+	if ask.NeedsPrefill && !ans.Doubtful {
 		pf, ok := rl.prefillFor(now, po, ask.Run.Tokens, at)
 		if ok {
-			ans.Prefill, ans.Ahead = pf.Server.ID, pf.Ahead
+			ans.Prefill, ans.QueuedTokens = pf.Server.ID, pf.QueuedTokens
 		}
 	}
 	run := ask.Run
 	run.Engine = at.ID
-	rl.ledger.Assume(now, vm, run, ans.Prefill)
+	rl.ledger.AssumePlacement(now, vm, run, ans.Prefill)
 }
 
 // moveTargets lists the engines that a run may move to.
@@ -294,7 +294,7 @@
 	if !here || len(vms) > 0 {
 		ctx, stop := context.WithTimeout(context.Background(), 2*askTimeout.Std())
 		defer stop()
-		ask := usage.PlaceAsk{Ask: usage.Ask{Service: from.service, Turn: 1}, Run: usage.Run{Tokens: run.Tokens, Left: run.Left}, Reserve: run.Tokens}
+		ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: from.service, Turn: 1}, Run: usage.Run{Tokens: run.Tokens, Left: run.Left}, ReserveTokens: run.Tokens}
 		if ans, _, ok := rl.askPlace(ctx, vms, ask); ok && len(ans.Engines) > 0 {
 			rl.mu.Lock()
 			defer rl.mu.Unlock()
@@ -304,7 +304,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now := rl.now()
-	return po.Decoders(now, pool.Want{Limit: noLimit, Need: rl.peakAt(now, run)})
+	return po.DecodeCandidates(now, pool.Requirements{Limit: noLimit, Peak: rl.peakAt(now, run)})
 }
 
 func (rl *Relay) lockedPool(service string) *pool.Pool {
--- a/internal/relay/schedule_test.go
+++ b/internal/relay/schedule_test.go
@@ -24,12 +24,12 @@
 	vms    []string
 	here   bool
 	asked  []string
-	answer func(ctx context.Context, vm string, ask usage.PlaceAsk) (usage.PlaceAnswer, error)
+	answer func(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error)
 }
 
 func (sc *schedulers) Before() ([]string, bool) { return append([]string(nil), sc.vms...), sc.here }
 
-func (sc *schedulers) Ask(ctx context.Context, vm string, ask usage.PlaceAsk) (usage.PlaceAnswer, error) {
+func (sc *schedulers) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	sc.mu.Lock()
 	sc.asked = append(sc.asked, vm)
 	sc.mu.Unlock()
@@ -37,30 +37,30 @@
 }
 
 // hang is a VM that does not answer.
-func hang(ctx context.Context) (usage.PlaceAnswer, error) {
+func hang(ctx context.Context) (usage.PlacementReply, error) {
 	<-ctx.Done()
-	return usage.PlaceAnswer{}, ctx.Err()
+	return usage.PlacementReply{}, ctx.Err()
 }
 
 // A VM of a large fleet takes the place, and the prefill, that the first VM
 // that knows names; it reserves as one that knows what all have.
 func TestPlaceByAScheduler(t *testing.T) {
-	known := usage.PlaceAnswer{Known: true, Engines: []string{"gone", "d2"}, Prefill: "f2", Ahead: 5}
+	known := usage.PlacementReply{Informed: true, Engines: []string{"gone", "d2"}, Prefill: "f2", QueuedTokens: 5}
 	for _, tc := range []struct {
 		name    string
-		answers map[string]usage.PlaceAnswer // VMs without one hang
-		asked   []string                     // by two requests
+		answers map[string]usage.PlacementReply // VMs without one hang
+		asked   []string                        // by two requests
 		reserve int
 	}{
-		{"the first knows", map[string]usage.PlaceAnswer{"a": known}, []string{"a", "a"}, 5000 + relay.DefaultReserve},
-		{"the first is silent", map[string]usage.PlaceAnswer{"b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserve},
-		{"the first does not know", map[string]usage.PlaceAnswer{"a": {}, "b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserve},
+		{"the first knows", map[string]usage.PlacementReply{"a": known}, []string{"a", "a"}, 5000 + relay.DefaultReserve},
+		{"the first is silent", map[string]usage.PlacementReply{"b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserve},
+		{"the first does not know", map[string]usage.PlacementReply{"a": {}, "b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserve},
 		{"none knows", nil, []string{"a", "b"}, 7000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				sc := &schedulers{vms: []string{"a", "b"}, answer: func(ctx context.Context, vm string, _ usage.PlaceAsk) (usage.PlaceAnswer, error) {
+				sc := &schedulers{vms: []string{"a", "b"}, answer: func(ctx context.Context, vm string, _ usage.PlacementRequest) (usage.PlacementReply, error) {
 					if ans, ok := tc.answers[vm]; ok {
 						return ans, nil
 					}
@@ -95,7 +95,7 @@
 func TestSilentScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
-		sc := &schedulers{vms: []string{"a"}, here: true, answer: func(ctx context.Context, _ string, _ usage.PlaceAsk) (usage.PlaceAnswer, error) {
+		sc := &schedulers{vms: []string{"a"}, here: true, answer: func(ctx context.Context, _ string, _ usage.PlacementRequest) (usage.PlacementReply, error) {
 			return hang(ctx)
 		}}
 		rl.Schedulers = sc
@@ -110,17 +110,17 @@
 
 // Who does not hear the others, or knows no configuration, says so.
 func TestSchedulerThatDoesNotKnow(t *testing.T) {
-	ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model"}, Run: usage.Run{Tokens: 100}, Reserve: 100, Prompt: true}
+	ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "model"}, Run: usage.Run{Tokens: 100}, ReserveTokens: 100, NeedsPrefill: true}
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
 		rl.Others = func() ([]string, bool) { return []string{"vm-2"}, true }
-		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Known, "vm-2 told nothing")
+		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Informed, "vm-2 told nothing")
 		rl.HeardUsage("vm-2", usage.Report{})
 		ans := rl.AnswerPlace("vm-2", ask)
-		assert.Assert(t, ans.Known && len(ans.Engines) == 2 && ans.Prefill != "", "%+v", ans)
-		ask.Ask.Service = "plain"
-		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Known)
-		assert.Assert(t, !(&relay.Relay{}).AnswerPlace("vm-2", ask).Known)
+		assert.Assert(t, ans.Informed && len(ans.Engines) == 2 && ans.Prefill != "", "%+v", ans)
+		ask.Waiting.Service = "plain"
+		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Informed)
+		assert.Assert(t, !(&relay.Relay{}).AnswerPlace("vm-2", ask).Informed)
 	})
 }
 
@@ -141,7 +141,7 @@
 			others = append(others, name)
 			rl, sv := newRigOf(t, uint64(ix)+1)
 			sv.onSend = runs.hold
-			rl.Schedulers = &schedulers{vms: []string{"first"}, answer: func(_ context.Context, _ string, ask usage.PlaceAsk) (usage.PlaceAnswer, error) {
+			rl.Schedulers = &schedulers{vms: []string{"first"}, answer: func(_ context.Context, _ string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 				time.Sleep(time.Millisecond)
 				ans := first.AnswerPlace(name, ask)
 				time.Sleep(time.Millisecond)
@@ -206,7 +206,7 @@
 			rl.HeardUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d1", Tokens: tokens}, {Engine: "d2", Tokens: tokens}}})
 		}
 		engines := func(tokens int) int {
-			ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model"}, Run: usage.Run{Tokens: tokens}, Reserve: tokens}
+			ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "model"}, Run: usage.Run{Tokens: tokens}, ReserveTokens: tokens}
 			return len(rl.AnswerPlace("vm-2", ask).Engines)
 		}
 		tell(8000)
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -35,8 +35,8 @@
 	}
 	part := rl.Settings.Slack / float64(max(leastVMs, rl.fleet.size(rl.now())))
 	set.Burst = max(leastBurst, burstPart*part)
-	set.Floor = ratePart * part * float64(clock.Second) / float64(rl.Settings.Window)
-	set.BeginEmpty = true
+	set.Refill = ratePart * part * float64(clock.Second) / float64(rl.Settings.Window)
+	set.StartEmpty = true
 }
 
 // fleetSize is how many VMs are seen, and the most that were lately.
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -26,7 +26,7 @@
 	// large fleet sends no more than about 70 words a second to keep them
 	// fresh.
 	tellPerVM = 14 * clock.Millis(1)
-	tellMost  = usage.Stale * 2 / 5
+	tellMost  = usage.ReportTTL * 2 / 5
 	// waitingMost bounds the waiting requests that one word names: it keeps
 	// the word within a datagram.
 	waitingMost = 16
@@ -58,7 +58,7 @@
 func (rl *Relay) report(now clock.Millis) usage.Report {
 	rp := rl.ledger.Report(now)
 	for name, po := range rl.pools {
-		for _, tk := range po.Tickets() {
+		for _, tk := range po.TriedTickets() {
 			if len(rp.Waiting) < waitingMost {
 				rp.Waiting = append(rp.Waiting, askOf(now, name, tk))
 			}
@@ -68,8 +68,8 @@
 }
 
 // askOf is what a ticket is to all VMs.
-func askOf(now clock.Millis, service string, tk *pool.Ticket) usage.Ask {
-	return usage.Ask{Service: service, Returning: tk.Ask().Returning, Turn: tk.Turn(), Age: tk.Waited(now)}
+func askOf(now clock.Millis, service string, tk *pool.Ticket) usage.WaitingRequest {
+	return usage.WaitingRequest{Service: service, Returning: tk.Request().Returning, Turn: tk.Turn(), Age: tk.Waited(now)}
 }
 
 // tellSpan is how often the others are told without a change.
@@ -86,7 +86,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	rl.prepare()
-	rl.ledger.Heard(rl.now(), vm, rp)
+	rl.ledger.ApplyReport(rl.now(), vm, rp)
 	rl.signal()
 }
 
@@ -114,7 +114,7 @@
 func (rl *Relay) runShort() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.ledger.RunShort(rl.now())
+	rl.ledger.MarkShortage(rl.now())
 	rl.usageMoved()
 }
 
@@ -145,7 +145,7 @@
 		if rl.ledger.Avoided(now, id) {
 			return math.MaxInt
 		}
-		return rl.ledger.Prompts(now, id)
+		return rl.ledger.PromptTokens(now, id)
 	}
 }
 
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -2,9 +2,9 @@
 
 import "alderdyke/pkg/clock"
 
-// mostIdle is the number of budgets after which those that are full again
+// maxBudgets is the number of budgets after which those that are full again
 // are dropped, for a full one is the same as a new one.
-const mostIdle = 4096
+const maxBudgets = 4096
 
 type (
 	// account names a budget.
@@ -22,11 +22,11 @@
 func (po *Policy) bucket(now clock.Millis, ac account) *bucket {
 	bk := po.budgets[ac]
 	if bk == nil {
-		if len(po.budgets) >= mostIdle {
+		if len(po.budgets) >= maxBudgets {
 			po.dropFull(now)
 		}
 		bk = &bucket{tokens: po.Settings.Burst, at: now}
-		if po.Settings.BeginEmpty {
+		if po.Settings.StartEmpty {
 			bk = &bucket{}
 		}
 		po.budgets[ac] = bk
@@ -49,7 +49,7 @@
 	if now <= bk.at {
 		return
 	}
-	bk.earn(st.Floor*float64(now-bk.at)/float64(clock.Second), st.Burst)
+	bk.earn(st.Refill*float64(now-bk.at)/float64(clock.Second), st.Burst)
 	bk.at = now
 }
 
--- a/internal/retry/example_test.go
+++ b/internal/retry/example_test.go
@@ -11,13 +11,13 @@
 
 func ExamplePolicy_Decide() {
 	po := &retry.Policy{Rand: rand.New(rand.NewPCG(1, 2))}
-	po.Request(0, "hoa-lua", "kiosk-api")
+	po.RecordRequest(0, "hoa-lua", "kiosk-api")
 	verdict := po.Decide(20, retry.Attempt{
 		Customer: "hoa-lua", Service: "kiosk-api", Number: 1, Deadline: 2 * clock.Second,
 		Last: refusal.Refusal{Ran: refusal.MayHaveRun, Reason: refusal.BackendFailed},
 	})
 	switch vd := verdict.(type) {
-	case retry.Again:
+	case retry.Retry:
 		fmt.Println("again", vd.Reason)
 	case retry.GiveUp:
 		fmt.Println(vd.Reason, vd.Refusal.Ran)
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -12,18 +12,18 @@
 	// hedgeQuantile of the latest latencies is where an attempt counts as
 	// slow.
 	hedgeQuantile = 0.95
-	// latest is how many answers the quantile is taken from, and known how
+	// sampleWindow is how many answers the quantile is taken from, and known how
 	// many there must be before it says anything.
-	latest = 256
-	known  = 32
-	// refresh is the number of answers after which the quantile is taken
+	sampleWindow = 256
+	minSamples   = 32
+	// refreshInterval is the number of answers after which the quantile is taken
 	// anew.
-	refresh = 16
+	refreshInterval = 16
 )
 
 type (
-	// HedgeAsk is a request whose first attempt was just sent.
-	HedgeAsk struct {
+	// HedgeRequest is a request whose first attempt was just sent.
+	HedgeRequest struct {
 		Customer, Service string
 		Idempotent, Quick bool
 		Deadline          clock.Millis // point
@@ -32,7 +32,7 @@
 	// Hedging tells when to hedge a request: Hedge or NoHedge.
 	Hedging interface{ hedging() }
 
-	// Hedge tells to ask TakeHedge after a span, if there is no answer yet.
+	// Hedge tells to call SpendHedge after a span, if there is no answer yet.
 	Hedge struct{ After clock.Millis }
 
 	// NoHedge tells to wait for the attempt.
@@ -40,18 +40,18 @@
 
 	// latencies are the latest ones of a service, as a ring.
 	latencies struct {
-		ring  []float64 // milliseconds
-		next  int
-		fresh int // answers since slow was taken
-		slow  clock.Millis
+		ring         []float64 // milliseconds
+		next         int
+		sinceRefresh int // answers since slow was taken
+		slow         clock.Millis
 	}
 )
 
 func (Hedge) hedging()   {}
 func (NoHedge) hedging() {}
 
-// Observe notes how long a whole answer of the service took.
-func (po *Policy) Observe(service string, took clock.Millis) {
+// ObserveLatency notes how long a whole answer of the service took.
+func (po *Policy) ObserveLatency(service string, took clock.Millis) {
 	po.prepare()
 	lt := po.latency[service]
 	if lt == nil {
@@ -63,46 +63,46 @@
 
 // Hedge tells whether and when a second attempt may be sent beside the first.
 // Nothing is paid yet.
-func (po *Policy) Hedge(now clock.Millis, ask HedgeAsk) Hedging {
+func (po *Policy) Hedge(now clock.Millis, req HedgeRequest) Hedging {
 	po.prepare()
-	slow, why := po.slow(ask)
+	slow, why := po.hedgeDelay(req)
 	switch {
 	case why != "":
 		return NoHedge{why}
-	case now+2*slow >= ask.Deadline:
+	case now+2*slow >= req.Deadline:
 		return NoHedge{NoHedgeDeadline}
 	default:
 		return Hedge{After: slow}
 	}
 }
 
-// TakeHedge pays for a hedge when its time has come. The reason is Hedged, or
+// SpendHedge pays for a hedge when its time has come. The reason is Hedged, or
 // why it must not be sent.
-func (po *Policy) TakeHedge(now clock.Millis, ask HedgeAsk) (Reason, bool) {
+func (po *Policy) SpendHedge(now clock.Millis, req HedgeRequest) (Reason, bool) {
 	po.prepare()
-	slow, why := po.slow(ask)
+	slow, why := po.hedgeDelay(req)
 	switch {
 	case why != "":
 		return why, false
-	case now+slow >= ask.Deadline:
+	case now+slow >= req.Deadline:
 		return NoHedgeDeadline, false
-	case !po.bucket(now, account{ask.Customer, ask.Service}).spend(1):
+	case !po.bucket(now, account{req.Customer, req.Service}).spend(1):
 		return NoHedgeBudget, false
 	default:
 		return Hedged, true
 	}
 }
 
-// slow returns the latency from which an attempt of the request counts as
-// slow, or why the request is never hedged.
-func (po *Policy) slow(ask HedgeAsk) (clock.Millis, Reason) {
-	lt := po.latency[ask.Service]
+// hedgeDelay returns the latency from which an attempt of the request counts as
+// hedgeDelay, or why the request is never hedged.
+func (po *Policy) hedgeDelay(req HedgeRequest) (clock.Millis, Reason) {
+	lt := po.latency[req.Service]
 	switch {
-	case !ask.Idempotent:
+	case !req.Idempotent:
 		return 0, NoHedgeNotIdempotent
-	case !ask.Quick:
+	case !req.Quick:
 		return 0, NoHedgePatient
-	case lt == nil || len(lt.ring) < known:
+	case lt == nil || len(lt.ring) < minSamples:
 		return 0, NoHedgeUnknown
 	default:
 		return lt.slow, ""
@@ -110,15 +110,15 @@
 }
 
 func (lt *latencies) add(took float64) {
-	if len(lt.ring) < latest {
+	if len(lt.ring) < sampleWindow {
 		lt.ring = append(lt.ring, took)
 	} else {
 		lt.ring[lt.next] = took
 	}
-	lt.next = (lt.next + 1) % latest
-	lt.fresh++
-	if lt.fresh >= refresh || len(lt.ring) == known {
-		lt.fresh = 0
+	lt.next = (lt.next + 1) % sampleWindow
+	lt.sinceRefresh++
+	if lt.sinceRefresh >= refreshInterval || len(lt.ring) == minSamples {
+		lt.sinceRefresh = 0
 		sorted := slices.Clone(lt.ring)
 		slices.Sort(sorted)
 		lt.slow = max(1, clock.Millis(stat.Quantile(hedgeQuantile, stat.Empirical, sorted, nil)))
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -12,9 +12,9 @@
 // # Usage
 //
 //	po := &retry.Policy{Rand: rand.New(rand.NewPCG(1, 2))}
-//	po.Request(now, customer, service)
+//	po.RecordRequest(now, customer, service)
 //	switch vd := po.Decide(now, attempt).(type) {
-//	case retry.Again:
+//	case retry.Retry:
 //		... // wait vd.After, count vd.Reason
 //	case retry.GiveUp:
 //		... // answer vd.Refusal, count vd.Reason
@@ -51,13 +51,13 @@
 
 // What the zero value of a field of [Settings] stands for.
 const (
-	DefaultRatio     = 0.1
-	DefaultFloor     = 0.2
-	DefaultBurst     = 5
-	DefaultAttempts  = 3
-	DefaultBase      = 25 * clock.Millis(1)
-	DefaultMost      = clock.Second
-	DefaultRefuseFor = clock.Second
+	DefaultRatio       = 0.1
+	DefaultRefill      = 0.2
+	DefaultBurst       = 5
+	DefaultAttempts    = 3
+	DefaultBaseBackoff = 25 * clock.Millis(1)
+	DefaultMaxBackoff  = clock.Second
+	DefaultRetryAfter  = clock.Second
 )
 
 type (
@@ -66,17 +66,17 @@
 
 	// Settings of a Policy. A zero field stands for its default.
 	Settings struct {
-		Ratio float64 // retries earned by one request
-		Floor float64 // retries earned in a second without requests
-		Burst float64 // most retries that are kept
-		// BeginEmpty has a budget hold at first what Floor has earned since the
+		Ratio  float64 // retries earned by one request
+		Refill float64 // retries earned in a second without requests
+		Burst  float64 // most retries that are kept
+		// StartEmpty has a budget hold at first what Refill has earned since the
 		// clock's start, and not Burst: whoever starts again does not know what it
 		// has spent before.
-		BeginEmpty bool
-		Attempts   int          // most attempts of one request, the first included
-		Base       clock.Millis // bound of the first backoff; the next ones double
-		Most       clock.Millis // largest bound of a backoff
-		RefuseFor  clock.Millis // told to a caller who was given up
+		StartEmpty  bool
+		Attempts    int          // most attempts of one request, the first included
+		BaseBackoff clock.Millis // bound of the first backoff; the next ones double
+		MaxBackoff  clock.Millis // largest bound of a backoff
+		RetryAfter  clock.Millis // told to a caller who was given up
 	}
 
 	// Attempt is a failed attempt of a request.
@@ -90,15 +90,15 @@
 		// run, whatever became of the last.
 		EarlierMayHaveRun bool
 		Deadline          clock.Millis // point
-		Need              clock.Millis // the least span in which another attempt can be of use
+		MinTime           clock.Millis // the least span in which another attempt can be of use
 		Cost              float64      // calls that another attempt makes; zero means one
 	}
 
-	// Verdict on a failed attempt: Again or GiveUp.
+	// Verdict on a failed attempt: Retry or GiveUp.
 	Verdict interface{ verdict() }
 
-	// Again tells to try again after a span.
-	Again struct {
+	// Retry tells to try again after a span.
+	Retry struct {
 		After  clock.Millis
 		Reason Reason
 	}
@@ -121,17 +121,17 @@
 	}
 )
 
-func (Again) verdict()  {}
+func (Retry) verdict()  {}
 func (GiveUp) verdict() {}
 
-// Request earns the customer a part of a retry. Call it once for each
+// RecordRequest earns the customer a part of a retry. Call it once for each
 // request, not for its retries.
-func (po *Policy) Request(now clock.Millis, customer, service string) {
+func (po *Policy) RecordRequest(now clock.Millis, customer, service string) {
 	po.prepare()
 	po.bucket(now, account{customer, service}).earn(po.Settings.Ratio, po.Settings.Burst)
 }
 
-// Decide tells what follows a failed attempt. An Again has been paid for.
+// Decide tells what follows a failed attempt. A Retry has been paid for.
 func (po *Policy) Decide(now clock.Millis, at Attempt) Verdict {
 	po.prepare()
 	ran := refusal.NotRun
@@ -142,48 +142,48 @@
 	if ran == refusal.MayHaveRun && !at.Idempotent {
 		return GiveUp{Refusal: last, Reason: GaveUpMayHaveRun}
 	}
-	if !passes(at.Last.Reason) {
+	if !isTransient(at.Last.Reason) {
 		return GiveUp{Refusal: last, Reason: GaveUpFinal}
 	}
 	if at.Number >= po.Settings.Attempts {
 		return GiveUp{Refusal: po.exhausted(last, "all attempts failed"), Reason: GaveUpAttempts}
 	}
 	after := at.Last.RetryAfter + po.backoff(at.Number)
-	if now+after+at.Need >= at.Deadline {
-		return GiveUp{Refusal: late(last), Reason: GaveUpDeadline}
+	if now+after+at.MinTime >= at.Deadline {
+		return GiveUp{Refusal: deadlinePassed(last), Reason: GaveUpDeadline}
 	}
 	if !po.bucket(now, account{at.Customer, at.Service}).spend(max(1, at.Cost)) {
 		return GiveUp{Refusal: po.exhausted(last, "the budget for retries is used up"), Reason: GaveUpBudget}
 	}
 	if ran == refusal.NotRun {
-		return Again{After: after, Reason: RetriedNotRun}
+		return Retry{After: after, Reason: RetriedNotRun}
 	}
-	return Again{After: after, Reason: RetriedIdempotent}
+	return Retry{After: after, Reason: RetriedIdempotent}
 }
 
-// Take pays for calls that follow no verdict, such as the second of an attempt that
+// Spend pays for calls that follow no verdict, such as the second of an attempt that
 // makes two, and tells whether the budget held as much.
-func (po *Policy) Take(now clock.Millis, customer, service string, cost float64) bool {
+func (po *Policy) Spend(now clock.Millis, customer, service string, cost float64) bool {
 	po.prepare()
 	return cost <= 0 || po.bucket(now, account{customer, service}).spend(cost)
 }
 
-// Left is what the budget holds.
-func (po *Policy) Left(now clock.Millis, customer, service string) float64 {
+// Balance is what the budget holds.
+func (po *Policy) Balance(now clock.Millis, customer, service string) float64 {
 	po.prepare()
 	return po.bucket(now, account{customer, service}).tokens
 }
 
-// Return gives back what was paid for calls that were not made.
-func (po *Policy) Return(now clock.Millis, customer, service string, cost float64) {
+// Refund gives back what was paid for calls that were not made.
+func (po *Policy) Refund(now clock.Millis, customer, service string, cost float64) {
 	po.prepare()
 	po.bucket(now, account{customer, service}).earn(cost, po.Settings.Burst)
 }
 
-// passes tells whether a failure may be gone at the next attempt. All other
+// isTransient tells whether a failure may be gone at the next attempt. All other
 // reasons lie with the request, or are told to the caller at once because
 // more load is what must not come.
-func passes(rs refusal.Reason) bool {
+func isTransient(rs refusal.Reason) bool {
 	switch rs {
 	case refusal.BackendFailed, refusal.NoBackend, refusal.SchedulerAway, refusal.HomeUnreachable, refusal.VMLost:
 		return true
@@ -194,19 +194,19 @@
 
 // backoff is drawn evenly from nothing up to a bound that doubles.
 func (po *Policy) backoff(number int) clock.Millis {
-	bound := po.Settings.Base
+	bound := po.Settings.BaseBackoff
 	for range number - 1 {
-		bound = min(2*bound, po.Settings.Most)
+		bound = min(2*bound, po.Settings.MaxBackoff)
 	}
 	return clock.Millis(po.Rand.Int64N(int64(bound) + 1))
 }
 
 func (po *Policy) exhausted(last refusal.Refusal, detail string) refusal.Refusal {
 	last.Reason = refusal.RetriesExhausted
-	return last.WithDetail(detail).WithRetryAfter(max(last.RetryAfter, po.Settings.RefuseFor))
+	return last.WithDetail(detail).WithRetryAfter(max(last.RetryAfter, po.Settings.RetryAfter))
 }
 
-func late(last refusal.Refusal) refusal.Refusal {
+func deadlinePassed(last refusal.Refusal) refusal.Refusal {
 	last.Reason = refusal.DeadlinePassed
 	return last.WithDetail("another attempt would end after the deadline").WithRetryAfter(0)
 }
@@ -220,12 +220,12 @@
 	po.latency = make(map[string]*latencies)
 	st := &po.Settings
 	st.Ratio = orDefault(st.Ratio, DefaultRatio)
-	st.Floor = orDefault(st.Floor, DefaultFloor)
+	st.Refill = orDefault(st.Refill, DefaultRefill)
 	st.Burst = orDefault(st.Burst, DefaultBurst)
 	st.Attempts = orDefault(st.Attempts, DefaultAttempts)
-	st.Base = orDefault(st.Base, DefaultBase)
-	st.Most = orDefault(st.Most, DefaultMost)
-	st.RefuseFor = orDefault(st.RefuseFor, DefaultRefuseFor)
+	st.BaseBackoff = orDefault(st.BaseBackoff, DefaultBaseBackoff)
+	st.MaxBackoff = orDefault(st.MaxBackoff, DefaultMaxBackoff)
+	st.RetryAfter = orDefault(st.RetryAfter, DefaultRetryAfter)
 }
 
 func orDefault[T int | float64 | clock.Millis](val, def T) T {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -15,7 +15,7 @@
 
 // attempt is a failed one that may be tried again.
 func attempt() Attempt {
-	return Attempt{Customer: "cu", Service: "svc", Idempotent: true, Number: 1, Deadline: clock.Minute, Need: 10,
+	return Attempt{Customer: "cu", Service: "svc", Idempotent: true, Number: 1, Deadline: clock.Minute, MinTime: 10,
 		Last: refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.BackendFailed}}
 }
 
@@ -50,9 +50,9 @@
 			at := attempt()
 			tc.change(&at)
 			switch vd := policy(1).Decide(0, at).(type) {
-			case Again:
+			case Retry:
 				assert.Equal(t, vd.Reason, tc.reason)
-				assert.Assert(t, vd.After >= at.Last.RetryAfter && vd.After <= at.Last.RetryAfter+DefaultBase)
+				assert.Assert(t, vd.After >= at.Last.RetryAfter && vd.After <= at.Last.RetryAfter+DefaultBaseBackoff)
 			case GiveUp:
 				assert.Equal(t, vd.Reason, tc.reason)
 				assert.Equal(t, vd.Refusal.Ran, tc.ran)
@@ -71,11 +71,11 @@
 	for range requests {
 		now += spacing
 		for _, customer := range []string{"cu", "other"} {
-			po.Request(now, customer, "svc")
+			po.RecordRequest(now, customer, "svc")
 			at := attempt()
 			at.Customer, at.Deadline = customer, now+clock.Minute
 			for {
-				if _, again := po.Decide(now, at).(Again); !again {
+				if _, again := po.Decide(now, at).(Retry); !again {
 					break
 				}
 				retries[customer]++
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	most := DefaultRatio*requests + DefaultFloor*float64(now)/1000 + DefaultBurst
+	most := DefaultRatio*requests + DefaultRefill*float64(now)/1000 + DefaultBurst
 	for customer, got := range retries {
 		assert.Assert(t, float64(got) <= most+1 && float64(got) >= 0.95*most, "%s: %d retries, %f earned", customer, got, most)
 	}
@@ -94,26 +94,26 @@
 	po := policy(3)
 	at := attempt()
 	for range DefaultBurst {
-		_, again := po.Decide(0, at).(Again)
+		_, again := po.Decide(0, at).(Retry)
 		assert.Assert(t, again)
 	}
 	spent := po.Decide(0, at).(GiveUp)
 	assert.Equal(t, spent.Reason, GaveUpBudget)
-	assert.Equal(t, spent.Refusal.RetryAfter, DefaultRefuseFor)
+	assert.Equal(t, spent.Refusal.RetryAfter, DefaultRetryAfter)
 	at.Service = "another"
-	_, again := po.Decide(0, at).(Again)
+	_, again := po.Decide(0, at).(Retry)
 	assert.Assert(t, again)
 	at.Service = "svc"
-	_, again = po.Decide(clock.Second*DefaultBurst, at).(Again) // the refill earned one
+	_, again = po.Decide(clock.Second*DefaultBurst, at).(Retry) // the refill earned one
 	assert.Assert(t, again)
 }
 
 func TestBudgetsAreBounded(t *testing.T) {
 	po := policy(4)
-	for ix := range 3 * mostIdle {
-		po.Request(clock.Millis(ix)*clock.Second, string(rune(0x1000+ix)), "svc")
+	for ix := range 3 * maxBudgets {
+		po.RecordRequest(clock.Millis(ix)*clock.Second, string(rune(0x1000+ix)), "svc")
 	}
-	assert.Assert(t, len(po.budgets) <= mostIdle)
+	assert.Assert(t, len(po.budgets) <= maxBudgets)
 }
 
 // Any history of attempts of one request ends in time, and never runs a
@@ -123,7 +123,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		po := policy(rapid.Uint64().Draw(rt, "seed"))
 		at := Attempt{Customer: "cu", Service: "svc", Idempotent: rapid.Bool().Draw(rt, "idempotent"), Number: 1,
-			Deadline: clock.Millis(rapid.Int64Range(0, 3000).Draw(rt, "deadline")), Need: 5}
+			Deadline: clock.Millis(rapid.Int64Range(0, 3000).Draw(rt, "deadline")), MinTime: 5}
 		now := clock.Millis(0)
 		for {
 			ran := rapid.SampledFrom([]refusal.Ran{refusal.NotRun, refusal.MayHaveRun}).Draw(rt, "ran")
@@ -131,7 +131,7 @@
 				RetryAfter: clock.Millis(rapid.Int64Range(0, 500).Draw(rt, "retry after"))}
 			mayHaveRun := at.EarlierMayHaveRun || ran == refusal.MayHaveRun
 			switch vd := po.Decide(now, at).(type) {
-			case Again:
+			case Retry:
 				now += vd.After
 				checkAgain(rt, now, at, mayHaveRun)
 				at.Number++
@@ -149,7 +149,7 @@
 	if mayHaveRun && !at.Idempotent {
 		rt.Fatal("tried again though it may have run")
 	}
-	if now+at.Need >= at.Deadline {
+	if now+at.MinTime >= at.Deadline {
 		rt.Fatalf("try at %d, deadline %d", now, at.Deadline)
 	}
 }
@@ -169,40 +169,40 @@
 	var low, high int
 	for range 1000 {
 		switch span := po.backoff(3); {
-		case span < 0 || span > 4*DefaultBase:
+		case span < 0 || span > 4*DefaultBaseBackoff:
 			t.Fatalf("backoff of %s", span)
-		case span < 2*DefaultBase:
+		case span < 2*DefaultBaseBackoff:
 			low++
 		default:
 			high++
 		}
 	}
 	assert.Assert(t, low > 400 && high > 400, "%d low, %d high", low, high)
-	assert.Assert(t, po.backoff(40) <= DefaultMost)
+	assert.Assert(t, po.backoff(40) <= DefaultMaxBackoff)
 }
 
-func hedgeAsk() HedgeAsk {
-	return HedgeAsk{Customer: "cu", Service: "svc", Idempotent: true, Quick: true, Deadline: clock.Minute}
+func hedgeAsk() HedgeRequest {
+	return HedgeRequest{Customer: "cu", Service: "svc", Idempotent: true, Quick: true, Deadline: clock.Minute}
 }
 
 func TestHedge(t *testing.T) {
 	po := policy(6)
 	assert.Equal(t, po.Hedge(0, hedgeAsk()), Hedging(NoHedge{NoHedgeUnknown}))
 	for ix := range 100 {
-		po.Observe("svc", clock.Millis(ix%20+1))
+		po.ObserveLatency("svc", clock.Millis(ix%20+1))
 	}
 	assert.Equal(t, po.Hedge(0, hedgeAsk()), Hedging(Hedge{After: 19}))
-	cases := map[Reason]func(*HedgeAsk){
-		NoHedgeNotIdempotent: func(ha *HedgeAsk) { ha.Idempotent = false },
-		NoHedgePatient:       func(ha *HedgeAsk) { ha.Quick = false },
-		NoHedgeUnknown:       func(ha *HedgeAsk) { ha.Service = "another" },
-		NoHedgeDeadline:      func(ha *HedgeAsk) { ha.Deadline = 15 },
+	cases := map[Reason]func(*HedgeRequest){
+		NoHedgeNotIdempotent: func(ha *HedgeRequest) { ha.Idempotent = false },
+		NoHedgePatient:       func(ha *HedgeRequest) { ha.Quick = false },
+		NoHedgeUnknown:       func(ha *HedgeRequest) { ha.Service = "another" },
+		NoHedgeDeadline:      func(ha *HedgeRequest) { ha.Deadline = 15 },
 	}
 	for want, change := range cases {
 		ask := hedgeAsk()
 		change(&ask)
 		assert.Equal(t, po.Hedge(0, ask), Hedging(NoHedge{want}))
-		got, ok := po.TakeHedge(0, ask)
+		got, ok := po.SpendHedge(0, ask)
 		assert.Assert(t, !ok)
 		assert.Equal(t, got, want)
 	}
@@ -212,24 +212,24 @@
 // number stays under its part of the requests.
 func TestHedgesAreBudgeted(t *testing.T) {
 	po := policy(7)
-	for range known {
-		po.Observe("svc", 10)
+	for range minSamples {
+		po.ObserveLatency("svc", 10)
 	}
 	const requests = 5000
 	hedges := 0
 	now := clock.Millis(0)
 	for range requests {
 		now += 10
-		po.Request(now, "cu", "svc")
+		po.RecordRequest(now, "cu", "svc")
 		ask := hedgeAsk()
 		ask.Deadline = now + clock.Second
-		if why, ok := po.TakeHedge(now+10, ask); ok {
+		if why, ok := po.SpendHedge(now+10, ask); ok {
 			hedges++
 		} else {
 			assert.Equal(t, why, NoHedgeBudget)
 		}
 	}
-	most := DefaultRatio*requests + DefaultFloor*float64(now+10)/1000 + DefaultBurst
+	most := DefaultRatio*requests + DefaultRefill*float64(now+10)/1000 + DefaultBurst
 	assert.Assert(t, float64(hedges) <= most+1, "%d hedges", hedges)
 	t.Logf("%d requests, all slow: %d hedges (%.1f%%)", requests, hedges, 100*float64(hedges)/requests)
 }
@@ -237,14 +237,14 @@
 // What is taken is gone until it is returned, and no more is taken than there is.
 func TestTakeAndReturn(t *testing.T) {
 	po := policy(1)
-	assert.Equal(t, po.Left(0, "cu", "svc"), float64(DefaultBurst))
-	assert.Assert(t, po.Take(0, "cu", "svc", DefaultBurst-1))
-	assert.Assert(t, !po.Take(0, "cu", "svc", 2))
-	assert.Assert(t, po.Take(0, "cu", "svc", 0))
-	assert.Equal(t, po.Left(0, "cu", "svc"), 1.0)
-	po.Return(0, "cu", "svc", 1)
-	assert.Assert(t, po.Take(0, "cu", "svc", 2))
-	po.Return(0, "cu", "svc", 2*DefaultBurst)
-	assert.Equal(t, po.Left(0, "cu", "svc"), float64(DefaultBurst), "more than is kept")
-	assert.Equal(t, po.Left(0, "cu", "other"), float64(DefaultBurst))
+	assert.Equal(t, po.Balance(0, "cu", "svc"), float64(DefaultBurst))
+	assert.Assert(t, po.Spend(0, "cu", "svc", DefaultBurst-1))
+	assert.Assert(t, !po.Spend(0, "cu", "svc", 2))
+	assert.Assert(t, po.Spend(0, "cu", "svc", 0))
+	assert.Equal(t, po.Balance(0, "cu", "svc"), 1.0)
+	po.Refund(0, "cu", "svc", 1)
+	assert.Assert(t, po.Spend(0, "cu", "svc", 2))
+	po.Refund(0, "cu", "svc", 2*DefaultBurst)
+	assert.Equal(t, po.Balance(0, "cu", "svc"), float64(DefaultBurst), "more than is kept")
+	assert.Equal(t, po.Balance(0, "cu", "other"), float64(DefaultBurst))
 }
--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -14,8 +14,8 @@
 // # Usage
 //
 //	ke := &roles.Keeper{Register: reg, Orders: orders, Holder: holder, Log: lg}
-//	ke.Engines = func() map[string]roles.Service { ... }
-//	ke.Mine = func() bool { ... }
+//	ke.Services = func() map[string]roles.Service { ... }
+//	ke.ShouldOrder = func() bool { ... }
 //	ke.Run(ctx)
 package roles
 
@@ -34,20 +34,20 @@
 const (
 	// leaseCheckInterval is how often the roles are looked at.
 	leaseCheckInterval = 500 * clock.Millis(1)
-	// restAfter is how long nothing is ordered after an engine refused the
+	// fencedPause is how long nothing is ordered after an engine refused the
 	// fencing token: another VM has a newer one.
-	restAfter = 15 * clock.Second
-	// orderWithin bounds one order.
-	orderWithin = clock.Second
-	// orderMargin is what must be left of the lease when an order is sent.
-	orderMargin = 1500 * clock.Millis(1)
+	fencedPause = 15 * clock.Second
+	// orderTimeout bounds one order.
+	orderTimeout = clock.Second
+	// minLeaseLeft is what must be left of the lease when an order is sent.
+	minLeaseLeft = 1500 * clock.Millis(1)
 )
 
 type (
 	// Service is the engines of one model service.
 	Service struct {
-		Engines []board.BackendServer
-		Switch  clock.Millis // time that a change of role takes
+		Engines    []board.BackendServer
+		SwitchTime clock.Millis // time that a change of role takes
 	}
 
 	// Register is a register that changes by compare-and-swap and outlives
@@ -68,27 +68,27 @@
 
 	// Keeper gives the orders of one VM. Set the exported fields before Run.
 	Keeper struct {
-		Register Register
-		Orders   Orders
-		Holder   *register.Holder // owned by the Keeper from Run on
-		Services func() map[string]Service
-		Mine     func() bool // tells whether this VM is the one to order
-		// Ordered hears of each engine that was ordered to change its role,
+		Register    Register
+		Orders      Orders
+		Holder      *register.Holder // owned by the Keeper from Run on
+		Services    func() map[string]Service
+		ShouldOrder func() bool // tells whether this VM is the one to order
+		// OnOrdered hears of each engine that was ordered to change its role,
 		// or may have been, and until when that may be under way; may be nil.
-		Ordered  func(server string, until clock.Millis)
-		Settings Settings
-		Clock    clock.Source
-		Log      event.Logger
+		OnOrdered func(server string, until clock.Millis)
+		Settings  Settings
+		Clock     clock.Source
+		Log       event.Logger
 
-		plans map[string]*Plan
-		rest  clock.Millis // nothing is ordered before
-		want  clock.Millis // the lease is wanted until
+		plans            map[string]*Plan
+		pausedUntil      clock.Millis // nothing is ordered before
+		leaseWantedUntil clock.Millis // the lease is wanted until
 	}
 )
 
-// leaseKept is how long after an order the lease is still wanted, so that a
+// leaseLinger is how long after an order the lease is still wanted, so that a
 // second change needs no new one.
-const leaseKept = 4 * clock.Second
+const leaseLinger = 4 * clock.Second
 
 // Run keeps the roles until the context ends.
 func (ke *Keeper) Run(ctx context.Context) {
@@ -101,34 +101,34 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			ke.look(ctx)
+			ke.tick(ctx)
 		}
 	}
 }
 
 func (ke *Keeper) now() clock.Millis { return clock.Or(ke.Clock).Now() }
 
-// look decides once, and orders what is due if the lease is held.
-func (ke *Keeper) look(ctx context.Context) {
+// tick decides once, and orders what is due if the lease is held.
+func (ke *Keeper) tick(ctx context.Context) {
 	now := ke.now()
-	due := ke.due(now)
-	if len(due) > 0 && ke.Mine() && now >= ke.rest {
-		ke.want = now + leaseKept
+	due := ke.dueChanges(now)
+	if len(due) > 0 && ke.ShouldOrder() && now >= ke.pausedUntil {
+		ke.leaseWantedUntil = now + leaseLinger
 	}
 	// Observed also while the lease is not wanted: another VM's lease is
 	// waited out from when it was seen.
 	ke.observe(ctx)
-	if now >= ke.want {
-		ke.step(ctx, register.Want{}) // a lease that is still held lapses by itself
+	if now >= ke.leaseWantedUntil {
+		ke.stepHolder(ctx, register.Want{}) // a lease that is still held lapses by itself
 		return
 	}
-	ke.step(ctx, register.Want{Hold: true})
+	ke.stepHolder(ctx, register.Want{Hold: true})
 	for _, ch := range due {
 		ke.order(ctx, ch)
 	}
 }
 
-func (ke *Keeper) due(now clock.Millis) []Change {
+func (ke *Keeper) dueChanges(now clock.Millis) []Change {
 	var out []Change
 	for name, svc := range ke.Services() {
 		pl := ke.plans[name]
@@ -136,7 +136,7 @@
 			pl = &Plan{Settings: ke.Settings}
 			ke.plans[name] = pl
 		}
-		pl.Switch = svc.Switch
+		pl.SwitchTime = svc.SwitchTime
 		if ch, ok := pl.Next(now, svc.Engines); ok {
 			out = append(out, ch)
 		}
@@ -148,18 +148,18 @@
 func (ke *Keeper) observe(ctx context.Context) {
 	en, err := ke.Register.Read(ctx)
 	if err != nil {
-		ke.step(ctx, register.LeaseTick{})
+		ke.stepHolder(ctx, register.LeaseTick{})
 		return // the store's loss has a line of its own; without it there is no lease
 	}
-	ke.step(ctx, register.Observed{Entry: en, Known: true})
+	ke.stepHolder(ctx, register.Observed{Entry: en, Known: true})
 }
 
-// step tells the holder and carries out what it intends.
-func (ke *Keeper) step(ctx context.Context, ev register.HolderEvent) {
+// stepHolder tells the holder and carries out what it intends.
+func (ke *Keeper) stepHolder(ctx context.Context, ev register.HolderEvent) {
 	for _, in := range ke.Holder.Step(ke.now(), ev) {
 		switch in := in.(type) {
 		case register.LeaseAppend:
-			ke.append(ctx, in)
+			ke.appendLease(ctx, in)
 		case register.Note:
 			ke.Log.Log(in.Event, in.Fields...)
 		case register.Held, register.Lapsed, register.Wake:
@@ -167,7 +167,7 @@
 	}
 }
 
-func (ke *Keeper) append(ctx context.Context, in register.LeaseAppend) {
+func (ke *Keeper) appendLease(ctx context.Context, in register.LeaseAppend) {
 	rec, err := register.Parse(0, in.Data)
 	pub, ok := rec.(register.Publish)
 	if err == nil && !ok {
@@ -176,28 +176,28 @@
 	if err == nil {
 		err = ke.Register.Swap(ctx, pub.Base, pub.ID, pub.Value)
 	}
-	ke.step(ctx, register.LeaseAppended{ID: in.ID, Err: err})
+	ke.stepHolder(ctx, register.LeaseAppended{ID: in.ID, Err: err})
 	ke.observe(ctx)
 }
 
 // order gives one order if the lease allows it.
 func (ke *Keeper) order(ctx context.Context, ch Change) {
-	token, may := ke.Holder.MayOrder(ke.now() + orderMargin)
+	token, may := ke.Holder.MayOrder(ke.now() + minLeaseLeft)
 	if !may {
 		return
 	}
-	within, stop := context.WithTimeout(ctx, orderWithin.Std())
+	within, stop := context.WithTimeout(ctx, orderTimeout.Std())
 	defer stop()
 	err := ke.Orders.ChangeRole(within, ch, token, func() bool {
-		held, may := ke.Holder.MayOrder(ke.now() + orderMargin)
+		held, may := ke.Holder.MayOrder(ke.now() + minLeaseLeft)
 		return may && held == token
 	})
 	fields := []event.Field{event.F("Server", ch.Server.ID), event.F("Service", ch.Server.Service),
 		event.F("To", ch.To), event.F("Token", token)}
 	now := ke.now()
 	if err == nil {
-		ke.ordered(now, ch)
-		ke.want = now + leaseKept
+		ke.recordOrder(now, ch)
+		ke.leaseWantedUntil = now + leaseLinger
 		ke.Log.Log(event.RoleOrdered, fields...)
 		return
 	}
@@ -205,17 +205,17 @@
 	oc, why := backend.OutcomeOf(err)
 	switch {
 	case why == backend.StaleFence:
-		ke.rest = now + restAfter
-		ke.want = 0
+		ke.pausedUntil = now + fencedPause
+		ke.leaseWantedUntil = 0
 	case oc == backend.InDoubt:
 		// It may be carried out, now or seconds later: count on it.
-		ke.ordered(now, ch)
+		ke.recordOrder(now, ch)
 	}
 }
 
-func (ke *Keeper) ordered(now clock.Millis, ch Change) {
-	until := ke.plans[ch.Server.Service].Ordered(now, ch)
-	if ke.Ordered != nil {
-		ke.Ordered(ch.Server.ID, until)
+func (ke *Keeper) recordOrder(now clock.Millis, ch Change) {
+	until := ke.plans[ch.Server.Service].RecordOrder(now, ch)
+	if ke.OnOrdered != nil {
+		ke.OnOrdered(ch.Server.ID, until)
 	}
 }
--- a/internal/roles/keeper_test.go
+++ b/internal/roles/keeper_test.go
@@ -24,26 +24,26 @@
 var errMoved = errors.New("the register has moved on")
 
 type (
-	// cell is a register and the engines of one service, in memory.
-	cell struct {
-		mu       sync.Mutex
-		entry    register.Entry
-		engines  []board.BackendServer
-		token    uint64
-		orders   []given
-		lost     int // replies of orders that are lost from now on
-		storeOut bool
-		swaps    int // writes of the lease
+	// testCell is a register and the engines of one service, in memory.
+	testCell struct {
+		mu          sync.Mutex
+		entry       register.Entry
+		engines     []board.BackendServer
+		token       uint64
+		orders      []givenOrder
+		lostReplies int // replies of orders that are lost from now on
+		storeDown   bool
+		swaps       int // writes of the lease
 	}
 
-	given struct {
+	givenOrder struct {
 		by    string
 		token uint64
 		at    time.Time
 	}
 
 	view struct {
-		ce   *cell
+		ce   *testCell
 		name string
 	}
 
@@ -56,7 +56,7 @@
 func (vw view) Read(context.Context) (register.Entry, error) {
 	vw.ce.mu.Lock()
 	defer vw.ce.mu.Unlock()
-	if vw.ce.storeOut {
+	if vw.ce.storeDown {
 		return register.Entry{}, context.DeadlineExceeded
 	}
 	return vw.ce.entry, nil
@@ -65,7 +65,7 @@
 func (vw view) Swap(_ context.Context, base uint64, id string, value []byte) error {
 	vw.ce.mu.Lock()
 	defer vw.ce.mu.Unlock()
-	if vw.ce.storeOut || vw.ce.entry.Revision != base {
+	if vw.ce.storeDown || vw.ce.entry.Revision != base {
 		return &logsvc.AppendError{Effect: logsvc.NotAppended, Err: errMoved}
 	}
 	vw.ce.swaps++
@@ -83,31 +83,31 @@
 		return backend.DeclinedError{Reason: backend.StaleFence}
 	}
 	vw.ce.token = token
-	vw.ce.orders = append(vw.ce.orders, given{vw.name, token, time.Now()})
+	vw.ce.orders = append(vw.ce.orders, givenOrder{vw.name, token, time.Now()})
 	for ix := range vw.ce.engines {
 		if vw.ce.engines[ix].ID == ch.Server.ID {
 			vw.ce.engines[ix].Role = ch.To
 		}
 	}
-	if vw.ce.lost > 0 {
-		vw.ce.lost--
+	if vw.ce.lostReplies > 0 {
+		vw.ce.lostReplies--
 		return backend.InDoubtError{Err: context.DeadlineExceeded}
 	}
 	return nil
 }
 
-func (ce *cell) keeper(name string, mine func() bool) *roles.Keeper {
+func (ce *testCell) keeper(name string, mine func() bool) *roles.Keeper {
 	vw := view{ce, name}
-	return &roles.Keeper{Register: vw, Orders: vw, Mine: mine, Clock: bubbleClock{time.Now()},
+	return &roles.Keeper{Register: vw, Orders: vw, ShouldOrder: mine, Clock: bubbleClock{time.Now()},
 		Holder: &register.Holder{Resource: "r", Self: name, Rand: rand.New(rand.NewPCG(1, uint64(len(name))))},
 		Services: func() map[string]roles.Service {
 			ce.mu.Lock()
 			defer ce.mu.Unlock()
-			return map[string]roles.Service{"s": {Engines: append([]board.BackendServer(nil), ce.engines...), Switch: 6 * clock.Second}}
+			return map[string]roles.Service{"s": {Engines: append([]board.BackendServer(nil), ce.engines...), SwitchTime: 6 * clock.Second}}
 		}}
 }
 
-func (ce *cell) shape() (prefill int) {
+func (ce *testCell) prefillCount() (prefill int) {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
 	for _, bs := range ce.engines {
@@ -118,31 +118,31 @@
 	return prefill
 }
 
-func (ce *cell) given() []given {
+func (ce *testCell) givenOrders() []givenOrder {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
-	return append([]given(nil), ce.orders...)
+	return append([]givenOrder(nil), ce.orders...)
 }
 
 // Two VMs that both hold themselves for the one that orders: one does, tokens
 // never go back, and the other follows only after the lease's end.
 func TestTwoKeepersTakeNoTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ce := &cell{engines: engines(4, 4)}
+		ce := &testCell{engines: engines(4, 4)}
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		first, stopFirst := context.WithCancel(ctx)
 		go ce.keeper("vm-1", func() bool { return true }).Run(first)
 		go ce.keeper("vm-two", func() bool { return true }).Run(ctx)
 		time.Sleep(time.Minute)
-		assert.Equal(t, ce.shape(), 2)
+		assert.Equal(t, ce.prefillCount(), 2)
 		stopFirst()
 		ce.mu.Lock()
 		ce.engines = engines(1, 7)
 		ce.mu.Unlock()
 		time.Sleep(2 * time.Minute)
-		assert.Equal(t, ce.shape(), 2)
-		orders := ce.given()
+		assert.Equal(t, ce.prefillCount(), 2)
+		orders := ce.givenOrders()
 		for ix, gv := range orders[1:] {
 			before := orders[ix]
 			assert.Assert(t, gv.token >= before.token)
@@ -157,7 +157,7 @@
 // it is neither renewed nor given back. The next order takes it anew.
 func TestLeaseLapsesWhenNothingIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ce := &cell{engines: engines(3, 5)}
+		ce := &testCell{engines: engines(3, 5)}
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go ce.keeper("vm-1", func() bool { return true }).Run(ctx)
@@ -167,7 +167,7 @@
 			return ce.swaps
 		}
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, ce.shape(), 2)
+		assert.Equal(t, ce.prefillCount(), 2)
 		before := swaps()
 		time.Sleep(5 * time.Minute)
 		assert.Equal(t, swaps(), before)
@@ -177,46 +177,46 @@
 		ce.mu.Unlock()
 		assert.Assert(t, !withdrawn)
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, ce.shape(), 2)
+		assert.Equal(t, ce.prefillCount(), 2)
 		assert.Assert(t, swaps() > before)
 	})
 }
 
 func TestNoStoreNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ce := &cell{engines: engines(4, 4), storeOut: true}
+		ce := &testCell{engines: engines(4, 4), storeDown: true}
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go ce.keeper("vm-1", func() bool { return true }).Run(ctx)
 		time.Sleep(time.Minute)
-		assert.Equal(t, len(ce.given()), 0)
+		assert.Equal(t, len(ce.givenOrders()), 0)
 	})
 }
 
 func TestLostReplyIsNotOrderedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ce := &cell{engines: engines(3, 5), lost: 1}
+		ce := &testCell{engines: engines(3, 5), lostReplies: 1}
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go ce.keeper("vm-1", func() bool { return true }).Run(ctx)
 		time.Sleep(time.Minute)
-		assert.Equal(t, len(ce.given()), 1, fmt.Sprint(ce.given()))
-		assert.Equal(t, ce.shape(), 2)
+		assert.Equal(t, len(ce.givenOrders()), 1, fmt.Sprint(ce.givenOrders()))
+		assert.Equal(t, ce.prefillCount(), 2)
 	})
 }
 
 // A VM whose token an engine refuses stops for longer than a lease lasts.
 func TestRefusedTokenRests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ce := &cell{engines: engines(4, 4), token: 1000}
+		ce := &testCell{engines: engines(4, 4), token: 1000}
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		var tries atomic.Int64
 		ke := ce.keeper("vm-1", func() bool { tries.Add(1); return true })
 		go ke.Run(ctx)
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, len(ce.given()), 0)
-		assert.Equal(t, ce.shape(), 4)
+		assert.Equal(t, len(ce.givenOrders()), 0)
+		assert.Equal(t, ce.prefillCount(), 4)
 		assert.Assert(t, tries.Load() > 0)
 	})
 }
--- a/internal/roles/plan.go
+++ b/internal/roles/plan.go
@@ -20,8 +20,8 @@
 	// number of engines: prompts come by chance, so what has to be kept free
 	// for those that come together grows with the root of their number.
 	DefaultPrefillSpare = 0.4
-	// DefaultLeast prefill engines are kept, so that one may be lost.
-	DefaultLeast = 2
+	// DefaultMinPrefill prefill engines are kept, so that one may be lost.
+	DefaultMinPrefill = 2
 	// DefaultDwell is how long a change must be called for. Engines that are
 	// replaced are gone for about a second.
 	DefaultDwell = 1500 * clock.Millis(1)
@@ -36,7 +36,7 @@
 	Settings struct {
 		PrefillPart  float64      // of the engines of a service that compute prompts
 		PrefillSpare float64      // engines beyond that, for each square root of their number
-		Least        int          // prefill engines that are kept
+		MinPrefill   int          // prefill engines that are kept
 		Dwell        clock.Millis // for how long a change must be called for
 		Settle       clock.Millis // after a change, until the entry counts again
 	}
@@ -50,12 +50,12 @@
 	// Plan decides for one service which engines change their role. Set the
 	// exported fields before use.
 	Plan struct {
-		Settings Settings
-		Switch   clock.Millis // time that a change takes at an engine
+		Settings   Settings
+		SwitchTime clock.Millis // time that a change takes at an engine
 
-		ordered map[string]order
-		since   clock.Millis // since when a change is called for; zero: it is not
-		calls   board.Role
+		ordered      map[string]order
+		pendingSince clock.Millis // since when a change is called for; zero: it is not
+		pendingRole  board.Role
 	}
 
 	// order is a change that was ordered and whose end is not seen yet.
@@ -68,32 +68,32 @@
 // Next returns the change that is due, if one is.
 func (pl *Plan) Next(now clock.Millis, engines []board.BackendServer) (Change, bool) {
 	st := pl.Settings.withDefaults()
-	roles := pl.roles(now, engines)
-	toward := short(st, roles)
-	if toward != pl.calls || toward == "" {
-		pl.calls, pl.since = toward, now
+	roles := pl.effectiveRoles(now, engines)
+	toward := missingRole(st, roles)
+	if toward != pl.pendingRole || toward == "" {
+		pl.pendingRole, pl.pendingSince = toward, now
 	}
-	if toward == "" || now-pl.since < st.Dwell {
+	if toward == "" || now-pl.pendingSince < st.Dwell {
 		return Change{}, false
 	}
-	bs, ok := spare(engines, roles, toward)
+	bs, ok := engineToChange(engines, roles, toward)
 	return Change{Server: bs, To: toward}, ok
 }
 
-// Ordered notes that a change was ordered, or may have been, and returns until
+// RecordOrder notes that a change was ordered, or may have been, and returns until
 // when it may be under way.
-func (pl *Plan) Ordered(now clock.Millis, ch Change) clock.Millis {
+func (pl *Plan) RecordOrder(now clock.Millis, ch Change) clock.Millis {
 	if pl.ordered == nil {
 		pl.ordered = make(map[string]order)
 	}
-	until := now + pl.Switch + pl.Settings.withDefaults().Settle
+	until := now + pl.SwitchTime + pl.Settings.withDefaults().Settle
 	pl.ordered[ch.Server.ID] = order{to: ch.To, until: until}
 	return until
 }
 
-// roles tells the role of each engine that stays, an ordered one ahead of the
+// effectiveRoles tells the role of each engine that stays, an ordered one ahead of the
 // listed one.
-func (pl *Plan) roles(now clock.Millis, engines []board.BackendServer) map[string]board.Role {
+func (pl *Plan) effectiveRoles(now clock.Millis, engines []board.BackendServer) map[string]board.Role {
 	out := make(map[string]board.Role, len(engines))
 	for _, bs := range engines {
 		if bs.Leaving || bs.Role == board.Plain {
@@ -112,8 +112,8 @@
 	return out
 }
 
-// short tells which role has too few engines; empty if none has.
-func short(st Settings, roles map[string]board.Role) board.Role {
+// missingRole tells which role has too few engines; empty if none has.
+func missingRole(st Settings, roles map[string]board.Role) board.Role {
 	prefill := 0
 	for _, role := range roles {
 		if role == board.Prefill {
@@ -121,7 +121,7 @@
 		}
 	}
 	engines := float64(len(roles))
-	want := max(st.Least, int(math.Round(st.PrefillPart*engines+st.PrefillSpare*math.Sqrt(engines))))
+	want := max(st.MinPrefill, int(math.Round(st.PrefillPart*engines+st.PrefillSpare*math.Sqrt(engines))))
 	want = min(want, len(roles)/2)
 	switch {
 	case prefill < want:
@@ -133,9 +133,9 @@
 	}
 }
 
-// spare chooses the engine that changes: of the failure domain that has most
+// engineToChange chooses the engine that changes: of the failure domain that has most
 // engines of its role, so that a domain's loss takes fewest of either.
-func spare(engines []board.BackendServer, roles map[string]board.Role, toward board.Role) (board.BackendServer, bool) {
+func engineToChange(engines []board.BackendServer, roles map[string]board.Role, toward board.Role) (board.BackendServer, bool) {
 	perDomain := make(map[string]int)
 	var fit []board.BackendServer
 	for _, bs := range engines {
@@ -159,8 +159,8 @@
 	if st.PrefillSpare <= 0 {
 		st.PrefillSpare = DefaultPrefillSpare
 	}
-	if st.Least <= 0 {
-		st.Least = DefaultLeast
+	if st.MinPrefill <= 0 {
+		st.MinPrefill = DefaultMinPrefill
 	}
 	if st.Dwell <= 0 {
 		st.Dwell = DefaultDwell
--- a/internal/roles/plan_test.go
+++ b/internal/roles/plan_test.go
@@ -51,12 +51,12 @@
 }
 
 func TestOrderedChangeCountsBeforeItShows(t *testing.T) {
-	pl := roles.Plan{Switch: 6 * clock.Second}
+	pl := roles.Plan{SwitchTime: 6 * clock.Second}
 	list := engines(3, 5)
 	pl.Next(0, list)
 	ch, ok := pl.Next(2000, list)
 	assert.Assert(t, ok)
-	pl.Ordered(2000, ch)
+	pl.RecordOrder(2000, ch)
 	for now := clock.Millis(2000); now < 18000; now += 500 {
 		_, ok = pl.Next(now, list)
 		assert.Assert(t, !ok, "ordered twice at %s", now)
--- a/internal/usage/failing_test.go
+++ b/internal/usage/failing_test.go
@@ -10,16 +10,16 @@
 // says so; what failed this VM itself is for its pool to know.
 func TestFailingEngines(t *testing.T) {
 	var le, other Ledger
-	other.Failed("e1", 2000)
-	other.Failed("e2", 5000)
-	le.Heard(1000, "vm-2", other.Report(1000))
+	other.MarkFailed("e1", 2000)
+	other.MarkFailed("e2", 5000)
+	le.ApplyReport(1000, "vm-2", other.Report(1000))
 	assert.Assert(t, le.Failing(1000, "e1") && le.Failing(1000, "e2"))
 	assert.Assert(t, !le.Failing(1000, "e3"))
 	assert.Assert(t, !other.Failing(1000, "e1"))
-	other.Worked("e2")
-	le.Heard(2000, "vm-2", other.Report(2000))
+	other.ClearFailed("e2")
+	le.ApplyReport(2000, "vm-2", other.Report(2000))
 	assert.Assert(t, !le.Failing(2000, "e1"), "its time is over")
 	assert.Assert(t, !le.Failing(2000, "e2"), "it worked")
-	le.Heard(3000, "vm-2", Report{Failing: []string{"e1"}})
-	assert.Assert(t, !le.Failing(3000+Stale, "e1"), "an old word counts no more")
+	le.ApplyReport(3000, "vm-2", Report{Failing: []string{"e1"}})
+	assert.Assert(t, !le.Failing(3000+ReportTTL, "e1"), "an old word counts no more")
 }
--- a/internal/usage/lengths.go
+++ b/internal/usage/lengths.go
@@ -9,11 +9,11 @@
 	// lengths spread around them by a half on the scale of logarithms.
 	priorMean   = 1.13
 	priorSpread = 0.53
-	// priorWeight is the answers that the prior counts for, and mostWeight
+	// priorWeight is the answers that the prior counts for, and maxWeight
 	// those after which older ones begin to count less: the spread of 20
 	// answers is known to a sixth of itself.
 	priorWeight = 20
-	mostWeight  = 400
+	maxWeight   = 400
 	// growthDeviations is how many standard deviations the runs of an engine
 	// may together exceed their expected growth by: 39 in 40 times they
 	// stay below.
@@ -35,8 +35,8 @@
 )
 
 // observe notes an answer that came to its end.
-func (ls *lengths) observe(route string, guess, made int) {
-	if guess <= 0 || made <= 0 {
+func (ls *lengths) observe(route string, guess, generated int) {
+	if guess <= 0 || generated <= 0 {
 		return
 	}
 	if ls.routes == nil {
@@ -45,7 +45,7 @@
 	if ls.routes[route] == nil {
 		ls.routes[route] = &ratios{}
 	}
-	ratio := float64(made) / float64(guess)
+	ratio := float64(generated) / float64(guess)
 	ls.routes[route].add(ratio)
 	ls.all.add(ratio)
 }
@@ -63,8 +63,8 @@
 func (ls *lengths) spread() float64 { return ls.all.spread() }
 
 func (rt *ratios) add(ratio float64) {
-	if rt.weight >= mostWeight {
-		part := mostWeight / (mostWeight + 1.0)
+	if rt.weight >= maxWeight {
+		part := maxWeight / (maxWeight + 1.0)
 		rt.weight, rt.sum, rt.squares = part*rt.weight, part*rt.sum, part*rt.squares
 	}
 	rt.weight++
--- a/internal/usage/lengths_test.go
+++ b/internal/usage/lengths_test.go
@@ -11,15 +11,15 @@
 // What is expected of an answer follows what answers of its route came to.
 func TestLengthsAreLearnedByRoute(t *testing.T) {
 	var le Ledger
-	assert.Equal(t, le.Expect("short", 1000), 1130, "the prior, before any answer")
+	assert.Equal(t, le.ExpectedTokens("short", 1000), 1130, "the prior, before any answer")
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		le.Learn("short", 1000, int(500*math.Exp(0.2*rng.NormFloat64())))
-		le.Learn("long", 1000, int(2000*math.Exp(0.2*rng.NormFloat64())))
+		le.ObserveAnswer("short", 1000, int(500*math.Exp(0.2*rng.NormFloat64())))
+		le.ObserveAnswer("long", 1000, int(2000*math.Exp(0.2*rng.NormFloat64())))
 	}
-	assert.Assert(t, math.Abs(float64(le.Expect("short", 1000))-510) < 60, le.Expect("short", 1000))
-	assert.Assert(t, math.Abs(float64(le.Expect("long", 1000))-2040) < 120, le.Expect("long", 1000))
-	assert.Assert(t, le.Expect("unseen", 1000) > le.Expect("short", 1000), "what all routes came to")
+	assert.Assert(t, math.Abs(float64(le.ExpectedTokens("short", 1000))-510) < 60, le.ExpectedTokens("short", 1000))
+	assert.Assert(t, math.Abs(float64(le.ExpectedTokens("long", 1000))-2040) < 120, le.ExpectedTokens("long", 1000))
+	assert.Assert(t, le.ExpectedTokens("unseen", 1000) > le.ExpectedTokens("short", 1000), "what all routes came to")
 }
 
 func TestSpreadIsLearned(t *testing.T) {
--- a/internal/usage/reports.go
+++ b/internal/usage/reports.go
@@ -12,18 +12,18 @@
 	// fleet hundreds of VMs have something, and a dozen of them at one engine.
 	// The zero value has none.
 	reports struct {
-		told    map[string]received
-		runs    byEngine[[]Run]
-		reads   byEngine[int] // tokens of prompts
-		avoids  byEngine[struct{}]
-		failed  byEngine[struct{}]
-		waiting map[string]struct{} // VMs with requests that wait
-		shorts  map[string]struct{} // VMs that lately refused for want of a place
-		pruned  clock.Millis        // when words of VMs that are gone were dropped last
-	}
-
-	// received is what another VM told.
-	received struct {
+		byVM           map[string]receivedReport
+		runs           byEngine[[]Run]
+		promptTokensBy byEngine[int] // tokens of prompts
+		avoidedBy      byEngine[struct{}]
+		failingBy      byEngine[struct{}]
+		waiting        map[string]struct{} // VMs with requests that wait
+		shortageBy     map[string]struct{} // VMs that lately refused for want of a place
+		prunedAt       clock.Millis        // when words of VMs that are gone were dropped last
+	}
+
+	// receivedReport is what another VM told.
+	receivedReport struct {
 		at     clock.Millis
 		report Report
 	}
@@ -32,95 +32,95 @@
 	byEngine[T any] map[string]map[string]T
 )
 
-// take replaces a VM's word.
-func (rs *reports) take(now clock.Millis, vm string, rp Report) {
-	if rs.told == nil {
-		*rs = reports{told: make(map[string]received), runs: make(byEngine[[]Run]), reads: make(byEngine[int]),
-			avoids: make(byEngine[struct{}]), failed: make(byEngine[struct{}]),
-			waiting: make(map[string]struct{}), shorts: make(map[string]struct{})}
+// apply replaces a VM's word.
+func (rs *reports) apply(now clock.Millis, vm string, rp Report) {
+	if rs.byVM == nil {
+		*rs = reports{byVM: make(map[string]receivedReport), runs: make(byEngine[[]Run]), promptTokensBy: make(byEngine[int]),
+			avoidedBy: make(byEngine[struct{}]), failingBy: make(byEngine[struct{}]),
+			waiting: make(map[string]struct{}), shortageBy: make(map[string]struct{})}
 	}
 	rs.prune(now)
-	rs.drop(vm)
-	rs.told[vm] = received{at: now, report: rp}
+	rs.remove(vm)
+	rs.byVM[vm] = receivedReport{at: now, report: rp}
 	for _, run := range rp.Runs {
 		rs.runs.put(run.Engine, vm, append(rs.runs[run.Engine][vm], run))
 	}
 	for engine, tokens := range rp.Prompts {
-		rs.reads.put(engine, vm, tokens)
+		rs.promptTokensBy.put(engine, vm, tokens)
 	}
 	for _, engine := range rp.Avoided {
-		rs.avoids.put(engine, vm, struct{}{})
+		rs.avoidedBy.put(engine, vm, struct{}{})
 	}
 	for _, engine := range rp.Failing {
-		rs.failed.put(engine, vm, struct{}{})
+		rs.failingBy.put(engine, vm, struct{}{})
 	}
 	if len(rp.Waiting) > 0 {
 		rs.waiting[vm] = struct{}{}
 	}
-	if rp.Short {
-		rs.shorts[vm] = struct{}{}
+	if rp.Shortage {
+		rs.shortageBy[vm] = struct{}{}
 	}
 }
 
-// drop takes a VM's word out.
-func (rs *reports) drop(vm string) {
-	rp := rs.told[vm].report
+// remove takes a VM's word out.
+func (rs *reports) remove(vm string) {
+	rp := rs.byVM[vm].report
 	for _, run := range rp.Runs {
 		rs.runs.drop(run.Engine, vm)
 	}
 	for engine := range rp.Prompts {
-		rs.reads.drop(engine, vm)
+		rs.promptTokensBy.drop(engine, vm)
 	}
 	for _, engine := range rp.Avoided {
-		rs.avoids.drop(engine, vm)
+		rs.avoidedBy.drop(engine, vm)
 	}
 	for _, engine := range rp.Failing {
-		rs.failed.drop(engine, vm)
+		rs.failingBy.drop(engine, vm)
 	}
 	delete(rs.waiting, vm)
-	delete(rs.shorts, vm)
-	delete(rs.told, vm)
+	delete(rs.shortageBy, vm)
+	delete(rs.byVM, vm)
 }
 
 // prune drops the words of VMs that are gone.
 func (rs *reports) prune(now clock.Millis) {
-	if now-rs.pruned < 4*Stale {
+	if now-rs.prunedAt < 4*ReportTTL {
 		return
 	}
-	rs.pruned = now
-	for vm := range rs.told {
-		if !rs.hears(now, vm) {
-			rs.drop(vm)
+	rs.prunedAt = now
+	for vm := range rs.byVM {
+		if !rs.isFresh(now, vm) {
+			rs.remove(vm)
 		}
 	}
 }
 
-// since is how old a VM's word is, and whether it still counts.
-func (rs *reports) since(now clock.Millis, vm string) (age clock.Millis, fresh bool) {
-	rc, ok := rs.told[vm]
+// age is how old a VM's word is, and whether it still counts.
+func (rs *reports) age(now clock.Millis, vm string) (age clock.Millis, fresh bool) {
+	rc, ok := rs.byVM[vm]
 	age = now - rc.at
-	return age, ok && age < Stale
+	return age, ok && age < ReportTTL
 }
 
-func (rs *reports) hears(now clock.Millis, vm string) bool {
-	_, fresh := rs.since(now, vm)
+func (rs *reports) isFresh(now clock.Millis, vm string) bool {
+	_, fresh := rs.age(now, vm)
 	return fresh
 }
 
 // anyFresh tells whether the word of one of the VMs counts.
 func (rs *reports) anyFresh(now clock.Millis, vms map[string]struct{}) bool {
 	for vm := range vms {
-		if rs.hears(now, vm) {
+		if rs.isFresh(now, vm) {
 			return true
 		}
 	}
 	return false
 }
 
-func (rs *reports) prompts(now clock.Millis, engine string) int {
+func (rs *reports) promptTokens(now clock.Millis, engine string) int {
 	sum := 0
-	for vm, tokens := range rs.reads[engine] {
-		if rs.hears(now, vm) {
+	for vm, tokens := range rs.promptTokensBy[engine] {
+		if rs.isFresh(now, vm) {
 			sum += tokens
 		}
 	}
@@ -128,31 +128,31 @@
 }
 
 func (rs *reports) avoided(now clock.Millis, engine string) bool {
-	return rs.anyFresh(now, rs.avoids[engine])
+	return rs.anyFresh(now, rs.avoidedBy[engine])
 }
 
 func (rs *reports) failing(now clock.Millis, engine string) bool {
-	return rs.anyFresh(now, rs.failed[engine])
+	return rs.anyFresh(now, rs.failingBy[engine])
 }
 
-func (rs *reports) short(now clock.Millis) bool {
-	for vm := range rs.shorts {
-		if age, _ := rs.since(now, vm); age < shortFor {
+func (rs *reports) hasShortage(now clock.Millis) bool {
+	for vm := range rs.shortageBy {
+		if age, _ := rs.age(now, vm); age < shortageTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// asks lists the requests that wait at other VMs, with their ages by now.
-func (rs *reports) asks(now clock.Millis) []Ask {
-	var out []Ask
+// waitingRequests lists the requests that wait at other VMs, with their ages by now.
+func (rs *reports) waitingRequests(now clock.Millis) []WaitingRequest {
+	var out []WaitingRequest
 	for _, vm := range slices.Sorted(maps.Keys(rs.waiting)) {
-		since, fresh := rs.since(now, vm)
+		since, fresh := rs.age(now, vm)
 		if !fresh {
 			continue
 		}
-		for _, ask := range rs.told[vm].report.Waiting {
+		for _, ask := range rs.byVM[vm].report.Waiting {
 			ask.Age += since
 			out = append(out, ask)
 		}
--- a/internal/usage/reports_test.go
+++ b/internal/usage/reports_test.go
@@ -18,12 +18,12 @@
 	some := rapid.SliceOfNDistinct(rapid.SampledFrom(engines), 0, 3, rapid.ID[string])
 	rapid.Check(t, func(t *rapid.T) {
 		var rs reports
-		told := make(map[string]received)
+		told := make(map[string]receivedReport)
 		now := clock.Millis(0)
 		for range rapid.IntRange(1, 20).Draw(t, "words") {
 			now += clock.Millis(rapid.IntRange(0, 1500).Draw(t, "after"))
 			rp := Report{Prompts: make(map[string]int), Avoided: some.Draw(t, "avoided"), Failing: some.Draw(t, "failing"),
-				Short: rapid.Bool().Draw(t, "short")}
+				Shortage: rapid.Bool().Draw(t, "short")}
 			for _, engine := range some.Draw(t, "prompts") {
 				rp.Prompts[engine] = rapid.IntRange(1, 9).Draw(t, "tokens")
 			}
@@ -31,8 +31,8 @@
 				rp.Runs = append(rp.Runs, Run{Engine: rapid.SampledFrom(engines).Draw(t, "engine"), Tokens: rapid.IntRange(1, 9).Draw(t, "held")})
 			}
 			vm := fmt.Sprintf("vm-%d", rapid.IntRange(0, 3).Draw(t, "vm"))
-			rs.take(now, vm, rp)
-			told[vm] = received{at: now, report: rp}
+			rs.apply(now, vm, rp)
+			told[vm] = receivedReport{at: now, report: rp}
 		}
 		now += clock.Millis(rapid.IntRange(0, 3000).Draw(t, "later"))
 		for _, engine := range engines {
@@ -42,11 +42,11 @@
 }
 
 // checkReports compares the index with the words themselves.
-func checkReports(t *rapid.T, rs *reports, told map[string]received, now clock.Millis, engine string) {
+func checkReports(t *rapid.T, rs *reports, told map[string]receivedReport, now clock.Millis, engine string) {
 	held, prompts, avoided, failing, short := 0, 0, false, false, false
 	for _, rc := range told {
-		short = short || rc.report.Short && now-rc.at < shortFor
-		if now-rc.at >= Stale {
+		short = short || rc.report.Shortage && now-rc.at < shortageTTL
+		if now-rc.at >= ReportTTL {
 			continue
 		}
 		for _, run := range rc.report.Runs {
@@ -60,27 +60,27 @@
 	}
 	indexed := 0
 	for vm, runs := range rs.runs[engine] {
-		if _, fresh := rs.since(now, vm); fresh {
+		if _, fresh := rs.age(now, vm); fresh {
 			for _, run := range runs {
 				indexed += run.Tokens
 			}
 		}
 	}
 	assert.Equal(t, indexed, held)
-	assert.Equal(t, rs.prompts(now, engine), prompts)
+	assert.Equal(t, rs.promptTokens(now, engine), prompts)
 	assert.Equal(t, rs.avoided(now, engine), avoided)
 	assert.Equal(t, rs.failing(now, engine), failing)
-	assert.Equal(t, rs.short(now), short)
+	assert.Equal(t, rs.hasShortage(now), short)
 }
 
 // Words of VMs that are gone are dropped in time.
 func TestReportsOfVMsThatAreGone(t *testing.T) {
 	var rs reports
 	for ix := range 500 {
-		rs.take(0, fmt.Sprint(ix), Report{Runs: []Run{{Engine: "e", Tokens: 1}}})
+		rs.apply(0, fmt.Sprint(ix), Report{Runs: []Run{{Engine: "e", Tokens: 1}}})
 	}
-	rs.take(10*Stale, "new", Report{})
-	assert.Equal(t, len(rs.told), 1)
+	rs.apply(10*ReportTTL, "new", Report{})
+	assert.Equal(t, len(rs.byVM), 1)
 	assert.Equal(t, len(rs.runs), 0)
 }
 
@@ -95,18 +95,18 @@
 	}{
 		{"at once", 0, false, 5, 5},
 		{"the VM told of it", 10, true, 7, 5},
-		{"the prompt's time is over", assumePrompt, false, 5, 0},
-		{"nothing was told", assumeRun, false, 0, 0},
+		{"the prompt's time is over", assumedPromptTTL, false, 5, 0},
+		{"nothing was told", assumedRunTTL, false, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			le := exact()
-			le.Assume(0, "vm-2", Run{Engine: "e", Tokens: 5}, "f")
+			le := ledgerWithoutMargin()
+			le.AssumePlacement(0, "vm-2", Run{Engine: "e", Tokens: 5}, "f")
 			if tc.told {
-				le.Heard(tc.at, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 7}}})
+				le.ApplyReport(tc.at, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 7}}})
 			}
 			assert.Equal(t, le.Peak(tc.at, "e", Run{}, 0), tc.run)
-			assert.Equal(t, le.Prompts(tc.at, "f"), tc.prompts)
-			le.Assume(assumeRun+1, "vm-3", Run{Engine: "x"}, "")
+			assert.Equal(t, le.PromptTokens(tc.at, "f"), tc.prompts)
+			le.AssumePlacement(assumedRunTTL+1, "vm-3", Run{Engine: "x"}, "")
 			assert.Assert(t, tc.at > 0 || len(le.assumed.list) == 1, "what is over is dropped")
 		})
 	}
@@ -117,17 +117,17 @@
 // counts once.
 func TestAssumedAndToldMeanwhile(t *testing.T) {
 	before := Report{Runs: []Run{{Engine: "e", Tokens: 3}, {Engine: "x", Tokens: 1}}}
-	le := exact()
-	le.Heard(0, "vm-2", before)
-	le.Assume(10, "vm-2", Run{Engine: "e", Tokens: 5}, "")
-	le.Heard(12, "vm-2", before)
+	le := ledgerWithoutMargin()
+	le.ApplyReport(0, "vm-2", before)
+	le.AssumePlacement(10, "vm-2", Run{Engine: "e", Tokens: 5}, "")
+	le.ApplyReport(12, "vm-2", before)
 	assert.Equal(t, le.Peak(12, "e", Run{}, 0), 8, "it was on its way when the place was given")
-	le.Heard(14, "vm-3", Report{Runs: []Run{{Engine: "e", Tokens: 2}}})
+	le.ApplyReport(14, "vm-3", Report{Runs: []Run{{Engine: "e", Tokens: 2}}})
 	assert.Equal(t, le.Peak(14, "e", Run{}, 0), 10, "what another VM tells says nothing of it")
-	le.Heard(16, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 3}, {Engine: "e", Tokens: 5}}})
+	le.ApplyReport(16, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 3}, {Engine: "e", Tokens: 5}}})
 	assert.Equal(t, le.Peak(16, "e", Run{}, 0), 10, "it is told")
-	le.Assume(20, "vm-2", Run{Engine: "e", Tokens: 7}, "")
-	le.Heard(22, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 5}}})
+	le.AssumePlacement(20, "vm-2", Run{Engine: "e", Tokens: 7}, "")
+	le.ApplyReport(22, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 5}}})
 	assert.Equal(t, le.Peak(22, "e", Run{}, 0), 14)
 	assert.Equal(t, le.Peak(60, "e", Run{}, 0), 7, "the VM did not take it")
 }
--- a/internal/usage/turn_test.go
+++ b/internal/usage/turn_test.go
@@ -20,13 +20,13 @@
 // A request of a higher priority at another VM goes first, whether it came back or not.
 func TestBeforeByPriority(t *testing.T) {
 	var le Ledger
-	le.Heard(1000, "vm-2", Report{Waiting: []Ask{
+	le.ApplyReport(1000, "vm-2", Report{Waiting: []WaitingRequest{
 		{Service: "s", Returning: true, Turn: NewTurn(0, 9<<8), Age: 10}, {Service: "s", Turn: NewTurn(2, 1<<8), Age: 10}}})
 	mayWait := func(bool) clock.Millis { return 500 }
-	assert.Equal(t, le.Before(1010, Ask{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.Before(1010, Ask{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.Before(1010, Ask{Service: "s", Turn: NewTurn(3, 0)}, mayWait), 2)
-	le.RunShort(1010)
-	assert.Equal(t, le.Before(1010, Ask{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.Before(1010, Ask{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 0, "new ones go first where places are wanting")
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 1)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(3, 0)}, mayWait), 2)
+	le.MarkShortage(1010)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 0, "new ones go first where places are wanting")
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -16,7 +16,7 @@
 //	le.Grow(now, en, 63)
 //	if le.Peak(now, "e1", usage.Run{Tokens: 5000, Left: 4000}, 1) <= capacity { ... }
 //	send(le.Report(now))       // to the other VMs
-//	le.Heard(now, "vm-2", report)
+//	le.ApplyReport(now, "vm-2", report)
 //	le.End(en)
 //
 // The length of an answer is a guess. The ledger learns by route how answers come
@@ -39,20 +39,20 @@
 	// speedGain is the weight of an event in the speed: a run of 70 events
 	// counts as much as all before it.
 	speedGain = 0.02
-	// shortFor is how long a refusal for want of a place counts: a tenth of
+	// shortageTTL is how long a refusal for want of a place counts: a tenth of
 	// a burst.
-	shortFor = 500 * clock.Millis(1)
-	// residual is the part of the first guess that a run which has outgrown
+	shortageTTL = 500 * clock.Millis(1)
+	// residualPart is the part of the first guess that a run which has outgrown
 	// it is thought to have left. It is the mean of what is left where the
 	// lengths spread by a half around their guess.
-	residual = 0.3
-	// doubtfulRuns is how many runs an engine may have that is in doubt: those
+	residualPart = 0.3
+	// maxDoubtfulRuns is how many runs an engine may have that is in doubt: those
 	// that were placed within the tenth of a second in which the first of them
 	// shows whether the engine is there.
-	doubtfulRuns = 2
-	// Stale is the age from which another VM's word counts no more. It is
+	maxDoubtfulRuns = 2
+	// ReportTTL is the age from which another VM's word counts no more. It is
 	// renewed at least twice in that span.
-	Stale = 2500 * clock.Millis(1)
+	ReportTTL = 2500 * clock.Millis(1)
 )
 
 type (
@@ -73,33 +73,33 @@
 		// Failing lists engines that broke off or did not answer just now.
 		Failing []string
 		// Waiting lists requests that found no place yet.
-		Waiting []Ask
-		// Short tells that the VM lately refused a new request for want of a
+		Waiting []WaitingRequest
+		// Shortage tells that the VM lately refused a new request for want of a
 		// place.
-		Short bool
+		Shortage bool
 	}
 
 	// Entry is a run of this VM in its ledger.
 	Entry struct {
-		run   Run
-		made  int
-		guess int
-		last  clock.Millis // when it grew last; zero: it has not begun
+		run        Run
+		generated  int
+		guess      int
+		lastGrowth clock.Millis // when it grew last; zero: it has not begun
 	}
 
 	// Ledger is the runs of all VMs as one VM knows them.
 	Ledger struct {
-		own        map[*Entry]struct{}
-		prompts    map[string]int
-		avoided    map[string]clock.Millis // by engine, until when
-		failing    map[string]clock.Millis // the same
-		shortUntil clock.Millis            // until when this VM's last refusal counts
-		shortHeard clock.Millis            // the same of what a scheduler told
-		others     reports
-		assumed    assumptions
-		speed      float64 // tokens in a millisecond; zero: no run of this VM has grown
-		lengths    lengths // of answers against their guesses
-		list       []Run   // of one engine, while its peak is worked out
+		own                 map[*Entry]struct{}
+		prompts             map[string]int
+		avoided             map[string]clock.Millis // by engine, until when
+		failing             map[string]clock.Millis // the same
+		shortageUntil       clock.Millis            // until when this VM's last refusal counts
+		remoteShortageUntil clock.Millis            // the same of what a scheduler told
+		others              reports
+		assumed             assumptions
+		speed               float64 // tokens in a millisecond; zero: no run of this VM has grown
+		lengths             lengths // of answers against their guesses
+		scratch             []Run   // of one engine, while its peak is worked out
 	}
 )
 
@@ -126,16 +126,16 @@
 	if en == nil || tokens == 0 {
 		return
 	}
-	if en.last > 0 && now > en.last {
-		le.grewAt(float64(tokens) / float64(now-en.last))
+	if en.lastGrowth > 0 && now > en.lastGrowth {
+		le.updateSpeed(float64(tokens) / float64(now-en.lastGrowth))
 	}
-	en.last = now
-	en.made += tokens
+	en.lastGrowth = now
+	en.generated += tokens
 	en.run.Tokens += tokens
-	en.run.Left = max(en.guess-en.made, int(residual*float64(en.guess)))
+	en.run.Left = max(en.guess-en.generated, int(residualPart*float64(en.guess)))
 }
 
-func (le *Ledger) grewAt(speed float64) {
+func (le *Ledger) updateSpeed(speed float64) {
 	if le.speed == 0 {
 		le.speed = speed
 	}
@@ -153,18 +153,20 @@
 // none has grown yet.
 func (le *Ledger) Speed() float64 { return le.speed }
 
-// Learn notes that an answer of a route came to its end with so many tokens,
+// ObserveAnswer notes that an answer of a route came to its end with so many tokens,
 // and what its caller had guessed.
-func (le *Ledger) Learn(route string, guess, made int) { le.lengths.observe(route, guess, made) }
+func (le *Ledger) ObserveAnswer(route string, guess, generated int) {
+	le.lengths.observe(route, guess, generated)
+}
 
-// Expect is the tokens that an answer of a route is expected to come to.
-func (le *Ledger) Expect(route string, guess int) int {
+// ExpectedTokens is the tokens that an answer of a route is expected to come to.
+func (le *Ledger) ExpectedTokens(route string, guess int) int {
 	return int(le.lengths.mean(route) * float64(guess))
 }
 
-// Prompt counts tokens of a prompt as computed at an engine; with a negative
+// AddPrompt counts tokens of a prompt as computed at an engine; with a negative
 // count, as done.
-func (le *Ledger) Prompt(engine string, tokens int) {
+func (le *Ledger) AddPrompt(engine string, tokens int) {
 	if le.prompts == nil {
 		le.prompts = make(map[string]int)
 	}
@@ -173,9 +175,9 @@
 	}
 }
 
-// Prompts is how many tokens of prompts are computed at an engine for all VMs.
-func (le *Ledger) Prompts(now clock.Millis, engine string) int {
-	return le.prompts[engine] + le.others.prompts(now, engine) + le.assumed.prompts(now, engine)
+// PromptTokens is how many tokens of prompts are computed at an engine for all VMs.
+func (le *Ledger) PromptTokens(now clock.Millis, engine string) int {
+	return le.prompts[engine] + le.others.promptTokens(now, engine) + le.assumed.promptTokens(now, engine)
 }
 
 // Avoid notes that an engine takes no new work until then: it was ordered to
@@ -195,23 +197,23 @@
 	return now < le.avoided[engine] || le.others.avoided(now, engine)
 }
 
-// still lists the engines whose time is not over, sorted, and drops the others.
-func still(engines map[string]clock.Millis, now clock.Millis) []string {
+// unexpired lists the engines whose time is not over, sorted, and drops the others.
+func unexpired(engines map[string]clock.Millis, now clock.Millis) []string {
 	maps.DeleteFunc(engines, func(_ string, until clock.Millis) bool { return now >= until })
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// Failed notes that an engine broke off or did not answer this VM, and until when
+// MarkFailed notes that an engine broke off or did not answer this VM, and until when
 // that counts. The other VMs are told.
-func (le *Ledger) Failed(engine string, until clock.Millis) {
+func (le *Ledger) MarkFailed(engine string, until clock.Millis) {
 	if le.failing == nil {
 		le.failing = make(map[string]clock.Millis)
 	}
 	le.failing[engine] = until
 }
 
-// Worked ends a Failed of this VM.
-func (le *Ledger) Worked(engine string) { delete(le.failing, engine) }
+// ClearFailed ends a MarkFailed of this VM.
+func (le *Ledger) ClearFailed(engine string) { delete(le.failing, engine) }
 
 // Failing tells whether an engine failed another VM just now. It may be that VM
 // which is cut off, so that this says where to go last, not where not to go.
@@ -223,25 +225,25 @@
 // runs there: it may be dead, or another one may answer in its place and take
 // reservations for it.
 func (le *Ledger) Doubtful(now clock.Millis, engine string) bool {
-	return le.Failing(now, engine) && le.Runs(now, engine) <= doubtfulRuns
+	return le.Failing(now, engine) && le.RunCount(now, engine) <= maxDoubtfulRuns
 }
 
-// RunShort notes that this VM refused a new request for want of a place.
-func (le *Ledger) RunShort(now clock.Millis) { le.shortUntil = now + shortFor }
+// MarkShortage notes that this VM refused a new request for want of a place.
+func (le *Ledger) MarkShortage(now clock.Millis) { le.shortageUntil = now + shortageTTL }
 
-// Short tells whether some VM lately refused a new request for want of a place.
-func (le *Ledger) Short(now clock.Millis) bool {
-	return now < le.shortUntil || now < le.shortHeard || le.others.short(now)
+// HasShortage tells whether some VM lately refused a new request for want of a place.
+func (le *Ledger) HasShortage(now clock.Millis) bool {
+	return now < le.shortageUntil || now < le.remoteShortageUntil || le.others.hasShortage(now)
 }
 
-// HeardShort notes that a scheduler knows of such refusals.
-func (le *Ledger) HeardShort(now clock.Millis) { le.shortHeard = now + shortFor }
+// MarkRemoteShortage notes that a scheduler knows of such refusals.
+func (le *Ledger) MarkRemoteShortage(now clock.Millis) { le.remoteShortageUntil = now + shortageTTL }
 
 // Report is what this VM has at the engines.
 func (le *Ledger) Report(now clock.Millis) Report {
-	rp := Report{Runs: make([]Run, 0, len(le.own)), Prompts: maps.Clone(le.prompts), Short: now < le.shortUntil}
-	rp.Avoided = still(le.avoided, now)
-	rp.Failing = still(le.failing, now)
+	rp := Report{Runs: make([]Run, 0, len(le.own)), Prompts: maps.Clone(le.prompts), Shortage: now < le.shortageUntil}
+	rp.Avoided = unexpired(le.avoided, now)
+	rp.Failing = unexpired(le.failing, now)
 	for en := range le.own {
 		rp.Runs = append(rp.Runs, en.run)
 	}
@@ -251,11 +253,11 @@
 	return rp
 }
 
-// Heard takes another VM's report in place of its last one, and of what it was
+// ApplyReport takes another VM's report in place of its last one, and of what it was
 // assumed to have as far as the report can tell of that.
-func (le *Ledger) Heard(now clock.Millis, vm string, rp Report) {
-	le.assumed.settle(vm, func(engine string) int { return rp.runsAt(engine) - len(le.others.runs[engine][vm]) })
-	le.others.take(now, vm, rp)
+func (le *Ledger) ApplyReport(now clock.Millis, vm string, rp Report) {
+	le.assumed.reconcile(vm, func(engine string) int { return rp.runsAt(engine) - len(le.others.runs[engine][vm]) })
+	le.others.apply(now, vm, rp)
 }
 
 // runsAt is how many runs the VM has at an engine.
@@ -269,8 +271,8 @@
 	return count
 }
 
-// Hears tells whether the VM's word is fresh.
-func (le *Ledger) Hears(now clock.Millis, vm string) bool { return le.others.hears(now, vm) }
+// HasFreshReport tells whether the VM's word is fresh.
+func (le *Ledger) HasFreshReport(now clock.Millis, vm string) bool { return le.others.isFresh(now, vm) }
 
 // Peak is the most memory, in tokens, that the runs of an engine will need at
 // one time, with so many more of a size that begin now. What they hold is known;
@@ -278,41 +280,43 @@
 // smaller for many runs together than for one. An engine whose runs are nine
 // parts prompt then holds a seventh more of them than with a margin of 15 in 100
 // on all its memory, and one whose runs grow by half holds as many.
-func (le *Ledger) Peak(now clock.Millis, engine string, more Run, count int) int {
-	le.list = le.list[:0]
+func (le *Ledger) Peak(now clock.Millis, engine string, added Run, count int) int {
+	le.scratch = le.scratch[:0]
 	for range count {
-		le.list = append(le.list, more)
+		le.scratch = append(le.scratch, added)
 	}
-	le.list = le.at(le.list, now, engine)
-	return peak(le.list, growthDeviations*le.lengths.spread())
+	le.scratch = le.appendRuns(le.scratch, now, engine)
+	return peak(le.scratch, growthDeviations*le.lengths.spread())
 }
 
-// Runs is how many runs an engine has.
-func (le *Ledger) Runs(now clock.Millis, engine string) int { return len(le.at(nil, now, engine)) }
+// RunCount is how many runs an engine has.
+func (le *Ledger) RunCount(now clock.Millis, engine string) int {
+	return len(le.appendRuns(nil, now, engine))
+}
 
-// at adds the runs at an engine, as they are by now, to a list.
-func (le *Ledger) at(list []Run, now clock.Millis, engine string) []Run {
+// appendRuns adds the runs appendRuns an engine, as they are by now, to a list.
+func (le *Ledger) appendRuns(list []Run, now clock.Millis, engine string) []Run {
 	for en := range le.own {
 		if en.run.Engine == engine {
 			list = append(list, en.run)
 		}
 	}
-	list = le.assumed.at(list, now, engine)
+	list = le.assumed.appendRuns(list, now, engine)
 	for vm, runs := range le.others.runs[engine] {
-		since, fresh := le.others.since(now, vm)
+		since, fresh := le.others.age(now, vm)
 		if !fresh {
 			continue
 		}
 		grown := int(float64(since) * le.speed)
 		for _, run := range runs {
-			list = append(list, run.after(grown))
+			list = append(list, run.grownBy(grown))
 		}
 	}
 	return list
 }
 
-// after is the run when it has generated so many more tokens.
-func (ru Run) after(tokens int) Run {
+// grownBy is the run when it has generated so many more tokens.
+func (ru Run) grownBy(tokens int) Run {
 	grown := min(tokens, ru.Left)
 	ru.Tokens += grown
 	ru.Left -= grown
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -46,37 +46,37 @@
 	})
 }
 
-// exact is a ledger whose answers came out as guessed, so that it needs no
+// ledgerWithoutMargin is a ledger whose answers came out as guessed, so that it needs no
 // margin.
-func exact() *Ledger {
+func ledgerWithoutMargin() *Ledger {
 	const many = 1e12
 	return &Ledger{lengths: lengths{all: ratios{weight: many, sum: many, squares: many}}}
 }
 
 func TestLedgerJoinsOwnAndOthers(t *testing.T) {
-	le := exact()
+	le := ledgerWithoutMargin()
 	en := le.Begin(Run{Engine: "e1", Tokens: 100, Left: 50})
 	le.Begin(Run{Engine: "e2", Tokens: 7, Left: 0})
-	le.Heard(1000, "vm-2", Report{Runs: []Run{{Engine: "e1", Tokens: 10, Left: 0}, {Engine: "e2", Tokens: 1, Left: 0}}})
+	le.ApplyReport(1000, "vm-2", Report{Runs: []Run{{Engine: "e1", Tokens: 10, Left: 0}, {Engine: "e2", Tokens: 1, Left: 0}}})
 	assert.Equal(t, le.Peak(1000, "e1", Run{}, 1), 150, "the other's run ends before this one's")
 	le.Grow(1000, en, 20)
 	assert.DeepEqual(t, le.Report(0).Runs, []Run{{Engine: "e1", Tokens: 120, Left: 30}, {Engine: "e2", Tokens: 7}})
 	assert.Equal(t, le.Peak(1000, "e1", Run{}, 1), 150, "growth was foreseen")
 	le.End(en)
 	assert.Equal(t, le.Peak(1010, "e1", Run{}, 1), 10)
-	assert.Equal(t, le.Peak(1000+Stale, "e1", Run{}, 1), 0, "an old word counts no more")
-	assert.Assert(t, !le.Hears(1000+Stale, "vm-2"))
+	assert.Equal(t, le.Peak(1000+ReportTTL, "e1", Run{}, 1), 0, "an old word counts no more")
+	assert.Assert(t, !le.HasFreshReport(1000+ReportTTL, "vm-2"))
 }
 
 // What another VM told grows on until its next word.
 func TestOthersGrowMeanwhile(t *testing.T) {
-	le := exact()
+	le := ledgerWithoutMargin()
 	own := le.Begin(Run{Engine: "e2"})
 	for at := range clock.Millis(10) {
 		le.Grow(100*(at+1), own, 140)
 	}
 	assert.Assert(t, math.Abs(le.Speed()-1.4) < 0.001, "what the runs of this VM show")
-	le.Heard(0, "vm-2", Report{Runs: []Run{{Engine: "e1", Tokens: 100, Left: 1400}}})
+	le.ApplyReport(0, "vm-2", Report{Runs: []Run{{Engine: "e1", Tokens: 100, Left: 1400}}})
 	var now clock.Millis = 500
 	// 700 tokens on, a new run of 900 meets the rest of the old one.
 	assert.Equal(t, le.Peak(now, "e1", Run{Tokens: 900, Left: 100}, 1), 800+900+2*100)
@@ -91,32 +91,32 @@
 
 func TestPromptsOfAllVMs(t *testing.T) {
 	var le Ledger
-	le.Prompt("f1", 5000)
-	le.Prompt("f1", 300)
-	le.Heard(0, "vm-2", Report{Prompts: map[string]int{"f1": 1000, "f2": 7}})
-	assert.Equal(t, le.Prompts(0, "f1"), 6300)
-	assert.Equal(t, le.Prompts(0, "f2"), 7)
-	le.Prompt("f1", -5300)
-	assert.Equal(t, le.Prompts(Stale, "f1"), 0)
+	le.AddPrompt("f1", 5000)
+	le.AddPrompt("f1", 300)
+	le.ApplyReport(0, "vm-2", Report{Prompts: map[string]int{"f1": 1000, "f2": 7}})
+	assert.Equal(t, le.PromptTokens(0, "f1"), 6300)
+	assert.Equal(t, le.PromptTokens(0, "f2"), 7)
+	le.AddPrompt("f1", -5300)
+	assert.Equal(t, le.PromptTokens(ReportTTL, "f1"), 0)
 	assert.Equal(t, len(le.Report(0).Prompts), 0)
 }
 
 func TestPlacesAreWanting(t *testing.T) {
 	var le, other Ledger
-	assert.Assert(t, !le.Short(0))
-	other.RunShort(100)
-	le.Heard(110, "vm-2", other.Report(105))
-	assert.Assert(t, le.Short(120))
-	assert.Assert(t, !le.Short(110+shortFor))
-	le.RunShort(1000)
-	assert.Assert(t, le.Short(1001) && le.Report(1001).Short)
-	assert.Assert(t, !le.Short(1000+shortFor) && !le.Report(1000+shortFor).Short)
+	assert.Assert(t, !le.HasShortage(0))
+	other.MarkShortage(100)
+	le.ApplyReport(110, "vm-2", other.Report(105))
+	assert.Assert(t, le.HasShortage(120))
+	assert.Assert(t, !le.HasShortage(110+shortageTTL))
+	le.MarkShortage(1000)
+	assert.Assert(t, le.HasShortage(1001) && le.Report(1001).Shortage)
+	assert.Assert(t, !le.HasShortage(1000+shortageTTL) && !le.Report(1000+shortageTTL).Shortage)
 }
 
 func TestAvoidedEngines(t *testing.T) {
 	var le Ledger
 	le.Avoid("e1", 6000)
-	le.Heard(0, "vm-2", Report{Avoided: []string{"e2"}})
+	le.ApplyReport(0, "vm-2", Report{Avoided: []string{"e2"}})
 	assert.Assert(t, le.Avoided(10, "e1"))
 	assert.Assert(t, le.Avoided(10, "e2"))
 	assert.Assert(t, !le.Avoided(10, "e3"))
@@ -136,26 +136,26 @@
 		return 200
 	}
 	var le Ledger
-	le.Heard(1000, "vm-2", Report{Waiting: []Ask{
+	le.ApplyReport(1000, "vm-2", Report{Waiting: []WaitingRequest{
 		{Service: "s", Returning: true, Turn: 5, Age: 500}, {Service: "s", Turn: 1, Age: 100}, {Service: "s", Turn: 8, Age: 20},
 		{Service: "t", Turn: 1, Age: 150},
 	}})
 	for _, tc := range []struct {
 		name string
 		now  clock.Millis
-		ask  Ask
+		ask  WaitingRequest
 		want int
 	}{
-		{"a new one behind one new and the returning one", 1010, Ask{Service: "s", Turn: 4}, 2},
-		{"the highest turn", 1010, Ask{Service: "s", Turn: 9}, 3},
-		{"a returning one with a lower turn", 1010, Ask{Service: "s", Returning: true, Turn: 4}, 0},
-		{"a returning one behind another", 1010, Ask{Service: "s", Returning: true, Turn: 6}, 1},
-		{"another service", 1010, Ask{Service: "t", Turn: 2}, 1},
-		{"who may not wait any more has gone", 1190, Ask{Service: "s", Turn: 9}, 1},
-		{"an old word counts no more", 1000 + Stale, Ask{Service: "s", Turn: 9}, 0},
+		{"a new one behind one new and the returning one", 1010, WaitingRequest{Service: "s", Turn: 4}, 2},
+		{"the highest turn", 1010, WaitingRequest{Service: "s", Turn: 9}, 3},
+		{"a returning one with a lower turn", 1010, WaitingRequest{Service: "s", Returning: true, Turn: 4}, 0},
+		{"a returning one behind another", 1010, WaitingRequest{Service: "s", Returning: true, Turn: 6}, 1},
+		{"another service", 1010, WaitingRequest{Service: "t", Turn: 2}, 1},
+		{"who may not wait any more has gone", 1190, WaitingRequest{Service: "s", Turn: 9}, 1},
+		{"an old word counts no more", 1000 + ReportTTL, WaitingRequest{Service: "s", Turn: 9}, 0},
 	} {
-		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, le.Before(tc.now, tc.ask, mayWait), tc.want) })
+		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, le.CountAhead(tc.now, tc.ask, mayWait), tc.want) })
 	}
-	le.Heard(1000, "vm-3", Report{Short: true})
-	assert.Equal(t, le.Before(1010, Ask{Service: "s", Turn: 9}, mayWait), 2, "where places are wanting, returning ones wait")
+	le.ApplyReport(1000, "vm-3", Report{Shortage: true})
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: 9}, mayWait), 2, "where places are wanting, returning ones wait")
 }
--- a/pkg/place/decode.go
+++ b/pkg/place/decode.go
@@ -30,7 +30,7 @@
 	}
 	if check != nil && !sc.broken {
 		for _, pe := range check() {
-			sc.found(pe)
+			sc.addProblem(pe)
 		}
 	}
 	for ix, pe := range sc.problems {
@@ -51,7 +51,7 @@
 
 // decode reads the sound expressions of the text.
 func (sc *scan) decode(target any) {
-	dec := toml.NewDecoder(bytes.NewReader(sc.sound())).DisallowUnknownFields()
+	dec := toml.NewDecoder(bytes.NewReader(sc.soundText())).DisallowUnknownFields()
 	err := dec.Decode(target)
 	if err == nil {
 		return
@@ -80,8 +80,8 @@
 	return ""
 }
 
-// sound returns the text with the lines of unsound expressions emptied.
-func (sc *scan) sound() []byte {
+// soundText returns the text with the lines of unsound expressions emptied.
+func (sc *scan) soundText() []byte {
 	lines := bytes.Split(sc.text, []byte("\n"))
 	for _, ex := range sc.expressions {
 		if ex.sound {
@@ -94,9 +94,9 @@
 	return bytes.Join(lines, []byte("\n"))
 }
 
-// found adds a problem of the decoded value, unless its key or one above it
+// addProblem adds a problem of the decoded value, unless its key or one above it
 // has one already.
-func (sc *scan) found(pe Error) {
+func (sc *scan) addProblem(pe Error) {
 	if pe.Line == 0 {
 		pe.Line = sc.lineOf(pe.Key)
 	}
--- a/pkg/place/scan.go
+++ b/pkg/place/scan.go
@@ -14,9 +14,9 @@
 )
 
 var (
-	textType = reflect.TypeFor[encoding.TextUnmarshaler]()
-	addrType = reflect.TypeFor[netip.AddrPort]()
-	hideType = reflect.TypeFor[Concealed]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
+	addrType            = reflect.TypeFor[netip.AddrPort]()
+	concealedType       = reflect.TypeFor[Concealed]()
 )
 
 type (
@@ -102,7 +102,7 @@
 	before := len(sc.problems)
 	inside := sc.typ == nil && nd.Kind == unstable.KeyValue
 	if !inside {
-		sc.typed(nd, names, line)
+		sc.checkExpression(nd, names, line)
 	}
 	path := sc.at
 	if nd.Kind == unstable.KeyValue {
@@ -115,12 +115,12 @@
 	})
 }
 
-func (sc *scan) typed(nd *unstable.Node, names []string, line int) {
+func (sc *scan) checkExpression(nd *unstable.Node, names []string, line int) {
 	switch nd.Kind {
 	case unstable.Table:
 		sc.at, sc.typ = sc.resolve("", sc.root, names, line)
 		if sc.typ != nil && !isTable(sc.typ) {
-			sc.refuse(sc.at, line, "", "write a value, not a table")
+			sc.report(sc.at, line, "", "write a value, not a table")
 			sc.typ = nil
 		}
 	case unstable.ArrayTable:
@@ -128,7 +128,7 @@
 	case unstable.KeyValue:
 		path, typ := sc.resolve(sc.at, sc.typ, names, line)
 		if typ != nil {
-			sc.value(path, typ, nd.Value(), line)
+			sc.checkValue(path, typ, nd.Value(), line)
 		}
 	default:
 	}
@@ -145,7 +145,7 @@
 		return
 	}
 	if typ.Kind() != reflect.Slice || !isTable(typ.Elem()) {
-		sc.refuse(above, line, "", "write it once; it is no list of tables")
+		sc.report(above, line, "", "write it once; it is no list of tables")
 		return
 	}
 	sc.at, sc.typ = element(above, sc.counts[above]), typ.Elem()
@@ -182,12 +182,12 @@
 func (sc *scan) field(path string, typ reflect.Type, name string, line int) (string, reflect.Type) {
 	path = join(path, name)
 	if !isTable(typ) {
-		sc.refuse(path, line, "", "remove this key; the one above it holds a plain value")
+		sc.report(path, line, "", "remove this key; the one above it holds a plain value")
 		return path, nil
 	}
 	fd, ok := typ.FieldByName(name)
 	if !ok || !fd.IsExported() {
-		sc.refuse(path, line, "", "remove this unknown key, or correct its spelling and letter case")
+		sc.report(path, line, "", "remove this unknown key, or correct its spelling and letter case")
 		return path, nil
 	}
 	if _, known := sc.lines[path]; !known {
@@ -196,30 +196,30 @@
 	return path, fd.Type
 }
 
-// value compares a value with the type that it is for.
-func (sc *scan) value(path string, typ reflect.Type, nd *unstable.Node, line int) {
-	if reflect.PointerTo(typ).Implements(textType) {
-		sc.textual(path, typ, nd, line)
+// checkValue compares a checkValue with the type that it is for.
+func (sc *scan) checkValue(path string, typ reflect.Type, nd *unstable.Node, line int) {
+	if reflect.PointerTo(typ).Implements(textUnmarshalerType) {
+		sc.checkText(path, typ, nd, line)
 		return
 	}
 	switch typ.Kind() {
 	case reflect.Struct:
-		sc.inline(path, typ, nd, line)
+		sc.checkInlineTable(path, typ, nd, line)
 	case reflect.Slice:
-		sc.array(path, typ, nd, line)
+		sc.checkArray(path, typ, nd, line)
 	case reflect.String:
-		sc.want(nd.Kind == unstable.String, path, nd, line, "a string in quotes")
+		sc.expectKind(nd.Kind == unstable.String, path, nd, line, "a string in quotes")
 	case reflect.Bool:
-		sc.want(nd.Kind == unstable.Bool, path, nd, line, "true or false")
+		sc.expectKind(nd.Kind == unstable.Bool, path, nd, line, "true or false")
 	case reflect.Float64:
-		sc.want(nd.Kind == unstable.Float || nd.Kind == unstable.Integer, path, nd, line, "a number")
+		sc.expectKind(nd.Kind == unstable.Float || nd.Kind == unstable.Integer, path, nd, line, "a number")
 	default:
-		sc.want(nd.Kind == unstable.Integer, path, nd, line, "a whole number")
+		sc.expectKind(nd.Kind == unstable.Integer, path, nd, line, "a whole number")
 	}
 }
 
-func (sc *scan) textual(path string, typ reflect.Type, nd *unstable.Node, line int) {
-	if !sc.want(nd.Kind == unstable.String, path, nd, line, "a string in quotes, with its unit if it has one") {
+func (sc *scan) checkText(path string, typ reflect.Type, nd *unstable.Node, line int) {
+	if !sc.expectKind(nd.Kind == unstable.String, path, nd, line, "a string in quotes, with its unit if it has one") {
 		return
 	}
 	err := reflect.New(typ).Interface().(encoding.TextUnmarshaler).UnmarshalText(nd.Data)
@@ -230,14 +230,14 @@
 	if typ == addrType {
 		mend = "write an IP number and a port, such as 10.0.0.1:8443; host names are not looked up"
 	}
-	if typ.Implements(hideType) {
+	if typ.Implements(concealedType) {
 		value = ""
 	}
-	sc.refuse(path, line, value, mend)
+	sc.report(path, line, value, mend)
 }
 
-func (sc *scan) inline(path string, typ reflect.Type, nd *unstable.Node, line int) {
-	if !sc.want(nd.Kind == unstable.InlineTable, path, nd, line, "a table") {
+func (sc *scan) checkInlineTable(path string, typ reflect.Type, nd *unstable.Node, line int) {
+	if !sc.expectKind(nd.Kind == unstable.InlineTable, path, nd, line, "a table") {
 		return
 	}
 	for it := nd.Children(); it.Next(); {
@@ -246,13 +246,13 @@
 		}
 		names, row := sc.key(it.Node())
 		if below, elem := sc.resolve(path, typ, names, row); elem != nil {
-			sc.value(below, elem, it.Node().Value(), row)
+			sc.checkValue(below, elem, it.Node().Value(), row)
 		}
 	}
 }
 
-func (sc *scan) array(path string, typ reflect.Type, nd *unstable.Node, line int) {
-	if !sc.want(nd.Kind == unstable.Array, path, nd, line, "a list in brackets") {
+func (sc *scan) checkArray(path string, typ reflect.Type, nd *unstable.Node, line int) {
+	if !sc.expectKind(nd.Kind == unstable.Array, path, nd, line, "a list in brackets") {
 		return
 	}
 	ix := 0
@@ -266,28 +266,28 @@
 		}
 		below := element(path, ix)
 		sc.lines[below] = row
-		sc.value(below, typ.Elem(), it.Node(), row)
+		sc.checkValue(below, typ.Elem(), it.Node(), row)
 		ix++
 	}
 }
 
-// want reports a value of another kind than the one wanted. It shows the kind
+// expectKind reports a value of another kind than the one wanted. It shows the kind
 // and not the value, which may be a secret at the wrong key.
-func (sc *scan) want(ok bool, path string, nd *unstable.Node, line int, kind string) bool {
+func (sc *scan) expectKind(ok bool, path string, nd *unstable.Node, line int, kind string) bool {
 	if !ok {
-		sc.refuse(path, line, "", fmt.Sprintf("write %s instead of this %s", kind, nd.Kind))
+		sc.report(path, line, "", fmt.Sprintf("write %s instead of this %s", kind, nd.Kind))
 	}
 	return ok
 }
 
-func (sc *scan) refuse(path string, line int, value, mend string) {
+func (sc *scan) report(path string, line int, value, mend string) {
 	sc.bad[path] = true
 	sc.problems = append(sc.problems, Error{Line: line, Key: path, Value: value, Mend: mend})
 }
 
 // isTable tells whether a type is written as a table.
 func isTable(typ reflect.Type) bool {
-	return typ.Kind() == reflect.Struct && !reflect.PointerTo(typ).Implements(textType)
+	return typ.Kind() == reflect.Struct && !reflect.PointerTo(typ).Implements(textUnmarshalerType)
 }
 
 func join(path, name string) string {
