--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -263,7 +263,7 @@
 	return ids
 }
 
-func TestSharesAreLentAndComeBack(t *testing.T) {
+func TestUnusedSharesAreLentAndReclaimed(t *testing.T) {
 	const slots, vms = 30, 6 // 4 servers: 120 in all, 20 for this VM, 33 with slack; half of it 10, 16 with slack
 	ch := chooser(8)
 	ch.Update(1, backends(4, slots), vms)
@@ -288,7 +288,7 @@
 }
 
 // While the reports show queues, nobody has more than the own part.
-func TestCrowdedServiceLendsNothing(t *testing.T) {
+func TestOverloadedServiceLendsNothing(t *testing.T) {
 	ch := chooser(11)
 	bk := backends(4, 30)
 	ch.Update(1, bk, 6)
@@ -304,7 +304,7 @@
 	assert.Equal(t, len(admitted(t, ch, 5+DefaultReportStale, "flood", 0.1, 1000)), 9) // 33 in all
 }
 
-func TestFloorOfOne(t *testing.T) {
+func TestShareAllowsAtLeastOneRequest(t *testing.T) {
 	ch := chooser(9)
 	ch.Update(1, backends(1, 4), 380)
 	assert.Assert(t, len(admitted(t, ch, 1, "flood", 0.99, 1000)) >= 1)
@@ -333,7 +333,7 @@
 
 // A server in whose place another one answers gets nothing more, at the first
 // word, unless there is no other or its entry names another address.
-func TestServerThatIsGone(t *testing.T) {
+func TestReplacedServerGetsNothing(t *testing.T) {
 	ch := &Chooser{Rand: rand.New(rand.NewPCG(1, 2))}
 	list := func(address string) *board.Backends {
 		return (&board.Backends{}).WithServers([]board.BackendServer{
@@ -358,7 +358,7 @@
 
 // A server that asked for rest gets nothing until then, also where it is the last one:
 // then requests are refused with the time that is left.
-func TestRestingServerGetsNothing(t *testing.T) {
+func TestBackedOffServerGetsNothing(t *testing.T) {
 	ch := chooser(1)
 	ch.Update(0, backends(2, 4), 1)
 	ch.BackOff(0, "s00", 500)
--- a/internal/balance/crowd.go
+++ b/internal/balance/crowd.go
@@ -20,7 +20,7 @@
 	// waited at a server before requests are refused. What VMs know is half a
 	// second old, in which the line of a burst becomes several times as long. Of
 	// 69 VMs' requests at 2.8 times the usual 60 in 100 are answered in time in
-	// place of 27 (TestLineIsKeptShort); half and a fifth of what is left let
+	// place of 27 (TestQueueIsKeptShort); half and a fifth of what is left let
 	// three and two times as many be late.
 	maxWaitPart = 0.1
 	// maxWaitPartLight is the same for those who send few, whom others' lines are not to
--- a/internal/balance/crowd_test.go
+++ b/internal/balance/crowd_test.go
@@ -240,7 +240,7 @@
 // While more come than the servers can do, as many as they can do are to be answered in
 // time. Of 591 requests a second five servers with 28 places' worth can answer 470; a
 // tenth of the requests fail at both tries. Without heed of the line all wait in it.
-func TestLineIsKeptShort(t *testing.T) {
+func TestQueueIsKeptShort(t *testing.T) {
 	for seed := range uint64(5) {
 		heeding, waiting := newLoadSim(seed, true), newLoadSim(seed, false)
 		with, without := heeding.play(), waiting.play()
@@ -253,7 +253,7 @@
 }
 
 // Where there is room nobody is refused, and a word that is old counts no more.
-func TestNobodyIsRefusedWhereThereIsRoom(t *testing.T) {
+func TestNoRefusalsWithFreeCapacity(t *testing.T) {
 	var cr queueEstimate
 	assert.Equal(t, cr.refusalPart(0, loadObjective, maxWaitPart), 0.0)
 	for now := clock.Millis(1); now < 1000; now += 100 {
@@ -274,7 +274,7 @@
 // A burst that one sender makes is that sender's to bear: two seconds after its begin at
 // most one in twenty of the others' requests, which would fit, is refused, and not fewer
 // of all are answered in time.
-func TestOneSenderDoesNotPushOutTheOthers(t *testing.T) {
+func TestBurstOfOneSenderDoesNotDisplaceOthers(t *testing.T) {
 	for seed := range uint64(5) {
 		fair, alike := newLoadSim(seed, true), newLoadSim(seed, true)
 		fair.nameSenders = true
--- a/internal/charge/charge_test.go
+++ b/internal/charge/charge_test.go
@@ -160,7 +160,7 @@
 }
 
 // A customer far beyond its limit does not make the keeper answer each request.
-func TestDenialStands(t *testing.T) {
+func TestDenialIsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b")
 		time.Sleep(5 * time.Second)
@@ -177,7 +177,7 @@
 
 // A keeper that is gone is found out soon; until another one holds the leases a VM
 // goes by its part of the slack, and says when to come back.
-func TestKeeperGone(t *testing.T) {
+func TestUnresponsiveKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b", "c", "d")
 		time.Sleep(5 * time.Second)
@@ -201,7 +201,7 @@
 
 // A request that comes before the keeper has any leases is not told that its customer's
 // quota is used up.
-func TestKeeperBegins(t *testing.T) {
+func TestChargeBeforeKeeperHasLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, quota.Settings{Window: 8 * clock.Second}, "a", "b", "c")
 		or := order(100)
@@ -241,7 +241,7 @@
 }
 
 // Before the fleet's size is known a VM has no part of a limit.
-func TestAloneBeforeTheFleetIsKnown(t *testing.T) {
+func TestNoLocalTokensBeforeFleetSizeIsKnown(t *testing.T) {
 	ch := &charge.Charger{Self: "a", ID: 1, Peers: peers{&testNet{}, "a"}}
 	or := order(1)
 	or.MaxWait = 0
--- a/internal/pool/pace_test.go
+++ b/internal/pool/pace_test.go
@@ -37,7 +37,7 @@
 	assert.Assert(t, pc.estimate(0) >= 40 && pc.estimate(0) <= 42, "a mean where nothing has a size")
 }
 
-func TestPaceFollows(t *testing.T) {
+func TestPaceAdapts(t *testing.T) {
 	var pc pace
 	for range 50 {
 		pc.add(1000, 100)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -65,7 +65,7 @@
 	assert.Equal(t, po.Waiting(), 0)
 }
 
-func TestNewRequestsGoFirstWherePlacesAreWanting(t *testing.T) {
+func TestNewRequestsGoFirstDuringShortage(t *testing.T) {
 	po := newPool(board.Decode)
 	back := po.Enter(0, pool.Request{Returning: true})
 	assert.Assert(t, po.IsFirst(back, true), "no new one waits")
@@ -78,7 +78,7 @@
 
 // Who must leave room for further requests is not sent to engines that have
 // none.
-func TestDecodersWithRoomToSpare(t *testing.T) {
+func TestDecodeCandidatesKeepHeadroom(t *testing.T) {
 	po := newPool(board.Decode, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300}
 	need := func(id string, more int) int { return needs[id] + 150*(more-1) }
@@ -88,14 +88,14 @@
 }
 
 // An engine that is to come last does, however empty it is.
-func TestDecodersThatComeLast(t *testing.T) {
+func TestLastResortEnginesComeLast(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Decode)
 	needs := map[string]int{"a": 0, "b": 300, "c": 200}
 	want := pool.Requirements{Limit: 500, Peak: func(id string, _ int) int { return needs[id] }, LastResort: func(id string) bool { return id == "a" }}
 	assert.DeepEqual(t, ids(po.DecodeCandidates(0, want)), []string{"c", "b", "a"})
 }
 
-func TestDecodersThatNeedLeastComeFirst(t *testing.T) {
+func TestDecodeCandidatesByLowestPeak(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 100, "d": 0}
 	need := func(id string, more int) int { return needs[id] + 100*(more-1) }
@@ -104,7 +104,7 @@
 }
 
 // A request takes no room that others, which wait for longer, take first.
-func TestDecodersLeaveRoomToThoseBefore(t *testing.T) {
+func TestDecodeCandidatesLeaveRoomForRequestsAhead(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300, "d": 100}
 	need := func(id string, more int) int { return needs[id] + 150*(more-1) }
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestFullEngineIsAskedAgainLaterOrForLess(t *testing.T) {
+func TestFullEngineIsRetriedLaterOrForLess(t *testing.T) {
 	po := newPool(board.Decode)
 	po.MarkFull(100, "a", 1000)
 	assert.Equal(t, len(decoders(po, 101, 1000)), 0)
@@ -162,7 +162,7 @@
 
 // An engine that is not what its entry says gets nothing until the entry
 // changes, however often the same entry is read.
-func TestDeniedEntry(t *testing.T) {
+func TestRejectedEntry(t *testing.T) {
 	po := newPool(board.Decode, board.Decode)
 	po.RejectEntry("a")
 	po.Update(engines(board.Decode, board.Decode))
@@ -227,7 +227,7 @@
 
 // An engine that asked for rest is asked for nothing until then, be there another one
 // or not.
-func TestRestingEngineGetsNothing(t *testing.T) {
+func TestBackedOffEngineGetsNothing(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill)
 	po.BackOff(0, "a", 500)
 	assert.DeepEqual(t, ids(decoders(po, 499, 1)), []string{"b"})
--- a/internal/pool/prefill_test.go
+++ b/internal/pool/prefill_test.go
@@ -20,7 +20,7 @@
 	return po, pool.Prompt{Tokens: 5000, Domain: "x", QueuedTokens: func(id string) int { return loads[id] }}
 }
 
-func TestPrefillerThatIsDoneFirst(t *testing.T) {
+func TestChoosePrefillByCompletionTime(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		ahead  map[string]int
@@ -49,7 +49,7 @@
 
 // An engine that reads more slowly gets a prompt when the faster one has more
 // before it than that makes up for.
-func TestPrefillerByTheSpeedThatItShows(t *testing.T) {
+func TestChoosePrefillByObservedSpeed(t *testing.T) {
 	ahead := map[string]int{}
 	po, pr := twoDomainPool(ahead)
 	pr.Domain = "z"
@@ -72,7 +72,7 @@
 	assert.Equal(t, pf.Server.ID, "b")
 }
 
-func TestPromptThatTheDecodeEngineComputes(t *testing.T) {
+func TestShouldPrefillAtDecoder(t *testing.T) {
 	po, _ := twoDomainPool(nil)
 	for _, tokens := range []int{2000, 5000, 9000, 3000} {
 		po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: "a"}}, tokens, clock.Millis(tokens/50))
--- a/internal/pool/prompts_test.go
+++ b/internal/pool/prompts_test.go
@@ -42,7 +42,7 @@
 // of this engine, and what it took to be the engine's pace. From then on all prompts of
 // all VMs went there, and since only a prompt with nothing before it teaches the pace,
 // nothing corrected it.
-func TestOneFastPromptDoesNotDrawAllOthers(t *testing.T) {
+func TestOneFastPromptDoesNotAttractAllOthers(t *testing.T) {
 	po := newPool(board.Prefill, board.Prefill, board.Prefill)
 	list := engines(board.Prefill, board.Prefill, board.Prefill)
 	for _, ob := range []struct {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -81,7 +81,7 @@
 }
 
 // A keeper that was frozen, or cut off, gives out no more than what it had leases for.
-func TestKeeperWakesWithoutLeases(t *testing.T) {
+func TestKeeperResumesWithoutLeases(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
 	assert.Assert(t, pa.need(4000, 500).Granted)
@@ -157,7 +157,7 @@
 }
 
 // What was taken and not used comes back once.
-func TestBackOnce(t *testing.T) {
+func TestTokensAreReturnedOnce(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
 	assert.Assert(t, pa.need(4000, 400).Granted)
@@ -197,7 +197,7 @@
 }
 
 // Where no keeper answers a VM may use a little of the slack, and in each window again.
-func TestAloneWhileLent(t *testing.T) {
+func TestTakeLocalWhileLent(t *testing.T) {
 	st := quota.Settings{Window: 8 * clock.Second, Slack: 8000}
 	pa := newPair(st)
 	for now := clock.Millis(0); now <= 40*clock.Second; now += renewEvery {
@@ -214,7 +214,7 @@
 
 // A keeper without a limit of the customer says so; customers that are gone are
 // forgotten.
-func TestUnknownAndForgotten(t *testing.T) {
+func TestUnknownLimitAndEviction(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
 	for _, lim := range []*quota.Limit{nil, {}} {
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -330,7 +330,7 @@
 
 // What holds of a limit holds of its shards, whose requests are as large, and the shards'
 // bounds make up the bound of the whole.
-func TestShardHoldsUnderFaults(t *testing.T) {
+func TestShardLimitHoldsUnderFaults(t *testing.T) {
 	worst := 0.0
 	for seed := range *seeds {
 		for _, lim := range []quota.Limit{simLimit, {Rate: 26000, Burst: 94000}} {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -90,7 +90,7 @@
 	t.Logf("%d requests, all attempts fail: %d retries (%.1f%%)", requests, retries["cu"], 100*float64(retries["cu"])/requests)
 }
 
-func TestBudgetsAreApart(t *testing.T) {
+func TestBudgetsAreSeparate(t *testing.T) {
 	po := policy(3)
 	at := attempt()
 	for range DefaultBurst {
@@ -235,7 +235,7 @@
 }
 
 // What is taken is gone until it is returned, and no more is taken than there is.
-func TestTakeAndReturn(t *testing.T) {
+func TestSpendAndRefund(t *testing.T) {
 	po := policy(1)
 	assert.Equal(t, po.Balance(0, "cu", "svc"), float64(DefaultBurst))
 	assert.Assert(t, po.Spend(0, "cu", "svc", DefaultBurst-1))
--- a/internal/roles/keeper_test.go
+++ b/internal/roles/keeper_test.go
@@ -126,7 +126,7 @@
 
 // Two VMs that both hold themselves for the one that orders: one does, tokens
 // never go back, and the other follows only after the lease's end.
-func TestTwoKeepersTakeNoTurns(t *testing.T) {
+func TestOnlyOneKeeperOrdersAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(4, 4)}
 		ctx, stop := context.WithCancel(t.Context())
@@ -206,7 +206,7 @@
 }
 
 // A VM whose token an engine refuses stops for longer than a lease lasts.
-func TestRefusedTokenRests(t *testing.T) {
+func TestRejectedTokenPausesKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(4, 4), token: 1000}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/roles/plan_test.go
+++ b/internal/roles/plan_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestOrderedChangeCountsBeforeItShows(t *testing.T) {
+func TestOrderedChangeCountsBeforeItIsListed(t *testing.T) {
 	pl := roles.Plan{SwitchTime: 6 * clock.Second}
 	list := engines(3, 5)
 	pl.Next(0, list)
--- a/internal/usage/reports_test.go
+++ b/internal/usage/reports_test.go
@@ -74,7 +74,7 @@
 }
 
 // Words of VMs that are gone are dropped in time.
-func TestReportsOfVMsThatAreGone(t *testing.T) {
+func TestStaleReportsArePruned(t *testing.T) {
 	var rs reports
 	for ix := range 500 {
 		rs.apply(0, fmt.Sprint(ix), Report{Runs: []Run{{Engine: "e", Tokens: 1}}})
@@ -86,7 +86,7 @@
 
 // A place that was assumed counts until its VM tells of its runs, or does not
 // for long; a prompt counts until the VM can have told of it.
-func TestAssumed(t *testing.T) {
+func TestAssumedPlacement(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		at           clock.Millis
@@ -115,7 +115,7 @@
 // A word that a VM told before it had its answer says nothing of the place. The
 // place counts until the VM's next words must tell of it, and once a word does, it
 // counts once.
-func TestAssumedAndToldMeanwhile(t *testing.T) {
+func TestAssumedPlacementAndLaterReports(t *testing.T) {
 	before := Report{Runs: []Run{{Engine: "e", Tokens: 3}, {Engine: "x", Tokens: 1}}}
 	le := ledgerWithoutMargin()
 	le.ApplyReport(0, "vm-2", before)
--- a/internal/usage/turn_test.go
+++ b/internal/usage/turn_test.go
@@ -18,7 +18,7 @@
 }
 
 // A request of a higher priority at another VM goes first, whether it came back or not.
-func TestBeforeByPriority(t *testing.T) {
+func TestCountAheadByPriority(t *testing.T) {
 	var le Ledger
 	le.ApplyReport(1000, "vm-2", Report{Waiting: []WaitingRequest{
 		{Service: "s", Returning: true, Turn: NewTurn(0, 9<<8), Age: 10}, {Service: "s", Turn: NewTurn(2, 1<<8), Age: 10}}})
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -53,7 +53,7 @@
 	return &Ledger{lengths: lengths{all: ratios{weight: many, sum: many, squares: many}}}
 }
 
-func TestLedgerJoinsOwnAndOthers(t *testing.T) {
+func TestPeakOfOwnAndRemoteRuns(t *testing.T) {
 	le := ledgerWithoutMargin()
 	en := le.Begin(Run{Engine: "e1", Tokens: 100, Left: 50})
 	le.Begin(Run{Engine: "e2", Tokens: 7, Left: 0})
@@ -69,7 +69,7 @@
 }
 
 // What another VM told grows on until its next word.
-func TestOthersGrowMeanwhile(t *testing.T) {
+func TestRemoteRunsGrowBetweenReports(t *testing.T) {
 	le := ledgerWithoutMargin()
 	own := le.Begin(Run{Engine: "e2"})
 	for at := range clock.Millis(10) {
@@ -101,7 +101,7 @@
 	assert.Equal(t, len(le.Report(0).Prompts), 0)
 }
 
-func TestPlacesAreWanting(t *testing.T) {
+func TestShortage(t *testing.T) {
 	var le, other Ledger
 	assert.Assert(t, !le.HasShortage(0))
 	other.MarkShortage(100)
@@ -128,7 +128,7 @@
 	assert.Equal(t, len(le.Report(6001).Avoided), 0)
 }
 
-func TestRequestsThatGoBefore(t *testing.T) {
+func TestCountAhead(t *testing.T) {
 	mayWait := func(back bool) clock.Millis {
 		if back {
 			return 3000
