--- a/internal/claim/asker.go
+++ b/internal/claim/asker.go
@@ -13,15 +13,15 @@
 const (
 	defaultPatience   = 2 * clock.Second
 	defaultAskTimeout = 300 * clock.Millis(1)
-	firstBackoff      = 20 * clock.Millis(1)
-	grantValid        = 10 * clock.Second
-	maxSupers         = 3
+	minBackoff        = 20 * clock.Millis(1)
+	grantTTL          = 10 * clock.Second
+	maxSupersedes     = 3
 )
 
 type (
 	// Asker is one request's search for the grants of its key's seats, and
 	// afterwards the runner's link to them. Set the exported fields before
-	// the first Step, and pass Changed for as long as the key runs here.
+	// the first Step, and pass ViewChanged for as long as the key runs here.
 	Asker struct {
 		Self        board.VMRef
 		Customer    string
@@ -31,33 +31,33 @@
 		// Fresh says that this VM made the key for this request, so that
 		// nobody can have asked for it before.
 		Fresh bool
-		// GivenUp is a runner that said that it does not know the key.
-		GivenUp    board.VMRef
+		// LostRunner is a runner that said that it does not know the key.
+		LostRunner board.VMRef
 		Keep       clock.Millis // how long seats keep the key after its end
 		Patience   clock.Millis // span for the search; two seconds by default
 		AskTimeout clock.Millis // span for one ask; 300 ms by default
 		Rand       *rand.Rand   // for claim numbers and jitter
 
-		// Stray counts replies to asks that were given up.
-		Stray uint64
+		// StrayReplies counts replies to asks that were given up.
+		StrayReplies uint64
 
-		seats   *Seats
-		fleet   *board.Fleet
-		group   Group
-		phase   phase
-		began   clock.Millis
-		round   int
-		roundAt clock.Millis // when the round began
-		retryAt clock.Millis
-		claim   uint64
-		attempt uint32
-		super   *peerpb.ClaimReply // the dead runner's claim to replace
-		supers  int                // how many were replaced so far
-		number  uint64             // of the last ask
-		without guard              // only tests take guards away
-		asks    []seatAsk          // of this round
-		told    []board.VMRef      // seats that heard of the claim, in any round
-		became  Became             // what the seats were told last
+		seats          *SeatTable
+		fleet          *board.Fleet
+		group          Group
+		phase          phase
+		startedAt      clock.Millis
+		round          int
+		roundStart     clock.Millis // when the round began
+		retryAt        clock.Millis
+		claim          uint64
+		attempt        uint32
+		superseded     *peerpb.ClaimReply // the dead runner's claim to replace
+		supersedeCount int                // how many were replaced so far
+		lastNumber     uint64             // of the last ask
+		disabled       guard              // only tests take guards away
+		asks           []seatAsk          // of this round
+		notified       []board.VMRef      // seats that heard of the claim, in any round
+		lastState      StateChanged       // what the seats were told last
 	}
 
 	// seatAsk is one ask of a round.
@@ -81,23 +81,23 @@
 	decided
 )
 
-// Step takes one event. After Decided, only Became and Revalidate have an
+// Step takes one event. After Decided, only StateChanged and Revalidate have an
 // effect.
 func (ak *Asker) Step(now clock.Millis, ev AskerEvent) []AskerIntent {
 	switch ev := ev.(type) {
 	case Begin:
-		ak.seats, ak.fleet, ak.began, ak.phase = ev.Seats, ev.Fleet, now, asking
-		return ak.begin(now)
+		ak.seats, ak.fleet, ak.startedAt, ak.phase = ev.Seats, ev.Fleet, now, asking
+		return ak.beginRound(now)
 	case Replied:
 		return ak.replied(now, ev)
-	case Failed:
+	case AskFailed:
 		return ak.failed(now, ev.Number)
-	case Changed:
+	case ViewChanged:
 		return ak.changed(now, ev)
-	case Elapsed:
+	case AskerTick:
 		return ak.elapsed(now)
-	case Became:
-		return ak.tell(ev)
+	case StateChanged:
+		return ak.announceState(ev)
 	case Revalidate:
 		return ak.revalidate(now, ev)
 	}
@@ -110,66 +110,66 @@
 	ak.seats, ak.fleet = ev.Seats, ev.Fleet
 	if ak.phase == asking || ak.phase == backingOff {
 		ak.phase = asking
-		return ak.begin(now)
+		return ak.beginRound(now)
 	}
-	ak.began, ak.phase, ak.round = now, confirming, 0
-	return ak.begin(now)
+	ak.startedAt, ak.phase, ak.round = now, confirming, 0
+	return ak.beginRound(now)
 }
 
-// begin starts a round.
-func (ak *Asker) begin(now clock.Millis) []AskerIntent {
+// beginRound starts a round.
+func (ak *Asker) beginRound(now clock.Millis) []AskerIntent {
 	ak.group = ak.seats.Group(ak.Customer, ak.Key)
-	ak.asks, ak.roundAt = nil, now
+	ak.asks, ak.roundStart = nil, now
 	if ak.claim == 0 {
 		ak.claim = ak.Rand.Uint64() | 1
 	}
 	if len(ak.group) == 0 {
-		return ak.roundOver(now, tally{})
+		return ak.endRound(now, tally{})
 	}
-	return ak.next(now)
+	return ak.askNext(now)
 }
 
-// next asks the seat after the last one asked.
-func (ak *Asker) next(now clock.Millis) []AskerIntent {
+// askNext asks the seat after the last one asked.
+func (ak *Asker) askNext(now clock.Millis) []AskerIntent {
 	to := ak.group[len(ak.asks)]
-	ak.number++
+	ak.lastNumber++
 	timeout := cmp.Or(ak.AskTimeout, defaultAskTimeout)
-	ak.asks = append(ak.asks, seatAsk{number: ak.number, to: to, expires: now + timeout})
-	if !slices.Contains(ak.told, to) {
-		ak.told = append(ak.told, to)
+	ak.asks = append(ak.asks, seatAsk{number: ak.lastNumber, to: to, expires: now + timeout})
+	if !slices.Contains(ak.notified, to) {
+		ak.notified = append(ak.notified, to)
 	}
 	ask := &peerpb.ClaimAsk{
 		Key: ak.Key, Customer: ak.Customer, Fingerprint: ak.Fingerprint,
 		RunnerID: ak.Self.ID, RunnerIncarnation: ak.Self.Incarnation,
 		Idempotent: ak.Idempotent, Keep: int64(ak.Keep), Claim: ak.claim,
-		Group: ak.group.digest(), Supersedes: ak.super.GetClaim(), Confirm: ak.phase == confirming,
+		Group: ak.group.digest(), Supersedes: ak.superseded.GetClaim(), Confirm: ak.phase == confirming,
 	}
-	return []AskerIntent{SendAsk{Number: ak.number, To: to, Ask: ask}, Wake{now + timeout}}
+	return []AskerIntent{SendAsk{Number: ak.lastNumber, To: to, Ask: ask}, Wake{now + timeout}}
 }
 
 func (ak *Asker) replied(now clock.Millis, ev Replied) []AskerIntent {
-	sa := ak.find(ev.Number)
+	sa := ak.findAsk(ev.Number)
 	if sa != nil && sa.reply == nil && ak.phase == decided && ak.claim != 0 {
-		return ak.tellLate(sa.to, ev.Reply)
+		return ak.announceLate(sa.to, ev.Reply)
 	}
 	if sa == nil || sa.reply != nil || (ak.phase != asking && ak.phase != confirming) {
-		ak.Stray++
+		ak.StrayReplies++
 		return nil
 	}
 	sa.reply, sa.failed = ev.Reply, false
-	return ak.weigh(now)
+	return ak.evaluate(now)
 }
 
 func (ak *Asker) failed(now clock.Millis, number uint64) []AskerIntent {
-	sa := ak.find(number)
+	sa := ak.findAsk(number)
 	if sa == nil || sa.failed || sa.reply != nil || (ak.phase != asking && ak.phase != confirming) {
 		return nil
 	}
 	sa.failed = true
-	return ak.weigh(now)
+	return ak.evaluate(now)
 }
 
-func (ak *Asker) find(number uint64) *seatAsk {
+func (ak *Asker) findAsk(number uint64) *seatAsk {
 	for ix := range ak.asks {
 		if ak.asks[ix].number == number {
 			return &ak.asks[ix]
@@ -180,7 +180,7 @@
 
 // changed takes in a new table or view. Grants of another group count no
 // more; the claim keeps its number, so seats of both groups grant it again.
-func (ak *Asker) changed(now clock.Millis, ev Changed) []AskerIntent {
+func (ak *Asker) changed(now clock.Millis, ev ViewChanged) []AskerIntent {
 	if ev.Fleet != nil {
 		ak.fleet = ev.Fleet
 	}
@@ -194,33 +194,33 @@
 	if ak.seats.Group(ak.Customer, ak.Key).digest() == ak.group.digest() {
 		return nil
 	}
-	return ak.begin(now)
+	return ak.beginRound(now)
 }
 
 func (ak *Asker) elapsed(now clock.Millis) []AskerIntent {
 	switch ak.phase {
 	case asking, confirming:
-		return ak.expire(now)
+		return ak.expireAsks(now)
 	case backingOff:
 		if now < ak.retryAt {
 			return []AskerIntent{Wake{ak.retryAt}}
 		}
 		ak.phase = asking
-		return ak.begin(now)
+		return ak.beginRound(now)
 	case confirmingLater:
 		if now < ak.retryAt {
 			return []AskerIntent{Wake{ak.retryAt}}
 		}
 		ak.phase = confirming
-		return ak.begin(now)
+		return ak.beginRound(now)
 	case idle, decided:
 	}
 	return nil
 }
 
-// expire gives up the asks whose time is over. It asks for another Elapsed for
+// expireAsks gives up the asks whose time is over. It asks for another AskerTick for
 // one that still waits: the Wake that came may have been that of an ask before.
-func (ak *Asker) expire(now clock.Millis) []AskerIntent {
+func (ak *Asker) expireAsks(now clock.Millis) []AskerIntent {
 	hit := false
 	var out []AskerIntent
 	for ix := range ak.asks {
@@ -234,58 +234,58 @@
 		}
 	}
 	if hit {
-		out = append(out, ak.weigh(now)...)
+		out = append(out, ak.evaluate(now)...)
 	}
 	return out
 }
 
-// giveBack releases the claim at all seats that heard of it, whatever they
+// releaseAll releases the claim at all seats that heard of it, whatever they
 // answered: one that granted it may have handed it on meanwhile to one that
 // did not. The claim's number is never used again.
-func (ak *Asker) giveBack() []AskerIntent {
+func (ak *Asker) releaseAll() []AskerIntent {
 	var out []AskerIntent
-	for _, to := range ak.told {
-		out = append(out, SendUpdate{To: to, Update: ak.update(Released)})
+	for _, to := range ak.notified {
+		out = append(out, SendUpdate{To: to, Update: ak.newUpdate(Released)})
 	}
-	ak.claim, ak.super, ak.told, ak.became = 0, nil, nil, Became{}
+	ak.claim, ak.superseded, ak.notified, ak.lastState = 0, nil, nil, StateChanged{}
 	return out
 }
 
-func (ak *Asker) update(state State) *peerpb.ClaimUpdate {
+func (ak *Asker) newUpdate(state State) *peerpb.ClaimUpdate {
 	return &peerpb.ClaimUpdate{
 		Key: ak.Key, Customer: ak.Customer, RunnerID: ak.Self.ID, RunnerIncarnation: ak.Self.Incarnation,
 		Attempt: ak.attempt, State: string(state), Claim: ak.claim,
 	}
 }
 
-// tell sends the seats the state of the claim that runs.
-func (ak *Asker) tell(bc Became) []AskerIntent {
+// announceState sends the seats the state of the claim that runs.
+func (ak *Asker) announceState(bc StateChanged) []AskerIntent {
 	if ak.phase != decided || ak.claim == 0 {
 		return nil
 	}
-	if ak.super != nil && !ak.Idempotent && bc.State.over() {
+	if ak.superseded != nil && !ak.Idempotent && bc.State.freesKey() {
 		return nil // the runner before may have run it
 	}
-	ak.became = bc
+	ak.lastState = bc
 	var out []AskerIntent
 	for _, to := range ak.seats.Group(ak.Customer, ak.Key) {
-		out = append(out, ak.word(to))
+		out = append(out, ak.stateUpdate(to))
 	}
 	return out
 }
 
-// tellLate tells a seat whose reply comes while the claim runs already what
+// announceLate tells a seat whose reply comes while the claim runs already what
 // became of it meanwhile: word that came before the record had no effect.
-func (ak *Asker) tellLate(to board.VMRef, rp *peerpb.ClaimReply) []AskerIntent {
-	if Answer(rp.GetVerdict()) != Granted || ak.became.State == "" {
+func (ak *Asker) announceLate(to board.VMRef, rp *peerpb.ClaimReply) []AskerIntent {
+	if Answer(rp.GetVerdict()) != Granted || ak.lastState.State == "" {
 		return nil
 	}
-	return []AskerIntent{ak.word(to)}
+	return []AskerIntent{ak.stateUpdate(to)}
 }
 
-// word is what a seat is told of the claim that runs.
-func (ak *Asker) word(to board.VMRef) SendUpdate {
-	up := ak.update(ak.became.State)
-	up.DecodeServer, up.DecodeIncarnation, up.EngineRequest = ak.became.DecodeServer, ak.became.DecodeIncarnation, ak.became.EngineRequest
+// stateUpdate is what a seat is told of the claim that runs.
+func (ak *Asker) stateUpdate(to board.VMRef) SendUpdate {
+	up := ak.newUpdate(ak.lastState.State)
+	up.DecodeServer, up.DecodeIncarnation, up.EngineRequest = ak.lastState.DecodeServer, ak.lastState.DecodeIncarnation, ak.lastState.EngineRequest
 	return SendUpdate{To: to, Update: up}
 }
--- a/internal/claim/asker_test.go
+++ b/internal/claim/asker_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-func testSeats() *Seats {
-	st, err := (*Seats)(nil).With(1, table(0, vmA, vmB, vmC))
+func testSeats() *SeatTable {
+	st, err := (*SeatTable)(nil).With(1, table(0, vmA, vmB, vmC))
 	if err != nil {
 		panic(err)
 	}
@@ -59,7 +59,7 @@
 			asks++
 			rp := script[indexOf(ak.group, in.To)]
 			if rp == nil {
-				todo = append(todo, ak.Step(now, Failed{in.Number})...)
+				todo = append(todo, ak.Step(now, AskFailed{in.Number})...)
 				continue
 			}
 			todo = append(todo, ak.Step(now, Replied{in.Number, rp})...)
@@ -68,7 +68,7 @@
 		case Wake:
 			if ak.phase == backingOff || ak.phase == confirmingLater {
 				now = max(now, in.At)
-				todo = append(todo, ak.Step(now, Elapsed{})...)
+				todo = append(todo, ak.Step(now, AskerTick{})...)
 			}
 		case Decided:
 			dc = in
@@ -97,11 +97,13 @@
 	return rp
 }
 
-func says(ans Answer) *peerpb.ClaimReply { return &peerpb.ClaimReply{Verdict: string(ans), Attempt: 1} }
+func replyWith(ans Answer) *peerpb.ClaimReply {
+	return &peerpb.ClaimReply{Verdict: string(ans), Attempt: 1}
+}
 
 // TestAskerVerdicts knows vmB as alive and vmD as dead.
 func TestAskerVerdicts(t *testing.T) {
-	ok, full, settling := says(Granted), says(Full), says(Settling)
+	ok, full, settling := replyWith(Granted), replyWith(Full), replyWith(Settling)
 	tests := []askerCase{
 		{name: "Grants", script: seatScript{ok, ok, nil}, want: Run, asks: 2},
 		{name: "HomeDead", script: seatScript{nil, ok, ok}, want: Run, asks: 3},
@@ -117,7 +119,7 @@
 		{name: "DeadDispatched", script: seatScript{held(vmD, Dispatched, 5), ok, ok}, want: InDoubt, ran: refusal.MayHaveRun, asks: 1},
 		{name: "DeadComplete", script: seatScript{held(vmD, Complete, 5), ok, ok}, want: Ended, ran: refusal.MayHaveRun, asks: 1},
 		{name: "Doubtful", script: seatScript{held(vmB, Doubtful, 5), nil, nil}, want: InDoubt, ran: refusal.MayHaveRun},
-		{name: "OtherRequest", script: seatScript{ok, says(OtherPrint), nil}, want: Reused, ran: refusal.NotRun, asks: 2},
+		{name: "OtherRequest", script: seatScript{ok, replyWith(OtherPrint), nil}, want: Reused, ran: refusal.NotRun, asks: 2},
 		{name: "IdempotentOneGrant", idempotent: true, script: seatScript{ok, nil, nil}, want: Run, asks: 2},
 		{name: "IdempotentNoSeat", idempotent: true, script: seatScript{nil, nil, nil}, want: Run},
 		{name: "IdempotentFollow", idempotent: true, script: seatScript{nil, held(vmB, Claimed, 5), nil}, want: Follow, asks: 2},
@@ -143,7 +145,7 @@
 // A runner that was paused goes on only if the seats still have its claim.
 func TestRevalidate(t *testing.T) {
 	fl := &board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, vmC}}
-	ok, absent := says(Granted), says(Absent)
+	ok, absent := replyWith(Granted), replyWith(Absent)
 	for _, tc := range []struct {
 		name       string
 		idempotent bool
@@ -153,7 +155,7 @@
 		{"Kept", false, seatScript{ok, nil, ok}, Run},
 		{"Forgotten", false, seatScript{absent, ok, absent}, Lost},
 		{"Unreachable", false, seatScript{nil, nil, nil}, Lost},
-		{"Settling", false, seatScript{says(Settling), ok, says(Settling)}, Lost},
+		{"Settling", false, seatScript{replyWith(Settling), ok, replyWith(Settling)}, Lost},
 		{"Superseded", true, seatScript{held(vmB, Claimed, 9), ok, nil}, Lost},
 		{"IdempotentKept", true, seatScript{ok, nil, nil}, Run},
 	} {
@@ -183,7 +185,7 @@
 		first.Idempotent = idempotent
 		dc := playBooks(first, Begin{testSeats(), alive}, books)
 		assert.Equal(t, dc.Verdict, Run)
-		for _, in := range first.Step(0, Became{State: Decoding, DecodeServer: "decode-1", EngineRequest: "er-1"}) {
+		for _, in := range first.Step(0, StateChanged{State: Decoding, DecodeServer: "decode-1", EngineRequest: "er-1"}) {
 			up := in.(SendUpdate)
 			books[up.To].Step(0, Updated{up.Update})
 		}
@@ -223,10 +225,10 @@
 func TestStrayReply(t *testing.T) {
 	ak := testAsker()
 	fl := &board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, vmC}}
-	dc, _, _ := play(ak, Begin{testSeats(), fl}, seatScript{says(Granted), says(Granted), nil})
+	dc, _, _ := play(ak, Begin{testSeats(), fl}, seatScript{replyWith(Granted), replyWith(Granted), nil})
 	assert.Equal(t, dc.Verdict, Run)
 	assert.Equal(t, len(ak.Step(0, Replied{1, held(vmB, Complete, 5)})), 0)
-	assert.Equal(t, ak.Stray, uint64(1))
+	assert.Equal(t, ak.StrayReplies, uint64(1))
 }
 
 // The second record of an idempotent key is asked for while the request runs
@@ -243,7 +245,7 @@
 	ak.Idempotent = true
 	ak.Step(0, Begin{testSeats(), &board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, vmC}}})
 	var second SendAsk
-	for _, in := range ak.Step(0, Replied{1, says(Granted)}) {
+	for _, in := range ak.Step(0, Replied{1, replyWith(Granted)}) {
 		if ask, ok := in.(SendAsk); ok {
 			second = ask
 		}
@@ -256,7 +258,7 @@
 			}
 		}
 	}
-	tell(ak.Step(0, Became{State: Decoding, DecodeServer: "decode-1", EngineRequest: "er-1"}))
+	tell(ak.Step(0, StateChanged{State: Decoding, DecodeServer: "decode-1", EngineRequest: "er-1"}))
 	tell(ak.Step(0, Replied{second.Number, reply(bk, 0, second.Ask)}))
 
 	other := proto.CloneOf(second.Ask)
@@ -265,5 +267,5 @@
 	assert.Equal(t, Answer(rp.GetVerdict()), Held)
 	assert.Equal(t, State(rp.GetState()), Decoding)
 	assert.Equal(t, rp.GetDecodeServer(), "decode-1")
-	assert.Equal(t, ak.Stray, uint64(0))
+	assert.Equal(t, ak.StrayReplies, uint64(0))
 }
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -30,8 +30,8 @@
 	vms := benchVMs(size)
 	books := map[board.VMRef]*Book{}
 	for _, vm := range vms {
-		bk := &Book{Self: vm.VMRef, FromStart: true, Settings: Settings{Cap: 1 << 22}}
-		bk.Step(0, Seated{Epoch: 1, Table: table(0, vms...)})
+		bk := &Book{Self: vm.VMRef, FromLogStart: true, Settings: Settings{MaxRecords: 1 << 22}}
+		bk.Step(0, TableAppended{Epoch: 1, Table: table(0, vms...)})
 		books[vm.VMRef] = bk
 	}
 	return books
@@ -83,7 +83,7 @@
 	const records = 50_000
 	for b.Loop() {
 		bk := seatedBook(vmA, Settings{})
-		before := heap()
+		before := heapBytes()
 		for ix := range records {
 			key := fmt.Sprintf("0190f6c2-7d1e-7a3b-9c4d-%012x", ix)
 			raw, err := proto.Marshal(askFor(bk, key, uint64(ix)+1, vmB))
@@ -96,12 +96,12 @@
 			}
 			reply(bk, 0, &ask)
 		}
-		b.ReportMetric(float64(heap()-before)/records, "B/record")
+		b.ReportMetric(float64(heapBytes()-before)/records, "B/record")
 		runtime.KeepAlive(bk)
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var ms runtime.MemStats
@@ -124,13 +124,13 @@
 	var messages, bytes, records int
 	for b.Loop() {
 		b.StopTimer()
-		bk := &Book{Self: vms[0].VMRef, FromStart: true, Settings: Settings{Life: clock.Hour}}
-		bk.Step(0, Seated{Epoch: 1, Table: table(0, vms...)})
+		bk := &Book{Self: vms[0].VMRef, FromLogStart: true, Settings: Settings{ClaimTTL: clock.Hour}}
+		bk.Step(0, TableAppended{Epoch: 1, Table: table(0, vms...)})
 		for ix := 0; len(bk.recs.byName) < 1_000; ix++ {
 			reply(bk, 0, askFor(bk, fmt.Sprintf("0190f6c2-7d1e-7a3b-9c4d-%012x", ix), 1, vmB))
 		}
 		b.StartTimer()
-		for _, in := range bk.Step(0, Seated{Epoch: 2, Table: next}) {
+		for _, in := range bk.Step(0, TableAppended{Epoch: 2, Table: next}) {
 			if sh, ok := in.(SendHandoff); ok {
 				messages++
 				bytes += proto.Size(sh.Handoff)
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	defaultCap      = 100_000
-	defaultLife     = 30 * clock.Minute
-	defaultSettle   = clock.Second
-	defaultKeepDead = 30 * clock.Second
-	resendAfter     = clock.Second
+	defaultMaxRecords  = 100_000
+	defaultClaimTTL    = 30 * clock.Minute
+	defaultSettleSpan  = clock.Second
+	defaultDeadSeatTTL = 30 * clock.Second
+	resendDelay        = clock.Second
 )
 
 type (
 	// Settings of a Book. Each zero field stands for its default.
 	Settings struct {
-		// Cap bounds the number of records that asks leave; 100,000 by
+		// MaxRecords bounds the number of records that asks leave; 100,000 by
 		// default. Records handed over may be as many again.
-		Cap int
-		// Life is how long a claim without an end is kept after it was last
+		MaxRecords int
+		// ClaimTTL is how long a claim without an end is kept after it was last
 		// heard of; 30 minutes by default. It must exceed the longest
 		// request and the longest Keep together.
-		Life clock.Millis
-		// Settle is how long the fleet must look the same before a table is
+		ClaimTTL clock.Millis
+		// SettleSpan is how long the fleet must look the same before a table is
 		// proposed; one second by default.
-		Settle clock.Millis
-		// KeepDead is how long a VM that is held dead keeps its seat; 30
+		SettleSpan clock.Millis
+		// DeadSeatTTL is how long a VM that is held dead keeps its seat; 30
 		// seconds by default. Until then its groups work with the two
 		// others.
-		KeepDead clock.Millis
+		DeadSeatTTL clock.Millis
 	}
 
 	// Counts of what a Book did.
@@ -54,37 +54,37 @@
 	Book struct {
 		Self     board.VMRef
 		Settings Settings
-		// FromStart says that the log stream of seat tables is read from its
-		// very first record. A book without it waits for Restored, so that
+		// FromLogStart says that the log stream of seat tables is read from its
+		// very first record. A book without it waits for HistoryReceived, so that
 		// it never mistakes a later table for the first.
-		FromStart bool
+		FromLogStart bool
 
-		recs     records
-		seats    *Seats
-		learned  map[uint64]clock.Millis // when each table was learned
-		received map[uint64]map[board.VMRef]bool
-		partial  map[source]*arriving
-		sent     map[uint64]bool // tables whose records were handed on
-		resend   []resending
-		sending  uint64
-		fleet    fleetWatch
-		counts   Counts
-		without  guard // only tests take guards away
+		recs            records
+		seats           *SeatTable
+		learnedAt       map[uint64]clock.Millis // when each table was learned
+		received        map[uint64]map[board.VMRef]bool
+		partialHandoffs map[handoffSource]*partialHandoff
+		handedOff       map[uint64]bool // tables whose records were handed on
+		pendingResends  []pendingResend
+		lastSending     uint64
+		fleet           fleetWatch
+		counts          Counts
+		disabled        guard // only tests take guards away
 	}
 
-	// source is one seat's records for one table.
-	source struct {
+	// handoffSource is one seat's records for one table.
+	handoffSource struct {
 		from  board.VMRef
 		epoch uint64
 	}
 
-	// arriving is a sending of which parts are missing.
-	arriving struct {
+	// partialHandoff is a sending of which parts are missing.
+	partialHandoff struct {
 		sending uint64
 		parts   map[uint32]bool
 	}
 
-	resending struct {
+	pendingResend struct {
 		to    board.VMRef
 		epoch uint64
 		at    clock.Millis
@@ -93,7 +93,7 @@
 
 // Seats returns the seat table in force with those before it; nil before the
 // first one.
-func (bk *Book) Seats() *Seats { return bk.seats }
+func (bk *Book) Seats() *SeatTable { return bk.seats }
 
 // Counts returns what the book did so far.
 func (bk *Book) Counts() Counts {
@@ -108,77 +108,77 @@
 	bk.recs.sweep(now)
 	switch ev := ev.(type) {
 	case Asked:
-		return []Intent{Reply{ev.Token, bk.ask(now, ev.Ask)}}
+		return []Intent{Reply{ev.Token, bk.answerAsk(now, ev.Ask)}}
 	case Updated:
 		bk.update(now, ev.Update)
 	case HandedOff:
 		bk.receive(now, ev.Handoff)
-		return bk.handOn(now)
+		return bk.handOff(now)
 	case HandoffFailed:
-		bk.resend = append(bk.resend, resending{ev.To, ev.Epoch, now + resendAfter})
-		return []Intent{Wake{now + resendAfter}}
-	case Seated:
-		return bk.seated(now, ev)
-	case Restored:
-		return bk.restore(now, ev.Seats)
-	case Fleet:
-		bk.fleet.see(now, ev.Fleet)
+		bk.pendingResends = append(bk.pendingResends, pendingResend{ev.To, ev.Epoch, now + resendDelay})
+		return []Intent{Wake{now + resendDelay}}
+	case TableAppended:
+		return bk.tableAppended(now, ev)
+	case HistoryReceived:
+		return bk.restoreHistory(now, ev.Seats)
+	case FleetChanged:
+		bk.fleet.observe(now, ev.Fleet)
 		return bk.propose(now)
 	case Tick:
-		return slices.Concat(bk.resendDue(now), bk.handOn(now), bk.propose(now))
+		return slices.Concat(bk.resendPending(now), bk.handOff(now), bk.propose(now))
 	}
 	return nil
 }
 
-// ask answers one ask. What a grant records is what later askers are told.
-func (bk *Book) ask(now clock.Millis, ask *peerpb.ClaimAsk) *peerpb.ClaimReply {
+// answerAsk answers one answerAsk. What a grant records is what later askers are told.
+func (bk *Book) answerAsk(now clock.Millis, ask *peerpb.ClaimAsk) *peerpb.ClaimReply {
 	nm := name{ask.GetCustomer(), ask.GetKey()}
 	rc := bk.recs.find(nm, now)
-	ans := bk.judge(now, nm, rc, ask)
+	ans := bk.evaluate(now, nm, rc, ask)
 	if ans != Granted {
 		if ans == Held {
 			bk.counts.Held++
 		} else {
-			bk.count(ans)
+			bk.countRefused(ans)
 		}
-		return replyOf(ans, rc)
+		return newReply(ans, rc)
 	}
 	bk.counts.Granted++
 	if rc == nil || rc.claim != ask.GetClaim() {
-		rc = bk.record(now, nm, rc, ask)
+		rc = bk.storeClaim(now, nm, rc, ask)
 	}
-	return replyOf(Granted, rc)
+	return newReply(Granted, rc)
 }
 
-func (bk *Book) judge(now clock.Millis, nm name, rc *record, ask *peerpb.ClaimAsk) Answer {
-	if !sound(nm, ask.GetRunnerID()) || ask.GetClaim() == 0 || len(ask.GetFingerprint()) > maxPrintBytes {
+func (bk *Book) evaluate(now clock.Millis, nm name, rc *record, ask *peerpb.ClaimAsk) Answer {
+	if !validNames(nm, ask.GetRunnerID()) || ask.GetClaim() == 0 || len(ask.GetFingerprint()) > maxPrintBytes {
 		return Malformed
 	}
 	gr := bk.seats.Group(nm.customer, nm.key)
 	known := slices.Contains(gr, bk.Self) && gr.digest() == ask.GetGroup()
-	if !known && bk.without&guardGroup == 0 {
+	if !known && bk.disabled&guardGroup == 0 {
 		return OtherGroup
 	}
-	if rc != nil && !rc.state.over() {
-		return bk.judgeHeld(now, nm, rc, ask)
+	if rc != nil && !rc.state.freesKey() {
+		return bk.evaluateHeld(now, nm, rc, ask)
 	}
 	switch {
 	case rc != nil && rc.claim == ask.GetClaim(), ask.GetConfirm():
 		return Absent
-	case !ask.GetIdempotent() && bk.fleet.cutOff(now, bk.life()/2):
+	case !ask.GetIdempotent() && bk.fleet.inMinorityFor(now, bk.claimTTL()/2):
 		return Minority
 	case !ask.GetIdempotent() && !bk.covers(now, nm, bk.seats):
 		return Settling
-	case rc == nil && len(bk.recs.byName) >= bk.room():
+	case rc == nil && len(bk.recs.byName) >= bk.maxRecords():
 		return Full
 	}
 	return Granted
 }
 
-// judgeHeld judges an ask for a key that is on record.
-func (bk *Book) judgeHeld(now clock.Millis, nm name, rc *record, ask *peerpb.ClaimAsk) Answer {
+// evaluateHeld judges an ask for a key that is on record.
+func (bk *Book) evaluateHeld(now clock.Millis, nm name, rc *record, ask *peerpb.ClaimAsk) Answer {
 	switch {
-	case rc.fingerprint != printOf(ask.GetFingerprint()):
+	case rc.fingerprint != hashFingerprint(ask.GetFingerprint()):
 		return OtherPrint
 	case rc.claim == ask.GetClaim():
 		if rc.state == Doubtful {
@@ -197,13 +197,13 @@
 // resumable tells whether a dead runner's decode can be read on.
 func (rc *record) resumable() bool { return rc.state == Decoding && rc.decode != nil }
 
-func (bk *Book) record(now clock.Millis, nm name, old *record, ask *peerpb.ClaimAsk) *record {
+func (bk *Book) storeClaim(now clock.Millis, nm name, old *record, ask *peerpb.ClaimAsk) *record {
 	rc := &record{
 		claim:       ask.GetClaim(),
-		fingerprint: printOf(ask.GetFingerprint()),
+		fingerprint: hashFingerprint(ask.GetFingerprint()),
 		runner:      board.VMRef{ID: ask.GetRunnerID(), Incarnation: ask.GetRunnerIncarnation()},
-		expires:     now + bk.life(),
-		keep:        min(max(clock.Millis(ask.GetKeep()), 0), bk.life()),
+		expires:     now + bk.claimTTL(),
+		keep:        min(max(clock.Millis(ask.GetKeep()), 0), bk.claimTTL()),
 		attempt:     1,
 		state:       Claimed,
 		idempotent:  ask.GetIdempotent(),
@@ -211,9 +211,9 @@
 	if old != nil {
 		rc.attempt = old.attempt + 1
 	}
-	if old != nil && !old.state.over() {
-		rc.was, rc.decode, rc.idempotent = old, old.decode, old.idempotent
-		old.was = nil
+	if old != nil && !old.state.freesKey() {
+		rc.superseded, rc.decode, rc.idempotent = old, old.decode, old.idempotent
+		old.superseded = nil
 		if !rc.idempotent {
 			rc.state = Decoding
 		}
@@ -226,7 +226,7 @@
 func (bk *Book) update(now clock.Millis, up *peerpb.ClaimUpdate) {
 	nm := name{up.GetCustomer(), up.GetKey()}
 	state := State(up.GetState())
-	if !sound(nm, up.GetRunnerID()) || up.GetClaim() == 0 || state.rank() == 0 || state == Doubtful ||
+	if !validNames(nm, up.GetRunnerID()) || up.GetClaim() == 0 || state.rank() == 0 || state == Doubtful ||
 		len(up.GetDecodeServer()) > maxNameBytes || len(up.GetEngineRequest()) > maxNameBytes {
 		bk.counts.BadMessages++
 		return
@@ -242,7 +242,7 @@
 	case state.dispatched() && !rc.state.dispatched() && up.GetAttempt() >= rc.attempt:
 		rc.claim, rc.attempt = up.GetClaim(), up.GetAttempt()
 		rc.runner = board.VMRef{ID: up.GetRunnerID(), Incarnation: up.GetRunnerIncarnation()}
-		rc.was, rc.decode, rc.state = nil, nil, Claimed
+		rc.superseded, rc.decode, rc.state = nil, nil, Claimed
 		bk.advance(now, rc, state, up)
 	}
 }
@@ -252,13 +252,13 @@
 		return
 	}
 	rc.state = state
-	if rd := resumableOf(up); rd != nil {
+	if rd := resumableDecodeOf(up); rd != nil {
 		rc.decode = rd
 	}
-	rc.expires = now + bk.life()
-	if state == Complete || state.over() {
+	rc.expires = now + bk.claimTTL()
+	if state == Complete || state.freesKey() {
 		rc.expires = now + rc.keep
-		rc.was = nil
+		rc.superseded = nil
 	}
 }
 
@@ -267,34 +267,34 @@
 func (bk *Book) release(now clock.Millis, nm name, rc *record, up *peerpb.ClaimUpdate) {
 	switch {
 	case rc == nil:
-		if len(bk.recs.byName) >= bk.room() {
+		if len(bk.recs.byName) >= bk.maxRecords() {
 			return
 		}
 		bk.recs.put(now, nm, &record{
 			claim:   up.GetClaim(),
 			runner:  board.VMRef{ID: up.GetRunnerID(), Incarnation: up.GetRunnerIncarnation()},
-			expires: now + bk.life(), state: Released,
+			expires: now + bk.claimTTL(), state: Released,
 		})
 	case rc.claim != up.GetClaim():
-	case rc.was != nil:
-		*rc = *rc.was
+	case rc.superseded != nil:
+		*rc = *rc.superseded
 	case rc.state == Claimed:
 		rc.state = Released
 	}
 }
 
-func (bk *Book) room() int { return cmp.Or(bk.Settings.Cap, defaultCap) }
+func (bk *Book) maxRecords() int { return cmp.Or(bk.Settings.MaxRecords, defaultMaxRecords) }
 
-func (bk *Book) life() clock.Millis { return cmp.Or(bk.Settings.Life, defaultLife) }
+func (bk *Book) claimTTL() clock.Millis { return cmp.Or(bk.Settings.ClaimTTL, defaultClaimTTL) }
 
-func (bk *Book) count(ans Answer) {
+func (bk *Book) countRefused(ans Answer) {
 	if bk.counts.Refused == nil {
 		bk.counts.Refused = map[Answer]uint64{}
 	}
 	bk.counts.Refused[ans]++
 }
 
-func replyOf(ans Answer, rc *record) *peerpb.ClaimReply {
+func newReply(ans Answer, rc *record) *peerpb.ClaimReply {
 	out := &peerpb.ClaimReply{Verdict: string(ans)}
 	if rc == nil || ans == OtherPrint || ans == Malformed {
 		return out
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -16,8 +16,8 @@
 )
 
 func seatedBook(self board.VM, settings Settings) *Book {
-	bk := &Book{Self: self.VMRef, Settings: settings, FromStart: true}
-	bk.Step(0, Seated{Epoch: 1, Table: table(0, vmA, vmB, vmC)})
+	bk := &Book{Self: self.VMRef, Settings: settings, FromLogStart: true}
+	bk.Step(0, TableAppended{Epoch: 1, Table: table(0, vmA, vmB, vmC)})
 	return bk
 }
 
@@ -98,7 +98,7 @@
 }
 
 func TestBookIsBounded(t *testing.T) {
-	bk := seatedBook(vmA, Settings{Cap: 10, Life: clock.Minute})
+	bk := seatedBook(vmA, Settings{MaxRecords: 10, ClaimTTL: clock.Minute})
 	for ix := range 10 {
 		assert.Equal(t, reply(bk, 0, askFor(bk, fmt.Sprint(ix), 1, vmB)).GetVerdict(), string(Granted))
 	}
@@ -117,14 +117,14 @@
 	bk.Step(10, Updated{updateOf(ask, Complete)})
 	other := askFor(bk, "key", 2, vmC)
 	assert.Equal(t, reply(bk, clock.Minute+9, other).GetVerdict(), string(Held))
-	bk.Step(2*lookAgain+2*expiryBucket, Tick{})
+	bk.Step(2*maxRecheckDelay+2*expiryBucket, Tick{})
 	assert.Equal(t, bk.Counts().Records, 0)
 }
 
 func TestMinorityGrantsNothingForLong(t *testing.T) {
-	bk := seatedBook(vmA, Settings{Life: clock.Minute})
-	bk.Step(0, Fleet{&board.Fleet{Quorate: true}})
-	bk.Step(1000, Fleet{&board.Fleet{}})
+	bk := seatedBook(vmA, Settings{ClaimTTL: clock.Minute})
+	bk.Step(0, FleetChanged{&board.Fleet{Quorate: true}})
+	bk.Step(1000, FleetChanged{&board.Fleet{}})
 	assert.Equal(t, reply(bk, 2000, askFor(bk, "key", 1, vmB)).GetVerdict(), string(Granted))
 	assert.Equal(t, reply(bk, 32000, askFor(bk, "other", 1, vmB)).GetVerdict(), string(Minority))
 }
@@ -135,7 +135,7 @@
 			claim: rapid.Uint64Range(1, 3).Draw(rt, "claim"), fingerprint: 1,
 			expires: clock.Millis(rapid.IntRange(0, 3).Draw(rt, "expires")),
 			attempt: rapid.Uint32Range(1, 2).Draw(rt, "attempt"),
-			state:   rapid.SampledFrom(byRank).Draw(rt, "state"),
+			state:   rapid.SampledFrom(statesByRank).Draw(rt, "state"),
 		}
 	})
 	rapid.Check(t, func(rt *rapid.T) {
@@ -148,7 +148,7 @@
 		assert.Equal(rt, one.claim, two.claim)
 		assert.Equal(rt, one.attempt, two.attempt)
 		assert.Equal(rt, one.expires, two.expires)
-		live := func(rc record) bool { return !rc.state.over() && !rc.state.dispatched() }
+		live := func(rc record) bool { return !rc.state.freesKey() && !rc.state.dispatched() }
 		if live(ra) && live(rb) && ra.claim != rb.claim {
 			assert.Equal(rt, one.state, Doubtful)
 		}
@@ -159,12 +159,12 @@
 // and only all parts count.
 func TestHandoffInParts(t *testing.T) {
 	old := seatedBook(vmA, Settings{})
-	for ix := range 3 * batchRecords {
+	for ix := range 3 * maxBatchRecords {
 		reply(old, 0, askFor(old, fmt.Sprint(ix), uint64(ix)+1, vmB))
 	}
 	other := seatedBook(vmB, Settings{})
 	fresh := seatedBook(vmD, Settings{})
-	next := Seated{Epoch: 2, Table: table(1, vmA, vmB, vmD)}
+	next := TableAppended{Epoch: 2, Table: table(1, vmA, vmB, vmD)}
 	fresh.Step(0, next)
 	ask := askFor(fresh, "0", 9999, vmC)
 	for _, in := range append(other.Step(0, next), old.Step(0, next)...) {
@@ -184,16 +184,16 @@
 
 func TestHandoffIsSentAgain(t *testing.T) {
 	bk := seatedBook(vmA, Settings{})
-	bk.Step(0, Seated{Epoch: 2, Table: table(1, vmA, vmB, vmD)})
+	bk.Step(0, TableAppended{Epoch: 2, Table: table(1, vmA, vmB, vmD)})
 	bk.Step(0, HandoffFailed{To: vmD.VMRef, Epoch: 2})
-	assert.Equal(t, len(bk.Step(resendAfter-1, Tick{})), 1, "only a Wake")
-	out := bk.Step(resendAfter, Tick{})
+	assert.Equal(t, len(bk.Step(resendDelay-1, Tick{})), 1, "only a Wake")
+	out := bk.Step(resendDelay, Tick{})
 	assert.Equal(t, len(out), 1)
 	assert.Equal(t, out[0].(SendHandoff).To, vmD.VMRef)
 }
 
 func TestTablesOfTheLog(t *testing.T) {
-	var st *Seats
+	var st *SeatTable
 	steps := []struct {
 		epoch uint64
 		tb    *peerpb.SeatTable
@@ -223,7 +223,7 @@
 // of preference, whatever the size of the fleet.
 func TestGroupIsSpread(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 7, 48, 380} {
-		st, err := (*Seats)(nil).With(1, table(0, benchVMs(size)...))
+		st, err := (*SeatTable)(nil).With(1, table(0, benchVMs(size)...))
 		assert.NilError(t, err)
 		share := map[string]int{}
 		for ix := range 600 {
@@ -267,12 +267,12 @@
 // one, and learns the tables from a peer.
 func TestLateReaderWaitsForHistory(t *testing.T) {
 	bk := &Book{Self: vmD.VMRef}
-	bk.Step(0, Seated{Epoch: 5, Table: table(0, vmA, vmB, vmC)})
+	bk.Step(0, TableAppended{Epoch: 5, Table: table(0, vmA, vmB, vmC)})
 	assert.Assert(t, bk.Seats() == nil)
-	st, err := (*Seats)(nil).With(1, table(0, vmA, vmB, vmC))
+	st, err := (*SeatTable)(nil).With(1, table(0, vmA, vmB, vmC))
 	assert.NilError(t, err)
-	bk.Step(0, Restored{st})
-	bk.Step(0, Seated{Epoch: 2, Table: table(1, vmA, vmB, vmD)})
+	bk.Step(0, HistoryReceived{st})
+	bk.Step(0, TableAppended{Epoch: 2, Table: table(1, vmA, vmB, vmD)})
 	assert.Equal(t, bk.Seats().Epoch, uint64(2))
 	assert.Equal(t, reply(bk, 0, askFor(bk, "key", 1, vmB)).GetVerdict(), string(Settling))
 }
@@ -282,7 +282,7 @@
 	var early []string
 	for _, vm := range fl.VMs {
 		bk := seatedBook(vm, Settings{})
-		bk.Step(0, Fleet{fl})
+		bk.Step(0, FleetChanged{fl})
 		for _, in := range bk.Step(clock.Second, Tick{}) {
 			if pr, ok := in.(Propose); ok {
 				early = append(early, vm.ID)
@@ -301,14 +301,14 @@
 		change func(*board.VM)
 		from   clock.Millis // when its seat is given up
 	}{
-		{"Dead", func(vm *board.VM) { vm.Health = board.Dead }, defaultKeepDead},
+		{"Dead", func(vm *board.VM) { vm.Health = board.Dead }, defaultDeadSeatTTL},
 		{"Leaving", func(vm *board.VM) { vm.Leaving = true }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			gone := vmC
 			tc.change(&gone)
 			bk := seatedBook(vmA, Settings{})
-			bk.Step(0, Fleet{&board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, gone}}})
+			bk.Step(0, FleetChanged{&board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, gone}}})
 			proposes := func(at clock.Millis) bool {
 				return slices.ContainsFunc(bk.Step(at, Tick{}), func(in Intent) bool {
 					_, ok := in.(Propose)
@@ -319,7 +319,7 @@
 				assert.Assert(t, !proposes(tc.from-1))
 				proposes(tc.from)
 			}
-			assert.Assert(t, proposes(tc.from+3*defaultSettle))
+			assert.Assert(t, proposes(tc.from+3*defaultSettleSpan))
 		})
 	}
 }
@@ -334,7 +334,7 @@
 		if proto.Unmarshal(raw, &ask) != nil {
 			return
 		}
-		bk := seatedBook(vmA, Settings{Cap: 1})
+		bk := seatedBook(vmA, Settings{MaxRecords: 1})
 		first := reply(bk, 0, &ask)
 		if first.GetVerdict() == string(Granted) {
 			assert.Assert(t, ask.GetKey() != "" && ask.GetClaim() != 0)
@@ -350,7 +350,7 @@
 func FuzzHandoff(f *testing.F) {
 	bk := seatedBook(vmA, Settings{})
 	reply(bk, 0, askFor(bk, "key", 1, vmB))
-	for _, in := range bk.Step(0, Seated{Epoch: 2, Table: table(1, vmA, vmB, vmD)}) {
+	for _, in := range bk.Step(0, TableAppended{Epoch: 2, Table: table(1, vmA, vmB, vmD)}) {
 		raw, err := proto.Marshal(in.(SendHandoff).Handoff)
 		assert.NilError(f, err)
 		f.Add(raw)
@@ -361,13 +361,13 @@
 			return
 		}
 		bk := seatedBook(vmD, Settings{})
-		bk.Step(0, Seated{Epoch: 2, Table: table(1, vmA, vmB, vmD)})
+		bk.Step(0, TableAppended{Epoch: 2, Table: table(1, vmA, vmB, vmD)})
 		for range 2 {
 			bk.Step(0, HandedOff{&ho})
 			bk.Step(0, Tick{})
 		}
 		for nm, rc := range bk.recs.byName {
-			assert.Assert(t, sound(nm, rc.runner.ID) && rc.state.rank() > 0)
+			assert.Assert(t, validNames(nm, rc.runner.ID) && rc.state.rank() > 0)
 		}
 		assert.Equal(t, reply(bk, 0, askFor(bk, "unseen", 1, vmB)).GetVerdict(), string(Settling), "one seat is no majority")
 	})
@@ -376,7 +376,7 @@
 // What is read from a peer's history is whole: written again it is the same,
 // each table comes after the one before it, and its groups name VMs once.
 func FuzzHistory(f *testing.F) {
-	st, err := (*Seats)(nil).With(1, table(0, vmA, vmB, vmC))
+	st, err := (*SeatTable)(nil).With(1, table(0, vmA, vmB, vmC))
 	assert.NilError(f, err)
 	st, err = st.With(2, table(1, vmA, vmB, vmD))
 	assert.NilError(f, err)
@@ -400,7 +400,7 @@
 			gr := at.Group("customer", "key")
 			assert.Assert(t, len(gr) == min(groupSize, len(at.VMs)), "%d of %d", len(gr), len(at.VMs))
 			for ix, ref := range gr {
-				assert.Assert(t, at.holds(ref) && !slices.Contains(gr[:ix], ref))
+				assert.Assert(t, at.hasSeat(ref) && !slices.Contains(gr[:ix], ref))
 			}
 		}
 	})
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -97,12 +97,12 @@
 )
 
 const (
-	groupSize     = 3
-	maxKeyBytes   = 256
-	maxNameBytes  = 256
-	maxPrintBytes = 64
-	maxSeats      = 4096
-	batchRecords  = 256
+	groupSize       = 3
+	maxKeyBytes     = 256
+	maxNameBytes    = 256
+	maxPrintBytes   = 64
+	maxSeats        = 4096
+	maxBatchRecords = 256
 )
 
 // Guards that hold at most once up, each of which a test takes away to show
@@ -116,7 +116,7 @@
 	guardDoubt                      // claims that do not agree are not granted
 )
 
-var byRank = []State{Claimed, Released, Doubtful, Dispatched, Decoding, RefusedNotRun, Complete}
+var statesByRank = []State{Claimed, Released, Doubtful, Dispatched, Decoding, RefusedNotRun, Complete}
 
 type (
 	guard uint
@@ -131,7 +131,7 @@
 	Verdict string
 
 	// Event is what a Book is told: Asked, Updated, HandedOff,
-	// HandoffFailed, Seated, Restored, Fleet or Tick.
+	// HandoffFailed, TableAppended, HistoryReceived, FleetChanged or Tick.
 	Event interface{ event() }
 
 	// Intent is what a Book wants done: Reply, SendHandoff, Propose or Wake.
@@ -156,21 +156,21 @@
 		Epoch uint64
 	}
 
-	// Seated passes a record of the log stream of seat tables, in the order
+	// TableAppended passes a record of the log stream of seat tables, in the order
 	// of the log. Epoch grows along the log and is never zero: the offset
 	// plus one.
-	Seated struct {
+	TableAppended struct {
 		Epoch uint64
 		Table *peerpb.SeatTable
 	}
 
-	// Restored passes the tables that a peer knows. It has an effect only
+	// HistoryReceived passes the tables that a peer knows. It has an effect only
 	// before the first table.
-	Restored struct{ Seats *Seats }
+	HistoryReceived struct{ Seats *SeatTable }
 
-	// Fleet passes how this VM sees the fleet. It decides what table to
+	// FleetChanged passes how this VM sees the fleet. It decides what table to
 	// propose, and nothing else.
-	Fleet struct{ Fleet *board.Fleet }
+	FleetChanged struct{ Fleet *board.Fleet }
 
 	// Tick passes the time.
 	Tick struct{}
@@ -191,11 +191,11 @@
 	// Propose appends a table to the log stream of seat tables.
 	Propose struct{ Table *peerpb.SeatTable }
 
-	// Wake asks for a Tick, or for an Elapsed, at the given point.
+	// Wake asks for a Tick, or for an AskerTick, at the given point.
 	Wake struct{ At clock.Millis }
 
-	// AskerEvent is what an Asker is told: Begin, Replied, Failed, Changed,
-	// Elapsed, Became or Revalidate.
+	// AskerEvent is what an Asker is told: Begin, Replied, AskFailed, ViewChanged,
+	// AskerTick, StateChanged or Revalidate.
 	AskerEvent interface{ askerEvent() }
 
 	// AskerIntent is what an Asker wants done: SendAsk, SendUpdate, Decided
@@ -204,7 +204,7 @@
 
 	// Begin starts the search.
 	Begin struct {
-		Seats *Seats
+		Seats *SeatTable
 		Fleet *board.Fleet
 	}
 
@@ -214,21 +214,21 @@
 		Reply  *peerpb.ClaimReply
 	}
 
-	// Failed tells that no reply will come to an ask.
-	Failed struct{ Number uint64 }
+	// AskFailed tells that no reply will come to an ask.
+	AskFailed struct{ Number uint64 }
 
-	// Changed passes a new seat table, a new view of the fleet, or both.
-	Changed struct {
-		Seats *Seats
+	// ViewChanged passes a new seat table, a new view of the fleet, or both.
+	ViewChanged struct {
+		Seats *SeatTable
 		Fleet *board.Fleet
 	}
 
-	// Elapsed passes the time.
-	Elapsed struct{}
+	// AskerTick passes the time.
+	AskerTick struct{}
 
-	// Became tells what became of the key after a Run or a TakeOver, for the
+	// StateChanged tells what became of the key after a Run or a TakeOver, for the
 	// seats to know. It needs no reply and none is waited for.
-	Became struct {
+	StateChanged struct {
 		State             State // Dispatched, Decoding, RefusedNotRun or Complete
 		DecodeServer      string
 		DecodeIncarnation uint64 // of DecodeServer; zero if it does not tell
@@ -239,7 +239,7 @@
 	// it was held dead, and after Decided.Until. Decided follows with Run or
 	// Lost.
 	Revalidate struct {
-		Seats *Seats
+		Seats *SeatTable
 		Fleet *board.Fleet
 	}
 
@@ -272,27 +272,27 @@
 	}
 )
 
-func (Asked) event()         {}
-func (Updated) event()       {}
-func (HandedOff) event()     {}
-func (HandoffFailed) event() {}
-func (Seated) event()        {}
-func (Restored) event()      {}
-func (Fleet) event()         {}
-func (Tick) event()          {}
+func (Asked) event()           {}
+func (Updated) event()         {}
+func (HandedOff) event()       {}
+func (HandoffFailed) event()   {}
+func (TableAppended) event()   {}
+func (HistoryReceived) event() {}
+func (FleetChanged) event()    {}
+func (Tick) event()            {}
 
 func (Reply) intent()       {}
 func (SendHandoff) intent() {}
 func (Propose) intent()     {}
 func (Wake) intent()        {}
 
-func (Begin) askerEvent()      {}
-func (Replied) askerEvent()    {}
-func (Failed) askerEvent()     {}
-func (Changed) askerEvent()    {}
-func (Elapsed) askerEvent()    {}
-func (Became) askerEvent()     {}
-func (Revalidate) askerEvent() {}
+func (Begin) askerEvent()        {}
+func (Replied) askerEvent()      {}
+func (AskFailed) askerEvent()    {}
+func (ViewChanged) askerEvent()  {}
+func (AskerTick) askerEvent()    {}
+func (StateChanged) askerEvent() {}
+func (Revalidate) askerEvent()   {}
 
 func (SendAsk) askerIntent()    {}
 func (SendUpdate) askerIntent() {}
@@ -302,8 +302,8 @@
 // dispatched tells whether the state proves that the claim had a majority.
 func (st State) dispatched() bool { return st == Dispatched || st == Decoding || st == Complete }
 
-// over tells whether the key is free for another claim.
-func (st State) over() bool { return st == Released || st == RefusedNotRun }
+// freesKey tells whether the key is free for another claim.
+func (st State) freesKey() bool { return st == Released || st == RefusedNotRun }
 
 // rank orders what is known of one claim.
-func (st State) rank() int { return slices.Index(byRank, st) + 1 }
+func (st State) rank() int { return slices.Index(statesByRank, st) + 1 }
--- a/internal/claim/example_test.go
+++ b/internal/claim/example_test.go
@@ -21,8 +21,8 @@
 	books := map[board.VMRef]*claim.Book{}
 	for _, seat := range tb.GetSeats() {
 		ref := board.VMRef{ID: seat.GetID(), Incarnation: seat.GetIncarnation()}
-		bk := &claim.Book{Self: ref, FromStart: true}
-		bk.Step(0, claim.Seated{Epoch: 1, Table: tb})
+		bk := &claim.Book{Self: ref, FromLogStart: true}
+		bk.Step(0, claim.TableAppended{Epoch: 1, Table: tb})
 		books[ref] = bk
 		fl.VMs = append(fl.VMs, board.VM{VMRef: ref, FailureDomain: seat.GetFailureDomain()})
 	}
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -32,11 +32,11 @@
 type (
 	// explorer walks all states that a scenario can reach.
 	explorer struct {
-		seen  map[[2]uint64]bool
-		limit int
-		path  []move
-		found string // the first violation with its path
-		ends  int
+		seen        map[[2]uint64]bool
+		limit       int
+		path        []move
+		violation   string // the first violation with its path
+		finalStates int
 	}
 )
 
@@ -49,7 +49,7 @@
 }
 
 func (ex *explorer) visit(wd *world) {
-	if ex.found != "" || (ex.limit > 0 && len(ex.seen) >= ex.limit) {
+	if ex.violation != "" || (ex.limit > 0 && len(ex.seen) >= ex.limit) {
 		return
 	}
 	key := wd.digest()
@@ -59,14 +59,14 @@
 	ex.seen[key] = true
 	moves := wd.moves()
 	if bad := violation(wd, len(moves) == 0); bad != "" {
-		ex.found = fmt.Sprintf("%s after %v", bad, ex.path)
+		ex.violation = fmt.Sprintf("%s after %v", bad, ex.path)
 		return
 	}
 	if len(moves) == 0 {
-		ex.ends++
+		ex.finalStates++
 	}
 	for _, mv := range moves {
-		if mv.kind == "deliver" && repeated(wd, mv.index) {
+		if mv.kind == "deliver" && isDuplicate(wd, mv.index) {
 			continue
 		}
 		next := wd.clone()
@@ -77,9 +77,9 @@
 	}
 }
 
-// repeated tells whether an equal message is delivered by another move.
-func repeated(wd *world, index int) bool {
-	return slices.ContainsFunc(wd.packets[:index], func(pk packet) bool { return pk.line == wd.packets[index].line })
+// isDuplicate tells whether an equal message is delivered by another move.
+func isDuplicate(wd *world, index int) bool {
+	return slices.ContainsFunc(wd.packets[:index], func(pk packet) bool { return pk.digestLine == wd.packets[index].digestLine })
 }
 
 // hunt walks at random until it finds a violation.
@@ -135,7 +135,7 @@
 	switch {
 	case wd.runs > 1 && !wd.sc.idempotent:
 		return fmt.Sprintf("%d dispatches", wd.runs)
-	case wd.lies > 0 && !wd.sc.idempotent:
+	case wd.falseNotRun > 0 && !wd.sc.idempotent:
 		return "refused as NotRun after a dispatch"
 	case end && wd.undecided() > 0:
 		return fmt.Sprintf("%d askers without a verdict", wd.undecided())
@@ -145,7 +145,7 @@
 
 // keyWith finds a key whose seats have the wanted order.
 func keyWith(tb *peerpb.SeatTable, want ...string) string {
-	st, err := (*Seats)(nil).With(1, tb)
+	st, err := (*SeatTable)(nil).With(1, tb)
 	if err != nil {
 		panic(err)
 	}
@@ -169,7 +169,7 @@
 			key: key, start: abc, askers: []string{"a", "b"}, timeouts: 1, crashes: 1, patience: 45,
 		},
 		"TwoAskersFalseDeath": {
-			key: key, start: abc, askers: []string{"a", "c"}, timeouts: 1, doubts: 1, patience: 45,
+			key: key, start: abc, askers: []string{"a", "c"}, timeouts: 1, falseDeaths: 1, patience: 45,
 		},
 		"Reports": {
 			key: key, start: abc, askers: []string{"a", "b"}, timeouts: 1, reports: true, patience: 10,
@@ -198,14 +198,14 @@
 			askers: []string{"b", "a"}, dead: []board.VMRef{vmC.VMRef}, patience: 10,
 		},
 		"Confirmed": {
-			key: key, start: abc, askers: []string{"a", "b"}, timeouts: 3, doubts: 1, confirms: true, patience: 45,
+			key: key, start: abc, askers: []string{"a", "b"}, timeouts: 3, falseDeaths: 1, confirms: true, patience: 45,
 		},
 		"ConfirmedCrash": {
 			key: key, start: abc, askers: []string{"a", "c"}, timeouts: 2, crashes: 1, confirms: true, patience: 45,
 		},
 		"ConfirmedReplaced": {
 			key: key, start: abc, joiners: []board.VM{vmD}, tables: []*peerpb.SeatTable{table(1, vmA, vmB, vmD)},
-			askers: []string{"a", "d"}, timeouts: 2, doubts: 1, confirms: true, patience: 45,
+			askers: []string{"a", "d"}, timeouts: 2, falseDeaths: 1, confirms: true, patience: 45,
 		},
 		"Joined": {
 			key:   keyWith(table(0, vmA, vmB, vmC, vmD), "a", "d", "b"),
@@ -226,9 +226,9 @@
 		t.Run(nm, func(t *testing.T) {
 			t.Parallel()
 			ex, states := explore(sc, *maxStates)
-			assert.Equal(t, ex.found, "")
-			assert.Assert(t, ex.ends > 0)
-			t.Logf("%d states, %d ends, cut short %v", states, ex.ends, states == *maxStates)
+			assert.Equal(t, ex.violation, "")
+			assert.Assert(t, ex.finalStates > 0)
+			t.Logf("%d states, %d ends, cut short %v", states, ex.finalStates, states == *maxStates)
 		})
 	}
 }
@@ -241,7 +241,7 @@
 		t.Run(kp.name, func(t *testing.T) {
 			sc := *scenarios()[kp.scenario]
 			assert.Equal(t, replay(newWorld(&sc), kp.order), "", "with its guard")
-			sc.without = kp.without
+			sc.disabled = kp.disabled
 			if *hunting {
 				walks, found := hunt(&sc, 300_000)
 				t.Logf("walk %d: %s", walks, found)
--- a/internal/claim/giveback_test.go
+++ b/internal/claim/giveback_test.go
@@ -23,8 +23,8 @@
 	for _, id := range []string{"a", "b", "c"} {
 		table.Seats = append(table.Seats, &peerpb.ClaimSeat{ID: id, Incarnation: 1, FailureDomain: id})
 	}
-	bk := &claim.Book{Self: board.VMRef{ID: "a", Incarnation: 1}, FromStart: true}
-	bk.Step(0, claim.Seated{Epoch: 1, Table: table})
+	bk := &claim.Book{Self: board.VMRef{ID: "a", Incarnation: 1}, FromLogStart: true}
+	bk.Step(0, claim.TableAppended{Epoch: 1, Table: table})
 	return search{bk: bk, ak: &claim.Asker{
 		Self: bk.Self, Customer: "cu", Key: "k", Fingerprint: []byte("print"), Rand: rand.New(rand.NewPCG(1, 2)),
 	}}
@@ -106,7 +106,7 @@
 		}
 	})
 	assert.Equal(t, len(verdicts(out)), 0, "%v", verdicts(out))
-	out = se.ak.Step(500, claim.Elapsed{})
+	out = se.ak.Step(500, claim.AskerTick{})
 	out = se.run(out, func(in claim.SendAsk) *peerpb.ClaimReply {
 		return &peerpb.ClaimReply{Verdict: string(claim.Granted), Claim: in.Ask.GetClaim(), Attempt: 1}
 	})
@@ -114,7 +114,7 @@
 }
 
 // An ask that follows an answered one ends later than the Wake that the first
-// one asked for. A loop keeps only the earliest Wake, so the Elapsed of the
+// one asked for. A loop keeps only the earliest Wake, so the AskerTick of the
 // first has to ask for that of the second: nothing else ends it in time, and
 // the search lasted until the connection gave up, a second after it began.
 //
@@ -128,10 +128,10 @@
 	second := wakes(out)
 	assert.Equal(t, len(second), 1)
 	assert.Assert(t, second[0] > first[0])
-	out = se.ak.Step(first[0], claim.Elapsed{})
+	out = se.ak.Step(first[0], claim.AskerTick{})
 	assert.DeepEqual(t, wakes(out), second)
 	assert.Equal(t, len(asks(out)), 0)
-	assert.Equal(t, len(asks(se.ak.Step(second[0], claim.Elapsed{}))), 1, "the third seat is asked")
+	assert.Equal(t, len(asks(se.ak.Step(second[0], claim.AskerTick{}))), 1, "the third seat is asked")
 }
 
 func wakes(out []claim.AskerIntent) []clock.Millis {
--- a/internal/claim/kept_test.go
+++ b/internal/claim/kept_test.go
@@ -4,7 +4,7 @@
 // away: the kind of move and the index of the message, VM or asker.
 var keptOrders = []struct {
 	name     string
-	without  guard
+	disabled guard
 	scenario string
 	order    string
 }{
--- a/internal/claim/propose.go
+++ b/internal/claim/propose.go
@@ -12,18 +12,18 @@
 
 // fleetWatch waits until the fleet has looked the same for some time.
 type fleetWatch struct {
-	last     *board.Fleet
-	deadFrom map[board.VMRef]clock.Millis
-	cutFrom  clock.Millis // since when in a minority, if it is
-	wanted   []board.VM
-	since    clock.Millis
-	proposed clock.Millis // when the last table was proposed
+	last          *board.Fleet
+	deadSince     map[board.VMRef]clock.Millis
+	minoritySince clock.Millis // since when in a minority, if it is
+	desired       []board.VM
+	desiredSince  clock.Millis
+	proposedAt    clock.Millis // when the last table was proposed
 }
 
-// see notes what the fleet looks like.
-func (fw *fleetWatch) see(now clock.Millis, fl *board.Fleet) {
+// observe notes what the fleet looks like.
+func (fw *fleetWatch) observe(now clock.Millis, fl *board.Fleet) {
 	if fw.last == nil || fw.last.Quorate {
-		fw.cutFrom = now
+		fw.minoritySince = now
 	}
 	fw.last = fl
 	dead := map[board.VMRef]clock.Millis{}
@@ -32,26 +32,26 @@
 			continue
 		}
 		dead[vm.VMRef] = now
-		if from, ok := fw.deadFrom[vm.VMRef]; ok {
+		if from, ok := fw.deadSince[vm.VMRef]; ok {
 			dead[vm.VMRef] = from
 		}
 	}
-	fw.deadFrom = dead
+	fw.deadSince = dead
 }
 
-// cutOff tells whether this VM has been in a minority for longer than the
+// inMinorityFor tells whether this VM has been in a minority for longer than the
 // span. The majority may by then have stopped to wait for its records.
-func (fw *fleetWatch) cutOff(now, span clock.Millis) bool {
-	return fw.last != nil && !fw.last.Quorate && now-fw.cutFrom > span
+func (fw *fleetWatch) inMinorityFor(now, span clock.Millis) bool {
+	return fw.last != nil && !fw.last.Quorate && now-fw.minoritySince > span
 }
 
-// want is the VMs that should have seats: those that serve and do not leave,
+// desiredSeats is the VMs that should have seats: those that serve and do not leave,
 // and those that are held dead but keep their seat for a while yet.
-func (fw *fleetWatch) want(now, keepDead clock.Millis, st *Seats) []board.VM {
+func (fw *fleetWatch) desiredSeats(now, keepDead clock.Millis, st *SeatTable) []board.VM {
 	var out []board.VM
 	for _, vm := range fw.last.VMs {
 		serving := (vm.Health == board.Alive || vm.Health == board.Suspect) && !vm.Leaving
-		kept := vm.Health == board.Dead && !vm.Leaving && st.holds(vm.VMRef) && now < fw.deadFrom[vm.VMRef]+keepDead
+		kept := vm.Health == board.Dead && !vm.Leaving && st.hasSeat(vm.VMRef) && now < fw.deadSince[vm.VMRef]+keepDead
 		if (serving || kept) && vm.FailureDomain != "" {
 			out = append(out, board.VM{VMRef: vm.VMRef, FailureDomain: vm.FailureDomain})
 		}
@@ -65,27 +65,27 @@
 // that all know, so that as a rule one of them proposes.
 func (bk *Book) propose(now clock.Millis) []Intent {
 	fw := &bk.fleet
-	if fw.last == nil || !fw.last.Quorate || (bk.seats == nil && !bk.FromStart) {
+	if fw.last == nil || !fw.last.Quorate || (bk.seats == nil && !bk.FromLogStart) {
 		return nil
 	}
-	want := fw.want(now, cmp.Or(bk.Settings.KeepDead, defaultKeepDead), bk.seats)
+	want := fw.desiredSeats(now, cmp.Or(bk.Settings.DeadSeatTTL, defaultDeadSeatTTL), bk.seats)
 	if len(want) == 0 || (bk.seats != nil && slices.Equal(want, bk.seats.VMs)) {
-		fw.wanted = nil
-		return bk.wakeForLostSeat(now)
+		fw.desired = nil
+		return bk.wakeForExpiredSeat(now)
 	}
-	if !slices.Equal(want, fw.wanted) {
-		fw.wanted, fw.since = want, now
+	if !slices.Equal(want, fw.desired) {
+		fw.desired, fw.desiredSince = want, now
 	}
-	settle := cmp.Or(bk.Settings.Settle, defaultSettle)
+	settle := cmp.Or(bk.Settings.SettleSpan, defaultSettleSpan)
 	place := slices.IndexFunc(rendezvous.Rank("seats", want), func(vm board.VM) bool { return vm.VMRef == bk.Self })
 	if place < 0 {
 		place = len(want)
 	}
-	due := max(fw.since, fw.proposed) + settle*clock.Millis(1+min(place, 8))
+	due := max(fw.desiredSince, fw.proposedAt) + settle*clock.Millis(1+min(place, 8))
 	if now < due {
 		return []Intent{Wake{due}}
 	}
-	fw.proposed = now
+	fw.proposedAt = now
 	tb := &peerpb.SeatTable{Base: bk.seats.epoch()}
 	for _, vm := range want {
 		tb.Seats = append(tb.Seats, &peerpb.ClaimSeat{
@@ -95,12 +95,12 @@
 	return []Intent{Propose{tb}, Wake{now + settle*9}}
 }
 
-// wakeForLostSeat wakes when the next VM held dead loses its seat.
-func (bk *Book) wakeForLostSeat(now clock.Millis) []Intent {
+// wakeForExpiredSeat wakes when the next VM held dead loses its seat.
+func (bk *Book) wakeForExpiredSeat(now clock.Millis) []Intent {
 	next := clock.Millis(0)
 	for _, vm := range bk.fleet.last.VMs {
-		from, ok := bk.fleet.deadFrom[vm.VMRef]
-		at := from + cmp.Or(bk.Settings.KeepDead, defaultKeepDead)
+		from, ok := bk.fleet.deadSince[vm.VMRef]
+		at := from + cmp.Or(bk.Settings.DeadSeatTTL, defaultDeadSeatTTL)
 		if ok && at > now && (next == 0 || at < next) {
 			next = at
 		}
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -13,10 +13,10 @@
 const (
 	// expiryBucket is the width of the spans in which records expire together.
 	expiryBucket = 4 * clock.Second
-	// lookAgain bounds how long a record outstays an end that was moved
+	// maxRecheckDelay bounds how long a record outstays an end that was moved
 	// forward.
-	lookAgain = clock.Minute
-	maxWords  = 8192
+	maxRecheckDelay = clock.Minute
+	maxInterned     = 8192
 )
 
 type (
@@ -28,8 +28,8 @@
 		claim       uint64
 		fingerprint uint64
 		runner      board.VMRef
-		decode      *resumable // where it may still run; nil if that is not known
-		was         *record    // what this claim superseded here
+		decode      *resumableDecode // where it may still run; nil if that is not known
+		superseded  *record          // what this claim superseded here
 		expires     clock.Millis
 		keep        clock.Millis
 		attempt     uint32
@@ -37,8 +37,8 @@
 		idempotent  bool
 	}
 
-	// resumable is where a decode may still run.
-	resumable struct {
+	// resumableDecode is where a decode may still run.
+	resumableDecode struct {
 		server      string
 		incarnation uint64
 		request     string
@@ -53,10 +53,10 @@
 
 	// records holds a bounded number of records and forgets them in time.
 	records struct {
-		byName  map[name]*record
-		buckets map[clock.Millis][]name
-		words   map[string]string // customers and VMs, each kept once
-		swept   clock.Millis      // buckets below were emptied
+		byName     map[name]*record
+		buckets    map[clock.Millis][]name
+		interned   map[string]string // customers and VMs, each kept once
+		nextBucket clock.Millis      // buckets below were emptied
 	}
 )
 
@@ -78,24 +78,24 @@
 	nm.customer, rc.runner.ID = rs.intern(nm.customer), rs.intern(rc.runner.ID)
 	rs.byName[nm] = rc
 	if old == nil {
-		rs.plan(nm, min(rc.expires, now+lookAgain))
+		rs.schedule(nm, min(rc.expires, now+maxRecheckDelay))
 	}
 }
 
 // intern returns one copy of a string that many records hold. It starts anew
 // when it has grown beyond what a fleet and its customers need.
 func (rs *records) intern(word string) string {
-	if one, ok := rs.words[word]; ok {
+	if one, ok := rs.interned[word]; ok {
 		return one
 	}
-	if rs.words == nil || len(rs.words) >= maxWords {
-		rs.words = map[string]string{}
+	if rs.interned == nil || len(rs.interned) >= maxInterned {
+		rs.interned = map[string]string{}
 	}
-	rs.words[word] = word
+	rs.interned[word] = word
 	return word
 }
 
-func (rs *records) plan(nm name, at clock.Millis) {
+func (rs *records) schedule(nm name, at clock.Millis) {
 	bucket := at/expiryBucket + 1
 	rs.buckets[bucket] = append(rs.buckets[bucket], nm)
 }
@@ -104,37 +104,37 @@
 // looked at about once a minute.
 func (rs *records) sweep(now clock.Millis) {
 	due := now / expiryBucket
-	if rs.swept == 0 {
-		rs.swept = due
+	if rs.nextBucket == 0 {
+		rs.nextBucket = due
 	}
 	if len(rs.buckets) == 0 {
-		rs.swept = due
+		rs.nextBucket = due
 		return
 	}
-	for ; rs.swept <= due; rs.swept++ {
-		for _, nm := range rs.buckets[rs.swept] {
+	for ; rs.nextBucket <= due; rs.nextBucket++ {
+		for _, nm := range rs.buckets[rs.nextBucket] {
 			rc := rs.byName[nm]
 			if rc.expires <= now {
 				delete(rs.byName, nm)
 				continue
 			}
-			rs.plan(nm, min(rc.expires, now+lookAgain))
+			rs.schedule(nm, min(rc.expires, now+maxRecheckDelay))
 		}
-		delete(rs.buckets, rs.swept)
+		delete(rs.buckets, rs.nextBucket)
 	}
 }
 
-func printOf(fingerprint []byte) uint64 { return xxhash.Sum64(fingerprint) }
+func hashFingerprint(fingerprint []byte) uint64 { return xxhash.Sum64(fingerprint) }
 
 // merge combines two records of one key. The order does not matter.
 func merge(ra, rb record) record {
 	if ra.claim == rb.claim {
-		return mergeSame(ra, rb)
+		return mergeSameClaim(ra, rb)
 	}
-	if beats(rb, ra) {
+	if outranksRecord(rb, ra) {
 		ra, rb = rb, ra
 	}
-	doubt := !ra.state.dispatched() && !ra.state.over() && !rb.state.over() && !ra.idempotent
+	doubt := !ra.state.dispatched() && !ra.state.freesKey() && !rb.state.freesKey() && !ra.idempotent
 	if doubt {
 		ra.state = Doubtful
 	}
@@ -142,7 +142,7 @@
 	return ra
 }
 
-func mergeSame(ra, rb record) record {
+func mergeSameClaim(ra, rb record) record {
 	if ra.state.rank() < rb.state.rank() {
 		ra, rb = rb, ra
 	}
@@ -154,14 +154,14 @@
 	return ra
 }
 
-// beats orders the records of different claims: what is known to have had a
+// outranksRecord orders the records of different claims: what is known to have had a
 // majority, then what may have, then the later attempt.
-func beats(ra, rb record) bool {
+func outranksRecord(ra, rb record) bool {
 	weight := func(rc record) int {
 		switch {
 		case rc.state.dispatched():
 			return 2
-		case rc.state.over():
+		case rc.state.freesKey():
 			return 0
 		default:
 			return 1
@@ -175,7 +175,7 @@
 	) > 0
 }
 
-func (rc *record) wire(nm name, now clock.Millis) *peerpb.ClaimRecord {
+func (rc *record) toMessage(nm name, now clock.Millis) *peerpb.ClaimRecord {
 	out := &peerpb.ClaimRecord{
 		Key: nm.key, Customer: nm.customer, Fingerprint: rc.fingerprint,
 		RunnerID: rc.runner.ID, RunnerIncarnation: rc.runner.Incarnation,
@@ -188,8 +188,8 @@
 	return out
 }
 
-// recordOf reads a record off the wire; false if it can't be one.
-func recordOf(cr *peerpb.ClaimRecord, now, life clock.Millis) (name, record, bool) {
+// recordFromMessage reads a record off the wire; false if it can't be one.
+func recordFromMessage(cr *peerpb.ClaimRecord, now, life clock.Millis) (name, record, bool) {
 	nm := name{cr.GetCustomer(), cr.GetKey()}
 	rc := record{
 		claim: cr.GetClaim(), fingerprint: cr.GetFingerprint(),
@@ -198,20 +198,20 @@
 		attempt: cr.GetAttempt(), state: State(cr.GetState()), idempotent: cr.GetIdempotent(),
 		expires: now + min(max(clock.Millis(cr.GetLeft()), 0), 2*life),
 	}
-	rc.decode = resumableOf(cr)
-	ok := sound(nm, rc.runner.ID) && rc.claim != 0 && rc.state.rank() > 0 &&
+	rc.decode = resumableDecodeOf(cr)
+	ok := validNames(nm, rc.runner.ID) && rc.claim != 0 && rc.state.rank() > 0 &&
 		len(cr.GetDecodeServer()) <= maxNameBytes && len(cr.GetEngineRequest()) <= maxNameBytes
 	return nm, rc, ok
 }
 
-func resumableOf(msg decodeMessage) *resumable {
+func resumableDecodeOf(msg decodeMessage) *resumableDecode {
 	if msg.GetDecodeServer() == "" || msg.GetEngineRequest() == "" {
 		return nil
 	}
-	return &resumable{msg.GetDecodeServer(), msg.GetDecodeIncarnation(), msg.GetEngineRequest()}
+	return &resumableDecode{msg.GetDecodeServer(), msg.GetDecodeIncarnation(), msg.GetEngineRequest()}
 }
 
-func sound(nm name, runner string) bool {
+func validNames(nm name, runner string) bool {
 	return nm.key != "" && len(nm.key) <= maxKeyBytes && len(nm.customer) <= maxNameBytes &&
 		runner != "" && len(runner) <= maxNameBytes
 }
--- a/internal/claim/schedule_test.go
+++ b/internal/claim/schedule_test.go
@@ -42,7 +42,7 @@
 // asked by a VM that has not learned the new table.
 func lateGrant(without guard) *world {
 	sc := *scenarios()["Joined"]
-	sc.without = without
+	sc.disabled = without
 	wd := newWorld(&sc)
 	ia, ib, ic, id := 0, 1, 2, 3
 	first := slices.IndexFunc(wd.packets, func(pk packet) bool { return pk.asker == 0 })
@@ -100,13 +100,13 @@
 func drawScenario(rt *rapid.T) *scenario {
 	domains := []string{"aarhus-a", "aarhus-b", "vejle-1", "herning-1"}
 	sc := &scenario{
-		key:        fmt.Sprint("key-", rapid.IntRange(0, 30).Draw(rt, "key")),
-		idempotent: rapid.Bool().Draw(rt, "idempotent"),
-		reports:    rapid.Bool().Draw(rt, "reports"),
-		timeouts:   rapid.IntRange(0, 4).Draw(rt, "timeouts"),
-		crashes:    rapid.IntRange(0, 3).Draw(rt, "crashes"),
-		doubts:     rapid.IntRange(0, 2).Draw(rt, "doubts"),
-		patience:   45,
+		key:         fmt.Sprint("key-", rapid.IntRange(0, 30).Draw(rt, "key")),
+		idempotent:  rapid.Bool().Draw(rt, "idempotent"),
+		reports:     rapid.Bool().Draw(rt, "reports"),
+		timeouts:    rapid.IntRange(0, 4).Draw(rt, "timeouts"),
+		crashes:     rapid.IntRange(0, 3).Draw(rt, "crashes"),
+		falseDeaths: rapid.IntRange(0, 2).Draw(rt, "doubts"),
+		patience:    45,
 	}
 	for ix := range 7 {
 		sc.start = append(sc.start, vm(fmt.Sprint("vm-", ix), domains[ix%len(domains)], 1))
--- a/internal/claim/seats.go
+++ b/internal/claim/seats.go
@@ -14,13 +14,13 @@
 )
 
 type (
-	// Seats is a seat table with those before it. It is an immutable value;
-	// the nil Seats is the state before the first table.
-	Seats struct {
+	// SeatTable is a seat table with those before it. It is an immutable value;
+	// the nil SeatTable is the state before the first table.
+	SeatTable struct {
 		Epoch uint64
 		VMs   []board.VM // ID, incarnation and failure domain; sorted by ID
 		base  uint64
-		prev  *Seats // nil if unknown or of no more use
+		prev  *SeatTable // nil if unknown or of no more use
 	}
 
 	// Group is the seats of one key, most preferred first.
@@ -41,15 +41,15 @@
 // With returns the state after one more record of the log. All VMs come to
 // the same verdict from the log alone: a table that was not made from the one
 // in force has no effect. A VM that can't read the log from its beginning
-// starts from a peer's [Seats.History].
-func (st *Seats) With(epoch uint64, tb *peerpb.SeatTable) (*Seats, error) {
+// starts from a peer's [SeatTable.History].
+func (st *SeatTable) With(epoch uint64, tb *peerpb.SeatTable) (*SeatTable, error) {
 	if tb.GetBase() != st.epoch() {
 		return st, TableError{epoch, fmt.Sprintf("made from table %d", tb.GetBase())}
 	}
-	return st.grow(epoch, tb)
+	return st.extend(epoch, tb)
 }
 
-func (st *Seats) grow(epoch uint64, tb *peerpb.SeatTable) (*Seats, error) {
+func (st *SeatTable) extend(epoch uint64, tb *peerpb.SeatTable) (*SeatTable, error) {
 	if epoch <= tb.GetBase() {
 		return st, TableError{epoch, "not after its base"}
 	}
@@ -57,7 +57,7 @@
 	if len(seats) == 0 || len(seats) > maxSeats {
 		return st, TableError{epoch, fmt.Sprintf("%d seats", len(seats))}
 	}
-	next := &Seats{Epoch: epoch, base: tb.GetBase(), prev: st}
+	next := &SeatTable{Epoch: epoch, base: tb.GetBase(), prev: st}
 	for ix, seat := range seats {
 		if seat.GetID() == "" || len(seat.GetID()) > maxNameBytes || seat.GetFailureDomain() == "" {
 			return st, TableError{epoch, fmt.Sprintf("seat %d lacks its ID or failure domain", ix)}
@@ -75,7 +75,7 @@
 
 // History returns the tables for a VM that can't read the log from its
 // beginning.
-func (st *Seats) History() *peerpb.SeatHistory {
+func (st *SeatTable) History() *peerpb.SeatHistory {
 	var hist peerpb.SeatHistory
 	for at := st; at != nil; at = at.prev {
 		tb := &peerpb.SeatTable{Base: at.base}
@@ -91,13 +91,13 @@
 }
 
 // FromHistory reads what History wrote.
-func FromHistory(hist *peerpb.SeatHistory) (*Seats, error) {
-	var st *Seats
+func FromHistory(hist *peerpb.SeatHistory) (*SeatTable, error) {
+	var st *SeatTable
 	for _, te := range hist.GetTables() {
 		if st != nil && te.GetTable().GetBase() != st.Epoch {
 			return nil, TableError{te.GetEpoch(), "gap in the history"}
 		}
-		next, err := st.grow(te.GetEpoch(), te.GetTable())
+		next, err := st.extend(te.GetEpoch(), te.GetTable())
 		if err != nil {
 			return nil, fmt.Errorf("read seat history: %w", err)
 		}
@@ -106,17 +106,17 @@
 	return st, nil
 }
 
-// since returns the state without the tables before the given one.
-func (st *Seats) since(epoch uint64) *Seats {
+// truncatedBefore returns the state without the tables before the given one.
+func (st *SeatTable) truncatedBefore(epoch uint64) *SeatTable {
 	cut := *st
 	cut.prev = nil
 	if st.Epoch > epoch && st.prev != nil {
-		cut.prev = st.prev.since(epoch)
+		cut.prev = st.prev.truncatedBefore(epoch)
 	}
 	return &cut
 }
 
-func (st *Seats) epoch() uint64 {
+func (st *SeatTable) epoch() uint64 {
 	if st == nil {
 		return 0
 	}
@@ -125,7 +125,7 @@
 
 // Group returns the key's seats: the most preferred VMs of three failure
 // domains, or three VMs if there are fewer domains.
-func (st *Seats) Group(customer, key string) Group {
+func (st *SeatTable) Group(customer, key string) Group {
 	if st == nil {
 		return nil
 	}
@@ -156,16 +156,16 @@
 	return cmp.Or(cmp.Compare(ra.ID, rb.ID), cmp.Compare(ra.Incarnation, rb.Incarnation))
 }
 
-func (st *Seats) holds(ref board.VMRef) bool {
+func (st *SeatTable) hasSeat(ref board.VMRef) bool {
 	if st == nil {
 		return false
 	}
 	return slices.ContainsFunc(st.VMs, func(vm board.VM) bool { return vm.VMRef == ref })
 }
 
-// spread tells whether the absent VMs leave every possible group of the
+// toleratesAbsent tells whether the absent VMs leave every possible group of the
 // table a majority of others.
-func (st *Seats) spread(absent func(board.VMRef) bool) bool {
+func (st *SeatTable) toleratesAbsent(absent func(board.VMRef) bool) bool {
 	domains, missing := map[string]bool{}, map[string]bool{}
 	count := 0
 	for _, vm := range st.VMs {
--- a/internal/claim/tally.go
+++ b/internal/claim/tally.go
@@ -8,17 +8,17 @@
 
 // tally is what the replies of a round amount to.
 type tally struct {
-	granted, clear, held, unknown, waiting int
-	absent                                 int // of unknown: the claim is not on record
-	otherPrint                             bool
-	attempt                                uint32
-	resume                                 *peerpb.ClaimReply // names a decode that may be resumed
-	best                                   *peerpb.ClaimReply // of the Held replies
-	bestCount                              int                // seats that hold the claim of best
+	granted, noClaim, held, unknown, waiting int
+	absent                                   int // of unknown: the claim is not on record
+	otherPrint                               bool
+	attempt                                  uint32
+	resume                                   *peerpb.ClaimReply // names a decode that may be resumed
+	bestHeld                                 *peerpb.ClaimReply // of the Held replies
+	bestHeldCount                            int                // seats that hold the claim of best
 }
 
-// count sums the replies of the round up.
-func (ak *Asker) count() tally {
+// tallyReplies sums the replies of the round up.
+func (ak *Asker) tallyReplies() tally {
 	var ta tally
 	for _, sa := range ak.asks {
 		switch {
@@ -30,10 +30,10 @@
 			ta.waiting++
 		}
 	}
-	if ta.best != nil {
+	if ta.bestHeld != nil {
 		for _, sa := range ak.asks {
-			if Answer(sa.reply.GetVerdict()) == Held && sa.reply.GetClaim() == ta.best.GetClaim() {
-				ta.bestCount++
+			if Answer(sa.reply.GetVerdict()) == Held && sa.reply.GetClaim() == ta.bestHeld.GetClaim() {
+				ta.bestHeldCount++
 			}
 		}
 	}
@@ -44,18 +44,18 @@
 	switch Answer(rp.GetVerdict()) {
 	case Granted:
 		ta.granted++
-		ta.clear++
+		ta.noClaim++
 		ta.attempt = max(ta.attempt, rp.GetAttempt())
 		if rp.GetDecodeServer() != "" {
 			ta.resume = rp
 		}
 	case Full:
-		ta.clear++
+		ta.noClaim++
 		ta.unknown++
 	case Held:
 		ta.held++
-		if ta.best == nil || later(rp, ta.best) {
-			ta.best = rp
+		if ta.bestHeld == nil || outranks(rp, ta.bestHeld) {
+			ta.bestHeld = rp
 		}
 	case OtherPrint:
 		ta.otherPrint = true
@@ -67,8 +67,8 @@
 	}
 }
 
-// later tells which of two claims on record says more about the key.
-func later(ra, rb *peerpb.ClaimReply) bool {
+// outranks tells which of two claims on record says more about the key.
+func outranks(ra, rb *peerpb.ClaimReply) bool {
 	sa, sb := State(ra.GetState()), State(rb.GetState())
 	if sa.dispatched() != sb.dispatched() {
 		return sa.dispatched()
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -21,65 +21,65 @@
 type (
 	// scenario is what may happen in a world.
 	scenario struct {
-		key        string
-		start      []board.VM          // VMs of the first table
-		joiners    []board.VM          // VMs that run from the start without a seat
-		tables     []*peerpb.SeatTable // records of the log after the first
-		askers     []string            // IDs of the VMs that ask for the key
-		idempotent bool                // the request
-		reports    bool                // runners tell the seats that they dispatched and completed
-		timeouts   int                 // asks that are given up while their messages are still on the way
-		crashes    int                 // VMs that die
-		confirms   bool                // runners have their claim confirmed before they dispatch
-		doubts     int                 // times that an asker holds a runner dead that may live
-		victims    []string            // who may crash; all if empty
-		dead       []board.VMRef       // who is dead from the start
-		stale      []board.VMRef       // who never learns a later table
-		patience   clock.Millis        // of the askers
-		without    guard               // guards that are taken away
+		key         string
+		start       []board.VM          // VMs of the first table
+		joiners     []board.VM          // VMs that run from the start without a seat
+		tables      []*peerpb.SeatTable // records of the log after the first
+		askers      []string            // IDs of the VMs that ask for the key
+		idempotent  bool                // the request
+		reports     bool                // runners tell the seats that they dispatched and completed
+		timeouts    int                 // asks that are given up while their messages are still on the way
+		crashes     int                 // VMs that die
+		confirms    bool                // runners have their claim confirmed before they dispatch
+		falseDeaths int                 // times that an asker holds a runner dead that may live
+		victims     []string            // who may crash; all if empty
+		dead        []board.VMRef       // who is dead from the start
+		stale       []board.VMRef       // who never learns a later table
+		patience    clock.Millis        // of the askers
+		disabled    guard               // guards that are taken away
 	}
 
 	// member is one VM of a world.
 	member struct {
-		vm   board.VM
-		bk   *Book
-		dead bool
-		read int    // tables read
-		line string // what the digest holds of bk
+		vm         board.VM
+		bk         *Book
+		dead       bool
+		tablesRead int    // tables read
+		digestLine string // what the digest holds of bk
 	}
 
 	// search is one asker with the clock that only it sees.
 	search struct {
-		ak       *Asker
-		rnd      *rand.PCG
-		at       int // index of its member
-		now      clock.Millis
-		doubted  bool // holds all other runners dead
-		holds    bool // has the claim, and is to have it confirmed
-		verdicts []Decided
-		line     string // what the digest holds
+		ak         *Asker
+		rnd        *rand.PCG
+		at         int // index of its member
+		now        clock.Millis
+		othersDead bool // holds all other runners dead
+		hasClaim   bool // has the claim, and is to have it confirmed
+		verdicts   []Decided
+		digestLine string // what the digest holds
 	}
 
 	// packet is one message on the way.
 	packet struct {
-		to     board.VMRef
-		asker  int // of an ask or a reply
-		number uint64
-		body   proto.Message
-		line   string // what the digest holds
+		to         board.VMRef
+		asker      int // of an ask or a reply
+		number     uint64
+		body       proto.Message
+		digestLine string // what the digest holds
 	}
 
 	// world is one state of a scenario.
 	world struct {
-		sc       *scenario
-		members  []member
-		searches []search
-		packets  []packet
-		runs     int // dispatches of a request to backend servers
-		lies     int // refusals that said NotRun after a dispatch
-		timeouts int
-		crashes  int
-		doubts   int
+		sc          *scenario
+		members     []member
+		searches    []search
+		packets     []packet
+		runs        int // dispatches of a request to backend servers
+		falseNotRun int // refusals that said NotRun after a dispatch
+		timeouts    int
+		crashes     int
+		falseDeaths int
 	}
 
 	// move is one step that a world may take.
@@ -104,10 +104,10 @@
 }
 
 func newWorld(sc *scenario) *world {
-	wd := &world{sc: sc, timeouts: sc.timeouts, crashes: sc.crashes, doubts: sc.doubts}
+	wd := &world{sc: sc, timeouts: sc.timeouts, crashes: sc.crashes, falseDeaths: sc.falseDeaths}
 	for _, vm := range slices.Concat(sc.start, sc.joiners) {
-		bk := &Book{Self: vm.VMRef, FromStart: true, without: sc.without}
-		bk.Step(0, Seated{Epoch: 1, Table: table(0, sc.start...)})
+		bk := &Book{Self: vm.VMRef, FromLogStart: true, disabled: sc.disabled}
+		bk.Step(0, TableAppended{Epoch: 1, Table: table(0, sc.start...)})
 		wd.members = append(wd.members, member{vm: vm, bk: bk, dead: slices.Contains(sc.dead, vm.VMRef)})
 	}
 	for ix, id := range sc.askers {
@@ -116,10 +116,10 @@
 		ak := &Asker{
 			Self: wd.members[at].vm.VMRef, Customer: testCustomer, Key: sc.key, Fingerprint: []byte("print"),
 			Idempotent: sc.idempotent, Keep: clock.Minute, Patience: sc.patience, Rand: rand.New(pcg),
-			without: sc.without,
+			disabled: sc.disabled,
 		}
 		wd.searches = append(wd.searches, search{ak: ak, rnd: pcg, at: at})
-		wd.asker(ix, Begin{Seats: wd.members[at].bk.Seats(), Fleet: wd.fleet(false, at)})
+		wd.stepAsker(ix, Begin{Seats: wd.members[at].bk.Seats(), Fleet: wd.fleet(false, at)})
 	}
 	return wd
 }
@@ -137,10 +137,10 @@
 	return fl
 }
 
-func (wd *world) asker(ix int, ev AskerEvent) {
+func (wd *world) stepAsker(ix int, ev AskerEvent) {
 	sr := &wd.searches[ix]
-	sr.copy()
-	defer sr.note()
+	sr.copyState()
+	defer sr.updateDigest()
 	for _, in := range sr.ak.Step(sr.now, ev) {
 		switch in := in.(type) {
 		case SendAsk:
@@ -148,43 +148,43 @@
 		case SendUpdate:
 			wd.send(packet{to: in.To, body: in.Update})
 		case Decided:
-			wd.decided(sr, in)
+			wd.recordDecision(sr, in)
 		case Wake:
 		}
 	}
 }
 
-func (wd *world) decided(sr *search, dc Decided) {
-	if wd.sc.confirms && dc.Verdict == Run && !sr.holds {
-		sr.holds = true
+func (wd *world) recordDecision(sr *search, dc Decided) {
+	if wd.sc.confirms && dc.Verdict == Run && !sr.hasClaim {
+		sr.hasClaim = true
 		return
 	}
 	sr.verdicts = append(sr.verdicts, dc)
 	if dc.Verdict == Run || (dc.Verdict == TakeOver && wd.sc.idempotent) {
 		wd.runs++
-		wd.report(sr)
+		wd.reportStates(sr)
 	}
 	if dc.Ran == refusal.NotRun && dc.Verdict != Reused && wd.runs > 0 {
-		wd.lies++
+		wd.falseNotRun++
 	}
 }
 
-func (wd *world) report(sr *search) {
+func (wd *world) reportStates(sr *search) {
 	if !wd.sc.reports {
 		return
 	}
 	for _, state := range []State{Dispatched, Complete} {
-		for _, in := range sr.ak.Step(sr.now, Became{State: state}) {
+		for _, in := range sr.ak.Step(sr.now, StateChanged{State: state}) {
 			up := in.(SendUpdate)
 			wd.send(packet{to: up.To, body: up.Update})
 		}
 	}
 }
 
-func (wd *world) book(at int, ev Event, from packet) {
+func (wd *world) stepBook(at int, ev Event, from packet) {
 	mb := &wd.members[at]
 	mb.bk = cloneBook(mb.bk)
-	defer mb.note()
+	defer mb.updateDigest()
 	for _, in := range mb.bk.Step(0, ev) {
 		switch in := in.(type) {
 		case Reply:
@@ -201,11 +201,11 @@
 	if err != nil {
 		panic(err)
 	}
-	pk.line = string(append(appendNumbers(appendRef(nil, pk.to), uint64(pk.asker), pk.number), raw...))
+	pk.digestLine = string(append(appendNumbers(appendRef(nil, pk.to), uint64(pk.asker), pk.number), raw...))
 	wd.packets = append(wd.packets, pk)
 }
 
-func (wd *world) memberOf(ref board.VMRef) int {
+func (wd *world) liveMember(ref board.VMRef) int {
 	return slices.IndexFunc(wd.members, func(mb member) bool { return mb.vm.VMRef == ref && !mb.dead })
 }
 
@@ -219,7 +219,7 @@
 		if mb.dead {
 			continue
 		}
-		if mb.read < len(wd.sc.tables) && !slices.Contains(wd.sc.stale, mb.vm.VMRef) {
+		if mb.tablesRead < len(wd.sc.tables) && !slices.Contains(wd.sc.stale, mb.vm.VMRef) {
 			out = append(out, move{"table", ix})
 		}
 		if wd.crashes > 0 && (len(wd.sc.victims) == 0 || slices.Contains(wd.sc.victims, mb.vm.ID)) {
@@ -241,16 +241,16 @@
 	if sr.ak.phase == backingOff || sr.ak.phase == confirmingLater {
 		out = append(out, move{"retry", ix})
 	}
-	if sr.ak.phase == decided && sr.holds && len(sr.verdicts) == 0 {
+	if sr.ak.phase == decided && sr.hasClaim && len(sr.verdicts) == 0 {
 		out = append(out, move{"confirm", ix})
 	}
 	if sr.ak.phase != asking && sr.ak.phase != confirming {
 		return out
 	}
-	if wd.timeouts > 0 && sr.ak.count().waiting > 0 {
+	if wd.timeouts > 0 && sr.ak.tallyReplies().waiting > 0 {
 		out = append(out, move{"timeout", ix})
 	}
-	if wd.doubts > 0 && !sr.doubted {
+	if wd.falseDeaths > 0 && !sr.othersDead {
 		out = append(out, move{"doubt", ix})
 	}
 	return out
@@ -264,11 +264,11 @@
 		wd.deliver(pk)
 	case "table":
 		mb := &wd.members[mv.index]
-		mb.read++
-		wd.book(mv.index, Seated{Epoch: uint64(mb.read) + 1, Table: wd.sc.tables[mb.read-1]}, packet{})
+		mb.tablesRead++
+		wd.stepBook(mv.index, TableAppended{Epoch: uint64(mb.tablesRead) + 1, Table: wd.sc.tables[mb.tablesRead-1]}, packet{})
 		for ix := range wd.searches {
 			if wd.searches[ix].at == mv.index {
-				wd.asker(ix, Changed{Seats: mb.bk.Seats()})
+				wd.stepAsker(ix, ViewChanged{Seats: mb.bk.Seats()})
 			}
 		}
 	case "crash":
@@ -276,40 +276,40 @@
 		wd.members[mv.index].dead = true
 	case "retry":
 		wd.searches[mv.index].now = wd.searches[mv.index].ak.retryAt
-		wd.asker(mv.index, Elapsed{})
+		wd.stepAsker(mv.index, AskerTick{})
 	case "confirm":
 		sr := &wd.searches[mv.index]
-		wd.asker(mv.index, Revalidate{Seats: wd.members[sr.at].bk.Seats(), Fleet: wd.fleet(sr.doubted, sr.at)})
+		wd.stepAsker(mv.index, Revalidate{Seats: wd.members[sr.at].bk.Seats(), Fleet: wd.fleet(sr.othersDead, sr.at)})
 	case "timeout":
 		wd.timeouts--
 		asks := wd.searches[mv.index].ak.asks
-		wd.asker(mv.index, Failed{asks[len(asks)-1].number})
+		wd.stepAsker(mv.index, AskFailed{asks[len(asks)-1].number})
 	case "doubt":
-		wd.doubts--
+		wd.falseDeaths--
 		sr := &wd.searches[mv.index]
-		sr.doubted = true
-		wd.asker(mv.index, Changed{Fleet: wd.fleet(true, sr.at)})
+		sr.othersDead = true
+		wd.stepAsker(mv.index, ViewChanged{Fleet: wd.fleet(true, sr.at)})
 	}
 }
 
 func (wd *world) deliver(pk packet) {
-	at := wd.memberOf(pk.to)
+	at := wd.liveMember(pk.to)
 	ask, isAsk := pk.body.(*peerpb.ClaimAsk)
 	if at < 0 {
 		if isAsk && !wd.members[wd.searches[pk.asker].at].dead {
-			wd.asker(pk.asker, Failed{pk.number})
+			wd.stepAsker(pk.asker, AskFailed{pk.number})
 		}
 		return
 	}
 	switch body := pk.body.(type) {
 	case *peerpb.ClaimAsk:
-		wd.book(at, Asked{Ask: ask}, pk)
+		wd.stepBook(at, Asked{Ask: ask}, pk)
 	case *peerpb.ClaimReply:
-		wd.asker(pk.asker, Replied{Number: pk.number, Reply: body})
+		wd.stepAsker(pk.asker, Replied{Number: pk.number, Reply: body})
 	case *peerpb.ClaimUpdate:
-		wd.book(at, Updated{body}, pk)
+		wd.stepBook(at, Updated{body}, pk)
 	case *peerpb.ClaimHandoff:
-		wd.book(at, HandedOff{body}, pk)
+		wd.stepBook(at, HandedOff{body}, pk)
 	}
 }
 
@@ -333,7 +333,7 @@
 	return &out
 }
 
-func (sr *search) copy() {
+func (sr *search) copyState() {
 	ak, pcg := *sr.ak, *sr.rnd
 	ak.asks = slices.Clone(ak.asks)
 	ak.Rand = rand.New(&pcg)
@@ -342,34 +342,34 @@
 
 func cloneBook(bk *Book) *Book {
 	out := *bk
-	out.recs = records{byName: map[name]*record{}, buckets: map[clock.Millis][]name{}, swept: bk.recs.swept}
+	out.recs = records{byName: map[name]*record{}, buckets: map[clock.Millis][]name{}, nextBucket: bk.recs.nextBucket}
 	for nm, rc := range bk.recs.byName {
 		cp := *rc
-		if rc.was != nil {
-			was := *rc.was
-			cp.was = &was
+		if rc.superseded != nil {
+			was := *rc.superseded
+			cp.superseded = &was
 		}
 		out.recs.byName[nm] = &cp
 	}
 	for at, names := range bk.recs.buckets {
 		out.recs.buckets[at] = slices.Clone(names)
 	}
-	out.learned = maps.Clone(bk.learned)
-	out.sent = maps.Clone(bk.sent)
+	out.learnedAt = maps.Clone(bk.learnedAt)
+	out.handedOff = maps.Clone(bk.handedOff)
 	out.received = map[uint64]map[board.VMRef]bool{}
 	for epoch, refs := range bk.received {
 		out.received[epoch] = maps.Clone(refs)
 	}
-	out.partial = map[source]*arriving{}
-	for src, ar := range bk.partial {
-		out.partial[src] = &arriving{ar.sending, maps.Clone(ar.parts)}
+	out.partialHandoffs = map[handoffSource]*partialHandoff{}
+	for src, ar := range bk.partialHandoffs {
+		out.partialHandoffs[src] = &partialHandoff{ar.sending, maps.Clone(ar.parts)}
 	}
 	out.counts = Counts{}
 	return &out
 }
 
-// note writes down what tells this book's state from others.
-func (mb *member) note() {
+// updateDigest writes down what tells this book's state from others.
+func (mb *member) updateDigest() {
 	var buf []byte
 	for _, nm := range slices.SortedFunc(maps.Keys(mb.bk.recs.byName), compareNames) {
 		buf = appendRecord(buf, mb.bk.recs.byName[nm])
@@ -379,17 +379,17 @@
 		for _, ref := range slices.SortedFunc(maps.Keys(mb.bk.received[epoch]), compareRefs) {
 			buf = appendRef(buf, ref)
 		}
-		buf = append(buf, '=', boolByte(mb.bk.sent[epoch]))
+		buf = append(buf, '=', boolByte(mb.bk.handedOff[epoch]))
 	}
-	mb.line = string(buf)
+	mb.digestLine = string(buf)
 }
 
-// note writes down what tells this asker's state from others.
-func (sr *search) note() {
+// updateDigest writes down what tells this asker's state from others.
+func (sr *search) updateDigest() {
 	ak := sr.ak
-	buf := []byte{boolByte(sr.doubted), boolByte(sr.holds)}
-	buf = appendNumbers(buf, uint64(sr.now), uint64(ak.phase), uint64(ak.round), ak.claim, ak.number,
-		uint64(ak.supers), ak.super.GetClaim(), uint64(len(sr.verdicts)))
+	buf := []byte{boolByte(sr.othersDead), boolByte(sr.hasClaim)}
+	buf = appendNumbers(buf, uint64(sr.now), uint64(ak.phase), uint64(ak.round), ak.claim, ak.lastNumber,
+		uint64(ak.supersedeCount), ak.superseded.GetClaim(), uint64(len(sr.verdicts)))
 	for _, ref := range ak.group {
 		buf = appendRef(buf, ref)
 	}
@@ -398,24 +398,24 @@
 		buf = appendNumbers(buf, sa.number, sa.reply.GetClaim())
 		buf = append(append(append(buf, sa.reply.GetVerdict()...), ' '), sa.reply.GetState()...)
 	}
-	buf = append(append(buf, '/'), ak.became.State...)
-	sr.line = string(buf)
+	buf = append(append(buf, '/'), ak.lastState.State...)
+	sr.digestLine = string(buf)
 }
 
 // digest names the state. Messages on the way are a set without an order.
 func (wd *world) digest() [2]uint64 {
-	buf := []byte{byte(wd.runs), byte(wd.timeouts), byte(wd.crashes), byte(wd.doubts)}
+	buf := []byte{byte(wd.runs), byte(wd.timeouts), byte(wd.crashes), byte(wd.falseDeaths)}
 	for _, mb := range wd.members {
-		buf = append(buf, '|', byte(mb.read), boolByte(mb.dead))
-		buf = append(buf, mb.line...)
+		buf = append(buf, '|', byte(mb.tablesRead), boolByte(mb.dead))
+		buf = append(buf, mb.digestLine...)
 	}
 	for _, sr := range wd.searches {
 		buf = append(buf, '|')
-		buf = append(buf, sr.line...)
+		buf = append(buf, sr.digestLine...)
 	}
 	lines := make([]string, len(wd.packets))
 	for ix, pk := range wd.packets {
-		lines[ix] = pk.line
+		lines[ix] = pk.digestLine
 	}
 	slices.Sort(lines)
 	for _, line := range lines {
@@ -432,7 +432,7 @@
 }
 
 func appendRecord(buf []byte, rc *record) []byte {
-	for ; rc != nil; rc = rc.was {
+	for ; rc != nil; rc = rc.superseded {
 		buf = append(append(buf, '/'), rc.state...)
 		buf = appendNumbers(buf, rc.claim, uint64(rc.attempt))
 		buf = appendRef(buf, rc.runner)
--- a/internal/entry/accountant.go
+++ b/internal/entry/accountant.go
@@ -212,10 +212,10 @@
 func (hc *heldCell) opening(from board.VMRef, ask *peerpb.ReserveAsk) sched.Event {
 	as := askOf(from, ask, hc.vm.Clock.Now())
 	if ask.GetStage() == "" {
-		return sched.Submit{Ask: as}
+		return sched.Submit{Spec: as}
 	}
 	return sched.Adopt{
-		Ask:     as,
+		Spec:    as,
 		Stage:   sched.Stage(ask.GetStage()),
 		Prefill: ask.GetPrefillServer(),
 		Decode:  ask.GetDecodeServer(),
@@ -319,10 +319,10 @@
 	switch {
 	case in.Stalled != "":
 		hc.vm.Log.Log(event.TransferMoved, event.F("Request", in.Request), event.F("From", in.Stalled),
-			event.F("To", in.Decode), event.F("Spent", in.Spent), event.F("Expected", in.Expected))
+			event.F("To", in.Decode), event.F("Spent", in.Elapsed), event.F("Expected", in.Expected))
 	case in.Waited >= transferLate:
 		hc.vm.Log.Log(event.TransferWaited, event.F("Request", in.Request), event.F("Server", in.Prefill),
-			event.F("For", in.For), event.F("Waited", in.Waited))
+			event.F("For", in.WaitedFor), event.F("Waited", in.Waited))
 	}
 }
 
@@ -386,8 +386,8 @@
 
 // askOf reads a reservation from the wire; spans become points on this VM's
 // clock.
-func askOf(from board.VMRef, ask *peerpb.ReserveAsk, now clock.Millis) sched.Ask {
-	return sched.Ask{
+func askOf(from board.VMRef, ask *peerpb.ReserveAsk, now clock.Millis) sched.RequestSpec {
+	return sched.RequestSpec{
 		Request:       ask.GetRequest(),
 		Customer:      ask.GetCustomer(),
 		Class:         ask.GetClass(),
--- a/internal/entry/alone.go
+++ b/internal/entry/alone.go
@@ -29,7 +29,7 @@
 	vw := vm.alone.look(ctx, ask.GetCell())
 	vm.alone.mu.Lock()
 	defer vm.alone.mu.Unlock()
-	vw.Own = vm.alone.own
+	vw.OwnRequests = vm.alone.own
 	gr, ok := vm.alone.fb.Decide(askOf(vm.Self, ask, vm.Clock.Now()), vw)
 	if !ok {
 		return nil, refusal.Refusal{
@@ -50,7 +50,7 @@
 	delete(vw.Reports, refused) // an engine without a report is not chosen
 	vm.alone.mu.Lock()
 	defer vm.alone.mu.Unlock()
-	vw.Own = vm.alone.own
+	vw.OwnRequests = vm.alone.own
 	id, _ := vm.alone.fb.Redirect(askOf(vm.Self, ask, vm.Clock.Now()), vw)
 	return id
 }
@@ -64,8 +64,8 @@
 }
 
 // look asks the engines of a cell for their load.
-func (al *alone) look(ctx context.Context, cellName string) sched.View {
-	vw := sched.View{Reports: make(map[string]board.LoadReport)}
+func (al *alone) look(ctx context.Context, cellName string) sched.EngineView {
+	vw := sched.EngineView{Reports: make(map[string]board.LoadReport)}
 	for _, ce := range al.vm.cellList().cells {
 		if ce.Name == cellName {
 			vw.Servers = ce.Servers
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -68,7 +68,7 @@
 	out := bk.Step(now, ev)
 	after := bk.Counts()
 	st := bk.Seats()
-	_, seated := ev.(claim.Seated)
+	_, seated := ev.(claim.TableAppended)
 	switch {
 	case st != vm.seats.Load():
 		vm.seats.Store(st)
@@ -154,7 +154,7 @@
 	}
 	vm.wg.Go(func() { vm.book.Run(ctx) })
 	if st := vm.restored; st != nil {
-		vm.book.Tell(ctx, claim.Restored{Seats: st})
+		vm.book.Tell(ctx, claim.HistoryReceived{Seats: st})
 		next = st.Epoch
 	}
 	for ctx.Err() == nil {
@@ -172,7 +172,7 @@
 	for ctx.Err() == nil {
 		ba, err := vm.Logs.Read(ctx, vm.seatsStream(), 0, 1, 0)
 		if err == nil && ba.First == 0 {
-			vm.bookState.FromStart = true
+			vm.bookState.FromLogStart = true
 			return 0, true
 		}
 		if st := vm.seatsOfPeers(ctx); st != nil {
@@ -188,7 +188,7 @@
 	for _, rc := range ba.Records {
 		var table peerpb.SeatTable
 		if proto.Unmarshal(rc.Data, &table) == nil {
-			vm.book.Tell(ctx, claim.Seated{Epoch: rc.Offset + 1, Table: &table})
+			vm.book.Tell(ctx, claim.TableAppended{Epoch: rc.Offset + 1, Table: &table})
 		}
 	}
 	return max(next, ba.Next)
@@ -196,7 +196,7 @@
 
 // seatsOfPeers asks the other VMs for the seat tables that they know, until
 // one answers.
-func (vm *VM) seatsOfPeers(ctx context.Context) *claim.Seats {
+func (vm *VM) seatsOfPeers(ctx context.Context) *claim.SeatTable {
 	for _, to := range vm.Board.Fleet().Serving() {
 		if to.ID == vm.Self.ID {
 			continue
@@ -229,13 +229,13 @@
 		Fingerprint: rn.req.Fingerprint,
 		Idempotent:  rn.req.Class.Idempotent,
 		Fresh:       !rn.req.KeyGiven,
-		GivenUp:     givenUp,
+		LostRunner:  givenUp,
 		Keep:        claimKeep,
 		Patience:    claimTimeout,
 		Rand:        vm.rand(vm.claimSeed.Add(1)),
 	}
 	cm := &claimant{vm: vm, ctx: ctx, stop: stop, onLost: onLost}
-	cm.ac = actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.Elapsed{}, askerTick)
+	cm.ac = actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.AskerTick{}, askerTick)
 	cm.ac.Step = ak.Step
 	cm.ac.Do = cm.carryOut
 	cm.ac.WakeAt = actor.WakeOf[claim.AskerIntent](func(wk claim.Wake) clock.Millis { return wk.At })
@@ -249,7 +249,7 @@
 func (vm *VM) noClaim() *claimant {
 	ctx, stop := context.WithCancel(vm.loopCtx)
 	stop()
-	return &claimant{vm: vm, ctx: ctx, ac: actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.Elapsed{}, askerTick)}
+	return &claimant{vm: vm, ctx: ctx, ac: actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.AskerTick{}, askerTick)}
 }
 
 // watch passes on changes of the seats and the fleet.
@@ -261,7 +261,7 @@
 		case <-cm.ctx.Done():
 			return
 		case <-moved:
-			cm.ac.Tell(cm.ctx, claim.Changed{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
+			cm.ac.Tell(cm.ctx, claim.ViewChanged{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
 		case <-refuted:
 			cm.revalidate()
 		}
@@ -306,12 +306,12 @@
 func (cm *claimant) ask(in claim.SendAsk) {
 	to, ok := cm.vm.Board.Fleet().VM(in.To.ID)
 	if !ok {
-		cm.ac.Tell(cm.ctx, claim.Failed{Number: in.Number})
+		cm.ac.Tell(cm.ctx, claim.AskFailed{Number: in.Number})
 		return
 	}
 	reply, err := cm.vm.callPeer(cm.ctx, to, &peerpb.Frame{Body: &peerpb.Frame_ClaimAsk{ClaimAsk: in.Ask}})
 	if err != nil || reply.GetClaimReply() == nil {
-		cm.ac.Tell(cm.ctx, claim.Failed{Number: in.Number})
+		cm.ac.Tell(cm.ctx, claim.AskFailed{Number: in.Number})
 		return
 	}
 	cm.ac.Tell(cm.ctx, claim.Replied{Number: in.Number, Reply: reply.GetClaimReply()})
@@ -355,7 +355,7 @@
 func (cm *claimant) end() { time.AfterFunc(claimLinger.Std(), cm.stop) }
 
 // became tells the seats what became of the key.
-func (cm *claimant) became(bc claim.Became) {
+func (cm *claimant) became(bc claim.StateChanged) {
 	cm.ac.Tell(cm.ctx, bc)
 }
 
--- a/internal/entry/deadlyedges_test.go
+++ b/internal/entry/deadlyedges_test.go
@@ -42,7 +42,7 @@
 		}
 		rg.insist(t, vm, fmt.Sprintf("%s-%d", deadlyWord, try), ask)
 		ended, _ := rg.counts()
-		t.Logf("%d servers ended after a try at %s, which knows of %d", ended, vm.Self.ID, len(vm.poison.Known()))
+		t.Logf("%d servers ended after a try at %s, which knows of %d", ended, vm.Self.ID, len(vm.poison.Snapshot()))
 		time.Sleep(2 * time.Second)
 	}
 	rg.check(t, rg.vms[0], ask)
@@ -120,11 +120,11 @@
 		list := (&board.Backends{}).WithServers([]board.BackendServer{{ID: "a"}, {ID: "b"}, {ID: "c"}})
 		gd := &vm.poison
 		gd.Clock = clock.Monotonic{}
-		gd.Probe = func(context.Context, poison.Call) poison.Finding { return poison.Ended }
+		gd.Probe = func(context.Context, poison.Call) poison.Finding { return poison.Crashed }
 		gd.Backends = func() *board.Backends { return list }
 		rn := &run{vm: vm, req: caller.Request{Fingerprint: []byte("prompt")}, st: answer.NewStream()}
 		for _, srv := range list.Servers {
-			gd.RecordBrokenCall(t.Context(), poison.Call{Mark: rn.mark(), Server: srv, Instance: srv.ID, Beside: poison.UnknownBeside})
+			gd.RecordBrokenCall(t.Context(), poison.Call{Mark: rn.mark(), Server: srv, Instance: srv.ID, Concurrent: poison.UnknownConcurrent})
 			time.Sleep(100 * time.Millisecond) // to the next server
 		}
 		assert.Assert(t, gd.Check(rn.mark()) > 0)
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -82,9 +82,9 @@
 	case register.LeaseAppend:
 		le.vm.wg.Go(func() { le.append(in) })
 	case register.Held:
-		le.tell(orders.Held{Token: in.Token})
+		le.tell(orders.LeaseHeld{Token: in.Token})
 	case register.Lapsed:
-		le.tell(orders.Lapsed{Token: in.Token})
+		le.tell(orders.LeaseLapsed{Token: in.Token})
 	case register.Note:
 		le.vm.Log.Log(in.Event, in.Fields...)
 	}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -114,7 +114,7 @@
 		fl := vm.Board.Fleet()
 		vm.follower.ac.Tell(ctx, register.Fleet{Fleet: fl})
 		vm.leases.ac.Tell(ctx, register.Fleet{Fleet: fl})
-		vm.book.Tell(ctx, claim.Fleet{Fleet: fl})
+		vm.book.Tell(ctx, claim.FleetChanged{Fleet: fl})
 		vm.accountant.follow(ctx)
 		select {
 		case <-ctx.Done():
--- a/internal/entry/operatorside.go
+++ b/internal/entry/operatorside.go
@@ -57,7 +57,7 @@
 		at, _ := accountantOf(cellName, vm.Board.Fleet())
 		return operator.OrderReply{}, operator.Fault{Reason: operator.Elsewhere, Detail: fmt.Sprintf("VM %s gives orders to %s; ask that one", at.ID, od.Server)}
 	}
-	an := hc.ord.give(ctx, orders.Give{
+	an := hc.ord.give(ctx, orders.OperatorOrder{
 		ID: uuid.NewString(), Server: od.Server, Order: engine.Order{Kind: od.Kind, Name: od.Name},
 	})
 	switch an.Reason {
@@ -68,7 +68,7 @@
 	default:
 		return operator.OrderReply{}, operator.Fault{
 			Reason: operator.NotOrdered,
-			Detail: fmt.Sprintf("the order was not carried out: %s %s", an.Reason, an.State.Decline),
+			Detail: fmt.Sprintf("the order was not carried out: %s %s", an.Reason, an.Outcome.Decline),
 		}
 	}
 }
--- a/internal/entry/order_test.go
+++ b/internal/entry/order_test.go
@@ -54,7 +54,7 @@
 			}
 			lb.step(register.Want{Hold: true})
 			lb.clk.Advance(tc.paused)
-			or.send(orders.Send{Server: "e0", Margin: 2, Order: engine.Order{Kind: engine.ChangeRole, Role: board.Decode, Fence: lb.entry.Revision}})
+			or.send(orders.Send{Server: "e0", LeaseMargin: 2, Order: engine.Order{Kind: engine.ChangeRole, Role: board.Decode, Fence: lb.entry.Revision}})
 			sent := (<-or.ac.Events).(orders.Sent)
 			assert.Equal(t, sent.Outcome.Reason, tc.want)
 			hist := en.History()
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -39,7 +39,7 @@
 		lease *lease
 
 		mu      sync.Mutex
-		answers map[string]chan orders.Answer
+		answers map[string]chan orders.OperatorReply
 	}
 
 	// demand is what the requests of a cell ask of it.
@@ -58,8 +58,8 @@
 
 func (hc *heldCell) newOrderer(ctx context.Context, name string) *orderer {
 	vm := hc.vm
-	or := &orderer{hc: hc, answers: make(map[string]chan orders.Answer)}
-	ce := &orders.Cell{Settings: orders.Settings{Off: !vm.Settings.Roles.Enabled, Dwell: vm.Settings.Roles.Dwell}}
+	or := &orderer{hc: hc, answers: make(map[string]chan orders.OperatorReply)}
+	ce := &orders.Cell{Settings: orders.Settings{NoRoleChanges: !vm.Settings.Roles.Enabled, Dwell: vm.Settings.Roles.Dwell}}
 	or.ac = actor.New[orders.Event, orders.Intent](vm.Clock, orders.Tick{}, ordersTick)
 	or.ac.Step = ce.Step
 	or.ac.Do = or.carryOut
@@ -78,7 +78,7 @@
 func (or *orderer) carryOut(in orders.Intent) {
 	hc := or.hc
 	switch in := in.(type) {
-	case orders.Want:
+	case orders.WantLease:
 		or.lease.ac.Tell(hc.ctx, register.Want{Hold: in.Hold})
 	case orders.Drain:
 		hc.rec.drain(hc.ctx, in)
@@ -86,9 +86,9 @@
 		hc.vm.wg.Go(func() { or.inspect(in) })
 	case orders.Send:
 		hc.vm.wg.Go(func() { or.send(in) })
-	case orders.Answer:
+	case orders.OperatorReply:
 		or.answer(in)
-	case orders.Note:
+	case orders.LogEvent:
 		hc.vm.Log.Log(in.Event, in.Fields...)
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	ctx, stop := context.WithTimeout(hc.ctx, within.Std())
 	defer stop()
-	res, err := hc.vm.Engines.OrderIf(ctx, srv, in.Order, func() bool { return or.lease.mayOrder(in.Order.Fence, in.Margin) })
+	res, err := hc.vm.Engines.OrderIf(ctx, srv, in.Order, func() bool { return or.lease.mayOrder(in.Order.Fence, in.LeaseMargin) })
 	out.Outcome = outcomeOf(res, err)
 	if err == nil && res.Role != "" {
 		hc.rec.learnRole(hc.ctx, in.Server, knownRole{role: res.Role, at: hc.vm.Clock.Now()})
@@ -157,8 +157,8 @@
 }
 
 // give has an operator's order carried out and waits for what became of it.
-func (or *orderer) give(ctx context.Context, gv orders.Give) orders.Answer {
-	ch := make(chan orders.Answer, 1)
+func (or *orderer) give(ctx context.Context, gv orders.OperatorOrder) orders.OperatorReply {
+	ch := make(chan orders.OperatorReply, 1)
 	or.mu.Lock()
 	or.answers[gv.ID] = ch
 	or.mu.Unlock()
@@ -172,13 +172,13 @@
 	case an := <-ch:
 		return an
 	case <-or.hc.ctx.Done():
-		return orders.Answer{ID: gv.ID, Reason: orders.InDoubt}
+		return orders.OperatorReply{ID: gv.ID, Reason: orders.InDoubt}
 	case <-ctx.Done():
-		return orders.Answer{ID: gv.ID, Reason: orders.InDoubt}
+		return orders.OperatorReply{ID: gv.ID, Reason: orders.InDoubt}
 	}
 }
 
-func (or *orderer) answer(an orders.Answer) {
+func (or *orderer) answer(an orders.OperatorReply) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
 	if ch, ok := or.answers[an.ID]; ok {
@@ -197,16 +197,16 @@
 		rp, ok := rc.reports[srv.ID]
 		kr := rc.roles[srv.ID]
 		ob.Engines = append(ob.Engines, orders.Engine{
-			ID:            srv.ID,
-			Role:          kr.role,
-			RoleAt:        kr.at,
-			ChecksFencing: srv.ChecksFencing,
-			Fit:           ok && rc.misses[srv.ID] < reportMisses && !rc.leaves[srv.ID] && !srv.Leaving,
-			Work:          dm.work[srv.ID],
-			Prompts:       dm.prompts[srv.ID],
-			Running:       rp.Running,
-			Slots:         rp.Slots,
-			Queued:        rp.Queued,
+			ID:             srv.ID,
+			Role:           kr.role,
+			RoleAt:         kr.at,
+			ChecksFencing:  srv.ChecksFencing,
+			Usable:         ok && rc.misses[srv.ID] < reportMisses && !rc.leaves[srv.ID] && !srv.Leaving,
+			Granted:        dm.work[srv.ID],
+			PendingPrompts: dm.prompts[srv.ID],
+			Running:        rp.Running,
+			Slots:          rp.Slots,
+			Queued:         rp.Queued,
 		})
 	}
 	rc.mu.Unlock()
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -75,7 +75,7 @@
 	vm.spread().PassOn(dg)
 	if re := dg.GetRequestEnd(); re != nil {
 		if en, ok := fleet.EndFromWire(re); ok {
-			vm.poison.Heard(en)
+			vm.poison.RecordRemote(en)
 		}
 		return
 	}
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -43,7 +43,7 @@
 	gd.Key = func() []byte { return []byte(vm.Settings.Peer.Secret.Reveal()) }
 	gd.Probe = vm.probe
 	gd.Backends = vm.Board.Backends
-	gd.Tell = vm.spread().TellEnd
+	gd.Broadcast = vm.spread().TellEnd
 	gd.VMs = func() int { return len(vm.Board.Fleet().Serving()) }
 }
 
@@ -64,12 +64,12 @@
 	switch {
 	case ctx.Err() != nil:
 		return poison.Alive
-	case cl.Confirmed && now != cl.Server.Incarnation:
-		return poison.Ended
+	case cl.InstanceConfirmed && now != cl.Server.Incarnation:
+		return poison.Crashed
 	case cl.Server.Incarnation != 0 && (refused || unanswered(err)):
 		return poison.Unanswered
 	case refused:
-		return poison.Ended
+		return poison.Crashed
 	default:
 		return poison.Alive
 	}
@@ -100,7 +100,7 @@
 // tellStarted tells VMs that have started, or were lost and are back, which requests are
 // under suspicion. Two VMs tell each of them, for one may not know.
 func (vm *VM) tellStarted(old, now *board.Fleet) {
-	if !vm.poison.Any() {
+	if !vm.poison.HasSuspects() {
 		return
 	}
 	for _, other := range now.VMs {
@@ -109,7 +109,7 @@
 		if known || other.Health != board.Alive || other.ID == vm.Self.ID || !vm.tellsStarted(now, other) {
 			continue
 		}
-		for _, en := range vm.poison.Known() {
+		for _, en := range vm.poison.Snapshot() {
 			vm.spread().TellEndTo(other, en)
 		}
 	}
@@ -128,7 +128,7 @@
 
 // checkPoison refuses a request under which servers ended.
 func (rn *run) checkPoison() error {
-	if !rn.vm.poison.Any() {
+	if !rn.vm.poison.HasSuspects() {
 		return nil
 	}
 	span := rn.vm.poison.Check(rn.mark())
@@ -147,7 +147,7 @@
 // was followed ends without an error too, also in a refusal.
 func (rn *run) recordSuccess() {
 	last, _ := rn.st.Last()
-	if rn.is(running) && last.Kind != answer.Refused && rn.vm.poison.Any() {
+	if rn.is(running) && last.Kind != answer.Refused && rn.vm.poison.HasSuspects() {
 		rn.vm.poison.RecordSuccess(rn.name(), rn.mark())
 	}
 }
@@ -158,7 +158,7 @@
 func (rn *run) beginCall(srv board.BackendServer) sentCall {
 	vm := rn.vm
 	sc := sentCall{server: srv, began: vm.Clock.Now(), told: vm.incarnations.Times(srv.ID)}
-	if vm.incarnations.Missing(srv.ID) || vm.poison.Any() && vm.poison.Suspected(rn.mark()) {
+	if vm.incarnations.Missing(srv.ID) || vm.poison.HasSuspects() && vm.poison.Suspected(rn.mark()) {
 		vm.askIncarnation(srv)
 	}
 	return sc
@@ -169,7 +169,7 @@
 // ended, or soon after.
 func (rn *run) recordCall(ctx context.Context, sc sentCall, err error) {
 	_, doubt := errors.AsType[backend.InDoubtError](err)
-	if doubt && poison.Broke(ctx, err) && !errors.Is(err, engine.ErrEnded) {
+	if doubt && poison.MayHaveCrashed(ctx, err) && !errors.Is(err, engine.ErrEnded) {
 		rn.recordBrokenCall(ctx, sc)
 	}
 }
@@ -188,20 +188,20 @@
 		sc.server.Incarnation = rn.vm.incarnations.Of(sc.server.ID)
 	}
 	rn.vm.poison.RecordBrokenCall(ctx, poison.Call{
-		Request:   rn.name(),
-		Mark:      rn.mark(),
-		Server:    sc.server,
-		Instance:  fmt.Sprintf("%s/%d", sc.server.ID, sc.server.Incarnation),
-		Confirmed: sc.server.Incarnation != 0 && (sc.held || rn.vm.incarnations.Times(sc.server.ID) > sc.told),
-		Began:     sc.began,
-		Answered:  sc.answered,
-		Beside:    poison.UnknownBeside,
+		Request:           rn.name(),
+		Mark:              rn.mark(),
+		Server:            sc.server,
+		Instance:          fmt.Sprintf("%s/%d", sc.server.ID, sc.server.Incarnation),
+		InstanceConfirmed: sc.server.Incarnation != 0 && (sc.held || rn.vm.incarnations.Times(sc.server.ID) > sc.told),
+		SentAt:            sc.began,
+		Answered:          sc.answered,
+		Concurrent:        poison.UnknownConcurrent,
 	})
 }
 
 // decodesAt is what the seats of a key are told of a decode.
-func decodesAt(srv board.BackendServer, name string) claim.Became {
-	return claim.Became{State: claim.Decoding, DecodeServer: srv.ID, DecodeIncarnation: srv.Incarnation, EngineRequest: name}
+func decodesAt(srv board.BackendServer, name string) claim.StateChanged {
+	return claim.StateChanged{State: claim.Decoding, DecodeServer: srv.ID, DecodeIncarnation: srv.Incarnation, EngineRequest: name}
 }
 
 func (rn *run) name() string { return rn.id.Customer + "/" + rn.id.Key }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -322,9 +322,9 @@
 func (rn *run) report(err error) {
 	switch {
 	case err == nil:
-		rn.claimed.became(claim.Became{State: claim.Complete})
+		rn.claimed.became(claim.StateChanged{State: claim.Complete})
 	case !rn.sent.Load() || errors.Is(err, errNotKept):
-		rn.claimed.became(claim.Became{State: claim.RefusedNotRun})
+		rn.claimed.became(claim.StateChanged{State: claim.RefusedNotRun})
 	}
 }
 
--- a/internal/entry/unsent_test.go
+++ b/internal/entry/unsent_test.go
@@ -30,7 +30,7 @@
 	vm.fresh.Store(math.MinInt64)
 	vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: vm.Self}}})
 	vm.initBook()
-	vm.bookState.FromStart = true
+	vm.bookState.FromLogStart = true
 	still := false
 	vm.book.Step = func(now clock.Millis, ev claim.Event) []claim.Intent {
 		if ask, ok := ev.(claim.Asked); ok && ask.Ask.GetConfirm() && !still {
@@ -40,7 +40,7 @@
 		return vm.stepBook(now, ev)
 	}
 	go vm.book.Run(t.Context())
-	vm.book.Tell(t.Context(), claim.Seated{Epoch: 1, Table: &peerpb.SeatTable{
+	vm.book.Tell(t.Context(), claim.TableAppended{Epoch: 1, Table: &peerpb.SeatTable{
 		Seats: []*peerpb.ClaimSeat{{ID: vm.Self.ID, Incarnation: vm.Self.Incarnation, FailureDomain: "d"}},
 	}})
 	synctest.Wait()
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -104,8 +104,8 @@
 		leases   *follower
 		book     *actor.Actor[claim.Event, claim.Intent]
 
-		bookState *claim.Book  // owned by the loop of book once it runs
-		restored  *claim.Seats // learned from a peer before the book ran
+		bookState *claim.Book      // owned by the loop of book once it runs
+		restored  *claim.SeatTable // learned from a peer before the book ran
 		claimSeed atomic.Uint64
 		leaseSeed atomic.Uint64
 		nextCell  atomic.Uint64
@@ -115,7 +115,7 @@
 		backendsMu sync.Mutex // orders the writers of the board's backend servers
 
 		fresh     atomic.Int64 // clock.Millis up to which this VM is quorate
-		seats     atomic.Pointer[claim.Seats]
+		seats     atomic.Pointer[claim.SeatTable]
 		refuted   signal // this VM was held dead and goes on
 		fleetMove signal // the fleet or the seats changed
 		runEnded  signal
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -55,7 +55,7 @@
 	// Changed hears of each new view of the fleet; nil drops it.
 	Changed func(view *board.Fleet)
 	// End hears at which server's end a request was there; nil drops it.
-	End func(en suspect.End)
+	End func(en suspect.Crash)
 	// News hears what another VM read of a topic; nil drops it.
 	News func(nw topic.News)
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -46,8 +46,8 @@
 		fl := &fleet.Fleet{Self: self, Secret: []byte("sixteen bytes or more"), Rand: rand.New(rand.NewPCG(uint64(ix), 2)),
 			Usage: func(vm string, rp usage.Report) { words <- fmt.Sprintf("usage of %s: %d", vm, len(rp.Runs)) },
 			News:  func(nw topic.News) { words <- fmt.Sprintf("news of %s: %d", nw.Topic, nw.Next) },
-			End: func(en suspect.End) {
-				words <- fmt.Sprintf("end of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Beside)
+			End: func(en suspect.Crash) {
+				words <- fmt.Sprintf("end of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Concurrent)
 			}}
 		fl.Prepare()
 		fleets = append(fleets, fl)
@@ -73,7 +73,7 @@
 	until(t, "words are heard", func() bool {
 		fleets[0].TellUsage(usage.Report{Runs: []usage.Run{{Engine: "e", Tokens: 1}}})
 		fleets[0].TellNews(topic.News{Topic: "t", Next: 3})
-		fleets[0].TellEnd(suspect.End{Mark: suspect.Mark{1, 2}, Server: "s", Answered: true, Beside: 7})
+		fleets[0].TellEnd(suspect.Crash{Mark: suspect.Mark{1, 2}, Server: "s", Answered: true, Concurrent: 7})
 		for len(words) > 0 {
 			heard[<-words] = true
 		}
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -75,7 +75,7 @@
 		Usage func(vm string, rp usage.Report)
 		Place func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer    // chooses engines for a request of another VM
 		Quota func(vm string, life uint64, ask quota.Ask) quota.Answer // answers as the keeper of the customers' quotas
-		End   func(en suspect.End)                                     // hears at which server's end a request was there
+		End   func(en suspect.Crash)                                   // hears at which server's end a request was there
 		Moved func()                                                   // hears that other VMs are the schedulers now
 		News  func(nw topic.News)                                      // hears what others read of any topic
 		Size  func(vms int)                                            // hears how many VMs there are
@@ -318,7 +318,7 @@
 }
 
 // TellEnd tells the others at which server's end a request was there.
-func (ne *Neighbours) TellEnd(en suspect.End) {
+func (ne *Neighbours) TellEnd(en suspect.Crash) {
 	if fl := ne.joined(); fl != nil {
 		fl.TellEnd(en)
 	}
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -59,10 +59,10 @@
 }
 
 // TellEnd tells all VMs that live at which server's end a request was there.
-func (sp Spread) TellEnd(en suspect.End) { sp.TellAll(endToWire(en)) }
+func (sp Spread) TellEnd(en suspect.Crash) { sp.TellAll(endToWire(en)) }
 
 // TellEndTo tells one VM of an end. Words between VMs may be lost.
-func (sp Spread) TellEndTo(vm board.VM, en suspect.End) { _ = sp.Peers.Datagram(vm, endToWire(en)) }
+func (sp Spread) TellEndTo(vm board.VM, en suspect.Crash) { _ = sp.Peers.Datagram(vm, endToWire(en)) }
 
 func (sp Spread) send(vms []board.VM, words []*peerpb.Datagram) {
 	for _, word := range words {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -43,21 +43,21 @@
 }
 
 // TellEnd tells all VMs that live at which server's end a request was there.
-func (fl *Fleet) TellEnd(en suspect.End) { fl.spread().TellEnd(en) }
+func (fl *Fleet) TellEnd(en suspect.Crash) { fl.spread().TellEnd(en) }
 
-func endToWire(en suspect.End) *peerpb.Datagram {
+func endToWire(en suspect.Crash) *peerpb.Datagram {
 	return &peerpb.Datagram{Body: &peerpb.Datagram_RequestEnd{RequestEnd: &peerpb.RequestEnd{
-		Mark: en.Mark[:], Server: en.Server, Answered: en.Answered, Beside: uint32(en.Beside),
-		Age: uint32(max(0, en.Age)), Forgiven: en.Forgiven}}}
+		Mark: en.Mark[:], Server: en.Server, Answered: en.Answered, Beside: uint32(en.Concurrent),
+		Age: uint32(max(0, en.Age)), Forgiven: en.Retracted}}}
 }
 
 // EndFromWire reads an end; one without a whole mark or a server says nothing.
-func EndFromWire(re *peerpb.RequestEnd) (suspect.End, bool) {
+func EndFromWire(re *peerpb.RequestEnd) (suspect.Crash, bool) {
 	if len(re.GetMark()) != len(suspect.Mark{}) || re.GetServer() == "" {
-		return suspect.End{}, false
+		return suspect.Crash{}, false
 	}
-	return suspect.End{Mark: suspect.Mark(re.GetMark()), Server: re.GetServer(), Answered: re.GetAnswered(), Beside: int(re.GetBeside()),
-		Age: clock.Millis(re.GetAge()), Forgiven: re.GetForgiven()}, true
+	return suspect.Crash{Mark: suspect.Mark(re.GetMark()), Server: re.GetServer(), Answered: re.GetAnswered(), Concurrent: int(re.GetBeside()),
+		Age: clock.Millis(re.GetAge()), Retracted: re.GetForgiven()}, true
 }
 
 // newsToWire splits news into messages. A record that is larger than a message
--- a/internal/orders/cell.go
+++ b/internal/orders/cell.go
@@ -16,17 +16,17 @@
 	Cell struct {
 		Settings Settings
 
-		started bool
-		seen    Observed
-		trend   trend
-		changed clock.Millis // when the last change of role ended, or this VM began
-		token   uint64       // of the lease; zero if it is not held
-		heldAt  clock.Millis // when it was first held without a gap
-		waiting []Give
-		now     *change // under way; nil if none is
-		out     []Intent
+		started       bool
+		observed      Observed
+		trend         trend
+		lastChangeAt  clock.Millis // when the last change of role ended, or this VM began
+		token         uint64       // of the lease; zero if it is not held
+		heldAt        clock.Millis // when it was first held without a gap
+		operatorQueue []OperatorOrder
+		current       *activeOrder // under way; nil if none is
+		intents       []Intent
 
-		broken guards // removed by tests, to see that they are missed
+		disabled guards // removed by tests, to see that they are missed
 	}
 
 	// guards that tests remove. The zero value removes none.
@@ -41,91 +41,91 @@
 	if !ce.started {
 		ce.started = true
 		ce.Settings = ce.Settings.withDefaults()
-		if ce.broken.noMemory {
-			ce.Settings.Memory = 0
+		if ce.disabled.noMemory {
+			ce.Settings.SpareFor = 0
 		}
-		ce.changed = now
+		ce.lastChangeAt = now
 	}
-	ce.out = nil
+	ce.intents = nil
 	switch ev := ev.(type) {
 	case Observed:
-		ce.seen = ev
-		ce.trend.take(now, ce.Settings, ev)
-	case Held:
+		ce.observed = ev
+		ce.trend.observe(now, ce.Settings, ev)
+	case LeaseHeld:
 		if ce.token == 0 {
 			ce.heldAt = now
 		}
 		ce.token = ev.Token
-	case Lapsed:
+	case LeaseLapsed:
 		ce.token = 0
 	case Inspected:
-		ce.inspected(now, ev)
+		ce.handleInspected(now, ev)
 	case Sent:
-		ce.sent(now, ev)
-	case Give:
-		ce.give(ev)
+		ce.handleSent(now, ev)
+	case OperatorOrder:
+		ce.enqueue(ev)
 	case Tick:
 	}
-	if ce.now == nil {
-		ce.begin(now)
+	if ce.current == nil {
+		ce.beginNext(now)
 	}
-	ce.move(now)
-	return ce.out
+	ce.advance(now)
+	return ce.intents
 }
 
-func (ce *Cell) emit(in Intent) { ce.out = append(ce.out, in) }
+func (ce *Cell) emit(in Intent) { ce.intents = append(ce.intents, in) }
 
-func (ce *Cell) note(ev event.Event, fields ...event.Field) {
-	ce.emit(Note{Event: ev, Fields: fields})
+func (ce *Cell) logEvent(ev event.Event, fields ...event.Field) {
+	ce.emit(LogEvent{Event: ev, Fields: fields})
 }
 
-// give queues an operator's order.
-func (ce *Cell) give(gv Give) {
-	if _, ok := ce.engine(gv.Server); !ok {
-		ce.emit(Answer{ID: gv.ID, Reason: UnknownNow})
+// enqueue queues an operator's order.
+func (ce *Cell) enqueue(gv OperatorOrder) {
+	if _, ok := ce.engineByID(gv.Server); !ok {
+		ce.emit(OperatorReply{ID: gv.ID, Reason: UnknownEngine})
 		return
 	}
-	if len(ce.waiting) >= waitingBound {
-		ce.emit(Answer{ID: gv.ID, Reason: TooMany})
+	if len(ce.operatorQueue) >= maxWaiting {
+		ce.emit(OperatorReply{ID: gv.ID, Reason: TooMany})
 		return
 	}
-	ce.waiting = append(ce.waiting, gv)
+	ce.operatorQueue = append(ce.operatorQueue, gv)
 }
 
-// begin starts the next order: one of an operator, or a change of role that
+// beginNext starts the next order: one of an operator, or a change of role that
 // the load calls for.
-func (ce *Cell) begin(now clock.Millis) {
-	if len(ce.waiting) > 0 {
-		gv := ce.waiting[0]
-		ce.waiting = ce.waiting[1:]
-		ce.now = &change{id: gv.ID, server: gv.Server, order: gv.Order, phase: asking, since: now}
-		ce.emit(Want{Hold: true})
+func (ce *Cell) beginNext(now clock.Millis) {
+	if len(ce.operatorQueue) > 0 {
+		gv := ce.operatorQueue[0]
+		ce.operatorQueue = ce.operatorQueue[1:]
+		ce.current = &activeOrder{id: gv.ID, server: gv.Server, order: gv.Order, phase: awaitingLease, since: now}
+		ce.emit(WantLease{Hold: true})
 		return
 	}
-	if ce.Settings.Off {
+	if ce.Settings.NoRoleChanges {
 		return
 	}
-	toward := ce.trend.calls(now, ce.Settings)
-	if ce.broken.noWindow {
-		toward = ce.trend.toward
+	toward := ce.trend.roleDue(now, ce.Settings)
+	if ce.disabled.noWindow {
+		toward = ce.trend.shortRole
 	}
-	if toward == "" || (now-ce.changed < ce.Settings.Dwell && !ce.broken.noDwell) {
+	if toward == "" || (now-ce.lastChangeAt < ce.Settings.Dwell && !ce.disabled.noDwell) {
 		return
 	}
-	ce.now = &change{order: engine.Order{Kind: engine.ChangeRole, Role: toward}, phase: asking, since: now}
-	ce.emit(Want{Hold: true})
+	ce.current = &activeOrder{order: engine.Order{Kind: engine.ChangeRole, Role: toward}, phase: awaitingLease, since: now}
+	ce.emit(WantLease{Hold: true})
 }
 
-// pick chooses the engine that changes to a role: the fit one of the other
+// pickEngine chooses the engine that changes to a role: the fit one of the other
 // role with the least work. It must leave enough behind.
-func (ce *Cell) pick(toward board.Role) (Engine, bool) {
-	from := other(toward)
+func (ce *Cell) pickEngine(toward board.Role) (Engine, bool) {
+	from := otherRole(toward)
 	if !ce.maySpare(from) {
 		return Engine{}, false
 	}
 	var fit []Engine
-	for _, eng := range ce.seen.Engines {
-		if eng.Fit && eng.Role == from {
+	for _, eng := range ce.observed.Engines {
+		if eng.Usable && eng.Role == from {
 			fit = append(fit, eng)
 		}
 	}
@@ -133,17 +133,17 @@
 		return Engine{}, false
 	}
 	return slices.MinFunc(fit, func(ea, eb Engine) int {
-		return cmp.Or(cmp.Compare(ea.Work+ea.Running+ea.Queued, eb.Work+eb.Running+eb.Queued), cmp.Compare(ea.ID, eb.ID))
+		return cmp.Or(cmp.Compare(ea.Granted+ea.Running+ea.Queued, eb.Granted+eb.Running+eb.Queued), cmp.Compare(ea.ID, eb.ID))
 	}), true
 }
 
 // maySpare tells whether a role keeps enough fit engines when one leaves it.
 func (ce *Cell) maySpare(role board.Role) bool {
-	return poolsOf(ce.seen.Engines).of(role) > ce.Settings.Least || ce.broken.noLeast
+	return poolsOf(ce.observed.Engines).count(role) > ce.Settings.MinEngines || ce.disabled.noLeast
 }
 
-func (ce *Cell) engine(id string) (Engine, bool) {
-	for _, eng := range ce.seen.Engines {
+func (ce *Cell) engineByID(id string) (Engine, bool) {
+	for _, eng := range ce.observed.Engines {
 		if eng.ID == id {
 			return eng, true
 		}
@@ -154,9 +154,9 @@
 // settledFrom is the point from which on no order of another holder can
 // change an engine.
 func (ce *Cell) settledFrom() clock.Millis {
-	for _, eng := range ce.seen.Engines {
+	for _, eng := range ce.observed.Engines {
 		if !eng.ChecksFencing {
-			return ce.heldAt + ce.Settings.Flight
+			return ce.heldAt + ce.Settings.MaxOrderDelay
 		}
 	}
 	return ce.heldAt
@@ -164,12 +164,12 @@
 
 // settled tells whether every fit engine has said its role late enough.
 func (ce *Cell) settled() bool {
-	if ce.broken.noSettle {
+	if ce.disabled.noSettle {
 		return true
 	}
 	from := ce.settledFrom()
-	for _, eng := range ce.seen.Engines {
-		if eng.Fit && (eng.Role == "" || eng.RoleAt < from) {
+	for _, eng := range ce.observed.Engines {
+		if eng.Usable && (eng.Role == "" || eng.RoleAt < from) {
 			return false
 		}
 	}
--- a/internal/orders/cell_test.go
+++ b/internal/orders/cell_test.go
@@ -17,18 +17,18 @@
 	step  = 500 * clock.Millis(1)
 )
 
-// bench drives one cell with engines that do as they are told.
-type bench struct {
-	cell    *Cell
-	now     clock.Millis
-	engines []Engine
-	demand  func(now clock.Millis) (prefill, decode float64) // engines' worth of work
-	runs    map[string]int                                   // that never end by themselves
-	outcome func(sd Send) Outcome                            // nil: carried out
-	noLease bool
-	stuck   bool // an engine that is drained turns out to run something that does not end
-	waits   bool // quick requests wait whatever the load is
-	caches  int  // KV caches that each prefill engine keeps, unless it is drained
+// harness drives one cell with engines that do as they are told.
+type harness struct {
+	cell         *Cell
+	now          clock.Millis
+	engines      []Engine
+	demand       func(now clock.Millis) (prefill, decode float64) // engines' worth of work
+	runs         map[string]int                                   // that never end by themselves
+	outcome      func(sd Send) Outcome                            // nil: carried out
+	noLease      bool
+	neverIdle    bool // an engine that is drained turns out to run something that does not end
+	alwaysQueued bool // quick requests wait whatever the load is
+	heldCaches   int  // KV caches that each prefill engine keeps, unless it is drained
 
 	changes []clock.Millis
 	fewest  map[board.Role]int
@@ -37,8 +37,8 @@
 	drained map[string]bool
 }
 
-func newBench(se Settings, prefill, decode int) *bench {
-	bn := &bench{
+func newBench(se Settings, prefill, decode int) *harness {
+	bn := &harness{
 		cell: &Cell{Settings: se}, now: 1000, runs: map[string]int{},
 		fewest:  map[board.Role]int{board.Prefill: prefill, board.Decode: decode},
 		demand:  func(clock.Millis) (float64, float64) { return 0, 0 },
@@ -49,26 +49,26 @@
 		if ix >= prefill {
 			role = board.Decode
 		}
-		bn.engines = append(bn.engines, Engine{ID: fmt.Sprintf("e%02d", ix), Role: role, Fit: true, ChecksFencing: ix%2 == 0, Slots: slots})
+		bn.engines = append(bn.engines, Engine{ID: fmt.Sprintf("e%02d", ix), Role: role, Usable: true, ChecksFencing: ix%2 == 0, Slots: slots})
 	}
 	return bn
 }
 
 // run passes time, with an observation each step.
-func (bn *bench) run(span clock.Millis) {
+func (bn *harness) run(span clock.Millis) {
 	for end := bn.now + span; bn.now < end; bn.now += step {
-		bn.tell(bn.observe())
+		bn.step(bn.observe())
 	}
 }
 
-func (bn *bench) observe() Observed {
+func (bn *harness) observe() Observed {
 	prefill, decode := bn.demand(bn.now)
 	po := poolsOf(bn.engines)
 	busy := min(float64(po.prefill), prefill)
 	full := min(1, decode/float64(max(1, po.decode)))
 	ob := Observed{}
 	for _, eng := range bn.engines {
-		eng.RoleAt, eng.Work = bn.now, bn.runs[eng.ID]
+		eng.RoleAt, eng.Granted = bn.now, bn.runs[eng.ID]
 		switch {
 		case eng.Role == board.Decode:
 			eng.Running = int(full * slots)
@@ -76,31 +76,31 @@
 			eng.Queued, busy = 1, busy-1
 		}
 		if eng.Role == board.Prefill && !bn.drained[eng.ID] {
-			eng.Work += bn.caches
+			eng.Granted += bn.heldCaches
 		}
 		ob.Engines = append(ob.Engines, eng)
 	}
-	if bn.waits || prefill > float64(po.prefill) || decode > float64(po.decode) {
+	if bn.alwaysQueued || prefill > float64(po.prefill) || decode > float64(po.decode) {
 		ob.Quick = 3
 	}
 	return ob
 }
 
-func (bn *bench) tell(ev Event) {
+func (bn *harness) step(ev Event) {
 	for _, in := range bn.cell.Step(bn.now, ev) {
 		bn.intents = append(bn.intents, in)
 		switch in := in.(type) {
-		case Want:
+		case WantLease:
 			if in.Hold && !bn.noLease {
 				bn.held = true
-				bn.tell(Held{Token: uint64(bn.now)})
+				bn.step(LeaseHeld{Token: uint64(bn.now)})
 			} else if bn.held {
 				bn.held = false
-				bn.tell(Lapsed{})
+				bn.step(LeaseLapsed{})
 			}
 		case Drain:
 			bn.drained[in.Server] = in.Stop
-			if bn.stuck && in.Stop {
+			if bn.neverIdle && in.Stop {
 				bn.runs[in.Server] = 1
 			}
 			if !in.Stop {
@@ -108,14 +108,14 @@
 			}
 		case Inspect:
 			eng := bn.engine(in.Server)
-			bn.tell(Inspected{Server: in.Server, Asked: bn.now, Runs: bn.runs[in.Server], Role: eng.Role, RoleAt: bn.now})
+			bn.step(Inspected{Server: in.Server, Asked: bn.now, Runs: bn.runs[in.Server], Role: eng.Role, RoleAt: bn.now})
 		case Send:
-			bn.tell(Sent{Server: in.Server, Outcome: bn.carryOut(in)})
+			bn.step(Sent{Server: in.Server, Outcome: bn.carryOut(in)})
 		}
 	}
 }
 
-func (bn *bench) carryOut(sd Send) Outcome {
+func (bn *harness) carryOut(sd Send) Outcome {
 	if bn.outcome != nil {
 		if oc := bn.outcome(sd); oc.Reason != CarriedOut {
 			return oc
@@ -127,13 +127,13 @@
 		bn.changes = append(bn.changes, bn.now)
 		po := poolsOf(bn.engines)
 		for role, few := range bn.fewest {
-			bn.fewest[role] = min(few, po.of(role))
+			bn.fewest[role] = min(few, po.count(role))
 		}
 	}
 	return Outcome{Role: eng.Role}
 }
 
-func (bn *bench) engine(id string) *Engine {
+func (bn *harness) engine(id string) *Engine {
 	for ix := range bn.engines {
 		if bn.engines[ix].ID == id {
 			return &bn.engines[ix]
@@ -168,21 +168,21 @@
 func TestRolesFollowALoadWhoseKVCachesWait(t *testing.T) {
 	bn := newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
 	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
-	bn.caches = 2
+	bn.heldCaches = 2
 	bn.run(clock.Hour)
 	po := poolsOf(bn.engines)
 	assert.Assert(t, po.decode >= 4 && po.prefill >= 2, "%+v", po)
 	assert.Assert(t, len(bn.changes) <= 3, "%d changes", len(bn.changes))
 }
 
-// dip runs a cell close to the bound until it wants the lease, and takes the
+// dippingLoad runs a cell close to the bound until it wants the lease, and takes the
 // load away for a span at the moment at which the engine is chosen.
-func dip(span clock.Millis) (bn *bench, wanted clock.Millis) {
+func dippingLoad(span clock.Millis) (bn *harness, wanted clock.Millis) {
 	bn = newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
-	bn.waits = true
+	bn.alwaysQueued = true
 	load := func(clock.Millis) (float64, float64) { return 1.5, 1.9 }
 	bn.demand = load
-	for bn.cell.now == nil {
+	for bn.cell.current == nil {
 		bn.run(step)
 	}
 	wanted = bn.now
@@ -196,7 +196,7 @@
 // A load that is below its bound for a moment, just when the engine is chosen,
 // has the change made a moment later and not given up.
 func TestLoadThatDipsKeepsItsChange(t *testing.T) {
-	bn, wanted := dip(clock.Second)
+	bn, wanted := dippingLoad(clock.Second)
 	bn.run(20 * clock.Second)
 	assert.Equal(t, len(bn.changes), 1)
 	assert.Assert(t, bn.changes[0]-wanted < 20*clock.Second, "%v", bn.changes[0]-wanted)
@@ -204,16 +204,16 @@
 
 // One that stays away ends the change, and gives the lease back.
 func TestLoadThatIsGoneEndsItsChange(t *testing.T) {
-	bn, wanted := dip(21 * clock.Second)
+	bn, wanted := dippingLoad(21 * clock.Second)
 	assert.Equal(t, len(bn.changes), 0)
-	assert.Assert(t, bn.cell.now == nil && !bn.held)
+	assert.Assert(t, bn.cell.current == nil && !bn.held)
 	bn.run(wanted + 2*clock.Minute - bn.now)
 	assert.Equal(t, len(bn.changes), 0, "before another dwell is over")
 }
 
 // hourly runs a swinging load for some hours and returns the most changes in
 // any one hour.
-func hourly(bn *bench, hours int) int {
+func hourly(bn *harness, hours int) int {
 	bn.run(clock.Millis(hours) * clock.Hour)
 	most := 0
 	for ix, from := range bn.changes {
@@ -251,7 +251,7 @@
 	dwell := 2 * clock.Minute
 	for name, broken := range map[string]guards{"NoWindow": {noWindow: true, noMemory: true}, "NoMemory": {noMemory: true}} {
 		bn := newBench(Settings{Dwell: dwell}, 4, 4)
-		bn.cell.broken = broken
+		bn.cell.disabled = broken
 		bn.demand = swing(2*clock.Minute, 7)
 		if broken.noWindow {
 			assert.Assert(t, hourly(bn, 1) > 0, "%s is not caught", name)
@@ -259,7 +259,7 @@
 		}
 		assert.Equal(t, hourly(bn, 1), 0, "the window alone holds this swing")
 		bn = newBench(Settings{Dwell: dwell}, 4, 4)
-		bn.cell.broken = broken
+		bn.cell.disabled = broken
 		bn.demand = swing(10*clock.Minute, 7)
 		most := hourly(bn, 4)
 		t.Logf("%s: period 10m: %d changes in 4 h, at most %d in an hour", name, len(bn.changes), most)
@@ -267,8 +267,8 @@
 	}
 	few := 0
 	for _, noDwell := range []bool{false, true} {
-		bn := newBench(Settings{Dwell: dwell, Window: 5 * clock.Second, Memory: 1}, 8, 8)
-		bn.cell.broken = guards{noDwell: noDwell}
+		bn := newBench(Settings{Dwell: dwell, Window: 5 * clock.Second, SpareFor: 1}, 8, 8)
+		bn.cell.disabled = guards{noDwell: noDwell}
 		bn.demand = swing(2*clock.Minute, 14)
 		most := hourly(bn, 1)
 		if !noDwell {
@@ -287,7 +287,7 @@
 		least := rapid.IntRange(1, 3).Draw(rt, "Least")
 		prefill := rapid.IntRange(least, 8).Draw(rt, "Prefill")
 		decode := rapid.IntRange(least, 8).Draw(rt, "Decode")
-		bn := newBench(Settings{Dwell: 2 * clock.Minute, Least: least}, prefill, decode)
+		bn := newBench(Settings{Dwell: 2 * clock.Minute, MinEngines: least}, prefill, decode)
 		load := [2]float64{}
 		bn.demand = func(clock.Millis) (float64, float64) { return load[0], load[1] }
 		bn.outcome = func(sd Send) Outcome {
@@ -315,8 +315,8 @@
 }
 
 // shortDecode is a bench whose load calls for decode engines.
-func shortDecode(prefill, decode int) *bench {
-	bn := newBench(Settings{Dwell: 2 * clock.Minute, Memory: 1}, prefill, decode)
+func shortDecode(prefill, decode int) *harness {
+	bn := newBench(Settings{Dwell: 2 * clock.Minute, SpareFor: 1}, prefill, decode)
 	bn.demand = func(clock.Millis) (float64, float64) { return 0, 99 }
 	return bn
 }
@@ -328,21 +328,21 @@
 	assert.Equal(t, len(bn.changes), 2)
 
 	bn = shortDecode(1, 1)
-	bn.cell.broken.noLeast = true
-	bn.cell.trend.toward = board.Decode
-	_, ok := bn.cell.pick(board.Decode)
+	bn.cell.disabled.noLeast = true
+	bn.cell.trend.shortRole = board.Decode
+	_, ok := bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
-	bn.tell(bn.observe())
-	_, ok = bn.cell.pick(board.Decode)
+	bn.step(bn.observe())
+	_, ok = bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, ok, "the guard is not what keeps the last engine")
-	bn.cell.broken.noLeast = false
-	_, ok = bn.cell.pick(board.Decode)
+	bn.cell.disabled.noLeast = false
+	_, ok = bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
 }
 
 func TestARoleThatLostItsEnginesGetsOne(t *testing.T) {
 	bn := newBench(Settings{Dwell: 2 * clock.Minute}, 3, 1)
-	bn.engine("e03").Fit = false
+	bn.engine("e03").Usable = false
 	bn.run(30 * clock.Minute)
 	assert.Equal(t, poolsOf(bn.engines).decode, 1)
 	assert.Equal(t, len(bn.changes), 1)
@@ -351,8 +351,8 @@
 func TestABusyEngineIsNotChanged(t *testing.T) {
 	for _, noDrain := range []bool{false, true} {
 		bn := shortDecode(2, 2)
-		bn.stuck = true
-		bn.cell.broken.noDrain = noDrain
+		bn.neverIdle = true
+		bn.cell.disabled.noDrain = noDrain
 		bn.run(20 * clock.Minute)
 		assert.Equal(t, len(bn.changes) > 0, noDrain)
 		stops, goes := 0, 0
@@ -411,7 +411,7 @@
 				assert.Equal(t, fence, fences[0], "a repeat has another token")
 			}
 			assert.Assert(t, !bn.held, "the lease is kept")
-			assert.Assert(t, bn.cell.now == nil)
+			assert.Assert(t, bn.cell.current == nil)
 		})
 	}
 }
@@ -420,7 +420,7 @@
 func TestNoOtherOrderInDoubt(t *testing.T) {
 	for _, noDoubt := range []bool{false, true} {
 		bn := shortDecode(5, 1)
-		bn.cell.broken.noDoubt = noDoubt
+		bn.cell.disabled.noDoubt = noDoubt
 		doubtful := map[string]bool{}
 		bn.outcome = func(sd Send) Outcome {
 			if sd.Order.Role == board.Decode && bn.engine(sd.Server).Role == board.Prefill {
@@ -434,7 +434,7 @@
 		}
 		// The engine says nothing of itself any more.
 		for id := range doubtful {
-			bn.engine(id).Role, bn.engine(id).Fit = "", false
+			bn.engine(id).Role, bn.engine(id).Usable = "", false
 		}
 		bn.run(30 * clock.Minute)
 		assert.Equal(t, len(doubtful) > 1, noDoubt)
@@ -454,20 +454,20 @@
 }
 
 func TestOrdersOfOperators(t *testing.T) {
-	bn := newBench(Settings{Off: true}, 1, 1)
-	bn.tell(bn.observe())
+	bn := newBench(Settings{NoRoleChanges: true}, 1, 1)
+	bn.step(bn.observe())
 	for ix, kind := range []engine.OrderKind{engine.LoadModel, engine.LoadAdapter, engine.LoadVersion} {
-		bn.tell(Give{ID: fmt.Sprint(ix), Server: "e00", Order: engine.Order{Kind: kind, Name: "m"}})
+		bn.step(OperatorOrder{ID: fmt.Sprint(ix), Server: "e00", Order: engine.Order{Kind: kind, Name: "m"}})
 	}
-	bn.tell(Give{ID: "none", Server: "e77", Order: engine.Order{Kind: engine.LoadModel, Name: "m"}})
+	bn.step(OperatorOrder{ID: "none", Server: "e77", Order: engine.Order{Kind: engine.LoadModel, Name: "m"}})
 	bn.run(2 * clock.Minute)
 	got := map[string]Reason{}
 	for _, in := range bn.intents {
-		if an, ok := in.(Answer); ok {
+		if an, ok := in.(OperatorReply); ok {
 			got[an.ID] = an.Reason
 		}
 	}
-	assert.DeepEqual(t, got, map[string]Reason{"0": CarriedOut, "1": CarriedOut, "2": CarriedOut, "none": UnknownNow})
+	assert.DeepEqual(t, got, map[string]Reason{"0": CarriedOut, "1": CarriedOut, "2": CarriedOut, "none": UnknownEngine})
 	assert.Assert(t, !bn.held)
 }
 
@@ -475,13 +475,13 @@
 // doubt is not sent again under another one.
 func TestALapsedLeaseEndsWhatItBegan(t *testing.T) {
 	bn := shortDecode(3, 1)
-	bn.stuck = true
-	for bn.cell.now == nil || bn.cell.now.phase != draining {
+	bn.neverIdle = true
+	for bn.cell.current == nil || bn.cell.current.phase != draining {
 		bn.run(step)
 	}
-	bn.tell(Lapsed{})
-	assert.Assert(t, bn.cell.now == nil && len(bn.runs) == 0, "the drain goes on")
-	bn.tell(Held{Token: 1 << 40})
+	bn.step(LeaseLapsed{})
+	assert.Assert(t, bn.cell.current == nil && len(bn.runs) == 0, "the drain goes on")
+	bn.step(LeaseHeld{Token: 1 << 40})
 	bn.run(10 * clock.Second)
 	assert.Equal(t, len(bn.changes), 0)
 
@@ -492,8 +492,8 @@
 			return Outcome{}
 		}
 		if sends++; sends == 1 {
-			bn.tell(Lapsed{})
-			bn.tell(Held{Token: 1 << 40})
+			bn.step(LeaseLapsed{})
+			bn.step(LeaseHeld{Token: 1 << 40})
 		}
 		return Outcome{Reason: InDoubt}
 	}
@@ -502,5 +502,5 @@
 	}
 	bn.run(30 * clock.Second)
 	assert.Equal(t, sends, 1)
-	assert.Assert(t, bn.cell.now == nil, "the doubt is not settled by the engine's report")
+	assert.Assert(t, bn.cell.current == nil, "the doubt is not settled by the engine's report")
 }
--- a/internal/orders/change.go
+++ b/internal/orders/change.go
@@ -9,65 +9,65 @@
 
 // Phases of an order, as the package comment tells them.
 const (
-	asking phase = iota
+	awaitingLease phase = iota
 	settling
 	fencing
 	choosing
 	draining
 	sending
-	doubting
+	verifying
 )
 
 type (
 	phase int
 
-	// change is the order that is under way.
-	change struct {
+	// activeOrder is the order that is under way.
+	activeOrder struct {
 		id     string // of an operator's order; empty for a change of role
 		server string // empty until it is chosen
 		order  engine.Order
 		phase  phase
 		since  clock.Millis // when the phase began
 
-		drained   bool            // the engine gets no new work
-		lease     clock.Millis    // since when the lease is held that the order is given under
-		unfenced  map[string]bool // engines that do not know the token yet
-		idleSince clock.Millis
-		inspectAt clock.Millis // of the next Inspect
-		sentAt    clock.Millis
-		tries     int
+		drained    bool            // the engine gets no new work
+		leaseSince clock.Millis    // since when the lease is held that the order is given under
+		unfenced   map[string]bool // engines that do not know the token yet
+		idleSince  clock.Millis
+		inspectAt  clock.Millis // of the next Inspect
+		sentAt     clock.Millis
+		tries      int
 	}
 )
 
-func (ce *Cell) enter(now clock.Millis, ph phase) {
-	ce.now.phase, ce.now.since = ph, now
+func (ce *Cell) enterPhase(now clock.Millis, ph phase) {
+	ce.current.phase, ce.current.since = ph, now
 }
 
-// move goes on with the order under way as far as it can.
-func (ce *Cell) move(now clock.Millis) {
-	for ce.now != nil {
-		ch, ph := ce.now, ce.now.phase
-		ce.moveOnce(now)
-		if ce.now != ch || ch.phase == ph {
+// advance goes on with the order under way as far as it can.
+func (ce *Cell) advance(now clock.Millis) {
+	for ce.current != nil {
+		ch, ph := ce.current, ce.current.phase
+		ce.advanceOnce(now)
+		if ce.current != ch || ch.phase == ph {
 			return
 		}
 	}
 }
 
-func (ce *Cell) moveOnce(now clock.Millis) {
-	ch := ce.now
-	if ch.phase < sending && ch.phase != asking && !ce.holds(ch) {
-		ce.end(now, LeaseLost, Outcome{})
+func (ce *Cell) advanceOnce(now clock.Millis) {
+	ch := ce.current
+	if ch.phase < sending && ch.phase != awaitingLease && !ce.sameLease(ch) {
+		ce.finish(now, LeaseLost, Outcome{})
 		return
 	}
 	switch ch.phase {
-	case asking:
+	case awaitingLease:
 		switch {
 		case ce.token != 0:
-			ch.lease = ce.heldAt
-			ce.enter(now, settling)
-		case now-ch.since >= ce.Settings.LeaseWithin:
-			ce.end(now, NoLease, Outcome{})
+			ch.leaseSince = ce.heldAt
+			ce.enterPhase(now, settling)
+		case now-ch.since >= ce.Settings.LeaseTimeout:
+			ce.finish(now, NoLease, Outcome{})
 		}
 	case settling:
 		ce.settle(now)
@@ -76,60 +76,60 @@
 		ce.choose(now)
 	case draining:
 		ce.drain(now)
-	case doubting:
-		ce.doubt(now)
+	case verifying:
+		ce.verify(now)
 	}
 }
 
-// holds tells whether the lease has been held since the order was begun.
+// sameLease tells whether the lease has been held since the order was begun.
 // Renewals change its token and leave it the same lease.
-func (ce *Cell) holds(ch *change) bool { return ce.token != 0 && ce.heldAt == ch.lease }
+func (ce *Cell) sameLease(ch *activeOrder) bool { return ce.token != 0 && ce.heldAt == ch.leaseSince }
 
 // settle waits until the roles of all engines are certain.
 func (ce *Cell) settle(now clock.Millis) {
-	ch := ce.now
+	ch := ce.current
 	switch {
 	case ch.id != "" && now >= ce.settledFrom():
 		ce.send(now)
 	case ch.id == "" && ce.settled():
-		ce.fence(now)
-	case now-ch.since >= ce.Settings.LeaseWithin+ce.Settings.Flight:
-		ce.end(now, NotSettled, Outcome{})
+		ce.distributeToken(now)
+	case now-ch.since >= ce.Settings.LeaseTimeout+ce.Settings.MaxOrderDelay:
+		ce.finish(now, NotSettled, Outcome{})
 	}
 }
 
-// fence tells the token to all engines that check it: an order of the holder
+// distributeToken tells the token to all engines that check it: an order of the holder
 // before to another engine than the one that is changed now must be refused
 // too, or the old role could lose both.
-func (ce *Cell) fence(now clock.Millis) {
-	ch := ce.now
+func (ce *Cell) distributeToken(now clock.Millis) {
+	ch := ce.current
 	ch.order.Fence = ce.token
 	ch.unfenced = make(map[string]bool)
-	for _, eng := range ce.seen.Engines {
-		if eng.Fit && eng.ChecksFencing && !ce.broken.noFence {
+	for _, eng := range ce.observed.Engines {
+		if eng.Usable && eng.ChecksFencing && !ce.disabled.noFence {
 			ch.unfenced[eng.ID] = true
 			ce.emit(Send{Server: eng.ID, Order: engine.Order{Kind: engine.ChangeRole, Role: eng.Role, Fence: ce.token}})
 		}
 	}
-	ce.enter(now, fencing)
+	ce.enterPhase(now, fencing)
 	if len(ch.unfenced) == 0 {
-		ce.enter(now, choosing)
+		ce.enterPhase(now, choosing)
 	}
 }
 
-func (ce *Cell) fenced(now clock.Millis, ev Sent) {
-	ch := ce.now
+func (ce *Cell) handleFenced(now clock.Millis, ev Sent) {
+	ch := ce.current
 	if !ch.unfenced[ev.Server] {
 		return
 	}
 	if ev.Outcome.Reason != CarriedOut {
-		ce.end(now, NotSettled, ev.Outcome)
+		ce.finish(now, NotSettled, ev.Outcome)
 		return
 	}
-	ce.take(now, ev.Server, ev.Outcome)
+	ce.recordRole(now, ev.Server, ev.Outcome)
 	delete(ch.unfenced, ev.Server)
-	if len(ch.unfenced) == 0 && ce.holds(ch) {
-		ce.enter(now, choosing)
+	if len(ch.unfenced) == 0 && ce.sameLease(ch) {
+		ce.enterPhase(now, choosing)
 	}
 }
 
@@ -137,40 +137,40 @@
 // or the holder before may have changed a role already. A load close to its
 // bound is let come back, since a change that is given up costs a dwell.
 func (ce *Cell) choose(now clock.Millis) {
-	ch := ce.now
-	if ce.trend.toward != ch.order.Role {
-		if now-ch.since >= ce.Settings.NeedWithin {
-			ce.end(now, NotNeeded, Outcome{})
+	ch := ce.current
+	if ce.trend.shortRole != ch.order.Role {
+		if now-ch.since >= ce.Settings.NeedTimeout {
+			ce.finish(now, NotNeeded, Outcome{})
 		}
 		return
 	}
-	eng, ok := ce.pick(ch.order.Role)
+	eng, ok := ce.pickEngine(ch.order.Role)
 	if !ok {
-		ce.end(now, TooFew, Outcome{})
+		ce.finish(now, TooFew, Outcome{})
 		return
 	}
 	ch.server = eng.ID
 	ch.drained = true
 	ch.inspectAt = now
-	ce.enter(now, draining)
+	ce.enterPhase(now, draining)
 	ce.emit(Drain{Server: eng.ID, Stop: true})
-	ce.note(event.RoleChangeBegun, event.F("Server", eng.ID), event.F("To", ch.order.Role), event.F("Work", eng.Work))
+	ce.logEvent(event.RoleChangeBegun, event.F("Server", eng.ID), event.F("To", ch.order.Role), event.F("Work", eng.Granted))
 }
 
 // drain waits until the engine has ended its work.
 func (ce *Cell) drain(now clock.Millis) {
-	ch := ce.now
-	eng, ok := ce.engine(ch.server)
+	ch := ce.current
+	eng, ok := ce.engineByID(ch.server)
 	switch {
-	case !ok || !eng.Fit || eng.Role != other(ch.order.Role):
-		ce.end(now, NotNeeded, Outcome{})
+	case !ok || !eng.Usable || eng.Role != otherRole(ch.order.Role):
+		ce.finish(now, NotNeeded, Outcome{})
 	case !ce.maySpare(eng.Role):
-		ce.end(now, TooFew, Outcome{})
-	case ce.broken.noDrain:
+		ce.finish(now, TooFew, Outcome{})
+	case ce.disabled.noDrain:
 		ce.send(now)
-	case now-ch.since >= ce.Settings.DrainWithin:
-		ce.end(now, NotDrained, Outcome{})
-	case eng.Work > 0:
+	case now-ch.since >= ce.Settings.DrainTimeout:
+		ce.finish(now, NotDrained, Outcome{})
+	case eng.Granted > 0:
 		ch.idleSince = 0
 	default:
 		if ch.idleSince == 0 {
@@ -181,36 +181,36 @@
 }
 
 func (ce *Cell) inspect(now clock.Millis) {
-	if now >= ce.now.inspectAt {
-		ce.now.inspectAt = now + inspectEvery
-		ce.emit(Inspect{Server: ce.now.server})
+	if now >= ce.current.inspectAt {
+		ce.current.inspectAt = now + inspectInterval
+		ce.emit(Inspect{Server: ce.current.server})
 	}
 }
 
-// inspected takes an engine's own word on what it runs and on its role.
-func (ce *Cell) inspected(now clock.Millis, ev Inspected) {
-	ch := ce.now
+// handleInspected takes an engine's own word on what it runs and on its role.
+func (ce *Cell) handleInspected(now clock.Millis, ev Inspected) {
+	ch := ce.current
 	if ch == nil || ch.server != ev.Server || ev.Failed {
 		return
 	}
 	switch ch.phase {
 	case draining:
-		eng, ok := ce.engine(ch.server)
-		if ok && ev.Runs == 0 && eng.Work == 0 && ch.idleSince != 0 && ev.Asked >= ch.idleSince &&
-			ce.holds(ch) && ev.Role == eng.Role && ce.maySpare(eng.Role) {
+		eng, ok := ce.engineByID(ch.server)
+		if ok && ev.Runs == 0 && eng.Granted == 0 && ch.idleSince != 0 && ev.Asked >= ch.idleSince &&
+			ce.sameLease(ch) && ev.Role == eng.Role && ce.maySpare(eng.Role) {
 			ce.send(now)
 		}
-	case doubting:
-		ce.settleDoubt(now, ev)
+	case verifying:
+		ce.resolveDoubt(now, ev)
 	}
 }
 
 // send gives the order with the token of the lease that is held now.
 func (ce *Cell) send(now clock.Millis) {
-	ch := ce.now
-	eng, ok := ce.engine(ch.server)
+	ch := ce.current
+	eng, ok := ce.engineByID(ch.server)
 	if !ok {
-		ce.end(now, UnknownNow, Outcome{})
+		ce.finish(now, UnknownEngine, Outcome{})
 		return
 	}
 	// A repeat carries the fencing token that the order first had.
@@ -221,43 +221,43 @@
 	ch.sentAt = now
 	sd := Send{Server: ch.server, Order: ch.order}
 	if !eng.ChecksFencing {
-		sd.Margin = ce.Settings.Margin
+		sd.LeaseMargin = ce.Settings.LeaseMargin
 	}
-	ce.enter(now, sending)
+	ce.enterPhase(now, sending)
 	ce.emit(sd)
 }
 
-// sent takes the outcome of an order.
-func (ce *Cell) sent(now clock.Millis, ev Sent) {
-	ch := ce.now
+// handleSent takes the outcome of an order.
+func (ce *Cell) handleSent(now clock.Millis, ev Sent) {
+	ch := ce.current
 	switch {
 	case ch == nil:
 		return
 	case ch.phase == fencing:
-		ce.fenced(now, ev)
+		ce.handleFenced(now, ev)
 		return
 	case ch.phase != sending || ch.server != ev.Server:
 		return
 	}
 	switch ev.Outcome.Reason {
 	case CarriedOut:
-		ce.end(now, CarriedOut, ev.Outcome)
+		ce.finish(now, CarriedOut, ev.Outcome)
 	case InDoubt:
-		if ce.broken.noDoubt {
-			ce.end(now, InDoubt, ev.Outcome)
+		if ce.disabled.noDoubt {
+			ce.finish(now, InDoubt, ev.Outcome)
 			return
 		}
-		ce.note(event.OrderDoubted, event.F("Server", ch.server), event.F("Kind", ch.order.Kind), event.F("Token", ch.order.Fence))
+		ce.logEvent(event.OrderDoubted, event.F("Server", ch.server), event.F("Kind", ch.order.Kind), event.F("Token", ch.order.Fence))
 		ch.inspectAt = now
-		ce.enter(now, doubting)
+		ce.enterPhase(now, verifying)
 	case LeaseLost:
-		ce.note(event.OrderWithheld, event.F("Server", ch.server), event.F("Token", ch.order.Fence))
+		ce.logEvent(event.OrderWithheld, event.F("Server", ch.server), event.F("Token", ch.order.Fence))
 		ce.endUnsent(now, LeaseLost, ev.Outcome)
 	case Fenced:
-		ce.note(event.OrderFenced, event.F("Server", ch.server), event.F("Token", ch.order.Fence))
+		ce.logEvent(event.OrderFenced, event.F("Server", ch.server), event.F("Token", ch.order.Fence))
 		ce.endUnsent(now, Fenced, ev.Outcome)
 	default:
-		if ce.again() && ev.Outcome.Decline == "" {
+		if ce.mayRetry() && ev.Outcome.Decline == "" {
 			ce.send(now) // not sent at all
 			return
 		}
@@ -268,99 +268,99 @@
 // endUnsent ends an order whose last sending had no effect. If an earlier one
 // is in doubt still, so is the order.
 func (ce *Cell) endUnsent(now clock.Millis, reason Reason, oc Outcome) {
-	if ce.now.tries > 1 && !ce.broken.noDoubt {
-		ce.enter(now, doubting)
-		ce.now.tries = sendTries
+	if ce.current.tries > 1 && !ce.disabled.noDoubt {
+		ce.enterPhase(now, verifying)
+		ce.current.tries = maxSendTries
 		return
 	}
-	ce.end(now, reason, oc)
+	ce.finish(now, reason, oc)
 }
 
-// again tells whether the same order may go out once more: under the lease
+// mayRetry tells whether the same order may go out once more: under the lease
 // that it was given with, whose token it carries.
-func (ce *Cell) again() bool {
-	return ce.now.tries < sendTries && ce.holds(ce.now)
+func (ce *Cell) mayRetry() bool {
+	return ce.current.tries < maxSendTries && ce.sameLease(ce.current)
 }
 
-// doubt asks the engine until its report settles the matter.
-func (ce *Cell) doubt(now clock.Millis) {
-	ch := ce.now
+// verify asks the engine until its report settles the matter.
+func (ce *Cell) verify(now clock.Millis) {
+	ch := ce.current
 	if ch.order.Kind != engine.ChangeRole {
 		// Reports do not name what is loaded; the reply to the same order
 		// does.
-		if ce.again() {
+		if ce.mayRetry() {
 			ce.send(now)
 		} else {
-			ce.end(now, InDoubt, Outcome{})
+			ce.finish(now, InDoubt, Outcome{})
 		}
 		return
 	}
-	if eng, ok := ce.engine(ch.server); !ok {
-		ce.end(now, InDoubt, Outcome{Role: eng.Role}) // the engine is gone, and with it the doubt
+	if eng, ok := ce.engineByID(ch.server); !ok {
+		ce.finish(now, InDoubt, Outcome{Role: eng.Role}) // the engine is gone, and with it the doubt
 		return
 	}
 	ce.inspect(now)
 }
 
-// settleDoubt compares the engine's role, as it was after the order was sent,
+// resolveDoubt compares the engine's role, as it was after the order was sent,
 // with the one that it was ordered to take.
-func (ce *Cell) settleDoubt(now clock.Millis, ev Inspected) {
-	ch := ce.now
+func (ce *Cell) resolveDoubt(now clock.Millis, ev Inspected) {
+	ch := ce.current
 	switch {
 	case ch.order.Kind != engine.ChangeRole || ev.RoleAt < ch.sentAt || ev.Role == "":
 	case ev.Role == ch.order.Role:
-		ce.end(now, CarriedOut, Outcome{Role: ev.Role, Repeated: true})
-	case ce.again():
+		ce.finish(now, CarriedOut, Outcome{Role: ev.Role, Repeated: true})
+	case ce.mayRetry():
 		ce.send(now)
-	case ev.RoleAt >= ch.sentAt+ce.Settings.Flight:
+	case ev.RoleAt >= ch.sentAt+ce.Settings.MaxOrderDelay:
 		// Whatever was under way has arrived or never will.
-		ce.end(now, Declined, Outcome{Role: ev.Role})
+		ce.finish(now, Declined, Outcome{Role: ev.Role})
 	}
 }
 
-// end closes the order and gives the lease back.
-func (ce *Cell) end(now clock.Millis, reason Reason, oc Outcome) {
-	ch := ce.now
-	ce.now = nil
+// finish closes the order and gives the lease back.
+func (ce *Cell) finish(now clock.Millis, reason Reason, oc Outcome) {
+	ch := ce.current
+	ce.current = nil
 	if ch.drained {
 		ce.emit(Drain{Server: ch.server, Stop: false})
 	}
-	ce.emit(Want{Hold: false})
+	ce.emit(WantLease{Hold: false})
 	ce.token = 0 // whatever comes next waits to be told of a lease again
 	if ch.id != "" {
-		ce.endGiven(ch, reason, oc)
+		ce.finishOperatorOrder(ch, reason, oc)
 		return
 	}
 	// A change that was given up counts like one that was made: the load
 	// that called for it is waited for anew.
-	ce.changed = now
+	ce.lastChangeAt = now
 	ce.trend.since = now
 	if reason == CarriedOut {
-		ce.take(now, ch.server, oc)
-		ce.note(event.RoleChanged, event.F("Server", ch.server), event.F("To", ch.order.Role), event.F("Token", ch.order.Fence))
+		ce.recordRole(now, ch.server, oc)
+		ce.logEvent(event.RoleChanged, event.F("Server", ch.server), event.F("To", ch.order.Role), event.F("Token", ch.order.Fence))
 		return
 	}
-	ce.note(event.RoleChangeAbandoned, append([]event.Field{
+	ce.logEvent(event.RoleChangeAbandoned, append([]event.Field{
 		event.F("Server", ch.server), event.F("To", ch.order.Role),
 		event.F("Reason", reason), event.F("Decline", declineOf(oc)),
 	}, ce.trend.fields(now)...)...)
 }
 
-func (ce *Cell) endGiven(ch *change, reason Reason, oc Outcome) {
+func (ce *Cell) finishOperatorOrder(ch *activeOrder, reason Reason, oc Outcome) {
 	ev := event.OrderGiven
 	if reason != CarriedOut {
 		ev = event.OrderFailed
 	}
-	ce.note(ev, event.F("Server", ch.server), event.F("Kind", ch.order.Kind), event.F("Of", ch.order.Name), event.F("Reason", reason))
-	ce.emit(Answer{ID: ch.id, Reason: reason, State: oc})
+	ce.logEvent(ev, event.F("Server", ch.server), event.F("Kind", ch.order.Kind), event.F("Of", ch.order.Name), event.F("Reason", reason))
+	ce.emit(OperatorReply{ID: ch.id, Reason: reason, Outcome: oc})
 }
 
 func declineOf(oc Outcome) backend.Reason { return oc.Decline }
 
-// take notes the role that the engine's reply tells, ahead of its report.
-func (ce *Cell) take(now clock.Millis, server string, oc Outcome) {
-	for ix := range ce.seen.Engines {
-		if eng := &ce.seen.Engines[ix]; eng.ID == server && oc.Role != "" {
+// recordRole notes the role that the engine's reply tells, ahead of its report.
+func (ce *Cell) recordRole(now clock.Millis, server string, oc Outcome) {
+	for ix := range ce.observed.Engines {
+		if eng := &ce.observed.Engines[ix]; eng.ID == server && oc.Role != "" {
 			eng.Role, eng.RoleAt = oc.Role, now
 		}
 	}
--- a/internal/orders/explore_test.go
+++ b/internal/orders/explore_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	resource    = "cell/m/0"
-	beat        = 1 * clock.Second // of the worlds' time
-	replyWithin = 5 * clock.Second // then a sender stops to wait
-	least       = 2                // engines of each role; one of three prefill engines may change
+	resource     = "cell/m/0"
+	tickInterval = 1 * clock.Second // of the worlds' time
+	replyTimeout = 5 * clock.Second // then a sender stops to wait
+	minEngines   = 2                // engines of each role; one of three prefill engines may change
 )
 
 type (
 	// schedule is one history: what goes wrong, and when.
 	schedule struct {
-		checks    int          // engines of four that check fencing tokens
-		pauseAt   clock.Millis // of the first VM; nothing happens in it for a span
-		pauseFor  clock.Millis
-		nth       int          // which order that is sent is under way for long
-		every     bool         // all are
-		flight    clock.Millis // for how long, after its lease was checked
-		replyLost bool         // also of that order
-		frozen    bool         // its sender is paused for that long, too
+		checks       int          // engines of four that check fencing tokens
+		pauseAt      clock.Millis // of the first VM; nothing happens in it for a span
+		pauseFor     clock.Millis
+		delayedOrder int          // which order that is sent is under way for long
+		delayAll     bool         // all are
+		orderDelay   clock.Millis // for how long, after its lease was checked
+		replyLost    bool         // also of that order
+		senderPaused bool         // its sender is paused for that long, too
 	}
 
 	// mutation removes guards.
 	mutation struct {
 		guards
-		noLastLook bool // orders are sent without a look at the lease
+		noLeaseCheck bool // orders are sent without a look at the lease
 	}
 
 	// world is two VMs that both hold themselves for the cell's accountant,
@@ -57,13 +57,13 @@
 	}
 
 	holder struct {
-		world  *world
-		lease  register.Holder
-		state  register.State
-		cell   Cell
-		since  uint64       // first token of the lease that is held
-		asleep clock.Millis // until then
-		inbox  []func()
+		world       *world
+		lease       register.Holder
+		state       register.State
+		cell        Cell
+		since       uint64       // first token of the lease that is held
+		pausedUntil clock.Millis // until then
+		inbox       []func()
 	}
 
 	order struct {
@@ -77,15 +77,15 @@
 func newWorld(sc schedule, mt mutation) *world {
 	wo := &world{schedule: sc, mutation: mt, now: 1000, fences: map[string]uint64{}}
 	for ix, role := range []board.Role{board.Prefill, board.Prefill, board.Prefill, board.Decode} {
-		wo.engines = append(wo.engines, Engine{ID: fmt.Sprintf("e%d", ix), Role: role, Fit: true, Slots: 20, ChecksFencing: ix < sc.checks})
+		wo.engines = append(wo.engines, Engine{ID: fmt.Sprintf("e%d", ix), Role: role, Usable: true, Slots: 20, ChecksFencing: ix < sc.checks})
 	}
 	for ix := range 2 {
 		ho := &holder{world: wo, lease: register.Holder{
 			Resource: resource, Self: fmt.Sprintf("vm%d", ix), Rand: rand.New(rand.NewPCG(uint64(ix), 7)),
 		}}
 		ho.state.Content, ho.state.Buckets = register.Leases, 1
-		ho.cell.Settings = Settings{Dwell: 10 * clock.Second, Least: least, Memory: 1}
-		ho.cell.broken = mt.guards
+		ho.cell.Settings = Settings{Dwell: 10 * clock.Second, MinEngines: minEngines, SpareFor: 1}
+		ho.cell.disabled = mt.guards
 		wo.vms = append(wo.vms, ho)
 	}
 	return wo
@@ -93,14 +93,14 @@
 
 // run plays the history for some minutes.
 func (wo *world) run() {
-	for end := wo.now + 2*clock.Minute; wo.now < end; wo.now += beat {
+	for end := wo.now + 2*clock.Minute; wo.now < end; wo.now += tickInterval {
 		wo.arrive()
 		for ix, ho := range wo.vms {
 			if ix == 0 && wo.pauseFor > 0 && wo.now == 1000+wo.pauseAt {
-				ho.asleep = wo.now + wo.pauseFor
+				ho.pausedUntil = wo.now + wo.pauseFor
 			}
-			if wo.now >= ho.asleep && wo.now >= 1000+clock.Millis(ix)*2*clock.Second {
-				ho.wake()
+			if wo.now >= ho.pausedUntil && wo.now >= 1000+clock.Millis(ix)*2*clock.Second {
+				ho.process()
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		}
 		oc := wo.take(od)
 		if !od.lost {
-			od.from.inbox = append(od.from.inbox, func() { od.from.tell(Sent{Server: od.sd.Server, Outcome: oc}) })
+			od.from.inbox = append(od.from.inbox, func() { od.from.step(Sent{Server: od.sd.Server, Outcome: oc}) })
 		}
 	}
 	wo.orders = later
@@ -140,16 +140,16 @@
 				}
 			}
 			po := poolsOf(wo.engines)
-			wo.below = wo.below || po.prefill < least
+			wo.below = wo.below || po.prefill < minEngines
 		}
 		return Outcome{Role: eng.Role}
 	}
 	return Outcome{Reason: Declined}
 }
 
-// wake lets a VM do all that it can at this moment: first what came in while
+// process lets a VM do all that it can at this moment: first what came in while
 // it was away, then the log and the engines' reports.
-func (ho *holder) wake() {
+func (ho *holder) process() {
 	in := ho.inbox
 	ho.inbox = nil
 	for _, do := range in {
@@ -158,7 +158,7 @@
 	wo := ho.world
 	ho.state.Advance(logsvc.Batch{Records: wo.log[ho.state.Next():], Next: uint64(len(wo.log)), End: uint64(len(wo.log))})
 	en, known := ho.state.Entry(resource)
-	ho.tellLease(register.Observed{Entry: en, Known: known})
+	ho.stepLease(register.Observed{Entry: en, Known: known})
 	ob := Observed{Quick: 1}
 	for _, eng := range wo.engines {
 		eng.RoleAt = wo.now
@@ -168,17 +168,17 @@
 		}
 		ob.Engines = append(ob.Engines, eng)
 	}
-	ho.tell(ob)
+	ho.step(ob)
 }
 
-func btoi(is bool) int {
+func boolToInt(is bool) int {
 	if is {
 		return 1
 	}
 	return 0
 }
 
-func (ho *holder) tellLease(ev register.HolderEvent) {
+func (ho *holder) stepLease(ev register.HolderEvent) {
 	wo := ho.world
 	for _, in := range ho.lease.Step(wo.now, ev) {
 		switch in := in.(type) {
@@ -188,26 +188,26 @@
 			if ho.since == 0 {
 				ho.since = in.Token
 			}
-			ho.tell(Held{Token: in.Token})
+			ho.step(LeaseHeld{Token: in.Token})
 		case register.Lapsed:
 			ho.since = 0
-			ho.tell(Lapsed{Token: in.Token})
+			ho.step(LeaseLapsed{Token: in.Token})
 		}
 	}
 }
 
-func (ho *holder) tell(ev Event) {
+func (ho *holder) step(ev Event) {
 	wo := ho.world
 	for _, in := range ho.cell.Step(wo.now, ev) {
 		switch in := in.(type) {
-		case Want:
-			ho.tellLease(register.Want{Hold: in.Hold})
+		case WantLease:
+			ho.stepLease(register.Want{Hold: in.Hold})
 		case Inspect:
 			asked := wo.now
 			ho.inbox = append(ho.inbox, func() {
 				for _, eng := range wo.engines {
 					if eng.ID == in.Server {
-						ho.tell(Inspected{Server: in.Server, Asked: asked, Role: eng.Role, RoleAt: asked})
+						ho.step(Inspected{Server: in.Server, Asked: asked, Role: eng.Role, RoleAt: asked})
 					}
 				}
 			})
@@ -220,20 +220,20 @@
 // send is the last look at the lease, and what happens after it.
 func (ho *holder) send(sd Send) {
 	wo := ho.world
-	token, may := ho.lease.MayOrder(wo.now + sd.Margin)
-	if !wo.noLastLook && (!may || ho.since > sd.Order.Fence || token < sd.Order.Fence) {
-		ho.tell(Sent{Server: sd.Server, Outcome: Outcome{Reason: LeaseLost}})
+	token, may := ho.lease.MayOrder(wo.now + sd.LeaseMargin)
+	if !wo.noLeaseCheck && (!may || ho.since > sd.Order.Fence || token < sd.Order.Fence) {
+		ho.step(Sent{Server: sd.Server, Outcome: Outcome{Reason: LeaseLost}})
 		return
 	}
 	wo.sends++
-	od := &order{from: ho, sd: sd, arrives: wo.now + beat}
-	if wo.sends == wo.nth || wo.every {
-		od.arrives, od.lost = wo.now+max(beat, wo.flight), wo.replyLost || wo.flight > replyWithin
-		if wo.frozen {
-			ho.asleep = od.arrives
+	od := &order{from: ho, sd: sd, arrives: wo.now + tickInterval}
+	if wo.sends == wo.delayedOrder || wo.delayAll {
+		od.arrives, od.lost = wo.now+max(tickInterval, wo.orderDelay), wo.replyLost || wo.orderDelay > replyTimeout
+		if wo.senderPaused {
+			ho.pausedUntil = od.arrives
 		}
 		if od.lost { // its sender stops to wait
-			ho.inbox = append(ho.inbox, func() { ho.tell(Sent{Server: sd.Server, Outcome: Outcome{Reason: InDoubt}}) })
+			ho.inbox = append(ho.inbox, func() { ho.step(Sent{Server: sd.Server, Outcome: Outcome{Reason: InDoubt}}) })
 		}
 	}
 	wo.orders = append(wo.orders, od)
@@ -252,10 +252,10 @@
 		for nth := 1; nth <= 4; nth++ {
 			for _, flight := range []clock.Millis{0, 8 * clock.Second, 12 * clock.Second, 25 * clock.Second, 40 * clock.Second} {
 				for flags := range 4 {
-					if flags&1 != 0 && flight > replyWithin {
+					if flags&1 != 0 && flight > replyTimeout {
 						continue // its reply is lost in any case
 					}
-					play(schedule{pauseAt: ps.at, pauseFor: ps.span, nth: nth, flight: flight, replyLost: flags&1 != 0, frozen: flags&2 != 0})
+					play(schedule{pauseAt: ps.at, pauseFor: ps.span, delayedOrder: nth, orderDelay: flight, replyLost: flags&1 != 0, senderPaused: flags&2 != 0})
 				}
 			}
 		}
@@ -265,8 +265,8 @@
 // tally is what a sweep over all histories found.
 type tally struct {
 	histories, changed, stale, below, unrepaired int
-	worst                                        clock.Millis // the shortest flight with which prefill was left with too few engines
-	lost                                         []schedule   // that it ended in, unrepaired
+	shortestDelay                                clock.Millis // the shortest flight with which prefill was left with too few engines
+	unrepairedSchedules                          []schedule   // that it ended in, unrepaired
 }
 
 func sweep(checks int, mt mutation) tally {
@@ -278,16 +278,16 @@
 		ta.histories++
 		ta.stale += wo.stale
 		po := poolsOf(wo.engines)
-		ta.changed += btoi(po.prefill == 2 && po.decode == 2)
+		ta.changed += boolToInt(po.prefill == 2 && po.decode == 2)
 		if wo.below {
 			ta.below++
-			if ta.worst == 0 || sc.flight < ta.worst {
-				ta.worst = sc.flight
+			if ta.shortestDelay == 0 || sc.orderDelay < ta.shortestDelay {
+				ta.shortestDelay = sc.orderDelay
 			}
 		}
-		if po.prefill < least {
+		if po.prefill < minEngines {
 			ta.unrepaired++
-			ta.lost = append(ta.lost, sc)
+			ta.unrepairedSchedules = append(ta.unrepairedSchedules, sc)
 		}
 	})
 	return ta
@@ -305,14 +305,14 @@
 		ta := sweep(checks, mutation{})
 		shown += ta.below
 		t.Logf("%d of 4 engines check: %d histories, %d end with the change made, %d orders of an old holder took effect, %d left prefill with too few engines (shortest flight %v), %d at the end",
-			checks, ta.histories, ta.changed, ta.stale, ta.below, ta.worst, ta.unrepaired)
+			checks, ta.histories, ta.changed, ta.stale, ta.below, ta.shortestDelay, ta.unrepaired)
 		assert.Assert(t, ta.changed > ta.histories*9/10)
-		assert.Equal(t, ta.unrepaired, 0, "%+v", ta.lost)
+		assert.Equal(t, ta.unrepaired, 0, "%+v", ta.unrepairedSchedules)
 		if checks == 4 {
 			assert.Equal(t, ta.below, 0)
 			continue
 		}
-		assert.Assert(t, ta.below == 0 || ta.worst > 12*clock.Second, "flight of %v", ta.worst)
+		assert.Assert(t, ta.below == 0 || ta.shortestDelay > 12*clock.Second, "flight of %v", ta.shortestDelay)
 	}
 	assert.Assert(t, shown > 0, "the risk that is left does not show: the scope is too small")
 }
@@ -325,11 +325,11 @@
 	}{
 		{"NoFence", 4, mutation{guards: guards{noFence: true}}},
 		{"NoSettle", 0, mutation{guards: guards{noSettle: true}}},
-		{"NoLastLook", 0, mutation{noLastLook: true}},
+		{"NoLastLook", 0, mutation{noLeaseCheck: true}},
 	} {
 		ta := sweep(tc.checks, tc.mutation)
-		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest flight %v)", tc.name, ta.below, ta.histories, ta.worst)
-		caught := ta.below > 0 && (tc.checks == 4 || ta.worst <= 12*clock.Second)
+		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest flight %v)", tc.name, ta.below, ta.histories, ta.shortestDelay)
+		caught := ta.below > 0 && (tc.checks == 4 || ta.shortestDelay <= 12*clock.Second)
 		assert.Check(t, caught, tc.name)
 	}
 }
@@ -340,7 +340,7 @@
 func TestHolderThatStandsStillAfterEachOrder(t *testing.T) {
 	for _, pause := range []clock.Millis{2 * clock.Second, 4 * clock.Second, 6 * clock.Second, 12 * clock.Second} {
 		for _, lost := range []bool{false, true} {
-			wo := newWorld(schedule{every: true, flight: pause, frozen: true, replyLost: lost}, mutation{})
+			wo := newWorld(schedule{delayAll: true, orderDelay: pause, senderPaused: true, replyLost: lost}, mutation{})
 			wo.run()
 			po := poolsOf(wo.engines)
 			assert.Equal(t, po, pools{prefill: 2, decode: 2}, "pause of %v, reply lost %t", pause, lost)
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -28,12 +28,12 @@
 //	ce := &orders.Cell{Settings: orders.Settings{Dwell: 5 * clock.Minute}}
 //	for _, in := range ce.Step(now, orders.Observed{Engines: engines}) {
 //		switch in := in.(type) {
-//		case orders.Want: ...    // the lease; answer with Held and Lapsed
+//		case orders.WantLease: ...    // the lease; answer with LeaseHeld and LeaseLapsed
 //		case orders.Drain: ...   // give the engine no new work, or new work again
 //		case orders.Inspect: ... // answer with Inspected
 //		case orders.Send: ...    // answer with Sent
-//		case orders.Answer: ...  // to an operator
-//		case orders.Note: ...
+//		case orders.OperatorReply: ...  // to an operator
+//		case orders.LogEvent: ...
 //		}
 //	}
 package orders
@@ -48,58 +48,58 @@
 
 // Why an order was not carried out, or is not known to have been.
 const (
-	NoLease      Reason = "NoLease"    // the lease could not be had in time
-	LeaseLost    Reason = "LeaseLost"  // the lease ended before the order was sent
-	NotSettled   Reason = "NotSettled" // an engine did not say its role in time
-	NotNeeded    Reason = "NotNeeded"  // the roles or the load have changed meanwhile
-	TooFew       Reason = "TooFew"     // the old role would be left with too few engines
-	NotDrained   Reason = "NotDrained" // the engine did not end its work in time
-	Fenced       Reason = "Fenced"     // the engine knows a newer fencing token
-	Declined     Reason = "Declined"   // the engine did not take the order
-	InDoubt      Reason = "InDoubt"    // the engine may have carried the order out
-	UnknownNow   Reason = "Unknown"    // the engine is not in the cell
-	TooMany      Reason = "TooMany"    // too many orders wait
-	CellMoved    Reason = "CellMoved"  // another VM accounts for the cell now
-	CarriedOut   Reason = ""           // it was carried out
-	waitingBound        = 16           // orders of operators that may wait
-	sendTries           = 4            // of one order
-	inspectEvery        = clock.Second // while draining or in doubt
+	NoLease         Reason = "NoLease"    // the lease could not be had in time
+	LeaseLost       Reason = "LeaseLost"  // the lease ended before the order was sent
+	NotSettled      Reason = "NotSettled" // an engine did not say its role in time
+	NotNeeded       Reason = "NotNeeded"  // the roles or the load have changed meanwhile
+	TooFew          Reason = "TooFew"     // the old role would be left with too few engines
+	NotDrained      Reason = "NotDrained" // the engine did not end its work in time
+	Fenced          Reason = "Fenced"     // the engine knows a newer fencing token
+	Declined        Reason = "Declined"   // the engine did not take the order
+	InDoubt         Reason = "InDoubt"    // the engine may have carried the order out
+	UnknownEngine   Reason = "Unknown"    // the engine is not in the cell
+	TooMany         Reason = "TooMany"    // too many orders wait
+	CellMoved       Reason = "CellMoved"  // another VM accounts for the cell now
+	CarriedOut      Reason = ""           // it was carried out
+	maxWaiting             = 16           // orders of operators that may wait
+	maxSendTries           = 4            // of one order
+	inspectInterval        = clock.Second // while draining or in doubt
 )
 
 type (
 	// Settings of a Cell. The zero value of a field means its default.
 	Settings struct {
-		Off         bool         // decides no change of role; operators' orders are still given
-		Dwell       clock.Millis // least span between two changes of role in the cell; 5 min
-		Window      clock.Millis // for how long the load must call for a change; half of Dwell
-		Memory      clock.Millis // for how long a role must have been able to spare the engine; three times Dwell
-		DrainWithin clock.Millis // until a change is given up; 1 min
-		LeaseWithin clock.Millis // until the lease must be held, and roles known; 1 min
-		NeedWithin  clock.Millis // until a load that does not call for the change any more must do so again; 10 s
-		// Flight is how long an order of the lease's holder before this one
+		NoRoleChanges bool         // decides no change of role; operators' orders are still given
+		Dwell         clock.Millis // least span between two changes of role in the cell; 5 min
+		Window        clock.Millis // for how long the load must call for a change; half of Dwell
+		SpareFor      clock.Millis // for how long a role must have been able to spare the engine; three times Dwell
+		DrainTimeout  clock.Millis // until a change is given up; 1 min
+		LeaseTimeout  clock.Millis // until the lease must be held, and roles known; 1 min
+		NeedTimeout   clock.Millis // until a load that does not call for the change any more must do so again; 10 s
+		// MaxOrderDelay is how long an order of the lease's holder before this one
 		// may be under way after its lease has ended; 10 s. It is waited out
 		// if an engine of the cell ignores fencing tokens.
-		Flight clock.Millis
-		// Margin is what must be left of the lease when an order to an engine
+		MaxOrderDelay clock.Millis
+		// LeaseMargin is what must be left of the lease when an order to an engine
 		// that ignores fencing tokens is sent; 2 s.
-		Margin clock.Millis
-		Least  int     // engines that each role keeps; 1
-		High   float64 // part of a role in use from which it is short; 0.9
-		Low    float64 // part in use that the other role may come to; 0.7
+		LeaseMargin clock.Millis
+		MinEngines  int     // engines that each role keeps; 1
+		High        float64 // part of a role in use from which it is short; 0.9
+		Low         float64 // part in use that the other role may come to; 0.7
 	}
 
 	// Engine is what is known of one engine.
 	Engine struct {
-		ID            string
-		Role          board.Role   // that it reports; empty if it says none
-		RoleAt        clock.Millis // a point at which the report was true, rather too early
-		ChecksFencing bool
-		Fit           bool // reports its load and is not leaving
-		Work          int  // granted requests that the cell counts on it
-		Prompts       int  // of these, the ones whose prompts it has yet to compute
-		Running       int  // by its report
-		Slots         int
-		Queued        int
+		ID             string
+		Role           board.Role   // that it reports; empty if it says none
+		RoleAt         clock.Millis // a point at which the report was true, rather too early
+		ChecksFencing  bool
+		Usable         bool // reports its load and is not leaving
+		Granted        int  // granted requests that the cell counts on it
+		PendingPrompts int  // of these, the ones whose prompts it has yet to compute
+		Running        int  // by its report
+		Slots          int
+		Queued         int
 	}
 
 	// Outcome of a Send.
@@ -113,12 +113,12 @@
 	// Reason why an order was not carried out.
 	Reason string
 
-	// Event is what a Cell is told: Observed, Held, Lapsed, Inspected, Sent,
-	// Give or Tick.
+	// Event is what a Cell is told: Observed, LeaseHeld, LeaseLapsed, Inspected, Sent,
+	// OperatorOrder or Tick.
 	Event interface{ orderEvent() }
 
-	// Intent is what a Cell wants done: Want, Drain, Inspect, Send, Answer
-	// or Note.
+	// Intent is what a Cell wants done: WantLease, Drain, Inspect, Send, OperatorReply
+	// or LogEvent.
 	Intent interface{ orderIntent() }
 
 	// Observed tells the state of the cell, about twice a second.
@@ -128,11 +128,11 @@
 		Patient int // patient ones
 	}
 
-	// Held tells that the lease is held, or was renewed, with a token.
-	Held struct{ Token uint64 }
+	// LeaseHeld tells that the lease is held, or was renewed, with a token.
+	LeaseHeld struct{ Token uint64 }
 
-	// Lapsed tells that the lease is not held any more.
-	Lapsed struct{ Token uint64 }
+	// LeaseLapsed tells that the lease is not held any more.
+	LeaseLapsed struct{ Token uint64 }
 
 	// Inspected answers an Inspect. Asked is a point on this VM's clock
 	// before the engine was asked.
@@ -151,8 +151,8 @@
 		Outcome Outcome
 	}
 
-	// Give asks for an operator's order to an engine. It gets one Answer.
-	Give struct {
+	// OperatorOrder asks for an operator's order to an engine. It gets one OperatorReply.
+	OperatorOrder struct {
 		ID     string
 		Server string
 		Order  engine.Order // a LoadModel, LoadAdapter or LoadVersion without a token
@@ -161,8 +161,8 @@
 	// Tick passes the time.
 	Tick struct{}
 
-	// Want tells whether the lease is wanted.
-	Want struct{ Hold bool }
+	// WantLease tells whether the lease is wanted.
+	WantLease struct{ Hold bool }
 
 	// Drain tells that an engine is to get no new work, or work again.
 	Drain struct {
@@ -175,41 +175,41 @@
 
 	// Send gives an order. It must not leave this VM unless, when all else
 	// is ready, the lease's token is still that of the order and at least
-	// Margin of the lease is left.
+	// LeaseMargin of the lease is left.
 	Send struct {
-		Server string
-		Order  engine.Order
-		Margin clock.Millis
+		Server      string
+		Order       engine.Order
+		LeaseMargin clock.Millis
 	}
 
-	// Answer ends a Give.
-	Answer struct {
-		ID     string
-		Reason Reason
-		State  Outcome
+	// OperatorReply ends an OperatorOrder.
+	OperatorReply struct {
+		ID      string
+		Reason  Reason
+		Outcome Outcome
 	}
 
-	// Note asks for a log line.
-	Note struct {
+	// LogEvent asks for a log line.
+	LogEvent struct {
 		Event  event.Event
 		Fields []event.Field
 	}
 )
 
-func (Observed) orderEvent()  {}
-func (Held) orderEvent()      {}
-func (Lapsed) orderEvent()    {}
-func (Inspected) orderEvent() {}
-func (Sent) orderEvent()      {}
-func (Give) orderEvent()      {}
-func (Tick) orderEvent()      {}
-
-func (Want) orderIntent()    {}
-func (Drain) orderIntent()   {}
-func (Inspect) orderIntent() {}
-func (Send) orderIntent()    {}
-func (Answer) orderIntent()  {}
-func (Note) orderIntent()    {}
+func (Observed) orderEvent()      {}
+func (LeaseHeld) orderEvent()     {}
+func (LeaseLapsed) orderEvent()   {}
+func (Inspected) orderEvent()     {}
+func (Sent) orderEvent()          {}
+func (OperatorOrder) orderEvent() {}
+func (Tick) orderEvent()          {}
+
+func (WantLease) orderIntent()     {}
+func (Drain) orderIntent()         {}
+func (Inspect) orderIntent()       {}
+func (Send) orderIntent()          {}
+func (OperatorReply) orderIntent() {}
+func (LogEvent) orderIntent()      {}
 
 func (se Settings) withDefaults() Settings {
 	span := func(field *clock.Millis, def clock.Millis) {
@@ -224,14 +224,14 @@
 	}
 	span(&se.Dwell, 5*clock.Minute)
 	span(&se.Window, se.Dwell/2)
-	span(&se.Memory, 3*se.Dwell)
-	span(&se.DrainWithin, clock.Minute)
-	span(&se.LeaseWithin, clock.Minute)
-	span(&se.NeedWithin, 10*clock.Second)
-	span(&se.Flight, 10*clock.Second)
-	span(&se.Margin, 2*clock.Second)
+	span(&se.SpareFor, 3*se.Dwell)
+	span(&se.DrainTimeout, clock.Minute)
+	span(&se.LeaseTimeout, clock.Minute)
+	span(&se.NeedTimeout, 10*clock.Second)
+	span(&se.MaxOrderDelay, 10*clock.Second)
+	span(&se.LeaseMargin, 2*clock.Second)
 	share(&se.High, 0.9)
 	share(&se.Low, 0.7)
-	se.Least = max(se.Least, 1)
+	se.MinEngines = max(se.MinEngines, 1)
 	return se
 }
--- a/internal/orders/trend.go
+++ b/internal/orders/trend.go
@@ -21,8 +21,8 @@
 		// Since when each role could spare an engine; zero if it can't.
 		prefillSpare, decodeSpare clock.Millis
 
-		toward board.Role // the role that is short; empty if none is
-		since  clock.Millis
+		shortRole board.Role // the role that is short; empty if none is
+		since     clock.Millis
 	}
 
 	// pools counts the engines of a cell that may be counted on.
@@ -31,14 +31,14 @@
 	}
 )
 
-func (po pools) of(role board.Role) int {
+func (po pools) count(role board.Role) int {
 	if role == board.Prefill {
 		return po.prefill
 	}
 	return po.decode
 }
 
-func other(role board.Role) board.Role {
+func otherRole(role board.Role) board.Role {
 	if role == board.Prefill {
 		return board.Decode
 	}
@@ -50,7 +50,7 @@
 	var po pools
 	for _, eng := range engines {
 		switch {
-		case !eng.Fit:
+		case !eng.Usable:
 		case eng.Role == board.Prefill:
 			po.prefill++
 		case eng.Role == board.Decode:
@@ -60,10 +60,10 @@
 	return po
 }
 
-// take adds an observation. Averages forget with a time constant of a quarter
+// observe adds an observation. Averages forget with a time constant of a quarter
 // of the window, so that a load which swings faster calls for nothing.
-func (tr *trend) take(now clock.Millis, se Settings, ob Observed) {
-	busy, occupied := load(ob.Engines)
+func (tr *trend) observe(now clock.Millis, se Settings, ob Observed) {
+	busy, occupied := currentLoad(ob.Engines)
 	weight := 1.0
 	if tr.at != 0 {
 		weight = 1 - math.Exp(-4*float64(now-tr.at)/float64(max(1, se.Window)))
@@ -81,27 +81,27 @@
 	po := poolsOf(ob.Engines)
 	tr.prefillSpare = spareSince(tr.prefillSpare, now, tr.busy, po.prefill, se)
 	tr.decodeSpare = spareSince(tr.decodeSpare, now, tr.occupied, po.decode, se)
-	if toward := tr.short(now, se, po); toward != tr.toward {
-		tr.toward, tr.since = toward, now
+	if toward := tr.findShortRole(now, se, po); toward != tr.shortRole {
+		tr.shortRole, tr.since = toward, now
 	}
 }
 
-// load is the part of each role in use at this moment.
-func load(engines []Engine) (busy, occupied float64) {
+// currentLoad is the part of each role in use at this moment.
+func currentLoad(engines []Engine) (busy, occupied float64) {
 	var po pools
 	working, running, slots := 0, 0, 0
 	for _, eng := range engines {
 		switch {
-		case !eng.Fit:
+		case !eng.Usable:
 		case eng.Role == board.Prefill:
 			po.prefill++
 			// A KV cache that waits for a decode engine is no work for this one.
-			if eng.Prompts+eng.Running+eng.Queued > 0 {
+			if eng.PendingPrompts+eng.Running+eng.Queued > 0 {
 				working++
 			}
 		case eng.Role == board.Decode:
 			po.decode++
-			running += max(eng.Running, eng.Work)
+			running += max(eng.Running, eng.Granted)
 			slots += eng.Slots
 		}
 	}
@@ -112,7 +112,7 @@
 // clear of being short itself.
 func spareSince(since, now clock.Millis, part float64, engines int, se Settings) clock.Millis {
 	switch {
-	case engines <= se.Least || part*float64(engines)/float64(engines-1) > se.Low:
+	case engines <= se.MinEngines || part*float64(engines)/float64(engines-1) > se.Low:
 		return 0
 	case since == 0:
 		return now
@@ -121,19 +121,19 @@
 	}
 }
 
-// short names the role that needs an engine of the other one. That one must
+// findShortRole names the role that needs an engine of the other one. That one must
 // have been able to spare it for a long while: a load that swings between the
 // roles is not followed, since each change would soon be taken back.
-func (tr *trend) short(now clock.Millis, se Settings, po pools) board.Role {
+func (tr *trend) findShortRole(now clock.Millis, se Settings, po pools) board.Role {
 	for _, role := range []board.Role{board.Prefill, board.Decode} {
-		if po.of(role) < se.Least && po.of(other(role)) > se.Least {
+		if po.count(role) < se.MinEngines && po.count(otherRole(role)) > se.MinEngines {
 			return role
 		}
 	}
 	if tr.quick+tr.patient < 0.5 {
 		return ""
 	}
-	spares := func(since clock.Millis) bool { return since != 0 && now-since >= se.Memory }
+	spares := func(since clock.Millis) bool { return since != 0 && now-since >= se.SpareFor }
 	switch {
 	case tr.occupied >= se.High && spares(tr.prefillSpare):
 		return board.Decode
@@ -143,17 +143,17 @@
 	return ""
 }
 
-// calls names the role that has been short for long enough: the window, or
+// roleDue names the role that has been short for long enough: the window, or
 // twice as long while only requests wait that may.
-func (tr *trend) calls(now clock.Millis, se Settings) board.Role {
+func (tr *trend) roleDue(now clock.Millis, se Settings) board.Role {
 	need := se.Window
 	if tr.quick < 0.5 {
 		need *= 2
 	}
-	if tr.toward == "" || now-tr.since < need {
+	if tr.shortRole == "" || now-tr.since < need {
 		return ""
 	}
-	return tr.toward
+	return tr.shortRole
 }
 
 // fields are what the choice of a role rests on, for a log line.
@@ -165,7 +165,7 @@
 		return now - since
 	}
 	return []event.Field{
-		event.F("Short", tr.toward), event.F("Busy", tr.busy), event.F("Occupied", tr.occupied), event.F("Waiting", tr.quick+tr.patient),
+		event.F("Short", tr.shortRole), event.F("Busy", tr.busy), event.F("Occupied", tr.occupied), event.F("Waiting", tr.quick+tr.patient),
 		event.F("PrefillSpareFor", spanSince(tr.prefillSpare)), event.F("DecodeSpareFor", spanSince(tr.decodeSpare)),
 	}
 }
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -9,11 +9,11 @@
 //
 // # Usage
 //
-//	gd := &poison.Guard{Log: lg, Probe: probe, Backends: backends, Tell: tell, VMs: count}
+//	gd := &poison.Guard{Log: lg, Probe: probe, Backends: backends, Broadcast: send, VMs: count}
 //	mk := gd.Mark(method, path, body)
 //	if after := gd.Check(mk); after > 0 { ... } // refuse; it may be tried again then
 //	...
-//	gd.RecordBrokenCall(ctx, poison.Call{Request: id, Mark: mk, Server: srv, Instance: in, Began: began})
+//	gd.RecordBrokenCall(ctx, poison.Call{Request: id, Mark: mk, Server: srv, Instance: in, SentAt: sentAt})
 //	gd.RecordSuccess(id, mk)
 //	go gd.Share(ctx)
 package poison
@@ -37,9 +37,9 @@
 )
 
 const (
-	// UnknownBeside is said of servers whose other requests this VM does not
+	// UnknownConcurrent is said of servers whose other requests this VM does not
 	// know: they were not alone.
-	UnknownBeside = 1
+	UnknownConcurrent = 1
 
 	// keyBytes is the length of a key of this VM's own.
 	keyBytes = 32
@@ -50,9 +50,9 @@
 	// Alive is said of a server that answered, and of one that can't be told from it:
 	// one that answers late may be alive.
 	Alive Finding = iota
-	// Ended is said of a server that is not there any more: nobody listens at its
+	// Crashed is said of a server that is not there any more: nobody listens at its
 	// address, or another instance does.
-	Ended
+	Crashed
 	// Unanswered is said of a server that can't be reached or answers nothing, and whose
 	// instances can be told apart. It counts as ended until the same instance answers.
 	Unanswered
@@ -76,18 +76,18 @@
 		Probe func(ctx context.Context, cl Call) Finding
 		// Backends is the backend servers that are listed.
 		Backends func() *board.Backends
-		// Tell tells the other VMs at which server's end a request was there; nil:
+		// Broadcast tells the other VMs at which server's end a request was there; nil:
 		// they are not told.
-		Tell func(en suspect.End)
+		Broadcast func(en suspect.Crash)
 		// VMs is how many VMs live, this one among them; nil: one.
 		VMs func() int
 
-		once     sync.Once
-		tells    *rate.Limiter
-		ownKey   []byte
-		mu       sync.Mutex // guards all below
-		suspects suspect.Tracker
-		probes   map[string]*probe // by instance
+		once           sync.Once
+		broadcastLimit *rate.Limiter
+		ownKey         []byte
+		mu             sync.Mutex // guards all below
+		suspects       suspect.Tracker
+		probes         map[string]*probe // by instance
 	}
 
 	// Call is a call at a server that broke off.
@@ -96,18 +96,18 @@
 		Mark     suspect.Mark
 		Server   board.BackendServer
 		Instance string // of the server, as all VMs name it
-		// Confirmed tells that the server named Instance while the call ran, or just
+		// InstanceConfirmed tells that the server named Instance while the call ran, or just
 		// before: another one that answers has taken its place since.
-		Confirmed bool
-		Began     clock.Millis // point at which the server was sent the request; zero: not known
-		Answered  bool         // the server had begun to answer
-		Beside    int          // other requests there
+		InstanceConfirmed bool
+		SentAt            clock.Millis // point at which the server was sent the request; zero: not known
+		Answered          bool         // the server had begun to answer
+		Concurrent        int          // other requests there
 	}
 )
 
 func (gd *Guard) init() {
 	gd.once.Do(func() {
-		gd.tells = rate.NewLimiter(tellRate, tellBurst)
+		gd.broadcastLimit = rate.NewLimiter(broadcastRate, broadcastBurst)
 		gd.ownKey = make([]byte, keyBytes)
 		_, _ = rand.Read(gd.ownKey) // never fails, as its documentation says
 		gd.probes = make(map[string]*probe)
@@ -116,12 +116,12 @@
 
 func (gd *Guard) now() clock.Millis { return clock.Or(gd.Clock).Now() }
 
-// Any tells whether any request is under suspicion. While none is, no request needs
+// HasSuspects tells whether any request is under suspicion. While none is, no request needs
 // a mark.
-func (gd *Guard) Any() bool {
+func (gd *Guard) HasSuspects() bool {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
-	return gd.suspects.Any()
+	return gd.suspects.HasSuspects()
 }
 
 // Mark names a request by what is the same at each of its tries.
@@ -141,7 +141,7 @@
 func (gd *Guard) Check(mk suspect.Mark) clock.Millis {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
-	_, span := gd.suspects.Look(gd.now(), mk)
+	_, span := gd.suspects.Check(gd.now(), mk)
 	return span
 }
 
@@ -149,7 +149,7 @@
 func (gd *Guard) Suspected(mk suspect.Mark) bool {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
-	vd, _ := gd.suspects.Look(gd.now(), mk)
+	vd, _ := gd.suspects.Check(gd.now(), mk)
 	return vd != suspect.Clear
 }
 
@@ -157,14 +157,14 @@
 func (gd *Guard) RecordSuccess(request string, mk suspect.Mark) {
 	gd.init()
 	gd.mu.Lock()
-	if vd, _ := gd.suspects.Look(gd.now(), mk); vd == suspect.Clear {
+	if vd, _ := gd.suspects.Check(gd.now(), mk); vd == suspect.Clear {
 		gd.mu.Unlock()
 		return
 	}
-	ch, en := gd.suspects.Worked(gd.now(), mk)
+	ch, en := gd.suspects.RecordSuccess(gd.now(), mk)
 	gd.mu.Unlock()
-	gd.log(suspect.End{Mark: mk}, request, ch)
-	gd.tell(en)
+	gd.log(suspect.Crash{Mark: mk}, request, ch)
+	gd.broadcast(en)
 }
 
 // RecordBrokenCall notes that a call at a server broke off, and returns when it is
@@ -178,7 +178,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if pr := gd.ended(cl); pr.against(cl) {
+		if pr := gd.probeInstance(cl); pr.implicates(cl) {
 			gd.record(pr, cl, at)
 		}
 	}()
@@ -191,50 +191,50 @@
 	}
 }
 
-// Broke tells whether a call may have ended with its server.
-func Broke(ctx context.Context, err error) bool {
+// MayHaveCrashed tells whether a call may have ended with its server.
+func MayHaveCrashed(ctx context.Context, err error) bool {
 	oc, _ := backend.OutcomeOf(err)
 	return err != nil && ctx.Err() == nil && oc == backend.InDoubt && !errors.Is(err, context.DeadlineExceeded)
 }
 
 // record takes an end that this VM saw at a point in time, and tells the others.
 func (gd *Guard) record(pr *probe, cl Call, at clock.Millis) {
-	en := suspect.End{Mark: cl.Mark, Server: cl.Instance, Answered: cl.Answered, Beside: cl.Beside, Age: gd.now() - at}
+	en := suspect.Crash{Mark: cl.Mark, Server: cl.Instance, Answered: cl.Answered, Concurrent: cl.Concurrent, Age: gd.now() - at}
 	gd.mu.Lock()
 	if pr.finding == Unanswered && gd.probes[cl.Instance] != pr {
 		gd.mu.Unlock()
 		return // it answered meanwhile
 	}
-	ch := gd.suspects.Note(gd.now(), en)
+	ch := gd.suspects.Record(gd.now(), en)
 	pr.marks = append(pr.marks, cl.Mark)
 	gd.mu.Unlock()
 	gd.log(en, cl.Request, ch)
-	gd.tell(en)
+	gd.broadcast(en)
 }
 
-// Heard takes an end that another VM saw.
-func (gd *Guard) Heard(en suspect.End) {
+// RecordRemote takes an end that another VM saw.
+func (gd *Guard) RecordRemote(en suspect.Crash) {
 	gd.mu.Lock()
-	ch := gd.suspects.Note(gd.now(), en)
+	ch := gd.suspects.Record(gd.now(), en)
 	gd.mu.Unlock()
-	if ch.Before != ch.Now && ch.Now == suspect.Refused {
+	if ch.Before != ch.After && ch.After == suspect.Refused {
 		gd.log(en, "", ch)
 	}
 }
 
 // log writes to the log, and counts, what came of an end, or of a whole answer if it
 // names no server. The request is one of this VM, or empty.
-func (gd *Guard) log(en suspect.End, request string, ch suspect.Change) {
+func (gd *Guard) log(en suspect.Crash, request string, ch suspect.Change) {
 	ev := event.RelaySuspect
 	switch {
-	case ch.Now == suspect.Refused && ch.Before != suspect.Refused:
+	case ch.After == suspect.Refused && ch.Before != suspect.Refused:
 		ev = event.RelayEndsServers
-	case en.Server == "" || en.Forgiven:
+	case en.Server == "" || en.Retracted:
 		ev = event.RelaySuspectWorked
 	}
 	if gd.Scope != nil {
 		gd.Scope.Tagged(map[string]string{"Outcome": ev.Name}).Counter("Suspects").Inc(1)
 	}
-	gd.Log.Log(ev, event.F("Request", request), event.F("Mark", en.Mark.String()), event.F("Server", en.Server), event.F("Ends", ch.Ends),
-		event.F("Weight", strconv.FormatFloat(ch.Weight, 'f', 2, 64)), event.F("Refused", ch.Now == suspect.Refused))
+	gd.Log.Log(ev, event.F("Request", request), event.F("Mark", en.Mark.String()), event.F("Server", en.Server), event.F("Ends", ch.Crashes),
+		event.F("Weight", strconv.FormatFloat(ch.Weight, 'f', 2, 64)), event.F("Refused", ch.After == suspect.Refused))
 }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -22,20 +22,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a Guard whose servers are found as a test says.
-type rig struct {
+// testGuard is a Guard whose servers are found as a test says.
+type testGuard struct {
 	*poison.Guard
 	finding atomic.Int32
 	probes  atomic.Int32
 	mu      sync.Mutex
-	told    []suspect.End
+	sent    []suspect.Crash
 }
 
-func newRig(t *testing.T) *rig {
+func newRig(t *testing.T) *testGuard {
 	t.Helper()
 	servers := []board.BackendServer{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "leaves", Leaving: true}}
 	list := (&board.Backends{}).WithServers(servers)
-	rg := &rig{}
+	rg := &testGuard{}
 	rg.Guard = &poison.Guard{
 		Clock: clock.Monotonic{},
 		Probe: func(context.Context, poison.Call) poison.Finding {
@@ -43,30 +43,30 @@
 			return poison.Finding(rg.finding.Load())
 		},
 		Backends: func() *board.Backends { return list },
-		Tell: func(en suspect.End) {
+		Broadcast: func(en suspect.Crash) {
 			rg.mu.Lock()
 			defer rg.mu.Unlock()
-			rg.told = append(rg.told, en)
+			rg.sent = append(rg.sent, en)
 		},
 	}
-	rg.set(poison.Ended)
+	rg.setFinding(poison.Crashed)
 	return rg
 }
 
-// ends is what was told so far.
-func (rg *rig) ends() []suspect.End {
+// broadcasts is what was told so far.
+func (rg *testGuard) broadcasts() []suspect.Crash {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	return slices.Clone(rg.told)
+	return slices.Clone(rg.sent)
 }
 
-func (rg *rig) set(finding poison.Finding) { rg.finding.Store(int32(finding)) }
+func (rg *testGuard) setFinding(finding poison.Finding) { rg.finding.Store(int32(finding)) }
 
-// broke has a call of a request break off at each of the servers.
-func (rg *rig) broke(t *testing.T, mk suspect.Mark, servers ...string) {
+// breakCalls has a call of a request break off at each of the servers.
+func (rg *testGuard) breakCalls(t *testing.T, mk suspect.Mark, servers ...string) {
 	t.Helper()
 	for _, id := range servers {
-		rg.RecordBrokenCall(t.Context(), poison.Call{Mark: mk, Server: board.BackendServer{ID: id}, Instance: id, Beside: poison.UnknownBeside})
+		rg.RecordBrokenCall(t.Context(), poison.Call{Mark: mk, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent})
 		time.Sleep(100 * time.Millisecond) // to the next server
 	}
 }
@@ -77,20 +77,20 @@
 		servers []string
 		refused bool
 	}{
-		"two ends":             {poison.Ended, []string{"a", "b"}, false},
-		"three ends":           {poison.Ended, []string{"a", "b", "c"}, true},
-		"one end, seen thrice": {poison.Ended, []string{"a", "a", "a"}, false},
+		"two ends":             {poison.Crashed, []string{"a", "b"}, false},
+		"three ends":           {poison.Crashed, []string{"a", "b", "c"}, true},
+		"one end, seen thrice": {poison.Crashed, []string{"a", "a", "a"}, false},
 		"broken connections":   {poison.Alive, []string{"a", "b", "c", "d", "e"}, false},
 		"no answers":           {poison.Unanswered, []string{"a", "b", "c"}, true},
-		"servers that leave":   {poison.Ended, []string{"a", "b", "leaves"}, false},
-		"servers not listed":   {poison.Ended, []string{"a", "b", "gone"}, false},
+		"servers that leave":   {poison.Crashed, []string{"a", "b", "leaves"}, false},
+		"servers not listed":   {poison.Crashed, []string{"a", "b", "gone"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rg := newRig(t)
 				mk := rg.Mark([]byte("prompt"))
-				rg.set(tt.finding)
-				rg.broke(t, mk, tt.servers...)
+				rg.setFinding(tt.finding)
+				rg.breakCalls(t, mk, tt.servers...)
 				assert.Equal(t, rg.Check(mk) > 0, tt.refused)
 				assert.Equal(t, rg.Check(rg.Mark([]byte("other prompt"))), clock.Millis(0))
 			})
@@ -105,11 +105,11 @@
 		key := func() []byte { return []byte("of the fleet") }
 		seen.Key, hears.Key = key, key
 		mk := seen.Mark([]byte("prompt"))
-		seen.broke(t, mk, "a", "b", "c")
+		seen.breakCalls(t, mk, "a", "b", "c")
 		time.Sleep(time.Second)
-		assert.Equal(t, len(seen.ends()), 6, "each end is told twice")
-		for _, en := range seen.ends() {
-			hears.Heard(en)
+		assert.Equal(t, len(seen.broadcasts()), 6, "each end is told twice")
+		for _, en := range seen.broadcasts() {
+			hears.RecordRemote(en)
 		}
 		assert.Assert(t, hears.Check(hears.Mark([]byte("prompt"))) > 0)
 	})
@@ -124,15 +124,15 @@
 		defer stop()
 		go rg.Share(ctx)
 		mk := rg.Mark([]byte("prompt"))
-		rg.set(poison.Unanswered)
-		rg.broke(t, mk, "a", "b", "c")
+		rg.setFinding(poison.Unanswered)
+		rg.breakCalls(t, mk, "a", "b", "c")
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, rg.Check(mk) > 0)
-		rg.set(poison.Alive)
+		rg.setFinding(poison.Alive)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, rg.Check(mk), clock.Millis(0))
-		for _, en := range rg.ends() {
-			hears.Heard(en)
+		for _, en := range rg.broadcasts() {
+			hears.RecordRemote(en)
 		}
 		assert.Equal(t, hears.Check(mk), clock.Millis(0))
 	})
@@ -149,7 +149,7 @@
 		}
 		first, beside := rg.Mark([]byte("first")), rg.Mark([]byte("beside"))
 		for _, id := range []string{"a", "b", "c", "d", "e"} { // five, for the first is blamed after three
-			call := poison.Call{Mark: first, Server: board.BackendServer{ID: id}, Instance: id, Beside: poison.UnknownBeside}
+			call := poison.Call{Mark: first, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent}
 			rg.RecordBrokenCall(t.Context(), call)
 			time.Sleep(220 * time.Millisecond)
 			call.Mark = beside
@@ -169,9 +169,9 @@
 		defer stop()
 		go rg.Share(ctx)
 		mk := rg.Mark([]byte("prompt"))
-		rg.set(poison.Unanswered)
-		rg.broke(t, mk, "a", "b", "c")
-		rg.set(poison.Ended)
+		rg.setFinding(poison.Unanswered)
+		rg.breakCalls(t, mk, "a", "b", "c")
+		rg.setFinding(poison.Crashed)
 		time.Sleep(2 * time.Second)
 		asked := rg.probes.Load()
 		time.Sleep(5 * time.Second)
@@ -184,13 +184,13 @@
 func TestCallAfterTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
-		rg.set(poison.Unanswered)
+		rg.setFinding(poison.Unanswered)
 		first, later := rg.Mark([]byte("first")), rg.Mark([]byte("later"))
-		rg.broke(t, first, "a", "b", "c")
+		rg.breakCalls(t, first, "a", "b", "c")
 		began := clock.Monotonic{}.Now() + 1
 		time.Sleep(time.Second)
 		for _, id := range []string{"a", "b", "c"} {
-			rg.RecordBrokenCall(t.Context(), poison.Call{Mark: later, Server: board.BackendServer{ID: id}, Instance: id, Began: began})
+			rg.RecordBrokenCall(t.Context(), poison.Call{Mark: later, Server: board.BackendServer{ID: id}, Instance: id, SentAt: began})
 		}
 		assert.Assert(t, rg.Check(first) > 0)
 		assert.Equal(t, rg.Check(later), clock.Millis(0))
@@ -202,11 +202,11 @@
 		rg := newRig(t)
 		mk := rg.Mark([]byte("prompt"))
 		rg.RecordSuccess("r", mk)
-		rg.broke(t, mk, "a", "b")
+		rg.breakCalls(t, mk, "a", "b")
 		rg.RecordSuccess("r", mk)
-		rg.broke(t, mk, "c")
+		rg.breakCalls(t, mk, "c")
 		assert.Equal(t, rg.Check(mk), clock.Millis(0), "a whole answer takes the newest end back")
-		rg.broke(t, mk, "d")
+		rg.breakCalls(t, mk, "d")
 		assert.Assert(t, rg.Check(mk) > 0)
 	})
 }
@@ -227,7 +227,7 @@
 		"caller is gone": {ended, backend.InDoubtError{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, poison.Broke(tt.ctx, tt.err), tt.want)
+			assert.Equal(t, poison.MayHaveCrashed(tt.ctx, tt.err), tt.want)
 		})
 	}
 }
