--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -24,27 +24,27 @@
 
 // probe is the question whether one instance of a server is there.
 type probe struct {
-	call    Call // the first that broke off
-	at      clock.Millis
-	done    chan struct{} // closed once it is answered
-	over    bool          // it is answered; guarded by the Guard
-	finding Finding
-	found   clock.Millis   // point at which it was answered
-	marks   []suspect.Mark // requests that it speaks against; guarded by the Guard
+	call       Call // the first that broke off
+	startedAt  clock.Millis
+	done       chan struct{} // closed once it is answered
+	finished   bool          // it is answered; guarded by the Guard
+	finding    Finding
+	finishedAt clock.Millis   // point at which it was answered
+	marks      []suspect.Mark // requests that it speaks against; guarded by the Guard
 }
 
-// against tells whether a finding speaks against the request of a call: an instance
+// implicates tells whether a finding speaks implicates the request of a call: an instance
 // ends once, so that a call which began later was not at its end.
-func (pr *probe) against(cl Call) bool {
-	return pr.finding != Alive && (cl.Began == 0 || cl.Began <= pr.found)
+func (pr *probe) implicates(cl Call) bool {
+	return pr.finding != Alive && (cl.SentAt == 0 || cl.SentAt <= pr.finishedAt)
 }
 
-// ended finds out whether a server that was not about to leave has ended. Calls that
+// probeInstance finds out whether a server that was not about to leave has probeInstance. Calls that
 // break off at it in the same moment share one probe.
-func (gd *Guard) ended(cl Call) *probe {
+func (gd *Guard) probeInstance(cl Call) *probe {
 	bk := gd.Backends()
 	if bk.Reborn(cl.Server) {
-		return &probe{finding: Ended, found: gd.now()}
+		return &probe{finding: Crashed, finishedAt: gd.now()}
 	}
 	if at, listed := bk.Server(cl.Server.ID); !listed || at.Leaving {
 		return &probe{}
@@ -52,9 +52,9 @@
 	gd.mu.Lock()
 	pr := gd.probes[cl.Instance]
 	if pr == nil || pr.stale(gd.now()) {
-		pr = &probe{call: cl, at: gd.now(), done: make(chan struct{})}
+		pr = &probe{call: cl, startedAt: gd.now(), done: make(chan struct{})}
 		gd.probes[cl.Instance] = pr
-		go gd.answer(pr)
+		go gd.runProbe(pr)
 	}
 	gd.mu.Unlock()
 	<-pr.done
@@ -64,21 +64,21 @@
 // stale tells whether a finding has to be made anew. That a server answers nothing is
 // asked by [Guard.Share] until it does.
 func (pr *probe) stale(now clock.Millis) bool {
-	return pr.over && pr.finding != Unanswered && now >= pr.at+probeTTL
+	return pr.finished && pr.finding != Unanswered && now >= pr.startedAt+probeTTL
 }
 
-func (gd *Guard) answer(pr *probe) {
+func (gd *Guard) runProbe(pr *probe) {
 	defer close(pr.done)
-	finding := gd.ask(context.Background(), pr)
+	finding := gd.callProbe(context.Background(), pr)
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
-	pr.finding, pr.found, pr.over = finding, gd.now(), true
+	pr.finding, pr.finishedAt, pr.finished = finding, gd.now(), true
 	if finding != Unanswered {
 		time.AfterFunc(probeTTL.Std(), func() { gd.drop(pr) })
 	}
 }
 
-func (gd *Guard) ask(ctx context.Context, pr *probe) Finding {
+func (gd *Guard) callProbe(ctx context.Context, pr *probe) Finding {
 	ctx, stop := context.WithTimeout(ctx, probeTimeout.Std())
 	defer stop()
 	return gd.Probe(ctx, pr.call)
@@ -102,14 +102,14 @@
 	for _, pr := range gd.unanswered() {
 		asked.Go(func() {
 			again := *pr
-			again.call.Confirmed = true // what takes its place now came after the call
-			finding := gd.ask(ctx, &again)
-			if ctx.Err() != nil || finding == Unanswered && gd.now() < pr.found+unansweredTTL {
+			again.call.InstanceConfirmed = true // what takes its place now came after the call
+			finding := gd.callProbe(ctx, &again)
+			if ctx.Err() != nil || finding == Unanswered && gd.now() < pr.finishedAt+unansweredTTL {
 				return
 			}
 			for _, mk := range gd.drop(pr) {
 				if finding == Alive {
-					gd.withdraw(mk, pr)
+					gd.retract(mk, pr)
 				}
 			}
 		})
@@ -129,11 +129,11 @@
 	return out
 }
 
-func (gd *Guard) withdraw(mk suspect.Mark, pr *probe) {
-	en := suspect.End{Mark: mk, Server: pr.call.Instance, Age: gd.now() - pr.found, Forgiven: true}
+func (gd *Guard) retract(mk suspect.Mark, pr *probe) {
+	en := suspect.Crash{Mark: mk, Server: pr.call.Instance, Age: gd.now() - pr.finishedAt, Retracted: true}
 	gd.mu.Lock()
-	ch := gd.suspects.Note(gd.now(), en)
+	ch := gd.suspects.Record(gd.now(), en)
 	gd.mu.Unlock()
 	gd.log(en, "", ch)
-	gd.tell(en)
+	gd.broadcast(en)
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -185,7 +185,7 @@
 		event.F("After", op.After), event.F("Prefill", op.Source.Server.ID), event.F("Since", (rl.now()-ex.req.Came).String()),
 		event.F("Status", statusOf(dec.rsp)), event.F("Error", text(err)))...)
 	if err != nil {
-		if poison.Broke(ctx, err) {
+		if poison.MayHaveCrashed(ctx, err) {
 			rl.recordBrokenCall(ctx, ex, pl.server, false, rl.besides(pl.server.ID))
 		}
 		dec.begun()
@@ -337,8 +337,8 @@
 	}
 	rl.mu.Unlock()
 	if err != nil {
-		if poison.Broke(within, err) {
-			rl.recordBrokenCall(ctx, ex, pf.Server, false, poison.UnknownBeside)
+		if poison.MayHaveCrashed(within, err) {
+			rl.recordBrokenCall(ctx, ex, pf.Server, false, poison.UnknownConcurrent)
 		}
 		rl.fault(ctx, ex, pf.Server.ID, err)
 	}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -123,8 +123,8 @@
 		at.wh = whole{status: at.rsp.StatusCode}
 	}
 	took := rl.now() - began
-	if poison.Broke(within, at.err) {
-		rl.recordBrokenCall(ctx, ex, bs, false, poison.UnknownBeside)
+	if poison.MayHaveCrashed(within, at.err) {
+		rl.recordBrokenCall(ctx, ex, bs, false, poison.UnknownConcurrent)
 	}
 	rl.mu.Lock()
 	rl.chooser.Done(rl.now(), bs.ID, balance.Outcome{Result: resultOf(ctx, at), Took: took, Load: rl.loadOf(at.rsp)})
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -14,7 +14,7 @@
 	rl.guardOnce.Do(func() {
 		gd := &rl.guard
 		gd.Clock, gd.Log, gd.Scope = rl.Clock, rl.Log, rl.Scope
-		gd.Key, gd.Tell, gd.VMs = rl.Key, rl.TellEnd, rl.livingVMs
+		gd.Key, gd.Broadcast, gd.VMs = rl.Key, rl.TellEnd, rl.livingVMs
 		gd.Probe, gd.Backends = rl.probe, rl.Backends
 	})
 	return &rl.guard
@@ -22,7 +22,7 @@
 
 func (rl *Relay) probe(ctx context.Context, cl poison.Call) poison.Finding {
 	if rl.Servers.Ended(ctx, cl.Server) {
-		return poison.Ended
+		return poison.Crashed
 	}
 	return poison.Alive
 }
@@ -48,7 +48,7 @@
 // checkPoison refuses a request under which servers ended. While no request is under
 // suspicion it costs nothing, and else a mark, 6 us for 5 KB (BenchmarkMarkOf).
 func (rl *Relay) checkPoison(ctx context.Context, ex *exchange) error {
-	if !rl.guardOf().Any() {
+	if !rl.guardOf().HasSuspects() {
 		return nil
 	}
 	span := rl.guardOf().Check(rl.markOf(ex))
@@ -60,7 +60,7 @@
 
 // recordSuccess notes that a request had its whole answer.
 func (rl *Relay) recordSuccess(ex *exchange) {
-	if rl.guardOf().Any() {
+	if rl.guardOf().HasSuspects() {
 		rl.guardOf().RecordSuccess(ex.req.ID, rl.markOf(ex))
 	}
 }
@@ -69,7 +69,7 @@
 // whether the server has ended, or soon after.
 func (rl *Relay) recordBrokenCall(ctx context.Context, ex *exchange, bs board.BackendServer, answered bool, beside int) {
 	rl.guardOf().RecordBrokenCall(ctx, poison.Call{
-		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Beside: beside})
+		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Concurrent: beside})
 }
 
 // ShareEnds tells the other VMs now and then, until the context ends, what is known of
@@ -77,7 +77,7 @@
 func (rl *Relay) ShareEnds(ctx context.Context) { rl.guardOf().Share(ctx) }
 
 // HeardEnd takes an end that another VM saw.
-func (rl *Relay) HeardEnd(en suspect.End) { rl.guardOf().Heard(en) }
+func (rl *Relay) HeardEnd(en suspect.Crash) { rl.guardOf().RecordRemote(en) }
 
 // besides is how many other runs an engine has, as far as this VM knows.
 func (rl *Relay) besides(engine string) int {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -162,7 +162,7 @@
 		Newer func(ctx context.Context, version uint64) bool
 		// TellEnd tells the other VMs at which server's end a request was there;
 		// nil: they are not told.
-		TellEnd func(en suspect.End)
+		TellEnd func(en suspect.Crash)
 
 		guard     poison.Guard // used through guardOf
 		guardOnce sync.Once
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -9,105 +9,105 @@
 
 // Bounds of admission.
 const (
-	retrySoonest   = 250 * clock.Millis(1)
-	retryLatest    = 60 * clock.Second
-	fewestQueued   = 8    // places in the queue that any group has
-	patientMargin  = 1.0  // part of the target that the expected wait may take
-	weightedMargin = 0.05 // part less at a weight of 1
-	idleAfter      = 10 * clock.Second
+	minRetryAfter     = 250 * clock.Millis(1)
+	maxRetryAfter     = 60 * clock.Second
+	minQueueBound     = 8    // places in the queue that any group has
+	maxWaitShare      = 1.0  // part of the target that the expected wait may take
+	weightedWaitShare = 0.05 // part less at a weight of 1
+	groupIdleAfter    = 10 * clock.Second
 )
 
 // submit admits a request, refuses it, or lets it wait.
-func (ce *Cell) submit(now clock.Millis, ask Ask) {
-	if old, ok := ce.jobs[ask.Request]; ok {
-		ce.forget(now, old)
+func (ce *Cell) submit(now clock.Millis, spec RequestSpec) {
+	if old, ok := ce.jobs[spec.Request]; ok {
+		ce.drop(now, old)
 	}
-	gp := ce.group(ask)
+	gp := ce.group(spec)
 	gp.arrivals.add(now, 1)
-	jb := ce.newJob(now, ask, gp)
-	jb.began = ask.Attempt > 0
-	if rf, refused := ce.inadmissible(now, jb); refused {
-		if jb.began {
+	jb := ce.newJob(now, spec, gp)
+	jb.granted = spec.Attempt > 0
+	if rf, refused := ce.checkAdmission(now, jb); refused {
+		if jb.granted {
 			rf = rf.WithRan(refusal.MayHaveRun)
 		}
-		ce.emit(Refuse{Request: ask.Request, Refusal: rf})
+		ce.emit(Refuse{Request: spec.Request, Refusal: rf})
 		return
 	}
-	ce.jobs[ask.Request] = jb
+	ce.jobs[spec.Request] = jb
 	gp.enqueue(jb)
 	ce.queued++
 }
 
-func (ce *Cell) newJob(now clock.Millis, ask Ask, gp *group) *job {
-	jb := &job{ask: ask, grp: gp, arrived: now, since: now, due: now + ask.TTFT - ask.TPOT - ce.Ways, tokens: ask.PromptTokens}
-	if ask.Deadline > 0 {
-		jb.due = min(jb.due, ask.Deadline)
+func (ce *Cell) newJob(now clock.Millis, spec RequestSpec, gp *group) *job {
+	jb := &job{spec: spec, grp: gp, arrived: now, since: now, due: now + spec.TTFT - spec.TPOT - ce.MessageDelay, tokens: spec.PromptTokens}
+	if spec.Deadline > 0 {
+		jb.due = min(jb.due, spec.Deadline)
 	}
 	rate, link := ce.PrefillRate, ce.LinkRate
 	if eng := ce.prefills.best(); eng != nil {
-		rate, link = eng.rate, eng.linkRate
+		rate, link = eng.prefillRate, eng.linkRate
 	}
 	jb.prefillMS = float64(jb.tokens) / rate
-	jb.linkMS = float64(ask.PromptTokens) / link
-	jb.holdMS = gp.holdMS
+	jb.linkMS = float64(spec.PromptTokens) / link
+	jb.decodeMS = gp.decodeMS
 	return jb
 }
 
 // group finds or makes the group of a request and takes its class's current
 // settings.
-func (ce *Cell) group(ask Ask) *group {
-	key := groupKey{ask.Customer, ask.Class}
+func (ce *Cell) group(spec RequestSpec) *group {
+	key := groupKey{spec.Customer, spec.Class}
 	gp, ok := ce.groups[key]
 	if !ok {
-		gp = &group{key: key, holdMS: expectHold(ask),
-			arrivals: rate{memory: arrivalMemory}, prefill: rate{memory: prefillMemory}}
+		gp = &group{key: key, decodeMS: guessDecodeMS(spec),
+			arrivals: rate{timeConstant: arrivalWindow}, prefillUse: rate{timeConstant: prefillWindow}}
 		ce.groups[key] = gp
 	}
-	if !gp.listed {
-		gp.listed = true
-		ce.order = append(ce.order, gp)
+	if !gp.active {
+		gp.active = true
+		ce.activeGroups = append(ce.activeGroups, gp)
 	}
-	gp.quick = ask.Quick
-	gp.weight = min(1, max(0, ask.PrefillWeight))
-	gp.share = ask.Share
+	gp.quick = spec.Quick
+	gp.weight = min(1, max(0, spec.PrefillWeight))
+	gp.share = spec.Share
 	if gp.share <= 0 {
 		gp.share = 0.01
 	}
 	return gp
 }
 
-// inadmissible tells whether a request is refused at once, and why.
-func (ce *Cell) inadmissible(now clock.Millis, jb *job) (refusal.Refusal, bool) {
+// checkAdmission tells whether a request is refused at once, and why.
+func (ce *Cell) checkAdmission(now clock.Millis, jb *job) (refusal.Refusal, bool) {
 	gp := jb.grp
 	switch {
-	case gp.queued() >= max(fewestQueued, int(float64(ce.QueueBound)*min(1, gp.share))),
+	case gp.queued() >= max(minQueueBound, int(float64(ce.QueueBound)*min(1, gp.share))),
 		ce.queued >= 2*ce.QueueBound:
 		return notRun(refusal.QueueFull, clock.Millis(ce.patientWait(now, gp)/2), "the queue is full"), true
-	case jb.ask.Deadline > 0 && float64(now)+jb.prefillMS+jb.linkMS > float64(jb.ask.Deadline):
+	case jb.spec.Deadline > 0 && float64(now)+jb.prefillMS+jb.linkMS > float64(jb.spec.Deadline):
 		return notRun(refusal.DeadlinePassed, 0, "too late to begin"), true
 	case ce.isClosed():
-		return ce.closedInadmissible(now, jb)
+		return ce.checkClosedAdmission(now, jb)
 	case gp.quick:
-		return ce.quickInadmissible(now, jb)
+		return ce.checkQuickAdmission(now, jb)
 	}
 	wait := ce.patientWait(now, gp)
-	margin := patientMargin - weightedMargin*gp.weight
+	margin := maxWaitShare - weightedWaitShare*gp.weight
 	if over := wait + jb.prefillMS + jb.linkMS - margin*float64(jb.due-now); over > 0 && wait > 0 {
 		return notRun(refusal.TargetUnreachable, clock.Millis(over), "the queue is longer than the target"), true
 	}
 	return refusal.Refusal{}, false
 }
 
-// quickInadmissible refuses a quick request whose target is out of reach.
-func (ce *Cell) quickInadmissible(now clock.Millis, jb *job) (refusal.Refusal, bool) {
-	eng := ce.quicks.best()
+// checkQuickAdmission refuses a quick request whose target is out of reach.
+func (ce *Cell) checkQuickAdmission(now clock.Millis, jb *job) (refusal.Refusal, bool) {
+	eng := ce.quickPrefills.best()
 	ready := max(0, eng.quickReadyAt(ce.Chunk)-float64(now)) + jb.prefillMS
 	over := float64(now) + ready + jb.linkMS - float64(jb.due)
 	if over > 0 {
 		return notRun(refusal.TargetUnreachable, clock.Millis(over), "prefill engines are busy"), true
 	}
-	ahead := float64(ce.promised[1] + jb.grp.queued() + 1 - ce.free)
-	if wait := ahead / max(ce.hazard[0]+ce.hazard[1], 1e-6); ahead > 0 && wait > float64(jb.due-now) {
+	ahead := float64(ce.reserved[1] + jb.grp.queued() + 1 - ce.free)
+	if wait := ahead / max(ce.endRates[0]+ce.endRates[1], 1e-6); ahead > 0 && wait > float64(jb.due-now) {
 		return notRun(refusal.TargetUnreachable, clock.Millis(wait), "decode engines are full"), true
 	}
 	return refusal.Refusal{}, false
@@ -116,19 +116,19 @@
 // notRun makes a refusal of a request that was never sent to an engine.
 func notRun(why refusal.Reason, after clock.Millis, detail string) refusal.Refusal {
 	if why != refusal.DeadlinePassed {
-		after = min(retryLatest, max(retrySoonest, after))
+		after = min(maxRetryAfter, max(minRetryAfter, after))
 	}
 	return refusal.Refusal{Ran: refusal.NotRun, Reason: why, RetryAfter: after, Detail: detail}
 }
 
-// expire refuses waiting requests that can't meet what they need any more
+// expireQueued refuses waiting requests that can't meet what they need any more
 // and sets patient ones past their target apart.
-func (ce *Cell) expire(now clock.Millis) {
-	ce.order = slices.DeleteFunc(ce.order, func(gp *group) bool {
-		gp.listed = gp.wants() || gp.held > 0 || now-gp.arrivals.at < idleAfter
-		return !gp.listed
+func (ce *Cell) expireQueued(now clock.Millis) {
+	ce.activeGroups = slices.DeleteFunc(ce.activeGroups, func(gp *group) bool {
+		gp.active = gp.hasQueued() || gp.held > 0 || now-gp.arrivals.at < groupIdleAfter
+		return !gp.active
 	})
-	for _, gp := range ce.order {
+	for _, gp := range ce.activeGroups {
 		ce.steps++
 		for len(gp.waiting) > 0 {
 			jb := gp.waiting[0]
@@ -136,16 +136,16 @@
 				break
 			}
 			ce.steps++
-			if gp.quick || jb.ask.Deadline <= 0 {
+			if gp.quick || jb.spec.Deadline <= 0 {
 				ce.refuse(now, jb, refusal.TargetUnreachable)
 				continue
 			}
 			gp.waiting = gp.waiting[1:]
-			gp.late = insertBy(gp.late, jb, func(ja *job) clock.Millis { return ja.ask.Deadline })
+			gp.late = insertBy(gp.late, jb, func(ja *job) clock.Millis { return ja.spec.Deadline })
 		}
 		for len(gp.late) > 0 {
 			jb := gp.late[0]
-			if float64(now)+jb.prefillMS+jb.linkMS+jb.holdMS <= float64(jb.ask.Deadline) {
+			if float64(now)+jb.prefillMS+jb.linkMS+jb.decodeMS <= float64(jb.spec.Deadline) {
 				break
 			}
 			ce.refuse(now, jb, refusal.DeadlinePassed)
@@ -161,10 +161,10 @@
 		why = refusal.ShareExceeded
 	}
 	after := clock.Millis(ce.patientWait(now, gp))
-	rf := notRun(why, max(after, retrySoonest), "waited, and no place came in time")
-	if jb.began {
+	rf := notRun(why, max(after, minRetryAfter), "waited, and no place came in time")
+	if jb.granted {
 		rf = rf.WithRan(refusal.MayHaveRun)
 	}
-	ce.emit(Refuse{Request: jb.ask.Request, Refusal: rf})
-	ce.forget(now, jb)
+	ce.emit(Refuse{Request: jb.spec.Request, Refusal: rf})
+	ce.drop(now, jb)
 }
--- a/internal/sched/bench/cell.go
+++ b/internal/sched/bench/cell.go
@@ -201,13 +201,13 @@
 	}
 }
 
-func (cp *cellPolicy) ask(rq *request) sched.Ask {
+func (cp *cellPolicy) ask(rq *request) sched.RequestSpec {
 	cls, sm := rq.cls, cp.sm
 	ttft := cls.TTFT - clock.Millis(sm.now-rq.arrive)
 	if rq.firstSet {
 		ttft = max(ttft, goOnWithin)
 	}
-	return sched.Ask{
+	return sched.RequestSpec{
 		Request: rq.id, Customer: cls.Customer, Class: cls.Name, Quick: cls.Work == QuickWork,
 		VM:           board.VMRef{ID: fmt.Sprintf("vm-%d", rq.vm), Incarnation: 1},
 		PromptTokens: rq.prompt, PrefixHash: rq.prefix, PrefixTokens: prefixTokens, MaxTokens: cls.Max,
@@ -217,7 +217,7 @@
 	}
 }
 
-func (cp *cellPolicy) submit(rq *request) { cp.send(rq.vm, sched.Submit{Ask: cp.ask(rq)}) }
+func (cp *cellPolicy) submit(rq *request) { cp.send(rq.vm, sched.Submit{Spec: cp.ask(rq)}) }
 
 func (cp *cellPolicy) granted(rq *request, gr sched.Grant) {
 	rn := cp.runs[rq]
@@ -310,7 +310,7 @@
 // announce tells the accounting VM of a request that was placed without it.
 func (cp *cellPolicy) announce(rq *request) {
 	rn := cp.runs[rq]
-	cp.send(rq.vm, sched.Adopt{Ask: cp.ask(rq), Stage: rn.stage, Prefill: rn.prefill, Decode: rn.decode,
+	cp.send(rq.vm, sched.Adopt{Spec: cp.ask(rq), Stage: rn.stage, Prefill: rn.prefill, Decode: rn.decode,
 		Since: clock.Millis(cp.sm.now - rn.since)})
 }
 
--- a/internal/sched/bench/cellfault.go
+++ b/internal/sched/bench/cellfault.go
@@ -22,7 +22,7 @@
 	cp.submit(rq)
 }
 
-func (cp *cellPolicy) view(vm int) sched.View {
+func (cp *cellPolicy) view(vm int) sched.EngineView {
 	own := make(map[string]int)
 	for _, rq := range cp.sorted() {
 		if rn := cp.runs[rq]; rq.vm == vm && rn.alone {
@@ -30,7 +30,7 @@
 			own[rn.likely]++
 		}
 	}
-	return sched.View{Servers: cp.list, Reports: cp.reports[vm], Own: own}
+	return sched.EngineView{Servers: cp.list, Reports: cp.reports[vm], OwnRequests: own}
 }
 
 // sorted lists the running requests in an order that replays agree on.
--- a/internal/sched/cell.go
+++ b/internal/sched/cell.go
@@ -11,13 +11,13 @@
 
 // What a Cell assumes where its fields are zero.
 const (
-	defaultSlots       = 20
-	defaultKeep        = 800 * clock.Millis(1)
-	defaultQueueBound  = 1024
-	defaultPrefillRate = 10
-	defaultLinkRate    = 40
-	defaultChunk       = 2048
-	defaultWays        = 15 * clock.Millis(1)
+	defaultSlots        = 20
+	defaultKVCacheTTL   = 800 * clock.Millis(1)
+	defaultQueueBound   = 1024
+	defaultPrefillRate  = 10
+	defaultLinkRate     = 40
+	defaultChunk        = 2048
+	defaultMessageDelay = 15 * clock.Millis(1)
 
 	reportGrace = 2 * clock.Second // an engine without a report is held empty after this
 	orphanGrace = 30 * clock.Second
@@ -30,39 +30,39 @@
 	Cell struct {
 		Name       string
 		Slots      int          // places of a decode engine until it reports; 20
-		Keep       clock.Millis // how long a prefill engine keeps a KV cache; 800 ms
+		KVCacheTTL clock.Millis // how long a prefill engine keeps a KV cache; 800 ms
 		QueueBound int          // requests that may wait; 1024
 
-		Ways clock.Millis // what the messages of one request take until its first token; 15 ms
+		MessageDelay clock.Millis // what the messages of one request take until its first token; 15 ms
 
 		PrefillRate float64 // prompt tokens per millisecond until learned; 10
 		LinkRate    float64 // KV cache of prompt tokens per millisecond until learned; 40
 		Chunk       int     // prompt tokens after which a quick prefill may pass; 2048
 
-		engines  map[string]*engine
-		prefills ranking   // by the point at which they are ready
-		quicks   ranking   // by the point at which they are ready for quick work
-		decodes  ranking   // by free places, most first
-		pending  []*engine // listed, no report yet
+		engines       map[string]*engine
+		prefills      ranking   // by the point at which they are ready
+		quickPrefills ranking   // by the point at which they are ready for quick work
+		decodes       ranking   // by free places, most first
+		unreported    []*engine // listed, no report yet
 
-		jobs   map[string]*job
-		groups map[groupKey]*group
-		order  []*group // that wait, hold or lately arrived
-		ready  []*job   // prefilled, waiting for a link and a place
-		moving []*job   // their transfer goes on
+		jobs         map[string]*job
+		groups       map[groupKey]*group
+		activeGroups []*group // that wait, hold or lately arrived
+		readyJobs    []*job   // prefilled, waiting for a link and a place
+		transferring []*job   // their transfer goes on
 
-		delay delay // of transfers beside their links
+		transferDelay delayEstimate // of transfers beside their links
 
-		holders map[uint64][]*engine // prefill engines that lately computed a prefix
+		prefixHolders map[uint64][]*engine // prefill engines that lately computed a prefix
 
 		slots    int // places of usable decode engines, less those of others
 		free     int
-		promised [2]int     // prefilling or prefilled: patient, quick
-		hazard   [2]float64 // expected ends of decodes per millisecond: patient, quick
+		reserved [2]int     // prefilling or prefilled: patient, quick
+		endRates [2]float64 // expected ends of decodes per millisecond: patient, quick
 		queued   int
 
-		out   []Intent
-		steps int
+		intents []Intent
+		steps   int
 	}
 )
 
@@ -70,10 +70,10 @@
 // order. Points of successive steps never go back.
 func (ce *Cell) Step(now clock.Millis, ev Event) []Intent {
 	ce.init()
-	ce.out = nil
+	ce.intents = nil
 	switch ev := ev.(type) {
 	case Submit:
-		ce.submit(now, ev.Ask)
+		ce.submit(now, ev.Spec)
 	case Adopt:
 		ce.adopt(now, ev)
 	case Progress:
@@ -91,7 +91,7 @@
 	case Tick:
 	}
 	ce.dispatch(now)
-	return ce.out
+	return ce.intents
 }
 
 // Steps is the number of elementary steps taken so far: comparisons of
@@ -108,20 +108,20 @@
 	ce.engines = make(map[string]*engine)
 	ce.jobs = make(map[string]*job)
 	ce.groups = make(map[groupKey]*group)
-	ce.holders = make(map[uint64][]*engine)
+	ce.prefixHolders = make(map[uint64][]*engine)
 	ce.Slots = cmp.Or(ce.Slots, defaultSlots)
-	ce.Keep = cmp.Or(ce.Keep, defaultKeep)
+	ce.KVCacheTTL = cmp.Or(ce.KVCacheTTL, defaultKVCacheTTL)
 	ce.QueueBound = cmp.Or(ce.QueueBound, defaultQueueBound)
-	ce.Ways = cmp.Or(ce.Ways, defaultWays)
+	ce.MessageDelay = cmp.Or(ce.MessageDelay, defaultMessageDelay)
 	ce.PrefillRate = cmp.Or(ce.PrefillRate, defaultPrefillRate)
 	ce.LinkRate = cmp.Or(ce.LinkRate, defaultLinkRate)
 	ce.Chunk = cmp.Or(ce.Chunk, defaultChunk)
-	for _, rk := range []*ranking{&ce.prefills, &ce.quicks, &ce.decodes} {
+	for _, rk := range []*ranking{&ce.prefills, &ce.quickPrefills, &ce.decodes} {
 		rk.steps = &ce.steps
 	}
 }
 
-func (ce *Cell) emit(in Intent) { ce.out = append(ce.out, in) }
+func (ce *Cell) emit(in Intent) { ce.intents = append(ce.intents, in) }
 
 // servers takes the list of engines. Those no longer listed get nothing new;
 // what runs on them ends by Progress.
@@ -131,30 +131,30 @@
 		listed[srv.ID] = true
 		eng, ok := ce.engines[srv.ID]
 		if !ok || eng.role != srv.Role {
-			eng = &engine{id: srv.ID, role: srv.Role, slots: ce.Slots, opens: now + reportGrace,
-				rate: ce.PrefillRate, linkRate: ce.LinkRate}
+			eng = &engine{id: srv.ID, role: srv.Role, slots: ce.Slots, opensAt: now + reportGrace,
+				prefillRate: ce.PrefillRate, linkRate: ce.LinkRate}
 			if old := ce.engines[srv.ID]; old != nil {
-				old.gone = true
-				ce.changed(old)
+				old.delisted = true
+				ce.updateRankings(old)
 			}
 			ce.engines[srv.ID] = eng
-			ce.pending = append(ce.pending, eng)
+			ce.unreported = append(ce.unreported, eng)
 		}
-		eng.gone = false
+		eng.delisted = false
 		eng.leaving = srv.Leaving
-		ce.changed(eng)
+		ce.updateRankings(eng)
 	}
 	for _, id := range sortedIDs(ce.engines) {
 		if eng := ce.engines[id]; !listed[id] {
-			eng.gone = true
-			ce.changed(eng)
-			ce.dropHolder(eng)
-			if eng.held == 0 && eng.pending <= 0 {
+			eng.delisted = true
+			ce.updateRankings(eng)
+			ce.dropPrefixes(eng)
+			if eng.held == 0 && eng.pendingMS <= 0 {
 				delete(ce.engines, id)
 			}
 		}
 	}
-	ce.preemptUnfit(now)
+	ce.preemptUnusable(now)
 }
 
 func sortedIDs(engines map[string]*engine) []string {
@@ -174,26 +174,26 @@
 	}
 	left := eng.leaving
 	eng.reconcile(now, ld)
-	eng.mendLink(ce.LinkRate)
-	ce.changed(eng)
+	eng.recoverLinkRate(ce.LinkRate)
+	ce.updateRankings(eng)
 	if eng.leaving && !left {
-		ce.preemptUnfit(now)
+		ce.preemptUnusable(now)
 	}
 	if eng.orphans > 0 && ld.Running <= eng.held-eng.orphans {
 		ce.releaseOrphans(now, eng)
 	}
 }
 
-// changed brings the rankings and totals up to date with an engine.
-func (ce *Cell) changed(eng *engine) {
+// updateRankings brings the rankings and totals up to date with an engine.
+func (ce *Cell) updateRankings(eng *engine) {
 	if eng.role == board.Decode {
 		free, slots := eng.free(), 0
 		if eng.usable() {
-			slots = max(0, eng.slots-eng.foreign)
+			slots = max(0, eng.slots-eng.heldByOthers)
 		}
-		ce.free += free - eng.counted
+		ce.free += free - eng.countedFree
 		ce.slots += slots - eng.countedSlots
-		eng.counted, eng.countedSlots = free, slots
+		eng.countedFree, eng.countedSlots = free, slots
 		if free > 0 {
 			ce.decodes.set(eng, -float64(free))
 		} else {
@@ -203,51 +203,51 @@
 	}
 	if !eng.usable() {
 		ce.prefills.remove(eng)
-		ce.quicks.remove(eng)
+		ce.quickPrefills.remove(eng)
 		return
 	}
 	ce.prefills.set(eng, eng.readyAt())
-	ce.quicks.set(eng, eng.quickReadyAt(ce.Chunk))
+	ce.quickPrefills.set(eng, eng.quickReadyAt(ce.Chunk))
 }
 
 // progress moves a granted request to the stage that its runner tells.
 func (ce *Cell) progress(now clock.Millis, pr Progress) {
 	jb, ok := ce.jobs[pr.Request]
-	if !ok || pr.Attempt != jb.ask.Attempt {
+	if !ok || pr.Attempt != jb.spec.Attempt {
 		return
 	}
 	switch pr.Stage {
 	case Prefilling, Transferring:
 	case Prefilled:
-		ce.prefilled(now, jb, pr.Took)
+		ce.handlePrefilled(now, jb, pr.Took)
 	case Rejected:
-		ce.rejected(now, jb)
+		ce.handleRejected(now, jb)
 	case Lapsed:
-		ce.notKept(now, jb)
+		ce.handleLapsed(now, jb)
 	case Decoding:
-		ce.decoding(now, jb, pr.Took)
+		ce.handleDecoding(now, jb, pr.Took)
 	case Ended:
 		if jb.stage == Decoding {
-			jb.grp.learnHold(now - jb.since)
-			jb.decode.lost = 0
+			jb.grp.learnDecode(now - jb.since)
+			jb.decode.losses = 0
 		}
-		ce.forget(now, jb)
+		ce.drop(now, jb)
 	case Lost:
-		if jb.stage == Transferring && now >= jb.lapse {
-			jb.prefill.slowLink(jb.ask.PromptTokens, now-jb.since)
+		if jb.stage == Transferring && now >= jb.expires {
+			jb.prefill.capLinkRate(jb.spec.PromptTokens, now-jb.since)
 		}
-		ce.blame(now, jb)
-		ce.forget(now, jb)
+		ce.recordLoss(now, jb)
+		ce.drop(now, jb)
 	case Cancelled:
-		ce.forget(now, jb)
+		ce.drop(now, jb)
 	}
 }
 
-// blame closes an engine on which requests are lost one after another, as it
+// recordLoss closes an engine on which requests are lost one after another, as it
 // looks idle and would be given all that comes until the list of backend
 // servers shows that it is gone. A loss between the two engines has no
 // certain culprit.
-func (ce *Cell) blame(now clock.Millis, jb *job) {
+func (ce *Cell) recordLoss(now clock.Millis, jb *job) {
 	var eng *engine
 	switch jb.stage {
 	case Prefilling:
@@ -257,10 +257,10 @@
 	default:
 		return
 	}
-	if eng.fail(now) {
-		ce.pending = append(ce.pending, eng)
-		ce.changed(eng)
-		ce.emit(Closed{Server: eng.id, Role: eng.role, For: eng.closed - now, Lost: eng.lost, Request: jb.ask.Request})
+	if eng.recordLoss(now) {
+		ce.unreported = append(ce.unreported, eng)
+		ce.updateRankings(eng)
+		ce.emit(Closed{Server: eng.id, Role: eng.role, For: eng.closedUntil - now, Lost: eng.losses, Request: jb.spec.Request})
 	}
 }
 
@@ -270,17 +270,17 @@
 	if !ok || re.For <= 0 {
 		return
 	}
-	if eng.known {
-		ce.pending = append(ce.pending, eng)
+	if eng.open {
+		ce.unreported = append(ce.unreported, eng)
 	}
-	eng.close(max(eng.closed, now+re.For))
-	ce.changed(eng)
-	ce.emit(Closed{Server: eng.id, Role: eng.role, For: eng.closed - now})
+	eng.closeUntil(max(eng.closedUntil, now+re.For))
+	ce.updateRankings(eng)
+	ce.emit(Closed{Server: eng.id, Role: eng.role, For: eng.closedUntil - now})
 }
 
 func (ce *Cell) withdraw(now clock.Millis, request string) {
 	if jb, ok := ce.jobs[request]; ok {
-		ce.forget(now, jb)
+		ce.drop(now, jb)
 	}
 }
 
@@ -292,7 +292,7 @@
 	switch {
 	case !ok || jb.orphan:
 	case jb.decode == nil:
-		ce.forget(now, jb)
+		ce.drop(now, jb)
 	default:
 		jb.orphan = true
 		jb.decode.orphans++
@@ -312,14 +312,14 @@
 	}
 	slices.SortFunc(old, compareIDs)
 	for _, jb := range old {
-		ce.forget(now, jb)
+		ce.drop(now, jb)
 	}
 }
 
-// forget releases all that a request holds and drops it.
-func (ce *Cell) forget(now clock.Millis, jb *job) {
+// drop releases all that a request holds and drops it.
+func (ce *Cell) drop(now clock.Millis, jb *job) {
 	ce.release(now, jb)
-	delete(ce.jobs, jb.ask.Request)
+	delete(ce.jobs, jb.spec.Request)
 }
 
 // release takes a request out of whatever stage it is in.
@@ -330,38 +330,38 @@
 		ce.queued--
 		return
 	case Prefilling:
-		jb.prefill.done(now, jb)
-		ce.changed(jb.prefill)
-		ce.promised[class(jb)]--
+		jb.prefill.removePrefill(now, jb)
+		ce.updateRankings(jb.prefill)
+		ce.reserved[classIndex(jb)]--
 	case Prefilled:
-		ce.ready = without(ce.ready, jb)
-		ce.promised[class(jb)]--
+		ce.readyJobs = removeJob(ce.readyJobs, jb)
+		ce.reserved[classIndex(jb)]--
 	case Transferring:
-		ce.sent(jb)
-		ce.moving = without(ce.moving, jb)
+		ce.endTransfer(jb)
+		ce.transferring = removeJob(ce.transferring, jb)
 	case Decoding:
-		ce.hazard[class(jb)] = max(0, ce.hazard[class(jb)]-jb.hazard)
+		ce.endRates[classIndex(jb)] = max(0, ce.endRates[classIndex(jb)]-jb.endRate)
 	}
 	jb.grp.held--
 	if jb.decode != nil {
 		if jb.orphan {
 			jb.decode.orphans--
 		}
-		jb.decode.hold(-1)
-		ce.changed(jb.decode)
+		jb.decode.addHeld(-1)
+		ce.updateRankings(jb.decode)
 	}
 	jb.stage, jb.prefill, jb.decode = "", nil, nil
 }
 
-// sent takes a transfer off the link of its prefill engine.
-func (ce *Cell) sent(jb *job) {
-	if !jb.ask.Quick && jb.prefill != nil {
-		jb.prefill.endSend(jb.linkMS)
+// endTransfer takes a transfer off the link of its prefill engine.
+func (ce *Cell) endTransfer(jb *job) {
+	if !jb.spec.Quick && jb.prefill != nil {
+		jb.prefill.removeTransfer(jb.linkMS)
 	}
 }
 
-func class(jb *job) int {
-	if jb.ask.Quick {
+func classIndex(jb *job) int {
+	if jb.spec.Quick {
 		return 1
 	}
 	return 0
@@ -370,10 +370,10 @@
 // requeue puts a granted request back among those that wait.
 func (ce *Cell) requeue(now clock.Millis, jb *job, why refusal.Reason) {
 	ce.release(now, jb)
-	ce.emit(Preempt{Request: jb.ask.Request, Attempt: jb.ask.Attempt, Reason: why})
-	jb.ask.HeldPrefill = ""
-	jb.ask.Attempt++
-	jb.moved, jb.waits = false, ""
+	ce.emit(Preempt{Request: jb.spec.Request, Attempt: jb.spec.Attempt, Reason: why})
+	jb.spec.HeldPrefill = ""
+	jb.spec.Attempt++
+	jb.redirected, jb.waitReason = false, ""
 	jb.grp.enqueue(jb)
 	ce.queued++
 }
--- a/internal/sched/cell_test.go
+++ b/internal/sched/cell_test.go
@@ -15,13 +15,13 @@
 
 // fixture drives a cell in tests: it remembers what became of each request.
 type fixture struct {
-	ce     *Cell
-	now    clock.Millis
-	grants map[string]Grant
-	moves  map[string]Transfer
-	ends   map[string]Refuse
-	backs  map[string]int
-	all    []Intent
+	ce        *Cell
+	now       clock.Millis
+	grants    map[string]Grant
+	transfers map[string]Transfer
+	refusals  map[string]Refuse
+	preempts  map[string]int
+	intents   []Intent
 }
 
 func engines(prefills, decodes int) []board.BackendServer {
@@ -36,70 +36,70 @@
 }
 
 func newFixture(prefills, decodes, slots int) *fixture {
-	fx := &fixture{ce: &Cell{Slots: slots}, grants: map[string]Grant{}, moves: map[string]Transfer{},
-		ends: map[string]Refuse{}, backs: map[string]int{}}
+	fx := &fixture{ce: &Cell{Slots: slots}, grants: map[string]Grant{}, transfers: map[string]Transfer{},
+		refusals: map[string]Refuse{}, preempts: map[string]int{}}
 	list := engines(prefills, decodes)
-	fx.do(Servers{Servers: list})
+	fx.step(Servers{Servers: list})
 	for _, srv := range list {
 		ld := board.LoadReport{Server: srv.ID}
 		if srv.Role == board.Decode {
 			ld.Slots = slots
 		}
-		fx.do(Report{Load: ld})
+		fx.step(Report{Load: ld})
 	}
 	return fx
 }
 
-func (fx *fixture) do(ev Event) []Intent {
+func (fx *fixture) step(ev Event) []Intent {
 	out := fx.ce.Step(fx.now, ev)
-	fx.all = append(fx.all, out...)
+	fx.intents = append(fx.intents, out...)
 	for _, in := range out {
 		switch in := in.(type) {
 		case Grant:
 			fx.grants[in.Request] = in
 		case Transfer:
-			fx.moves[in.Request] = in
+			fx.transfers[in.Request] = in
 		case Refuse:
-			fx.ends[in.Request] = in
+			fx.refusals[in.Request] = in
 		case Preempt:
-			fx.backs[in.Request]++
+			fx.preempts[in.Request]++
 			delete(fx.grants, in.Request)
-			delete(fx.moves, in.Request)
+			delete(fx.transfers, in.Request)
 		}
 	}
 	return out
 }
 
 func (fx *fixture) progress(id string, stage Stage, took clock.Millis) {
-	fx.do(Progress{Request: id, Attempt: fx.grants[id].Attempt, Stage: stage, Took: took})
+	fx.step(Progress{Request: id, Attempt: fx.grants[id].Attempt, Stage: stage, Took: took})
 }
 
-// run takes a granted request through to decoding.
-func (fx *fixture) run(id string) {
+// startDecoding takes a granted request through to decoding.
+func (fx *fixture) startDecoding(id string) {
 	fx.progress(id, Prefilled, 10)
 	fx.progress(id, Decoding, 5)
 }
 
-func patient(id string) Ask {
-	return Ask{Request: id, Customer: "kedelsyn", Class: "findings", PromptTokens: 4000, MaxTokens: 1000,
+func patient(id string) RequestSpec {
+	return RequestSpec{Request: id, Customer: "kedelsyn", Class: "findings", PromptTokens: 4000, MaxTokens: 1000,
 		TTFT: 60 * clock.Second, TPOT: 45, Deadline: 300 * clock.Second, Share: 0.5, PrefillWeight: 0.5}
 }
 
-func quick(id string) Ask {
-	return Ask{Request: id, Customer: "kedelsyn", Class: "lookup", Quick: true, PromptTokens: 100, MaxTokens: 80,
+func quick(id string) RequestSpec {
+	return RequestSpec{Request: id, Customer: "kedelsyn", Class: "lookup", Quick: true, PromptTokens: 100, MaxTokens: 80,
 		TTFT: 410, TPOT: 45, Deadline: 15 * clock.Second, Share: 0.5, PrefillWeight: 0.5}
 }
 
 func TestGrantThenTransfer(t *testing.T) {
 	fx := newFixture(2, 2, 4)
-	fx.do(Submit{Ask: patient("ra")})
+	fx.step(Submit{Spec: patient("ra")})
 	gr, ok := fx.grants["ra"]
 	assert.Assert(t, ok)
 	assert.Assert(t, gr.Prefill != "" && gr.Decode != "")
-	_, moved := fx.moves["ra"]
+	_, moved := fx.transfers["ra"]
 	assert.Assert(t, !moved, "no import before the prefill is complete")
 	fx.progress("ra", Prefilled, 400)
-	tr := fx.moves["ra"]
+	tr := fx.transfers["ra"]
 	assert.Equal(t, tr.Prefill, gr.Prefill)
 	assert.Equal(t, fx.ce.engines[tr.Decode].held, 1)
 	fx.progress("ra", Decoding, 90)
@@ -112,9 +112,9 @@
 	fx := newFixture(4, 1, 2)
 	for ix := range 6 {
 		id := fmt.Sprint("r", ix)
-		fx.do(Submit{Ask: patient(id)})
+		fx.step(Submit{Spec: patient(id)})
 		if _, ok := fx.grants[id]; ok {
-			fx.run(id)
+			fx.startDecoding(id)
 		}
 	}
 	assert.Equal(t, len(fx.grants), 2)
@@ -127,11 +127,11 @@
 func TestQuickPassesPatient(t *testing.T) {
 	fx := newFixture(1, 1, 4)
 	for ix := range 5 {
-		fx.do(Submit{Ask: patient(fmt.Sprint("r", ix))})
+		fx.step(Submit{Spec: patient(fmt.Sprint("r", ix))})
 	}
 	waiting := fx.ce.Waiting()
 	assert.Assert(t, waiting > 0)
-	fx.do(Submit{Ask: quick("q")})
+	fx.step(Submit{Spec: quick("q")})
 	_, ok := fx.grants["q"]
 	assert.Assert(t, ok)
 	assert.Equal(t, fx.ce.Waiting(), waiting)
@@ -142,40 +142,40 @@
 	for _, id := range []string{"ra", "rb"} {
 		ask := patient(id)
 		ask.PromptTokens = 100
-		fx.do(Submit{Ask: ask})
-		fx.run(id)
+		fx.step(Submit{Spec: ask})
+		fx.startDecoding(id)
 	}
-	fx.do(Submit{Ask: quick("q")})
-	rf, ok := fx.ends["q"]
+	fx.step(Submit{Spec: quick("q")})
+	rf, ok := fx.refusals["q"]
 	assert.Assert(t, ok)
 	assert.Equal(t, rf.Refusal.Ran, refusal.NotRun)
 	assert.Equal(t, rf.Refusal.Reason, refusal.TargetUnreachable)
-	assert.Assert(t, rf.Refusal.RetryAfter >= retrySoonest)
+	assert.Assert(t, rf.Refusal.RetryAfter >= minRetryAfter)
 }
 
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name   string
-		mend   func(*fixture, *Ask)
+		modify func(*fixture, *RequestSpec)
 		reason refusal.Reason
 	}{
-		{"no engines", func(fx *fixture, _ *Ask) { fx.do(Servers{}) }, refusal.NoBackend},
-		{"deadline passed", func(fx *fixture, ask *Ask) { ask.Deadline = fx.now + 1 }, refusal.DeadlinePassed},
-		{"all leaving", func(fx *fixture, _ *Ask) {
+		{"no engines", func(fx *fixture, _ *RequestSpec) { fx.step(Servers{}) }, refusal.NoBackend},
+		{"deadline passed", func(fx *fixture, ask *RequestSpec) { ask.Deadline = fx.now + 1 }, refusal.DeadlinePassed},
+		{"all leaving", func(fx *fixture, _ *RequestSpec) {
 			for _, srv := range engines(1, 1) {
-				fx.do(Report{Load: board.LoadReport{Server: srv.ID, Leaving: true}})
+				fx.step(Report{Load: board.LoadReport{Server: srv.ID, Leaving: true}})
 			}
 		}, refusal.NoBackend},
-		{"target too short", func(_ *fixture, ask *Ask) { *ask = quick("ra"); ask.TTFT = 60 }, refusal.TargetUnreachable},
+		{"target too short", func(_ *fixture, ask *RequestSpec) { *ask = quick("ra"); ask.TTFT = 60 }, refusal.TargetUnreachable},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
 			ask := patient("ra")
-			tc.mend(fx, &ask)
-			fx.do(Submit{Ask: ask})
-			assert.Equal(t, fx.ends["ra"].Refusal.Reason, tc.reason)
-			assert.Equal(t, fx.ends["ra"].Refusal.Ran, refusal.NotRun)
+			tc.modify(fx, &ask)
+			fx.step(Submit{Spec: ask})
+			assert.Equal(t, fx.refusals["ra"].Refusal.Reason, tc.reason)
+			assert.Equal(t, fx.refusals["ra"].Refusal.Ran, refusal.NotRun)
 			assert.Equal(t, len(fx.ce.jobs), 0)
 		})
 	}
@@ -187,71 +187,71 @@
 	for ix := range 60 {
 		ask := patient(fmt.Sprint("r", ix))
 		ask.TTFT, ask.Deadline = 10*clock.Hour, 20*clock.Hour
-		fx.do(Submit{Ask: ask})
+		fx.step(Submit{Spec: ask})
 	}
 	assert.Equal(t, fx.ce.Waiting(), 20) // half of the bound, as its share is a half
-	assert.Equal(t, fx.ends["r59"].Refusal.Reason, refusal.QueueFull)
+	assert.Equal(t, fx.refusals["r59"].Refusal.Reason, refusal.QueueFull)
 }
 
 func TestLeavingEngineGetsNothingNew(t *testing.T) {
 	fx := newFixture(2, 2, 8)
 	list := engines(2, 2)
 	list[0].Leaving, list[2].Leaving = true, true
-	fx.do(Servers{Servers: list})
+	fx.step(Servers{Servers: list})
 	for ix := range 6 {
 		id := fmt.Sprint("r", ix)
-		fx.do(Submit{Ask: quick(id)})
-		fx.run(id)
+		fx.step(Submit{Spec: quick(id)})
+		fx.startDecoding(id)
 		assert.Equal(t, fx.grants[id].Prefill, "p1")
-		assert.Equal(t, fx.moves[id].Decode, "d1")
+		assert.Equal(t, fx.transfers[id].Decode, "d1")
 	}
 }
 
 func TestRejectedImportGoesElsewhere(t *testing.T) {
 	fx := newFixture(1, 2, 4)
-	fx.do(Submit{Ask: quick("q")})
+	fx.step(Submit{Spec: quick("q")})
 	fx.progress("q", Prefilled, 10)
-	first := fx.moves["q"].Decode
+	first := fx.transfers["q"].Decode
 	fx.progress("q", Rejected, 2)
-	second := fx.moves["q"].Decode
+	second := fx.transfers["q"].Decode
 	assert.Assert(t, first != second)
 	assert.Equal(t, fx.ce.engines[first].free(), 0)
 	assert.Equal(t, fx.ce.engines[first].held, 0)
 	assert.Equal(t, fx.ce.engines[second].held, 1)
-	fx.do(Report{Load: board.LoadReport{Server: first, Slots: 4, Running: 3}})
+	fx.step(Report{Load: board.LoadReport{Server: first, Slots: 4, Running: 3}})
 	assert.Equal(t, fx.ce.engines[first].free(), 2, "one of the three may be this cell's own, reported late")
 }
 
 func TestLapsedKVCacheIsTakenBack(t *testing.T) {
 	fx := newFixture(1, 1, 1)
-	fx.do(Submit{Ask: patient("ra")})
-	fx.do(Adopt{Ask: quick("qa"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
+	fx.step(Submit{Spec: patient("ra")})
+	fx.step(Adopt{Spec: quick("qa"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
 	fx.progress("ra", Prefilled, 400)
-	assert.Equal(t, len(fx.moves), 0)
-	fx.now += fx.ce.Keep
-	fx.do(Tick{})
-	assert.Equal(t, fx.backs["ra"], 1)
+	assert.Equal(t, len(fx.transfers), 0)
+	fx.now += fx.ce.KVCacheTTL
+	fx.step(Tick{})
+	assert.Equal(t, fx.preempts["ra"], 1)
 	assert.Equal(t, fx.ce.Waiting(), 1)
 	fx.now += 400 * clock.Second
-	fx.do(Tick{})
-	assert.Equal(t, fx.ends["ra"].Refusal.Ran, refusal.MayHaveRun)
+	fx.step(Tick{})
+	assert.Equal(t, fx.refusals["ra"].Refusal.Ran, refusal.MayHaveRun)
 }
 
 // TestKVCacheThatNeverArrivesIsGivenUp loses the KV cache of one request
 // again and again.
 func TestKVCacheThatNeverArrivesIsGivenUp(t *testing.T) {
 	fx := newFixture(1, 1, 1)
-	fx.do(Submit{Ask: patient("ra")})
-	for range lapsesMost {
-		assert.Equal(t, len(fx.ends), 0)
-		fx.do(Adopt{Ask: quick("qa"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
+	fx.step(Submit{Spec: patient("ra")})
+	for range maxExpirations {
+		assert.Equal(t, len(fx.refusals), 0)
+		fx.step(Adopt{Spec: quick("qa"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
 		fx.progress("ra", Prefilled, 400)
-		fx.now += fx.ce.Keep
-		fx.do(Tick{})
-		fx.do(Progress{Request: "qa", Stage: Ended})
+		fx.now += fx.ce.KVCacheTTL
+		fx.step(Tick{})
+		fx.step(Progress{Request: "qa", Stage: Ended})
 	}
-	assert.Equal(t, fx.ends["ra"].Refusal.Reason, refusal.RetriesExhausted)
-	assert.Equal(t, fx.ends["ra"].Refusal.Ran, refusal.MayHaveRun)
+	assert.Equal(t, fx.refusals["ra"].Refusal.Reason, refusal.RetriesExhausted)
+	assert.Equal(t, fx.refusals["ra"].Refusal.Ran, refusal.MayHaveRun)
 	assert.Equal(t, len(fx.ce.jobs), 0)
 }
 
@@ -259,11 +259,11 @@
 	fx := newFixture(2, 2, 8)
 	first := patient("r0")
 	first.PrefixHash, first.PrefixTokens = 42, 3900
-	fx.do(Submit{Ask: first})
+	fx.step(Submit{Spec: first})
 	fx.now += 50
 	second := first
 	second.Request = "r1"
-	fx.do(Submit{Ask: second}) // waits behind the first for the cached prefix
+	fx.step(Submit{Spec: second}) // waits behind the first for the cached prefix
 	where := fx.grants["r0"].Prefill
 	assert.Equal(t, fx.grants["r1"].Prefill, where)
 	fx.now += 10
@@ -271,9 +271,9 @@
 	for ix := range list {
 		list[ix].Leaving = list[ix].ID == where
 	}
-	fx.do(Servers{Servers: list})
-	assert.Equal(t, fx.backs["r0"], 0, "its prefill has begun")
-	assert.Equal(t, fx.backs["r1"], 1)
+	fx.step(Servers{Servers: list})
+	assert.Equal(t, fx.preempts["r0"], 0, "its prefill has begun")
+	assert.Equal(t, fx.preempts["r1"], 1)
 	assert.Assert(t, fx.grants["r1"].Prefill != where)
 	assert.Equal(t, fx.grants["r1"].Attempt, 1)
 }
@@ -285,19 +285,19 @@
 		ask.TTFT = 30 * clock.Second
 		ask.Deadline = 200 * clock.Second
 		ask.MaxTokens = 10
-		fx.do(Submit{Ask: ask})
+		fx.step(Submit{Spec: ask})
 	}
-	fx.run("r0")
+	fx.startDecoding("r0")
 	fx.now += 40 * clock.Second
-	fx.do(Tick{})
+	fx.step(Tick{})
 	assert.Equal(t, fx.ce.Waiting(), 5, "late, not refused")
 	fx.progress("r0", Ended, 100)
 	_, ok := fx.grants["r1"]
 	assert.Assert(t, ok)
 	fx.now += 300 * clock.Second
-	fx.do(Tick{})
+	fx.step(Tick{})
 	for ix := 2; ix < 6; ix++ {
-		assert.Equal(t, fx.ends[fmt.Sprint("r", ix)].Refusal.Reason, refusal.DeadlinePassed)
+		assert.Equal(t, fx.refusals[fmt.Sprint("r", ix)].Refusal.Reason, refusal.DeadlinePassed)
 	}
 }
 
@@ -305,11 +305,11 @@
 	for _, stage := range []Stage{Prefilling, Prefilled, Transferring, Decoding} {
 		t.Run(string(stage), func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
-			ad := Adopt{Ask: patient("ra"), Stage: stage, Prefill: "p-gone", Decode: "d0"}
-			ad.Ask.Attempt = 3
+			ad := Adopt{Spec: patient("ra"), Stage: stage, Prefill: "p-gone", Decode: "d0"}
+			ad.Spec.Attempt = 3
 			fx.grants["ra"] = Grant{Attempt: 3}
-			fx.do(ad)
-			assert.Equal(t, len(fx.ends), 0)
+			fx.step(ad)
+			assert.Equal(t, len(fx.refusals), 0)
 			for _, next := range []Stage{Prefilled, Decoding} {
 				fx.progress("ra", next, 10)
 			}
@@ -317,7 +317,7 @@
 			assert.Equal(t, fx.ce.engines["d0"].held, 1)
 			fx.progress("ra", Ended, 10)
 			assert.Equal(t, fx.ce.engines["d0"].held, 0)
-			assert.Equal(t, fx.ce.promised, [2]int{})
+			assert.Equal(t, fx.ce.reserved, [2]int{})
 		})
 	}
 }
@@ -326,51 +326,51 @@
 	fx := newFixture(1, 2, 4)
 	ask := patient("ra")
 	ask.PromptTokens = 1000
-	fx.do(Submit{Ask: ask})
+	fx.step(Submit{Spec: ask})
 	fx.progress("ra", Prefilled, 100)
-	first := fx.moves["ra"].Decode
+	first := fx.transfers["ra"].Decode
 	fx.now += 300
-	fx.do(Tick{})
-	assert.Assert(t, fx.moves["ra"].Decode != first)
+	fx.step(Tick{})
+	assert.Assert(t, fx.transfers["ra"].Decode != first)
 	assert.Equal(t, fx.ce.engines[first].free(), 3, "the place counts as taken until a report")
 }
 
 func TestOldAttemptIsDropped(t *testing.T) {
 	fx := newFixture(1, 1, 4)
-	fx.do(Submit{Ask: quick("q")})
-	fx.do(Progress{Request: "q", Attempt: 7, Stage: Prefilled})
-	assert.Equal(t, len(fx.moves), 0)
+	fx.step(Submit{Spec: quick("q")})
+	fx.step(Progress{Request: "q", Attempt: 7, Stage: Prefilled})
+	assert.Equal(t, len(fx.transfers), 0)
 }
 
 func TestOrphanHoldsUntilReportsShowItGone(t *testing.T) {
 	fx := newFixture(1, 1, 2)
-	fx.do(Submit{Ask: quick("q")})
-	fx.run("q")
-	fx.do(Orphan{Request: "q"})
+	fx.step(Submit{Spec: quick("q")})
+	fx.startDecoding("q")
+	fx.step(Orphan{Request: "q"})
 	assert.Equal(t, fx.ce.engines["d0"].held, 1)
-	fx.do(Report{Load: board.LoadReport{Server: "d0", Slots: 2, Running: 0}})
+	fx.step(Report{Load: board.LoadReport{Server: "d0", Slots: 2, Running: 0}})
 	assert.Equal(t, fx.ce.engines["d0"].held, 1, "too early to trust a lagging report")
 	fx.now += orphanGrace
-	fx.do(Report{Load: board.LoadReport{Server: "d0", Slots: 2, Running: 0}})
+	fx.step(Report{Load: board.LoadReport{Server: "d0", Slots: 2, Running: 0}})
 	assert.Equal(t, fx.ce.engines["d0"].held, 0)
 }
 
 func TestForeignWorkTakesPlaces(t *testing.T) {
 	fx := newFixture(1, 1, 4)
-	fx.do(Report{Load: board.LoadReport{Server: "d0", Slots: 4, Running: 3}})
+	fx.step(Report{Load: board.LoadReport{Server: "d0", Slots: 4, Running: 3}})
 	assert.Equal(t, fx.ce.engines["d0"].free(), 1)
-	fx.do(Adopt{Ask: patient("ra"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
+	fx.step(Adopt{Spec: patient("ra"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
 	assert.Equal(t, fx.ce.engines["d0"].free(), 1, "an adopted request is not counted twice")
 }
 
 func TestRestartedAccountantWaitsForReports(t *testing.T) {
-	fx := &fixture{ce: &Cell{}, grants: map[string]Grant{}, moves: map[string]Transfer{}, ends: map[string]Refuse{}, backs: map[string]int{}}
-	fx.do(Servers{Servers: engines(1, 1)})
-	fx.do(Submit{Ask: quick("q")})
-	assert.Equal(t, fx.ends["q"].Refusal.Reason, refusal.NoBackend)
+	fx := &fixture{ce: &Cell{}, grants: map[string]Grant{}, transfers: map[string]Transfer{}, refusals: map[string]Refuse{}, preempts: map[string]int{}}
+	fx.step(Servers{Servers: engines(1, 1)})
+	fx.step(Submit{Spec: quick("q")})
+	assert.Equal(t, fx.refusals["q"].Refusal.Reason, refusal.NoBackend)
 	fx.now += reportGrace
-	fx.do(Submit{Ask: quick("q2")})
-	fx.do(Submit{Ask: quick("q3")})
+	fx.step(Submit{Spec: quick("q2")})
+	fx.step(Submit{Spec: quick("q3")})
 	_, ok := fx.grants["q3"]
 	assert.Assert(t, ok)
 }
@@ -378,22 +378,22 @@
 func TestFailingEngineIsClosedForAWhile(t *testing.T) {
 	fx := newFixture(2, 1, 20)
 	lose := func(id string) string {
-		fx.do(Submit{Ask: quick(id)})
+		fx.step(Submit{Spec: quick(id)})
 		where := fx.grants[id].Prefill
 		fx.progress(id, Lost, 5)
 		return where
 	}
 	assert.Equal(t, lose("q0"), "p0")
 	assert.Equal(t, lose("q1"), "p0", "one loss may be the request's own fault")
-	fx.do(Report{Load: board.LoadReport{Server: "p0"}})
+	fx.step(Report{Load: board.LoadReport{Server: "p0"}})
 	for ix := range 4 {
 		id := fmt.Sprint("r", ix)
-		fx.do(Submit{Ask: quick(id)})
+		fx.step(Submit{Spec: quick(id)})
 		assert.Equal(t, fx.grants[id].Prefill, "p1", "a lagging report does not open it")
 	}
-	fx.now += closedLeast
-	fx.do(Report{Load: board.LoadReport{Server: "p0"}})
-	fx.do(Submit{Ask: quick("q2")})
+	fx.now += minClosed
+	fx.step(Report{Load: board.LoadReport{Server: "p0"}})
+	fx.step(Submit{Spec: quick("q2")})
 	assert.Equal(t, fx.grants["q2"].Prefill, "p0")
 }
 
@@ -401,32 +401,32 @@
 func TestEngineThatAsksForRestGetsIt(t *testing.T) {
 	const rest = 3 * clock.Second
 	fx := newFixture(2, 2, 8)
-	fx.do(Rest{Server: "p0", For: rest})
-	fx.do(Rest{Server: "d0", For: rest})
-	fx.do(Rest{Server: "d0", For: clock.Second}) // does not shorten it
-	fx.do(Rest{Server: "none", For: rest})
+	fx.step(Rest{Server: "p0", For: rest})
+	fx.step(Rest{Server: "d0", For: rest})
+	fx.step(Rest{Server: "d0", For: clock.Second}) // does not shorten it
+	fx.step(Rest{Server: "none", For: rest})
 	ask := func(id string) (prefill, decode string) {
-		fx.do(Submit{Ask: quick(id)})
+		fx.step(Submit{Spec: quick(id)})
 		prefill = fx.grants[id].Prefill
 		fx.progress(id, Prefilled, 10)
-		decode = fx.moves[id].Decode
+		decode = fx.transfers[id].Decode
 		fx.progress(id, Decoding, 5)
 		fx.progress(id, Ended, 5)
 		return prefill, decode
 	}
 	for end := fx.now + rest; fx.now < end; fx.now += rest / 10 {
 		for _, id := range []string{"p0", "d0"} {
-			fx.do(Report{Load: board.LoadReport{Server: id, Slots: 8}})
+			fx.step(Report{Load: board.LoadReport{Server: id, Slots: 8}})
 		}
 		pre, dec := ask(fmt.Sprint("r", fx.now))
 		assert.Equal(t, pre, "p1")
 		assert.Equal(t, dec, "d1")
 	}
 	for _, id := range []string{"p0", "d0"} {
-		fx.do(Report{Load: board.LoadReport{Server: id, Slots: 8}})
+		fx.step(Report{Load: board.LoadReport{Server: id, Slots: 8}})
 	}
-	fx.do(Rest{Server: "p1", For: rest})
-	fx.do(Rest{Server: "d1", For: rest})
+	fx.step(Rest{Server: "p1", For: rest})
+	fx.step(Rest{Server: "d1", For: rest})
 	pre, dec := ask("after")
 	assert.Equal(t, pre, "p0")
 	assert.Equal(t, dec, "d0")
@@ -436,21 +436,21 @@
 	fx := newFixture(2, 1, 4)
 	ask := patient("ra")
 	ask.HeldPrefill, ask.Attempt = "p1", 2
-	fx.do(Submit{Ask: ask})
+	fx.step(Submit{Spec: ask})
 	assert.Equal(t, fx.grants["ra"].SkipPrefill, true)
-	assert.Equal(t, fx.moves["ra"].Prefill, "p1")
+	assert.Equal(t, fx.transfers["ra"].Prefill, "p1")
 }
 
 func TestCachedPrefixIsPreferred(t *testing.T) {
 	fx := newFixture(3, 2, 8)
 	ask := patient("ra")
 	ask.PrefixHash, ask.PrefixTokens = 42, 2000
-	fx.do(Submit{Ask: ask})
+	fx.step(Submit{Spec: ask})
 	first := fx.grants["ra"].Prefill
-	fx.do(Submit{Ask: patient("rb")})
+	fx.step(Submit{Spec: patient("rb")})
 	ask.Request = "rc"
 	fx.now += 300
-	fx.do(Submit{Ask: ask})
+	fx.step(Submit{Spec: ask})
 	assert.Equal(t, fx.grants["rc"].Prefill, first)
 }
 
@@ -461,15 +461,15 @@
 	fx := newFixture(8, 2, 10)
 	for ix := range 40 {
 		id := fmt.Sprint("a", ix)
-		fx.do(Submit{Ask: patient(id)})
+		fx.step(Submit{Spec: patient(id)})
 		if _, ok := fx.grants[id]; ok {
-			fx.run(id)
+			fx.startDecoding(id)
 		}
 	}
 	for ix := range 30 {
 		ask := patient(fmt.Sprint("b", ix))
 		ask.Customer = "fjernvarme"
-		fx.do(Submit{Ask: ask})
+		fx.step(Submit{Spec: ask})
 	}
 	mine := 0
 	for ix := 0; mine < 8; ix++ {
@@ -479,7 +479,7 @@
 		fx.progress(fmt.Sprint("a", ix), Ended, 100)
 		for id := range fx.grants {
 			if id[0] == 'b' && fx.ce.jobs[id] != nil && fx.ce.jobs[id].stage == Prefilling {
-				fx.run(id)
+				fx.startDecoding(id)
 				mine++
 			}
 		}
@@ -493,16 +493,16 @@
 		for ix := range 20 {
 			ask := patient(fmt.Sprint("a", ix))
 			ask.PrefillWeight, ask.MaxTokens = weight, 60
-			fx.do(Submit{Ask: ask})
+			fx.step(Submit{Spec: ask})
 			if _, ok := fx.grants[ask.Request]; ok {
-				fx.run(ask.Request)
+				fx.startDecoding(ask.Request)
 			}
 		}
 		began := len(fx.grants)
 		for ix := range 6 {
 			ask := patient(fmt.Sprint("b", ix))
 			ask.PrefillWeight = weight
-			fx.do(Submit{Ask: ask})
+			fx.step(Submit{Spec: ask})
 		}
 		return len(fx.grants) - began
 	}
@@ -519,16 +519,16 @@
 			id := fmt.Sprint("r", ix)
 			switch rapid.IntRange(0, 3).Draw(rt, "kind") {
 			case 0:
-				ev = Submit{Ask: patient(id)}
+				ev = Submit{Spec: patient(id)}
 			case 1:
-				ev = Submit{Ask: quick(id)}
+				ev = Submit{Spec: quick(id)}
 			case 2:
 				ev = Progress{Request: fmt.Sprint("r", rapid.IntRange(0, ix).Draw(rt, "which")),
 					Stage: rapid.SampledFrom([]Stage{Prefilled, Decoding, Ended}).Draw(rt, "stage")}
 			}
 			fx.now += 7
 			other.now += 7
-			got, want := other.do(ev), fx.do(ev)
+			got, want := other.step(ev), fx.step(ev)
 			if !reflect.DeepEqual(got, want) {
 				rt.Fatalf("event %d (%#v): %v, then %v", ix, ev, want, got)
 			}
@@ -544,10 +544,10 @@
 		id := fmt.Sprint("fill", ix)
 		ask := quick(id)
 		ask.Deadline = clock.Hour
-		fx.do(Submit{Ask: ask})
+		fx.step(Submit{Spec: ask})
 		fx.now += 5
 		if _, ok := fx.grants[id]; ok {
-			fx.run(id)
+			fx.startDecoding(id)
 		}
 	}
 	return fx, func(ix int) {
@@ -555,12 +555,12 @@
 		ask := quick(id)
 		ask.Deadline = fx.now + clock.Hour
 		fx.now += 5
-		fx.do(Submit{Ask: ask})
-		fx.run(id)
+		fx.step(Submit{Spec: ask})
+		fx.startDecoding(id)
 		fx.progress(id, Ended, 900)
-		fx.all = fx.all[:0]
+		fx.intents = fx.intents[:0]
 		delete(fx.grants, id)
-		delete(fx.moves, id)
+		delete(fx.transfers, id)
 	}
 }
 
@@ -601,7 +601,7 @@
 	}})
 	ce.Step(0, Report{Load: board.LoadReport{Server: "prefill-0"}})
 	ce.Step(0, Report{Load: board.LoadReport{Server: "decode-0", Slots: 20}})
-	for _, in := range ce.Step(5, Submit{Ask: Ask{Request: "r1", Customer: "kedelsyn", Class: "lookup",
+	for _, in := range ce.Step(5, Submit{Spec: RequestSpec{Request: "r1", Customer: "kedelsyn", Class: "lookup",
 		Quick: true, PromptTokens: 120, MaxTokens: 80, TTFT: 410, TPOT: 45, Share: 0.3}}) {
 		switch in := in.(type) {
 		case Grant:
--- a/internal/sched/delay_test.go
+++ b/internal/sched/delay_test.go
@@ -14,31 +14,31 @@
 // slowMessages is a cell whose prefills are done at once and whose transfers
 // take a span beside their links.
 type slowMessages struct {
-	fx    *fixture
-	takes clock.Millis
-	seen  int // intents looked at
-	due   map[string]clock.Millis
-	moves []Transfer
+	fx           *fixture
+	messageDelay clock.Millis
+	seen         int // intents looked at
+	due          map[string]clock.Millis
+	moves        []Transfer
 }
 
 func newSlowMessages(takes clock.Millis) *slowMessages {
-	return &slowMessages{fx: newFixture(1, 4, 20), takes: takes, due: make(map[string]clock.Millis)}
+	return &slowMessages{fx: newFixture(1, 4, 20), messageDelay: takes, due: make(map[string]clock.Millis)}
 }
 
-// play passes the time. The newest order of a request replaces the one before.
-func (sm *slowMessages) play(span clock.Millis) {
+// advance passes the time. The newest order of a request replaces the one before.
+func (sm *slowMessages) advance(span clock.Millis) {
 	for until := sm.fx.now + span; sm.fx.now < until; sm.fx.now += 5 {
-		for _, id := range sm.answered() {
+		for _, id := range sm.deliveredBy() {
 			delete(sm.due, id)
 			sm.fx.progress(id, Decoding, 0)
 		}
-		sm.fx.do(Tick{})
-		for ; sm.seen < len(sm.fx.all); sm.seen++ {
-			switch in := sm.fx.all[sm.seen].(type) {
+		sm.fx.step(Tick{})
+		for ; sm.seen < len(sm.fx.intents); sm.seen++ {
+			switch in := sm.fx.intents[sm.seen].(type) {
 			case Grant:
 				sm.fx.progress(in.Request, Prefilled, 1)
 			case Transfer:
-				sm.due[in.Request] = sm.fx.now + sm.takes
+				sm.due[in.Request] = sm.fx.now + sm.messageDelay
 				sm.moves = append(sm.moves, in)
 			case Preempt:
 				delete(sm.due, in.Request)
@@ -47,7 +47,7 @@
 	}
 }
 
-func (sm *slowMessages) answered() []string {
+func (sm *slowMessages) deliveredBy() []string {
 	var ids []string
 	for id, at := range sm.due {
 		if at <= sm.fx.now {
@@ -61,7 +61,7 @@
 func (sm *slowMessages) submit(id string, tokens int) {
 	ask := patient(id)
 	ask.PromptTokens = tokens
-	sm.fx.do(Submit{Ask: ask})
+	sm.fx.step(Submit{Spec: ask})
 }
 
 func (sm *slowMessages) stalled() int {
@@ -82,10 +82,10 @@
 	for ix := range 30 {
 		sm.submit(fmt.Sprint("r", ix), 20)
 	}
-	sm.play(2 * clock.Second)
-	assert.Equal(t, len(sm.fx.backs), 0, "KV caches that lapsed")
+	sm.advance(2 * clock.Second)
+	assert.Equal(t, len(sm.fx.preempts), 0, "KV caches that lapsed")
 	for _, tr := range sm.moves {
-		assert.Check(t, tr.Waited < sm.fx.ce.Keep/4, "%s waited %v for %s", tr.Request, tr.Waited, tr.For)
+		assert.Check(t, tr.Waited < sm.fx.ce.KVCacheTTL/4, "%s waited %v for %s", tr.Request, tr.Waited, tr.WaitedFor)
 	}
 	for _, jb := range sm.fx.ce.jobs {
 		assert.Equal(t, jb.stage, Decoding)
@@ -99,7 +99,7 @@
 	for ix := range 3 {
 		sm.submit(fmt.Sprint("r", ix), 8000)
 	}
-	sm.play(100)
+	sm.advance(100)
 	assert.Equal(t, len(sm.moves), 1)
 }
 
@@ -111,7 +111,7 @@
 			sm := newSlowMessages(takes)
 			for ix := range 20 {
 				sm.submit(fmt.Sprint("r", ix), 100)
-				sm.play(clock.Second)
+				sm.advance(clock.Second)
 			}
 			assert.Assert(t, sm.stalled() <= 2, "%d transfers were held to be stalled", sm.stalled())
 		})
@@ -124,12 +124,12 @@
 	sm := newSlowMessages(60)
 	for ix := range 10 {
 		sm.submit(fmt.Sprint("r", ix), 100)
-		sm.play(clock.Second)
+		sm.advance(clock.Second)
 	}
 	assert.Equal(t, sm.stalled(), 0)
-	sm.takes = clock.Minute
+	sm.messageDelay = clock.Minute
 	sm.submit("stalls", 100)
-	sm.play(sm.fx.ce.Keep / 2)
+	sm.advance(sm.fx.ce.KVCacheTTL / 2)
 	assert.Equal(t, sm.stalled(), 1)
 }
 
@@ -137,15 +137,15 @@
 // not fetch it, and the request is taken back at once.
 func TestLostKVCacheIsTakenBackAtOnce(t *testing.T) {
 	fx := newFixture(1, 1, 4)
-	fx.do(Submit{Ask: quick("q")})
+	fx.step(Submit{Spec: quick("q")})
 	fx.progress("q", Prefilled, 10)
-	assert.Equal(t, fx.moves["q"].Decode, "d0")
+	assert.Equal(t, fx.transfers["q"].Decode, "d0")
 	fx.progress("q", Lapsed, 0)
-	assert.Equal(t, fx.backs["q"], 1)
+	assert.Equal(t, fx.preempts["q"], 1)
 	assert.Equal(t, fx.ce.engines["d0"].free(), 4)
 	assert.Equal(t, fx.ce.slots, 4)
 	assert.Equal(t, fx.grants["q"].Attempt, 1, "granted again")
-	fx.do(Report{Load: board.LoadReport{Server: "d0", Slots: 4}})
-	fx.run("q")
+	fx.step(Report{Load: board.LoadReport{Server: "d0", Slots: 4}})
+	fx.startDecoding("q")
 	assert.Equal(t, fx.ce.engines["d0"].held, 1)
 }
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -9,48 +9,48 @@
 
 // Bounds of what is kept for one engine.
 const (
-	prefixesKept    = 64   // recent prompt prefixes of one prefill engine
-	learnRate       = 0.2  // weight of a new measurement of an engine's rate
-	outstandingMost = 2    // patient prefills sent to one engine and not complete
-	linkPart        = 0.85 // part of the keep that a transfer may take
-	mendRate        = 0.01 // of the way back to the usual rate, each report
-	lostToClose     = 2    // requests lost in a row that close an engine
-	closedLeast     = clock.Second
-	closedMost      = 8 * clock.Second
-	reportsKept     = 6 // reports back that a lagging one may tell of
+	maxPrefixes       = 64   // recent prompt prefixes of one prefill engine
+	rateWeight        = 0.2  // weight of a new measurement of an engine's rate
+	maxPendingPatient = 2    // patient prefills sent to one engine and not complete
+	maxLinkShare      = 0.85 // part of the keep that a transfer may take
+	linkRecoveryRate  = 0.01 // of the way back to the usual rate, each report
+	lossesToClose     = 2    // requests lost in a row that close an engine
+	minClosed         = clock.Second
+	maxClosed         = 8 * clock.Second
+	reportHistory     = 6 // reports back that a lagging one may tell of
 )
 
 type (
 	// engine is what a cell accounts for one engine.
 	engine struct {
-		id      string
-		role    board.Role
-		gone    bool // no longer listed
-		leaving bool
-		known   bool         // a report came, or the time to wait for one passed
-		opens   clock.Millis // without a report it is taken into use at this point
-		closed  clock.Millis // failed: reports do not open it before this point
-		lost    int          // requests lost on it in a row
-		lostAt  clock.Millis
+		id          string
+		role        board.Role
+		delisted    bool // no longer listed
+		leaving     bool
+		open        bool         // a report came, or the time to wait for one passed
+		opensAt     clock.Millis // without a report it is taken into use at this point
+		closedUntil clock.Millis // failed: reports do not open it before this point
+		losses      int          // requests lost on it in a row
+		lastLossAt  clock.Millis
 
 		// Of a prefill engine.
-		base        clock.Millis // point from which pending counts
-		pending     float64      // milliseconds of prefill sent and not complete
-		quickMS     float64      // the quick part of pending
-		outstanding int          // patient prefills among pending
-		rate        float64      // prompt tokens per millisecond, learned
-		linkRate    float64      // KV cache of prompt tokens per millisecond, learned
-		sending     int          // patient transfers on its link
-		linkWork    float64      // milliseconds that these take on it
-		prefixes    []uint64     // recent prefixes, latest last
+		pendingFrom      clock.Millis // point from which pending counts
+		pendingMS        float64      // milliseconds of prefill sent and not complete
+		pendingQuickMS   float64      // the quick part of pending
+		pendingPatient   int          // patient prefills among pending
+		prefillRate      float64      // prompt tokens per millisecond, learned
+		linkRate         float64      // KV cache of prompt tokens per millisecond, learned
+		activeTransfers  int          // patient transfers on its link
+		activeTransferMS float64      // milliseconds that these take on it
+		prefixes         []uint64     // recent prefixes, latest last
 
 		// Of a decode engine.
 		slots        int
 		held         int // places that this cell gave out
-		foreign      int // places that others hold, from reports
-		heldMax      [reportsKept]int
+		heldByOthers int // places that others hold, from reports
+		recentHeld   [reportHistory]int
 		orphans      int
-		counted      int // free places that the cell's total includes
+		countedFree  int // free places that the cell's total includes
 		countedSlots int // places that the cell's total includes
 	}
 )
@@ -60,96 +60,96 @@
 	if !eng.usable() {
 		return 0
 	}
-	return max(0, eng.slots-eng.held-eng.foreign)
+	return max(0, eng.slots-eng.held-eng.heldByOthers)
 }
 
-func (eng *engine) usable() bool { return eng.known && !eng.gone && !eng.leaving }
+func (eng *engine) usable() bool { return eng.open && !eng.delisted && !eng.leaving }
 
 // readyAt is when a prefill engine will have done all that was sent to it.
-func (eng *engine) readyAt() float64 { return float64(eng.base) + eng.pending }
+func (eng *engine) readyAt() float64 { return float64(eng.pendingFrom) + eng.pendingMS }
 
 // quickReadyAt is when it would begin a quick prefill, which passes patient
 // ones at the end of the chunk that runs.
 func (eng *engine) quickReadyAt(chunk int) float64 {
-	return float64(eng.base) + eng.quickMS + min(eng.pending-eng.quickMS, float64(chunk)/eng.rate)
+	return float64(eng.pendingFrom) + eng.pendingQuickMS + min(eng.pendingMS-eng.pendingQuickMS, float64(chunk)/eng.prefillRate)
 }
 
-func (eng *engine) sent(now clock.Millis, jb *job) {
-	if eng.pending <= 0 || eng.base > now {
-		eng.base = now
+func (eng *engine) addPrefill(now clock.Millis, jb *job) {
+	if eng.pendingMS <= 0 || eng.pendingFrom > now {
+		eng.pendingFrom = now
 	}
-	eng.pending += jb.prefillMS
-	if jb.ask.Quick {
-		eng.quickMS += jb.prefillMS
+	eng.pendingMS += jb.prefillMS
+	if jb.spec.Quick {
+		eng.pendingQuickMS += jb.prefillMS
 	} else {
-		eng.outstanding++
+		eng.pendingPatient++
 	}
 }
 
-// done takes a prefill off the engine, complete or not.
-func (eng *engine) done(now clock.Millis, jb *job) {
-	eng.base = now
-	eng.pending = max(0, eng.pending-jb.prefillMS)
-	if jb.ask.Quick {
-		eng.quickMS = max(0, eng.quickMS-jb.prefillMS)
+// removePrefill takes a prefill off the engine, complete or not.
+func (eng *engine) removePrefill(now clock.Millis, jb *job) {
+	eng.pendingFrom = now
+	eng.pendingMS = max(0, eng.pendingMS-jb.prefillMS)
+	if jb.spec.Quick {
+		eng.pendingQuickMS = max(0, eng.pendingQuickMS-jb.prefillMS)
 	} else {
-		eng.outstanding--
+		eng.pendingPatient--
 	}
-	if eng.outstanding == 0 && eng.quickMS == 0 {
-		eng.pending = 0
+	if eng.pendingPatient == 0 && eng.pendingQuickMS == 0 {
+		eng.pendingMS = 0
 	}
 }
 
 // learnPrefill takes a measured prefill into the engine's rate.
 func (eng *engine) learnPrefill(tokens int, took clock.Millis) {
 	if took > 0 && tokens >= 256 {
-		eng.rate += learnRate * (near(float64(tokens)/float64(took), eng.rate) - eng.rate)
+		eng.prefillRate += rateWeight * (clampMeasurement(float64(tokens)/float64(took), eng.prefillRate) - eng.prefillRate)
 	}
 }
 
 // learnLink takes a measured transfer into the link's rate.
 func (eng *engine) learnLink(tokens int, took clock.Millis) {
 	if took > 0 && tokens >= 2048 {
-		eng.linkRate += learnRate * (near(float64(tokens)/float64(took), eng.linkRate) - eng.linkRate)
+		eng.linkRate += rateWeight * (clampMeasurement(float64(tokens)/float64(took), eng.linkRate) - eng.linkRate)
 	}
 }
 
-// near keeps one odd measurement, as of a prefix that was cached unknown to
+// clampMeasurement keeps one odd measurement, as of a prefix that was cached unknown to
 // the cell, within a factor of two.
-func near(measured, known float64) float64 { return min(2*known, max(known/2, measured)) }
+func clampMeasurement(measured, known float64) float64 { return min(2*known, max(known/2, measured)) }
 
-// slowLink notes that a transfer is not complete after a span.
-func (eng *engine) slowLink(tokens int, spent clock.Millis) {
+// capLinkRate notes that a transfer is not complete after a span.
+func (eng *engine) capLinkRate(tokens int, spent clock.Millis) {
 	if spent > 0 && tokens >= 2048 {
 		eng.linkRate = min(eng.linkRate, float64(tokens)/float64(spent))
 	}
 }
 
-// beginSend puts a patient transfer on the link.
-func (eng *engine) beginSend(linkMS float64) {
-	eng.sending++
-	eng.linkWork += linkMS
+// addTransfer puts a patient transfer on the link.
+func (eng *engine) addTransfer(linkMS float64) {
+	eng.activeTransfers++
+	eng.activeTransferMS += linkMS
 }
 
-// endSend takes it off, complete or not.
-func (eng *engine) endSend(linkMS float64) {
-	eng.sending--
-	eng.linkWork -= linkMS
-	if eng.sending == 0 {
-		eng.linkWork = 0
+// removeTransfer takes it off, complete or not.
+func (eng *engine) removeTransfer(linkMS float64) {
+	eng.activeTransfers--
+	eng.activeTransferMS -= linkMS
+	if eng.activeTransfers == 0 {
+		eng.activeTransferMS = 0
 	}
 }
 
-// carries tells whether the link moves a prompt's KV cache well before it
+// linkCarries tells whether the link moves a prompt's KV cache well before it
 // lapses.
-func (eng *engine) carries(tokens int, keep clock.Millis) bool {
-	return float64(tokens)/eng.linkRate <= linkPart*float64(keep)
+func (eng *engine) linkCarries(tokens int, keep clock.Millis) bool {
+	return float64(tokens)/eng.linkRate <= maxLinkShare*float64(keep)
 }
 
-// mendLink lets a slow link be tried again after a while.
-func (eng *engine) mendLink(usual float64) {
+// recoverLinkRate lets a slow link be tried again after a while.
+func (eng *engine) recoverLinkRate(usual float64) {
 	if eng.linkRate < usual {
-		eng.linkRate += mendRate * (usual - eng.linkRate)
+		eng.linkRate += linkRecoveryRate * (usual - eng.linkRate)
 	}
 }
 
@@ -162,9 +162,9 @@
 	return false
 }
 
-// keepPrefix notes that the engine computed the prefix and tells which one
+// rememberPrefix notes that the engine computed the prefix and tells which one
 // it pushed out, if any.
-func (eng *engine) keepPrefix(hash uint64) (dropped uint64) {
+func (eng *engine) rememberPrefix(hash uint64) (dropped uint64) {
 	for ix, px := range eng.prefixes {
 		if px == hash {
 			eng.prefixes = append(append(eng.prefixes[:ix:ix], eng.prefixes[ix+1:]...), hash)
@@ -172,7 +172,7 @@
 		}
 	}
 	eng.prefixes = append(eng.prefixes, hash)
-	if len(eng.prefixes) > prefixesKept {
+	if len(eng.prefixes) > maxPrefixes {
 		dropped = eng.prefixes[0]
 		eng.prefixes = append([]uint64(nil), eng.prefixes[1:]...)
 	}
@@ -183,42 +183,42 @@
 // lags: only what exceeds the most that this cell held during the last few
 // reports is held by others.
 func (eng *engine) reconcile(now clock.Millis, ld board.LoadReport) {
-	eng.known = eng.known || now >= eng.closed
+	eng.open = eng.open || now >= eng.closedUntil
 	eng.leaving = eng.leaving || ld.Leaving
 	if ld.Slots > 0 {
 		eng.slots = ld.Slots
 	}
-	eng.foreign = max(0, ld.Running-max(eng.held, slices.Max(eng.heldMax[:])))
-	copy(eng.heldMax[:], eng.heldMax[1:])
-	eng.heldMax[reportsKept-1] = eng.held
+	eng.heldByOthers = max(0, ld.Running-max(eng.held, slices.Max(eng.recentHeld[:])))
+	copy(eng.recentHeld[:], eng.recentHeld[1:])
+	eng.recentHeld[reportHistory-1] = eng.held
 }
 
-// fail notes that a request was lost on the engine and tells whether it is
+// recordLoss notes that a request was lost on the engine and tells whether it is
 // closed for a while: after the second in a row within a short time, for
 // longer each time.
-func (eng *engine) fail(now clock.Millis) bool {
-	if now-eng.lostAt > closedMost {
-		eng.lost = 0
+func (eng *engine) recordLoss(now clock.Millis) bool {
+	if now-eng.lastLossAt > maxClosed {
+		eng.losses = 0
 	}
-	eng.lost++
-	eng.lostAt = now
-	if eng.lost < lostToClose || !eng.known {
+	eng.losses++
+	eng.lastLossAt = now
+	if eng.losses < lossesToClose || !eng.open {
 		return false
 	}
-	eng.close(now + min(closedMost, closedLeast<<min(eng.lost-lostToClose, 4)))
+	eng.closeUntil(now + min(maxClosed, minClosed<<min(eng.losses-lossesToClose, 4)))
 	return true
 }
 
-// close takes the engine out of use up to a point.
-func (eng *engine) close(until clock.Millis) {
-	eng.known = false
-	eng.closed = until
-	eng.opens = until + reportGrace
+// closeUntil takes the engine out of use up to a point.
+func (eng *engine) closeUntil(until clock.Millis) {
+	eng.open = false
+	eng.closedUntil = until
+	eng.opensAt = until + reportGrace
 }
 
-// hold changes the count of places given out.
-func (eng *engine) hold(by int) {
+// addHeld changes the count of places given out.
+func (eng *engine) addHeld(by int) {
 	eng.held += by
-	last := &eng.heldMax[reportsKept-1]
+	last := &eng.recentHeld[reportHistory-1]
 	*last = max(*last, eng.held)
 }
--- a/internal/sched/fallback.go
+++ b/internal/sched/fallback.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	defaultPart    = 0.1  // of an engine's places that one VM uses on its own
-	patientFreeMin = 0.25 // of an engine's places that must be reported free for patient work
+	defaultMaxShare = 0.1  // of an engine's places that one VM uses on its own
+	minPatientFree  = 0.25 // of an engine's places that must be reported free for patient work
 )
 
 type (
@@ -16,50 +16,52 @@
 	// cell. It trusts lagging reports, so it takes the better of two engines
 	// at random and only a small part of their places; an engine that is
 	// full after all refuses, and the VM asks again. Rand must be set; the
-	// zero Part means a tenth.
+	// zero MaxShare means a tenth.
 	Fallback struct {
-		Rand *rand.Rand
-		Part float64
+		Rand     *rand.Rand
+		MaxShare float64
 	}
 
-	// View is what a VM knows of a cell's engines by itself.
-	View struct {
-		Servers []board.BackendServer
-		Reports map[string]board.LoadReport
-		Own     map[string]int // requests that this VM has at each engine
+	// EngineView is what a VM knows of a cell's engines by itself.
+	EngineView struct {
+		Servers     []board.BackendServer
+		Reports     map[string]board.LoadReport
+		OwnRequests map[string]int // requests that this VM has at each engine
 	}
 )
 
 // Decide places a request, or tells that the VM should not: then it refuses
 // quick work with SchedulerAway and lets patient work wait.
-func (fb *Fallback) Decide(ask Ask, vw View) (Grant, bool) {
-	dec, ok := fb.decode(ask, vw)
+func (fb *Fallback) Decide(spec RequestSpec, vw EngineView) (Grant, bool) {
+	dec, ok := fb.decode(spec, vw)
 	if !ok {
 		return Grant{}, false
 	}
 	fill, ok := fb.pick(vw, board.Prefill, func(srv board.BackendServer) float64 {
-		return float64(vw.Reports[srv.ID].Queued + vw.Own[srv.ID])
+		return float64(vw.Reports[srv.ID].Queued + vw.OwnRequests[srv.ID])
 	})
 	if !ok {
 		return Grant{}, false
 	}
-	return Grant{Request: ask.Request, Attempt: ask.Attempt, Prefill: fill.ID, Decode: dec}, true
+	return Grant{Request: spec.Request, Attempt: spec.Attempt, Prefill: fill.ID, Decode: dec}, true
 }
 
 // Redirect picks a decode engine for a KV cache that another one refused.
-func (fb *Fallback) Redirect(ask Ask, vw View) (string, bool) { return fb.decode(ask, vw) }
+func (fb *Fallback) Redirect(spec RequestSpec, vw EngineView) (string, bool) {
+	return fb.decode(spec, vw)
+}
 
-func (fb *Fallback) decode(ask Ask, vw View) (string, bool) {
-	part := fb.Part
+func (fb *Fallback) decode(spec RequestSpec, vw EngineView) (string, bool) {
+	part := fb.MaxShare
 	if part <= 0 {
-		part = defaultPart
+		part = defaultMaxShare
 	}
 	free := func(srv board.BackendServer) float64 {
 		rep, ok := vw.Reports[srv.ID]
 		if !ok || rep.Leaving {
 			return 0
 		}
-		if vw.Own[srv.ID] >= max(1, int(part*float64(rep.Slots))) {
+		if vw.OwnRequests[srv.ID] >= max(1, int(part*float64(rep.Slots))) {
 			return 0
 		}
 		return float64(rep.Slots - rep.Running)
@@ -69,8 +71,8 @@
 		return "", false
 	}
 	need := 1.0
-	if !ask.Quick {
-		need = max(1, patientFreeMin*float64(vw.Reports[dec.ID].Slots))
+	if !spec.Quick {
+		need = max(1, minPatientFree*float64(vw.Reports[dec.ID].Slots))
 	}
 	return dec.ID, free(dec) >= need
 }
@@ -78,7 +80,7 @@
 // pick takes the better of two engines of a role drawn at random; a lower
 // score is better. It takes a fixed number of draws however many engines
 // there are.
-func (fb *Fallback) pick(vw View, role board.Role, score func(board.BackendServer) float64) (board.BackendServer, bool) {
+func (fb *Fallback) pick(vw EngineView, role board.Role, score func(board.BackendServer) float64) (board.BackendServer, bool) {
 	var best board.BackendServer
 	found := 0
 	for range 16 {
--- a/internal/sched/fallback_test.go
+++ b/internal/sched/fallback_test.go
@@ -11,8 +11,8 @@
 	"alderdyke/internal/board"
 )
 
-func viewOf(servers []board.BackendServer, running, slots int) View {
-	vw := View{Servers: servers, Reports: map[string]board.LoadReport{}, Own: map[string]int{}}
+func viewOf(servers []board.BackendServer, running, slots int) EngineView {
+	vw := EngineView{Servers: servers, Reports: map[string]board.LoadReport{}, OwnRequests: map[string]int{}}
 	for _, srv := range servers {
 		vw.Reports[srv.ID] = board.LoadReport{Server: srv.ID, Running: running, Slots: slots}
 	}
@@ -23,11 +23,11 @@
 	leaving := engines(1, 1)
 	leaving[1].Leaving = true
 	owned := viewOf(engines(1, 1), 0, 20)
-	owned.Own["d0"] = 2
+	owned.OwnRequests["d0"] = 2
 	tests := []struct {
 		name string
-		ask  Ask
-		view View
+		ask  RequestSpec
+		view EngineView
 		want bool
 	}{
 		{"free", quick("q"), viewOf(engines(2, 2), 10, 20), true},
@@ -37,8 +37,8 @@
 		{"half full, patient", patient("r"), viewOf(engines(2, 2), 10, 20), true},
 		{"own part used up", quick("q"), owned, false},
 		{"leaving", quick("q"), viewOf(leaving, 0, 20), false},
-		{"no engines", quick("q"), View{}, false},
-		{"no report", quick("q"), View{Servers: engines(1, 1)}, false},
+		{"no engines", quick("q"), EngineView{}, false},
+		{"no report", quick("q"), EngineView{Servers: engines(1, 1)}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,16 +66,16 @@
 			ld := vw.Reports[srv.ID]
 			ld.Running = rapid.IntRange(0, 20).Draw(rt, "running")
 			vw.Reports[srv.ID] = ld
-			vw.Own[srv.ID] = rapid.IntRange(0, 3).Draw(rt, "own")
+			vw.OwnRequests[srv.ID] = rapid.IntRange(0, 3).Draw(rt, "own")
 		}
-		fb := Fallback{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1)), Part: 0.1}
+		fb := Fallback{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1)), MaxShare: 0.1}
 		gr, ok := fb.Decide(quick("q"), vw)
 		if !ok {
 			return
 		}
 		for _, srv := range servers {
-			if srv.ID == gr.Decode && (srv.Leaving || vw.Own[srv.ID] >= 2 || vw.Reports[srv.ID].Running >= 20) {
-				rt.Fatalf("chose %+v with %d of its own, %+v", srv, vw.Own[srv.ID], vw.Reports[srv.ID])
+			if srv.ID == gr.Decode && (srv.Leaving || vw.OwnRequests[srv.ID] >= 2 || vw.Reports[srv.ID].Running >= 20) {
+				rt.Fatalf("chose %+v with %d of its own, %+v", srv, vw.OwnRequests[srv.ID], vw.Reports[srv.ID])
 			}
 			if srv.ID == gr.Prefill && srv.Leaving {
 				rt.Fatalf("chose %+v", srv)
--- a/internal/sched/model_test.go
+++ b/internal/sched/model_test.go
@@ -54,7 +54,7 @@
 	md.count++
 	md.state[ask.Request] = ""
 	md.order = append(md.order, ask.Request)
-	md.fx.do(Submit{Ask: ask})
+	md.fx.step(Submit{Spec: ask})
 }
 
 func (md *model) progress(rt *rapid.T) {
@@ -107,7 +107,7 @@
 func (md *model) withdraw(rt *rapid.T) {
 	if id := md.pick(rt); id != "" {
 		delete(md.state, id)
-		md.fx.do(Withdraw{Request: id})
+		md.fx.step(Withdraw{Request: id})
 	}
 }
 
@@ -122,7 +122,7 @@
 		delete(md.state, id)
 	}
 	md.orphaned[id] = true
-	md.fx.do(Orphan{Request: id})
+	md.fx.step(Orphan{Request: id})
 }
 
 func (md *model) report(rt *rapid.T) {
@@ -131,7 +131,7 @@
 		return
 	}
 	eng := md.fx.ce.engines[rapid.SampledFrom(ids).Draw(rt, "engine")]
-	md.fx.do(Report{Load: board.LoadReport{Server: eng.id, Running: rapid.IntRange(0, eng.slots).Draw(rt, "running")}})
+	md.fx.step(Report{Load: board.LoadReport{Server: eng.id, Running: rapid.IntRange(0, eng.slots).Draw(rt, "running")}})
 }
 
 func (md *model) servers(rt *rapid.T) {
@@ -139,20 +139,20 @@
 	for ix := range list {
 		list[ix].Leaving = rapid.Bool().Draw(rt, "leaving")
 	}
-	md.fx.do(Servers{Servers: list})
+	md.fx.step(Servers{Servers: list})
 }
 
 func (md *model) tick(rt *rapid.T) {
 	md.fx.now += clock.Millis(rapid.IntRange(1, 5000).Draw(rt, "span"))
-	md.fx.do(Tick{})
+	md.fx.step(Tick{})
 }
 
-// follow takes the intents into the model and checks that each is allowed.
-func (md *model) follow(rt *rapid.T) {
-	for ; md.seen < len(md.fx.all); md.seen++ {
-		switch in := md.fx.all[md.seen].(type) {
+// applyIntents takes the intents into the model and checks that each is allowed.
+func (md *model) applyIntents(rt *rapid.T) {
+	for ; md.seen < len(md.fx.intents); md.seen++ {
+		switch in := md.fx.intents[md.seen].(type) {
 		case Grant:
-			md.expect(rt, in.Request, "")
+			md.expectStage(rt, in.Request, "")
 			md.state[in.Request] = Prefilling
 		case Transfer:
 			if st := md.state[in.Request]; st != Prefilled && st != Transferring {
@@ -162,20 +162,20 @@
 		case Preempt:
 			md.state[in.Request] = ""
 		case Refuse:
-			md.expect(rt, in.Request, "")
+			md.expectStage(rt, in.Request, "")
 			delete(md.state, in.Request)
 		}
 	}
 }
 
-func (md *model) expect(rt *rapid.T, id string, want Stage) {
+func (md *model) expectStage(rt *rapid.T, id string, want Stage) {
 	if st, ok := md.state[id]; !ok || st != want {
 		rt.Fatalf("%s is in stage %q (known: %v), want %q", id, st, ok, want)
 	}
 }
 
 func (md *model) check(rt *rapid.T) {
-	md.follow(rt)
+	md.applyIntents(rt)
 	ce := md.fx.ce
 	free, held := 0, 0
 	for _, eng := range ce.engines {
@@ -223,12 +223,12 @@
 			md.check(rt)
 		}
 		md.fx.now += 10 * clock.Second
-		md.fx.do(Tick{})
+		md.fx.step(Tick{})
 		md.check(rt)
 	}
 	ce := md.fx.ce
-	if len(md.state) != 0 || ce.queued != 0 || ce.promised != [2]int{} || len(ce.ready)+len(ce.moving) != 0 {
-		rt.Fatalf("left over: %v, %d wait, %v promised", md.state, ce.queued, ce.promised)
+	if len(md.state) != 0 || ce.queued != 0 || ce.reserved != [2]int{} || len(ce.readyJobs)+len(ce.transferring) != 0 {
+		rt.Fatalf("left over: %v, %d wait, %v promised", md.state, ce.queued, ce.reserved)
 	}
 	for _, gp := range ce.groups {
 		if gp.held != 0 {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -10,38 +10,38 @@
 
 // Bounds of placement.
 const (
-	sendAhead     = 20 * clock.Millis(1)  // a prefill is sent so long before its engine is ready
-	prefixWait    = 400 * clock.Millis(1) // the longest queue joined for a cached prefix
-	stallFactor   = 3                     // times the expected span after which a transfer is stalled
-	stallLeast    = 100 * clock.Millis(1)
-	sendingMost   = 1                    // patient transfers on one link at a time
-	lapseMargin   = 15 * clock.Millis(1) // for the way of a Transfer to the engine
-	carriersSeen  = 16                   // engines looked at for one whose link is fast enough
-	lapseCertain  = 0.9                  // part of the keep that a learned transfer time may claim
-	preemptMargin = 50 * clock.Millis(1) // a prefill that begins sooner is not taken back
+	prefillSendAhead   = 20 * clock.Millis(1)  // a prefill is sent so long before its engine is ready
+	maxPrefixWait      = 400 * clock.Millis(1) // the longest queue joined for a cached prefix
+	stallFactor        = 3                     // times the expected span after which a transfer is stalled
+	minStallTimeout    = 100 * clock.Millis(1)
+	maxLinkTransfers   = 1                    // patient transfers on one link at a time
+	expiryMargin       = 15 * clock.Millis(1) // for the way of a Transfer to the engine
+	maxCarriersChecked = 16                   // engines looked at for one whose link is fast enough
+	maxTransferShare   = 0.9                  // part of the keep that a learned transfer time may claim
+	preemptMargin      = 50 * clock.Millis(1) // a prefill that begins sooner is not taken back
 )
 
 // dispatch does all that has become possible: first what frees places, then
 // transfers, then quick requests, then patient ones.
 func (ce *Cell) dispatch(now clock.Millis) {
-	ce.admitUnreported(now)
-	ce.expire(now)
-	ce.lapse(now)
-	ce.transfer(now)
+	ce.openUnreported(now)
+	ce.expireQueued(now)
+	ce.expireKVCaches(now)
+	ce.startTransfers(now)
 	ce.startQuick(now)
 	ce.startPatient(now)
-	ce.wake(now)
+	ce.requestWake(now)
 }
 
-// admitUnreported takes engines into use that sent no report for a while.
-func (ce *Cell) admitUnreported(now clock.Millis) {
-	ce.pending = slices.DeleteFunc(ce.pending, func(eng *engine) bool {
+// openUnreported takes engines into use that sent no report for a while.
+func (ce *Cell) openUnreported(now clock.Millis) {
+	ce.unreported = slices.DeleteFunc(ce.unreported, func(eng *engine) bool {
 		ce.steps++
-		if !eng.known && now >= eng.opens {
-			eng.known = true
-			ce.changed(eng)
+		if !eng.open && now >= eng.opensAt {
+			eng.open = true
+			ce.updateRankings(eng)
 		}
-		return eng.known
+		return eng.open
 	})
 }
 
@@ -54,15 +54,15 @@
 			return
 		}
 		jb := gp.next()
-		if ce.reuse(now, jb) {
+		if ce.grantHeldPrefill(now, jb) {
 			continue
 		}
-		eng := ce.quicks.best()
+		eng := ce.quickPrefills.best()
 		if eng == nil {
 			return
 		}
 		after := max(0, eng.quickReadyAt(ce.Chunk)-float64(now)) + jb.prefillMS
-		if !ce.quickPlaceInSight(now, jb, after) {
+		if !ce.expectQuickSlot(now, jb, after) {
 			return
 		}
 		ce.grant(now, jb, eng)
@@ -79,7 +79,7 @@
 			return
 		}
 		jb := gp.next()
-		if ce.reuse(now, jb) {
+		if ce.grantHeldPrefill(now, jb) {
 			continue
 		}
 		eng := ce.choosePrefill(now, jb)
@@ -87,7 +87,7 @@
 			return
 		}
 		after := max(0, eng.readyAt()-float64(now)) + jb.prefillMS
-		if !ce.placeInSight(now, jb, after) {
+		if !ce.expectPatientSlot(now, jb, after) {
 			return
 		}
 		ce.grant(now, jb, eng)
@@ -101,9 +101,9 @@
 	var best *group
 	var bestUse float64
 	patientWants := false
-	for _, gp := range ce.order {
+	for _, gp := range ce.activeGroups {
 		ce.steps++
-		if !gp.wants() {
+		if !gp.hasQueued() {
 			continue
 		}
 		use := gp.usage(now, ce.slots, ce.prefills.Len()) / gp.share
@@ -122,35 +122,35 @@
 // prefill first, the cached prefix counted, or nil if it is too early to
 // send one.
 func (ce *Cell) choosePrefill(now clock.Millis, jb *job) *engine {
-	eng := ce.carrier(jb)
+	eng := ce.fastestCarrier(jb)
 	if eng == nil {
 		return nil
 	}
 	ready := max(float64(now), eng.readyAt())
-	if hit := ce.cached(jb); hit != nil && hit != eng && hit.carries(jb.ask.PromptTokens, ce.Keep) {
-		saved := min(jb.ask.PrefixTokens, jb.ask.PromptTokens)
+	if hit := ce.prefixEngine(jb); hit != nil && hit != eng && hit.linkCarries(jb.spec.PromptTokens, ce.KVCacheTTL) {
+		saved := min(jb.spec.PrefixTokens, jb.spec.PromptTokens)
 		hitReady := max(float64(now), hit.readyAt())
-		if hitReady <= ready+float64(saved)/hit.rate && hitReady-float64(now) <= float64(prefixWait) {
+		if hitReady <= ready+float64(saved)/hit.prefillRate && hitReady-float64(now) <= float64(maxPrefixWait) {
 			return hit
 		}
 	}
-	if ready-float64(now) > float64(sendAhead) || eng.outstanding >= outstandingMost {
+	if ready-float64(now) > float64(prefillSendAhead) || eng.pendingPatient >= maxPendingPatient {
 		return nil
 	}
 	return eng
 }
 
-// carrier is the prefill engine that is ready first, among the few foremost
+// fastestCarrier is the prefill engine that is ready first, among the few foremost
 // ones whose link carries the request's KV cache; the foremost if none does.
-func (ce *Cell) carrier(jb *job) *engine {
+func (ce *Cell) fastestCarrier(jb *job) *engine {
 	first := ce.prefills.best()
-	if first == nil || first.carries(jb.ask.PromptTokens, ce.Keep) {
+	if first == nil || first.linkCarries(jb.spec.PromptTokens, ce.KVCacheTTL) {
 		return first
 	}
 	var best *engine
-	for _, it := range ce.prefills.items[:min(carriersSeen, ce.prefills.Len())] {
+	for _, it := range ce.prefills.items[:min(maxCarriersChecked, ce.prefills.Len())] {
 		ce.steps++
-		if it.eng.carries(jb.ask.PromptTokens, ce.Keep) && (best == nil || it.eng.readyAt() < best.readyAt()) {
+		if it.eng.linkCarries(jb.spec.PromptTokens, ce.KVCacheTTL) && (best == nil || it.eng.readyAt() < best.readyAt()) {
 			best = it.eng
 		}
 	}
@@ -160,16 +160,16 @@
 	return best
 }
 
-// cached is the least loaded engine that lately computed the request's
+// prefixEngine is the least loaded engine that lately computed the request's
 // prefix, or nil.
-func (ce *Cell) cached(jb *job) *engine {
-	if jb.ask.PrefixHash == 0 || jb.ask.PrefixTokens == 0 {
+func (ce *Cell) prefixEngine(jb *job) *engine {
+	if jb.spec.PrefixHash == 0 || jb.spec.PrefixTokens == 0 {
 		return nil
 	}
 	var best *engine
-	for _, eng := range ce.holders[jb.ask.PrefixHash] {
+	for _, eng := range ce.prefixHolders[jb.spec.PrefixHash] {
 		ce.steps++
-		if eng.usable() && eng.outstanding < outstandingMost && (best == nil || eng.readyAt() < best.readyAt()) {
+		if eng.usable() && eng.pendingPatient < maxPendingPatient && (best == nil || eng.readyAt() < best.readyAt()) {
 			best = eng
 		}
 	}
@@ -180,76 +180,76 @@
 func (ce *Cell) grant(now clock.Millis, jb *job, eng *engine) {
 	gp := jb.grp
 	gp.dequeue(jb)
-	gp.turn++
+	gp.starts++
 	ce.queued--
-	jb.tokens = jb.ask.PromptTokens
-	if jb.ask.PrefixHash != 0 && eng.hasPrefix(jb.ask.PrefixHash) {
-		jb.tokens = max(1, jb.tokens-jb.ask.PrefixTokens)
+	jb.tokens = jb.spec.PromptTokens
+	if jb.spec.PrefixHash != 0 && eng.hasPrefix(jb.spec.PrefixHash) {
+		jb.tokens = max(1, jb.tokens-jb.spec.PrefixTokens)
 	}
-	jb.prefillMS = float64(jb.tokens) / eng.rate
-	jb.linkMS = float64(jb.ask.PromptTokens) / eng.linkRate
-	jb.alone = eng.pending <= 0
-	jb.stage, jb.since, jb.prefill, jb.began = Prefilling, now, eng, true
+	jb.prefillMS = float64(jb.tokens) / eng.prefillRate
+	jb.linkMS = float64(jb.spec.PromptTokens) / eng.linkRate
+	jb.exclusive = eng.pendingMS <= 0
+	jb.stage, jb.since, jb.prefill, jb.granted = Prefilling, now, eng, true
 	gp.held++
-	gp.prefill.add(now, jb.prefillMS)
-	ce.promised[class(jb)]++
-	eng.sent(now, jb)
-	ce.remember(eng, jb.ask.PrefixHash)
-	ce.changed(eng)
-	ce.emit(Grant{Request: jb.ask.Request, Attempt: jb.ask.Attempt, Prefill: eng.id, Decode: ce.likelyDecode()})
+	gp.prefillUse.add(now, jb.prefillMS)
+	ce.reserved[classIndex(jb)]++
+	eng.addPrefill(now, jb)
+	ce.recordPrefix(eng, jb.spec.PrefixHash)
+	ce.updateRankings(eng)
+	ce.emit(Grant{Request: jb.spec.Request, Attempt: jb.spec.Attempt, Prefill: eng.id, Decode: ce.bestDecodeID()})
 }
 
-// likelyDecode is the decode engine that would be chosen now.
-func (ce *Cell) likelyDecode() string {
+// bestDecodeID is the decode engine that would be chosen now.
+func (ce *Cell) bestDecodeID() string {
 	if eng := ce.decodes.best(); eng != nil {
 		return eng.id
 	}
 	return ""
 }
 
-// remember notes which engine holds a prefix.
-func (ce *Cell) remember(eng *engine, hash uint64) {
+// recordPrefix notes which engine holds a prefix.
+func (ce *Cell) recordPrefix(eng *engine, hash uint64) {
 	if hash == 0 {
 		return
 	}
-	if !slices.Contains(ce.holders[hash], eng) {
-		ce.holders[hash] = append(ce.holders[hash], eng)
+	if !slices.Contains(ce.prefixHolders[hash], eng) {
+		ce.prefixHolders[hash] = append(ce.prefixHolders[hash], eng)
 	}
-	if dropped := eng.keepPrefix(hash); dropped != 0 {
-		ce.holders[dropped] = slices.DeleteFunc(ce.holders[dropped], func(ea *engine) bool { return ea == eng })
-		if len(ce.holders[dropped]) == 0 {
-			delete(ce.holders, dropped)
+	if dropped := eng.rememberPrefix(hash); dropped != 0 {
+		ce.prefixHolders[dropped] = slices.DeleteFunc(ce.prefixHolders[dropped], func(ea *engine) bool { return ea == eng })
+		if len(ce.prefixHolders[dropped]) == 0 {
+			delete(ce.prefixHolders, dropped)
 		}
 	}
 }
 
-// reuse grants a request whose KV cache a prefill engine still holds, so
+// grantHeldPrefill grants a request whose KV cache a prefill engine still holds, so
 // that only the transfer is left.
-func (ce *Cell) reuse(now clock.Millis, jb *job) bool {
-	eng := ce.engines[jb.ask.HeldPrefill]
-	if eng == nil || eng.gone || now-jb.arrived > ce.Keep/2 {
-		jb.ask.HeldPrefill = ""
+func (ce *Cell) grantHeldPrefill(now clock.Millis, jb *job) bool {
+	eng := ce.engines[jb.spec.HeldPrefill]
+	if eng == nil || eng.delisted || now-jb.arrived > ce.KVCacheTTL/2 {
+		jb.spec.HeldPrefill = ""
 		return false
 	}
 	jb.grp.dequeue(jb)
 	ce.queued--
-	jb.stage, jb.since, jb.prefill, jb.began = Prefilled, now, eng, true
-	jb.lapse = jb.arrived + ce.Keep/2
+	jb.stage, jb.since, jb.prefill, jb.granted = Prefilled, now, eng, true
+	jb.expires = jb.arrived + ce.KVCacheTTL/2
 	jb.grp.held++
-	ce.promised[class(jb)]++
-	ce.ready = append(ce.ready, jb)
-	ce.emit(Grant{Request: jb.ask.Request, Attempt: jb.ask.Attempt, Prefill: eng.id, Decode: ce.likelyDecode(), SkipPrefill: true})
-	ce.transfer(now)
+	ce.reserved[classIndex(jb)]++
+	ce.readyJobs = append(ce.readyJobs, jb)
+	ce.emit(Grant{Request: jb.spec.Request, Attempt: jb.spec.Attempt, Prefill: eng.id, Decode: ce.bestDecodeID(), SkipPrefill: true})
+	ce.startTransfers(now)
 	return true
 }
 
-// preemptUnfit takes back grants whose prefill engine stopped taking work
+// preemptUnusable takes back grants whose prefill engine stopped taking work
 // before their prefill began.
-func (ce *Cell) preemptUnfit(now clock.Millis) {
+func (ce *Cell) preemptUnusable(now clock.Millis) {
 	var unfit []*job
 	for _, jb := range ce.jobs {
 		ce.steps++
-		if jb.stage != Prefilling || jb.prefill.usable() || jb.alone {
+		if jb.stage != Prefilling || jb.prefill.usable() || jb.exclusive {
 			continue
 		}
 		if begins := jb.prefill.readyAt() - jb.prefillMS; begins > float64(now+preemptMargin) {
@@ -262,61 +262,61 @@
 	}
 }
 
-// wake asks for a tick when something is due without an event.
-func (ce *Cell) wake(now clock.Millis) {
-	al := alarm{now: now}
-	if len(ce.pending) > 0 {
-		al.sooner(ce.pending[0].opens)
+// requestWake asks for a tick when something is due without an event.
+func (ce *Cell) requestWake(now clock.Millis) {
+	al := wakeTime{now: now}
+	if len(ce.unreported) > 0 {
+		al.atMost(ce.unreported[0].opensAt)
 	}
-	for _, jb := range ce.moving {
-		if !jb.moved && !jb.orphan {
-			al.sooner(ce.stallsAt(jb))
+	for _, jb := range ce.transferring {
+		if !jb.redirected && !jb.orphan {
+			al.atMost(ce.stallsAt(jb))
 		}
 	}
-	if len(ce.ready) > 0 {
-		al.sooner(now + forecastEach)
+	if len(ce.readyJobs) > 0 {
+		al.atMost(now + forecastInterval)
 	}
 	if ce.queued > 0 {
-		ce.wakeWaiting(now, &al)
+		ce.wakeForQueued(now, &al)
 	}
 	if al.at != 0 {
 		ce.emit(Wake{At: al.at})
 	}
 }
 
-// wakeWaiting finds when something may be done for those that wait.
-func (ce *Cell) wakeWaiting(now clock.Millis, al *alarm) {
-	if eng := ce.prefills.best(); eng != nil && eng.readyAt() > float64(now+sendAhead) {
-		al.sooner(clock.Millis(eng.readyAt()) - sendAhead)
+// wakeForQueued finds when something may be done for those that wait.
+func (ce *Cell) wakeForQueued(now clock.Millis, al *wakeTime) {
+	if eng := ce.prefills.best(); eng != nil && eng.readyAt() > float64(now+prefillSendAhead) {
+		al.atMost(clock.Millis(eng.readyAt()) - prefillSendAhead)
 	}
-	for _, gp := range ce.order {
+	for _, gp := range ce.activeGroups {
 		ce.steps++
 		if len(gp.waiting) > 0 {
 			jb := gp.waiting[0]
-			al.sooner(jb.due - clock.Millis(jb.prefillMS+jb.linkMS) + 1)
+			al.atMost(jb.due - clock.Millis(jb.prefillMS+jb.linkMS) + 1)
 		}
 	}
-	al.sooner(now + forecastEach)
+	al.atMost(now + forecastInterval)
 }
 
-// alarm is the earliest of some points that are yet to come.
-type alarm struct{ now, at clock.Millis }
+// wakeTime is the earliest of some points that are yet to come.
+type wakeTime struct{ now, at clock.Millis }
 
-func (al *alarm) sooner(point clock.Millis) {
+func (al *wakeTime) atMost(point clock.Millis) {
 	if point = max(point, al.now+1); al.at == 0 || point < al.at {
 		al.at = point
 	}
 }
 
-// dropHolder forgets the prefixes of an engine that is gone.
-func (ce *Cell) dropHolder(eng *engine) {
+// dropPrefixes forgets the prefixes of an engine that is gone.
+func (ce *Cell) dropPrefixes(eng *engine) {
 	if eng.role != board.Prefill {
 		return
 	}
 	for _, hash := range eng.prefixes {
-		ce.holders[hash] = slices.DeleteFunc(ce.holders[hash], func(ea *engine) bool { return ea == eng })
-		if len(ce.holders[hash]) == 0 {
-			delete(ce.holders, hash)
+		ce.prefixHolders[hash] = slices.DeleteFunc(ce.prefixHolders[hash], func(ea *engine) bool { return ea == eng })
+		if len(ce.prefixHolders[hash]) == 0 {
+			delete(ce.prefixHolders, hash)
 		}
 	}
 	eng.prefixes = nil
--- a/internal/sched/reopening.go
+++ b/internal/sched/reopening.go
@@ -50,27 +50,27 @@
 // that is not in sight.
 func (eng *engine) reopensAt(now clock.Millis) (clock.Millis, bool) {
 	switch {
-	case eng.gone || eng.leaving:
+	case eng.delisted || eng.leaving:
 		return 0, false
-	case eng.known:
+	case eng.open:
 		return now, true
-	case eng.closed > 0:
-		return max(now, eng.closed), true // the next report opens it
+	case eng.closedUntil > 0:
+		return max(now, eng.closedUntil), true // the next report opens it
 	default:
-		return max(now, eng.opens), true
+		return max(now, eng.opensAt), true
 	}
 }
 
-// closedInadmissible refuses a request for which no engine of a role takes work
+// checkClosedAdmission refuses a request for which no engine of a role takes work
 // again in time for its target.
-func (ce *Cell) closedInadmissible(now clock.Millis, jb *job) (refusal.Refusal, bool) {
+func (ce *Cell) checkClosedAdmission(now clock.Millis, jb *job) (refusal.Refusal, bool) {
 	ro, ok := ce.reopens(now)
 	if !ok {
-		return notRun(refusal.NoBackend, retryLatest/12, "no engine of the cell takes work"), true
+		return notRun(refusal.NoBackend, maxRetryAfter/12, "no engine of the cell takes work"), true
 	}
 	wait := float64(ro.at - now)
-	if !jb.ask.Quick {
-		wait += ce.patientWaitWith(now, jb.grp, ro.slots, ro.prefills)
+	if !jb.spec.Quick {
+		wait += ce.patientWaitFor(now, jb.grp, ro.slots, ro.prefills)
 	}
 	if over := wait + jb.prefillMS + jb.linkMS - float64(jb.due-now); over > 0 {
 		return notRun(refusal.NoBackend, max(ro.at-now, clock.Millis(over)), "no engine of the cell takes work in time"), true
--- a/internal/sched/reopening_test.go
+++ b/internal/sched/reopening_test.go
@@ -10,72 +10,72 @@
 	"alderdyke/pkg/refusal"
 )
 
-// closings are the ways in which the only engine of a role comes to take
+// closures are the ways in which the only engine of a role comes to take
 // nothing for a while though it is listed, fit and reports.
-var closings = []struct {
-	name   string
-	server string
-	back   clock.Millis // when a report has it take work again, if it is alive
-	do     func(fx *fixture)
+var closures = []struct {
+	name         string
+	server       string
+	reopensAfter clock.Millis // when a report has it take work again, if it is alive
+	do           func(fx *fixture)
 }{
-	{"two decodes lost", "d0", closedLeast, func(fx *fixture) {
+	{"two decodes lost", "d0", minClosed, func(fx *fixture) {
 		for _, id := range []string{"l0", "l1"} {
-			fx.do(Submit{Ask: quick(id)})
-			fx.run(id)
+			fx.step(Submit{Spec: quick(id)})
+			fx.startDecoding(id)
 		}
 		fx.progress("l0", Lost, 0)
 		fx.progress("l1", Lost, 0)
 	}},
-	{"two prefills lost", "p0", closedLeast, func(fx *fixture) {
+	{"two prefills lost", "p0", minClosed, func(fx *fixture) {
 		for _, id := range []string{"l0", "l1"} {
-			fx.do(Submit{Ask: quick(id)})
+			fx.step(Submit{Spec: quick(id)})
 			fx.progress(id, Lost, 0)
 		}
 	}},
-	{"the decode engine rests", "d0", 3 * clock.Second, func(fx *fixture) { fx.do(Rest{Server: "d0", For: 3 * clock.Second}) }},
+	{"the decode engine rests", "d0", 3 * clock.Second, func(fx *fixture) { fx.step(Rest{Server: "d0", For: 3 * clock.Second}) }},
 	{"it rests while a decode goes on", "d0", 3 * clock.Second, func(fx *fixture) {
-		fx.do(Submit{Ask: quick("l0")})
-		fx.run("l0")
-		fx.do(Rest{Server: "d0", For: 3 * clock.Second})
+		fx.step(Submit{Spec: quick("l0")})
+		fx.startDecoding("l0")
+		fx.step(Rest{Server: "d0", For: 3 * clock.Second})
 	}},
-	{"the prefill engine rests", "p0", 3 * clock.Second, func(fx *fixture) { fx.do(Rest{Server: "p0", For: 3 * clock.Second}) }},
+	{"the prefill engine rests", "p0", 3 * clock.Second, func(fx *fixture) { fx.step(Rest{Server: "p0", For: 3 * clock.Second}) }},
 	{"its only import was rejected", "d0", 0, func(fx *fixture) {
-		fx.do(Submit{Ask: quick("l0")})
+		fx.step(Submit{Spec: quick("l0")})
 		fx.progress("l0", Prefilled, 10)
 		fx.progress("l0", Rejected, 2)
-		fx.do(Withdraw{Request: "l0"})
+		fx.step(Withdraw{Request: "l0"})
 	}},
 	{"the accountant is new", "d0", 0, func(fx *fixture) {
 		fx.ce = &Cell{Slots: fx.ce.Slots}
-		fx.do(Servers{Servers: engines(1, 1)})
-		fx.do(Report{Load: board.LoadReport{Server: "p0"}})
+		fx.step(Servers{Servers: engines(1, 1)})
+		fx.step(Report{Load: board.LoadReport{Server: "p0"}})
 	}},
 }
 
 // A request that can wait isn't refused since the only engine of a role takes
 // nothing for a second, be it new or the next attempt of one that was lost.
 func TestOnlyEngineThatComesBackIsWaitedFor(t *testing.T) {
-	for _, tc := range closings {
+	for _, tc := range closures {
 		for _, attempt := range []int{0, 2} {
 			t.Run(tc.name, func(t *testing.T) {
 				fx := newFixture(1, 1, 4)
 				tc.do(fx)
 				ask := patient("ra")
 				ask.Attempt = attempt
-				fx.do(Submit{Ask: ask})
-				assert.Equal(t, len(fx.ends), 0, "%+v", fx.ends)
+				fx.step(Submit{Spec: ask})
+				assert.Equal(t, len(fx.refusals), 0, "%+v", fx.refusals)
 				assert.Equal(t, fx.ce.Waiting(), 1)
-				for end := fx.now + tc.back; fx.now < end; fx.now += 100 {
-					fx.do(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
+				for end := fx.now + tc.reopensAfter; fx.now < end; fx.now += 100 {
+					fx.step(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
 					assert.Equal(t, fx.ce.Waiting(), 1, "granted before the engine is back")
 				}
-				fx.do(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
+				fx.step(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
 				_, ok := fx.grants["ra"]
 				assert.Assert(t, ok)
-				fx.run("ra")
-				assert.Equal(t, fx.moves["ra"].Decode, "d0")
+				fx.startDecoding("ra")
+				assert.Equal(t, fx.transfers["ra"].Decode, "d0")
 				fx.progress("ra", Ended, 100)
-				assert.Equal(t, len(fx.ends), 0, "%+v", fx.ends)
+				assert.Equal(t, len(fx.refusals), 0, "%+v", fx.refusals)
 			})
 		}
 	}
@@ -84,31 +84,31 @@
 // A request whose target is over before the engine is back is refused at once,
 // with the time until then.
 func TestRequestThatCannotWaitForTheOnlyEngineIsRefused(t *testing.T) {
-	for _, tc := range closings {
-		if tc.back == 0 {
+	for _, tc := range closures {
+		if tc.reopensAfter == 0 {
 			continue
 		}
 		t.Run(tc.name, func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
 			tc.do(fx)
-			fx.do(Submit{Ask: quick("qa")})
+			fx.step(Submit{Spec: quick("qa")})
 			late := patient("pa")
-			late.TTFT = tc.back
-			fx.do(Submit{Ask: late})
+			late.TTFT = tc.reopensAfter
+			fx.step(Submit{Spec: late})
 			for _, id := range []string{"qa", "pa"} {
-				rf := fx.ends[id].Refusal
+				rf := fx.refusals[id].Refusal
 				assert.Equal(t, rf.Reason, refusal.NoBackend, id)
 				assert.Equal(t, rf.Ran, refusal.NotRun, id)
-				assert.Assert(t, rf.RetryAfter >= tc.back && rf.RetryAfter < tc.back+clock.Second, "%s: %v", id, rf.RetryAfter)
+				assert.Assert(t, rf.RetryAfter >= tc.reopensAfter && rf.RetryAfter < tc.reopensAfter+clock.Second, "%s: %v", id, rf.RetryAfter)
 			}
 			assert.Equal(t, fx.ce.Waiting(), 0)
 
-			fx.now += tc.back - 100
-			fx.do(Submit{Ask: quick("qb")})
-			fx.do(Submit{Ask: quick("qc")})
+			fx.now += tc.reopensAfter - 100
+			fx.step(Submit{Spec: quick("qb")})
+			fx.step(Submit{Spec: quick("qc")})
 			assert.Equal(t, fx.ce.Waiting(), 2)
 			fx.now += 100
-			fx.do(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
+			fx.step(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
 			for _, id := range []string{"qb", "qc"} {
 				_, ok := fx.grants[id]
 				assert.Assert(t, ok, id)
@@ -120,23 +120,23 @@
 // An engine that is expected back and stays away holds no quick request beyond
 // its target.
 func TestOnlyEngineThatStaysAwayHoldsNobodyBeyondTheTarget(t *testing.T) {
-	for _, tc := range closings {
-		if tc.back == 0 {
+	for _, tc := range closures {
+		if tc.reopensAfter == 0 {
 			continue
 		}
 		t.Run(tc.name, func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
 			tc.do(fx)
-			fx.now += tc.back - 100
+			fx.now += tc.reopensAfter - 100
 			came := fx.now
 			ask := quick("qa")
-			fx.do(Submit{Ask: ask})
-			for fx.ends["qa"].Refusal.Reason == "" && fx.now < came+ask.TTFT {
+			fx.step(Submit{Spec: ask})
+			for fx.refusals["qa"].Refusal.Reason == "" && fx.now < came+ask.TTFT {
 				fx.now += 10
-				fx.do(Tick{})
+				fx.step(Tick{})
 			}
-			assert.Equal(t, fx.ends["qa"].Refusal.Ran, refusal.NotRun)
-			assert.Equal(t, fx.ends["qa"].Refusal.Reason, refusal.TargetUnreachable)
+			assert.Equal(t, fx.refusals["qa"].Refusal.Ran, refusal.NotRun)
+			assert.Equal(t, fx.refusals["qa"].Refusal.Reason, refusal.TargetUnreachable)
 			_, granted := fx.grants["qa"]
 			assert.Assert(t, !granted)
 		})
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -11,7 +11,7 @@
 // # Usage
 //
 //	ce := &sched.Cell{Name: "rapportmodel/0"}
-//	for _, in := range ce.Step(now, sched.Submit{Ask: ask}) {
+//	for _, in := range ce.Step(now, sched.Submit{Spec: spec}) {
 //		switch in := in.(type) {
 //		case sched.Grant: ... // send the prefill, then tell Progress
 //		case sched.Transfer: ... // import the KV cache and decode
@@ -43,20 +43,20 @@
 
 // What a KV cache may wait for.
 const (
-	ForLink  Wait = "Link"  // another transfer has the prefill engine's link
-	ForPlace Wait = "Place" // no decode engine has a free place
-	ForQuick Wait = "Quick" // the free places are left to quick requests
+	WaitForLink  WaitReason = "Link"  // another transfer has the prefill engine's link
+	WaitForSlot  WaitReason = "Place" // no decode engine has a free place
+	WaitForQuick WaitReason = "Quick" // the free places are left to quick requests
 )
 
 type (
-	// Wait is what a KV cache waits for before its transfer begins.
-	Wait string
+	// WaitReason is what a KV cache waits for before its transfer begins.
+	WaitReason string
 
 	// Stage of a granted request.
 	Stage string
 
-	// Ask is all that the decision about a request needs.
-	Ask struct {
+	// RequestSpec is all that the decision about a request needs.
+	RequestSpec struct {
 		Request       string
 		Customer      string
 		Class         string
@@ -85,13 +85,13 @@
 
 	// Submit asks for a place for a request. A request that the cell already
 	// knows is asked for anew: what was reserved for it is released first.
-	Submit struct{ Ask Ask }
+	Submit struct{ Spec RequestSpec }
 
 	// Adopt tells a cell, after the accounting VM changed, of a grant that
 	// the VM before it made and that its runner still uses. It never starts
 	// anything; the request counts from then on as granted by this cell.
 	Adopt struct {
-		Ask     Ask
+		Spec    RequestSpec
 		Stage   Stage // Prefilling, Prefilled, Transferring or Decoding
 		Prefill string
 		Decode  string
@@ -139,7 +139,7 @@
 	// with Decode by itself. SkipPrefill says that the held KV cache is used.
 	Grant struct {
 		Request     string
-		Attempt     int // first that of the Ask, one more with every further Grant
+		Attempt     int // first that of the RequestSpec, one more with every further Grant
 		Prefill     string
 		Decode      string
 		SkipPrefill bool
@@ -149,15 +149,15 @@
 	// whose place is reserved. A second Transfer for the same request
 	// replaces the first, which stalled or was rejected.
 	Transfer struct {
-		Request  string
-		Attempt  int
-		Prefill  string
-		Decode   string
-		Waited   clock.Millis // span since the KV cache was ready or the transfer before was rejected
-		For      Wait         // what it waited for last; empty if it began at once
-		Stalled  string       // decode engine of the transfer that this one replaces since it stalled
-		Spent    clock.Millis // span since that one began
-		Expected clock.Millis // what that one was expected to take
+		Request   string
+		Attempt   int
+		Prefill   string
+		Decode    string
+		Waited    clock.Millis // span since the KV cache was ready or the transfer before was rejected
+		WaitedFor WaitReason   // what it waited for last; empty if it began at once
+		Stalled   string       // decode engine of the transfer that this one replaces since it stalled
+		Elapsed   clock.Millis // span since that one began
+		Expected  clock.Millis // what that one was expected to take
 	}
 
 	// Refuse ends a waiting request.
--- a/internal/slope/claims.go
+++ b/internal/slope/claims.go
@@ -40,7 +40,7 @@
 		now   clock.Millis
 		fleet *board.Fleet
 		books map[string]*claim.Book
-		seats *claim.Seats
+		seats *claim.SeatTable
 		calls int // between different VMs
 		bytes int // of their frames, asks and replies
 		steps int
@@ -63,11 +63,11 @@
 	}
 	table := cf.table()
 	for _, vm := range cf.fleet.VMs {
-		bk := &claim.Book{Self: vm.VMRef, FromStart: true}
+		bk := &claim.Book{Self: vm.VMRef, FromLogStart: true}
 		fl := *cf.fleet
 		fl.Self = vm.VMRef
-		bk.Step(cf.now, claim.Seated{Epoch: 1, Table: table})
-		bk.Step(cf.now, claim.Fleet{Fleet: &fl})
+		bk.Step(cf.now, claim.TableAppended{Epoch: 1, Table: table})
+		bk.Step(cf.now, claim.FleetChanged{Fleet: &fl})
 		cf.books[vm.ID] = bk
 		cf.seats = bk.Seats()
 	}
@@ -100,7 +100,7 @@
 
 // became tells the seats what became of the key.
 func (cf *claimFleet) became(cr *claimRun, state claim.State) {
-	cf.carry(cr, cr.ak.Step(cf.now, claim.Became{State: state, DecodeServer: "rapportmodel-decode-41",
+	cf.carry(cr, cr.ak.Step(cf.now, claim.StateChanged{State: state, DecodeServer: "rapportmodel-decode-41",
 		EngineRequest: "kedelsyn/" + cr.ak.Key + "/1.0"}))
 }
 
@@ -188,7 +188,7 @@
 		table.add(count, float64(proto.Size(next)))
 		parts, bytes := 0, 0
 		for _, bk := range cf.books {
-			for _, in := range bk.Step(cf.now+clock.Second, claim.Seated{Epoch: 2, Table: next}) {
+			for _, in := range bk.Step(cf.now+clock.Second, claim.TableAppended{Epoch: 2, Table: next}) {
 				if ho, ok := in.(claim.SendHandoff); ok {
 					parts++
 					bytes += proto.Size(&peerpb.Frame{Body: &peerpb.Frame_ClaimHandoff{ClaimHandoff: ho.Handoff}})
--- a/internal/slope/engines.go
+++ b/internal/slope/engines.go
@@ -168,7 +168,7 @@
 
 func (cl *cellLoad) submit() {
 	cl.number++
-	cl.tell(sched.Submit{Ask: sched.Ask{
+	cl.tell(sched.Submit{Spec: sched.RequestSpec{
 		Request: requestKey(cl.number), Customer: fmt.Sprintf("customer-%d", cl.number%20), Class: "findings",
 		VM: fleetVM(cl.number % fleetTarget).VMRef, Quick: cl.number%4 == 0,
 		PromptTokens: 200 + cl.rnd.IntN(usualPrompt), MaxTokens: usualMaxTokens,
--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -20,51 +20,51 @@
 // and no innocent is refused. It takes three where the servers had not begun to
 // answer, and else five, for such a request looks like all that ran there.
 const (
-	mostLost     = 3 + 3
-	mostLostLate = 5 + 3
-	mostInnocent = 0
-	lateKiller   = -2
-	simSeeds     = 60
-	simSpan      = 60 * clock.Second
-	simVMs       = 7
-	// contact is how long the VMs have to learn of a third server that ended.
-	contact = 3 * clock.Second
+	maxLost     = 3 + 3
+	maxLostLate = 5 + 3
+	maxInnocent = 0
+	lateKiller  = -2
+	simSeeds    = 60
+	simSpan     = 60 * clock.Second
+	simVMs      = 7
+	// learnTime is how long the VMs have to learn of a third server that ended.
+	learnTime = 3 * clock.Second
 )
 
 type (
-	// rule is what a mutation changes of the search.
-	rule struct {
-		refuse   float64
-		ends     int
-		deaf     bool // VMs do not take each other's words
-		blind    bool // it is not seen whether a server had begun to answer
-		apart    bool // ends of servers that end together are taken for several
-		ownNames bool // each try is another request
+	// variant is what a mutation changes of the search.
+	variant struct {
+		refuse         float64
+		crashes        int
+		noSharing      bool // VMs do not take each other's words
+		ignoreAnswered bool // it is not seen whether a server had begun to answer
+		spreadCrashes  bool // ends of servers that end together are taken for several
+		markPerTry     bool // each try is another request
 	}
 
 	// sim is a fleet in virtual time, its engines, and requests of which a few
 	// end the engine that runs them.
 	sim struct {
-		rule
-		rnd     *rand.Rand
-		now     clock.Millis
-		events  simEvents
-		seq     int
-		vms     []*suspect.Tracker
-		engines []*simEngine
-		lost    map[int]int          // servers that ended, by the killer that did it
-		third   map[int]clock.Millis // when a killer ended its third
-		sentOn  map[int]int          // how often a killer was sent to a server longer than contact after that
-		refused int                  // innocents
-		whole   int
-		ends    int
-		serial  int // of the last try
+		variant
+		rnd              *rand.Rand
+		now              clock.Millis
+		events           simEvents
+		seq              int
+		vms              []*suspect.Tracker
+		engines          []*simEngine
+		serversLost      map[int]int          // servers that ended, by the killer that did it
+		thirdCrashAt     map[int]clock.Millis // when a killer ended its third
+		sentAfterThird   map[int]int          // how often a killer was sent to a server longer than contact after that
+		innocentsRefused int                  // innocents
+		completed        int
+		crashCount       int
+		lastTry          int // of the last try
 	}
 
 	simEngine struct {
 		life   int
 		domain int
-		down   bool
+		isDown bool
 		runs   map[*simRun]bool
 	}
 
@@ -75,12 +75,12 @@
 	}
 
 	simRun struct {
-		serial int // names the try, the same at each play of a seed
-		req    simRequest
-		vm     int
-		try    int
-		tries  int // engines that it may still be sent to
-		began  clock.Millis
+		tryNumber int // names the try, the same at each play of a seed
+		req       simRequest
+		vm        int
+		try       int
+		tries     int // engines that it may still be sent to
+		began     clock.Millis
 	}
 
 	simEvent struct {
@@ -115,10 +115,10 @@
 
 // run plays a seed. Ten requests a second are each sent to one of eight to
 // eighteen engines; engines crash alone, and by failure domain.
-func (ru rule) run(seed uint64) *sim {
-	sm := &sim{rule: ru, rnd: rand.New(rand.NewPCG(seed, 3)), lost: make(map[int]int), third: make(map[int]clock.Millis), sentOn: make(map[int]int)}
+func (ru variant) run(seed uint64) *sim {
+	sm := &sim{variant: ru, rnd: rand.New(rand.NewPCG(seed, 3)), serversLost: make(map[int]int), thirdCrashAt: make(map[int]clock.Millis), sentAfterThird: make(map[int]int)}
 	for range simVMs {
-		sm.vms = append(sm.vms, &suspect.Tracker{Settings: suspect.Settings{Refuse: ru.refuse, Ends: ru.ends}})
+		sm.vms = append(sm.vms, &suspect.Tracker{Settings: suspect.Settings{RefuseWeight: ru.refuse, RefuseCrashes: ru.crashes}})
 	}
 	for ix := range 8 + sm.rnd.IntN(11) {
 		sm.engines = append(sm.engines, &simEngine{domain: ix % 4, runs: make(map[*simRun]bool)})
@@ -128,7 +128,7 @@
 		sm.killers(-1-killer, sm.span(2000, 6000))
 	}
 	sm.crashes(sm.span(2000, 8000))
-	sm.domains(sm.span(10000, 30000))
+	sm.domainFailures(sm.span(10000, 30000))
 	for len(sm.events) > 0 && sm.now < simSpan {
 		ev := heap.Pop(&sm.events).(simEvent)
 		sm.now = ev.at
@@ -142,7 +142,7 @@
 	var next func()
 	next = func() {
 		id++
-		sm.come(simRequest{id: id}, 0)
+		sm.arrive(simRequest{id: id}, 0)
 		sm.after(sm.span(1, 2*every), next)
 	}
 	next()
@@ -152,7 +152,7 @@
 func (sm *sim) killers(id int, every clock.Millis) {
 	var next func()
 	next = func() {
-		sm.come(simRequest{id: id, killer: true, late: id == lateKiller}, 0)
+		sm.arrive(simRequest{id: id, killer: true, late: id == lateKiller}, 0)
 		sm.after(sm.span(every/8, 2*every), next)
 	}
 	sm.after(every, next)
@@ -161,19 +161,19 @@
 func (sm *sim) crashes(every clock.Millis) {
 	var next func()
 	next = func() {
-		sm.end(sm.engines[sm.rnd.IntN(len(sm.engines))])
+		sm.crash(sm.engines[sm.rnd.IntN(len(sm.engines))])
 		sm.after(sm.span(1, 2*every), next)
 	}
 	sm.after(every, next)
 }
 
-func (sm *sim) domains(every clock.Millis) {
+func (sm *sim) domainFailures(every clock.Millis) {
 	var next func()
 	next = func() {
 		domain := sm.rnd.IntN(4)
 		for _, en := range sm.engines {
 			if en.domain == domain {
-				sm.end(en)
+				sm.crash(en)
 			}
 		}
 		sm.after(sm.span(every/2, 2*every), next)
@@ -181,40 +181,40 @@
 	sm.after(every, next)
 }
 
-// come sends one try of a caller to a VM.
-func (sm *sim) come(req simRequest, try int) {
-	sm.serial++
-	rn := &simRun{serial: sm.serial, req: req, vm: sm.rnd.IntN(simVMs), try: try, tries: 2}
+// arrive sends one try of a caller to a VM.
+func (sm *sim) arrive(req simRequest, try int) {
+	sm.lastTry++
+	rn := &simRun{tryNumber: sm.lastTry, req: req, vm: sm.rnd.IntN(simVMs), try: try, tries: 2}
 	sm.start(rn)
 }
 
 func (sm *sim) mark(rn *simRun) suspect.Mark {
 	name := fmt.Sprint(rn.req.id)
-	if sm.ownNames {
-		name = fmt.Sprint("try ", rn.serial)
+	if sm.markPerTry {
+		name = fmt.Sprint("try ", rn.tryNumber)
 	}
 	return suspect.MarkOf([]byte("key"), []byte(name))
 }
 
 // start runs a request at the engine with the fewest runs.
 func (sm *sim) start(rn *simRun) {
-	if vd, _ := sm.vms[rn.vm].Look(sm.now, sm.mark(rn)); vd == suspect.Refused {
+	if vd, _ := sm.vms[rn.vm].Check(sm.now, sm.mark(rn)); vd == suspect.Refused {
 		if !rn.req.killer {
-			sm.refused++
+			sm.innocentsRefused++
 		}
 		return
 	}
 	at := sm.least()
 	if at == nil || rn.tries == 0 {
 		if rn.try == 0 {
-			sm.after(500, func() { sm.come(rn.req, 1) })
+			sm.after(500, func() { sm.arrive(rn.req, 1) })
 		}
 		return
 	}
 	rn.tries--
 	rn.began = sm.now
-	if third := sm.third[rn.req.id]; third > 0 && sm.now > third+contact {
-		sm.sentOn[rn.req.id]++
+	if third := sm.thirdCrashAt[rn.req.id]; third > 0 && sm.now > third+learnTime {
+		sm.sentAfterThird[rn.req.id]++
 	}
 	at.runs[rn] = true
 	life := at.life
@@ -225,11 +225,11 @@
 		}
 		sm.after(sm.span(least, most), func() {
 			if at.life == life && at.runs[rn] {
-				sm.lost[rn.req.id]++
-				if sm.lost[rn.req.id] == 3 {
-					sm.third[rn.req.id] = sm.now
+				sm.serversLost[rn.req.id]++
+				if sm.serversLost[rn.req.id] == 3 {
+					sm.thirdCrashAt[rn.req.id] = sm.now
 				}
-				sm.end(at)
+				sm.crash(at)
 			}
 		})
 		return
@@ -237,8 +237,8 @@
 	sm.after(sm.span(300, 4000), func() {
 		if at.runs[rn] {
 			delete(at.runs, rn)
-			sm.whole++
-			sm.worked(rn)
+			sm.completed++
+			sm.recordSuccess(rn)
 		}
 	})
 }
@@ -246,19 +246,19 @@
 func (sm *sim) least() *simEngine {
 	var least *simEngine
 	for _, en := range sm.engines {
-		if !en.down && (least == nil || len(en.runs) < len(least.runs)) {
+		if !en.isDown && (least == nil || len(en.runs) < len(least.runs)) {
 			least = en
 		}
 	}
 	return least
 }
 
-// end ends an engine for three seconds, and begins its runs elsewhere.
-func (sm *sim) end(en *simEngine) {
-	if en.down {
+// crash ends an engine for three seconds, and begins its runs elsewhere.
+func (sm *sim) crash(en *simEngine) {
+	if en.isDown {
 		return
 	}
-	en.down = true
+	en.isDown = true
 	server := fmt.Sprintf("%p.%d", en, en.life)
 	runs := en.runs
 	en.life++
@@ -268,26 +268,26 @@
 		return cmp.Or(cmp.Compare(ra.req.id, rb.req.id), cmp.Compare(ra.began, rb.began))
 	})
 	for _, rn := range order {
-		sm.note(rn, suspect.End{Mark: sm.mark(rn), Server: server, Beside: len(order) - 1, Answered: sm.now-rn.began > 150 && !sm.blind})
+		sm.recordCrash(rn, suspect.Crash{Mark: sm.mark(rn), Server: server, Concurrent: len(order) - 1, Answered: sm.now-rn.began > 150 && !sm.ignoreAnswered})
 	}
-	sm.after(3000, func() { en.down = false })
+	sm.after(3000, func() { en.isDown = false })
 }
 
-// note has the run's VM see an end, and tell the others, some of whom do not hear.
-func (sm *sim) note(rn *simRun, en suspect.End) {
-	sm.ends++
+// recordCrash has the run's VM see an end, and tell the others, some of whom do not hear.
+func (sm *sim) recordCrash(rn *simRun, en suspect.Crash) {
+	sm.crashCount++
 	skew := clock.Millis(0)
-	if sm.apart {
+	if sm.spreadCrashes {
 		skew = sm.span(0, 2000)
 	}
 	en.Age = skew
-	sm.vms[rn.vm].Note(sm.now, en)
-	sm.tell(rn.vm, en)
+	sm.vms[rn.vm].Record(sm.now, en)
+	sm.broadcast(rn.vm, en)
 	sm.after(sm.span(3, 25), func() { sm.start(rn) })
 }
 
-func (sm *sim) tell(from int, en suspect.End) {
-	if sm.deaf {
+func (sm *sim) broadcast(from int, en suspect.Crash) {
+	if sm.noSharing {
 		return
 	}
 	for ix, tr := range sm.vms {
@@ -298,38 +298,38 @@
 			sm.after(delay+sm.span(1, 6), func() {
 				late := en
 				late.Age += delay
-				tr.Note(sm.now, late)
+				tr.Record(sm.now, late)
 			})
 		}
 	}
 }
 
-func (sm *sim) worked(rn *simRun) {
+func (sm *sim) recordSuccess(rn *simRun) {
 	tr := sm.vms[rn.vm]
-	if vd, _ := tr.Look(sm.now, sm.mark(rn)); vd == suspect.Clear {
+	if vd, _ := tr.Check(sm.now, sm.mark(rn)); vd == suspect.Clear {
 		return
 	}
-	if _, en := tr.Worked(sm.now, sm.mark(rn)); en.Server != "" {
-		sm.tell(rn.vm, en)
+	if _, en := tr.RecordSuccess(sm.now, sm.mark(rn)); en.Server != "" {
+		sm.broadcast(rn.vm, en)
 	}
 }
 
 // result is what became of all seeds.
 type result struct{ mostLost, mostLostLate, refused, whole, ends int }
 
-// breaks tells whether a bound is broken.
-func (rs result) breaks() bool {
-	return rs.mostLost > mostLost || rs.mostLostLate > mostLostLate || rs.refused > mostInnocent
+// exceedsBounds tells whether a bound is broken.
+func (rs result) exceedsBounds() bool {
+	return rs.mostLost > maxLost || rs.mostLostLate > maxLostLate || rs.refused > maxInnocent
 }
 
-func (ru rule) all() (rs result) {
+func (ru variant) runSeeds() (rs result) {
 	for seed := range uint64(simSeeds) {
 		sm := ru.run(seed)
-		rs.mostLost = max(rs.mostLost, sm.lost[lateKiller+1])
-		rs.mostLostLate = max(rs.mostLostLate, sm.lost[lateKiller])
-		rs.refused += sm.refused
-		rs.whole += sm.whole
-		rs.ends += sm.ends
+		rs.mostLost = max(rs.mostLost, sm.serversLost[lateKiller+1])
+		rs.mostLostLate = max(rs.mostLostLate, sm.serversLost[lateKiller])
+		rs.refused += sm.innocentsRefused
+		rs.whole += sm.completed
+		rs.ends += sm.crashCount
 	}
 	return rs
 }
@@ -337,26 +337,26 @@
 // Killers among others, on fleets whose engines crash alone and by failure domain:
 // each ends a few servers and no more, and no innocent is refused.
 func TestKillersAreFoundAndInnocentsAreNot(t *testing.T) {
-	rs := rule{}.all()
+	rs := variant{}.runSeeds()
 	t.Logf("%+v", rs)
-	assert.Assert(t, !rs.breaks(), "%+v", rs)
+	assert.Assert(t, !rs.exceedsBounds(), "%+v", rs)
 	assert.Assert(t, rs.whole > 10000 && rs.ends > 1000, "%+v: too little happened", rs)
 }
 
 // A search without one of its parts is caught by the test above.
 func TestMutationsOfTheSearchAreCaught(t *testing.T) {
-	for name, ru := range map[string]rule{
-		"too patient":             {refuse: 6, ends: 12},
+	for name, ru := range map[string]variant{
+		"too patient":             {refuse: 6, crashes: 12},
 		"too quick":               {refuse: 1},
-		"each VM for itself":      {deaf: true},
-		"each try for itself":     {ownNames: true},
-		"answers are not seen":    {blind: true},
-		"ends together are apart": {apart: true, blind: true},
+		"each VM for itself":      {noSharing: true},
+		"each try for itself":     {markPerTry: true},
+		"answers are not seen":    {ignoreAnswered: true},
+		"ends together are apart": {spreadCrashes: true, ignoreAnswered: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rs := ru.all()
+			rs := ru.runSeeds()
 			t.Logf("%+v", rs)
-			assert.Assert(t, rs.breaks(), "%+v", rs)
+			assert.Assert(t, rs.exceedsBounds(), "%+v", rs)
 		})
 	}
 }
@@ -369,12 +369,12 @@
 // "Ends:5 Weight:1.33" of it and sent it on until "Ends:8 Weight:3.83" (3760).
 func TestKillerIsNotSentOnAfterItsThirdServer(t *testing.T) {
 	const most = 3
-	sentOn := func(ru rule, seed uint64) int {
+	sentOn := func(ru variant, seed uint64) int {
 		sm := ru.run(seed)
-		return max(sm.sentOn[lateKiller], sm.sentOn[lateKiller+1])
+		return max(sm.sentAfterThird[lateKiller], sm.sentAfterThird[lateKiller+1])
 	}
 	for _, seed := range []uint64{2812, 3760, 5497, 5880} {
-		assert.Assert(t, sentOn(rule{}, seed) <= most, "seed %d: sent on %d times", seed, sentOn(rule{}, seed))
-		assert.Assert(t, sentOn(rule{ends: 12}, seed) > most, "seed %d shows nothing any more", seed)
+		assert.Assert(t, sentOn(variant{}, seed) <= most, "seed %d: sent on %d times", seed, sentOn(variant{}, seed))
+		assert.Assert(t, sentOn(variant{crashes: 12}, seed) > most, "seed %d shows nothing any more", seed)
 	}
 }
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -6,19 +6,19 @@
 // the same at each try, and VMs tell each other at which server's end a request
 // was there.
 //
-// An [End] is evidence. It is strong where nothing else was at the server, weaker
+// A [Crash] is evidence. It is strong where nothing else was at the server, weaker
 // where the server had begun to answer the request, and next to none where many
 // servers ended at once, as when a failure domain loses its power. A request whose
-// ends come to [Settings.Refuse], or are as many as [Settings.Ends], is refused until
+// ends come to [Settings.RefuseWeight], or are as many as [Settings.RefuseCrashes], is refused until
 // the oldest of them is forgotten; one that ends well loses its newest.
 //
 // # Usage
 //
 //	tr := &suspect.Tracker{}
-//	if tr.Any() { mk := suspect.MarkOf(key, parts...); vd := tr.Look(now, mk) }
-//	change := tr.Note(now, suspect.End{Mark: mk, Server: life, Beside: 7})
-//	tell(end)                  // the other VMs, who Note it too
-//	tell(tr.Retell(now, 12)...) // now and then, for those that have started since
+//	if tr.HasSuspects() { mk := suspect.MarkOf(key, parts...); vd := tr.Check(now, mk) }
+//	change := tr.Record(now, suspect.Crash{Mark: mk, Server: life, Concurrent: 7})
+//	send(crash)                // the other VMs, who Record it too
+//	send(tr.Strongest(now, 12)...) // now and then, for those that have started since
 //
 // A Tracker does no I/O and is not safe for concurrent use. The zero value is
 // ready.
@@ -40,19 +40,19 @@
 
 // What the zero value of a field of [Settings] stands for.
 const (
-	// DefaultRefuse is the ends after which a request is refused: three that are
+	// DefaultRefuseWeight is the ends after which a request is refused: three that are
 	// like any other.
-	DefaultRefuse = 3.0
-	// DefaultEnds is the number after which it is refused whatever they weigh: one that
+	DefaultRefuseWeight = 3.0
+	// DefaultRefuseCrashes is the number after which it is refused whatever they weigh: one that
 	// ends servers in the moments in which a failure domain is lost would be sent on
 	// for as long as domains are lost, and chance does not find one request that often.
-	DefaultEnds = 5
-	// DefaultKeep is how long an end counts. A request that ends all its servers
+	DefaultRefuseCrashes = 5
+	// DefaultTTL is how long an end counts. A request that ends all its servers
 	// then ends three in that span, and one of each ten more where the first is
 	// forgotten.
-	DefaultKeep = 5 * clock.Minute
-	// DefaultMost bounds the requests that are kept: each takes about 300 bytes.
-	DefaultMost = 1024
+	DefaultTTL = 5 * clock.Minute
+	// DefaultMaxRequests bounds the requests that are kept: each takes about 300 bytes.
+	DefaultMaxRequests = 1024
 )
 
 const (
@@ -62,12 +62,12 @@
 	weightPlain    = 1.0
 	weightAnswered = 0.65
 	weightAlone    = 1.5
-	// together is the span in which ends of several servers have one cause. A
+	// coincidenceWindow is the span in which ends of several servers have one cause. A
 	// domain's servers end within the time of one crossing; a request needs 50 ms
 	// and more to come to its next server.
-	together = 25 * clock.Millis(1)
-	// mostServers bounds the ends of servers that are kept for that.
-	mostServers = 256
+	coincidenceWindow = 25 * clock.Millis(1)
+	// maxServers bounds the ends of servers that are kept for that.
+	maxServers = 256
 )
 
 // Verdicts on a request.
@@ -84,47 +84,47 @@
 	// Verdict on a request.
 	Verdict int
 
-	// End is the end of a server while a request was there.
-	End struct {
-		Mark     Mark
-		Server   string       // one life of it
-		Answered bool         // the server had begun to answer the request
-		Beside   int          // other requests there
-		Age      clock.Millis // how long ago it was
-		Forgiven bool         // the request ended well since, and the end does not count
+	// Crash is the end of a server while a request was there.
+	Crash struct {
+		Mark       Mark
+		Server     string       // one life of it
+		Answered   bool         // the server had begun to answer the request
+		Concurrent int          // other requests there
+		Age        clock.Millis // how long ago it was
+		Retracted  bool         // the request ended well since, and the end does not count
 	}
 
 	// Settings of a Tracker. A zero field stands for its default.
 	Settings struct {
-		Refuse float64      // weight of ends from which a request is refused
-		Ends   int          // number of ends from which it is
-		Keep   clock.Millis // for which an end counts
-		Most   int          // requests that are kept
+		RefuseWeight  float64      // weight of ends from which a request is refused
+		RefuseCrashes int          // number of ends from which it is
+		TTL           clock.Millis // for which an end counts
+		MaxRequests   int          // requests that are kept
 	}
 
 	// Change is what came of an end or of an answer.
 	Change struct {
-		Before, Now Verdict
-		Weight      float64 // of all ends that count
-		Ends        int
+		Before, After Verdict
+		Weight        float64 // of all ends that count
+		Crashes       int
 	}
 
 	// Tracker knows the requests under suspicion as one VM does.
 	Tracker struct {
 		Settings Settings
 
-		known    map[Mark][]noted // the oldest first
-		servers  []serverEnd      // lately, in the order in which they were heard of
-		released []Mark           // were refused until an end was forgotten
-		blamed   map[string]Mark  // requests that are refused, by the servers at whose ends they were
+		crashes       map[Mark][]crashRecord // the oldest first
+		recentServers []serverCrash          // lately, in the order in which they were heard of
+		released      []Mark                 // were refused until an end was forgotten
+		blamed        map[string]Mark        // requests that are refused, by the servers at whose ends they were
 	}
 
-	noted struct {
-		End
+	crashRecord struct {
+		Crash
 		at clock.Millis
 	}
 
-	serverEnd struct {
+	serverCrash struct {
 		server string
 		at     clock.Millis
 	}
@@ -146,105 +146,105 @@
 // String is enough of a mark to find it in the logs.
 func (mk Mark) String() string { return hex.EncodeToString(mk[:6]) }
 
-// Any tells whether there is any request under suspicion. While there is none, no
+// HasSuspects tells whether there is any request under suspicion. While there is none, no
 // request needs a mark.
-func (tr *Tracker) Any() bool { return len(tr.known) > 0 }
+func (tr *Tracker) HasSuspects() bool { return len(tr.crashes) > 0 }
 
-// Look is the verdict on a request. If it is refused, the span tells when it may
+// Check is the verdict on a request. If it is refused, the span tells when it may
 // be tried once more.
-func (tr *Tracker) Look(now clock.Millis, mk Mark) (Verdict, clock.Millis) {
-	tr.forget(now, mk)
+func (tr *Tracker) Check(now clock.Millis, mk Mark) (Verdict, clock.Millis) {
+	tr.expire(now, mk)
 	vd := tr.verdict(mk)
 	if vd != Refused {
 		return vd, 0
 	}
-	return vd, max(1, tr.known[mk][0].at+tr.keep()-now)
+	return vd, max(1, tr.crashes[mk][0].at+tr.ttl()-now)
 }
 
-// Note takes an end into account. Each server's end counts once for a request,
+// Record takes an end into account. Each server's end counts once for a request,
 // however many VMs tell of it.
-func (tr *Tracker) Note(now clock.Millis, en End) Change {
-	tr.forget(now, en.Mark)
-	tr.noteServer(now-en.Age, en.Server)
+func (tr *Tracker) Record(now clock.Millis, en Crash) Change {
+	tr.expire(now, en.Mark)
+	tr.recordServer(now-en.Age, en.Server)
 	ch := Change{Before: tr.verdict(en.Mark)}
-	list := tr.known[en.Mark]
-	if at := slices.IndexFunc(list, func(no noted) bool { return no.Server == en.Server }); at >= 0 {
-		list[at].Forgiven = list[at].Forgiven || en.Forgiven
-	} else if en.Age < tr.keep() {
-		tr.add(now, en)
-	}
-	tr.blame(en.Mark)
-	return tr.changed(ch, en.Mark)
+	list := tr.crashes[en.Mark]
+	if at := slices.IndexFunc(list, func(no crashRecord) bool { return no.Server == en.Server }); at >= 0 {
+		list[at].Retracted = list[at].Retracted || en.Retracted
+	} else if en.Age < tr.ttl() {
+		tr.insert(now, en)
+	}
+	tr.assignBlame(en.Mark)
+	return tr.complete(ch, en.Mark)
 }
 
-// blame has the ends of the servers of a request that is refused speak against no
+// assignBlame has the ends of the servers of a request that is refused speak against no
 // other: who was there too was there by chance.
-func (tr *Tracker) blame(mk Mark) {
+func (tr *Tracker) assignBlame(mk Mark) {
 	if tr.verdict(mk) != Refused {
 		return
 	}
 	if tr.blamed == nil {
 		tr.blamed = make(map[string]Mark)
 	}
-	for _, no := range tr.known[mk] {
+	for _, no := range tr.crashes[mk] {
 		if _, found := tr.blamed[no.Server]; !found {
 			tr.blamed[no.Server] = mk
 		}
 	}
 }
 
-// counts tells whether an end speaks against its request.
-func (tr *Tracker) counts(no noted) bool {
+// counted tells whether an end speaks against its request.
+func (tr *Tracker) counted(no crashRecord) bool {
 	mk, found := tr.blamed[no.Server]
-	return !no.Forgiven && (!found || mk == no.Mark)
+	return !no.Retracted && (!found || mk == no.Mark)
 }
 
-// add enters an end among those of its request, the oldest first.
-func (tr *Tracker) add(now clock.Millis, en End) {
-	tr.makeRoom(now)
-	no := noted{en, now - en.Age}
-	list := tr.known[en.Mark]
-	at := slices.IndexFunc(list, func(one noted) bool { return one.at > no.at })
+// insert enters an end among those of its request, the oldest first.
+func (tr *Tracker) insert(now clock.Millis, en Crash) {
+	tr.evict(now)
+	no := crashRecord{en, now - en.Age}
+	list := tr.crashes[en.Mark]
+	at := slices.IndexFunc(list, func(one crashRecord) bool { return one.at > no.at })
 	if at < 0 {
 		at = len(list)
 	}
-	tr.known[en.Mark] = slices.Insert(list, at, no)
+	tr.crashes[en.Mark] = slices.Insert(list, at, no)
 }
 
-// Worked notes that a request came to its end without its server's. Its newest end
+// RecordSuccess notes that a request came to its end without its server's. Its newest end
 // that counts is forgiven, and returned for the other VMs; without one the end has
 // no server.
-func (tr *Tracker) Worked(now clock.Millis, mk Mark) (Change, End) {
-	tr.forget(now, mk)
+func (tr *Tracker) RecordSuccess(now clock.Millis, mk Mark) (Change, Crash) {
+	tr.expire(now, mk)
 	ch := Change{Before: tr.verdict(mk)}
-	list := tr.known[mk]
+	list := tr.crashes[mk]
 	for ix := len(list) - 1; ix >= 0; ix-- {
-		if !list[ix].Forgiven {
-			list[ix].Forgiven = true
-			return tr.changed(ch, mk), list[ix].told(now)
+		if !list[ix].Retracted {
+			list[ix].Retracted = true
+			return tr.complete(ch, mk), list[ix].aged(now)
 		}
 	}
-	return tr.changed(ch, mk), End{}
+	return tr.complete(ch, mk), Crash{}
 }
 
-// Retell lists the ends of the requests of which most is known, at most so many:
+// Strongest lists the ends of the requests of which most is known, at most so many:
 // VMs that were cut off do not know them.
-func (tr *Tracker) Retell(now clock.Millis, most int) []End {
+func (tr *Tracker) Strongest(now clock.Millis, most int) []Crash {
 	return tr.list(now, most, func(mk Mark) bool {
 		return tr.weight(mk) > weightAlone || tr.verdict(mk) == Refused // more than any one end weighs
 	})
 }
 
-// Known is [Tracker.Retell] for a VM that has just started and knows nothing: it lists
+// Snapshot is [Tracker.Strongest] for a VM that has just started and knows nothing: it lists
 // requests of which little is known too.
-func (tr *Tracker) Known(now clock.Millis, most int) []End {
+func (tr *Tracker) Snapshot(now clock.Millis, most int) []Crash {
 	return tr.list(now, most, func(Mark) bool { return true })
 }
 
-func (tr *Tracker) list(now clock.Millis, most int, wanted func(mk Mark) bool) []End {
+func (tr *Tracker) list(now clock.Millis, most int, wanted func(mk Mark) bool) []Crash {
 	var marks []Mark
-	for mk := range tr.known {
-		tr.forget(now, mk)
+	for mk := range tr.crashes {
+		tr.expire(now, mk)
 		if wanted(mk) {
 			marks = append(marks, mk)
 		}
@@ -252,30 +252,30 @@
 	slices.SortFunc(marks, func(ma, mb Mark) int {
 		return cmp.Or(cmp.Compare(tr.weight(mb), tr.weight(ma)), bytes.Compare(ma[:], mb[:]))
 	})
-	var out []End
+	var out []Crash
 	for _, mk := range marks {
-		for _, no := range tr.known[mk] {
-			out = append(out, no.told(now))
+		for _, no := range tr.crashes[mk] {
+			out = append(out, no.aged(now))
 		}
 	}
 	return out[:min(len(out), most)]
 }
 
-// told is the end as it is told to others now.
-func (no noted) told(now clock.Millis) End {
-	en := no.End
+// aged is the end as it is aged to others now.
+func (no crashRecord) aged(now clock.Millis) Crash {
+	en := no.Crash
 	en.Age = now - no.at
 	return en
 }
 
-func (tr *Tracker) changed(ch Change, mk Mark) Change {
-	ch.Now, ch.Weight, ch.Ends = tr.verdict(mk), tr.weight(mk), len(tr.known[mk])
+func (tr *Tracker) complete(ch Change, mk Mark) Change {
+	ch.After, ch.Weight, ch.Crashes = tr.verdict(mk), tr.weight(mk), len(tr.crashes[mk])
 	return ch
 }
 
 func (tr *Tracker) verdict(mk Mark) Verdict {
 	switch weight := tr.weight(mk); {
-	case weight >= tr.refuse() || tr.standing(mk) >= tr.ends():
+	case weight >= tr.refuseWeight() || tr.distinctCrashes(mk) >= tr.refuseCrashes():
 		return Refused
 	case weight == 0:
 		return Clear
@@ -287,24 +287,24 @@
 // weight is the sum of what a request's ends weigh.
 func (tr *Tracker) weight(mk Mark) float64 {
 	sum := 0.0
-	list := tr.known[mk]
+	list := tr.crashes[mk]
 	for _, no := range list {
-		if !tr.counts(no) {
+		if !tr.counted(no) {
 			continue
 		}
-		sum += no.weight() / float64(1+tr.others(no, list))
+		sum += no.weight() / float64(1+tr.coincidingServers(no, list))
 	}
 	return sum
 }
 
-// standing is the number of a request's ends that were not forgiven, also of those for
+// distinctCrashes is the number of a request's ends that were not forgiven, also of those for
 // which another request is to blame: two that end their servers may meet there. Ends
 // in one moment are one: what many callers ask at once is at many servers.
-func (tr *Tracker) standing(mk Mark) int {
+func (tr *Tracker) distinctCrashes(mk Mark) int {
 	count := 0
 	last := clock.Millis(math.MinInt64 / 2)
-	for _, no := range tr.known[mk] {
-		if !no.Forgiven && no.at > last+together {
+	for _, no := range tr.crashes[mk] {
+		if !no.Retracted && no.at > last+coincidenceWindow {
 			count++
 			last = no.at
 		}
@@ -312,94 +312,94 @@
 	return count
 }
 
-func (en End) weight() float64 {
+func (en Crash) weight() float64 {
 	weight := weightPlain
 	if en.Answered {
 		weight = weightAnswered
 	}
-	if en.Beside == 0 {
+	if en.Concurrent == 0 {
 		weight *= weightAlone
 	}
 	return weight
 }
 
-// others counts the servers that ended together with one and at which the request
+// coincidingServers counts the servers that ended together with one and at which the request
 // was not.
-func (tr *Tracker) others(no noted, list []noted) int {
+func (tr *Tracker) coincidingServers(no crashRecord, list []crashRecord) int {
 	count := 0
-	for _, se := range tr.servers {
-		near := se.at >= no.at-together && se.at <= no.at+together
-		if near && !slices.ContainsFunc(list, func(one noted) bool { return one.Server == se.server }) {
+	for _, se := range tr.recentServers {
+		near := se.at >= no.at-coincidenceWindow && se.at <= no.at+coincidenceWindow
+		if near && !slices.ContainsFunc(list, func(one crashRecord) bool { return one.Server == se.server }) {
 			count++
 		}
 	}
 	return count
 }
 
-// noteServer remembers when a server ended, once.
-func (tr *Tracker) noteServer(now clock.Millis, server string) {
-	if slices.ContainsFunc(tr.servers, func(se serverEnd) bool { return se.server == server }) {
+// recordServer remembers when a server ended, once.
+func (tr *Tracker) recordServer(now clock.Millis, server string) {
+	if slices.ContainsFunc(tr.recentServers, func(se serverCrash) bool { return se.server == server }) {
 		return
 	}
-	if len(tr.servers) >= mostServers {
-		tr.servers = tr.servers[1:]
+	if len(tr.recentServers) >= maxServers {
+		tr.recentServers = tr.recentServers[1:]
 	}
-	tr.servers = append(tr.servers, serverEnd{server, now})
+	tr.recentServers = append(tr.recentServers, serverCrash{server, now})
 }
 
-// forget drops the ends of a request that count no more.
-func (tr *Tracker) forget(now clock.Millis, mk Mark) {
-	list := tr.known[mk]
-	if len(list) == 0 || now < list[0].at+tr.keep() {
+// expire drops the ends of a request that count no more.
+func (tr *Tracker) expire(now clock.Millis, mk Mark) {
+	list := tr.crashes[mk]
+	if len(list) == 0 || now < list[0].at+tr.ttl() {
 		return
 	}
 	before := tr.verdict(mk)
-	first := slices.IndexFunc(list, func(no noted) bool { return now < no.at+tr.keep() })
+	first := slices.IndexFunc(list, func(no crashRecord) bool { return now < no.at+tr.ttl() })
 	if first < 0 {
-		delete(tr.known, mk)
+		delete(tr.crashes, mk)
 	} else {
-		tr.known[mk] = list[first:]
+		tr.crashes[mk] = list[first:]
 	}
 	if before == Refused && tr.verdict(mk) != Refused {
 		tr.released = append(tr.released, mk)
 	}
-	maps.DeleteFunc(tr.blamed, func(_ string, one Mark) bool { return one == mk && len(tr.known[mk]) == 0 })
+	maps.DeleteFunc(tr.blamed, func(_ string, one Mark) bool { return one == mk && len(tr.crashes[mk]) == 0 })
 }
 
-// Forget drops what counts no more, and lists the requests that are not refused any
+// Expire drops what counts no more, and lists the requests that are not refused any
 // more since.
-func (tr *Tracker) Forget(now clock.Millis) []Mark {
-	for mk := range tr.known {
-		tr.forget(now, mk)
+func (tr *Tracker) Expire(now clock.Millis) []Mark {
+	for mk := range tr.crashes {
+		tr.expire(now, mk)
 	}
 	out := tr.released
 	tr.released = nil
 	return out
 }
 
-// makeRoom drops what counts no more, or else the request of which least is known,
+// evict drops what counts no more, or else the request of which least is known,
 // if as many are kept as may be.
-func (tr *Tracker) makeRoom(now clock.Millis) {
-	if tr.known == nil {
-		tr.known = make(map[Mark][]noted)
+func (tr *Tracker) evict(now clock.Millis) {
+	if tr.crashes == nil {
+		tr.crashes = make(map[Mark][]crashRecord)
 	}
-	if len(tr.known) < tr.most() {
+	if len(tr.crashes) < tr.maxRequests() {
 		return
 	}
-	for mk := range tr.known {
-		tr.forget(now, mk)
+	for mk := range tr.crashes {
+		tr.expire(now, mk)
 	}
-	for len(tr.known) >= tr.most() {
-		delete(tr.known, tr.least())
+	for len(tr.crashes) >= tr.maxRequests() {
+		delete(tr.crashes, tr.weakest())
 	}
 }
 
-// least is the request with the fewest ends, and the oldest of those alike.
-func (tr *Tracker) least() Mark {
+// weakest is the request with the fewest ends, and the oldest of those alike.
+func (tr *Tracker) weakest() Mark {
 	var least Mark
 	first := true
-	for mk, list := range tr.known {
-		old := tr.known[least]
+	for mk, list := range tr.crashes {
+		old := tr.crashes[least]
 		if first || len(list) < len(old) || len(list) == len(old) && list[0].at < old[0].at {
 			least, first = mk, false
 		}
@@ -407,13 +407,17 @@
 	return least
 }
 
-func (tr *Tracker) refuse() float64 { return orDefault(tr.Settings.Refuse, DefaultRefuse) }
+func (tr *Tracker) refuseWeight() float64 {
+	return orDefault(tr.Settings.RefuseWeight, DefaultRefuseWeight)
+}
 
-func (tr *Tracker) ends() int { return orDefault(tr.Settings.Ends, DefaultEnds) }
+func (tr *Tracker) refuseCrashes() int {
+	return orDefault(tr.Settings.RefuseCrashes, DefaultRefuseCrashes)
+}
 
-func (tr *Tracker) keep() clock.Millis { return orDefault(tr.Settings.Keep, DefaultKeep) }
+func (tr *Tracker) ttl() clock.Millis { return orDefault(tr.Settings.TTL, DefaultTTL) }
 
-func (tr *Tracker) most() int { return orDefault(tr.Settings.Most, DefaultMost) }
+func (tr *Tracker) maxRequests() int { return orDefault(tr.Settings.MaxRequests, DefaultMaxRequests) }
 
 func orDefault[T int | float64 | clock.Millis](val, def T) T {
 	if val <= 0 {
