--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -120,15 +120,15 @@
 		Epoch   uint64
 	}
 
-	// InForce is a template with the revision that put it in force.
-	InForce struct {
+	// ActiveTemplate is a template with the revision that put it in force.
+	ActiveTemplate struct {
 		Template template.Template
 		Revision uint64
 	}
 
 	// Templates is the customers' configuration in force.
 	Templates struct {
-		ByCustomer map[string]InForce
+		ByCustomer map[string]ActiveTemplate
 		ByKeyHash  map[string]string // API key hash to customer
 		Ready      bool              // false until the configuration was learned
 		Applied    uint64            // log offset up to which it was learned
@@ -214,9 +214,9 @@
 // Key is what all lives of the server have in common.
 func (bs BackendServer) Key() string { return cmp.Or(bs.Name, bs.ID) }
 
-// Reborn tells whether another life of the server is listed in place of this
+// Restarted tells whether another life of the server is listed in place of this
 // one.
-func (bk *Backends) Reborn(bs BackendServer) bool {
+func (bk *Backends) Restarted(bs BackendServer) bool {
 	return slices.ContainsFunc(bk.Servers, func(other BackendServer) bool {
 		return other.Key() == bs.Key() && other.ID != bs.ID
 	})
--- a/internal/caller/rig_test.go
+++ b/internal/caller/rig_test.go
@@ -114,7 +114,7 @@
 	bd := &board.Board{}
 	bd.SetTemplates(&board.Templates{
 		Ready:      true,
-		ByCustomer: map[string]board.InForce{"kedelsyn": {Template: tpl}},
+		ByCustomer: map[string]board.ActiveTemplate{"kedelsyn": {Template: tpl}},
 		ByKeyHash:  map[string]string{hash: "kedelsyn"},
 	})
 	return bd
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -208,7 +208,7 @@
 	assert.NilError(t, err)
 	tpl, err := template.Parse(kedelsynFile, text)
 	assert.NilError(t, err)
-	tm.vm.inForce = board.Templates{Ready: true, ByCustomer: map[string]board.InForce{"kedelsyn": {Template: tpl, Revision: 4}}}
+	tm.vm.inForce = board.Templates{Ready: true, ByCustomer: map[string]board.ActiveTemplate{"kedelsyn": {Template: tpl, Revision: 4}}}
 
 	assert.Equal(t, tm.run(t, "templates"), cli.Done, tm.err)
 	assert.Equal(t, tm.out, "CUSTOMER  REVISION\nkedelsyn  4\n")
--- a/internal/entry/follower.go
+++ b/internal/entry/follower.go
@@ -126,15 +126,15 @@
 		vm.wg.Go(func() { fw.read(in) })
 	case register.Append:
 		vm.wg.Go(func() { fw.append(in) })
-	case register.AskPeer:
+	case register.RequestRecords:
 		vm.wg.Go(func() { fw.askPeer(in) })
-	case register.AskSnapshot:
+	case register.RequestSnapshot:
 		vm.wg.Go(func() { fw.askSnapshot(in) })
-	case register.InForce:
+	case register.TemplatesChanged:
 		vm.useTemplates(in.Templates)
 	case register.Verdict:
 		vm.verdicts.answer(in)
-	case register.Note:
+	case register.LogEvent:
 		vm.Log.Log(in.Event, in.Fields...)
 	}
 }
@@ -151,7 +151,7 @@
 	fw.ac.Tell(fw.vm.loopCtx, register.Appended{ID: in.ID, Offset: offset, Err: err})
 }
 
-func (fw *follower) askPeer(in register.AskPeer) {
+func (fw *follower) askPeer(in register.RequestRecords) {
 	ctx := fw.vm.loopCtx
 	reply, err := fw.vm.callPeer(ctx, in.VM, &peerpb.Frame{Body: &peerpb.Frame_LogAsk{
 		LogAsk: &peerpb.LogAsk{Stream: fw.stream, From: in.From, Max: int32(in.Max)},
@@ -159,7 +159,7 @@
 	fw.ac.Tell(ctx, register.PeerRecords{VM: in.VM.VMRef, Batch: batchFromWire(reply.GetLogRecords()), Err: err})
 }
 
-func (fw *follower) askSnapshot(in register.AskSnapshot) {
+func (fw *follower) askSnapshot(in register.RequestSnapshot) {
 	ctx := fw.vm.loopCtx
 	reply, err := fw.vm.callPeer(ctx, in.VM, &peerpb.Frame{Body: &peerpb.Frame_SnapshotAsk{
 		SnapshotAsk: &peerpb.SnapshotAsk{Stream: fw.stream},
@@ -185,7 +185,7 @@
 	defer stop()
 	decided := vm.verdicts.open(pub.ID)
 	tpl := pub.Template
-	vm.follower.ac.Tell(ctx, register.Change{ID: pub.ID, Customer: pub.Customer, Base: pub.Base, Template: &tpl, Again: pub.Again})
+	vm.follower.ac.Tell(ctx, register.PublishRequest{ID: pub.ID, Customer: pub.Customer, Base: pub.Base, Template: &tpl, Repeated: pub.Again})
 	select {
 	case vd := <-decided:
 		return operatorVerdict(vd)
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -57,11 +57,11 @@
 	out := le.ho.Step(now, ev)
 	for _, in := range out {
 		switch in := in.(type) {
-		case register.Held:
+		case register.LeaseHeld:
 			if le.since == 0 {
 				le.since = in.Token
 			}
-		case register.Lapsed:
+		case register.LeaseLost:
 			le.since = 0
 		}
 	}
@@ -81,11 +81,11 @@
 	switch in := in.(type) {
 	case register.LeaseAppend:
 		le.vm.wg.Go(func() { le.append(in) })
-	case register.Held:
+	case register.LeaseHeld:
 		le.tell(orders.Held{Token: in.Token})
-	case register.Lapsed:
+	case register.LeaseLost:
 		le.tell(orders.Lapsed{Token: in.Token})
-	case register.Note:
+	case register.LogEvent:
 		le.vm.Log.Log(in.Event, in.Fields...)
 	}
 }
@@ -103,6 +103,6 @@
 	for _, hc := range vm.accountant.all() {
 		le := hc.ord.lease
 		en, known := fo.Entry(le.ho.Resource)
-		le.ac.Tell(le.ctx, register.Observed{Entry: en, Known: known && fo.Ready()})
+		le.ac.Tell(le.ctx, register.LeaseObserved{Entry: en, Known: known && fo.Ready()})
 	}
 }
--- a/internal/entry/lease_test.go
+++ b/internal/entry/lease_test.go
@@ -27,7 +27,7 @@
 	lb.clk.Advance(clock.Second)
 	vm := &VM{Clock: lb.clk, Self: board.VMRef{ID: strings.Repeat("v", 63), Incarnation: 1_790_000_000_000}, Settings: settings.Default()}
 	lb.le = vm.newLease(t.Context(), "m/0", nil)
-	lb.step(register.Observed{Known: true})
+	lb.step(register.LeaseObserved{Known: true})
 	return lb
 }
 
@@ -47,14 +47,14 @@
 
 func (lb *leaseBench) taken(id string, value json.RawMessage) {
 	lb.entry = register.Entry{Key: lb.le.ho.Resource, Revision: lb.next, ID: id, Value: value}
-	lb.step(register.Observed{Entry: lb.entry, Known: true})
+	lb.step(register.LeaseObserved{Entry: lb.entry, Known: true})
 }
 
 func TestLeaseIsAskedByTheClock(t *testing.T) {
 	const margin = 2 * clock.Second
 	lb := newLeaseBench(t)
 	assert.Assert(t, !lb.le.mayOrder(lb.next, 0), "not wanted yet")
-	lb.step(register.Want{Hold: true})
+	lb.step(register.LeaseWanted{Hold: true})
 	token := lb.entry.Revision
 	assert.Assert(t, token != 0 && lb.le.mayOrder(token, margin))
 	assert.Assert(t, !lb.le.mayOrder(token-1, 0), "a token of before the lease")
@@ -72,7 +72,7 @@
 // was taken again doesn't.
 func TestOrdersOutliveRenewalsOnly(t *testing.T) {
 	lb := newLeaseBench(t)
-	lb.step(register.Want{Hold: true})
+	lb.step(register.LeaseWanted{Hold: true})
 	first := lb.entry.Revision
 	lb.clk.Advance(leaseDuration / 2)
 	lb.step(register.LeaseTick{})
@@ -93,10 +93,10 @@
 func TestLeasesHaveIDsOfTheirOwn(t *testing.T) {
 	lb := newLeaseBench(t)
 	other := lb.le.vm.newLease(t.Context(), "m/0", nil)
-	lb.step(register.Want{Hold: true})
+	lb.step(register.LeaseWanted{Hold: true})
 	one := lb.entry.ID
-	other.step(lb.clk.Now(), register.Observed{Known: true})
-	for _, in := range other.step(lb.clk.Now(), register.Want{Hold: true}) {
+	other.step(lb.clk.Now(), register.LeaseObserved{Known: true})
+	for _, in := range other.step(lb.clk.Now(), register.LeaseWanted{Hold: true}) {
 		if la, ok := in.(register.LeaseAppend); ok {
 			assert.Assert(t, la.ID != one && len(la.ID) <= register.MaxID, la.ID)
 		}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -63,15 +63,15 @@
 	switch in := in.(type) {
 	case membership.Send:
 		vm.Peers.Datagram(in.To, in.Datagram) // lost datagrams are membership's daily bread
-	case membership.Fresh:
+	case membership.QuorumDeadline:
 		vm.fresh.Store(int64(in.Until))
-	case membership.Refuted:
+	case membership.DeathRefuted:
 		vm.Log.Log(event.HeldDead)
 		vm.refuted.raise()
 	case membership.Replaced:
 		vm.Log.Log(event.Replaced, event.F("Incarnation", in.Incarnation))
 		vm.beginStop()
-	case membership.Changed:
+	case membership.FleetChanged:
 		old := vm.Board.Fleet()
 		fleet.LogChanges(vm.Log, old, in.Fleet)
 		vm.Board.SetFleet(in.Fleet)
@@ -112,8 +112,8 @@
 	for {
 		moved := vm.fleetMove.wait()
 		fl := vm.Board.Fleet()
-		vm.follower.ac.Tell(ctx, register.Fleet{Fleet: fl})
-		vm.leases.ac.Tell(ctx, register.Fleet{Fleet: fl})
+		vm.follower.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
+		vm.leases.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
 		vm.book.Tell(ctx, claim.Fleet{Fleet: fl})
 		vm.accountant.follow(ctx)
 		select {
--- a/internal/entry/order_test.go
+++ b/internal/entry/order_test.go
@@ -52,7 +52,7 @@
 				_, err := vm.Engines.Order(t.Context(), srv, engine.Order{Kind: engine.LoadModel, Name: "m", Fence: tc.fence})
 				assert.NilError(t, err)
 			}
-			lb.step(register.Want{Hold: true})
+			lb.step(register.LeaseWanted{Hold: true})
 			lb.clk.Advance(tc.paused)
 			or.send(orders.Send{Server: "e0", Margin: 2, Order: engine.Order{Kind: engine.ChangeRole, Role: board.Decode, Fence: lb.entry.Revision}})
 			sent := (<-or.ac.Events).(orders.Sent)
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -79,7 +79,7 @@
 	hc := or.hc
 	switch in := in.(type) {
 	case orders.Want:
-		or.lease.ac.Tell(hc.ctx, register.Want{Hold: in.Hold})
+		or.lease.ac.Tell(hc.ctx, register.LeaseWanted{Hold: in.Hold})
 	case orders.Drain:
 		hc.rec.drain(hc.ctx, in)
 	case orders.Inspect:
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -338,7 +338,7 @@
 	vm.initMembers()
 	vm.follower = vm.newFollower(vm.Settings.Log.Stream, register.Templates)
 	vm.leases = vm.newFollower(leasesStream(vm.Settings.Log.Stream), register.Leases)
-	vm.leases.fo.Settings.Wait = leasesWait
+	vm.leases.fo.Settings.ReadWait = leasesWait
 	vm.leases.after = vm.observeLeases
 	vm.initBook()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -57,7 +57,7 @@
 	// End hears at which server's end a request was there; nil drops it.
 	End func(en suspect.End)
 	// News hears what another VM read of a topic; nil drops it.
-	News func(nw topic.News)
+	News func(nw topic.Update)
 
 	view       atomic.Pointer[board.Fleet]
 	schedulers atomic.Pointer[schedulers]
@@ -117,7 +117,7 @@
 		fl.heardUsage(dg)
 	case dg.GetTopicNews() != nil:
 		nw := newsFromWire(dg.GetTopicNews())
-		nw.Teller = dg.GetFrom()
+		nw.Sender = dg.GetFrom()
 		fl.heardNews(nw)
 	case dg.GetTopicPiece() != nil:
 		fl.heardPiece(dg.GetTopicPiece())
@@ -162,7 +162,7 @@
 	}
 }
 
-func (fl *Fleet) heardNews(nw topic.News) {
+func (fl *Fleet) heardNews(nw topic.Update) {
 	if fl.News != nil {
 		fl.News(nw)
 	}
@@ -184,7 +184,7 @@
 		return
 	}
 	if whole {
-		fl.heardNews(topic.News{Topic: tp.GetTopic(), From: rec.Offset, Next: rec.Offset + 1, Records: []topic.Record{rec}})
+		fl.heardNews(topic.Update{Topic: tp.GetTopic(), From: rec.Offset, Next: rec.Offset + 1, Records: []topic.Record{rec}})
 	}
 }
 
@@ -193,7 +193,7 @@
 	case membership.Send:
 		// Membership expects datagrams to be lost.
 		_ = fl.peers.Datagram(in.To, in.Datagram)
-	case membership.Changed:
+	case membership.FleetChanged:
 		LogChanges(fl.Log, fl.View(), in.Fleet)
 		fl.view.Store(in.Fleet)
 		fl.schedulers.Store(schedulersOf(in.Fleet))
@@ -201,10 +201,10 @@
 		if fl.Changed != nil {
 			fl.Changed(in.Fleet)
 		}
-	case membership.Refuted:
+	case membership.DeathRefuted:
 		fl.Log.Log(event.HeldDead)
 	case membership.Replaced:
 		fl.Log.Log(event.Replaced, event.F("Incarnation", in.Incarnation))
-	case membership.Fresh, membership.Wake:
+	case membership.QuorumDeadline, membership.Wake:
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -45,7 +45,7 @@
 		vms = append(vms, self)
 		fl := &fleet.Fleet{Self: self, Secret: []byte("sixteen bytes or more"), Rand: rand.New(rand.NewPCG(uint64(ix), 2)),
 			Usage: func(vm string, rp usage.Report) { words <- fmt.Sprintf("usage of %s: %d", vm, len(rp.Runs)) },
-			News:  func(nw topic.News) { words <- fmt.Sprintf("news of %s: %d", nw.Topic, nw.Next) },
+			News:  func(nw topic.Update) { words <- fmt.Sprintf("news of %s: %d", nw.Topic, nw.Next) },
 			End: func(en suspect.End) {
 				words <- fmt.Sprintf("end of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Beside)
 			}}
@@ -72,7 +72,7 @@
 	heard := map[string]bool{}
 	until(t, "words are heard", func() bool {
 		fleets[0].TellUsage(usage.Report{Runs: []usage.Run{{Engine: "e", Tokens: 1}}})
-		fleets[0].TellNews(topic.News{Topic: "t", Next: 3})
+		fleets[0].TellNews(topic.Update{Topic: "t", Next: 3})
 		fleets[0].TellEnd(suspect.End{Mark: suspect.Mark{1, 2}, Server: "s", Answered: true, Beside: 7})
 		for len(words) > 0 {
 			heard[<-words] = true
@@ -106,7 +106,7 @@
 	st := &memoryStore{}
 	for ix := range count {
 		ne := &fleet.Neighbours{Self: board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%02d", ix)}, FailureDomain: fmt.Sprint(ix % 4), Peer: freePort(t), Caller: "10.0.0.1:80"},
-			Name: "t", Store: st, Ready: func() bool { return true }, Size: func(int) {}, Moved: func() {}, News: func(topic.News) {},
+			Name: "t", Store: st, Ready: func() bool { return true }, Size: func(int) {}, Moved: func() {}, News: func(topic.Update) {},
 			Usage: func(string, usage.Report) {},
 			Place: func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer {
 				return usage.PlaceAnswer{Known: true, Engines: []string{ask.Ask.Service + " for " + vm}}
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -141,7 +141,7 @@
 	}
 	offset, err := ne.Store.Append(ctx, ne.Name, LeaseKey, data, &end)
 	if err != nil {
-		ne.Topic.Kick() // perhaps what was read is late
+		ne.Topic.Refresh() // perhaps what was read is late
 		return err
 	}
 	ne.take(topic.Record{Key: LeaseKey, Value: data, Offset: offset})
--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -136,7 +136,7 @@
 
 // start is a VM that just started.
 func (le *leaseExplorer) start(name string) exploreVM {
-	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(leastSource{}), Duration: exploreLease, Lapses: true, Lossy: !le.broken.noWait}
+	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(leastSource{}), Duration: exploreLease, LetExpire: true, LossyRegister: !le.broken.noWait}
 	return exploreVM{ho: ho, view: leaseView{lasts: exploreLease}}
 }
 
@@ -233,9 +233,9 @@
 	}
 	ho := *vm.ho
 	vm.ho = &ho
-	out := ho.Step(wo.now, register.Want{Hold: !vm.leaves})
+	out := ho.Step(wo.now, register.LeaseWanted{Hold: !vm.leaves})
 	if vm.listed {
-		out = append(out, ho.Step(wo.now, register.Observed{Entry: vm.view.entry, Known: true})...)
+		out = append(out, ho.Step(wo.now, register.LeaseObserved{Entry: vm.view.entry, Known: true})...)
 	}
 	for _, in := range out {
 		if in, ok := in.(register.LeaseAppend); ok {
@@ -288,7 +288,7 @@
 		ho := *vm.ho
 		vm.ho = &ho
 		vm.view, _ = vm.view.WithRecord(rec)
-		ho.Step(wo.now, register.Observed{Entry: vm.view.entry, Known: true})
+		ho.Step(wo.now, register.LeaseObserved{Entry: vm.view.entry, Known: true})
 	}
 	return wo.withVM(ix, vm)
 }
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -77,7 +77,7 @@
 		Quota func(vm string, life uint64, ask quota.Ask) quota.Answer // answers as the keeper of the customers' quotas
 		End   func(en suspect.End)                                     // hears at which server's end a request was there
 		Moved func()                                                   // hears that other VMs are the schedulers now
-		News  func(nw topic.News)                                      // hears what others read of any topic
+		News  func(nw topic.Update)                                    // hears what others read of any topic
 		Size  func(vms int)                                            // hears how many VMs there are
 		Again func(kind string)                                        // hears what this VM wrote again: Secret or Entry; may be nil
 
@@ -115,9 +115,9 @@
 func (ne *Neighbours) Prepare() {
 	ne.lease.lasts = ne.Lease
 	ne.listed, ne.read = make(map[string]vmEntry), make(chan struct{}, 1)
-	ne.Topic = &topic.Follower{Source: ne.Store, Name: ne.Name, Wait: ownWait, Pause: ownPause, Hurry: ne.lacksSecret, Log: ne.Log,
-		Standby: ownStandby, Patience: ownPatience, Rank: ne.rankHere, Tell: ne.TellNews,
-		OnSnapshot: ne.takeWhole, OnChange: ne.take, OnCaughtUp: ne.noteRead, OnOlderCopy: ne.returned}
+	ne.Topic = &topic.Follower{Source: ne.Store, Name: ne.Name, Wait: ownWait, Pause: ownPause, SkipPause: ne.lacksSecret, Log: ne.Log,
+		StandbyAfter: ownStandby, SelfReadAfter: ownPatience, Rank: ne.rankHere, Broadcast: ne.TellNews,
+		OnSnapshot: ne.takeWhole, OnChange: ne.take, OnCaughtUp: ne.noteRead, OnStoreRestored: ne.returned}
 }
 
 // lacksSecret tells that this VM can't join the others yet.
@@ -210,7 +210,7 @@
 		ne.leave(fl) // another fleet was there before
 	}
 	fl = &Fleet{Self: ne.self(), Secret: secret, Log: ne.Log, Usage: ne.Usage, Place: ne.Place, News: ne.News, End: ne.End, Quota: ne.Quota, Changed: ne.changed,
-		Settings: membership.Settings{ProbeEvery: probeVMs, ProbeTimeout: probeVMs, ProbeDeadline: probeDeadline},
+		Settings: membership.Settings{ProbeInterval: probeVMs, ProbeTimeout: probeVMs, ProbeDeadline: probeDeadline},
 		Rand:     mathrand.New(mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64()))}
 	fl.Prepare()
 	within, stop := context.WithCancel(ctx)
@@ -311,7 +311,7 @@
 }
 
 // TellNews passes on to the others what was read of a topic.
-func (ne *Neighbours) TellNews(nw topic.News) {
+func (ne *Neighbours) TellNews(nw topic.Update) {
 	if fl := ne.joined(); fl != nil {
 		fl.TellNews(nw)
 	}
--- a/internal/fleet/neighbours_test.go
+++ b/internal/fleet/neighbours_test.go
@@ -90,7 +90,7 @@
 	ranks := []int{rankOf("a", all...), rankOf("b", all...), rankOf("c", all...)}
 	slices.Sort(ranks)
 	assert.DeepEqual(t, ranks, []int{0, 1, 2})
-	assert.Equal(t, rankOf("a", vm("a", board.Alive, false)), topic.Alone)
-	assert.Equal(t, rankOf("a", vm("a", board.Alive, false), vm("b", board.Dead, false)), topic.Alone)
-	assert.Equal(t, rankOf("a", vm("a", board.Alive, true), all[1], all[2]), topic.InLine)
+	assert.Equal(t, rankOf("a", vm("a", board.Alive, false)), topic.RankAlone)
+	assert.Equal(t, rankOf("a", vm("a", board.Alive, false), vm("b", board.Dead, false)), topic.RankAlone)
+	assert.Equal(t, rankOf("a", vm("a", board.Alive, true), all[1], all[2]), topic.MaxReaders)
 }
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -71,7 +71,7 @@
 		usage func(vm string, rp usage.Report)
 		place func(vm string, ask usage.PlaceAsk) usage.PlaceAnswer
 		moved func()
-		news  func(nw topic.News)
+		news  func(nw topic.Update)
 	}
 
 	// violations are what was not as it must be, by kind. The zero value has none.
@@ -147,7 +147,7 @@
 	vm.ctx, vm.stop = context.WithCancel(ctx)
 	vm.ne = &Neighbours{Self: self, Name: "t", Size: func(int) {}, Moved: orNothing(hears.moved)}
 	vm.fl = &Fleet{Self: self, Clock: sn.clock, Rand: rand.New(rand.NewPCG(sn.seed, uint64(ix)<<8|self.Incarnation)),
-		Settings: membership.Settings{ProbeEvery: probeVMs, ProbeTimeout: probeVMs, ProbeDeadline: probeDeadline},
+		Settings: membership.Settings{ProbeInterval: probeVMs, ProbeTimeout: probeVMs, ProbeDeadline: probeDeadline},
 		Usage:    hears.usage, Place: hears.place, News: hears.news, Changed: vm.ne.changed}
 	vm.fl.Prepare()
 	vm.ne.fleet = vm.fl
--- a/internal/fleet/readers.go
+++ b/internal/fleet/readers.go
@@ -23,13 +23,13 @@
 
 // rankIn is the place in a view. Those that are not among the first are alike.
 func (ne *Neighbours) rankIn(view *board.Fleet) int {
-	first := rendezvous.Top(ne.Name, view.VMs, topic.InLine, mayServeAll(view))
+	first := rendezvous.Top(ne.Name, view.VMs, topic.MaxReaders, mayServeAll(view))
 	if len(first) <= 1 {
-		return topic.Alone
+		return topic.RankAlone
 	}
 	rank := slices.IndexFunc(first, func(vm board.VM) bool { return vm.ID == ne.Self.ID })
 	if rank < 0 {
-		return topic.InLine // it is behind all that read, or leaves
+		return topic.MaxReaders // it is behind all that read, or leaves
 	}
 	return rank
 }
--- a/internal/fleet/readers_test.go
+++ b/internal/fleet/readers_test.go
@@ -156,7 +156,7 @@
 	out := append([]topic.Record(nil), sf.rs.recs[min(from, next):]...)
 	sf.rs.mu.Unlock()
 	if dropped {
-		return nil, 0, topic.ErrDropped
+		return nil, 0, topic.ErrRecordsDropped
 	}
 	return out, next, sf.back(ctx)
 }
@@ -195,9 +195,9 @@
 // startVM starts a further life of a VM.
 func (rs *readSim) startVM(ctx context.Context, ix int) {
 	sf := &simFollower{rs: rs, began: rs.clock.Now(), known: make(map[string]int)}
-	sf.vm = rs.newVM(ctx, ix, simHears{news: func(nw topic.News) { sf.fo.Hear(nw) }})
-	sf.fo = &topic.Follower{Source: sf, Name: "t", Pause: 700, Standby: 950, Patience: 1100, Clock: rs.clock,
-		Rank: sf.vm.ne.Rank, Tell: sf.vm.tellNews, IsNews: sf.isNews, OnSnapshot: topic.Each(sf.told), OnChange: sf.told}
+	sf.vm = rs.newVM(ctx, ix, simHears{news: func(nw topic.Update) { sf.fo.Receive(nw) }})
+	sf.fo = &topic.Follower{Source: sf, Name: "t", Pause: 700, StandbyAfter: 950, SelfReadAfter: 1100, Clock: rs.clock,
+		Rank: sf.vm.ne.Rank, Broadcast: sf.vm.tellNews, IsNew: sf.isNews, OnSnapshot: topic.ApplyEach(sf.told), OnChange: sf.told}
 	if rs.mutant != nil {
 		rs.mutant(sf)
 	}
@@ -209,7 +209,7 @@
 }
 
 // tellNews passes on what was read by one VM of each group.
-func (vm *simVM) tellNews(nw topic.News) {
+func (vm *simVM) tellNews(nw topic.Update) {
 	words, err := newsToWire(nw)
 	if err != nil {
 		panic(err)
@@ -355,7 +355,7 @@
 	}},
 	{"all in line are cut off from the store", false, func(_ context.Context, rs *readSim) func() {
 		var names []string
-		for rank := range topic.InLine {
+		for rank := range topic.MaxReaders {
 			names = append(names, rs.reader(rank).self.ID)
 		}
 		return rs.noStore(names...)
@@ -503,17 +503,17 @@
 		want   string
 	}{
 		{"each record is taken", "two believe that they are first", func(sf *simFollower) {
-			sf.vm.fl.News = func(nw topic.News) {
+			sf.vm.fl.News = func(nw topic.Update) {
 				for _, rec := range nw.Records {
 					sf.told(rec)
 				}
-				sf.fo.Hear(nw)
+				sf.fo.Receive(nw)
 			}
 		}, "something older was told after something newer"},
 		{"news are taken for whole", "a tenth of the datagrams is lost", func(sf *simFollower) {
-			sf.vm.fl.News = func(nw topic.News) {
+			sf.vm.fl.News = func(nw topic.Update) {
 				nw.From = 0
-				sf.fo.Hear(nw)
+				sf.fo.Receive(nw)
 			}
 		}, "a change was not known in time"},
 	} {
--- a/internal/fleet/returned_test.go
+++ b/internal/fleet/returned_test.go
@@ -39,13 +39,13 @@
 			ne.take(topic.Record{Key: LeaseKey, Value: data("holder"), Offset: 20})
 			before := ne.lease.entry
 			ho := &register.Holder{Resource: LeaseKey, Self: "me", Rand: rand.New(rand.NewPCG(1, 1)), Duration: 4 * clock.Second}
-			ho.Step(0, register.Want{Hold: true})
-			ho.Step(0, register.Observed{Entry: before, Known: true})
+			ho.Step(0, register.LeaseWanted{Hold: true})
+			ho.Step(0, register.LeaseObserved{Entry: before, Known: true})
 			now := 20 * clock.Second // that lease is long over
 			ne.returned()
 			ne.takeWhole(tc.older)
 			assert.Assert(t, ne.lease.entry.Revision > before.Revision, "a fencing token never goes back")
-			assert.Assert(t, !appends(ho.Step(now, register.Observed{Entry: ne.lease.entry, Known: true})))
+			assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: ne.lease.entry, Known: true})))
 			assert.Assert(t, !appends(ho.Step(now+4*clock.Second, register.LeaseTick{})))
 			assert.Assert(t, appends(ho.Step(now+7*clock.Second, register.LeaseTick{})))
 			assert.Equal(t, ne.takeDropped(), tc.dropped, "this VM's entry is written again")
@@ -70,13 +70,13 @@
 	vmRecord := topic.Record{Key: prefixVM + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
 	ne.takeWhole([]topic.Record{vmRecord})
 	ho := &register.Holder{Resource: LeaseKey, Self: "me", Rand: rand.New(rand.NewPCG(1, 1)), Duration: 4 * clock.Second}
-	ho.Step(0, register.Observed{Entry: ne.lease.entry, Known: true})
+	ho.Step(0, register.LeaseObserved{Entry: ne.lease.entry, Known: true})
 	now := 20 * clock.Second
 	ne.returned()
 	vmRecord.Offset = topic.Position(2, 3)
 	ne.takeWhole([]topic.Record{vmRecord})
-	ho.Step(now, register.Want{Hold: true})
-	assert.Assert(t, !appends(ho.Step(now, register.Observed{Entry: ne.lease.entry, Known: true})))
+	ho.Step(now, register.LeaseWanted{Hold: true})
+	assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: ne.lease.entry, Known: true})))
 	assert.Assert(t, !appends(ho.Step(now+4*clock.Second, register.LeaseTick{})))
 	assert.Assert(t, appends(ho.Step(now+7*clock.Second, register.LeaseTick{})))
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -33,7 +33,7 @@
 
 // TellNews passes on to all VMs that live what this one read of a topic. Whoever
 // misses a part notices the gap at the next.
-func (fl *Fleet) TellNews(nw topic.News) {
+func (fl *Fleet) TellNews(nw topic.Update) {
 	words, err := newsToWire(nw)
 	if err != nil {
 		fl.Log.Log(event.NewsNotTold, event.F("Topic", nw.Topic), event.F("From", nw.From), event.F("Error", err.Error()))
@@ -63,8 +63,8 @@
 // newsToWire splits news into messages. A record that is larger than a message
 // goes in pieces; one that is too large for that is left out, so that the others
 // see a gap and read for themselves.
-func newsToWire(nw topic.News) ([]*peerpb.Datagram, error) {
-	sp := newsSplitter{topic: nw.Topic, outageEnded: uint32(nw.OutageEnded), answered: wireSpan(nw.Answered)}
+func newsToWire(nw topic.Update) ([]*peerpb.Datagram, error) {
+	sp := newsSplitter{topic: nw.Topic, outageEnded: uint32(nw.OutageEndedAgo), answered: wireSpan(nw.AvailableFor)}
 	sp.begin(nw.From)
 	for _, rec := range nw.Records {
 		size := len(rec.Key) + len(rec.Value)
@@ -121,8 +121,8 @@
 // wireSpan bounds a span by what its field holds, which is 49 days.
 func wireSpan(span clock.Millis) uint32 { return uint32(min(span, math.MaxUint32)) }
 
-func newsFromWire(tn *peerpb.TopicNews) topic.News {
-	nw := topic.News{Topic: tn.GetTopic(), From: tn.GetFrom(), Next: tn.GetNext(), OutageEnded: clock.Millis(tn.GetMissed()), Answered: clock.Millis(tn.GetAnswered())}
+func newsFromWire(tn *peerpb.TopicNews) topic.Update {
+	nw := topic.Update{Topic: tn.GetTopic(), From: tn.GetFrom(), Next: tn.GetNext(), OutageEndedAgo: clock.Millis(tn.GetMissed()), AvailableFor: clock.Millis(tn.GetAnswered())}
 	for _, rec := range tn.GetRecords() {
 		nw.Records = append(nw.Records, topic.Record{Key: rec.GetKey(), Value: rec.GetValue(), Offset: rec.GetOffset()})
 	}
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -38,7 +38,7 @@
 func TestNewsOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := uint64(rapid.IntRange(0, 5).Draw(t, "from"))
-		nw := topic.News{Topic: "t", From: from, Next: from}
+		nw := topic.Update{Topic: "t", From: from, Next: from}
 		large, want := 0, make(map[uint64]string)
 		for ix := range rapid.IntRange(0, 12).Draw(t, "records") {
 			size := rapid.IntRange(0, 1500).Draw(t, "size")
@@ -56,7 +56,7 @@
 		words, err := newsToWire(nw)
 		assert.NilError(t, err)
 		known, heard, gaps := from, 0, 0
-		fl := &Fleet{News: func(got topic.News) {
+		fl := &Fleet{News: func(got topic.Update) {
 			if got.From > known {
 				gaps++
 				known = got.From
@@ -87,12 +87,12 @@
 	for ix := range 40 {
 		fmt.Fprintf(&text, `{"name":"r-%d","host":"h%d.example","path_prefix":"/p%d/","timeout_ms":14000},`, ix*7919%1000, ix%3, ix*31%977)
 	}
-	words, err := newsToWire(topic.News{Topic: "t", From: 3, Next: 4,
+	words, err := newsToWire(topic.Update{Topic: "t", From: 3, Next: 4,
 		Records: []topic.Record{{Key: "config", Value: []byte(text.String()), Offset: 3}}})
 	assert.NilError(t, err)
 	assert.Assert(t, len(words) <= 4, "%d messages", len(words))
 	var got []topic.Record
-	fl := &Fleet{News: func(nw topic.News) { got = append(got, nw.Records...) }}
+	fl := &Fleet{News: func(nw topic.Update) { got = append(got, nw.Records...) }}
 	for _, word := range words {
 		fl.heard(word, netip.AddrPort{})
 		fl.heard(word, netip.AddrPort{}) // twice, as the network may bring it
--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -59,7 +59,7 @@
 		og.mu.Lock()
 		og.err, og.story = err, story
 		og.call.Ended = ended
-		og.call.Ends = append(og.call.Ends, endOf(ctx, err))
+		og.call.Outcomes = append(og.call.Outcomes, endOf(ctx, err))
 		done := og.call
 		og.mu.Unlock()
 		fl.note(func(hs *invariant.History) { hs.Calls = append(hs.Calls, done) })
@@ -79,13 +79,13 @@
 func (fl *fleet) tell(og *ongoing) {
 	og.mu.Lock()
 	defer og.mu.Unlock()
-	if len(og.call.Ends) == 1 && og.err == nil {
+	if len(og.call.Outcomes) == 1 && og.err == nil {
 		return
 	}
-	if len(og.call.Ends) == 0 {
+	if len(og.call.Outcomes) == 0 {
 		og.story = fl.explain(og.call.Key)
 	}
-	fl.t.Logf("%s: %d bytes, ends %v at %s, error %v\n%s", og.call.Key, len(og.call.Got), og.call.Ends,
+	fl.t.Logf("%s: %d bytes, ends %v at %s, error %v\n%s", og.call.Key, len(og.call.Received), og.call.Outcomes,
 		og.call.Ended.Format(time.StampMilli), og.err, og.story)
 }
 
@@ -130,13 +130,13 @@
 
 // endOf is the end of a call in the words of the checker. A call that broke
 // off has a refusal that promises nothing, as pkg/client would make it.
-func endOf(ctx context.Context, err error) invariant.End {
+func endOf(ctx context.Context, err error) invariant.Outcome {
 	var rf refusal.Refusal
 	switch {
 	case err == nil:
-		return invariant.Whole{}
+		return invariant.Complete{}
 	case errors.Is(context.Cause(ctx), errLeft):
-		return invariant.Left{}
+		return invariant.CallerLeft{}
 	case errors.As(err, &rf):
 		return invariant.Refused{Refusal: rf}
 	default:
@@ -147,14 +147,14 @@
 func (og *ongoing) got(text string) {
 	og.mu.Lock()
 	defer og.mu.Unlock()
-	og.call.Got += text
+	og.call.Received += text
 }
 
 // received returns what came so far.
 func (og *ongoing) received() int {
 	og.mu.Lock()
 	defer og.mu.Unlock()
-	return len(og.call.Got)
+	return len(og.call.Received)
 }
 
 // leave lets the caller go for good, and waits until it is gone.
--- a/internal/integration/fleet_test.go
+++ b/internal/integration/fleet_test.go
@@ -320,7 +320,7 @@
 		return 0
 	}
 	fl.note(func(hs *invariant.History) {
-		hs.Sightings = append(hs.Sightings, invariant.Sighting{VM: run, Customer: customer, Revision: reply.Revision, At: time.Now()})
+		hs.ObservedRevisions = append(hs.ObservedRevisions, invariant.ObservedRevision{VM: run, Customer: customer, Revision: reply.Revision, At: time.Now()})
 	})
 	return reply.Revision
 }
@@ -400,7 +400,7 @@
 	fl.mu.Lock()
 	hs := fl.hist
 	fl.mu.Unlock()
-	hs.HeldWithin = heldWithin
+	hs.MaxHoldAfterEnd = heldWithin
 	for _, en := range fl.dp.Engines {
 		hs.Engines = append(hs.Engines, en.History())
 	}
--- a/internal/integration/leave_test.go
+++ b/internal/integration/leave_test.go
@@ -90,7 +90,7 @@
 	key := "once-at-" + vm.set.ID
 	once := fl.chatAt(vm, key, 200)
 	assert.Equal(fl.t, fl.runnerOf(key, 5).set.ID, vm.set.ID)
-	st := invariant.Stop{VM: vm.set.ID, Began: time.Now()}
+	st := invariant.PlannedStop{VM: vm.set.ID, Began: time.Now()}
 	fl.dp.Leave(vm.set.ID)
 	vm.terminate(fl.t)
 	select {
@@ -100,7 +100,7 @@
 	}
 	results.span("a planned stop under load", time.Since(st.Began))
 	assert.Check(fl.t, once.end(), "the answer was cut off")
-	fl.note(func(hs *invariant.History) { hs.Stops = append(hs.Stops, st) })
+	fl.note(func(hs *invariant.History) { hs.PlannedStops = append(hs.PlannedStops, st) })
 }
 
 // A VM is stopped as planned while callers come: nothing is cut off, and no
@@ -164,10 +164,10 @@
 		ct.Set(standin.Faults{Leaving: true})
 		fl.dp.Leave(id)
 		fl.note(func(hs *invariant.History) {
-			hs.Leavings = append(hs.Leavings, invariant.Leaving{Server: id, Since: since})
+			hs.LeavingServers = append(hs.LeavingServers, invariant.LeavingServer{Server: id, Since: since})
 		})
 	}
-	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.LeaveWithin.Std() })
+	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
 	before := fl.declined(leaving)
 	fl.awaitCalls(100)
 	assert.Equal(t, fl.declined(leaving), before, "orders that leaving servers declined, before and after")
@@ -190,10 +190,10 @@
 		results.fault("backend server leaves")
 		fl.dp.Leave(id)
 		fl.note(func(hs *invariant.History) {
-			hs.Leavings = append(hs.Leavings, invariant.Leaving{Server: id, Since: since})
+			hs.LeavingServers = append(hs.LeavingServers, invariant.LeavingServer{Server: id, Since: since})
 		})
 	}
-	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.LeaveWithin.Std() })
+	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
 	fl.awaitCalls(100)
 	for _, err := range ld.stop() {
 		t.Error(err)
--- a/internal/invariant/fleet.go
+++ b/internal/invariant/fleet.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// checkLeavings finds work that began at backend servers that had left.
-func checkLeavings(hs History) []Violation {
+// checkLeavingServers finds work that began at backend servers that had left.
+func checkLeavingServers(hs History) []Violation {
 	var out []Violation
-	for _, lv := range hs.Leavings {
-		until := lv.Since.Add(LeaveWithin.Std())
-		for name, began := range hs.begunAt(lv.Server) {
+	for _, lv := range hs.LeavingServers {
+		until := lv.Since.Add(MaxStartAfterLeaving.Std())
+		for name, began := range hs.lastStartsAt(lv.Server) {
 			if began.After(until) {
 				out = append(out, violation(UsedLeaving, lv.Server, "%s began %v after it was leaving", name, began.Sub(lv.Since)))
 			}
@@ -19,8 +19,8 @@
 	return out
 }
 
-// begunAt tells when the last run of each request began at a server.
-func (hs History) begunAt(server string) map[string]time.Time {
+// lastStartsAt tells when the last run of each request began at a server.
+func (hs History) lastStartsAt(server string) map[string]time.Time {
 	out := make(map[string]time.Time)
 	add := func(name string, at time.Time) {
 		if at.After(out[name]) {
@@ -48,31 +48,31 @@
 	return out
 }
 
-// checkStops finds calls that planned stops cut off.
-func checkStops(hs History) []Violation {
+// checkPlannedStops finds calls that planned stops cut off.
+func checkPlannedStops(hs History) []Violation {
 	var out []Violation
-	for _, st := range hs.Stops {
+	for _, st := range hs.PlannedStops {
 		if st.Ended.IsZero() || st.ExitCode != 0 {
 			out = append(out, violation(CutOff, st.VM, "the planned stop ended with code %d (at all: %t)", st.ExitCode, !st.Ended.IsZero()))
 		}
 		for _, ca := range hs.Calls {
 			during := ca.Ended.After(st.Began) && (st.Ended.IsZero() || ca.Began.Before(st.Ended))
-			if during && !ca.whole() && !ca.left() {
-				out = append(out, violation(CutOff, ca.Name(), "no whole answer during the planned stop of %s: %v", st.VM, ca.Ends))
+			if during && !ca.complete() && !ca.callerLeft() {
+				out = append(out, violation(CutOff, ca.RequestName(), "no whole answer during the planned stop of %s: %v", st.VM, ca.Outcomes))
 			}
 		}
 	}
 	return out
 }
 
-func (ca Call) left() bool { return slices.Contains(ca.Ends, End(Left{})) }
+func (ca Call) callerLeft() bool { return slices.Contains(ca.Outcomes, Outcome(CallerLeft{})) }
 
 // checkReverted finds VMs whose revision in force went back.
 func checkReverted(hs History) []Violation {
 	type place struct{ vm, customer string }
 	var out []Violation
 	newest := make(map[place]uint64)
-	for _, sg := range hs.Sightings {
+	for _, sg := range hs.ObservedRevisions {
 		pl := place{sg.VM, sg.Customer}
 		if sg.Revision < newest[pl] {
 			out = append(out, violation(Reverted, sg.VM, "%s went from revision %d to %d", sg.Customer, newest[pl], sg.Revision))
@@ -82,16 +82,16 @@
 	return out
 }
 
-// checkInForce finds VMs that got an accepted revision late or never.
-func checkInForce(hs History) []Violation {
+// checkActivation finds VMs that got an accepted revision late or never.
+func checkActivation(hs History) []Violation {
 	var out []Violation
 	for _, pb := range hs.Publications {
 		for _, vm := range pb.VMs {
-			at, ok := hs.inForce(vm, pb)
+			at, ok := hs.firstSeen(vm, pb)
 			switch {
 			case !ok:
 				out = append(out, violation(LateInForce, vm, "%s never had revision %d", pb.Customer, pb.Revision))
-			case at.Sub(pb.Accepted) > InForceWithin.Std():
+			case at.Sub(pb.Accepted) > MaxActivationDelay.Std():
 				out = append(out, violation(LateInForce, vm, "%s had revision %d after %v", pb.Customer, pb.Revision, at.Sub(pb.Accepted)))
 			}
 		}
@@ -99,9 +99,9 @@
 	return out
 }
 
-// inForce tells when a VM was first seen with a publication or a newer one.
-func (hs History) inForce(vm string, pb Publication) (time.Time, bool) {
-	for _, sg := range hs.Sightings {
+// firstSeen tells when a VM was first seen with a publication or a newer one.
+func (hs History) firstSeen(vm string, pb Publication) (time.Time, bool) {
+	for _, sg := range hs.ObservedRevisions {
 		if sg.VM == vm && sg.Customer == pb.Customer && sg.Revision >= pb.Revision {
 			return sg.At, true
 		}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	hs := invariant.History{Calls: calls, Engines: engines, Services: services, HeldWithin: 12 * clock.Second}
+//	hs := invariant.History{Calls: calls, Engines: engines, Services: services, MaxHoldAfterEnd: 12 * clock.Second}
 //	for _, vi := range invariant.Check(hs) {
 //		t.Error(vi)
 //	}
@@ -26,7 +26,7 @@
 
 // Rules.
 const (
-	// Held: no engine holds memory for a request beyond HeldWithin after its
+	// Held: no engine holds memory for a request beyond MaxHoldAfterEnd after its
 	// last caller had an end or left, and none holds any when the history
 	// was taken.
 	Held Rule = "Held"
@@ -41,7 +41,7 @@
 	// RanTwice: a request that is not idempotent runs at most once.
 	RanTwice Rule = "RanTwice"
 	// UsedLeaving: a leaving backend server begins nothing new beyond
-	// LeaveWithin.
+	// MaxStartAfterLeaving.
 	UsedLeaving Rule = "UsedLeaving"
 	// CutOff: a call in progress during a planned stop has a whole answer,
 	// and the stop ends by itself.
@@ -49,18 +49,18 @@
 	// Reverted: the revision that a VM has in force never goes back.
 	Reverted Rule = "Reverted"
 	// LateInForce: an accepted revision is in force at each VM that can be
-	// reached within InForceWithin.
+	// reached within MaxActivationDelay.
 	LateInForce Rule = "LateInForce"
 )
 
 // Bounds that need no setting.
 const (
-	// LeaveWithin is the time in which a leaving backend server's last new
+	// MaxStartAfterLeaving is the time in which a leaving backend server's last new
 	// work may still begin.
-	LeaveWithin = 3 * clock.Second
-	// InForceWithin is the time from acceptance until a revision is in
+	MaxStartAfterLeaving = 3 * clock.Second
+	// MaxActivationDelay is the time from acceptance until a revision is in
 	// force everywhere.
-	InForceWithin = 4 * clock.Second
+	MaxActivationDelay = 4 * clock.Second
 )
 
 type (
@@ -77,18 +77,18 @@
 	// History is all that happened until it was taken. The zero value is an
 	// empty history.
 	History struct {
-		Calls        []Call
-		Engines      []enginesim.History
-		Services     []servicesim.History
-		Leavings     []Leaving
-		Stops        []Stop
-		Sightings    []Sighting // of each VM in the order of time
-		Publications []Publication
-
-		// HeldWithin bounds how long an engine may hold a request whose
+		Calls             []Call
+		Engines           []enginesim.History
+		Services          []servicesim.History
+		LeavingServers    []LeavingServer
+		PlannedStops      []PlannedStop
+		ObservedRevisions []ObservedRevision // of each VM in the order of time
+		Publications      []Publication
+
+		// MaxHoldAfterEnd bounds how long an engine may hold a request whose
 		// callers have their end or are gone. Zero leaves out that part of
 		// the rule Held.
-		HeldWithin clock.Millis
+		MaxHoldAfterEnd clock.Millis
 	}
 
 	// Call is one call of one caller, over all its tries.
@@ -97,14 +97,14 @@
 		Key        string
 		Idempotent bool
 		Request    Request
-		Got        string // what came of the answer, in order, also if it broke off
-		Ends       []End
+		Received   string // what came of the answer, in order, also if it broke off
+		Outcomes   []Outcome
 		Began      time.Time
 		Ended      time.Time // or when the caller left
 	}
 
 	// Request is what a call asked for: Chat or Plain.
-	Request interface{ want() string }
+	Request interface{ expectedAnswer() string }
 
 	// Chat is a request to a model service.
 	Chat struct {
@@ -119,34 +119,34 @@
 		Body   string
 	}
 
-	// End of a call: Whole, Refused or Left.
-	End interface{ end() }
+	// Outcome of a call: Complete, Refused or CallerLeft.
+	Outcome interface{ outcome() }
 
-	// Whole is a whole answer, which is in Call.Got.
-	Whole struct{}
+	// Complete is a whole answer, which is in Call.Received.
+	Complete struct{}
 
 	// Refused is a refusal.
 	Refused struct{ Refusal refusal.Refusal }
 
-	// Left is a caller that went and asked no more.
-	Left struct{}
+	// CallerLeft is a caller that went and asked no more.
+	CallerLeft struct{}
 
-	// Leaving is a backend server that leaves.
-	Leaving struct {
+	// LeavingServer is a backend server that leaves.
+	LeavingServer struct {
 		Server string
 		Since  time.Time
 	}
 
-	// Stop is a planned stop of a VM.
-	Stop struct {
+	// PlannedStop is a planned stop of a VM.
+	PlannedStop struct {
 		VM       string
 		Began    time.Time
 		Ended    time.Time // zero: it did not end
 		ExitCode int
 	}
 
-	// Sighting is a revision that a VM had in force.
-	Sighting struct {
+	// ObservedRevision is a revision that a VM had in force.
+	ObservedRevision struct {
 		VM       string // with its incarnation, if it was replaced
 		Customer string
 		Revision uint64
@@ -162,21 +162,21 @@
 	}
 )
 
-func (Whole) end()   {}
-func (Refused) end() {}
-func (Left) end()    {}
+func (Complete) outcome()   {}
+func (Refused) outcome()    {}
+func (CallerLeft) outcome() {}
 
 // Error makes a Violation usable as an error.
 func (vi Violation) Error() string { return fmt.Sprintf("%s: %s: %s", vi.Rule, vi.Subject, vi.Detail) }
 
-// Name is how backend servers name the request of a call.
-func (ca Call) Name() string { return ca.Customer + "/" + ca.Key }
+// RequestName is how backend servers name the request of a call.
+func (ca Call) RequestName() string { return ca.Customer + "/" + ca.Key }
 
 // Check reports all violations; none means that every rule holds.
 func Check(hs History) []Violation {
 	var out []Violation
 	for _, check := range []func(History) []Violation{
-		checkHeld, checkCalls, checkKeys, checkLeavings, checkStops, checkReverted, checkInForce,
+		checkHeldResources, checkCalls, checkKeys, checkLeavingServers, checkPlannedStops, checkReverted, checkActivation,
 	} {
 		out = append(out, check(hs)...)
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -30,23 +30,23 @@
 
 func at(span clock.Millis) time.Time { return start.Add(span.Std()) }
 
-// sound is a history in which every rule holds and has something to hold for.
-func sound() invariant.History {
+// validHistory is a history in which every rule holds and has something to hold for.
+func validHistory() invariant.History {
 	reply := standin.Reply("POST", "/payments", nil)
 	stages := func(began clock.Millis) []enginesim.StageTime {
 		return []enginesim.StageTime{{Stage: sched.Prefilling, At: began}}
 	}
 	return invariant.History{
-		HeldWithin: 2 * clock.Second,
+		MaxHoldAfterEnd: 2 * clock.Second,
 		Calls: []invariant.Call{{
 			Customer: "cu", Key: "chat", Idempotent: true, Request: invariant.Chat{Prompt: note, Tokens: tokens},
-			Got: answer, Ends: []invariant.End{invariant.Whole{}}, Began: at(0), Ended: at(5000),
+			Received: answer, Outcomes: []invariant.Outcome{invariant.Complete{}}, Began: at(0), Ended: at(5000),
 		}, {
 			Customer: "cu", Key: "pay", Request: invariant.Plain{Method: "POST", Path: "/payments"},
-			Got: reply, Ends: []invariant.End{invariant.Whole{}}, Began: at(0), Ended: at(100),
+			Received: reply, Outcomes: []invariant.Outcome{invariant.Complete{}}, Began: at(0), Ended: at(100),
 		}, {
 			Customer: "cu", Key: "full", Request: invariant.Plain{Method: "POST", Path: "/payments"},
-			Ends: []invariant.End{invariant.Refused{Refusal: refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull}}},
+			Outcomes: []invariant.Outcome{invariant.Refused{Refusal: refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull}}},
 			// Before the planned stop.
 			Began: at(0), Ended: at(50),
 		}},
@@ -61,17 +61,17 @@
 		Services: []servicesim.History{{Server: "s1", Started: start, Now: 9000, Runs: []servicesim.Run{
 			{Key: "cu/pay", At: 10, EndedAt: 90},
 		}}},
-		Leavings: []invariant.Leaving{{Server: "s1", Since: at(8)}, {Server: "p1", Since: at(9)}},
-		Stops:    []invariant.Stop{{VM: "vm-1", Began: at(60), Ended: at(6000)}},
-		Sightings: []invariant.Sighting{
+		LeavingServers: []invariant.LeavingServer{{Server: "s1", Since: at(8)}, {Server: "p1", Since: at(9)}},
+		PlannedStops:   []invariant.PlannedStop{{VM: "vm-1", Began: at(60), Ended: at(6000)}},
+		ObservedRevisions: []invariant.ObservedRevision{
 			{VM: "vm-1", Customer: "cu", Revision: 1, At: at(0)}, {VM: "vm-1", Customer: "cu", Revision: 3, At: at(900)},
 		},
 		Publications: []invariant.Publication{{Customer: "cu", Revision: 3, Accepted: at(500), VMs: []string{"vm-1"}}},
 	}
 }
 
-func TestASoundHistoryPasses(t *testing.T) {
-	assert.Equal(t, len(invariant.Check(sound())), 0, "%v", invariant.Check(sound()))
+func TestValidHistoryPasses(t *testing.T) {
+	assert.Equal(t, len(invariant.Check(validHistory())), 0, "%v", invariant.Check(validHistory()))
 }
 
 // Each rule rejects a history that breaks only it.
@@ -87,37 +87,37 @@
 		"a run has not ended":    {invariant.Held, func(hs *invariant.History) { hs.Engines[0].Unfinished = 1 }},
 		"a run ended late":       {invariant.Held, func(hs *invariant.History) { hs.Engines[1].Runs[0].EndedAt = 7001 }},
 		"a run goes on for none": {invariant.Held, func(hs *invariant.History) { hs.Engines[1].Runs[0].Outcome = "" }},
-		"no end":                 {invariant.OneEnd, func(hs *invariant.History) { hs.Calls[2].Ends = nil }},
+		"no end":                 {invariant.OneEnd, func(hs *invariant.History) { hs.Calls[2].Outcomes = nil }},
 		"an answer and a refusal": {invariant.OneEnd, func(hs *invariant.History) {
-			hs.Calls[0].Ends = append(hs.Calls[0].Ends, mayHaveRun)
+			hs.Calls[0].Outcomes = append(hs.Calls[0].Outcomes, mayHaveRun)
 		}},
 		"whole twice": {invariant.OneEnd, func(hs *invariant.History) {
-			hs.Calls[0].Ends = append(hs.Calls[0].Ends, invariant.Whole{})
+			hs.Calls[0].Outcomes = append(hs.Calls[0].Outcomes, invariant.Complete{})
 		}},
 		"two answers of one key": {invariant.OneEnd, func(hs *invariant.History) {
 			other := hs.Calls[0]
 			other.Request = invariant.Chat{Prompt: note, Tokens: 2}
-			other.Got = strings.Join(standin.Answer(note, 2), "")
+			other.Received = strings.Join(standin.Answer(note, 2), "")
 			hs.Calls = append(hs.Calls, other)
 		}},
-		"a token is missing": {invariant.WrongAnswer, func(hs *invariant.History) { hs.Calls[0].Got = answer[9:] }},
+		"a token is missing": {invariant.WrongAnswer, func(hs *invariant.History) { hs.Calls[0].Received = answer[9:] }},
 		"the last token is missing": {invariant.WrongAnswer, func(hs *invariant.History) {
-			hs.Calls[0].Got = answer[:len(answer)-9]
+			hs.Calls[0].Received = answer[:len(answer)-9]
 		}},
-		"a token came twice": {invariant.WrongAnswer, func(hs *invariant.History) { hs.Calls[0].Got = answer + answer[27:] }},
+		"a token came twice": {invariant.WrongAnswer, func(hs *invariant.History) { hs.Calls[0].Received = answer + answer[27:] }},
 		"another's answer": {invariant.WrongAnswer, func(hs *invariant.History) {
-			hs.Calls[1].Got = standin.Reply("POST", "/payments", []byte("other"))
+			hs.Calls[1].Received = standin.Reply("POST", "/payments", []byte("other"))
 		}},
 		"another's token before a refusal": {invariant.WrongAnswer, func(hs *invariant.History) {
-			hs.Calls[0].Got = standin.Answer("other notes", 1)[0]
-			hs.Calls[0].Ends = []invariant.End{mayHaveRun}
-			hs.Stops = nil
+			hs.Calls[0].Received = standin.Answer("other notes", 1)[0]
+			hs.Calls[0].Outcomes = []invariant.Outcome{mayHaveRun}
+			hs.PlannedStops = nil
 		}},
 		"not run, but a service ran it": {invariant.FalseNotRun, func(hs *invariant.History) {
 			hs.Services[0].Runs = append(hs.Services[0].Runs, servicesim.Run{Key: "cu/full", At: 20, EndedAt: 30})
 		}},
 		"not run, but a prefill ran": {invariant.FalseNotRun, func(hs *invariant.History) {
-			hs.Calls[0].Ends, hs.Calls[0].Got, hs.Stops = []invariant.End{notRun}, "", nil
+			hs.Calls[0].Outcomes, hs.Calls[0].Received, hs.PlannedStops = []invariant.Outcome{notRun}, "", nil
 		}},
 		"not idempotent and run twice": {invariant.RanTwice, func(hs *invariant.History) {
 			hs.Services = append(hs.Services, servicesim.History{Server: "s2", Started: start, Runs: hs.Services[0].Runs})
@@ -131,21 +131,21 @@
 		"a leaving server was used": {invariant.UsedLeaving, func(hs *invariant.History) { hs.Services[0].Runs[0].At = 3009 }},
 		"a leaving engine was used": {invariant.UsedLeaving, func(hs *invariant.History) { hs.Engines[0].Runs[0].Stages[0].At = 3010 }},
 		"a stop cut off a call": {invariant.CutOff, func(hs *invariant.History) {
-			hs.Calls[0].Ends, hs.Calls[0].Got = []invariant.End{mayHaveRun}, answer[:9]
+			hs.Calls[0].Outcomes, hs.Calls[0].Received = []invariant.Outcome{mayHaveRun}, answer[:9]
 		}},
-		"a stop never ended":      {invariant.CutOff, func(hs *invariant.History) { hs.Stops[0].Ended = time.Time{} }},
-		"a stop ended in failure": {invariant.CutOff, func(hs *invariant.History) { hs.Stops[0].ExitCode = 1 }},
+		"a stop never ended":      {invariant.CutOff, func(hs *invariant.History) { hs.PlannedStops[0].Ended = time.Time{} }},
+		"a stop ended in failure": {invariant.CutOff, func(hs *invariant.History) { hs.PlannedStops[0].ExitCode = 1 }},
 		"a revision went back": {invariant.Reverted, func(hs *invariant.History) {
-			hs.Sightings = append(hs.Sightings, invariant.Sighting{VM: "vm-1", Customer: "cu", Revision: 2, At: at(950)})
+			hs.ObservedRevisions = append(hs.ObservedRevisions, invariant.ObservedRevision{VM: "vm-1", Customer: "cu", Revision: 2, At: at(950)})
 		}},
-		"a revision came late":  {invariant.LateInForce, func(hs *invariant.History) { hs.Sightings[1].At = at(4501) }},
+		"a revision came late":  {invariant.LateInForce, func(hs *invariant.History) { hs.ObservedRevisions[1].At = at(4501) }},
 		"a revision never came": {invariant.LateInForce, func(hs *invariant.History) { hs.Publications[0].Revision = 4 }},
 		"a VM never had it": {invariant.LateInForce, func(hs *invariant.History) {
 			hs.Publications[0].VMs = append(hs.Publications[0].VMs, "vm-2")
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hs := sound()
+			hs := validHistory()
 			tc.corrupt(&hs)
 			found := invariant.Check(hs)
 			assert.Assert(t, len(found) > 0)
@@ -158,12 +158,12 @@
 
 // A caller who left is owed no answer, and a NotRun beside another call's run
 // of the same key is true.
-func TestWhatIsAllowed(t *testing.T) {
-	hs := sound()
+func TestAllowedHistories(t *testing.T) {
+	hs := validHistory()
 	left := hs.Calls[0]
-	left.Ends, left.Got = []invariant.End{invariant.Left{}}, answer[:18]
+	left.Outcomes, left.Received = []invariant.Outcome{invariant.CallerLeft{}}, answer[:18]
 	early := hs.Calls[1]
-	early.Ends, early.Got = hs.Calls[2].Ends, ""
+	early.Outcomes, early.Received = hs.Calls[2].Outcomes, ""
 	early.Ended = at(30)
 	hs.Calls = append(hs.Calls, left, early)
 	assert.Equal(t, len(invariant.Check(hs)), 0, "%v", invariant.Check(hs))
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -16,28 +16,28 @@
 		name       string
 		idempotent bool
 		calls      []Call
-		begun      int // runs at plain services and prefills
-		decoded    int // runs at decode engines and plain services that made something
+		starts     int // runs at plain services and prefills
+		executions int // runs at decode engines and plain services that made something
 	}
 )
 
-func (ch Chat) want() string { return strings.Join(standin.Answer(ch.Prompt, ch.Tokens), "") }
+func (ch Chat) expectedAnswer() string { return strings.Join(standin.Answer(ch.Prompt, ch.Tokens), "") }
 
-func (pl Plain) want() string { return standin.Reply(pl.Method, pl.Path, []byte(pl.Body)) }
+func (pl Plain) expectedAnswer() string { return standin.Reply(pl.Method, pl.Path, []byte(pl.Body)) }
 
 // checkCalls looks at each call by itself.
 func checkCalls(hs History) []Violation {
 	var out []Violation
 	for _, ca := range hs.Calls {
-		if len(ca.Ends) != 1 {
-			out = append(out, violation(OneEnd, ca.Name(), "%d ends", len(ca.Ends)))
+		if len(ca.Outcomes) != 1 {
+			out = append(out, violation(OneEnd, ca.RequestName(), "%d ends", len(ca.Outcomes)))
 		}
-		want := ca.Request.want()
+		want := ca.Request.expectedAnswer()
 		switch {
-		case ca.whole() && ca.Got != want:
-			out = append(out, violation(WrongAnswer, ca.Name(), "a whole answer of %d bytes differs from the one of %d bytes", len(ca.Got), len(want)))
-		case !strings.HasPrefix(want, ca.Got):
-			out = append(out, violation(WrongAnswer, ca.Name(), "%d bytes are not the start of its answer", len(ca.Got)))
+		case ca.complete() && ca.Received != want:
+			out = append(out, violation(WrongAnswer, ca.RequestName(), "a whole answer of %d bytes differs from the one of %d bytes", len(ca.Received), len(want)))
+		case !strings.HasPrefix(want, ca.Received):
+			out = append(out, violation(WrongAnswer, ca.RequestName(), "%d bytes are not the start of its answer", len(ca.Received)))
 		}
 	}
 	return out
@@ -47,21 +47,21 @@
 func checkKeys(hs History) []Violation {
 	var out []Violation
 	for _, rq := range requestsOf(hs) {
-		if rq.begun > 0 && rq.notRun() {
-			out = append(out, violation(FalseNotRun, rq.name, "all callers were told NotRun, and it began %d times", rq.begun))
+		if rq.starts > 0 && rq.allNotRun() {
+			out = append(out, violation(FalseNotRun, rq.name, "all callers were told NotRun, and it began %d times", rq.starts))
 		}
-		if !rq.idempotent && rq.decoded > 1 {
-			out = append(out, violation(RanTwice, rq.name, "ran %d times", rq.decoded))
+		if !rq.idempotent && rq.executions > 1 {
+			out = append(out, violation(RanTwice, rq.name, "ran %d times", rq.executions))
 		}
-		if answers := rq.answers(); answers > 1 {
+		if answers := rq.distinctAnswers(); answers > 1 {
 			out = append(out, violation(OneEnd, rq.name, "%d answers that differ", answers))
 		}
 	}
 	return out
 }
 
-// checkHeld finds memory that is held for nobody.
-func checkHeld(hs History) []Violation {
+// checkHeldResources finds memory that is held for nobody.
+func checkHeldResources(hs History) []Violation {
 	var out []Violation
 	for _, en := range hs.Engines {
 		if en.SlotsHeld+en.KVKept+en.Unfinished > 0 {
@@ -69,15 +69,15 @@
 				en.SlotsHeld, en.KVKept, en.Unfinished))
 		}
 	}
-	if hs.HeldWithin == 0 {
+	if hs.MaxHoldAfterEnd == 0 {
 		return out
 	}
-	last := lastEnds(hs.Calls)
+	last := lastCallEnds(hs.Calls)
 	for _, en := range hs.Engines {
 		for _, rec := range en.Runs {
 			ended, known := last[requestName(rec.Request)]
 			late := runEnd(en, rec).Sub(ended)
-			if known && late > hs.HeldWithin.Std() {
+			if known && late > hs.MaxHoldAfterEnd.Std() {
 				out = append(out, violation(Held, en.Server, "%s until %v after its last caller", rec.Request, late))
 			}
 		}
@@ -93,12 +93,12 @@
 	return en.Started.Add(rec.EndedAt.Std())
 }
 
-// lastEnds tells when the last call of each request had its end.
-func lastEnds(calls []Call) map[string]time.Time {
+// lastCallEnds tells when the last call of each request had its end.
+func lastCallEnds(calls []Call) map[string]time.Time {
 	out := make(map[string]time.Time)
 	for _, ca := range calls {
-		if ca.Ended.After(out[ca.Name()]) {
-			out[ca.Name()] = ca.Ended
+		if ca.Ended.After(out[ca.RequestName()]) {
+			out[ca.RequestName()] = ca.Ended
 		}
 	}
 	return out
@@ -108,9 +108,9 @@
 	byName := make(map[string]*request)
 	var out []*request
 	for _, ca := range hs.Calls {
-		rq, ok := byName[ca.Name()]
+		rq, ok := byName[ca.RequestName()]
 		if !ok {
-			rq = &request{name: ca.Name(), idempotent: ca.Idempotent}
+			rq = &request{name: ca.RequestName(), idempotent: ca.Idempotent}
 			byName[rq.name] = rq
 			out = append(out, rq)
 		}
@@ -126,8 +126,8 @@
 	for _, sv := range hs.Services {
 		for _, rec := range sv.Runs {
 			if rq, ok := byName[rec.Key]; ok {
-				rq.begun++
-				rq.decoded++
+				rq.starts++
+				rq.executions++
 			}
 		}
 	}
@@ -137,16 +137,16 @@
 func (rq *request) count(rec *enginesim.Run) {
 	switch {
 	case rec.Role == board.Prefill:
-		rq.begun++
+		rq.starts++
 	case rec.Decodes > 0:
-		rq.decoded++
+		rq.executions++
 	}
 }
 
-// notRun tells whether every caller was told that the request did not run.
-func (rq *request) notRun() bool {
+// allNotRun tells whether every caller was told that the request did not run.
+func (rq *request) allNotRun() bool {
 	for _, ca := range rq.calls {
-		for _, end := range ca.Ends {
+		for _, end := range ca.Outcomes {
 			rf, ok := end.(Refused)
 			if !ok || rf.Refusal.Ran != refusal.NotRun {
 				return false
@@ -156,20 +156,20 @@
 	return true
 }
 
-// answers counts the whole answers that differ.
-func (rq *request) answers() int {
+// distinctAnswers counts the whole answers that differ.
+func (rq *request) distinctAnswers() int {
 	seen := make(map[string]bool)
 	for _, ca := range rq.calls {
-		if ca.whole() {
-			seen[ca.Got] = true
+		if ca.complete() {
+			seen[ca.Received] = true
 		}
 	}
 	return len(seen)
 }
 
-func (ca Call) whole() bool {
-	for _, end := range ca.Ends {
-		if _, ok := end.(Whole); ok {
+func (ca Call) complete() bool {
+	for _, end := range ca.Outcomes {
+		if _, ok := end.(Complete); ok {
 			return true
 		}
 	}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -10,21 +10,21 @@
 	"alderdyke/pkg/clock"
 )
 
-const noHold = clock.Millis(1)
+const noDeadDelay = clock.Millis(1)
 
-// variants are compared without DeadHold, which would hide their false
+// variants are compared without DeadDelay, which would hide their false
 // deaths; the last one is what runs.
 var variants = []variant{
-	{"timeout", Settings{DeadHold: noHold}, without{helpers: true, suspicion: true, localHealth: true}},
-	{"swim2s-deadline1s", Settings{DeadHold: noHold, ProbeDeadline: clock.Second},
-		without{localHealth: true, decay: true, stagger: true}},
-	{"swim2s", Settings{DeadHold: noHold}, without{localHealth: true, decay: true, stagger: true}},
-	{"swim6s", Settings{DeadHold: noHold, SuspicionMin: 6 * clock.Second},
-		without{localHealth: true, decay: true, stagger: true}},
-	{"decay", Settings{DeadHold: noHold}, without{localHealth: true, stagger: true}},
-	{"decay+health", Settings{DeadHold: noHold}, without{stagger: true}},
-	{"decay+health+stagger", Settings{DeadHold: noHold}, without{}},
-	{"all", Settings{}, without{}},
+	{"timeout", Settings{DeadDelay: noDeadDelay}, disabledFeatures{helpers: true, suspicion: true, localHealth: true}},
+	{"swim2s-deadline1s", Settings{DeadDelay: noDeadDelay, ProbeDeadline: clock.Second},
+		disabledFeatures{localHealth: true, decay: true, stagger: true}},
+	{"swim2s", Settings{DeadDelay: noDeadDelay}, disabledFeatures{localHealth: true, decay: true, stagger: true}},
+	{"swim6s", Settings{DeadDelay: noDeadDelay, SuspicionMin: 6 * clock.Second},
+		disabledFeatures{localHealth: true, decay: true, stagger: true}},
+	{"decay", Settings{DeadDelay: noDeadDelay}, disabledFeatures{localHealth: true, stagger: true}},
+	{"decay+health", Settings{DeadDelay: noDeadDelay}, disabledFeatures{stagger: true}},
+	{"decay+health+stagger", Settings{DeadDelay: noDeadDelay}, disabledFeatures{}},
+	{"all", Settings{}, disabledFeatures{}},
 }
 
 // BenchmarkDetection compares the variants under 5% loss and pauses of 200 to
@@ -32,7 +32,7 @@
 func BenchmarkDetection(bb *testing.B) {
 	for _, size := range []int{7, 48, 96, 380} {
 		for _, vr := range variants {
-			if size > 96 && vr.without.suspicion {
+			if size > 96 && vr.disabled.suspicion {
 				continue // flaps so much that it takes very long
 			}
 			bb.Run(fmt.Sprintf("size=%d/%s", size, vr.name), func(bb *testing.B) {
@@ -44,31 +44,31 @@
 	}
 }
 
-// BenchmarkIll makes every twelfth VM pause for 2 to 4 s again and again, and
+// BenchmarkUnstableVMs makes every twelfth VM pause for 2 to 4 s again and again, and
 // counts what happens to the others.
-func BenchmarkIll(bb *testing.B) {
+func BenchmarkUnstableVMs(bb *testing.B) {
 	for _, size := range []int{7, 96} {
 		for _, vr := range variants[1:] {
 			bb.Run(fmt.Sprintf("size=%d/%s", size, vr.name), func(bb *testing.B) {
 				for ix := range bb.N {
-					measureIll(bb, size, vr, uint64(ix+1))
+					measureUnstable(bb, size, vr, uint64(ix+1))
 				}
 			})
 		}
 	}
 }
 
-func measureIll(bb *testing.B, size int, vr variant, seed uint64) {
+func measureUnstable(bb *testing.B, size int, vr variant, seed uint64) {
 	span := clock.Minute * clock.Millis(960/size)
 	tf := newFleet(size, min(8, size/2+1), seed, vr)
 	tf.run(40 * clock.Second)
 	tf.loss = 0.05
 	for ix := 0; ix < size; ix += 12 {
-		tf.ill[tf.vms[ix].self.ID] = true
+		tf.unstable[tf.vms[ix].self.ID] = true
 	}
 	tf.startPauses(0)
 	tf.run(20 * clock.Second)
-	tf.settle = tf.now
+	tf.countFrom = tf.now
 	tf.falseDeaths, tf.falseSuspicions = 0, 0
 	tf.resetTraffic()
 	tf.run(span)
@@ -90,7 +90,7 @@
 	tf.loss = 0.05
 	tf.startPauses(10 * clock.Second)
 	tf.run(20 * clock.Second)
-	tf.settle = tf.now
+	tf.countFrom = tf.now
 	tf.falseDeaths, tf.falseSuspicions = 0, 0
 	tf.resetTraffic()
 	tf.run(span)
@@ -171,7 +171,7 @@
 		if fenced < 0 && tf.noneQuorate(minority) {
 			fenced = tf.now - cutAt
 		}
-		if firstDead < 0 && tf.views(board.Dead) > 0 {
+		if firstDead < 0 && tf.countViews(board.Dead) > 0 {
 			firstDead = tf.now - cutAt
 		}
 	}
@@ -183,7 +183,7 @@
 	tf.cut = nil
 	healed := tf.now
 	for range 600 {
-		if tf.views(board.Alive) == size*size {
+		if tf.countViews(board.Alive) == size*size {
 			break
 		}
 		tf.run(100)
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -9,11 +9,11 @@
 // helpers that are asked one after another and report a missed ack, and the
 // flag that tells a VM that it is suspected.
 //
-// A VM goes through Alive, Suspect and Dead. It counts as Dead only DeadHold
-// after its suspicion ran out. DeadHold is longer than Fresh, the span after
+// A VM goes through Alive, Suspect and Dead. It counts as Dead only DeadDelay
+// after its suspicion ran out. DeadDelay is longer than AckTTL, the span after
 // which a VM without acks from a majority of the roster stops being quorate:
 // a VM that is cut off has fenced itself before others take over its work. A
-// VM that lost the majority counts as quorate again only after another Fresh.
+// VM that lost the majority counts as quorate again only after another AckTTL.
 // Dead is final for an incarnation: who hears that it was held dead goes on
 // under a new one.
 //
@@ -37,9 +37,9 @@
 //	for _, in := range dt.Step(now, membership.Listed{VMs: listed}) {
 //		switch in := in.(type) {
 //		case membership.Send: ...
-//		case membership.Changed: ...
-//		case membership.Fresh: ...
-//		case membership.Refuted: ...
+//		case membership.FleetChanged: ...
+//		case membership.QuorumDeadline: ...
+//		case membership.DeathRefuted: ...
 //		case membership.Replaced: ...
 //		case membership.Wake: ...
 //		}
@@ -55,27 +55,27 @@
 
 // Defaults of Settings.
 const (
-	defaultProbeEvery    = 500 * clock.Millis(1)
+	defaultProbeInterval = 500 * clock.Millis(1)
 	defaultProbeTimeout  = 300 * clock.Millis(1)
-	defaultStagger       = 150 * clock.Millis(1)
+	defaultHelperStagger = 150 * clock.Millis(1)
 	defaultProbeDeadline = 1500 * clock.Millis(1)
 	defaultSuspicionMin  = 2 * clock.Second
 	defaultSuspicionMax  = 6 * clock.Second
-	defaultFresh         = 5 * clock.Second
-	defaultDeadHold      = 7 * clock.Second
+	defaultAckTTL        = 5 * clock.Second
+	defaultDeadDelay     = 7 * clock.Second
 	defaultRemoveAfter   = 2 * clock.Minute
-	defaultSyncEvery     = 20 * clock.Second
+	defaultSyncInterval  = 20 * clock.Second
 	defaultPauseLimit    = 150 * clock.Millis(1)
 	defaultHelpers       = 3
 	defaultMaxDatagram   = 1100
 )
 
 const (
-	housekeepEvery = clock.Second
-	goneFor        = clock.Hour // how long removed VMs are remembered
-	maxHealth      = 8          // of the local health multiplier
-	pauseHealth    = 2          // added to it by a pause of this process
-	confirmations  = 2          // independent ones that shrink a suspicion to its minimum
+	cleanupInterval  = clock.Second
+	removedRetention = clock.Hour // how long removed VMs are remembered
+	maxHealth        = 8          // of the local health multiplier
+	pausePenalty     = 2          // added to it by a pause of this process
+	confirmations    = 2          // independent ones that shrink a suspicion to its minimum
 )
 
 type (
@@ -94,25 +94,25 @@
 		Counters Counters
 
 		now       clock.Millis
-		self      uint32 // hash of the ID of Self
+		selfHash  uint32 // hash of the ID of Self
 		started   bool
 		startedAt clock.Millis
 		listed    bool // the VM list or the seeds were given once
 		leaving   bool
 		left      bool
-		without   without // refinements switched off to measure their worth
+		disabled  disabledFeatures // refinements switched off to measure their worth
 
-		refutation uint32 // of this incarnation of Self
-		health     int    // local health: 0 is good
-		tb         table
-		rm         rumours
-		pb         prober
-		sy         syncer
-		qr         quorum
+		refutation  uint32 // of this incarnation of Self
+		localHealth int    // local health: 0 is good
+		table       table
+		rumours     rumours
+		prober      prober
+		syncer      syncer
+		quorum      quorum
 
-		nextHousekeep clock.Millis
+		nextCleanup   clock.Millis
 		wakeAt        clock.Millis
-		owed          []*member // of which the sender of this step's datagram holds an old doubt
+		staleAtSender []*member // of which the sender of this step's datagram holds an old doubt
 		fleet         *board.Fleet
 		dirty         bool
 		out           []Intent
@@ -120,43 +120,43 @@
 
 	// Settings of a Detector. A zero field means the default.
 	Settings struct {
-		ProbeEvery    clock.Millis // one VM is probed each such period
+		ProbeInterval clock.Millis // one VM is probed each such period
 		ProbeTimeout  clock.Millis // without an ack by then, helpers are asked
 		HelperStagger clock.Millis // between one helper and the next
 		ProbeDeadline clock.Millis // without an ack by then, the VM is suspect
 		SuspicionMin  clock.Millis // with independent confirmations
 		SuspicionMax  clock.Millis // without any
-		// Fresh is how long an ack counts toward being quorate, from when
+		// AckTTL is how long an ack counts toward being quorate, from when
 		// its probe was sent.
-		Fresh clock.Millis
-		// DeadHold passes after a suspicion ran out before the VM counts as
-		// Dead. Keep it longer than Fresh plus the time a rumour needs to
+		AckTTL clock.Millis
+		// DeadDelay passes after a suspicion ran out before the VM counts as
+		// Dead. Keep it longer than AckTTL plus the time a rumour needs to
 		// reach the fleet.
-		DeadHold    clock.Millis
-		RemoveAfter clock.Millis // Dead and not listed for so long leaves the roster
-		SyncEvery   clock.Millis // between comparisons of tables that differ
-		PauseLimit  clock.Millis // a Tick later than this shows a pause of this process
-		Helpers     int
-		MaxDatagram int // bytes of an encoded datagram, without what the transport adds
+		DeadDelay    clock.Millis
+		RemoveAfter  clock.Millis // Dead and not listed for so long leaves the roster
+		SyncInterval clock.Millis // between comparisons of tables that differ
+		PauseLimit   clock.Millis // a Tick later than this shows a pause of this process
+		Helpers      int
+		MaxDatagram  int // bytes of an encoded datagram, without what the transport adds
 	}
 
 	// Counters of a Detector since it started.
 	Counters struct {
-		Probes      uint64 // sent on own behalf
-		Acked       uint64 // probes that were acked, directly or by a helper
-		Missed      uint64 // probes that were not
-		Relayed     uint64 // probes sent on behalf of others
-		Suspected   uint64 // suspicions that began from an own probe
-		Died        uint64 // VMs that became Dead
-		Refutations uint64 // of suspicion or death of Self
-		Pauses      uint64 // of this process
-		Syncs       uint64 // requests to compare tables
-		Ignored     uint64 // datagrams that are not well formed or not for Self
-		Strangers   uint64 // datagrams of VMs whose address is not known
+		Probes         uint64 // sent on own behalf
+		Acked          uint64 // probes that were acked, directly or by a helper
+		Missed         uint64 // probes that were not
+		Relayed        uint64 // probes sent on behalf of others
+		Suspected      uint64 // suspicions that began from an own probe
+		MarkedDead     uint64 // VMs that became Dead
+		Refutations    uint64 // of suspicion or death of Self
+		Pauses         uint64 // of this process
+		Syncs          uint64 // requests to compare tables
+		Ignored        uint64 // datagrams that are not well formed or not for Self
+		UnknownSenders uint64 // datagrams of VMs whose address is not known
 	}
 
-	// without switches refinements off, for comparison only.
-	without struct {
+	// disabledFeatures switches refinements off, for comparison only.
+	disabledFeatures struct {
 		helpers     bool // suspect after the direct probe alone
 		suspicion   bool // no suspicion: dead at the first missed probe
 		localHealth bool // timeouts do not follow local health or pauses
@@ -171,12 +171,12 @@
 	dt.start(now)
 	dt.out = nil
 	dt.now = max(now, dt.now)
-	dt.notePause()
+	dt.detectPause()
 	switch ev := ev.(type) {
 	case Received:
 		dt.receive(ev.Datagram)
 	case Listed:
-		dt.list(ev.VMs)
+		dt.applyList(ev.VMs)
 	case Leave:
 		dt.leave(ev.Final)
 	case Tick:
@@ -190,7 +190,7 @@
 // Quorate tells whether this VM reaches a majority of the roster at the
 // given point, as far as is known from the steps so far.
 func (dt *Detector) Quorate(now clock.Millis) bool {
-	return dt.started && !dt.left && dt.qr.until > now
+	return dt.started && !dt.left && dt.quorum.until > now
 }
 
 func (dt *Detector) start(now clock.Millis) {
@@ -200,63 +200,63 @@
 	dt.started = true
 	dt.startedAt = now
 	dt.now = now
-	dt.self = hashOf(dt.Self.ID)
+	dt.selfHash = hashOf(dt.Self.ID)
 	dt.Settings = dt.Settings.withDefaults()
-	dt.tb.byID = make(map[string]*member)
-	dt.tb.gone = make(map[string]goneVM)
-	dt.pb.open = make(map[uint64]*probe)
-	dt.pb.relays = make(map[uint64]relay)
-	dt.pb.next = now + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.ProbeEvery)))
-	dt.nextHousekeep = now + housekeepEvery
+	dt.table.byID = make(map[string]*member)
+	dt.table.removed = make(map[string]removedVM)
+	dt.prober.open = make(map[uint64]*probe)
+	dt.prober.relays = make(map[uint64]relay)
+	dt.prober.next = now + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.ProbeInterval)))
+	dt.nextCleanup = now + cleanupInterval
 	dt.Self.Health = board.Alive
-	dt.rm.push(dt.Self.ID, 0)
-	dt.touch()
+	dt.rumours.push(dt.Self.ID, 0)
+	dt.invalidate()
 }
 
-// notePause notices that this process did not run when it wanted to. What
+// detectPause notices that this process did not run when it wanted to. What
 // the others sent in the meantime is still queued, so open probes prove
 // nothing and suspicions wait for as long as the pause took.
-func (dt *Detector) notePause() {
+func (dt *Detector) detectPause() {
 	late := dt.now - dt.wakeAt
 	if dt.wakeAt == 0 || late <= dt.Settings.PauseLimit {
 		return
 	}
 	dt.Counters.Pauses++
-	if dt.without.localHealth {
+	if dt.disabled.localHealth {
 		return
 	}
-	dt.ail(pauseHealth)
-	clear(dt.pb.open)
-	clear(dt.pb.relays)
-	for _, mb := range dt.tb.suspects {
+	dt.adjustHealth(pausePenalty)
+	clear(dt.prober.open)
+	clear(dt.prober.relays)
+	for _, mb := range dt.table.suspects {
 		mb.suspicion.started += late
 		mb.suspicion.deadline += late
 	}
 }
 
-// ail worsens the local health, and improves it if by is negative.
-func (dt *Detector) ail(by int) {
-	if dt.without.localHealth {
+// adjustHealth worsens the local health, and improves it if by is negative.
+func (dt *Detector) adjustHealth(by int) {
+	if dt.disabled.localHealth {
 		return
 	}
-	dt.health = min(max(dt.health+by, 0), maxHealth)
+	dt.localHealth = min(max(dt.localHealth+by, 0), maxHealth)
 }
 
-// scaled stretches a timeout by the local health.
-func (dt *Detector) scaled(span clock.Millis) clock.Millis {
-	return span * clock.Millis(1+dt.health)
+// scaleTimeout stretches a timeout by the local health.
+func (dt *Detector) scaleTimeout(span clock.Millis) clock.Millis {
+	return span * clock.Millis(1+dt.localHealth)
 }
 
 func (dt *Detector) advance() {
 	dt.expireProbes()
 	dt.expireSuspicions()
 	dt.expireSync()
-	if dt.now >= dt.nextHousekeep {
-		dt.nextHousekeep = dt.now + housekeepEvery
-		dt.housekeep()
+	if dt.now >= dt.nextCleanup {
+		dt.nextCleanup = dt.now + cleanupInterval
+		dt.removeExpired()
 	}
-	if dt.now >= dt.pb.next {
-		dt.pb.next = max(dt.pb.next+dt.Settings.ProbeEvery, dt.now+dt.Settings.ProbeEvery/2)
+	if dt.now >= dt.prober.next {
+		dt.prober.next = max(dt.prober.next+dt.Settings.ProbeInterval, dt.now+dt.Settings.ProbeInterval/2)
 		dt.probeRound()
 	}
 }
@@ -271,21 +271,21 @@
 		dt.left = true
 		dt.Self.Health = board.Left
 	}
-	dt.rm.push(dt.Self.ID, 0)
-	dt.touch()
+	dt.rumours.push(dt.Self.ID, 0)
+	dt.invalidate()
 	if final {
-		dt.announce()
+		dt.announceLeave()
 	}
 }
 
-// announce tells a few VMs at once, since this VM sends nothing afterwards.
-func (dt *Detector) announce() {
+// announceLeave tells a few VMs at once, since this VM sends nothing afterwards.
+func (dt *Detector) announceLeave() {
 	told := 0
-	for _, mb := range dt.shuffled(dt.tb.members) {
-		if mb.vm.Health != board.Alive || !mb.heard {
+	for _, mb := range dt.shuffled(dt.table.members) {
+		if mb.vm.Health != board.Alive || !mb.confirmed {
 			continue
 		}
-		dt.send(mb, notice())
+		dt.send(mb, newNotice())
 		if told++; told == 2*dt.Settings.Helpers {
 			return
 		}
@@ -294,11 +294,11 @@
 
 // finish closes a step: quorum, snapshot and the next wake.
 func (dt *Detector) finish() []Intent {
-	dt.measureQuorum()
+	dt.updateQuorum()
 	if dt.dirty {
 		dt.dirty = false
 		dt.fleet = dt.snapshot()
-		dt.out = append(dt.out, Changed{Fleet: dt.fleet})
+		dt.out = append(dt.out, FleetChanged{Fleet: dt.fleet})
 	}
 	if at := dt.nextWake(); !dt.left {
 		dt.wakeAt = at
@@ -308,23 +308,23 @@
 }
 
 func (dt *Detector) nextWake() clock.Millis {
-	at := min(dt.nextHousekeep, dt.pb.next)
-	if dt.qr.until > dt.now {
-		at = min(at, dt.qr.until)
-	} else if dt.qr.reached > 0 {
-		at = min(at, dt.qr.reached+dt.Settings.Fresh)
+	at := min(dt.nextCleanup, dt.prober.next)
+	if dt.quorum.until > dt.now {
+		at = min(at, dt.quorum.until)
+	} else if dt.quorum.majoritySince > 0 {
+		at = min(at, dt.quorum.majoritySince+dt.Settings.AckTTL)
 	}
-	for _, pr := range dt.pb.open {
-		at = min(at, pr.at)
+	for _, pr := range dt.prober.open {
+		at = min(at, pr.nextAt)
 	}
-	for _, rl := range dt.pb.relays {
+	for _, rl := range dt.prober.relays {
 		at = min(at, rl.deadline)
 	}
-	for _, mb := range dt.tb.suspects {
-		at = min(at, mb.suspicion.next())
+	for _, mb := range dt.table.suspects {
+		at = min(at, mb.suspicion.nextAction())
 	}
-	if dt.sy.asked != "" {
-		at = min(at, dt.sy.deadline)
+	if dt.syncer.awaiting != "" {
+		at = min(at, dt.syncer.deadline)
 	}
 	return max(at, dt.now+1)
 }
@@ -334,16 +334,16 @@
 		field *clock.Millis
 		value clock.Millis
 	}{
-		{&se.ProbeEvery, defaultProbeEvery},
+		{&se.ProbeInterval, defaultProbeInterval},
 		{&se.ProbeTimeout, defaultProbeTimeout},
-		{&se.HelperStagger, defaultStagger},
+		{&se.HelperStagger, defaultHelperStagger},
 		{&se.ProbeDeadline, defaultProbeDeadline},
 		{&se.SuspicionMin, defaultSuspicionMin},
 		{&se.SuspicionMax, defaultSuspicionMax},
-		{&se.Fresh, defaultFresh},
-		{&se.DeadHold, defaultDeadHold},
+		{&se.AckTTL, defaultAckTTL},
+		{&se.DeadDelay, defaultDeadDelay},
 		{&se.RemoveAfter, defaultRemoveAfter},
-		{&se.SyncEvery, defaultSyncEvery},
+		{&se.SyncInterval, defaultSyncInterval},
 		{&se.PauseLimit, defaultPauseLimit},
 	}
 	for _, sp := range spans {
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -27,13 +27,13 @@
 	list := []board.VM{vmOf("0", "d0"), vmOf("1", "d1"), vmOf("2", "d1"), vmOf("3", "d2"), vmOf("4", "d2")}
 	dt.Step(0, Listed{VMs: list})
 	for _, vm := range list[1:] {
-		dt.Step(0, Received{Datagram: from(vm, places(vm))})
+		dt.Step(0, Received{Datagram: datagramFrom(vm, fullRumour(vm))})
 	}
 	return dt
 }
 
-func from(vm board.VM, rr ...*peerpb.Rumour) *peerpb.Datagram {
-	dg := notice()
+func datagramFrom(vm board.VM, rr ...*peerpb.Rumour) *peerpb.Datagram {
+	dg := newNotice()
 	dg.From, dg.Incarnation, dg.To, dg.Rumours = vm.ID, vm.Incarnation, "0", rr
 	return dg
 }
@@ -61,7 +61,7 @@
 			dt := testDetector()
 			for _, rr := range tc.rumours {
 				rr.VM = "1"
-				dt.Step(1, Received{Datagram: from(vmOf("2", "d1"), rr)})
+				dt.Step(1, Received{Datagram: datagramFrom(vmOf("2", "d1"), rr)})
 			}
 			vm, _ := dt.fleet.VM("1")
 			assert.Equal(t, vm.Health, tc.want)
@@ -71,15 +71,15 @@
 
 func TestRumoursOfSelf(t *testing.T) {
 	cases := []struct {
-		name string
-		rr   *peerpb.Rumour
-		want Intent // nil is neither Refuted nor Replaced
-		life uint32 // that Self is in afterwards
+		name       string
+		rr         *peerpb.Rumour
+		want       Intent // nil is neither DeathRefuted nor Replaced
+		generation uint32 // that Self is in afterwards
 	}{
 		{"suspicion is refuted within the incarnation", &peerpb.Rumour{Incarnation: 10, Health: 1}, nil, 0},
-		{"death needs a new life", &peerpb.Rumour{Incarnation: 10, Health: 2}, Refuted{Incarnation: 10}, 1},
-		{"a later death too", &peerpb.Rumour{Incarnation: 10, Health: 2, Refutation: 3<<lifeShift + 7}, Refuted{Incarnation: 10}, 4},
-		{"one of a later incarnation needs another", &peerpb.Rumour{Incarnation: 12, Health: 2}, Refuted{Incarnation: 13}, 0},
+		{"death needs a new life", &peerpb.Rumour{Incarnation: 10, Health: 2}, DeathRefuted{Incarnation: 10}, 1},
+		{"a later death too", &peerpb.Rumour{Incarnation: 10, Health: 2, Refutation: 3<<generationShift + 7}, DeathRefuted{Incarnation: 10}, 4},
+		{"one of a later incarnation needs another", &peerpb.Rumour{Incarnation: 12, Health: 2}, DeathRefuted{Incarnation: 13}, 0},
 		{"death of an earlier run", &peerpb.Rumour{Incarnation: 9, Health: 2}, nil, 0},
 		{"a later run elsewhere", &peerpb.Rumour{Incarnation: 11, Peer: "10.9.9.9:1"}, Replaced{Incarnation: 11}, 0},
 	}
@@ -88,15 +88,15 @@
 			dt := testDetector()
 			tc.rr.VM = "0"
 			var got Intent
-			for _, in := range dt.Step(1, Received{Datagram: from(vmOf("2", "d1"), tc.rr)}) {
+			for _, in := range dt.Step(1, Received{Datagram: datagramFrom(vmOf("2", "d1"), tc.rr)}) {
 				switch in.(type) {
-				case Refuted, Replaced:
+				case DeathRefuted, Replaced:
 					got = in
 				}
 			}
 			assert.DeepEqual(t, got, tc.want)
-			assert.Equal(t, lifeOf(dt.refutation), tc.life)
-			assert.Equal(t, dt.refutation%(1<<lifeShift) > 0, tc.rr.Health == uint32(board.Suspect))
+			assert.Equal(t, generationOf(dt.refutation), tc.generation)
+			assert.Equal(t, dt.refutation%(1<<generationShift) > 0, tc.rr.Health == uint32(board.Suspect))
 		})
 	}
 }
@@ -111,8 +111,8 @@
 		nobody bool
 	}{
 		{"no evidence", nil, false, 0, false},
-		{"one domain is a majority", map[string]bool{"1": true}, true, 1000 + defaultFresh, false},
-		{"half of each domain", map[string]bool{"1": true, "2": false, "3": true, "4": false}, true, 1000 + defaultFresh, false},
+		{"one domain is a majority", map[string]bool{"1": true}, true, 1000 + defaultAckTTL, false},
+		{"half of each domain", map[string]bool{"1": true, "2": false, "3": true, "4": false}, true, 1000 + defaultAckTTL, false},
 		{"half of one domain", map[string]bool{"1": true, "2": false}, false, 0, false},
 		{"all missed", map[string]bool{"1": false, "3": false}, false, 0, false},
 	}
@@ -121,12 +121,12 @@
 			dt := testDetector()
 			dt.now = 2000
 			for id, ok := range tc.acks {
-				dt.observe(&probe{target: dt.tb.byID[id], sent: 1000}, ok)
+				dt.recordSample(&probe{target: dt.table.byID[id], sent: 1000}, ok)
 			}
-			dt.measureQuorum()
-			assert.Equal(t, dt.qr.quorate, tc.want)
-			assert.Equal(t, dt.qr.until, tc.until)
-			assert.Equal(t, dt.Quorate(1000+defaultFresh), false, "evidence runs out")
+			dt.updateQuorum()
+			assert.Equal(t, dt.quorum.quorate, tc.want)
+			assert.Equal(t, dt.quorum.until, tc.until)
+			assert.Equal(t, dt.Quorate(1000+defaultAckTTL), false, "evidence runs out")
 		})
 	}
 }
@@ -148,7 +148,7 @@
 			ff.Add(raw, true)
 		}
 	}
-	ask := &peerpb.Datagram{Body: &peerpb.Datagram_SyncAsk{SyncAsk: &peerpb.SyncAsk{Buckets: make([]uint32, buckets)}}}
+	ask := &peerpb.Datagram{Body: &peerpb.Datagram_SyncAsk{SyncAsk: &peerpb.SyncAsk{Buckets: make([]uint32, syncBuckets)}}}
 	raw, err := proto.Marshal(ask)
 	assert.NilError(ff, err)
 	ff.Add(raw, true)
@@ -195,7 +195,7 @@
 			switch in := in.(type) {
 			case Send:
 				carry(now, in.To.ID, Received{Datagram: in.Datagram})
-			case Changed:
+			case FleetChanged:
 				fleets[id] = in.Fleet
 			}
 		}
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -10,7 +10,7 @@
 	// Event is what a Detector is told: Received, Listed, Tick or Leave.
 	Event interface{ event() }
 
-	// Intent is what a Detector wants done: Send, Changed, Fresh, Refuted,
+	// Intent is what a Detector wants done: Send, FleetChanged, QuorumDeadline, DeathRefuted,
 	// Replaced or Wake.
 	Intent interface{ intent() }
 
@@ -36,18 +36,18 @@
 		Datagram *peerpb.Datagram
 	}
 
-	// Changed is a new snapshot of the fleet.
-	Changed struct{ Fleet *board.Fleet }
+	// FleetChanged is a new snapshot of the fleet.
+	FleetChanged struct{ Fleet *board.Fleet }
 
-	// Fresh tells up to which point this VM is quorate without further acks.
+	// QuorumDeadline tells up to which point this VM is quorate without further acks.
 	// Who is about to start something that may run at most once compares it
 	// with the clock at the last moment, because a process that was paused
 	// still sees the snapshot of before.
-	Fresh struct{ Until clock.Millis }
+	QuorumDeadline struct{ Until clock.Millis }
 
-	// Refuted tells that others held this VM dead. It goes on, as a rule under
+	// DeathRefuted tells that others held this VM dead. It goes on, as a rule under
 	// the same incarnation, and must check which of its work others took over.
-	Refuted struct{ Incarnation uint64 }
+	DeathRefuted struct{ Incarnation uint64 }
 
 	// Replaced tells that a later process runs under the ID of this VM at
 	// another address. This one is silent from now on and must stop.
@@ -63,9 +63,9 @@
 func (Tick) event()     {}
 func (Leave) event()    {}
 
-func (Send) intent()     {}
-func (Changed) intent()  {}
-func (Fresh) intent()    {}
-func (Refuted) intent()  {}
-func (Replaced) intent() {}
-func (Wake) intent()     {}
+func (Send) intent()           {}
+func (FleetChanged) intent()   {}
+func (QuorumDeadline) intent() {}
+func (DeathRefuted) intent()   {}
+func (Replaced) intent()       {}
+func (Wake) intent()           {}
--- a/internal/membership/fault_test.go
+++ b/internal/membership/fault_test.go
@@ -15,14 +15,14 @@
 	"alderdyke/pkg/clock"
 )
 
-// badFleet is a settled fleet with 5% loss and pauses of 200 to 800 ms.
-func badFleet(size, domains int, seed uint64, vr variant) *testFleet {
+// faultyFleet is a settled fleet with 5% loss and pauses of 200 to 800 ms.
+func faultyFleet(size, domains int, seed uint64, vr variant) *testFleet {
 	tf := settledFleet(size, domains, seed, vr)
 	tf.run(10 * clock.Second)
 	tf.loss = 0.05
 	tf.startPauses(10 * clock.Second)
 	tf.run(10 * clock.Second)
-	tf.settle = tf.now
+	tf.countFrom = tf.now
 	tf.falseDeaths = 0
 	return tf
 }
@@ -42,7 +42,7 @@
 func (tf *testFleet) refutations(vms []*testVM) int {
 	count := 0
 	for _, vm := range vms {
-		count += vm.refuted
+		count += vm.refutedDeaths
 	}
 	return count
 }
@@ -50,7 +50,7 @@
 // allAlive tells whether all live VMs hold each other alive and are quorate.
 func (tf *testFleet) allAlive() bool {
 	live := len(tf.live())
-	return tf.views(board.Alive) == live*live && tf.quorate() == live
+	return tf.countViews(board.Alive) == live*live && tf.quorate() == live
 }
 
 func (tf *testFleet) runUntil(limit clock.Millis, done func() bool) bool {
@@ -67,7 +67,7 @@
 	const span = 30 * clock.Second
 	measured := make(map[int]float64)
 	for _, size := range []int{48, 380} {
-		tf := badFleet(size, 8, 1, variant{})
+		tf := faultyFleet(size, 8, 1, variant{})
 		tf.resetTraffic()
 		tf.run(span)
 		bytes, messages, _ := tf.perVM(span)
@@ -84,13 +84,13 @@
 
 func TestDeathIsDetected(t *testing.T) {
 	eachFleet(t, func(t *testing.T, size, domains int, seed uint64) {
-		tf := badFleet(size, domains, seed, variant{})
+		tf := faultyFleet(size, domains, seed, variant{})
 		victim := tf.vms[3]
 		tf.kill(victim)
 		tf.run(20 * clock.Second)
 		dead := tf.detected[victim.self.ID]
 		assert.Equal(t, len(dead), size-1, "each VM holds it dead, once")
-		assert.Assert(t, quantile(dead, 0) > defaultFresh+defaultSuspicionMin)
+		assert.Assert(t, quantile(dead, 0) > defaultAckTTL+defaultSuspicionMin)
 		assert.Assert(t, quantile(dead, 0.99) <= 17*clock.Second)
 		assert.Assert(t, quantile(tf.suspected[victim.self.ID], 0.5) <= 6*clock.Second)
 		assert.Equal(t, tf.falseDeaths, 0)
@@ -99,7 +99,7 @@
 
 func TestFailureDomainLostAndBack(t *testing.T) {
 	eachFleet(t, func(t *testing.T, size, domains int, seed uint64) {
-		tf := badFleet(size, domains, seed, variant{})
+		tf := faultyFleet(size, domains, seed, variant{})
 		for _, vm := range tf.vms {
 			if vm.self.FailureDomain == "domain-1" {
 				tf.kill(vm)
@@ -123,10 +123,10 @@
 
 func TestPartitionFencesMergesAndRefutes(t *testing.T) {
 	eachFleet(t, func(t *testing.T, size, domains int, seed uint64) {
-		tf := badFleet(size, domains, seed, variant{})
+		tf := faultyFleet(size, domains, seed, variant{})
 		minority := tf.regionVMs()
 		tf.cut = regionCut
-		assert.Assert(t, tf.runUntil(defaultFresh+250, func() bool { return tf.noneQuorate(minority) }))
+		assert.Assert(t, tf.runUntil(defaultAckTTL+250, func() bool { return tf.noneQuorate(minority) }))
 		tf.run(clock.Minute)
 		assert.Equal(t, tf.quorate(), size-len(minority))
 		for _, vm := range tf.vms {
@@ -144,13 +144,13 @@
 	})
 }
 
-// Without DeadHold the check above finds VMs that are not fenced.
-func TestWithoutHoldTheFenceBreaks(t *testing.T) {
+// Without DeadDelay the check above finds VMs that are not fenced.
+func TestFencingNeedsDeadDelay(t *testing.T) {
 	t.Parallel()
 	unfenced := 0
 	for seed := range uint64(4) {
-		tf := badFleet(24, 8, seed, variant{settings: Settings{
-			DeadHold: noHold, SuspicionMin: clock.Second, SuspicionMax: clock.Second,
+		tf := faultyFleet(24, 8, seed, variant{settings: Settings{
+			DeadDelay: noDeadDelay, SuspicionMin: clock.Second, SuspicionMax: clock.Second,
 		}})
 		tf.cut = regionCut
 		tf.run(20 * clock.Second)
@@ -168,7 +168,7 @@
 	}
 	tf.run(clock.Minute)
 	assert.Equal(t, tf.quorate(), 0)
-	assert.Equal(t, tf.views(board.Dead), 32, "each half serves on without the other")
+	assert.Equal(t, tf.countViews(board.Dead), 32, "each half serves on without the other")
 	tf.cut = nil
 	assert.Assert(t, tf.runUntil(30*clock.Second, tf.allAlive))
 	assert.Equal(t, tf.refutations(tf.vms), 0, "neither half told the other of its death")
@@ -176,18 +176,18 @@
 
 func TestPausedVMWakes(t *testing.T) {
 	eachFleet(t, func(t *testing.T, size, domains int, seed uint64) {
-		tf := badFleet(size, domains, seed, variant{})
+		tf := faultyFleet(size, domains, seed, variant{})
 		paused := tf.vms[2]
 		pausedAt := tf.now
 		paused.pausedUntil = tf.now + 40*clock.Second
 		tf.run(39 * clock.Second)
-		assert.Assert(t, paused.until <= pausedAt+defaultFresh)
+		assert.Assert(t, paused.quorateUntil <= pausedAt+defaultAckTTL)
 		tf.run(2 * clock.Second)
 		for _, vm := range paused.fleet.VMs {
 			assert.Assert(t, vm.Health != board.Dead, "the waking VM holds %s dead", vm.ID)
 		}
 		assert.Assert(t, tf.runUntil(clock.Minute, tf.allAlive))
-		assert.Equal(t, paused.refuted, 1)
+		assert.Equal(t, paused.refutedDeaths, 1)
 		assert.Equal(t, tf.refutations(tf.vms), 1)
 		assert.Equal(t, tf.unfenced, 0)
 	})
@@ -202,14 +202,14 @@
 	self.ID, self.Peer = "domain-0-new", "10.0.1.1:7400"
 	joined := tf.addVM(self, 99, variant{})
 	tf.step(joined, Listed{VMs: tf.list()[5:8]})
-	knows := func() bool { return len(joined.fleet.VMs) == 381 && joined.until > tf.now }
+	knows := func() bool { return len(joined.fleet.VMs) == 381 && joined.quorateUntil > tf.now }
 	assert.Assert(t, tf.runUntil(8*clock.Second, knows))
 	assert.Assert(t, tf.runUntil(12*clock.Second, tf.allAlive))
 }
 
 func TestLeave(t *testing.T) {
 	t.Parallel()
-	tf := badFleet(7, 4, 1, variant{})
+	tf := faultyFleet(7, 4, 1, variant{})
 	leaver := tf.vms[4]
 	others := func(test func(vm board.VM) bool) func() bool {
 		return func() bool {
@@ -251,7 +251,7 @@
 	}
 	tf.run(defaultRemoveAfter - clock.Second)
 	assert.Equal(t, tf.quorate(), 0)
-	tf.run(3*clock.Second + defaultFresh)
+	tf.run(3*clock.Second + defaultAckTTL)
 	assert.Equal(t, tf.quorate(), 3)
 	assert.Equal(t, len(tf.vms[5].fleet.VMs), 3)
 }
@@ -276,9 +276,9 @@
 	tf.cut = func(from, to *testVM) bool { return (from == third) != (to == third) }
 	tf.run(2321)
 	tf.cut = nil
-	assert.Assert(t, tf.views(board.Suspect) > 0)
-	assert.Assert(t, tf.runUntil(5*clock.Second, func() bool { return tf.views(board.Alive) == 9 }))
-	assert.Assert(t, tf.runUntil(2*defaultFresh, tf.allAlive))
+	assert.Assert(t, tf.countViews(board.Suspect) > 0)
+	assert.Assert(t, tf.runUntil(5*clock.Second, func() bool { return tf.countViews(board.Alive) == 9 }))
+	assert.Assert(t, tf.runUntil(2*defaultAckTTL, tf.allAlive))
 	assert.Equal(t, tf.refutations(tf.vms), 0)
 }
 
@@ -317,7 +317,7 @@
 	tf.run(25 * clock.Second)
 	assert.Equal(t, tf.unfenced, 0)
 	for vm := range minority {
-		assert.Assert(t, vm.until <= tf.now, "%s is quorate", vm.self.ID)
+		assert.Assert(t, vm.quorateUntil <= tf.now, "%s is quorate", vm.self.ID)
 	}
 }
 
@@ -339,9 +339,9 @@
 		live := len(tf.live())
 		assert.Equal(rt, tf.unfenced, 0)
 		assert.Equal(rt, tf.resurrected, 0)
-		assert.Equal(rt, tf.views(board.Alive), live*live)
+		assert.Equal(rt, tf.countViews(board.Alive), live*live)
 		for _, vm := range tf.live() {
-			assert.Equal(rt, vm.until > tf.now, 2*live > size)
+			assert.Equal(rt, vm.quorateUntil > tf.now, 2*live > size)
 			for _, other := range vm.fleet.VMs {
 				assert.Equal(rt, tf.byID[other.ID].up, other.Health == board.Alive)
 			}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -13,30 +13,30 @@
 	"alderdyke/pkg/clock"
 )
 
-// headBytes is what IPv4 and UDP add to a datagram.
-const headBytes = 28
+// packetOverhead is what IPv4 and UDP add to a datagram.
+const packetOverhead = 28
 
-// unknown is the health of a VM that was listed but never heard of.
-const unknown board.Health = -1
+// neverSeen is the health of a VM that was listed but never heard of.
+const neverSeen board.Health = -1
 
 type (
 	// testFleet exchanges datagrams between real detectors under virtual
 	// time, with loss, delay, pauses, deaths and cuts.
 	testFleet struct {
-		now    clock.Millis
-		rnd    *rand.Rand
-		vms    []*testVM
-		byID   map[string]*testVM
-		queue  delivery
-		seq    int
-		loss   float64
-		cut    func(from, to *testVM) bool
-		settle clock.Millis // nothing is counted before
+		now       clock.Millis
+		rnd       *rand.Rand
+		vms       []*testVM
+		byID      map[string]*testVM
+		queue     delivery
+		seq       int
+		loss      float64
+		cut       func(from, to *testVM) bool
+		countFrom clock.Millis // nothing is counted before
 		// pauseEvery is the mean span between pauses of a VM; zero is none.
 		pauseEvery clock.Millis
-		// ill VMs pause 2 to 4 s again and again; what is thought of them is
+		// unstable VMs pause 2 to 4 s again and again; what is thought of them is
 		// not counted as false.
-		ill map[string]bool
+		unstable map[string]bool
 
 		suspects, deaths map[string]int // views of live VMs, by ID
 		falseSuspicions  int
@@ -53,27 +53,27 @@
 	variant struct {
 		name     string
 		settings Settings
-		without  without
+		disabled disabledFeatures
 	}
 
 	testVM struct {
-		dt          *Detector
-		self        board.VM
-		up          bool
-		pausedUntil clock.Millis
-		tickAt      clock.Millis
-		fleet       *board.Fleet
-		lives       map[string]life // of the other VMs, in its last snapshot
-		until       clock.Millis
-		refuted     int
-		sent, got   traffic
-	}
-
-	// life is one span of a VM's time, from its start or from when it was
+		dt            *Detector
+		self          board.VM
+		up            bool
+		pausedUntil   clock.Millis
+		tickAt        clock.Millis
+		fleet         *board.Fleet
+		generations   map[string]generation // of the other VMs, in its last snapshot
+		quorateUntil  clock.Millis
+		refutedDeaths int
+		sent, got     traffic
+	}
+
+	// generation is one span of a VM's time, from its start or from when it was
 	// told that it was held dead.
-	life struct {
+	generation struct {
 		incarnation uint64
-		number      uint32
+		deaths      uint32
 	}
 
 	traffic struct{ messages, bytes int }
@@ -122,14 +122,14 @@
 	tf := stoppedFleet(size, domains, seed, vr)
 	for _, vm := range tf.vms {
 		vm.dt.start(0)
-		vm.dt.startedAt = -joinFor
+		vm.dt.startedAt = -joinPeriod
 		for _, other := range tf.vms {
 			if other != vm {
-				vm.dt.tb.add(&member{vm: other.self, heard: true, met: -introduceFor})
+				vm.dt.table.add(&member{vm: other.self, confirmed: true, joinedAt: -introductionPeriod})
 			}
 		}
-		vm.dt.rm.drop(vm.self.ID)
-		vm.dt.layRing()
+		vm.dt.rumours.drop(vm.self.ID)
+		vm.dt.startRound()
 		tf.step(vm, Listed{VMs: tf.list()})
 	}
 	return tf
@@ -140,7 +140,7 @@
 		rnd:       rand.New(rand.NewPCG(seed, 1)),
 		byID:      make(map[string]*testVM),
 		suspects:  make(map[string]int),
-		ill:       make(map[string]bool),
+		unstable:  make(map[string]bool),
 		deaths:    make(map[string]int),
 		killed:    make(map[string]clock.Millis),
 		suspected: make(map[string][]clock.Millis),
@@ -160,12 +160,12 @@
 }
 
 func (tf *testFleet) addVM(self board.VM, seed uint64, vr variant) *testVM {
-	vm := &testVM{self: self, up: true, lives: make(map[string]life)}
+	vm := &testVM{self: self, up: true, generations: make(map[string]generation)}
 	vm.dt = &Detector{
 		Self:     self,
 		Rand:     rand.New(rand.NewPCG(seed, uint64(len(tf.vms))+2)),
 		Settings: vr.settings,
-		without:  vr.without,
+		disabled: vr.disabled,
 	}
 	tf.vms = append(tf.vms, vm)
 	tf.byID[self.ID] = vm
@@ -176,7 +176,7 @@
 func (tf *testFleet) restart(vm *testVM, seed uint64) {
 	self := vm.self
 	self.Incarnation += uint64(tf.now) + 1
-	*vm = testVM{self: self, up: true, lives: make(map[string]life)}
+	*vm = testVM{self: self, up: true, generations: make(map[string]generation)}
 	vm.dt = &Detector{Self: self, Rand: rand.New(rand.NewPCG(seed, uint64(tf.now)))}
 	delete(tf.killed, self.ID)
 	tf.step(vm, Listed{VMs: tf.list()})
@@ -216,7 +216,7 @@
 		case !ev.vm.up:
 		case ev.ev == nil:
 			ev.vm.pausedUntil = max(ev.vm.pausedUntil, tf.now+tf.pauseSpan(ev.vm))
-			tf.planPause(ev.vm)
+			tf.schedulePause(ev.vm)
 		case tf.now < ev.vm.pausedUntil:
 			ev.at = ev.vm.pausedUntil
 			tf.pushEvent(ev)
@@ -243,14 +243,14 @@
 func (tf *testFleet) startPauses(every clock.Millis) {
 	tf.pauseEvery = every
 	for _, vm := range tf.vms {
-		tf.planPause(vm)
+		tf.schedulePause(vm)
 	}
 }
 
-// planPause sets when a VM pauses next: an ill one every 5 s.
-func (tf *testFleet) planPause(vm *testVM) {
+// schedulePause sets when a VM pauses next: an ill one every 5 s.
+func (tf *testFleet) schedulePause(vm *testVM) {
 	switch {
-	case tf.ill[vm.self.ID]:
+	case tf.unstable[vm.self.ID]:
 		tf.push(max(tf.now, vm.pausedUntil)+2*clock.Second+clock.Millis(tf.rnd.Int64N(2000)), vm, nil)
 	case tf.pauseEvery > 0:
 		tf.push(tf.now+clock.Second+clock.Millis(tf.rnd.ExpFloat64()*float64(tf.pauseEvery)), vm, nil)
@@ -258,7 +258,7 @@
 }
 
 func (tf *testFleet) pauseSpan(vm *testVM) clock.Millis {
-	if tf.ill[vm.self.ID] {
+	if tf.unstable[vm.self.ID] {
 		return 2*clock.Second + clock.Millis(tf.rnd.Int64N(2001))
 	}
 	return 200 + clock.Millis(tf.rnd.Int64N(601))
@@ -267,7 +267,7 @@
 // add counts one datagram of so many encoded bytes.
 func (tr *traffic) add(size int) {
 	tr.messages++
-	tr.bytes += size + headBytes
+	tr.bytes += size + packetOverhead
 }
 
 func (tf *testFleet) step(vm *testVM, ev Event) {
@@ -279,16 +279,16 @@
 			tf.largest = max(tf.largest, size)
 			vm.sent.add(size)
 			tf.transmit(vm, in, size)
-		case Changed:
-			tf.compare(vm, in.Fleet)
-		case Fresh:
-			began := vm.until <= tf.now && in.Until > tf.now
-			vm.until = in.Until
+		case FleetChanged:
+			tf.compareSnapshots(vm, in.Fleet)
+		case QuorumDeadline:
+			began := vm.quorateUntil <= tf.now && in.Until > tf.now
+			vm.quorateUntil = in.Until
 			if began {
 				tf.checkFenced(vm)
 			}
-		case Refuted:
-			vm.refuted++
+		case DeathRefuted:
+			vm.refutedDeaths++
 		case Wake:
 			if vm.tickAt == 0 || in.At != vm.tickAt {
 				vm.tickAt = in.At
@@ -310,8 +310,8 @@
 	tf.pushEvent(event{at: tf.now + delay, vm: to, ev: Received{Datagram: in.Datagram}, size: size})
 }
 
-// compare counts what a new snapshot changed in the view of one VM.
-func (tf *testFleet) compare(vm *testVM, fl *board.Fleet) {
+// compareSnapshots counts what a new snapshot changed in the view of one VM.
+func (tf *testFleet) compareSnapshots(vm *testVM, fl *board.Fleet) {
 	old := vm.fleet
 	vm.fleet = fl
 	if old == nil {
@@ -322,18 +322,18 @@
 		for at < len(old.VMs) && old.VMs[at].ID < now.ID {
 			at++
 		}
-		before := unknown
+		before := neverSeen
 		if at < len(old.VMs) && old.VMs[at].ID == now.ID {
 			before = healthOf(old.VMs[at])
 		}
 		hl := healthOf(now)
-		lf := vm.lifeHeld(now)
-		if before == board.Dead && hl <= board.Suspect && old.Quorate && lf.atMost(vm.lives[now.ID]) {
+		lf := vm.generationSeen(now)
+		if before == board.Dead && hl <= board.Suspect && old.Quorate && lf.atMost(vm.generations[now.ID]) {
 			tf.resurrected++
 		}
-		vm.lives[now.ID] = lf
+		vm.generations[now.ID] = lf
 		if hl != before {
-			tf.moved(now.ID, before, hl)
+			tf.recordTransition(now.ID, before, hl)
 		}
 		if hl == board.Dead && fl.Quorate && (hl != before || !old.Quorate) {
 			tf.checkFence(vm, now)
@@ -344,7 +344,7 @@
 // checkFenced is checkFence for a VM that becomes quorate.
 func (tf *testFleet) checkFenced(target *testVM) {
 	for _, vm := range tf.live() {
-		if vm.fleet == nil || vm.until <= tf.now {
+		if vm.fleet == nil || vm.quorateUntil <= tf.now {
 			continue
 		}
 		if held, ok := vm.fleet.VM(target.self.ID); ok && held.Health == board.Dead {
@@ -357,36 +357,38 @@
 // start work in the same life.
 func (tf *testFleet) checkFence(holder *testVM, held board.VM) {
 	target := tf.byID[held.ID]
-	if target.up && target.until > tf.now && target.life() == holder.lifeHeld(held) {
+	if target.up && target.quorateUntil > tf.now && target.generation() == holder.generationSeen(held) {
 		tf.unfenced++
 	}
 }
 
-// life is a VM's own count of its lives, in the order of its incarnations.
-func (vm *testVM) life() life { return life{vm.dt.Self.Incarnation, lifeOf(vm.dt.refutation)} }
+// generation is a VM's own count of its lives, in the order of its incarnations.
+func (vm *testVM) generation() generation {
+	return generation{vm.dt.Self.Incarnation, generationOf(vm.dt.refutation)}
+}
 
-// lifeHeld is the life in which a VM holds another one.
-func (vm *testVM) lifeHeld(other board.VM) life {
-	lf := life{incarnation: other.Incarnation}
-	if mb := vm.dt.tb.byID[other.ID]; mb != nil {
-		lf.number = lifeOf(mb.refutation)
+// generationSeen is the life in which a VM holds another one.
+func (vm *testVM) generationSeen(other board.VM) generation {
+	lf := generation{incarnation: other.Incarnation}
+	if mb := vm.dt.table.byID[other.ID]; mb != nil {
+		lf.deaths = generationOf(mb.refutation)
 	}
 	return lf
 }
 
-func (lf life) atMost(other life) bool {
-	return cmp.Or(cmp.Compare(lf.incarnation, other.incarnation), cmp.Compare(lf.number, other.number)) <= 0
+func (lf generation) atMost(other generation) bool {
+	return cmp.Or(cmp.Compare(lf.incarnation, other.incarnation), cmp.Compare(lf.deaths, other.deaths)) <= 0
 }
 
 // healthOf tells a VM that was never heard of from a dead one.
 func healthOf(vm board.VM) board.Health {
 	if vm.Incarnation == 0 {
-		return unknown
+		return neverSeen
 	}
 	return vm.Health
 }
 
-func (tf *testFleet) moved(id string, before, now board.Health) {
+func (tf *testFleet) recordTransition(id string, before, now board.Health) {
 	if at, ok := tf.killed[id]; ok {
 		switch now {
 		case board.Suspect:
@@ -396,7 +398,7 @@
 		}
 		return
 	}
-	if tf.ill[id] {
+	if tf.unstable[id] {
 		return
 	}
 	switch before {
@@ -407,18 +409,18 @@
 	}
 	switch now {
 	case board.Suspect:
-		if tf.suspects[id]++; tf.suspects[id] == 1 && tf.now >= tf.settle {
+		if tf.suspects[id]++; tf.suspects[id] == 1 && tf.now >= tf.countFrom {
 			tf.falseSuspicions++
 		}
 	case board.Dead:
-		if tf.deaths[id]++; tf.deaths[id] == 1 && tf.now >= tf.settle {
+		if tf.deaths[id]++; tf.deaths[id] == 1 && tf.now >= tf.countFrom {
 			tf.falseDeaths++
 		}
 	}
 }
 
-// views counts in how many pairs of live VMs the first holds the second so.
-func (tf *testFleet) views(hl board.Health) int {
+// countViews counts in how many pairs of live VMs the first holds the second so.
+func (tf *testFleet) countViews(hl board.Health) int {
 	count := 0
 	for _, vm := range tf.vms {
 		if !vm.up {
@@ -440,7 +442,7 @@
 func (tf *testFleet) quorate() int {
 	count := 0
 	for _, vm := range tf.live() {
-		if vm.until > tf.now {
+		if vm.quorateUntil > tf.now {
 			count++
 		}
 	}
@@ -488,7 +490,7 @@
 }
 
 func (tf *testFleet) noneQuorate(vms []*testVM) bool {
-	return !slices.ContainsFunc(vms, func(vm *testVM) bool { return vm.until > tf.now })
+	return !slices.ContainsFunc(vms, func(vm *testVM) bool { return vm.quorateUntil > tf.now })
 }
 
 func (tf *testFleet) sentBytes() int {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	maxOpen   = 256 // own probes that wait for an ack
-	maxAlone  = 192 // of them, those that no helper is asked for
-	maxRelays = 64  // probes on behalf of others that wait for one
+	maxOpenProbes   = 256 // own probes that wait for an ack
+	maxDirectProbes = 192 // of them, those that no helper is asked for
+	maxRelays       = 64  // probes on behalf of others that wait for one
 
-	// deadShare is the largest share of periods in which a dead VM is
+	// maxDeadProbeShare is the largest share of periods in which a dead VM is
 	// probed too, to find out when a partition ends.
-	deadShare = 0.25
-	// A failure domain without an ack for this share of Fresh makes this VM
+	maxDeadProbeShare = 0.25
+	// A failure domain without an ack for this share of AckTTL makes this VM
 	// probe one more VM there.
 	staleNumerator, staleDenominator = 9, 10
 )
@@ -26,38 +26,38 @@
 type (
 	// prober holds the probes of this VM.
 	prober struct {
-		next   clock.Millis // when the next period begins
-		ring   []*member    // still to be probed in this round
-		mixed  int          // of them, those put in since the round was laid out
-		number uint64
-		open   map[uint64]*probe
-		relays map[uint64]relay
+		next     clock.Millis // when the next period begins
+		round    []*member    // still to be probed in this round
+		inserted int          // of them, those put in since the round was laid out
+		number   uint64
+		open     map[uint64]*probe
+		relays   map[uint64]relay
 	}
 
 	// probe is one probe without a verdict yet.
 	probe struct {
-		number   uint64
-		target   *member
-		alone    bool // no helper is asked, and it is no fair sample of the fleet
-		sent     clock.Millis
-		at       clock.Millis // when the next helper is asked, or the verdict falls
-		deadline clock.Millis
-		helpers  []*member // chosen when the first is needed
-		asked    int
-		missed   int // helpers that said that they got no ack either
+		number        uint64
+		target        *member
+		directOnly    bool // no helper is asked, and it is no fair sample of the fleet
+		sent          clock.Millis
+		nextAt        clock.Millis // when the next helper is asked, or the verdict falls
+		deadline      clock.Millis
+		helpers       []*member // chosen when the first is needed
+		helpersAsked  int
+		helpersMissed int // helpers that said that they got no ack either
 	}
 
 	// relay is a probe on behalf of another VM.
 	relay struct {
-		asker    string
-		number   uint64
-		target   *member
-		deadline clock.Millis // when the asker is told that no ack came
-		expires  clock.Millis // a later ack is still forwarded until then
+		requester string
+		number    uint64
+		target    *member
+		deadline  clock.Millis // when the asker is told that no ack came
+		expires   clock.Millis // a later ack is still forwarded until then
 	}
 )
 
-func notice() *peerpb.Datagram {
+func newNotice() *peerpb.Datagram {
 	return &peerpb.Datagram{Body: &peerpb.Datagram_Notice{Notice: &peerpb.Notice{}}}
 }
 
@@ -66,118 +66,118 @@
 	dg.From = dt.Self.ID
 	dg.Incarnation = dt.Self.Incarnation
 	dg.To = to.vm.ID
-	dt.attach(to, dg)
+	dt.attachRumours(to, dg)
 	dt.out = append(dt.out, Send{To: to.vm, Datagram: dg})
 }
 
-// enrol gives a new member a random place in the round that runs.
-func (pb *prober) enrol(mb *member, rnd *rand.Rand) {
-	if !slices.Contains(pb.ring, mb) {
-		pb.ring = slices.Insert(pb.ring, rnd.IntN(len(pb.ring)+1), mb)
-		pb.mixed++
+// addToRound gives a new member a random place in the round that runs.
+func (pb *prober) addToRound(mb *member, rnd *rand.Rand) {
+	if !slices.Contains(pb.round, mb) {
+		pb.round = slices.Insert(pb.round, rnd.IntN(len(pb.round)+1), mb)
+		pb.inserted++
 	}
 }
 
 // probeRound sends the probes of one period: the next VM of the round, now
 // and then a dead one, and one in a failure domain without a fresh ack.
 func (dt *Detector) probeRound() {
-	target := dt.nextInRing()
+	target := dt.nextInRound()
 	if target != nil {
-		dt.launch(target, false)
+		dt.sendProbe(target, false)
 	}
 	dead := dt.deadMembers()
 	if len(dead) > 0 {
-		share := min(deadShare, float64(len(dead))/float64(len(dt.tb.members)+1))
+		share := min(maxDeadProbeShare, float64(len(dead))/float64(len(dt.table.members)+1))
 		if target == nil || dt.Rand.Float64() < share {
-			dt.launch(dead[dt.Rand.IntN(len(dead))], true)
+			dt.sendProbe(dead[dt.Rand.IntN(len(dead))], true)
 		}
 	}
-	if mb := dt.staleDomain(); mb != nil {
-		dt.launch(mb, false)
+	if mb := dt.memberOfStaleDomain(); mb != nil {
+		dt.sendProbe(mb, false)
 	}
 }
 
-func (dt *Detector) nextInRing() *member {
-	if dt.pb.mixed > len(dt.pb.ring)/4 {
-		dt.layRing() // too many at random to be a sample of all domains
+func (dt *Detector) nextInRound() *member {
+	if dt.prober.inserted > len(dt.prober.round)/4 {
+		dt.startRound() // too many at random to be a sample of all domains
 	}
 	for range 2 {
-		for len(dt.pb.ring) > 0 {
-			mb := dt.pb.ring[0]
-			dt.pb.ring = dt.pb.ring[1:]
-			if mb.probed() && dt.tb.byID[mb.vm.ID] == mb {
+		for len(dt.prober.round) > 0 {
+			mb := dt.prober.round[0]
+			dt.prober.round = dt.prober.round[1:]
+			if mb.inProbeRound() && dt.table.byID[mb.vm.ID] == mb {
 				return mb
 			}
 		}
-		dt.layRing()
+		dt.startRound()
 	}
 	return nil
 }
 
-// layRing begins a round. It shuffles the VMs so that those of each failure domain are spread
+// startRound begins a round. It shuffles the VMs so that those of each failure domain are spread
 // evenly over the round: any stretch of it is a sample of all domains.
-func (dt *Detector) layRing() {
+func (dt *Detector) startRound() {
 	type placed struct {
 		mb *member
 		at float64
 	}
 	byDomain := make(map[string]int)
 	var order []placed
-	for _, mb := range dt.shuffled(dt.tb.members) {
-		if mb.probed() {
+	for _, mb := range dt.shuffled(dt.table.members) {
+		if mb.inProbeRound() {
 			byDomain[mb.vm.FailureDomain]++
 			order = append(order, placed{mb: mb, at: float64(byDomain[mb.vm.FailureDomain])})
 		}
 	}
 	for ix, pl := range order {
 		size := float64(byDomain[pl.mb.vm.FailureDomain])
-		order[ix].at = (pl.at - dt.phase(pl.mb.vm.FailureDomain)) / size
+		order[ix].at = (pl.at - dt.domainPhase(pl.mb.vm.FailureDomain)) / size
 	}
 	slices.SortFunc(order, func(pa, pc placed) int {
 		return cmp.Or(cmp.Compare(pa.at, pc.at), cmp.Compare(pa.mb.vm.ID, pc.mb.vm.ID))
 	})
-	dt.pb.ring = make([]*member, len(order))
+	dt.prober.round = make([]*member, len(order))
 	for ix, pl := range order {
-		dt.pb.ring[ix] = pl.mb
+		dt.prober.round[ix] = pl.mb
 	}
-	dt.pb.mixed = 0
+	dt.prober.inserted = 0
 }
 
-// phase of a failure domain within the round, the same in every round, so
+// domainPhase of a failure domain within the round, the same in every round, so
 // that the span between two probes there stays the same too.
-func (dt *Detector) phase(domain string) float64 {
+func (dt *Detector) domainPhase(domain string) float64 {
 	return float64(hashOf(dt.Self.ID+"\x00"+domain)&(1<<31-1)) / (1 << 31)
 }
 
 // deadMembers lists the VMs that may come back.
 func (dt *Detector) deadMembers() []*member {
 	var dead []*member
-	for _, mb := range dt.tb.members {
-		if mb.vm.Health == board.Dead && !mb.probed() {
+	for _, mb := range dt.table.members {
+		if mb.vm.Health == board.Dead && !mb.inProbeRound() {
 			dead = append(dead, mb)
 		}
 	}
 	return dead
 }
 
-// launch probes a member, alone or with the help of others.
-func (dt *Detector) launch(mb *member, alone bool) {
-	if len(dt.pb.open) >= maxOpen || (alone && len(dt.pb.open) >= maxAlone) {
+// sendProbe probes a member, alone or with the help of others.
+func (dt *Detector) sendProbe(mb *member, alone bool) {
+	if len(dt.prober.open) >= maxOpenProbes || (alone && len(dt.prober.open) >= maxDirectProbes) {
 		return
 	}
 	dt.Counters.Probes++
-	dt.pb.number++
-	pr := &probe{number: dt.pb.number, target: mb, sent: dt.now, alone: alone}
-	pr.at = dt.now + dt.scaled(dt.Settings.ProbeTimeout)
-	pr.deadline = dt.now + dt.scaled(dt.Settings.ProbeDeadline)
-	if alone || dt.without.helpers || !mb.serving() {
-		pr.at = pr.deadline
-	}
-	dt.pb.open[pr.number] = pr
-	dt.send(mb, askAck(pr.number, mb))
+	dt.prober.number++
+	pr := &probe{number: dt.prober.number, target: mb, sent: dt.now, directOnly: alone}
+	pr.nextAt = dt.now + dt.scaleTimeout(dt.Settings.ProbeTimeout)
+	pr.deadline = dt.now + dt.scaleTimeout(dt.Settings.ProbeDeadline)
+	if alone || dt.disabled.helpers || !mb.maybeAlive() {
+		pr.nextAt = pr.deadline
+	}
+	dt.prober.open[pr.number] = pr
+	dt.send(mb, newProbeDatagram(pr.number, mb))
 }
 
-func askAck(number uint64, mb *member) *peerpb.Datagram {
+func newProbeDatagram(number uint64, mb *member) *peerpb.Datagram {
 	return &peerpb.Datagram{Body: &peerpb.Datagram_Probe{Probe: &peerpb.Probe{
 		Number:    number,
 		Suspected: mb.vm.Health == board.Suspect,
@@ -186,50 +186,50 @@
 
 // expireProbes asks helpers and passes verdicts.
 func (dt *Detector) expireProbes() {
-	for _, number := range sortedKeys(dt.pb.open) {
-		pr := dt.pb.open[number]
-		for pr.at <= dt.now && pr.at < pr.deadline {
-			dt.askHelper(pr)
+	for _, number := range sortedKeys(dt.prober.open) {
+		pr := dt.prober.open[number]
+		for pr.nextAt <= dt.now && pr.nextAt < pr.deadline {
+			dt.sendIndirectProbe(pr)
 		}
 		if dt.now >= pr.deadline {
-			delete(dt.pb.open, number)
-			dt.missedProbe(pr)
+			delete(dt.prober.open, number)
+			dt.handleMissedProbe(pr)
 		}
 	}
-	for _, number := range sortedKeys(dt.pb.relays) {
-		rl := dt.pb.relays[number]
+	for _, number := range sortedKeys(dt.prober.relays) {
+		rl := dt.prober.relays[number]
 		if dt.now >= rl.deadline {
-			dt.reply(rl, &peerpb.Ack{Number: rl.number, Target: rl.target.vm.ID, Missed: true})
+			dt.replyToRequester(rl, &peerpb.Ack{Number: rl.number, Target: rl.target.vm.ID, Missed: true})
 			rl.deadline = rl.expires
-			dt.pb.relays[number] = rl
+			dt.prober.relays[number] = rl
 		}
 		if dt.now >= rl.expires {
-			delete(dt.pb.relays, number)
+			delete(dt.prober.relays, number)
 		}
 	}
 }
 
-// askHelper asks the next helper of a probe, or lets it wait for its verdict.
-func (dt *Detector) askHelper(pr *probe) {
+// sendIndirectProbe asks the next helper of a probe, or lets it wait for its verdict.
+func (dt *Detector) sendIndirectProbe(pr *probe) {
 	if pr.helpers == nil {
 		pr.helpers = dt.chooseHelpers(pr.target)
 	}
-	for pr.asked < len(pr.helpers) {
-		dt.send(pr.helpers[pr.asked], &peerpb.Datagram{
+	for pr.helpersAsked < len(pr.helpers) {
+		dt.send(pr.helpers[pr.helpersAsked], &peerpb.Datagram{
 			Body: &peerpb.Datagram_IndirectProbe{IndirectProbe: &peerpb.IndirectProbe{
 				Number: pr.number,
 				Target: pr.target.vm.ID,
 			}},
 		})
-		pr.asked++
-		if !dt.without.stagger {
+		pr.helpersAsked++
+		if !dt.disabled.stagger {
 			break
 		}
 	}
-	pr.at += dt.scaled(dt.Settings.HelperStagger)
-	if pr.asked == len(pr.helpers) {
-		pr.at = pr.deadline
-		dt.send(pr.target, askAck(pr.number, pr.target)) // the first may have been lost
+	pr.nextAt += dt.scaleTimeout(dt.Settings.HelperStagger)
+	if pr.helpersAsked == len(pr.helpers) {
+		pr.nextAt = pr.deadline
+		dt.send(pr.target, newProbeDatagram(pr.number, pr.target)) // the first may have been lost
 	}
 }
 
@@ -238,7 +238,7 @@
 func (dt *Detector) chooseHelpers(target *member) []*member {
 	var near, apart, rest []*member
 	seen := map[string]bool{target.vm.FailureDomain: true}
-	for _, mb := range dt.shuffled(dt.tb.members) {
+	for _, mb := range dt.shuffled(dt.table.members) {
 		domain := mb.vm.FailureDomain
 		switch {
 		case mb == target || mb.vm.Health != board.Alive:
@@ -255,35 +255,35 @@
 	return all[:min(len(all), dt.Settings.Helpers)]
 }
 
-// missedProbe passes the verdict that the target did not answer. If no
+// handleMissedProbe passes the verdict that the target did not answer. If no
 // helper answered either, this VM may itself be the one in trouble.
-func (dt *Detector) missedProbe(pr *probe) {
+func (dt *Detector) handleMissedProbe(pr *probe) {
 	dt.Counters.Missed++
 	mb := pr.target
-	if pr.asked > 0 && pr.missed == 0 {
-		dt.ail(1)
+	if pr.helpersAsked > 0 && pr.helpersMissed == 0 {
+		dt.adjustHealth(1)
 	}
-	if dt.tb.byID[mb.vm.ID] != mb {
+	if dt.table.byID[mb.vm.ID] != mb {
 		return
 	}
 	switch {
-	case !mb.heard:
-		mb.tries++
-	case mb.serving() && !pr.alone: // alone, one lost datagram would do
-		dt.observe(pr, false)
-		dt.doubt(mb)
+	case !mb.confirmed:
+		mb.missedProbes++
+	case mb.maybeAlive() && !pr.directOnly: // alone, one lost datagram would do
+		dt.recordSample(pr, false)
+		dt.suspectMissed(mb)
 	}
 }
 
-func (dt *Detector) doubt(mb *member) {
-	if dt.without.suspicion {
-		dt.die(mb)
+func (dt *Detector) suspectMissed(mb *member) {
+	if dt.disabled.suspicion {
+		dt.markDead(mb)
 		return
 	}
 	if mb.vm.Health == board.Alive {
 		dt.Counters.Suspected++
 	}
-	dt.suspect(mb, dt.self)
+	dt.suspect(mb, dt.selfHash)
 }
 
 // receive takes in a datagram.
@@ -293,51 +293,51 @@
 		dt.Counters.Ignored++
 		return
 	}
-	news := dt.hearAll(dg)
-	from := dt.tb.byID[dg.GetFrom()]
-	if from == nil || !from.heard || dg.GetIncarnation() < from.vm.Incarnation {
-		dt.Counters.Strangers++
-		dt.correct(from)
+	news := dt.applyRumours(dg)
+	from := dt.table.byID[dg.GetFrom()]
+	if from == nil || !from.confirmed || dg.GetIncarnation() < from.vm.Incarnation {
+		dt.Counters.UnknownSenders++
+		dt.sendCorrection(from)
 		return
 	}
-	if from.private {
+	if from.localOnly {
 		dt.revive(from)
 	}
 	if dt.left {
 		return
 	}
-	dt.takeBody(from, dg, news)
-	dt.owed = nil
+	dt.handleBody(from, dg, news)
+	dt.staleAtSender = nil
 }
 
-// correct tells a VM that it uses an incarnation that it had before.
-func (dt *Detector) correct(from *member) {
-	if from == nil || !from.heard || dt.left {
+// sendCorrection tells a VM that it uses an incarnation that it had before.
+func (dt *Detector) sendCorrection(from *member) {
+	if from == nil || !from.confirmed || dt.left {
 		return
 	}
-	dg := notice()
-	dg.Rumours = append(dg.Rumours, dt.about(from, dt.self, true))
+	dg := newNotice()
+	dg.Rumours = append(dg.Rumours, dt.memberRumour(from, dt.selfHash, true))
 	dt.send(from, dg)
 }
 
-func (dt *Detector) takeBody(from *member, dg *peerpb.Datagram, news bool) {
+func (dt *Detector) handleBody(from *member, dg *peerpb.Datagram, news bool) {
 	switch body := dg.GetBody().(type) {
 	case *peerpb.Datagram_Probe:
 		dt.ackProbe(from, body.Probe)
 	case *peerpb.Datagram_Ack:
-		dt.takeAck(from, body.Ack)
+		dt.handleAck(from, body.Ack)
 	case *peerpb.Datagram_IndirectProbe:
 		dt.relayProbe(from, body.IndirectProbe)
 	case *peerpb.Datagram_SyncAsk:
-		dt.answerSync(from, body.SyncAsk)
+		dt.replySync(from, body.SyncAsk)
 	case *peerpb.Datagram_SyncReply:
-		dt.takeSync(from, news)
+		dt.handleSyncReply(from, news)
 	}
 }
 
 func (dt *Detector) ackProbe(from *member, pb *peerpb.Probe) {
 	if pb.GetSuspected() {
-		dt.rm.push(dt.Self.ID, 0)
+		dt.rumours.push(dt.Self.ID, 0)
 	}
 	dt.send(from, &peerpb.Datagram{Body: &peerpb.Datagram_Ack{Ack: &peerpb.Ack{
 		Number: pb.GetNumber(),
@@ -346,34 +346,34 @@
 }
 
 func (dt *Detector) relayProbe(from *member, ip *peerpb.IndirectProbe) {
-	target := dt.tb.byID[ip.GetTarget()]
-	if target == nil || len(dt.pb.relays) >= maxRelays {
+	target := dt.table.byID[ip.GetTarget()]
+	if target == nil || len(dt.prober.relays) >= maxRelays {
 		return
 	}
 	dt.Counters.Relayed++
-	dt.pb.number++
-	dt.pb.relays[dt.pb.number] = relay{
-		asker:    from.vm.ID,
-		number:   ip.GetNumber(),
-		target:   target,
-		deadline: dt.now + dt.Settings.ProbeTimeout,
-		expires:  dt.now + dt.Settings.ProbeDeadline,
-	}
-	dt.send(target, askAck(dt.pb.number, target))
+	dt.prober.number++
+	dt.prober.relays[dt.prober.number] = relay{
+		requester: from.vm.ID,
+		number:    ip.GetNumber(),
+		target:    target,
+		deadline:  dt.now + dt.Settings.ProbeTimeout,
+		expires:   dt.now + dt.Settings.ProbeDeadline,
+	}
+	dt.send(target, newProbeDatagram(dt.prober.number, target))
 }
 
-func (dt *Detector) reply(rl relay, ack *peerpb.Ack) {
-	if asker := dt.tb.byID[rl.asker]; asker != nil {
+func (dt *Detector) replyToRequester(rl relay, ack *peerpb.Ack) {
+	if asker := dt.table.byID[rl.requester]; asker != nil {
 		dt.send(asker, &peerpb.Datagram{Body: &peerpb.Datagram_Ack{Ack: ack}})
 	}
 }
 
-// takeAck ends a probe of this VM, or forwards the ack to whom it was for.
-func (dt *Detector) takeAck(from *member, ack *peerpb.Ack) {
+// handleAck ends a probe of this VM, or forwards the ack to whom it was for.
+func (dt *Detector) handleAck(from *member, ack *peerpb.Ack) {
 	if ack.GetTarget() == "" {
-		if rl, ok := dt.pb.relays[ack.GetNumber()]; ok && rl.target == from {
-			delete(dt.pb.relays, ack.GetNumber())
-			dt.reply(rl, &peerpb.Ack{
+		if rl, ok := dt.prober.relays[ack.GetNumber()]; ok && rl.target == from {
+			delete(dt.prober.relays, ack.GetNumber())
+			dt.replyToRequester(rl, &peerpb.Ack{
 				Number:            rl.number,
 				Target:            from.vm.ID,
 				TargetIncarnation: from.vm.Incarnation,
@@ -381,25 +381,25 @@
 			return
 		}
 	}
-	pr, ok := dt.pb.open[ack.GetNumber()]
+	pr, ok := dt.prober.open[ack.GetNumber()]
 	if !ok {
 		return
 	}
 	direct := ack.GetTarget() == "" && pr.target == from
-	helped := ack.GetTarget() == pr.target.vm.ID && slices.Contains(pr.helpers[:pr.asked], from)
+	helped := ack.GetTarget() == pr.target.vm.ID && slices.Contains(pr.helpers[:pr.helpersAsked], from)
 	switch {
 	case helped && ack.GetMissed():
-		pr.missed++
+		pr.helpersMissed++
 		return
 	case !direct && !helped:
 		return
 	}
-	delete(dt.pb.open, pr.number)
+	delete(dt.prober.open, pr.number)
 	dt.Counters.Acked++
-	dt.ail(-1)
-	dt.observe(pr, true)
+	dt.adjustHealth(-1)
+	dt.recordSample(pr, true)
 	if direct && ack.GetDigest() != dt.digest() {
-		dt.trySync(from)
+		dt.startSync(from)
 	}
 }
 
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -8,19 +8,19 @@
 	"alderdyke/pkg/clock"
 )
 
-// sampled is the size of a fleet above which the acks within Fresh are only a
+// samplingThreshold is the size of a fleet above which the acks within AckTTL are only a
 // sample. A cut through all failure domains then shows in what this side
 // doubts sooner than in the sample.
-const sampled = 16
+const samplingThreshold = 16
 
 type (
 	// quorum is the evidence that this VM reaches a majority of the roster.
 	quorum struct {
-		samples []sample // sorted by when the probe was sent
-		quorate bool
-		lost    bool         // it was quorate, and then not
-		reached clock.Millis // since when a majority is reached without a break; zero is not
-		until   clock.Millis // when the evidence runs out without new acks
+		samples       []sample // sorted by when the probe was sent
+		quorate       bool
+		lostOnce      bool         // it was quorate, and then not
+		majoritySince clock.Millis // since when a majority is reached without a break; zero is not
+		until         clock.Millis // when the evidence runs out without new acks
 
 		stale   bool // the counts below need to be made again
 		roster  int  // VMs over which a majority is counted, with Self
@@ -37,27 +37,27 @@
 	}
 
 	// tally counts one failure domain.
-	tally struct{ serving, acked, missed int }
+	tally struct{ maybeAlive, acked, missed int }
 )
 
-// observe records the verdict of a probe. Probes of VMs that are doubted
+// recordSample records the verdict of a probe. Probes of VMs that are doubted
 // already are left out: they would weigh more than their share.
-func (dt *Detector) observe(pr *probe, ok bool) {
-	if pr.alone {
+func (dt *Detector) recordSample(pr *probe, ok bool) {
+	if pr.directOnly {
 		return
 	}
-	qr := &dt.qr
+	qr := &dt.quorum
 	at, _ := slices.BinarySearchFunc(qr.samples, pr.sent, func(sm sample, sent clock.Millis) int {
 		return cmp.Compare(sm.sent, sent)
 	})
 	qr.samples = slices.Insert(qr.samples, at, sample{mb: pr.target, sent: pr.sent, ok: ok})
-	last := lastOf(qr.samples, pr.target)
+	last := lastSampleOf(qr.samples, pr.target)
 	qr.samples = slices.DeleteFunc(qr.samples, func(sm sample) bool {
 		return sm.mb == pr.target && sm.sent < last
 	})
 }
 
-func lastOf(samples []sample, mb *member) clock.Millis {
+func lastSampleOf(samples []sample, mb *member) clock.Millis {
 	var last clock.Millis
 	for _, sm := range samples {
 		if sm.mb == mb {
@@ -67,15 +67,15 @@
 	return last
 }
 
-// measureQuorum estimates how many VMs of the roster are reached. In each
+// updateQuorum estimates how many VMs of the roster are reached. In each
 // failure domain the share of acked probes among the fresh ones stands for
 // all VMs that may be alive there; a domain without a fresh ack counts as not
 // reached.
-func (dt *Detector) measureQuorum() {
-	qr := &dt.qr
-	oldest := dt.now - dt.Settings.Fresh
+func (dt *Detector) updateQuorum() {
+	qr := &dt.quorum
+	oldest := dt.now - dt.Settings.AckTTL
 	qr.samples = slices.DeleteFunc(qr.samples, func(sm sample) bool {
-		return sm.sent <= oldest || !sm.mb.serving()
+		return sm.sent <= oldest || !sm.mb.maybeAlive()
 	})
 	before, until := qr.quorate, qr.until
 	dt.countDomains()
@@ -83,34 +83,34 @@
 		qr.domains[sm.mb.vm.FailureDomain].add(sm.ok, 1)
 	}
 	if !qr.majority() {
-		qr.reached = 0
+		qr.majoritySince = 0
 	}
-	qr.quorate = dt.listed && !dt.left && qr.majority() && dt.settled()
+	qr.quorate = dt.listed && !dt.left && qr.majority() && dt.majoritySettled()
 	qr.until = 0
 	if qr.quorate {
-		qr.until = dt.runsOut()
+		qr.until = dt.majorityExpiry()
 	}
 	if qr.until != until {
-		dt.out = append(dt.out, Fresh{Until: qr.until})
+		dt.out = append(dt.out, QuorumDeadline{Until: qr.until})
 	}
 	if qr.quorate == before {
 		return
 	}
-	qr.lost = qr.lost || before
+	qr.lostOnce = qr.lostOnce || before
 	dt.dirty = true
 	if qr.quorate {
-		dt.regain()
+		dt.restartSuspicions()
 	}
 }
 
-// settled tells whether the majority is reached for long enough. A VM that
-// lost it waits for Fresh: until then, a VM that it still cannot reach may be
+// majoritySettled tells whether the majority is reached for long enough. A VM that
+// lost it waits for AckTTL: until then, a VM that it still cannot reach may be
 // quorate by older acks of the same VMs, and may hold this one dead.
-func (dt *Detector) settled() bool {
-	if dt.qr.reached == 0 {
-		dt.qr.reached = dt.now
+func (dt *Detector) majoritySettled() bool {
+	if dt.quorum.majoritySince == 0 {
+		dt.quorum.majoritySince = dt.now
 	}
-	return !dt.qr.lost || dt.now-dt.qr.reached >= dt.Settings.Fresh
+	return !dt.quorum.lostOnce || dt.now-dt.quorum.majoritySince >= dt.Settings.AckTTL
 }
 
 func (ta *tally) add(ok bool, by int) {
@@ -124,7 +124,7 @@
 // countDomains counts the roster with Self, and the VMs of each failure
 // domain that may be alive, without Self. The verdicts start at zero.
 func (dt *Detector) countDomains() {
-	qr := &dt.qr
+	qr := &dt.quorum
 	if !qr.stale {
 		for _, ta := range qr.domains {
 			ta.acked, ta.missed = 0, 0
@@ -134,14 +134,14 @@
 	qr.stale = false
 	qr.roster, qr.alive = 1, 1
 	qr.domains = make(map[string]*tally)
-	for _, mb := range dt.tb.members {
+	for _, mb := range dt.table.members {
 		if mb.inRoster() {
 			qr.roster++
 		}
 		if mb.vm.Health == board.Alive {
 			qr.alive++
 		}
-		if !mb.serving() {
+		if !mb.maybeAlive() {
 			continue
 		}
 		ta := qr.domains[mb.vm.FailureDomain]
@@ -149,7 +149,7 @@
 			ta = &tally{}
 			qr.domains[mb.vm.FailureDomain] = ta
 		}
-		ta.serving++
+		ta.maybeAlive++
 	}
 }
 
@@ -159,46 +159,46 @@
 	// one VM and keeps exactly half from counting as more. It also covers
 	// that maps are walked, and so summed, in any order.
 	const slack = 1e-6
-	if qr.roster > sampled && 2*qr.alive <= qr.roster {
+	if qr.roster > samplingThreshold && 2*qr.alive <= qr.roster {
 		return false
 	}
 	reached := 1.0
 	for _, ta := range qr.domains {
 		if ta.acked > 0 {
-			reached += float64(ta.serving*ta.acked) / float64(ta.acked+ta.missed)
+			reached += float64(ta.maybeAlive*ta.acked) / float64(ta.acked+ta.missed)
 		}
 	}
 	return 2*reached > float64(qr.roster)+slack
 }
 
-// runsOut tells when the majority is lost if no further ack comes.
-func (dt *Detector) runsOut() clock.Millis {
-	qr := &dt.qr
+// majorityExpiry tells when the majority is lost if no further ack comes.
+func (dt *Detector) majorityExpiry() clock.Millis {
+	qr := &dt.quorum
 	for _, sm := range qr.samples {
 		qr.domains[sm.mb.vm.FailureDomain].add(sm.ok, -1)
 		if !qr.majority() {
-			return sm.sent + dt.Settings.Fresh
+			return sm.sent + dt.Settings.AckTTL
 		}
 	}
-	return dt.now + dt.Settings.Fresh // a roster of this VM alone
+	return dt.now + dt.Settings.AckTTL // a roster of this VM alone
 }
 
-// staleDomain picks a VM of the failure domain that was without an ack for
+// memberOfStaleDomain picks a VM of the failure domain that was without an ack for
 // longest, if that is so long that its evidence will run out.
-func (dt *Detector) staleDomain() *member {
+func (dt *Detector) memberOfStaleDomain() *member {
 	last := make(map[string]clock.Millis)
-	for _, sm := range dt.qr.samples {
+	for _, sm := range dt.quorum.samples {
 		last[sm.mb.vm.FailureDomain] = max(last[sm.mb.vm.FailureDomain], sm.sent)
 	}
-	for _, pr := range dt.pb.open {
-		if pr.alone {
+	for _, pr := range dt.prober.open {
+		if pr.directOnly {
 			continue
 		}
 		last[pr.target.vm.FailureDomain] = max(last[pr.target.vm.FailureDomain], pr.sent)
 	}
 	var stale []*member
-	oldest := dt.now - dt.Settings.Fresh*staleNumerator/staleDenominator
-	for _, mb := range dt.tb.members {
+	oldest := dt.now - dt.Settings.AckTTL*staleNumerator/staleDenominator
+	for _, mb := range dt.table.members {
 		at := last[mb.vm.FailureDomain]
 		if mb.vm.Health != board.Alive || at > oldest {
 			continue
--- a/internal/membership/rumour.go
+++ b/internal/membership/rumour.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// resends is how often a rumour is sent for each doubling of the fleet.
-	resends = 2
-	// rumourHead is the tag and length that a rumour costs in a datagram.
-	rumourHead = 3
-	// rumourRoom is for the rumours of one datagram, in bytes. When much
+	// retransmitFactor is how often a rumour is sent for each doubling of the fleet.
+	retransmitFactor = 2
+	// rumourOverhead is the tag and length that a rumour costs in a datagram.
+	rumourOverhead = 3
+	// rumourBudget is for the rumours of one datagram, in bytes. When much
 	// changes at once, it trades the speed of rumours for a bounded rate.
-	rumourRoom = 400
-	// introduceFor is how long this VM adds its address to what it sends to
+	rumourBudget = 400
+	// introductionPeriod is how long this VM adds its address to what it sends to
 	// a VM that is new or came back, and that may not know it yet.
-	introduceFor = 10 * clock.Second
-	// tellPlacesFor is how long rumours about a new VM hold its address even
+	introductionPeriod = 10 * clock.Second
+	// addressPeriod is how long rumours about a new VM hold its address even
 	// if it had to refute a suspicion.
-	tellPlacesFor = clock.Minute
+	addressPeriod = clock.Minute
 	// Limits of what a rumour may hold: counters that can still grow, and a
 	// size that fits a datagram beside others.
 	maxIncarnation = 1 << 62
 	maxRefutation  = 1 << 30
-	maxRumour      = 350
+	maxRumourSize  = 350
 	maxMembers     = 4096
 )
 
@@ -57,8 +57,8 @@
 	rm.queue = append(rm.queue, rumour{id: id, by: by})
 }
 
-// shorten tells rumours about a VM fewer times: others find them out too.
-func (rm *rumours) shorten(id string) {
+// markBrief tells rumours about a VM fewer times: others find them out too.
+func (rm *rumours) markBrief(id string) {
 	for ix := range rm.queue {
 		if rm.queue[ix].id == id {
 			rm.queue[ix].brief = true
@@ -72,17 +72,17 @@
 	rm.queue[len(rm.queue)-1].brief = true
 }
 
-// done tells whether a rumour was told often enough.
-func (ru rumour) done(limit int) bool {
+// exhausted tells whether a rumour was told often enough.
+func (ru rumour) exhausted(limit int) bool {
 	if ru.brief {
 		limit = (limit + 3) / 4
 	}
 	return ru.sent >= limit
 }
 
-// heard counts a rumour that another VM told as told: the more know it, the
+// countReceived counts a rumour that another VM told as told: the more know it, the
 // less it needs to be spread.
-func (rm *rumours) heard(id string, by uint32) {
+func (rm *rumours) countReceived(id string, by uint32) {
 	for ix := range rm.queue {
 		if ru := &rm.queue[ix]; ru.id == id && (ru.by == by || ru.by == 0) {
 			ru.sent++
@@ -94,53 +94,53 @@
 	rm.queue = slices.DeleteFunc(rm.queue, func(ru rumour) bool { return ru.id == id })
 }
 
-// attach fills a datagram with rumours up to its limit. What this VM doubts
+// attachRumours fills a datagram with rumours up to its limit. What this VM doubts
 // about the addressee goes first, so that the addressee can refute it.
-func (dt *Detector) attach(to *member, dg *peerpb.Datagram) {
-	room := dt.Settings.MaxDatagram - proto.Size(dg) - sequenceRoom
-	if !to.heard || dt.now-to.met < introduceFor {
-		room = dt.put(dg, room, dt.aboutSelf())
+func (dt *Detector) attachRumours(to *member, dg *peerpb.Datagram) {
+	room := dt.Settings.MaxDatagram - proto.Size(dg) - maxSequenceSize
+	if !to.confirmed || dt.now-to.joinedAt < introductionPeriod {
+		room = dt.appendRumour(dg, room, dt.selfRumour())
 	}
-	if to.vm.Health == board.Suspect || to.final() {
-		room = dt.put(dg, room, dt.about(to, dt.self, false))
+	if to.vm.Health == board.Suspect || to.confirmedDead() {
+		room = dt.appendRumour(dg, room, dt.memberRumour(to, dt.selfHash, false))
 	}
-	if to.heard && to.vm.Health != board.Alive {
+	if to.confirmed && to.vm.Health != board.Alive {
 		// It is likely that nobody reads the rest. But two VMs may suspect
 		// each other, so a refutation is told.
-		self := dt.aboutSelf()
-		dt.put(dg, room, &peerpb.Rumour{
+		self := dt.selfRumour()
+		dt.appendRumour(dg, room, &peerpb.Rumour{
 			VM: self.GetVM(), Incarnation: self.GetIncarnation(),
 			Refutation: self.GetRefutation(), Leaving: self.GetLeaving(),
 		})
 		return
 	}
-	for _, mb := range dt.owed {
-		room = dt.put(dg, room, dt.about(mb, 0, false))
+	for _, mb := range dt.staleAtSender {
+		room = dt.appendRumour(dg, room, dt.memberRumour(mb, 0, false))
 	}
-	room = min(room, rumourRoom)
-	limit := resends * bits.Len(uint(len(dt.tb.members)+1))
-	queue := dt.rm.queue
+	room = min(room, rumourBudget)
+	limit := retransmitFactor * bits.Len(uint(len(dt.table.members)+1))
+	queue := dt.rumours.queue
 	for ix := range queue {
-		rr := dt.describe(queue[ix])
+		rr := dt.encodeRumour(queue[ix])
 		if rr == nil {
 			queue[ix].sent = limit
 			continue
 		}
-		left := dt.put(dg, room, rr)
+		left := dt.appendRumour(dg, room, rr)
 		if left == room {
 			break
 		}
 		room = left
 		queue[ix].sent++
 	}
-	queue = slices.DeleteFunc(queue, func(ru rumour) bool { return ru.done(limit) })
+	queue = slices.DeleteFunc(queue, func(ru rumour) bool { return ru.exhausted(limit) })
 	slices.SortStableFunc(queue, func(ra, rb rumour) int { return cmp.Compare(ra.sent, rb.sent) })
-	dt.rm.queue = queue
+	dt.rumours.queue = queue
 }
 
-// put adds a rumour if there is room for it, and returns the room left.
-func (dt *Detector) put(dg *peerpb.Datagram, room int, rr *peerpb.Rumour) int {
-	need := proto.Size(rr) + rumourHead
+// appendRumour adds a rumour if there is room for it, and returns the room left.
+func (dt *Detector) appendRumour(dg *peerpb.Datagram, room int, rr *peerpb.Rumour) int {
+	need := proto.Size(rr) + rumourOverhead
 	if need > room {
 		return room
 	}
@@ -148,46 +148,46 @@
 	return room - need
 }
 
-// describe makes the message of a queued rumour; nil if it no longer holds.
-func (dt *Detector) describe(ru rumour) *peerpb.Rumour {
+// encodeRumour makes the message of a queued rumour; nil if it no longer holds.
+func (dt *Detector) encodeRumour(ru rumour) *peerpb.Rumour {
 	if ru.id == dt.Self.ID {
-		return dt.aboutSelf()
+		return dt.selfRumour()
 	}
-	mb := dt.tb.byID[ru.id]
+	mb := dt.table.byID[ru.id]
 	switch {
-	case mb == nil || !mb.heard || mb.private:
+	case mb == nil || !mb.confirmed || mb.localOnly:
 		return nil
 	case ru.by != 0 && mb.vm.Health != board.Suspect:
 		return nil
 	}
-	fresh := mb.refutation == 0 || dt.now-mb.met < tellPlacesFor
-	return dt.about(mb, ru.by, mb.vm.Health == board.Alive && fresh)
+	fresh := mb.refutation == 0 || dt.now-mb.joinedAt < addressPeriod
+	return dt.memberRumour(mb, ru.by, mb.vm.Health == board.Alive && fresh)
 }
 
-func (dt *Detector) aboutSelf() *peerpb.Rumour {
-	rr := places(dt.Self)
+func (dt *Detector) selfRumour() *peerpb.Rumour {
+	rr := fullRumour(dt.Self)
 	rr.Refutation = dt.refutation
 	return rr
 }
 
-// about tells the state of a member, with its places if whole.
-func (dt *Detector) about(mb *member, by uint32, whole bool) *peerpb.Rumour {
+// memberRumour tells the state of a member, with its places if whole.
+func (dt *Detector) memberRumour(mb *member, by uint32, whole bool) *peerpb.Rumour {
 	rr := &peerpb.Rumour{VM: mb.vm.ID, Incarnation: mb.vm.Incarnation, Health: uint32(mb.vm.Health)}
 	if whole {
-		rr = places(mb.vm)
+		rr = fullRumour(mb.vm)
 	}
 	rr.Refutation = mb.refutation
 	rr.Leaving = mb.leaving
 	if mb.vm.Health == board.Suspect {
 		rr.By = by
-		if by == 0 && len(mb.suspicion.by) > 0 {
-			rr.By = mb.suspicion.by[0]
+		if by == 0 && len(mb.suspicion.reporters) > 0 {
+			rr.By = mb.suspicion.reporters[0]
 		}
 	}
 	return rr
 }
 
-func places(vm board.VM) *peerpb.Rumour {
+func fullRumour(vm board.VM) *peerpb.Rumour {
 	return &peerpb.Rumour{
 		VM:            vm.ID,
 		Incarnation:   vm.Incarnation,
@@ -200,140 +200,140 @@
 	}
 }
 
-// hearAll takes in the rumours of a datagram. It tells whether any was news.
-func (dt *Detector) hearAll(dg *peerpb.Datagram) bool {
+// applyRumours takes in the rumours of a datagram. It tells whether any was news.
+func (dt *Detector) applyRumours(dg *peerpb.Datagram) bool {
 	_, bySync := dg.GetBody().(*peerpb.Datagram_SyncReply)
 	news := false
-	dt.owed = nil
+	dt.staleAtSender = nil
 	for _, rr := range dg.GetRumours() {
-		if !dt.hear(rr) {
+		if !dt.applyRumour(rr) {
 			continue
 		}
 		news = true
 		if bySync {
-			dt.rm.drop(rr.GetVM()) // others know it for long
+			dt.rumours.drop(rr.GetVM()) // others know it for long
 		}
 	}
 	return news
 }
 
-// hear takes in one rumour. It tells whether the rumour was news.
-func (dt *Detector) hear(rr *peerpb.Rumour) bool {
+// applyRumour takes in one rumour. It tells whether the rumour was news.
+func (dt *Detector) applyRumour(rr *peerpb.Rumour) bool {
 	hl := board.Health(rr.GetHealth())
 	if !wellFormed(rr) {
 		dt.Counters.Ignored++
 		return false
 	}
 	if rr.GetVM() == dt.Self.ID {
-		dt.hearOfSelf(rr, hl)
+		dt.applySelfRumour(rr, hl)
 		return false
 	}
-	mb := dt.tb.byID[rr.GetVM()]
+	mb := dt.table.byID[rr.GetVM()]
 	if mb == nil {
-		return dt.meet(rr, hl)
+		return dt.addMember(rr, hl)
 	}
-	if mb.final() && mb.sameLife(rr) && hl <= board.Suspect {
-		dt.tellDeath(mb)
+	if mb.confirmedDead() && mb.noNewerGeneration(rr) && hl <= board.Suspect {
+		dt.notifyDead(mb)
 		return false
 	}
-	switch ord := mb.compareRun(rr.GetIncarnation(), rr.GetRefutation()); {
+	switch ord := mb.compareVersion(rr.GetIncarnation(), rr.GetRefutation()); {
 	case ord > 0:
 		if hl == board.Suspect || hl == board.Dead {
-			dt.owed = append(dt.owed, mb)
+			dt.staleAtSender = append(dt.staleAtSender, mb)
 		}
 		return false
 	case ord < 0:
-		return dt.supersede(mb, rr, hl)
+		return dt.applyNewer(mb, rr, hl)
 	default:
-		return dt.hearSame(mb, rr, hl)
+		return dt.applySameVersion(mb, rr, hl)
 	}
 }
 
 func wellFormed(rr *peerpb.Rumour) bool {
 	return rr.GetVM() != "" && rr.GetHealth() <= uint32(board.Left) &&
 		rr.GetIncarnation() > 0 && rr.GetIncarnation() < maxIncarnation &&
-		rr.GetRefutation() < maxRefutation && proto.Size(rr) <= maxRumour
+		rr.GetRefutation() < maxRefutation && proto.Size(rr) <= maxRumourSize
 }
 
-// hearOfSelf refutes a doubt, unless another process runs under this ID.
-func (dt *Detector) hearOfSelf(rr *peerpb.Rumour, hl board.Health) {
+// applySelfRumour refutes a doubt, unless another process runs under this ID.
+func (dt *Detector) applySelfRumour(rr *peerpb.Rumour, hl board.Health) {
 	later := rr.GetIncarnation() > dt.Self.Incarnation
 	switch {
 	case dt.left:
 	case later && rr.GetPeer() != "" && rr.GetPeer() != dt.Self.Peer:
 		dt.left = true
 		dt.Self.Health = board.Left
-		dt.touch()
+		dt.invalidate()
 		dt.out = append(dt.out, Replaced{Incarnation: rr.GetIncarnation()})
 	case later || hl != board.Alive:
 		dt.refute(rr.GetIncarnation(), rr.GetRefutation(), hl)
 	}
 }
 
-// sameLife tells whether a rumour knows of no refuted death that this VM does
+// noNewerGeneration tells whether a rumour knows of no refuted death that this VM does
 // not know of.
-func (mb *member) sameLife(rr *peerpb.Rumour) bool {
-	return rr.GetIncarnation() == mb.vm.Incarnation && lifeOf(rr.GetRefutation()) <= lifeOf(mb.refutation)
+func (mb *member) noNewerGeneration(rr *peerpb.Rumour) bool {
+	return rr.GetIncarnation() == mb.vm.Incarnation && generationOf(rr.GetRefutation()) <= generationOf(mb.refutation)
 }
 
-// tellDeath lets a VM know that this one holds it dead. What it ran may have
+// notifyDead lets a VM know that this one holds it dead. What it ran may have
 // been taken over, so it must go on in a new life, even if it refuted the
 // suspicion elsewhere.
-func (dt *Detector) tellDeath(mb *member) {
-	if len(dt.pb.open) < maxOpen/8 {
-		dt.launch(mb, true)
+func (dt *Detector) notifyDead(mb *member) {
+	if len(dt.prober.open) < maxOpenProbes/8 {
+		dt.sendProbe(mb, true)
 	}
 }
 
-// meet takes in a VM that was not known. Without its address there is
+// addMember takes in a VM that was not known. Without its address there is
 // nothing to be done with it.
-func (dt *Detector) meet(rr *peerpb.Rumour, hl board.Health) bool {
-	gv, gone := dt.tb.gone[rr.GetVM()]
-	if len(dt.tb.members) >= maxMembers {
+func (dt *Detector) addMember(rr *peerpb.Rumour, hl board.Health) bool {
+	gv, gone := dt.table.removed[rr.GetVM()]
+	if len(dt.table.members) >= maxMembers {
 		dt.Counters.Ignored++
 		return false
 	}
 	if rr.GetPeer() == "" || hl == board.Left || (gone && rr.GetIncarnation() <= gv.incarnation) {
 		return false
 	}
-	mb := &member{vm: board.VM{VMRef: board.VMRef{ID: rr.GetVM()}}, since: dt.now}
-	dt.tb.add(mb)
-	dt.pb.enrol(mb, dt.Rand)
-	return dt.supersede(mb, rr, hl)
+	mb := &member{vm: board.VM{VMRef: board.VMRef{ID: rr.GetVM()}}, healthSince: dt.now}
+	dt.table.add(mb)
+	dt.prober.addToRound(mb, dt.Rand)
+	return dt.applyNewer(mb, rr, hl)
 }
 
-// supersede takes in a rumour about a later run or refutation.
-func (dt *Detector) supersede(mb *member, rr *peerpb.Rumour, hl board.Health) bool {
+// applyNewer takes in a rumour about a later run or refutation.
+func (dt *Detector) applyNewer(mb *member, rr *peerpb.Rumour, hl board.Health) bool {
 	if rr.GetIncarnation() != mb.vm.Incarnation {
 		mb.leaving = false
-		mb.since = dt.now
-		mb.met = dt.now
+		mb.healthSince = dt.now
+		mb.joinedAt = dt.now
 	}
-	wasProbed := mb.heard && mb.serving()
-	expected := !mb.heard && mb.vm.Listed // the others were told by the list too
-	mb.heard = true
+	wasProbed := mb.confirmed && mb.maybeAlive()
+	expected := !mb.confirmed && mb.vm.Listed // the others were told by the list too
+	mb.confirmed = true
 	mb.vm.Incarnation = rr.GetIncarnation()
 	mb.refutation = rr.GetRefutation()
 	mb.leaving = mb.leaving || rr.GetLeaving()
-	mb.vm.Leaving = mb.leaving || mb.listLeaves
-	mb.takePlaces(rr)
+	mb.vm.Leaving = mb.leaving || mb.listedLeaving
+	mb.setAddresses(rr)
 	if hl == board.Suspect {
 		dt.setHealth(mb, board.Alive)
 		dt.suspect(mb, rr.GetBy())
 	} else {
 		dt.setHealth(mb, hl)
-		dt.rm.push(mb.vm.ID, 0)
+		dt.rumours.push(mb.vm.ID, 0)
 	}
 	if expected {
-		dt.rm.shorten(mb.vm.ID)
+		dt.rumours.markBrief(mb.vm.ID)
 	}
-	if !wasProbed && mb.serving() {
-		dt.pb.enrol(mb, dt.Rand)
+	if !wasProbed && mb.maybeAlive() {
+		dt.prober.addToRound(mb, dt.Rand)
 	}
 	return true
 }
 
-func (mb *member) takePlaces(rr *peerpb.Rumour) {
+func (mb *member) setAddresses(rr *peerpb.Rumour) {
 	if rr.GetPeer() == "" {
 		return
 	}
@@ -343,30 +343,30 @@
 	mb.vm.Region = rr.GetRegion()
 }
 
-// hearSame takes in a rumour about the run and refutation that is known.
-func (dt *Detector) hearSame(mb *member, rr *peerpb.Rumour, hl board.Health) bool {
+// applySameVersion takes in a rumour about the run and refutation that is known.
+func (dt *Detector) applySameVersion(mb *member, rr *peerpb.Rumour, hl board.Health) bool {
 	news := false
 	if rr.GetLeaving() == mb.leaving && hl == mb.vm.Health {
-		dt.rm.heard(mb.vm.ID, rr.GetBy())
+		dt.rumours.countReceived(mb.vm.ID, rr.GetBy())
 	}
 	if rr.GetLeaving() && !mb.leaving {
 		mb.leaving = true
 		mb.vm.Leaving = true
-		dt.touch()
-		dt.rm.push(mb.vm.ID, 0)
+		dt.invalidate()
+		dt.rumours.push(mb.vm.ID, 0)
 		news = true
 	}
 	switch {
-	case hl == board.Alive && mb.private:
+	case hl == board.Alive && mb.localOnly:
 		dt.revive(mb)
 		return true
-	case hl == board.Suspect && mb.serving():
-		before := len(mb.suspicion.by)
+	case hl == board.Suspect && mb.maybeAlive():
+		before := len(mb.suspicion.reporters)
 		dt.suspect(mb, rr.GetBy())
-		return news || len(mb.suspicion.by) != before
-	case hl == board.Dead && (mb.serving() || mb.private), hl == board.Left && mb.vm.Health != board.Left:
+		return news || len(mb.suspicion.reporters) != before
+	case hl == board.Dead && (mb.maybeAlive() || mb.localOnly), hl == board.Left && mb.vm.Health != board.Left:
 		dt.setHealth(mb, hl)
-		dt.rm.push(mb.vm.ID, 0)
+		dt.rumours.push(mb.vm.ID, 0)
 		return true
 	}
 	return news
@@ -375,5 +375,5 @@
 // revive takes back this VM's own judgement that a member is Dead.
 func (dt *Detector) revive(mb *member) {
 	dt.setHealth(mb, board.Alive)
-	dt.pb.enrol(mb, dt.Rand)
+	dt.prober.addToRound(mb, dt.Rand)
 }
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -8,20 +8,20 @@
 	"alderdyke/pkg/clock"
 )
 
-// recheckEvery is how often a VM probes again what it suspects itself.
-const recheckEvery = 2 * clock.Second
+// recheckInterval is how often a VM probes again what it suspects itself.
+const recheckInterval = 2 * clock.Second
 
 // suspicion is the state of a member between the first doubt and its death.
 type suspicion struct {
-	started  clock.Millis
-	deadline clock.Millis // when the member counts as Dead
-	by       []uint32     // hashes of the VMs that found it suspect, each on its own
-	recheck  clock.Millis // when this VM probes it again; zero is never
-	own      bool         // this VM itself found it suspect
+	started   clock.Millis
+	deadline  clock.Millis // when the member counts as Dead
+	reporters []uint32     // hashes of the VMs that found it suspect, each on its own
+	recheck   clock.Millis // when this VM probes it again; zero is never
+	ownProbe  bool         // this VM itself found it suspect
 }
 
-// next is when the suspicion wants attention.
-func (su *suspicion) next() clock.Millis {
+// nextAction is when the suspicion wants attention.
+func (su *suspicion) nextAction() clock.Millis {
 	if su.recheck != 0 {
 		return min(su.deadline, su.recheck)
 	}
@@ -34,33 +34,33 @@
 	if mb.vm.Health != board.Suspect {
 		dt.setHealth(mb, board.Suspect)
 		mb.suspicion = suspicion{started: dt.now}
-		dt.tb.suspects = append(dt.tb.suspects, mb)
+		dt.table.suspects = append(dt.table.suspects, mb)
 	}
-	mb.private = false
+	mb.localOnly = false
 	su := &mb.suspicion
-	if by == dt.self && !su.own {
-		su.own = true
+	if by == dt.selfHash && !su.ownProbe {
+		su.ownProbe = true
 		su.recheck = dt.now
 	}
-	if len(su.by) > confirmations || slices.Contains(su.by, by) {
+	if len(su.reporters) > confirmations || slices.Contains(su.reporters, by) {
 		return
 	}
-	su.by = append(su.by, by)
-	dt.schedule(su)
-	if len(su.by) > 1 {
-		dt.rm.pushBrief(mb.vm.ID, by)
+	su.reporters = append(su.reporters, by)
+	dt.scheduleSuspicion(su)
+	if len(su.reporters) > 1 {
+		dt.rumours.pushBrief(mb.vm.ID, by)
 		return
 	}
-	dt.rm.push(mb.vm.ID, by)
+	dt.rumours.push(mb.vm.ID, by)
 }
 
-// schedule sets when a suspicion ends. A VM that only heard of it probes once
-// itself while DeadHold passes, in case that it missed the refutation.
-func (dt *Detector) schedule(su *suspicion) {
-	ranOut := su.started + dt.suspicionSpan(len(su.by)-1)
-	su.deadline = ranOut + dt.Settings.DeadHold
-	if !su.own {
-		su.recheck = ranOut + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.DeadHold)/2+1))
+// scheduleSuspicion sets when a suspicion ends. A VM that only heard of it probes once
+// itself while DeadDelay passes, in case that it missed the refutation.
+func (dt *Detector) scheduleSuspicion(su *suspicion) {
+	ranOut := su.started + dt.suspicionSpan(len(su.reporters)-1)
+	su.deadline = ranOut + dt.Settings.DeadDelay
+	if !su.ownProbe {
+		su.recheck = ranOut + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.DeadDelay)/2+1))
 	}
 }
 
@@ -68,8 +68,8 @@
 // independent confirmations.
 func (dt *Detector) suspicionSpan(confirmed int) clock.Millis {
 	low, high := dt.Settings.SuspicionMin, dt.Settings.SuspicionMax
-	wanted := min(confirmations, len(dt.tb.members)-1)
-	if wanted < 1 || dt.without.decay {
+	wanted := min(confirmations, len(dt.table.members)-1)
+	if wanted < 1 || dt.disabled.decay {
 		return low
 	}
 	part := math.Log(float64(confirmed)+1) / math.Log(float64(wanted)+1)
@@ -77,58 +77,58 @@
 }
 
 func (dt *Detector) expireSuspicions() {
-	for _, mb := range slices.Clone(dt.tb.suspects) {
+	for _, mb := range slices.Clone(dt.table.suspects) {
 		su := &mb.suspicion
-		if dt.now >= su.deadline && len(su.by) > 0 {
-			dt.die(mb)
+		if dt.now >= su.deadline && len(su.reporters) > 0 {
+			dt.markDead(mb)
 			continue
 		}
 		if dt.now >= su.deadline { // left from when this VM was cut off: only a probe with helpers decides
-			su.deadline = dt.now + dt.Settings.DeadHold
-			dt.launch(mb, false)
+			su.deadline = dt.now + dt.Settings.DeadDelay
+			dt.sendProbe(mb, false)
 		}
 		if su.recheck != 0 && dt.now >= su.recheck {
-			su.recheck = dt.now + recheckEvery
-			if !su.own {
-				su.recheck = dt.now + dt.Settings.DeadHold/2
+			su.recheck = dt.now + recheckInterval
+			if !su.ownProbe {
+				su.recheck = dt.now + dt.Settings.DeadDelay/2
 			}
-			dt.launch(mb, true)
+			dt.sendProbe(mb, true)
 		}
 	}
 }
 
-// die marks a member as Dead after its suspicion. Others are told only by a
+// markDead marks a member as Dead after its suspicion. Others are told only by a
 // VM that reaches a majority: else it may be the one that is cut off.
-func (dt *Detector) die(mb *member) {
+func (dt *Detector) markDead(mb *member) {
 	dt.setHealth(mb, board.Dead)
-	if dt.measureQuorum(); dt.qr.quorate {
-		dt.rm.pushBrief(mb.vm.ID, 0)
+	if dt.updateQuorum(); dt.quorum.quorate {
+		dt.rumours.pushBrief(mb.vm.ID, 0)
 		return
 	}
-	mb.private = true
-	dt.rm.drop(mb.vm.ID)
+	mb.localOnly = true
+	dt.rumours.drop(mb.vm.ID)
 }
 
-// regain begins all doubts again when this VM reaches a majority again: while
+// restartSuspicions begins all doubts again when this VM reaches a majority again: while
 // it did not, the others may have answered without its hearing it.
-func (dt *Detector) regain() {
-	for _, mb := range dt.tb.suspects {
+func (dt *Detector) restartSuspicions() {
+	for _, mb := range dt.table.suspects {
 		mb.suspicion.started = dt.now
-		dt.schedule(&mb.suspicion)
+		dt.scheduleSuspicion(&mb.suspicion)
 	}
-	for _, mb := range dt.tb.members {
-		if mb.vm.Health != board.Dead || !mb.private {
+	for _, mb := range dt.table.members {
+		if mb.vm.Health != board.Dead || !mb.localOnly {
 			continue
 		}
 		dt.setHealth(mb, board.Suspect)
-		mb.private = true
+		mb.localOnly = true
 		mb.suspicion = suspicion{
 			started:  dt.now,
-			deadline: dt.now + dt.Settings.SuspicionMax + dt.Settings.DeadHold,
+			deadline: dt.now + dt.Settings.SuspicionMax + dt.Settings.DeadDelay,
 			recheck:  dt.now + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.SuspicionMax))),
 		}
-		dt.tb.suspects = append(dt.tb.suspects, mb)
-		dt.pb.enrol(mb, dt.Rand)
+		dt.table.suspects = append(dt.table.suspects, mb)
+		dt.prober.addToRound(mb, dt.Rand)
 	}
 }
 
@@ -142,33 +142,33 @@
 		return
 	}
 	same := incarnation == dt.Self.Incarnation && (hl == board.Suspect || hl == board.Dead)
-	if same && dt.refuted(refutation, hl) {
-		dt.rm.push(dt.Self.ID, 0) // who told it missed that
+	if same && dt.alreadyRefuted(refutation, hl) {
+		dt.rumours.push(dt.Self.ID, 0) // who told it missed that
 		return
 	}
 	dt.Counters.Refutations++
-	dt.ail(1)
-	before := lifeOf(dt.refutation)
+	dt.adjustHealth(1)
+	before := generationOf(dt.refutation)
 	switch {
 	case !same:
 		dt.Self.Incarnation = incarnation + 1
 		dt.refutation = 0
-		dt.touch()
+		dt.invalidate()
 	case hl == board.Dead:
-		dt.refutation = (lifeOf(refutation) + 1) << lifeShift
+		dt.refutation = (generationOf(refutation) + 1) << generationShift
 	default:
 		dt.refutation = refutation + 1
 	}
-	if !same || lifeOf(dt.refutation) != before {
-		dt.out = append(dt.out, Refuted{Incarnation: dt.Self.Incarnation})
+	if !same || generationOf(dt.refutation) != before {
+		dt.out = append(dt.out, DeathRefuted{Incarnation: dt.Self.Incarnation})
 	}
-	dt.rm.push(dt.Self.ID, 0)
+	dt.rumours.push(dt.Self.ID, 0)
 }
 
-// refuted tells whether Self has answered the doubt or death already.
-func (dt *Detector) refuted(refutation uint32, hl board.Health) bool {
+// alreadyRefuted tells whether Self has answered the doubt or death already.
+func (dt *Detector) alreadyRefuted(refutation uint32, hl board.Health) bool {
 	if hl == board.Dead {
-		return lifeOf(refutation) < lifeOf(dt.refutation)
+		return generationOf(refutation) < generationOf(dt.refutation)
 	}
 	return refutation < dt.refutation
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	buckets      = 64                    // into which a table is split for comparison
-	syncTimeout  = 500 * clock.Millis(1) // for one reply
-	sequenceRoom = 10                    // bytes that the transport's Sequence may take
-	maxPages     = 80                    // replies in a row from one VM
-	syncSettle   = 2 * clock.Second      // without a change before tables are compared: gossip first
-	joinFor      = 10 * clock.Second     // after the start, tables are compared without a wait
+	syncBuckets     = 64                    // into which a table is split for comparison
+	syncTimeout     = 500 * clock.Millis(1) // for one reply
+	maxSequenceSize = 10                    // bytes that the transport's Sequence may take
+	maxSyncPages    = 80                    // replies in a row from one VM
+	syncQuietPeriod = 2 * clock.Second      // without a change before tables are compared: gossip first
+	joinPeriod      = 10 * clock.Second     // after the start, tables are compared without a wait
 )
 
 // syncer compares tables with other VMs, to learn the whole fleet at the
 // start and what gossip missed later.
 type syncer struct {
-	stale    bool // the digests below need to be computed again
-	fresh    bool // they were computed once
-	total    uint64
-	bucket   [buckets]uint32
-	changed  clock.Millis // when the digests last changed
-	asked    string       // VM whose reply is awaited
-	deadline clock.Millis
-	next     clock.Millis // no comparison begins before
-	pages    int
+	stale         bool // the digests below need to be computed again
+	computed      bool // they were computed once
+	total         uint64
+	bucketDigests [syncBuckets]uint32
+	changed       clock.Millis // when the digests last changed
+	awaiting      string       // VM whose reply is awaited
+	deadline      clock.Millis
+	notBefore     clock.Millis // no comparison begins before
+	pages         int
 }
 
 func (dt *Detector) digest() uint64 {
 	dt.computeDigests()
-	return dt.sy.total
+	return dt.syncer.total
 }
 
 // computeDigests folds the live VMs, this one included, into the digests.
 func (dt *Detector) computeDigests() {
-	sy := &dt.sy
-	if sy.fresh && !sy.stale {
+	sy := &dt.syncer
+	if sy.computed && !sy.stale {
 		return
 	}
-	sy.stale, sy.fresh = false, true
+	sy.stale, sy.computed = false, true
 	before := sy.total
 	sy.total = 0
-	sy.bucket = [buckets]uint32{}
+	sy.bucketDigests = [syncBuckets]uint32{}
 	fold := func(vm board.VM, leaving bool) {
 		vm.Leaving = leaving
-		hash := sum(vm)
+		hash := hashVM(vm)
 		sy.total ^= hash
-		sy.bucket[bucketOf(vm.ID)] ^= uint32(hash)
+		sy.bucketDigests[bucketOf(vm.ID)] ^= uint32(hash)
 	}
 	fold(dt.Self, dt.leaving)
-	for _, mb := range dt.tb.members {
-		if mb.serving() {
+	for _, mb := range dt.table.members {
+		if mb.maybeAlive() {
 			fold(mb.vm, mb.leaving)
 		}
 	}
@@ -66,100 +66,100 @@
 	}
 }
 
-func bucketOf(id string) int { return int(hashOf(id) % buckets) }
+func bucketOf(id string) int { return int(hashOf(id) % syncBuckets) }
 
 // hashOf is never zero, which stands for no VM.
 func hashOf(id string) uint32 { return uint32(xxhash.Sum64String(id)) | 1<<31 }
 
-// trySync begins a comparison with a VM whose digest differs.
-func (dt *Detector) trySync(mb *member) {
+// startSync begins a comparison with a VM whose digest differs.
+func (dt *Detector) startSync(mb *member) {
 	joining := dt.joining()
-	if dt.sy.asked != "" || dt.now < dt.sy.next {
+	if dt.syncer.awaiting != "" || dt.now < dt.syncer.notBefore {
 		return
 	}
-	if !joining && dt.now-dt.sy.changed < syncSettle {
+	if !joining && dt.now-dt.syncer.changed < syncQuietPeriod {
 		return
 	}
-	dt.sy.pages = 0
-	half := dt.Settings.SyncEvery / 2
-	dt.sy.next = dt.now + half + clock.Millis(dt.Rand.Int64N(int64(half)+1))
+	dt.syncer.pages = 0
+	half := dt.Settings.SyncInterval / 2
+	dt.syncer.notBefore = dt.now + half + clock.Millis(dt.Rand.Int64N(int64(half)+1))
 	if joining {
-		dt.sy.next = dt.now + syncTimeout
+		dt.syncer.notBefore = dt.now + syncTimeout
 	}
-	dt.askSync(mb)
+	dt.requestSync(mb)
 }
 
 // joining tells whether this VM is new or listed VMs have not been met yet.
 func (dt *Detector) joining() bool {
-	return dt.now-dt.startedAt < joinFor || slices.ContainsFunc(dt.tb.members, func(mb *member) bool {
-		return !mb.heard && mb.tries < joinTries
+	return dt.now-dt.startedAt < joinPeriod || slices.ContainsFunc(dt.table.members, func(mb *member) bool {
+		return !mb.confirmed && mb.missedProbes < maxJoinProbes
 	})
 }
 
-func (dt *Detector) askSync(mb *member) {
+func (dt *Detector) requestSync(mb *member) {
 	dt.computeDigests()
 	dt.Counters.Syncs++
-	dt.sy.pages++
-	dt.sy.asked = mb.vm.ID
-	dt.sy.deadline = dt.now + syncTimeout
+	dt.syncer.pages++
+	dt.syncer.awaiting = mb.vm.ID
+	dt.syncer.deadline = dt.now + syncTimeout
 	dt.send(mb, &peerpb.Datagram{Body: &peerpb.Datagram_SyncAsk{SyncAsk: &peerpb.SyncAsk{
-		Buckets: append([]uint32(nil), dt.sy.bucket[:]...),
-		Start:   uint32(dt.Rand.IntN(buckets)),
+		Buckets: append([]uint32(nil), dt.syncer.bucketDigests[:]...),
+		Start:   uint32(dt.Rand.IntN(syncBuckets)),
 	}}})
 }
 
 // expireSync gives a lost reply up; the next ack begins anew.
 func (dt *Detector) expireSync() {
-	if dt.sy.asked != "" && dt.now >= dt.sy.deadline {
-		dt.sy.asked = ""
-		dt.sy.next = dt.now
+	if dt.syncer.awaiting != "" && dt.now >= dt.syncer.deadline {
+		dt.syncer.awaiting = ""
+		dt.syncer.notBefore = dt.now
 	}
 }
 
-// answerSync sends the VMs of the differing buckets, as many as fit.
-func (dt *Detector) answerSync(from *member, ask *peerpb.SyncAsk) {
-	if len(ask.GetBuckets()) != buckets {
+// replySync sends the VMs of the differing buckets, as many as fit.
+func (dt *Detector) replySync(from *member, ask *peerpb.SyncAsk) {
+	if len(ask.GetBuckets()) != syncBuckets {
 		dt.Counters.Ignored++
 		return
 	}
 	dt.computeDigests()
-	start := int(ask.GetStart() % buckets)
-	var differing [buckets][]*peerpb.Rumour
-	for _, rr := range dt.known() {
+	start := int(ask.GetStart() % syncBuckets)
+	var differing [syncBuckets][]*peerpb.Rumour
+	for _, rr := range dt.allRumours() {
 		bk := bucketOf(rr.GetVM())
-		if ask.GetBuckets()[bk] != dt.sy.bucket[bk] && rr.GetVM() != from.vm.ID {
+		if ask.GetBuckets()[bk] != dt.syncer.bucketDigests[bk] && rr.GetVM() != from.vm.ID {
 			differing[bk] = append(differing[bk], rr)
 		}
 	}
 	dg := &peerpb.Datagram{Body: &peerpb.Datagram_SyncReply{SyncReply: &peerpb.SyncReply{}}}
 	ends := proto.Size(&peerpb.Datagram{From: dt.Self.ID, Incarnation: dt.Self.Incarnation, To: from.vm.ID})
-	room := dt.Settings.MaxDatagram - proto.Size(dg) - ends - sequenceRoom
-	for ix := range buckets {
-		for _, rr := range differing[(start+ix)%buckets] {
-			room = dt.put(dg, room, rr)
+	room := dt.Settings.MaxDatagram - proto.Size(dg) - ends - maxSequenceSize
+	for ix := range syncBuckets {
+		for _, rr := range differing[(start+ix)%syncBuckets] {
+			room = dt.appendRumour(dg, room, rr)
 		}
 	}
 	dt.send(from, dg)
 }
 
-// known is all that this VM can tell of the fleet.
-func (dt *Detector) known() []*peerpb.Rumour {
-	all := []*peerpb.Rumour{dt.aboutSelf()}
-	for _, mb := range dt.tb.members {
-		if mb.heard && !mb.private && mb.vm.Health != board.Left {
-			all = append(all, dt.about(mb, 0, true))
+// allRumours is all that this VM can tell of the fleet.
+func (dt *Detector) allRumours() []*peerpb.Rumour {
+	all := []*peerpb.Rumour{dt.selfRumour()}
+	for _, mb := range dt.table.members {
+		if mb.confirmed && !mb.localOnly && mb.vm.Health != board.Left {
+			all = append(all, dt.memberRumour(mb, 0, true))
 		}
 	}
 	return all
 }
 
-// takeSync asks the same VM for more while its replies hold news.
-func (dt *Detector) takeSync(from *member, news bool) {
-	if dt.sy.asked != from.vm.ID {
+// handleSyncReply asks the same VM for more while its replies hold news.
+func (dt *Detector) handleSyncReply(from *member, news bool) {
+	if dt.syncer.awaiting != from.vm.ID {
 		return
 	}
-	dt.sy.asked = ""
-	if news && dt.sy.pages < maxPages {
-		dt.askSync(from)
+	dt.syncer.awaiting = ""
+	if news && dt.syncer.pages < maxSyncPages {
+		dt.requestSync(from)
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,9 +11,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// joinTries is how many probes a listed VM gets that never answered; after
+// maxJoinProbes is how many probes a listed VM gets that never answered; after
 // that it is probed no more often than a dead one.
-const joinTries = 3
+const maxJoinProbes = 3
 
 type (
 	// table is all VMs but Self that this VM knows of.
@@ -21,27 +21,27 @@
 		members  []*member // sorted by ID
 		byID     map[string]*member
 		suspects []*member // in the order in which suspicion began
-		gone     map[string]goneVM
+		removed  map[string]removedVM
 	}
 
 	// member is one VM of the table.
 	member struct {
-		vm         board.VM // as the snapshot shows it
-		refutation uint32
-		heard      bool         // it sent something, or a VM that knows it said so
-		tries      int          // probes it missed while not heard
-		leaving    bool         // announced by itself
-		listLeaves bool         // the VM list says that it leaves
-		private    bool         // doubted by this VM alone, from when it was not quorate
-		since      clock.Millis // when its Health began
-		met        clock.Millis // when it became known or came back
-		unlisted   clock.Millis // when the VM list dropped it
-		suspicion  suspicion    // while it is Suspect
+		vm            board.VM // as the snapshot shows it
+		refutation    uint32
+		confirmed     bool         // it sent something, or a VM that knows it said so
+		missedProbes  int          // probes it missed while not heard
+		leaving       bool         // announced by itself
+		listedLeaving bool         // the VM list says that it leaves
+		localOnly     bool         // doubted by this VM alone, from when it was not quorate
+		healthSince   clock.Millis // when its Health began
+		joinedAt      clock.Millis // when it became known or came back
+		unlistedAt    clock.Millis // when the VM list dropped it
+		suspicion     suspicion    // while it is Suspect
 	}
 
-	// goneVM remembers a removed VM, so that late rumours do not bring it
+	// removedVM remembers a removed VM, so that late rumours do not bring it
 	// back.
-	goneVM struct {
+	removedVM struct {
 		incarnation uint64
 		at          clock.Millis
 	}
@@ -65,45 +65,45 @@
 	tb.suspects = slices.DeleteFunc(tb.suspects, func(other *member) bool { return other == mb })
 }
 
-// compareRun orders the facts about one VM: by incarnation, then by
+// compareVersion orders the facts about one VM: by incarnation, then by
 // refutation within it.
-func (mb *member) compareRun(incarnation uint64, refutation uint32) int {
+func (mb *member) compareVersion(incarnation uint64, refutation uint32) int {
 	return cmp.Or(
 		cmp.Compare(mb.vm.Incarnation, incarnation),
 		cmp.Compare(mb.refutation, refutation))
 }
 
-// serving tells whether the member is alive or may be.
-func (mb *member) serving() bool {
+// maybeAlive tells whether the member is alive or may be.
+func (mb *member) maybeAlive() bool {
 	return mb.vm.Health == board.Alive || mb.vm.Health == board.Suspect
 }
 
-// lifeShift divides a refutation: below are the suspicions that were refuted
+// generationShift divides a refutation: below are the suspicions that were refuted
 // in one life, above the deaths.
-const lifeShift = 16
+const generationShift = 16
 
-// lifeOf counts the deaths that a VM was told of, and refuted, within its
+// generationOf counts the deaths that a VM was told of, and refuted, within its
 // incarnation. It tells a VM that knows that it was held dead from one that
 // only refuted the suspicion before.
-func lifeOf(refutation uint32) uint32 { return refutation >> lifeShift }
+func generationOf(refutation uint32) uint32 { return refutation >> generationShift }
 
-// final tells whether the member is dead to others too. No refutation within
+// confirmedDead tells whether the member is dead to others too. No refutation within
 // the same life takes that back.
-func (mb *member) final() bool {
-	return mb.heard && mb.vm.Health == board.Dead && !mb.private
+func (mb *member) confirmedDead() bool {
+	return mb.confirmed && mb.vm.Health == board.Dead && !mb.localOnly
 }
 
-// probed tells whether the member belongs into the round of regular probes.
-func (mb *member) probed() bool {
-	return mb.serving() || (!mb.heard && mb.tries < joinTries)
+// inProbeRound tells whether the member belongs into the round of regular probes.
+func (mb *member) inProbeRound() bool {
+	return mb.maybeAlive() || (!mb.confirmed && mb.missedProbes < maxJoinProbes)
 }
 
 // inRoster tells whether a majority is counted over the member.
 func (mb *member) inRoster() bool { return mb.vm.Health != board.Left }
 
-// sum hashes what two tables must agree on. What changes with every
+// hashVM hashes what two tables must agree on. What changes with every
 // suspicion is left out.
-func sum(vm board.VM) uint64 {
+func hashVM(vm board.VM) uint64 {
 	var buf [9]byte
 	binary.LittleEndian.PutUint64(buf[:], vm.Incarnation)
 	if vm.Leaving {
@@ -116,34 +116,34 @@
 	return dg.Sum64()
 }
 
-// touch marks all that is derived from the table as outdated.
-func (dt *Detector) touch() {
+// invalidate marks all that is derived from the table as outdated.
+func (dt *Detector) invalidate() {
 	dt.dirty = true
-	dt.sy.stale = true
-	dt.qr.stale = true
+	dt.syncer.stale = true
+	dt.quorum.stale = true
 }
 
 // setHealth moves a member to another health and has the change told.
 func (dt *Detector) setHealth(mb *member, hl board.Health) {
 	if mb.vm.Health == board.Suspect && hl != board.Suspect {
-		dt.tb.unsuspect(mb)
+		dt.table.unsuspect(mb)
 		mb.suspicion = suspicion{}
 	}
 	if hl == board.Dead && mb.vm.Health != board.Dead {
-		dt.Counters.Died++
+		dt.Counters.MarkedDead++
 	}
 	if mb.vm.Health != hl {
-		mb.since = dt.now
+		mb.healthSince = dt.now
 	}
 	if mb.vm.Health == board.Dead && hl == board.Alive {
-		mb.met = dt.now
+		mb.joinedAt = dt.now
 	}
 	mb.vm.Health = hl
-	mb.private = false
-	dt.touch()
+	mb.localOnly = false
+	dt.invalidate()
 }
 
-func (dt *Detector) list(vms []board.VM) {
+func (dt *Detector) applyList(vms []board.VM) {
 	if len(vms) == 0 {
 		return // an empty list tells nothing: at least Self is there
 	}
@@ -152,43 +152,43 @@
 	named := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		named[vm.ID] = true
-		dt.listOne(vm)
+		dt.applyListed(vm)
 	}
-	for _, mb := range slices.Clone(dt.tb.members) {
+	for _, mb := range slices.Clone(dt.table.members) {
 		if named[mb.vm.ID] || !mb.vm.Listed {
 			continue
 		}
-		dt.touch()
+		dt.invalidate()
 		mb.vm.Listed = false
-		mb.unlisted = dt.now
-		if !mb.heard {
-			dt.tb.remove(mb)
+		mb.unlistedAt = dt.now
+		if !mb.confirmed {
+			dt.table.remove(mb)
 		}
 	}
 	if first {
-		dt.join()
+		dt.probeNewMembers()
 	}
 }
 
-func (dt *Detector) listOne(vm board.VM) {
+func (dt *Detector) applyListed(vm board.VM) {
 	if vm.ID == dt.Self.ID {
 		dt.dirty = dt.dirty || !dt.Self.Listed
 		dt.Self.Listed = true
 		return
 	}
-	mb := dt.tb.byID[vm.ID]
+	mb := dt.table.byID[vm.ID]
 	if mb == nil {
 		if vm.ID == "" || vm.Peer == "" {
 			return
 		}
-		mb = &member{vm: vm, since: dt.now}
+		mb = &member{vm: vm, healthSince: dt.now}
 		mb.vm.Incarnation = 0
 		mb.vm.Health = board.Dead
 		mb.vm.Listed = false
-		dt.tb.add(mb)
-		dt.pb.enrol(mb, dt.Rand)
+		dt.table.add(mb)
+		dt.prober.addToRound(mb, dt.Rand)
 	}
-	if !mb.heard {
+	if !mb.confirmed {
 		mb.vm.Peer, mb.vm.Caller = vm.Peer, vm.Caller
 		mb.vm.FailureDomain, mb.vm.Region = vm.FailureDomain, vm.Region
 	}
@@ -197,41 +197,41 @@
 		return
 	}
 	mb.vm.Listed = true
-	mb.listLeaves = vm.Leaving
+	mb.listedLeaving = vm.Leaving
 	mb.vm.Leaving = leaves
-	dt.touch()
+	dt.invalidate()
 }
 
-// join asks a few VMs at once, so that a new VM needs not wait for its round.
-func (dt *Detector) join() {
+// probeNewMembers asks a few VMs at once, so that a new VM needs not wait for its round.
+func (dt *Detector) probeNewMembers() {
 	asked := 0
-	for _, mb := range dt.shuffled(dt.tb.members) {
-		if mb.heard {
+	for _, mb := range dt.shuffled(dt.table.members) {
+		if mb.confirmed {
 			continue
 		}
-		dt.launch(mb, true)
+		dt.sendProbe(mb, true)
 		if asked++; asked == dt.Settings.Helpers {
 			return
 		}
 	}
 }
 
-// housekeep removes VMs that are confirmed gone from the roster.
-func (dt *Detector) housekeep() {
-	for _, mb := range slices.Clone(dt.tb.members) {
-		if mb.serving() || mb.vm.Listed || !mb.heard {
+// removeExpired removes VMs that are confirmed gone from the roster.
+func (dt *Detector) removeExpired() {
+	for _, mb := range slices.Clone(dt.table.members) {
+		if mb.maybeAlive() || mb.vm.Listed || !mb.confirmed {
 			continue
 		}
-		if dt.now-max(mb.since, mb.unlisted) < dt.Settings.RemoveAfter {
+		if dt.now-max(mb.healthSince, mb.unlistedAt) < dt.Settings.RemoveAfter {
 			continue
 		}
-		dt.tb.gone[mb.vm.ID] = goneVM{incarnation: mb.vm.Incarnation, at: dt.now}
-		dt.tb.remove(mb)
-		dt.touch()
+		dt.table.removed[mb.vm.ID] = removedVM{incarnation: mb.vm.Incarnation, at: dt.now}
+		dt.table.remove(mb)
+		dt.invalidate()
 	}
-	for id, gv := range dt.tb.gone {
-		if dt.now-gv.at >= goneFor {
-			delete(dt.tb.gone, id)
+	for id, gv := range dt.table.removed {
+		if dt.now-gv.at >= removedRetention {
+			delete(dt.table.removed, id)
 		}
 	}
 }
@@ -240,20 +240,20 @@
 func (dt *Detector) snapshot() *board.Fleet {
 	fl := &board.Fleet{
 		Self:    dt.Self.VMRef,
-		VMs:     make([]board.VM, 0, len(dt.tb.members)+1),
+		VMs:     make([]board.VM, 0, len(dt.table.members)+1),
 		Epoch:   1,
-		Quorate: dt.qr.quorate,
+		Quorate: dt.quorum.quorate,
 	}
 	if dt.fleet != nil {
 		fl.Epoch = dt.fleet.Epoch + 1
 	}
 	at := 0
-	for ; at < len(dt.tb.members) && dt.tb.members[at].vm.ID < dt.Self.ID; at++ {
-		fl.VMs = append(fl.VMs, dt.tb.members[at].vm)
+	for ; at < len(dt.table.members) && dt.table.members[at].vm.ID < dt.Self.ID; at++ {
+		fl.VMs = append(fl.VMs, dt.table.members[at].vm)
 	}
 	fl.VMs = append(fl.VMs, dt.Self)
-	for ; at < len(dt.tb.members); at++ {
-		fl.VMs = append(fl.VMs, dt.tb.members[at].vm)
+	for ; at < len(dt.table.members); at++ {
+		fl.VMs = append(fl.VMs, dt.table.members[at].vm)
 	}
 	return fl
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -75,7 +75,7 @@
 	ver := operator.Verdict{Current: current, Reason: "BaseNotCurrent"}
 	if pub.Base == current {
 		ver = operator.Verdict{Accepted: true, Revision: current + 1, Current: current + 1}
-		vm.inForce.ByCustomer[pub.Customer] = board.InForce{Template: pub.Template, Revision: current + 1}
+		vm.inForce.ByCustomer[pub.Customer] = board.ActiveTemplate{Template: pub.Template, Revision: current + 1}
 	}
 	vm.verdicts[pub.ID] = ver
 	return ver, nil
@@ -104,7 +104,7 @@
 
 // started runs a server for the length of the test.
 func started(t *testing.T) (*fakeVM, operator.Client, tally.TestScope, *lines) {
-	vm := &fakeVM{inForce: board.Templates{ByCustomer: map[string]board.InForce{}, Ready: true, Applied: 9}, verdicts: map[string]operator.Verdict{}}
+	vm := &fakeVM{inForce: board.Templates{ByCustomer: map[string]board.ActiveTemplate{}, Ready: true, Applied: 9}, verdicts: map[string]operator.Verdict{}}
 	scope, out := tally.NewTestScope("", nil), &lines{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/orders/explore_test.go
+++ b/internal/orders/explore_test.go
@@ -158,7 +158,7 @@
 	wo := ho.world
 	ho.state.Advance(logsvc.Batch{Records: wo.log[ho.state.Next():], Next: uint64(len(wo.log)), End: uint64(len(wo.log))})
 	en, known := ho.state.Entry(resource)
-	ho.tellLease(register.Observed{Entry: en, Known: known})
+	ho.tellLease(register.LeaseObserved{Entry: en, Known: known})
 	ob := Observed{Quick: 1}
 	for _, eng := range wo.engines {
 		eng.RoleAt = wo.now
@@ -184,12 +184,12 @@
 		switch in := in.(type) {
 		case register.LeaseAppend:
 			wo.log = append(wo.log, logsvc.Record{Offset: uint64(len(wo.log)), Data: in.Data})
-		case register.Held:
+		case register.LeaseHeld:
 			if ho.since == 0 {
 				ho.since = in.Token
 			}
 			ho.tell(Held{Token: in.Token})
-		case register.Lapsed:
+		case register.LeaseLost:
 			ho.since = 0
 			ho.tell(Lapsed{Token: in.Token})
 		}
@@ -201,7 +201,7 @@
 	for _, in := range ho.cell.Step(wo.now, ev) {
 		switch in := in.(type) {
 		case Want:
-			ho.tellLease(register.Want{Hold: in.Hold})
+			ho.tellLease(register.LeaseWanted{Hold: in.Hold})
 		case Inspect:
 			asked := wo.now
 			ho.inbox = append(ho.inbox, func() {
--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -43,7 +43,7 @@
 // break off at it in the same moment share one probe.
 func (gd *Guard) ended(cl Call) *probe {
 	bk := gd.Backends()
-	if bk.Reborn(cl.Server) {
+	if bk.Restarted(cl.Server) {
 		return &probe{finding: Ended, found: gd.now()}
 	}
 	if at, listed := bk.Server(cl.Server.ID); !listed || at.Leaving {
--- a/internal/register/adapter_test.go
+++ b/internal/register/adapter_test.go
@@ -14,8 +14,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// wired carries a Follower's intents out at a log service, one after another.
-type wired struct {
+// logFollower carries a Follower's intents out at a log service, one after another.
+type logFollower struct {
 	fo       *Follower
 	cl       *logsvc.Client
 	now      clock.Millis
@@ -24,13 +24,13 @@
 	inForce  *board.Templates
 }
 
-func (wd *wired) step(ev Event) {
+func (wd *logFollower) step(ev Event) {
 	wd.now++
 	wd.todo = append(wd.todo, wd.fo.Step(wd.now, ev)...)
 }
 
-// carry does up to so many intents, or all until done says so.
-func (wd *wired) carry(intents int, done func() bool) {
+// runIntents does up to so many intents, or all until done says so.
+func (wd *logFollower) runIntents(intents int, done func() bool) {
 	ctx := context.Background()
 	for ; intents > 0 && len(wd.todo) > 0 && !done(); intents-- {
 		in := wd.todo[0]
@@ -44,39 +44,39 @@
 			wd.step(Appended{ID: in.ID, Offset: offset, Err: err})
 		case Verdict:
 			wd.verdicts = append(wd.verdicts, in)
-		case InForce:
+		case TemplatesChanged:
 			wd.inForce = in.Templates
 		}
 	}
 }
 
-// TestFollowerAtALogService publishes over HTTP while the reply is lost, and
+// TestFollowerWithLogService publishes over HTTP while the reply is lost, and
 // lets a second VM learn the result.
-func TestFollowerAtALogService(tt *testing.T) {
+func TestFollowerWithLogService(tt *testing.T) {
 	srv := &standin.Server{Token: "secret"}
 	ts := httptest.NewServer(srv)
 	defer ts.Close()
 	srv.Set(standin.Faults{LoseReplies: 1})
-	join := func(id string) *wired {
-		wd := &wired{
+	join := func(id string) *logFollower {
+		wd := &logFollower{
 			fo: &Follower{
 				Self: board.VMRef{ID: id}, Rand: rand.New(rand.NewPCG(1, 1)), Settings: Settings{Content: Templates},
 			},
 			cl: &logsvc.Client{URL: ts.URL, Token: srv.Token},
 		}
 		wd.step(Tick{})
-		wd.carry(100, wd.fo.Ready)
+		wd.runIntents(100, wd.fo.Ready)
 		return wd
 	}
 	first := join("vm0")
-	first.step(change("p1", 0))
-	first.carry(100, func() bool { return len(first.verdicts) > 0 })
+	first.step(publishRequest("p1", 0))
+	first.runIntents(100, func() bool { return len(first.verdicts) > 0 })
 	assert.DeepEqual(tt, first.verdicts, []Verdict{{ID: "p1", Result: Published, Revision: 1, Current: 1}})
 	assert.Equal(tt, srv.Done().Lost, 1)
 
 	second := join("vm1")
-	second.carry(10, func() bool { return second.inForce != nil && second.inForce.Ready })
+	second.runIntents(10, func() bool { return second.inForce != nil && second.inForce.Ready })
 	assert.Assert(tt, second.inForce != nil)
 	assert.DeepEqual(tt, second.inForce.ByCustomer["kedelsyn"],
-		board.InForce{Template: *sample("kedelsyn", "p1"), Revision: 1})
+		board.ActiveTemplate{Template: *sample("kedelsyn", "p1"), Revision: 1})
 }
--- a/internal/register/explore_test.go
+++ b/internal/register/explore_test.go
@@ -27,7 +27,7 @@
 		requests, recovers                                int
 	}
 
-	logged struct {
+	loggedRecord struct {
 		rec Record
 		raw []byte
 		enc string
@@ -40,34 +40,34 @@
 
 	// world is immutable; a step makes a new one.
 	world struct {
-		log      []logged
-		logEnc   string
-		trim     int
-		vms      []vmState
-		sent     []int // publications appended by each operator
-		repeated int
-		crashed  int
-		restated int
-		flying   []logged // restatements on their way to the log
-		asked    int
-		recovers int
-		snapped  int
-		snap     *Snapshot
-		snapEnc  string
+		log       []loggedRecord
+		logEnc    string
+		trim      int
+		vms       []vmState
+		sent      []int // publications appended by each operator
+		repeated  int
+		crashed   int
+		restated  int
+		inFlight  []loggedRecord // restatements on their way to the log
+		requested int
+		recovers  int
+		snapped   int
+		snap      *Snapshot
+		snapEnc   string
 	}
 
 	explorer struct {
-		lim      limits
-		broken   guards
-		seen     map[[2]uint64]struct{}
-		stack    []world
-		fault    string
-		settled  int // buckets that a restatement or snapshot decided
-		released int // held publications that were decided afterwards
-		oracles  map[string][]view
-		buf      []byte
-		reads    map[readKey]vmState
-		pubs     map[pubKey]logged
+		lim       limits
+		broken    brokenGuards
+		seen      map[[2]uint64]struct{}
+		stack     []world
+		violation string
+		settled   int // buckets that a restatement or snapshot decided
+		released  int // held publications that were decided afterwards
+		oracles   map[string][]view
+		buf       []byte
+		reads     map[readKey]vmState
+		pubs      map[pubKey]loggedRecord
 	}
 
 	// readKey names a read: a VM's state follows from its encoding and the
@@ -100,22 +100,22 @@
 	secondIDs = []string{"q0", "q1"}
 )
 
-func explore(lim limits, broken guards) *explorer {
+func explore(lim limits, broken brokenGuards) *explorer {
 	ex := &explorer{
 		lim: lim, broken: broken, seen: map[[2]uint64]struct{}{},
-		oracles: map[string][]view{}, reads: map[readKey]vmState{}, pubs: map[pubKey]logged{},
+		oracles: map[string][]view{}, reads: map[readKey]vmState{}, pubs: map[pubKey]loggedRecord{},
 	}
 	wo := world{sent: make([]int, 2)}
 	for range lim.vms {
 		wo.vms = append(wo.vms, ex.fresh())
 	}
 	ex.push(wo)
-	for len(ex.stack) > 0 && ex.fault == "" {
+	for len(ex.stack) > 0 && ex.violation == "" {
 		last := len(ex.stack) - 1
 		wo := ex.stack[last]
 		ex.stack = ex.stack[:last]
 		ex.operators(wo)
-		ex.service(wo)
+		ex.logService(wo)
 		for ix := range wo.vms {
 			ex.vm(wo, ix)
 		}
@@ -130,9 +130,9 @@
 func (ex *explorer) push(wo world) {
 	buf := append(ex.buf[:0], wo.logEnc...)
 	buf = append(buf, '|', byte(wo.trim), byte(wo.sent[0]), byte(wo.sent[1]), byte(wo.repeated),
-		byte(wo.crashed), byte(wo.restated), byte(wo.snapped), byte(wo.asked), byte(wo.recovers))
+		byte(wo.crashed), byte(wo.restated), byte(wo.snapped), byte(wo.requested), byte(wo.recovers))
 	buf = append(buf, wo.snapEnc...)
-	for _, fl := range wo.flying {
+	for _, fl := range wo.inFlight {
 		buf = append(buf, fl.enc...)
 	}
 	for _, vm := range wo.vms {
@@ -175,7 +175,7 @@
 }
 
 // publication encodes each publication once.
-func (ex *explorer) publication(key pubKey) logged {
+func (ex *explorer) publication(key pubKey) loggedRecord {
 	lo, ok := ex.pubs[key]
 	if !ok {
 		pub := Publish{ID: key.id, Key: "a", Base: key.base, Value: testValue}
@@ -185,15 +185,15 @@
 	return lo
 }
 
-func (ex *explorer) service(wo world) {
+func (ex *explorer) logService(wo world) {
 	if wo.trim < ex.lim.trims && wo.trim < len(wo.log) {
 		next := wo
 		next.trim++
 		ex.push(next)
 	}
-	for ix, fl := range wo.flying {
+	for ix, fl := range wo.inFlight {
 		next := wo
-		next.flying = slices.Delete(slices.Clone(wo.flying), ix, ix+1)
+		next.inFlight = slices.Delete(slices.Clone(wo.inFlight), ix, ix+1)
 		ex.push(next.appended(fl))
 	}
 }
@@ -211,7 +211,7 @@
 			if rst, ok := vm.st.Restatement(bucket); ok && vm.st.next > 0 {
 				next := wo
 				next.restated++
-				next.flying = appendTo(wo.flying, restatement(rst))
+				next.inFlight = appendTo(wo.inFlight, restatement(rst))
 				ex.push(next)
 			}
 		}
@@ -224,28 +224,28 @@
 		st := vm.st.clone()
 		outs, err := st.Import(*wo.snap)
 		if err != nil {
-			ex.fault = err.Error()
+			ex.violation = err.Error()
 		}
-		ex.arrive(wo, ix, st, outs)
+		ex.recordStep(wo, ix, st, outs)
 	}
 }
 
 // recover lets a VM that does not know a bucket ask for it and recover it, at
 // once and whether or not others know it.
 func (ex *explorer) recover(wo world, st *State) {
-	if st.begun && !st.Known() && wo.asked < ex.lim.requests {
+	if st.begun && !st.Known() && wo.requested < ex.lim.requests {
 		next := wo
-		next.asked++
+		next.requested++
 		ex.push(next.appended(encodeRecord(RestateRequest{VM: "vm"}, "R ")))
 	}
 	for bucket := range ex.lim.buckets {
 		if !st.begun || wo.recovers >= ex.lim.recovers {
 			return
 		}
-		if rc, ok := st.lastKnown(bucket); ok {
+		if rc, ok := st.recoverRecord(bucket); ok {
 			next := wo
 			next.recovers++
-			next.flying = appendTo(wo.flying, encodeRecord(rc, ""))
+			next.inFlight = appendTo(wo.inFlight, encodeRecord(rc, ""))
 			ex.push(next)
 		}
 	}
@@ -254,11 +254,11 @@
 func (ex *explorer) snapshot(wo world, st *State) {
 	data, err := st.Export()
 	if err != nil {
-		ex.fault = err.Error()
+		ex.violation = err.Error()
 	}
 	snap, err := ParseSnapshot(data)
 	if err != nil {
-		ex.fault = err.Error()
+		ex.violation = err.Error()
 	}
 	wo.snapped++
 	wo.snap, wo.snapEnc = &snap, string(data)
@@ -284,19 +284,19 @@
 	}
 	outs, bad := st.Advance(ba)
 	if len(bad) > 0 {
-		ex.fault = bad[0].Error()
+		ex.violation = bad[0].Error()
 	}
-	ex.reads[key] = ex.arrive(wo, ix, st, outs)
+	ex.reads[key] = ex.recordStep(wo, ix, st, outs)
 }
 
-// arrive takes the state of a VM after a step and checks it.
-func (ex *explorer) arrive(wo world, ix int, st *State, outs []Outcome) vmState {
+// recordStep takes the state of a VM after a step and checks it.
+func (ex *explorer) recordStep(wo world, ix int, st *State, outs []Outcome) vmState {
 	old := wo.vms[ix].st
 	views := ex.views(wo.logEnc, wo.log)
 	for _, out := range outs {
 		want := views[out.Offset+1].ruling
-		if out.Ruling != Passed && (out.Ruling != want.Ruling || out.Revision != want.Revision) {
-			ex.fault = fmt.Sprintf("offset %d was ruled %s %d; the log says %s %d",
+		if out.Ruling != Undetermined && (out.Ruling != want.Ruling || out.Revision != want.Revision) {
+			ex.violation = fmt.Sprintf("offset %d was ruled %s %d; the log says %s %d",
 				out.Offset, out.Ruling, out.Revision, want.Ruling, want.Revision)
 		}
 		if out.Offset+1 < st.next {
@@ -321,7 +321,7 @@
 			// Only a Recover after it may drop a change that nobody who
 			// answered knew.
 			if sl.entries[key].Revision < en.Revision && views[st.next].recovered <= int(en.Revision) {
-				ex.fault = fmt.Sprintf("%s reverted from revision %d to %d", key, en.Revision, sl.entries[key].Revision)
+				ex.violation = fmt.Sprintf("%s reverted from revision %d to %d", key, en.Revision, sl.entries[key].Revision)
 			}
 		}
 	}
@@ -330,14 +330,14 @@
 	}
 	for key, want := range views[st.next].entries {
 		if st.bucket(key) == sx && (sl.entries[key].Revision != want.Revision || sl.entries[key].ID != want.ID) {
-			ex.fault = fmt.Sprintf("at offset %d %s has revision %d; the log says %d",
+			ex.violation = fmt.Sprintf("at offset %d %s has revision %d; the log says %d",
 				st.next, key, sl.entries[key].Revision, want.Revision)
 		}
 	}
 }
 
-// plain is a fold that reads everything and holds nothing back.
-type plain struct {
+// referenceFold is a fold that reads everything and holds nothing back.
+type referenceFold struct {
 	buckets   int
 	requested int         // offset of the newest request, plus one
 	covered   map[int]int // offset of the newest restatement in force, plus one
@@ -345,7 +345,7 @@
 	fault     string
 }
 
-func (pl *plain) fold(offset int, rec Record, before view) view {
+func (pl *referenceFold) fold(offset int, rec Record, before view) view {
 	vi := view{entries: maps.Clone(before.entries), recovered: before.recovered}
 	switch rec := rec.(type) {
 	case Publish:
@@ -370,10 +370,10 @@
 	return vi
 }
 
-func (pl *plain) publish(offset int, pub Publish, vi view) Outcome {
+func (pl *referenceFold) publish(offset int, pub Publish, vi view) Outcome {
 	cur := vi.entries[pub.Key]
 	if rev, ok := cur.acceptedAs(pub.ID); ok {
-		return Outcome{Ruling: Already, Revision: rev}
+		return Outcome{Ruling: AlreadyAccepted, Revision: rev}
 	}
 	if pub.Base != cur.Revision {
 		return Outcome{Ruling: Refused}
@@ -389,16 +389,16 @@
 }
 
 // views folds the whole log without dropped records, the plain way.
-func (ex *explorer) views(enc string, log []logged) []view {
+func (ex *explorer) views(enc string, log []loggedRecord) []view {
 	if vs, ok := ex.oracles[enc]; ok {
 		return vs
 	}
 	vs := []view{{entries: map[string]Entry{}}}
-	pl := plain{buckets: ex.lim.buckets, covered: map[int]int{}, winners: map[string]string{}}
+	pl := referenceFold{buckets: ex.lim.buckets, covered: map[int]int{}, winners: map[string]string{}}
 	for offset, lo := range log {
 		vi := pl.fold(offset, lo.rec, vs[offset])
 		if pl.fault != "" {
-			ex.fault = pl.fault
+			ex.violation = pl.fault
 		}
 		vs = append(vs, vi)
 	}
@@ -412,19 +412,21 @@
 	return wo
 }
 
-func (wo world) appended(lo logged) world {
+func (wo world) appended(lo loggedRecord) world {
 	wo.log = appendTo(wo.log, lo)
 	wo.logEnc += lo.enc
 	return wo
 }
 
-func appendTo(log []logged, lo logged) []logged { return append(slices.Clip(log), lo) }
+func appendTo(log []loggedRecord, lo loggedRecord) []loggedRecord {
+	return append(slices.Clip(log), lo)
+}
 
-func restatement(rst Restate) logged { return encodeRecord(rst, "") }
+func restatement(rst Restate) loggedRecord { return encodeRecord(rst, "") }
 
 // encodeRecord names a record in the world's encoding, by its bytes if no
 // shorter name is given.
-func encodeRecord(rec Record, enc string) logged {
+func encodeRecord(rec Record, enc string) loggedRecord {
 	raw, err := Marshal(rec)
 	if err != nil {
 		panic(err)
@@ -432,7 +434,7 @@
 	if enc == "" {
 		enc = string(raw)
 	}
-	return logged{rec: rec, raw: raw, enc: enc}
+	return loggedRecord{rec: rec, raw: raw, enc: enc}
 }
 
 func (st *State) clone() *State {
@@ -452,14 +454,14 @@
 	}
 	for ix := range st.slots {
 		sl := &st.slots[ix]
-		buf = append(buf, ';', byte(sl.covered), byte(sl.lowest), byte(sl.knownTo))
-		if sl.ever {
+		buf = append(buf, ';', byte(sl.covered), byte(sl.minAsOf), byte(sl.knownTo))
+		if sl.everKnown {
 			buf = append(buf, 'e')
 		}
 		if sl.known {
 			buf = append(buf, 'k')
 		}
-		for _, en := range sl.sorted() {
+		for _, en := range sl.sortedEntries() {
 			buf = append(append(buf, en.Key...), byte(en.Revision))
 		}
 		for _, he := range sl.held {
@@ -484,10 +486,10 @@
 	for name, lim := range scenarios {
 		tt.Run(name, func(tt *testing.T) {
 			tt.Parallel()
-			ex := explore(lim, guards{})
+			ex := explore(lim, brokenGuards{})
 			tt.Logf("%d states, %d logs, %d distinct reads, %d buckets settled, %d held publications decided",
 				len(ex.seen), len(ex.oracles), len(ex.reads), ex.settled, ex.released)
-			assert.Equal(tt, ex.fault, "")
+			assert.Equal(tt, ex.violation, "")
 			// The walk must have met what it is meant for.
 			assert.Assert(tt, ex.settled > 100 && ex.released > 100 && len(ex.seen) > 20_000)
 		})
@@ -501,24 +503,24 @@
 	cases := []struct {
 		name     string
 		scenario string
-		broken   guards
+		broken   brokenGuards
 	}{
-		{"anyBase", "race", guards{anyBase: true}},
-		{"noRepeat", "race", guards{noRepeat: true}},
-		{"restateWins", "second publications", guards{restateWins: true}},
-		{"oldRestate", "second publications", guards{oldRestate: true}},
-		{"noHold", "race", guards{noHold: true}},
-		{"gapIgnored", "race", guards{gapIgnored: true}},
-		{"anyRecover", "recover", guards{anyRecover: true}},
-		{"blindRecover", "recover", guards{blindRecover: true}},
-		{"snapshotWins", "snapshots", guards{snapshotWins: true}},
+		{"anyBase", "race", brokenGuards{anyBase: true}},
+		{"noRepeat", "race", brokenGuards{noRepeat: true}},
+		{"restateWins", "second publications", brokenGuards{restateWins: true}},
+		{"oldRestate", "second publications", brokenGuards{oldRestate: true}},
+		{"noHold", "race", brokenGuards{noHold: true}},
+		{"gapIgnored", "race", brokenGuards{gapIgnored: true}},
+		{"anyRecover", "recover", brokenGuards{anyRecover: true}},
+		{"blindRecover", "recover", brokenGuards{blindRecover: true}},
+		{"snapshotWins", "snapshots", brokenGuards{snapshotWins: true}},
 	}
 	for _, tc := range cases {
 		tt.Run(tc.name, func(tt *testing.T) {
 			tt.Parallel()
 			ex := explore(scenarios[tc.scenario], tc.broken)
-			assert.Assert(tt, ex.fault != "", "not caught in %d states", len(ex.seen))
-			tt.Logf("caught in %q after %d states: %s", tc.scenario, len(ex.seen), ex.fault)
+			assert.Assert(tt, ex.violation != "", "not caught in %d states", len(ex.seen))
+			tt.Logf("caught in %q after %d states: %s", tc.scenario, len(ex.seen), ex.violation)
 		})
 	}
 }
