--- a/internal/register/follower.go
+++ b/internal/register/follower.go
@@ -29,18 +29,18 @@
 		// of it is the age at which a bucket is written again. Default 24 h.
 		Retention clock.Millis
 
-		Wait          clock.Millis // that a read waits for the next record; default 1.5 s
-		Overdue       clock.Millis // after Wait, when an open read counts as failed; default 700 ms
-		MaxRecords    int          // of one read; default 256
-		Retry         clock.Millis // after a failed call; doubles up to eight times; default 250 ms
-		PeerEvery     clock.Millis // between two questions to peers; default 500 ms
-		PublishWithin clock.Millis // until an operator gets a verdict; default 5 s
-		RequestAfter  clock.Millis // that a VM misses records, until it asks for restatements; default 10 s
-		RecoverAfter  clock.Millis // that nobody answers, until a VM recovers what it last knew; default 1 min
-		MaxPending    int          // publications that wait at this VM; default 64
-		RestateEvery  clock.Millis // between two restatements of this VM; default 500 ms
-		KeepRecords   int          // newest records kept for peers; default 256
-		KeepBytes     int          // of them; default 512 KiB
+		ReadWait        clock.Millis // that a read waits for the next record; default 1.5 s
+		ReadGrace       clock.Millis // after ReadWait, when an open read counts as failed; default 700 ms
+		MaxRecords      int          // of one read; default 256
+		RetryDelay      clock.Millis // after a failed call; doubles up to eight times; default 250 ms
+		PeerInterval    clock.Millis // between two questions to peers; default 500 ms
+		PublishTimeout  clock.Millis // until an operator gets a verdict; default 5 s
+		RequestDelay    clock.Millis // that a VM misses records, until it asks for restatements; default 10 s
+		RecoverDelay    clock.Millis // that nobody answers, until a VM recovers what it last knew; default 1 min
+		MaxPending      int          // publications that wait at this VM; default 64
+		RestateInterval clock.Millis // between two restatements of this VM; default 500 ms
+		KeepRecords     int          // newest records kept for peers; default 256
+		KeepBytes       int          // of them; default 512 KiB
 	}
 
 	// Follower decides what one VM reads, asks and appends to follow one
@@ -51,21 +51,21 @@
 		Rand     *rand.Rand
 		Settings Settings
 
-		state   State
-		fleet   *board.Fleet
-		reading reading
-		helping helping
-		pending map[string]*pending
-		rounds  rounds
-		recent  recent
-		out     []Intent
-		shown   shown
-		inForce *board.Templates // of the last InForce
-		started bool
+		state           State
+		fleet           *board.Fleet
+		reading         reading
+		peerRequests    peerRequests
+		pending         map[string]*pending
+		restating       restating
+		recent          recent
+		out             []Intent
+		emitted         emittedState
+		activeTemplates *board.Templates // of the last TemplatesChanged
+		started         bool
 	}
 
-	// shown is what the last InForce said.
-	shown struct {
+	// emittedState is what the last TemplatesChanged said.
+	emittedState struct {
 		edits uint64
 		ready bool
 	}
@@ -74,11 +74,11 @@
 	Result string
 
 	// Event is what a Follower is told: Read, PeerRecords, PeerSnapshot,
-	// Fleet, Change, Appended or Tick.
+	// FleetChanged, PublishRequest, Appended or Tick.
 	Event interface{ followerEvent() }
 
-	// Intent is what a Follower wants done: ReadLog, AskPeer, AskSnapshot,
-	// Append, InForce, Verdict, Note or Wake.
+	// Intent is what a Follower wants done: ReadLog, RequestRecords, RequestSnapshot,
+	// Append, TemplatesChanged, Verdict, LogEvent or Wake.
 	Intent interface{ followerIntent() }
 
 	// Read answers a ReadLog.
@@ -87,14 +87,14 @@
 		Err   error
 	}
 
-	// PeerRecords answers an AskPeer.
+	// PeerRecords answers an RequestRecords.
 	PeerRecords struct {
 		VM    board.VMRef
 		Batch logsvc.Batch
 		Err   error
 	}
 
-	// PeerSnapshot answers an AskSnapshot. A peer that is not ready answers
+	// PeerSnapshot answers an RequestSnapshot. A peer that is not ready answers
 	// with an error.
 	PeerSnapshot struct {
 		VM   board.VMRef
@@ -102,21 +102,21 @@
 		Err  error
 	}
 
-	// Fleet tells of the entry VMs.
-	Fleet struct{ Fleet *board.Fleet }
+	// FleetChanged tells of the entry VMs.
+	FleetChanged struct{ Fleet *board.Fleet }
 
-	// Change is an operator's wish to publish a customer's template, or to
+	// PublishRequest is an operator's wish to publish a customer's template, or to
 	// withdraw it if Template is nil. The same ID asked again never
 	// publishes twice.
-	Change struct {
+	PublishRequest struct {
 		ID       string
 		Customer string
 		Base     uint64
 		Template *template.Template
-		// Again tells that this ID was asked before, here or at another VM,
+		// Repeated tells that this ID was asked before, here or at another VM,
 		// without a certain verdict. This VM can't know what became of that,
 		// so it never answers NotPublished.
-		Again bool
+		Repeated bool
 	}
 
 	// Appended answers an Append.
@@ -136,15 +136,15 @@
 		Wait clock.Millis
 	}
 
-	// AskPeer asks a peer for records that it has read.
-	AskPeer struct {
+	// RequestRecords asks a peer for records that it has read.
+	RequestRecords struct {
 		VM   board.VM
 		From uint64
 		Max  int
 	}
 
-	// AskSnapshot asks a peer for its state.
-	AskSnapshot struct{ VM board.VM }
+	// RequestSnapshot asks a peer for its state.
+	RequestSnapshot struct{ VM board.VM }
 
 	// Append asks for an append to the log.
 	Append struct {
@@ -152,10 +152,10 @@
 		Data []byte
 	}
 
-	// InForce tells of a change of the customers' templates in force.
-	InForce struct{ Templates *board.Templates }
+	// TemplatesChanged tells of a change of the customers' templates in force.
+	TemplatesChanged struct{ Templates *board.Templates }
 
-	// Verdict ends a Change. Each Change gets one, but several with the same
+	// Verdict ends a PublishRequest. Each PublishRequest gets one, but several with the same
 	// ID at the same time share it.
 	Verdict struct {
 		ID       string
@@ -165,8 +165,8 @@
 		Reason   Reason
 	}
 
-	// Note asks for a log line and a count.
-	Note struct {
+	// LogEvent asks for a log line and a count.
+	LogEvent struct {
 		Event  event.Event
 		Fields []event.Field
 	}
@@ -176,39 +176,39 @@
 	Wake struct{ At clock.Millis }
 )
 
-func (Read) followerEvent()         {}
-func (PeerRecords) followerEvent()  {}
-func (PeerSnapshot) followerEvent() {}
-func (Fleet) followerEvent()        {}
-func (Change) followerEvent()       {}
-func (Appended) followerEvent()     {}
-func (Tick) followerEvent()         {}
-
-func (ReadLog) followerIntent()     {}
-func (AskPeer) followerIntent()     {}
-func (AskSnapshot) followerIntent() {}
-func (Append) followerIntent()      {}
-func (InForce) followerIntent()     {}
-func (Verdict) followerIntent()     {}
-func (Note) followerIntent()        {}
-func (Wake) followerIntent()        {}
+func (Read) followerEvent()           {}
+func (PeerRecords) followerEvent()    {}
+func (PeerSnapshot) followerEvent()   {}
+func (FleetChanged) followerEvent()   {}
+func (PublishRequest) followerEvent() {}
+func (Appended) followerEvent()       {}
+func (Tick) followerEvent()           {}
+
+func (ReadLog) followerIntent()          {}
+func (RequestRecords) followerIntent()   {}
+func (RequestSnapshot) followerIntent()  {}
+func (Append) followerIntent()           {}
+func (TemplatesChanged) followerIntent() {}
+func (Verdict) followerIntent()          {}
+func (LogEvent) followerIntent()         {}
+func (Wake) followerIntent()             {}
 
 // Step takes one event and returns what is to be done, in order.
 func (fo *Follower) Step(now clock.Millis, ev Event) []Intent {
 	fo.begin(now)
 	switch ev := ev.(type) {
 	case Read:
-		fo.read(now, ev)
+		fo.handleRead(now, ev)
 	case PeerRecords:
-		fo.peerRecords(now, ev)
+		fo.handlePeerRecords(now, ev)
 	case PeerSnapshot:
-		fo.peerSnapshot(now, ev)
-	case Fleet:
+		fo.handlePeerSnapshot(now, ev)
+	case FleetChanged:
 		fo.fleet = ev.Fleet
-	case Change:
-		fo.change(now, ev)
+	case PublishRequest:
+		fo.handlePublish(now, ev)
 	case Appended:
-		fo.appended(now, ev)
+		fo.handleAppended(now, ev)
 	case Tick:
 	}
 	fo.plan(now)
@@ -228,19 +228,19 @@
 	fo.state.init()
 	fo.fleet = &board.Fleet{}
 	fo.pending = map[string]*pending{}
-	fo.inForce = &board.Templates{}
-	fo.rounds.begin(now, fo)
+	fo.activeTemplates = &board.Templates{}
+	fo.restating.begin(now, fo)
 }
 
 // plan does all that is due and says when more will be.
 func (fo *Follower) plan(now clock.Millis) {
 	next := min(
 		fo.planRead(now),
-		fo.planHelp(now),
+		fo.planPeerRequest(now),
 		fo.planPending(now),
-		fo.planRounds(now),
+		fo.planRestate(now),
 	)
-	fo.show()
+	fo.emitChanges()
 	if next < never {
 		fo.emit(Wake{At: max(next, now+1)})
 	}
@@ -249,7 +249,7 @@
 // Ready tells whether all registers are decided and the end of the log, as it
 // was first seen, was reached.
 func (fo *Follower) Ready() bool {
-	return fo.state.Known() && (!fo.reading.seen || fo.state.next >= fo.reading.tail)
+	return fo.state.Known() && (!fo.reading.seen || fo.state.next >= fo.reading.initialEnd)
 }
 
 // Entry returns a register and whether it is decided up to what was read.
@@ -279,8 +279,8 @@
 
 func (fo *Follower) emit(in Intent) { fo.out = append(fo.out, in) }
 
-func (fo *Follower) note(ev event.Event, fields ...event.Field) {
-	fo.emit(Note{Event: ev, Fields: fields})
+func (fo *Follower) logEvent(ev event.Event, fields ...event.Field) {
+	fo.emit(LogEvent{Event: ev, Fields: fields})
 }
 
 // jitter spreads a span over half to the whole of it.
@@ -290,38 +290,38 @@
 
 // backoff grows with the failures in a row.
 func (fo *Follower) backoff(failures int) clock.Millis {
-	return fo.jitter(fo.Settings.Retry << min(max(failures-1, 0), 3))
+	return fo.jitter(fo.Settings.RetryDelay << min(max(failures-1, 0), 3))
 }
 
-// learn takes in what a batch or snapshot decided.
-func (fo *Follower) learn(outs []Outcome, bad []error) {
+// applyOutcomes takes in what a batch or snapshot decided.
+func (fo *Follower) applyOutcomes(outs []Outcome, bad []error) {
 	for _, err := range bad {
 		var re *RecordError
 		if errors.As(err, &re) {
-			fo.note(event.LogRecordRejected, event.F("Offset", re.Offset), event.F("Detail", re.Detail))
+			fo.logEvent(event.LogRecordRejected, event.F("Offset", re.Offset), event.F("Detail", re.Detail))
 		}
 	}
 	for _, out := range outs {
-		fo.ruled(out)
+		fo.resolvePending(out)
 	}
-	fo.recallPending()
-	fo.rounds.learn(fo)
+	fo.resolvePendingFromState()
+	fo.restating.noteRestatements(fo)
 }
 
-// show tells of what is in force if it changed.
-func (fo *Follower) show() {
-	ready := fo.shown.ready || fo.Ready()
-	if ready && !fo.shown.ready {
-		fo.note(event.RegisterReady, event.F("Next", fo.state.next))
+// emitChanges tells of what is in force if it changed.
+func (fo *Follower) emitChanges() {
+	ready := fo.emitted.ready || fo.Ready()
+	if ready && !fo.emitted.ready {
+		fo.logEvent(event.RegisterReady, event.F("Next", fo.state.next))
 	}
-	now := shown{edits: fo.state.edits, ready: ready}
-	if now == fo.shown {
+	now := emittedState{edits: fo.state.edits, ready: ready}
+	if now == fo.emitted {
 		return
 	}
-	fo.shown = now
+	fo.emitted = now
 	if fo.Settings.Content == Templates {
-		fo.inForce = fo.templates(ready)
-		fo.emit(InForce{Templates: fo.inForce})
+		fo.activeTemplates = fo.buildTemplates(ready)
+		fo.emit(TemplatesChanged{Templates: fo.activeTemplates})
 	}
 }
 
@@ -337,14 +337,14 @@
 		}
 	}
 	span(&se.Retention, 24*clock.Hour)
-	span(&se.Wait, 1500)
-	span(&se.Overdue, 700)
-	span(&se.Retry, 250)
-	span(&se.PeerEvery, 500)
-	span(&se.PublishWithin, 5*clock.Second)
-	span(&se.RestateEvery, 500)
-	span(&se.RequestAfter, 10*clock.Second)
-	span(&se.RecoverAfter, clock.Minute)
+	span(&se.ReadWait, 1500)
+	span(&se.ReadGrace, 700)
+	span(&se.RetryDelay, 250)
+	span(&se.PeerInterval, 500)
+	span(&se.PublishTimeout, 5*clock.Second)
+	span(&se.RestateInterval, 500)
+	span(&se.RequestDelay, 10*clock.Second)
+	span(&se.RecoverDelay, clock.Minute)
 	count(&se.Buckets, DefaultBuckets)
 	count(&se.MaxRecords, 256)
 	count(&se.MaxPending, 64)
--- a/internal/register/follower_test.go
+++ b/internal/register/follower_test.go
@@ -12,23 +12,23 @@
 
 const inForceBound = 4 * clock.Second
 
-func change(id string, base uint64) Change {
-	return Change{ID: id, Customer: "kedelsyn", Base: base, Template: sample("kedelsyn", id)}
+func publishRequest(id string, base uint64) PublishRequest {
+	return PublishRequest{ID: id, Customer: "kedelsyn", Base: base, Template: sample("kedelsyn", id)}
 }
 
-func result(tt *testing.T, wi *wish) Verdict {
+func onlyVerdict(tt *testing.T, wi *publishAttempt) Verdict {
 	tt.Helper()
 	assert.Equal(tt, len(wi.verdicts), 1)
 	return wi.verdicts[0]
 }
 
-// worst returns the longest time from an acceptance until the revision was in
+// longestDelay returns the longest time from an acceptance until the revision was in
 // force at a VM that is up.
-func worst(tt *testing.T, hn *harness, revision uint64) clock.Millis {
+func longestDelay(tt *testing.T, hn *harness, revision uint64) clock.Millis {
 	tt.Helper()
 	var span clock.Millis
 	for _, vm := range hn.vms {
-		at, ok := vm.since[revision]
+		at, ok := vm.activeSince[revision]
 		assert.Assert(tt, ok, "revision %d never came into force at %s", revision, vm.id)
 		span = max(span, at-hn.log[revision-1].at)
 	}
@@ -38,22 +38,22 @@
 func TestPublishAndRevise(tt *testing.T) {
 	hn := newHarness(tt, 1, 7, Settings{})
 	hn.run(clock.Second)
-	first := hn.publish(0, change("p1", 0))
+	first := hn.publish(0, publishRequest("p1", 0))
 	hn.run(clock.Second)
-	ve := result(tt, first)
+	ve := onlyVerdict(tt, first)
 	assert.Equal(tt, ve.Result, Published)
-	second := hn.publish(3, change("p2", ve.Revision))
-	late := hn.publish(4, change("p3", ve.Revision))
+	second := hn.publish(3, publishRequest("p2", ve.Revision))
+	late := hn.publish(4, publishRequest("p3", ve.Revision))
 	hn.run(clock.Second)
-	assert.Equal(tt, result(tt, second).Result, Published)
-	assert.Equal(tt, result(tt, late).Result, Conflict)
-	assert.Equal(tt, result(tt, late).Current, result(tt, second).Revision)
-	assert.Assert(tt, worst(tt, hn, result(tt, second).Revision) <= 10)
+	assert.Equal(tt, onlyVerdict(tt, second).Result, Published)
+	assert.Equal(tt, onlyVerdict(tt, late).Result, Conflict)
+	assert.Equal(tt, onlyVerdict(tt, late).Current, onlyVerdict(tt, second).Revision)
+	assert.Assert(tt, longestDelay(tt, hn, onlyVerdict(tt, second).Revision) <= 10)
 	hn.checkAgree()
 
-	withdraw := hn.publish(1, Change{ID: "w", Customer: "kedelsyn", Base: result(tt, second).Revision})
+	withdraw := hn.publish(1, PublishRequest{ID: "w", Customer: "kedelsyn", Base: onlyVerdict(tt, second).Revision})
 	hn.run(clock.Second)
-	assert.Equal(tt, result(tt, withdraw).Result, Published)
+	assert.Equal(tt, onlyVerdict(tt, withdraw).Result, Published)
 	for _, vm := range hn.vms {
 		assert.Equal(tt, len(vm.inForce.ByCustomer), 0)
 	}
@@ -62,11 +62,11 @@
 func TestReplyLostAfterAppend(tt *testing.T) {
 	hn := newHarness(tt, 2, 3, Settings{})
 	hn.run(clock.Second)
-	hn.lose = 1
-	wi := hn.publish(0, change("p1", 0))
+	hn.loseReplies = 1
+	wi := hn.publish(0, publishRequest("p1", 0))
 	hn.run(10 * clock.Second)
-	assert.Equal(tt, result(tt, wi).Result, Published)
-	again := hn.publish(1, change("p1", 0))
+	assert.Equal(tt, onlyVerdict(tt, wi).Result, Published)
+	again := hn.publish(1, publishRequest("p1", 0))
 	hn.run(clock.Second)
 	assert.Equal(tt, len(again.verdicts), 2)
 	assert.Equal(tt, again.verdicts[1].Revision, again.verdicts[0].Revision)
@@ -74,14 +74,14 @@
 	hn.checkVerdicts()
 }
 
-func TestOutageAtPublishIsToldTruthfully(tt *testing.T) {
+func TestVerdictsDuringOutageAreTruthful(tt *testing.T) {
 	hn := newHarness(tt, 3, 3, Settings{})
 	hn.run(clock.Second)
 	hn.logDown = true
-	never := hn.publish(0, change("p1", 0))
+	never := hn.publish(0, publishRequest("p1", 0))
 	hn.run(20 * clock.Second)
-	assert.Equal(tt, result(tt, never).Result, NotPublished)
-	assert.Equal(tt, result(tt, never).Reason, LogUnreachable)
+	assert.Equal(tt, onlyVerdict(tt, never).Result, NotPublished)
+	assert.Equal(tt, onlyVerdict(tt, never).Reason, LogUnreachable)
 
 	// The log takes the record, then goes down before anyone has read it.
 	hn.logDown = false
@@ -90,21 +90,21 @@
 		vm.cut = true // from reading; the append below goes to the log by hand
 	}
 	hn.run(3 * clock.Second)
-	doubt := hn.publish(0, change("p2", 0))
+	doubt := hn.publish(0, publishRequest("p2", 0))
 	hn.vms[0].cut = false
-	hn.lose = 1
+	hn.loseReplies = 1
 	hn.run(oneWay + 3)
 	hn.vms[0].cut, hn.logDown = true, true
 	hn.run(20 * clock.Second)
 	assert.Equal(tt, len(hn.log), 1)
-	assert.Equal(tt, result(tt, doubt).Result, Unknown)
+	assert.Equal(tt, onlyVerdict(tt, doubt).Result, Unknown)
 
 	for _, vm := range hn.vms {
 		vm.cut = false
 	}
 	hn.logDown = false
 	hn.run(5 * clock.Second)
-	hn.publish(2, change("p2", 0))
+	hn.publish(2, publishRequest("p2", 0))
 	hn.run(5 * clock.Second)
 	last := doubt.verdicts[len(doubt.verdicts)-1]
 	assert.Equal(tt, last.Result, Published)
@@ -122,9 +122,9 @@
 		for _, vm := range hn.vms[4:] {
 			vm.cut = true
 		}
-		wi := hn.publish(0, change("p1", 0))
+		wi := hn.publish(0, publishRequest("p1", 0))
 		hn.run(10 * clock.Second)
-		spans = append(spans, worst(tt, hn, result(tt, wi).Revision))
+		spans = append(spans, longestDelay(tt, hn, onlyVerdict(tt, wi).Revision))
 	}
 	slices.Sort(spans)
 	tt.Logf("in force at 3 of 7 VMs cut off from the log: median %v, longest %v of 100", spans[50], spans[99])
@@ -134,7 +134,7 @@
 func TestStartDuringAnOutage(tt *testing.T) {
 	hn := newHarness(tt, 5, 4, Settings{})
 	hn.run(clock.Second)
-	wi := hn.publish(0, change("p1", 0))
+	wi := hn.publish(0, publishRequest("p1", 0))
 	hn.run(clock.Second)
 	hn.logDown = true
 	hn.run(clock.Minute)
@@ -143,11 +143,11 @@
 	hn.vms[2].start()
 	hn.run(5 * clock.Second)
 	assert.Assert(tt, hn.vms[2].inForce.Ready)
-	assert.Equal(tt, hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision, result(tt, wi).Revision)
-	asks := hn.vms[1].asked["AskPeer"]
+	assert.Equal(tt, hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision, onlyVerdict(tt, wi).Revision)
+	asks := hn.vms[1].intents["AskPeer"]
 	hn.run(clock.Minute)
-	tt.Logf("questions to peers by one VM in a minute of an outage: %d", hn.vms[1].asked["AskPeer"]-asks)
-	assert.Assert(tt, hn.vms[1].asked["AskPeer"]-asks <= 241)
+	tt.Logf("questions to peers by one VM in a minute of an outage: %d", hn.vms[1].intents["AskPeer"]-asks)
+	assert.Assert(tt, hn.vms[1].intents["AskPeer"]-asks <= 241)
 }
 
 // TestRetention replaces a VM each quarter of an hour while the log keeps an
@@ -157,9 +157,9 @@
 	hn := newHarness(tt, 6, 6, Settings{Retention: clock.Hour})
 	hn.keep = clock.Hour
 	hn.run(clock.Second)
-	wi := hn.publish(0, change("p1", 0))
+	wi := hn.publish(0, publishRequest("p1", 0))
 	hn.run(clock.Second)
-	revision := result(tt, wi).Revision
+	revision := onlyVerdict(tt, wi).Revision
 	for round := range 60 {
 		vm := hn.vms[round%len(hn.vms)]
 		vm.stop()
@@ -176,7 +176,7 @@
 	// A VM that finds no peer learns all from the log's middle.
 	vm := hn.vms[0]
 	vm.stop()
-	vm.alone = true
+	vm.isolated = true
 	hn.run(clock.Second)
 	vm.start()
 	hn.run(5 * clock.Second)
@@ -194,17 +194,17 @@
 	base := uint64(0)
 	for ix := range 40 {
 		if ix == 5 {
-			hn.vms[2].cut, hn.vms[2].alone = true, true
+			hn.vms[2].cut, hn.vms[2].isolated = true, true
 		}
-		wi := hn.publish(0, change(fmt.Sprint("p", ix), base))
+		wi := hn.publish(0, publishRequest(fmt.Sprint("p", ix), base))
 		hn.run(5 * clock.Minute)
-		base = result(tt, wi).Revision
+		base = onlyVerdict(tt, wi).Revision
 	}
 	old := hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision
 	assert.Assert(tt, old < uint64(hn.first))
 	hn.vms[2].cut = false
 	hn.run(30 * clock.Second)
-	assert.Equal(tt, hn.vms[2].notes["LogRecordsMissed"], 1)
+	assert.Equal(tt, hn.vms[2].events["LogRecordsMissed"], 1)
 	assert.Equal(tt, hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision, base)
 	hn.checkAgree()
 }
@@ -218,9 +218,9 @@
 	hn.run(clock.Second)
 	bases := make([]uint64, customers)
 	var spans []clock.Millis
-	publish := func(ix, vm int) *wish {
+	publish := func(ix, vm int) *publishAttempt {
 		name := fmt.Sprint("customer", ix%customers)
-		return hn.publish(vm, Change{ID: fmt.Sprint("p", ix), Customer: name, Base: bases[ix%customers],
+		return hn.publish(vm, PublishRequest{ID: fmt.Sprint("p", ix), Customer: name, Base: bases[ix%customers],
 			Template: sample(name, "")})
 	}
 	for ix := range changes {
@@ -230,10 +230,10 @@
 		vm := slices.IndexFunc(hn.vms, func(vm *follower) bool { return !vm.cut })
 		wi := publish(ix, vm)
 		hn.run(10 * clock.Second)
-		ve := result(tt, wi)
+		ve := onlyVerdict(tt, wi)
 		assert.Equal(tt, ve.Result, Published)
 		bases[ix%customers] = ve.Revision
-		spans = append(spans, worst(tt, hn, ve.Revision))
+		spans = append(spans, longestDelay(tt, hn, ve.Revision))
 		cut.cut = false
 		hn.run(36 * clock.Second)
 	}
@@ -243,7 +243,7 @@
 	assert.Assert(tt, spans[changes*99/100] <= inForceBound)
 
 	// Two operators race for each customer, all at once.
-	var wishes []*wish
+	var wishes []*publishAttempt
 	for ix := range burst {
 		wishes = append(wishes, publish(changes+ix, ix%len(hn.vms)))
 	}
@@ -251,9 +251,9 @@
 	var longest clock.Millis
 	published := 0
 	for _, wi := range wishes {
-		if ve := result(tt, wi); ve.Result == Published {
+		if ve := onlyVerdict(tt, wi); ve.Result == Published {
 			published++
-			longest = max(longest, worst(tt, hn, ve.Revision))
+			longest = max(longest, longestDelay(tt, hn, ve.Revision))
 		} else {
 			assert.Equal(tt, ve.Result, Conflict)
 		}
@@ -272,17 +272,17 @@
 	hn = newHarness(tt, 9, 3, Settings{Retention: clock.Hour})
 	hn.keep = clock.Hour
 	hn.run(clock.Second)
-	first := hn.publish(0, change("p1", 0))
+	first := hn.publish(0, publishRequest("p1", 0))
 	hn.run(clock.Minute)
-	revision = result(tt, first).Revision
+	revision = onlyVerdict(tt, first).Revision
 	for _, vm := range hn.vms {
-		vm.cut, vm.alone = true, true
+		vm.cut, vm.isolated = true, true
 	}
 	hn.run(3 * clock.Second)
 	for _, ix := range reads {
 		hn.vms[ix].cut = false
 	}
-	rec, ok := publishOf(change("late", revision))
+	rec, ok := newPublish(publishRequest("late", revision))
 	assert.Assert(tt, ok)
 	data, err := Marshal(rec)
 	assert.NilError(tt, err)
@@ -292,9 +292,9 @@
 	hn.run(2 * clock.Hour)
 	hn.logDown = false
 	for ix, vm := range hn.vms {
-		vm.cut, vm.alone = false, slices.Contains(reads, ix)
+		vm.cut, vm.isolated = false, slices.Contains(reads, ix)
 	}
-	hn.tellFleet()
+	hn.updateFleets()
 	return hn, revision
 }
 
@@ -306,14 +306,14 @@
 	hn, revision := beyondRetention(tt)
 	hn.run(30 * clock.Second)
 	for _, vm := range hn.vms {
-		assert.Equal(tt, vm.notes["LogRecordsMissed"], 1)
+		assert.Equal(tt, vm.events["LogRecordsMissed"], 1)
 		assert.Assert(tt, vm.inForce.Ready && !vm.fo.Ready())
 		assert.Equal(tt, vm.inForce.ByCustomer["kedelsyn"].Revision, revision)
 	}
-	early := hn.publish(1, change("p2", revision))
+	early := hn.publish(1, publishRequest("p2", revision))
 	hn.run(10 * clock.Second)
-	assert.Equal(tt, result(tt, early).Result, NotPublished)
-	assert.Equal(tt, result(tt, early).Reason, NotReady)
+	assert.Equal(tt, onlyVerdict(tt, early).Result, NotPublished)
+	assert.Equal(tt, onlyVerdict(tt, early).Reason, NotReady)
 
 	hn.run(2 * clock.Minute)
 	for _, vm := range hn.vms {
@@ -322,9 +322,9 @@
 		assert.DeepEqual(tt, vm.inForce.ByCustomer["kedelsyn"].Template, *sample("kedelsyn", "p1"))
 	}
 	base := hn.vms[0].inForce.ByCustomer["kedelsyn"].Revision
-	next := hn.publish(1, change("p3", base))
+	next := hn.publish(1, publishRequest("p3", base))
 	hn.run(clock.Second)
-	assert.Equal(tt, result(tt, next).Result, Published)
+	assert.Equal(tt, onlyVerdict(tt, next).Result, Published)
 	assert.DeepEqual(tt, hn.vms[0].fo.Entries(), hn.vms[2].fo.Entries())
 }
 
@@ -334,7 +334,7 @@
 	hn, revision := beyondRetention(tt, 1)
 	hn.run(2 * clock.Minute)
 	for _, vm := range hn.vms {
-		assert.Equal(tt, vm.notes["BucketRecovered"], 0)
+		assert.Equal(tt, vm.events["BucketRecovered"], 0)
 		assert.Assert(tt, vm.inForce.ByCustomer["kedelsyn"].Revision > revision)
 		assert.DeepEqual(tt, vm.inForce.ByCustomer["kedelsyn"].Template, *sample("kedelsyn", "late"))
 	}
@@ -347,7 +347,7 @@
 	hn := newHarness(tt, 10, 3, Settings{Retention: clock.Hour})
 	hn.keep = clock.Hour
 	hn.run(clock.Second)
-	hn.publish(0, change("p1", 0))
+	hn.publish(0, publishRequest("p1", 0))
 	hn.run(clock.Minute)
 	for _, vm := range hn.vms {
 		vm.stop()
@@ -362,8 +362,8 @@
 	for _, vm := range hn.vms {
 		assert.Assert(tt, vm.inForce.Ready)
 	}
-	wi := hn.publish(1, change("p2", 0))
+	wi := hn.publish(1, publishRequest("p2", 0))
 	hn.run(clock.Second)
-	assert.Equal(tt, result(tt, wi).Result, Published)
+	assert.Equal(tt, onlyVerdict(tt, wi).Result, Published)
 	hn.checkAgree()
 }
--- a/internal/register/harness_test.go
+++ b/internal/register/harness_test.go
@@ -33,17 +33,17 @@
 		seq      int
 		settings Settings
 
-		log       []record
-		keep      clock.Millis // retention; zero keeps all
-		first     int
-		logDown   bool
-		lose      int // replies to appends still to lose
-		readers   []func()
-		appends   int
-		bytesRead int
+		log         []record
+		keep        clock.Millis // retention; zero keeps all
+		first       int
+		logDown     bool
+		loseReplies int // replies to appends still to lose
+		readers     []func()
+		appends     int
+		bytesRead   int
 
 		vms     []*follower
-		changes map[string]*wish
+		changes map[string]*publishAttempt
 	}
 
 	record struct {
@@ -52,28 +52,28 @@
 	}
 
 	follower struct {
-		hn      *harness
-		id      string
-		run     uint64 // grows with every restart; late answers to another are dropped
-		up      bool
-		cut     bool // from the log
-		alone   bool // from peers
-		fo      *Follower
-		wake    clock.Millis
-		inForce *board.Templates
-		since   map[uint64]clock.Millis // when a revision came into force here
-		asked   map[string]int
-		notes   map[string]int
+		hn          *harness
+		id          string
+		run         uint64 // grows with every restart; late answers to another are dropped
+		up          bool
+		cut         bool // from the log
+		isolated    bool // from peers
+		fo          *Follower
+		wake        clock.Millis
+		inForce     *board.Templates
+		activeSince map[uint64]clock.Millis // when a revision came into force here
+		intents     map[string]int
+		events      map[string]int
 	}
 
-	// wish is what an operator asked and was told.
-	wish struct {
-		change   Change
-		asks     int
-		again    map[string]bool // VMs that were told that it is not the first time
-		asked    clock.Millis
-		told     clock.Millis
-		verdicts []Verdict
+	// publishAttempt is what an operator asked and was told.
+	publishAttempt struct {
+		change     PublishRequest
+		requests   int
+		repeatedAt map[string]bool // VMs that were told that it is not the first time
+		askedAt    clock.Millis
+		answeredAt clock.Millis
+		verdicts   []Verdict
 	}
 
 	timer struct {
@@ -99,7 +99,7 @@
 
 func newHarness(tt rapid.TB, seed uint64, vms int, se Settings) *harness {
 	se.Content = Templates
-	hn := &harness{tt: tt, rng: rand.New(rand.NewPCG(seed, 1)), settings: se, changes: map[string]*wish{}}
+	hn := &harness{tt: tt, rng: rand.New(rand.NewPCG(seed, 1)), settings: se, changes: map[string]*publishAttempt{}}
 	for ix := range vms {
 		hn.vms = append(hn.vms, &follower{hn: hn, id: fmt.Sprint("vm", ix)})
 	}
@@ -140,7 +140,7 @@
 			continue
 		}
 		fl.VMs = append(fl.VMs, board.VM{VMRef: board.VMRef{ID: vm.id}, FailureDomain: vm.id})
-		if vm == self || !vm.alone && !self.alone {
+		if vm == self || !vm.isolated && !self.isolated {
 			reached++
 		}
 	}
@@ -148,22 +148,22 @@
 	return fl
 }
 
-func (hn *harness) tellFleet() {
+func (hn *harness) updateFleets() {
 	for _, vm := range hn.vms {
-		vm.step(vm.run, Fleet{Fleet: hn.fleet(vm)})
+		vm.step(vm.run, FleetChanged{Fleet: hn.fleet(vm)})
 	}
 }
 
 // publish asks a VM for a change; the same ID may be asked again.
-func (hn *harness) publish(vm int, ch Change) *wish {
+func (hn *harness) publish(vm int, ch PublishRequest) *publishAttempt {
 	wi := hn.changes[ch.ID]
 	if wi == nil {
-		wi = &wish{change: ch, asked: hn.now, again: map[string]bool{}}
+		wi = &publishAttempt{change: ch, askedAt: hn.now, repeatedAt: map[string]bool{}}
 		hn.changes[ch.ID] = wi
 	}
-	wi.asks++
-	ch.Again = wi.asks > 1
-	wi.again[hn.vms[vm].id] = ch.Again
+	wi.requests++
+	ch.Repeated = wi.requests > 1
+	wi.repeatedAt[hn.vms[vm].id] = ch.Repeated
 	hn.vms[vm].step(hn.vms[vm].run, ch)
 	return wi
 }
@@ -177,18 +177,18 @@
 		Settings: vm.hn.settings,
 	}
 	vm.inForce = &board.Templates{}
-	vm.since = map[uint64]clock.Millis{}
-	vm.asked, vm.notes = map[string]int{}, map[string]int{}
+	vm.activeSince = map[uint64]clock.Millis{}
+	vm.intents, vm.events = map[string]int{}, map[string]int{}
 	vm.wake = never
 	run := vm.run
 	vm.hn.after(0, func() { vm.step(run, Tick{}) })
-	vm.hn.after(1, vm.hn.tellFleet)
+	vm.hn.after(1, vm.hn.updateFleets)
 }
 
 func (vm *follower) stop() {
 	vm.up = false
 	vm.run++
-	vm.hn.after(1, vm.hn.tellFleet)
+	vm.hn.after(1, vm.hn.updateFleets)
 }
 
 func (vm *follower) step(run uint64, ev Event) {
@@ -196,40 +196,40 @@
 		return
 	}
 	for _, in := range vm.fo.Step(vm.hn.now, ev) {
-		vm.do(in)
+		vm.carryOut(in)
 	}
 }
 
-func (vm *follower) do(in Intent) {
+func (vm *follower) carryOut(in Intent) {
 	hn := vm.hn
 	switch in := in.(type) {
 	case ReadLog:
-		vm.asked["ReadLog"]++
+		vm.intents["ReadLog"]++
 		vm.readLog(in)
 	case Append:
-		vm.asked["Append"]++
+		vm.intents["Append"]++
 		vm.append(in)
-	case AskPeer:
-		vm.asked["AskPeer"]++
-		vm.ask(in.VM, func(peer *follower) Event {
+	case RequestRecords:
+		vm.intents["AskPeer"]++
+		vm.callPeer(in.VM, func(peer *follower) Event {
 			return PeerRecords{VM: in.VM.VMRef, Batch: peer.fo.Records(in.From, in.Max)}
 		}, PeerRecords{Err: errCut})
-	case AskSnapshot:
-		vm.asked["AskSnapshot"]++
-		vm.ask(in.VM, func(peer *follower) Event {
+	case RequestSnapshot:
+		vm.intents["AskSnapshot"]++
+		vm.callPeer(in.VM, func(peer *follower) Event {
 			data, _, err := peer.fo.Snapshot()
 			return PeerSnapshot{VM: in.VM.VMRef, Data: data, Err: err}
 		}, PeerSnapshot{Err: errCut})
-	case InForce:
-		vm.takeInForce(in.Templates)
+	case TemplatesChanged:
+		vm.takeTemplates(in.Templates)
 	case Verdict:
 		wi := hn.changes[in.ID]
-		if in.Result == NotPublished && wi.again[vm.id] {
+		if in.Result == NotPublished && wi.repeatedAt[vm.id] {
 			hn.tt.Errorf("%s tells %+v although %s was asked before", vm.id, in, in.ID)
 		}
-		wi.verdicts, wi.told = append(wi.verdicts, in), hn.now
-	case Note:
-		vm.notes[in.Event.Name]++
+		wi.verdicts, wi.answeredAt = append(wi.verdicts, in), hn.now
+	case LogEvent:
+		vm.events[in.Event.Name]++
 		if in.Event.Level == event.Error {
 			hn.tt.Errorf("%s notes %s %v", vm.id, in.Event.Name, in.Fields)
 		}
@@ -244,8 +244,8 @@
 	}
 }
 
-// takeInForce checks that no customer's revision goes back.
-func (vm *follower) takeInForce(tp *board.Templates) {
+// takeTemplates checks that no customer's revision goes back.
+func (vm *follower) takeTemplates(tp *board.Templates) {
 	for name, old := range vm.inForce.ByCustomer {
 		now, ok := tp.ByCustomer[name]
 		en, _ := vm.fo.Entry(name)
@@ -255,8 +255,8 @@
 	}
 	vm.inForce = tp
 	for _, inf := range tp.ByCustomer {
-		if _, ok := vm.since[inf.Revision]; !ok {
-			vm.since[inf.Revision] = vm.hn.now
+		if _, ok := vm.activeSince[inf.Revision]; !ok {
+			vm.activeSince[inf.Revision] = vm.hn.now
 		}
 	}
 }
@@ -283,7 +283,7 @@
 	})
 }
 
-func (hn *harness) overdue() clock.Millis { return hn.settings.withDefaults().Overdue }
+func (hn *harness) overdue() clock.Millis { return hn.settings.withDefaults().ReadGrace }
 
 func (hn *harness) batch(in ReadLog) logsvc.Batch {
 	ba := logsvc.Batch{First: uint64(hn.first), End: uint64(len(hn.log))}
@@ -320,8 +320,8 @@
 		hn.log = append(hn.log, record{at: hn.now, data: in.Data})
 		offset := uint64(len(hn.log)) - 1
 		hn.wakeReaders()
-		if hn.lose > 0 {
-			hn.lose--
+		if hn.loseReplies > 0 {
+			hn.loseReplies--
 			fail(clock.Second, logsvc.MayBeAppended)
 			return
 		}
@@ -329,12 +329,12 @@
 	})
 }
 
-func (vm *follower) ask(to board.VM, answer func(*follower) Event, failed Event) {
+func (vm *follower) callPeer(to board.VM, answer func(*follower) Event, failed Event) {
 	hn, run := vm.hn, vm.run
 	ix := slices.IndexFunc(hn.vms, func(other *follower) bool { return other.id == to.ID })
 	peer := hn.vms[ix]
 	hn.after(oneWay, func() {
-		if !peer.up || peer.alone || vm.alone {
+		if !peer.up || peer.isolated || vm.isolated {
 			hn.after(300, func() { vm.step(run, failed) })
 			return
 		}
@@ -386,7 +386,7 @@
 				assert.Assert(hn.tt, !accepted, "%s was told %+v", id, ve)
 			case NotPublished:
 				// Asked again, it may have been published then.
-				assert.Assert(hn.tt, !accepted || wi.asks > 1, "%s was told %+v", id, ve)
+				assert.Assert(hn.tt, !accepted || wi.requests > 1, "%s was told %+v", id, ve)
 			case Unknown:
 			}
 		}
--- a/internal/register/lease.go
+++ b/internal/register/lease.go
@@ -33,24 +33,24 @@
 		Rand     *rand.Rand
 		Duration clock.Millis // of the lease; default 10 s
 		Margin   clock.Millis // default DefaultMargin; under half of Duration
-		// Lapses lets a lease that is not wanted any more run out, in place of
+		// LetExpire lets a lease that is not wanted any more run out, in place of
 		// giving it back: then a duration lies between the last order of one
 		// VM and the first of another.
-		Lapses bool
-		// Lossy tells that the record of a lease that is held may be gone from
+		LetExpire bool
+		// LossyRegister tells that the record of a lease that is held may be gone from
 		// the register: where none is there at first, one is waited out.
-		Lossy bool
-
-		want      bool
-		seen      Entry        // last record observed
-		known     bool         // the register is decided
-		freeAt    clock.Millis // when another VM's lease has surely ended
-		until     clock.Millis // when this VM stops to use its own
-		token     uint64       // zero if the lease is not held
-		attempt   *attempt
-		number    int
-		notBefore clock.Millis // earliest point of the next append
-		started   bool
+		LossyRegister bool
+
+		wanted      bool
+		lastEntry   Entry        // last record observed
+		known       bool         // the register is decided
+		freeAt      clock.Millis // when another VM's lease has surely ended
+		usableUntil clock.Millis // when this VM stops to use its own
+		token       uint64       // zero if the lease is not held
+		attempt     *attempt
+		number      int
+		notBefore   clock.Millis // earliest point of the next append
+		started     bool
 	}
 
 	// attempt is an append whose fate is not known yet.
@@ -61,24 +61,24 @@
 		base    uint64
 	}
 
-	// HolderEvent is what a Holder is told: Observed, Want, LeaseAppended or
+	// HolderEvent is what a Holder is told: LeaseObserved, LeaseWanted, LeaseAppended or
 	// LeaseTick.
 	HolderEvent interface{ holderEvent() }
 
-	// HolderIntent is what a Holder wants done: LeaseAppend, Held, Lapsed,
-	// Note or Wake.
+	// HolderIntent is what a Holder wants done: LeaseAppend, LeaseHeld, LeaseLost,
+	// LogEvent or Wake.
 	HolderIntent interface{ holderIntent() }
 
-	// Observed tells the resource's register after each step of the
+	// LeaseObserved tells the resource's register after each step of the
 	// Follower, see [Follower.Entry].
-	Observed struct {
+	LeaseObserved struct {
 		Entry Entry
 		Known bool
 	}
 
-	// Want tells whether this VM is to hold the lease. A VM that gives it
+	// LeaseWanted tells whether this VM is to hold the lease. A VM that gives it
 	// back must have stopped its orders.
-	Want struct{ Hold bool }
+	LeaseWanted struct{ Hold bool }
 
 	// LeaseAppended answers a LeaseAppend.
 	LeaseAppended struct {
@@ -95,31 +95,31 @@
 		Data []byte
 	}
 
-	// Held tells that the lease is held with a fencing token.
-	Held struct {
+	// LeaseHeld tells that the lease is held with a fencing token.
+	LeaseHeld struct {
 		Token uint64
 		Until clock.Millis // point on this VM's clock
 	}
 
-	// Lapsed tells that the lease is not held any more.
-	Lapsed struct{ Token uint64 }
+	// LeaseLost tells that the lease is not held any more.
+	LeaseLost struct{ Token uint64 }
 )
 
-func (Observed) holderEvent()      {}
-func (Want) holderEvent()          {}
+func (LeaseObserved) holderEvent() {}
+func (LeaseWanted) holderEvent()   {}
 func (LeaseAppended) holderEvent() {}
 func (LeaseTick) holderEvent()     {}
 
 func (LeaseAppend) holderIntent() {}
-func (Held) holderIntent()        {}
-func (Lapsed) holderIntent()      {}
-func (Note) holderIntent()        {}
+func (LeaseHeld) holderIntent()   {}
+func (LeaseLost) holderIntent()   {}
+func (LogEvent) holderIntent()    {}
 func (Wake) holderIntent()        {}
 
 // MayOrder tells whether an order may be sent right now, and its fencing
 // token. Ask with a time that was taken after everything else was prepared.
 func (ho *Holder) MayOrder(now clock.Millis) (token uint64, may bool) {
-	if ho.token == 0 || now >= ho.until {
+	if ho.token == 0 || now >= ho.usableUntil {
 		return 0, false
 	}
 	return ho.token, true
@@ -138,27 +138,27 @@
 	}
 	var out []HolderIntent
 	switch ev := ev.(type) {
-	case Observed:
-		out = ho.observed(now, ev)
-	case Want:
-		ho.want = ev.Hold
+	case LeaseObserved:
+		out = ho.handleObserved(now, ev)
+	case LeaseWanted:
+		ho.wanted = ev.Hold
 	case LeaseAppended:
-		ho.answered(now, ev)
+		ho.handleAppended(now, ev)
 	case LeaseTick:
 	}
-	out = append(out, ho.lapse(now)...)
+	out = append(out, ho.checkExpiry(now)...)
 	return append(out, ho.plan(now)...)
 }
 
-func (ho *Holder) observed(now clock.Millis, ev Observed) []HolderIntent {
-	if ho.Lossy && ev.Known && !ho.known {
+func (ho *Holder) handleObserved(now clock.Millis, ev LeaseObserved) []HolderIntent {
+	if ho.LossyRegister && ev.Known && !ho.known {
 		ho.freeAt = max(ho.freeAt, now+ho.Duration+ho.Margin+ho.jitter(ho.Margin))
 	}
 	ho.known = ev.Known
-	if !ev.Known || ev.Entry.Revision == ho.seen.Revision {
+	if !ev.Known || ev.Entry.Revision == ho.lastEntry.Revision {
 		return nil
 	}
-	ho.seen = ev.Entry
+	ho.lastEntry = ev.Entry
 	var le Lease
 	if !ev.Entry.Withdrawn() && json.Unmarshal(ev.Entry.Value, &le) != nil {
 		le.Duration = maxLease // the fold accepts no value that can't be read
@@ -170,12 +170,12 @@
 		ho.attempt = nil // accepted, or refused for good
 	}
 	if !mine || at.release {
-		return ho.lose()
+		return ho.dropLease()
 	}
-	ho.token, ho.until = ev.Entry.Revision, at.since+ho.Duration-ho.Margin
+	ho.token, ho.usableUntil = ev.Entry.Revision, at.since+ho.Duration-ho.Margin
 	return []HolderIntent{
-		Held{Token: ho.token, Until: ho.until},
-		Note{Event: event.LeaseTaken, Fields: ho.fields(ho.token)},
+		LeaseHeld{Token: ho.token, Until: ho.usableUntil},
+		LogEvent{Event: event.LeaseTaken, Fields: ho.fields(ho.token)},
 	}
 }
 
@@ -183,25 +183,25 @@
 	return []event.Field{event.F("Resource", ho.Resource), event.F("Token", token)}
 }
 
-func (ho *Holder) lose() []HolderIntent {
+func (ho *Holder) dropLease() []HolderIntent {
 	if ho.token == 0 {
 		return nil
 	}
 	token := ho.token
 	ho.token = 0
-	return []HolderIntent{Lapsed{Token: token}, Note{Event: event.LeaseLapsed, Fields: ho.fields(token)}}
+	return []HolderIntent{LeaseLost{Token: token}, LogEvent{Event: event.LeaseLapsed, Fields: ho.fields(token)}}
 }
 
-func (ho *Holder) lapse(now clock.Millis) []HolderIntent {
-	if ho.token != 0 && now >= ho.until {
-		return ho.lose()
+func (ho *Holder) checkExpiry(now clock.Millis) []HolderIntent {
+	if ho.token != 0 && now >= ho.usableUntil {
+		return ho.dropLease()
 	}
 	return nil
 }
 
-// answered notes a failed append. Only one that surely was not appended may
+// handleAppended notes a failed append. Only one that surely was not appended may
 // be followed by another at once; otherwise reading tells, or time does.
-func (ho *Holder) answered(now clock.Millis, ev LeaseAppended) {
+func (ho *Holder) handleAppended(now clock.Millis, ev LeaseAppended) {
 	if ho.attempt == nil || ho.attempt.id != ev.ID || ev.Err == nil {
 		return
 	}
@@ -213,13 +213,13 @@
 
 // plan takes, renews or gives back the lease when that is due.
 func (ho *Holder) plan(now clock.Millis) []HolderIntent {
-	due, release := ho.due(now)
+	due, release := ho.nextAppend(now)
 	if due == never {
 		return nil
 	}
 	if now < due {
 		if ho.token != 0 {
-			due = min(due, ho.until)
+			due = min(due, ho.usableUntil)
 		}
 		return []HolderIntent{Wake{At: due}}
 	}
@@ -235,21 +235,21 @@
 		if ho.token == 0 {
 			return nil
 		}
-		out := []HolderIntent{Lapsed{Token: ho.token}}
+		out := []HolderIntent{LeaseLost{Token: ho.token}}
 		ho.token = 0
-		return append(out, ho.send(now, ho.begin(now, true))...)
+		return append(out, ho.send(now, ho.newAttempt(now, true))...)
 	}
-	if !ho.want {
+	if !ho.wanted {
 		return nil
 	}
-	return ho.send(now, ho.begin(now, false))
+	return ho.send(now, ho.newAttempt(now, false))
 }
 
-func (ho *Holder) begin(now clock.Millis, release bool) *attempt {
+func (ho *Holder) newAttempt(now clock.Millis, release bool) *attempt {
 	ho.number++
 	ho.attempt = &attempt{
 		id:    fmt.Sprintf("%s/%d/%08x", ho.Self, ho.number, ho.Rand.Uint32()),
-		since: now, release: release, base: ho.seen.Revision,
+		since: now, release: release, base: ho.lastEntry.Revision,
 	}
 	return ho.attempt
 }
@@ -258,7 +258,7 @@
 	ho.notBefore = now + ho.Margin + ho.jitter(ho.Margin)
 	wake := ho.notBefore
 	if ho.token != 0 {
-		wake = min(wake, ho.until)
+		wake = min(wake, ho.usableUntil)
 	}
 	return []HolderIntent{LeaseAppend{ID: at.id, Data: ho.record(at)}, Wake{At: wake}}
 }
@@ -273,33 +273,33 @@
 	return data
 }
 
-// due tells when the next append is due, and whether it gives the lease back.
-func (ho *Holder) due(now clock.Millis) (at clock.Millis, release bool) {
+// nextAppend tells when the next append is nextAppend, and whether it gives the lease back.
+func (ho *Holder) nextAppend(now clock.Millis) (at clock.Millis, release bool) {
 	mine := ho.token != 0
 	switch {
 	case !ho.known:
-		return ho.lapseAt(), false
+		return ho.expiryOrNever(), false
 	case ho.attempt != nil:
 		return ho.notBefore, ho.attempt.release
-	case mine && !ho.want && ho.Lapses:
-		return ho.lapseAt(), false
-	case mine && !ho.want:
+	case mine && !ho.wanted && ho.LetExpire:
+		return ho.expiryOrNever(), false
+	case mine && !ho.wanted:
 		return max(now, ho.notBefore), true
 	case mine:
-		third := ho.until + ho.Margin - ho.Duration*2/3
+		third := ho.usableUntil + ho.Margin - ho.Duration*2/3
 		return max(third, ho.notBefore), false
-	case !ho.want:
+	case !ho.wanted:
 		return never, false
-	case !ho.Lossy && (ho.seen.Revision == 0 || ho.seen.Withdrawn()):
+	case !ho.LossyRegister && (ho.lastEntry.Revision == 0 || ho.lastEntry.Withdrawn()):
 		return max(now, ho.notBefore), false
 	default:
 		return max(ho.freeAt, ho.notBefore), false
 	}
 }
 
-func (ho *Holder) lapseAt() clock.Millis {
+func (ho *Holder) expiryOrNever() clock.Millis {
 	if ho.token != 0 {
-		return ho.until
+		return ho.usableUntil
 	}
 	return never
 }
--- a/internal/register/lease_test.go
+++ b/internal/register/lease_test.go
@@ -57,7 +57,7 @@
 			vm.out, vm.outID = in.Data, in.ID
 		case Wake:
 			vm.wake = in.At
-		case Held:
+		case LeaseHeld:
 			if who, ok := lw.granted[in.Token]; ok && who != vm.ho.Self {
 				lw.tt.Errorf("token %d went to %s and %s", in.Token, who, vm.ho.Self)
 			}
@@ -102,7 +102,7 @@
 	_, bad := vm.st.Advance(ba)
 	assert.Equal(lw.tt, len(bad), 0)
 	en, known := vm.st.Entry(vm.ho.Resource)
-	lw.step(vm, Observed{Entry: en, Known: known})
+	lw.step(vm, LeaseObserved{Entry: en, Known: known})
 }
 
 // checkOrders holds that at most one VM may order, paused ones included: a
@@ -127,7 +127,7 @@
 	}
 }
 
-func (lw *leaseWorld) want(ix int, hold bool) { lw.step(lw.holders[ix], Want{Hold: hold}) }
+func (lw *leaseWorld) want(ix int, hold bool) { lw.step(lw.holders[ix], LeaseWanted{Hold: hold}) }
 
 func (lw *leaseWorld) holder() int {
 	for ix, vm := range lw.holders {
@@ -188,7 +188,7 @@
 	lw.run(clock.Second)
 	_, may := vm.ho.MayOrder(lw.now)
 	assert.Assert(tt, may)
-	assert.Assert(tt, vm.ho.until <= asked+vm.ho.Duration-vm.ho.Margin)
+	assert.Assert(tt, vm.ho.usableUntil <= asked+vm.ho.Duration-vm.ho.Margin)
 }
 
 // TestLeaseUnderRandomFaults pauses, cuts off and loses replies at random.
--- a/internal/register/publish.go
+++ b/internal/register/publish.go
@@ -13,24 +13,24 @@
 
 // pending is a publication whose operator waits for a verdict.
 type pending struct {
-	key     string
-	base    uint64
-	data    []byte
-	until   clock.Millis // when the operator is told, whatever is known
-	open    bool         // an append is under way
-	doubt   bool         // the log may have taken it, from here or from elsewhere
-	retryAt clock.Millis // of the next append
-	tries   int
+	key           string
+	base          uint64
+	data          []byte
+	until         clock.Millis // when the operator is told, whatever is known
+	open          bool         // an append is under way
+	mayBeAppended bool         // the log may have taken it, from here or from elsewhere
+	retryAt       clock.Millis // of the next append
+	tries         int
 }
 
-// change takes an operator's wish. What is certain is told at once.
-func (fo *Follower) change(now clock.Millis, ev Change) {
+// handlePublish takes an operator's wish. What is certain is told at once.
+func (fo *Follower) handlePublish(now clock.Millis, ev PublishRequest) {
 	if pe := fo.pending[ev.ID]; pe != nil {
-		pe.until = now + fo.Settings.PublishWithin
-		pe.doubt = pe.doubt || ev.Again
+		pe.until = now + fo.Settings.PublishTimeout
+		pe.mayBeAppended = pe.mayBeAppended || ev.Repeated
 		return
 	}
-	rec, ok := publishOf(ev)
+	rec, ok := newPublish(ev)
 	var data []byte
 	if ok {
 		var err error
@@ -38,33 +38,33 @@
 		ok = err == nil
 	}
 	if !ok {
-		fo.emit(Verdict{ID: ev.ID, Result: notPublished(ev.Again), Reason: BadRecord})
+		fo.emit(Verdict{ID: ev.ID, Result: unappendedResult(ev.Repeated), Reason: BadRecord})
 		return
 	}
-	if fo.settled(rec) {
+	if fo.resolveWithoutAppend(rec) {
 		return
 	}
-	if reason := fo.unfit(ev); reason != "" {
+	if reason := fo.rejectReason(ev); reason != "" {
 		cur, _ := fo.state.Entry(ev.Customer)
-		fo.emit(Verdict{ID: ev.ID, Result: notPublished(ev.Again), Current: cur.Revision, Reason: reason})
+		fo.emit(Verdict{ID: ev.ID, Result: unappendedResult(ev.Repeated), Current: cur.Revision, Reason: reason})
 		return
 	}
 	fo.pending[ev.ID] = &pending{
-		key: rec.Key, base: rec.Base, data: data, until: now + fo.Settings.PublishWithin, retryAt: now,
-		doubt: ev.Again,
+		key: rec.Key, base: rec.Base, data: data, until: now + fo.Settings.PublishTimeout, retryAt: now,
+		mayBeAppended: ev.Repeated,
 	}
 }
 
-// notPublished is the result of a publication that this VM appended nothing
+// unappendedResult is the result of a publication that this VM appended nothing
 // for.
-func notPublished(doubt bool) Result {
+func unappendedResult(doubt bool) Result {
 	if doubt {
 		return Unknown
 	}
 	return NotPublished
 }
 
-func publishOf(ev Change) (Publish, bool) {
+func newPublish(ev PublishRequest) (Publish, bool) {
 	pub := Publish{ID: ev.ID, Key: ev.Customer, Base: ev.Base}
 	if ev.Template != nil {
 		value, err := json.Marshal(ev.Template)
@@ -83,9 +83,9 @@
 	return pub, err == nil
 }
 
-// settled gives the verdict on a publication that needs no append: it was
+// resolveWithoutAppend gives the verdict on a publication that needs no append: it was
 // accepted before, or a newer revision than its base is in force.
-func (fo *Follower) settled(pub Publish) bool {
+func (fo *Follower) resolveWithoutAppend(pub Publish) bool {
 	cur, _ := fo.state.Entry(pub.Key)
 	if rev, ok := cur.acceptedAs(pub.ID); ok {
 		fo.emit(Verdict{ID: pub.ID, Result: Published, Revision: rev, Current: cur.Revision})
@@ -97,29 +97,29 @@
 	// It can't be accepted any more. Whether it was once is known if the
 	// register still remembers back to its base.
 	result, reason := Conflict, BaseMismatch
-	if !cur.remembers(pub.Base + 1) {
+	if !cur.remembersSince(pub.Base + 1) {
 		result, reason = Unknown, InDoubt
 	}
 	fo.emit(Verdict{ID: pub.ID, Result: result, Current: cur.Revision, Reason: reason})
 	return true
 }
 
-// unfit tells why a publication is not even appended.
-func (fo *Follower) unfit(ev Change) Reason {
+// rejectReason tells why a publication is not even appended.
+func (fo *Follower) rejectReason(ev PublishRequest) Reason {
 	switch {
 	case !fo.Ready():
 		return NotReady
 	case len(fo.pending) >= fo.Settings.MaxPending:
 		return TooMany
-	case ev.Template != nil && fo.takesKeyHash(*ev.Template):
+	case ev.Template != nil && fo.keyHashTaken(*ev.Template):
 		return KeyHashTaken
 	}
 	return ""
 }
 
-func (fo *Follower) takesKeyHash(tpl template.Template) bool {
+func (fo *Follower) keyHashTaken(tpl template.Template) bool {
 	for _, hash := range tpl.KeyHashes {
-		if owner, ok := fo.inForce.ByKeyHash[hash]; ok && owner != tpl.Customer {
+		if owner, ok := fo.activeTemplates.ByKeyHash[hash]; ok && owner != tpl.Customer {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 	for _, id := range sortedKeys(fo.pending) {
 		pe := fo.pending[id]
 		if now >= pe.until {
-			fo.giveUp(id, pe)
+			fo.expirePending(id, pe)
 			continue
 		}
 		next = min(next, pe.until)
@@ -150,9 +150,9 @@
 	return next
 }
 
-func (fo *Follower) giveUp(id string, pe *pending) {
+func (fo *Follower) expirePending(id string, pe *pending) {
 	cur, _ := fo.state.Entry(pe.key)
-	ve := Verdict{ID: id, Result: notPublished(pe.open || pe.doubt), Current: cur.Revision, Reason: LogUnreachable}
+	ve := Verdict{ID: id, Result: unappendedResult(pe.open || pe.mayBeAppended), Current: cur.Revision, Reason: LogUnreachable}
 	if ve.Result == Unknown {
 		ve.Reason = InDoubt
 	}
@@ -160,8 +160,8 @@
 	fo.emit(ve)
 }
 
-func (fo *Follower) appended(now clock.Millis, ev Appended) {
-	if fo.rounds.appended(now, fo, ev) {
+func (fo *Follower) handleAppended(now clock.Millis, ev Appended) {
+	if fo.restating.handleAppended(now, fo, ev) {
 		return
 	}
 	pe := fo.pending[ev.ID]
@@ -174,47 +174,47 @@
 	pe.retryAt = now + fo.backoff(pe.tries)
 	switch {
 	case ev.Err == nil:
-		pe.doubt, pe.retryAt = true, pe.until
+		pe.mayBeAppended, pe.retryAt = true, pe.until
 	case effectOf(ev.Err) != logsvc.NotAppended:
-		pe.doubt = true
-		pe.retryAt += fo.Settings.Wait
+		pe.mayBeAppended = true
+		pe.retryAt += fo.Settings.ReadWait
 	}
 }
 
-// ruled tells the operator what the fold decided.
-func (fo *Follower) ruled(out Outcome) {
+// resolvePending tells the operator what the fold decided.
+func (fo *Follower) resolvePending(out Outcome) {
 	if fo.pending[out.ID] == nil || fo.pending[out.ID].key != out.Key {
 		return
 	}
 	ve := Verdict{ID: out.ID, Revision: out.Revision, Current: out.Current, Reason: out.Reason}
 	switch out.Ruling {
-	case Accepted, Already:
+	case Accepted, AlreadyAccepted:
 		ve.Result = Published
 	case Refused:
 		ve.Result = Conflict
-	case Passed:
+	case Undetermined:
 		ve.Result, ve.Reason = Unknown, InDoubt
 	}
 	delete(fo.pending, out.ID)
 	fo.emit(ve)
 }
 
-// recallPending finds publications that were decided in records which a
+// resolvePendingFromState finds publications that were decided in records which a
 // snapshot took this VM past.
-func (fo *Follower) recallPending() {
+func (fo *Follower) resolvePendingFromState() {
 	for _, id := range sortedKeys(fo.pending) {
 		pe := fo.pending[id]
-		if fo.settled(Publish{ID: id, Key: pe.key, Base: pe.base}) {
+		if fo.resolveWithoutAppend(Publish{ID: id, Key: pe.key, Base: pe.base}) {
 			delete(fo.pending, id)
 		}
 	}
 }
 
-// templates builds what is in force. An API key that two customers name
+// buildTemplates builds what is in force. An API key that two customers name
 // speaks for neither.
-func (fo *Follower) templates(ready bool) *board.Templates {
+func (fo *Follower) buildTemplates(ready bool) *board.Templates {
 	tp := &board.Templates{
-		ByCustomer: map[string]board.InForce{},
+		ByCustomer: map[string]board.ActiveTemplate{},
 		ByKeyHash:  map[string]string{},
 		Ready:      ready,
 		Applied:    fo.state.next,
@@ -224,9 +224,9 @@
 		if en.Withdrawn() {
 			continue
 		}
-		inf := fo.inForce.ByCustomer[en.Key]
+		inf := fo.activeTemplates.ByCustomer[en.Key]
 		if inf.Revision != en.Revision {
-			inf = board.InForce{Revision: en.Revision}
+			inf = board.ActiveTemplate{Revision: en.Revision}
 			if json.Unmarshal(en.Value, &inf.Template) != nil {
 				continue // the fold accepts no value that can't be read
 			}
@@ -243,7 +243,7 @@
 		delete(tp.ByKeyHash, hash)
 	}
 	if len(shared) > 0 {
-		fo.note(event.KeyHashShared, event.F("Keys", len(shared)))
+		fo.logEvent(event.KeyHashShared, event.F("Keys", len(shared)))
 	}
 	return tp
 }
--- a/internal/register/reading.go
+++ b/internal/register/reading.go
@@ -19,22 +19,22 @@
 type (
 	// reading is the state of reads from the log.
 	reading struct {
-		open     bool
-		since    clock.Millis // when the open read was asked for
-		due      clock.Millis // of the open read's answer
-		next     clock.Millis // earliest point of the next read
-		failures int          // in a row
-		seen     bool         // a read has succeeded
-		tail     uint64       // end of the log when it first did
-		first    uint64       // lowest offset that the log keeps
-		end      uint64       // newest end of the log that was told
-		endAt    clock.Millis // when a read that reached the end was asked for
+		open        bool
+		requestedAt clock.Millis // when the open read was asked for
+		deadline    clock.Millis // of the open read's answer
+		next        clock.Millis // earliest point of the next read
+		failures    int          // in a row
+		seen        bool         // a read has succeeded
+		initialEnd  uint64       // end of the log when it first did
+		first       uint64       // lowest offset that the log keeps
+		end         uint64       // newest end of the log that was told
+		endAt       clock.Millis // when a read that reached the end was asked for
 	}
 
-	// helping is the state of questions to peers.
-	helping struct {
-		next     clock.Millis
-		snapshot bool // the last peer no longer had the records
+	// peerRequests is the state of questions to peers.
+	peerRequests struct {
+		next         clock.Millis
+		needSnapshot bool // the last peer no longer had the records
 	}
 
 	// recent is the newest records, kept for peers: all from first to next.
@@ -49,84 +49,84 @@
 func (fo *Follower) planRead(now clock.Millis) clock.Millis {
 	rd := &fo.reading
 	if rd.open {
-		return never // planHelp watches over it
+		return never // planPeerRequest watches over it
 	}
 	if now < rd.next {
 		return rd.next
 	}
-	wait := fo.Settings.Wait
+	wait := fo.Settings.ReadWait
 	if !rd.seen {
 		wait = 0 // learn where the log ends
 	}
-	rd.open, rd.since, rd.due = true, now, now+wait+fo.Settings.Overdue
+	rd.open, rd.requestedAt, rd.deadline = true, now, now+wait+fo.Settings.ReadGrace
 	fo.emit(ReadLog{From: fo.state.next, Max: fo.Settings.MaxRecords, Wait: wait})
 	return never
 }
 
-func (fo *Follower) read(now clock.Millis, ev Read) {
+func (fo *Follower) handleRead(now clock.Millis, ev Read) {
 	rd := &fo.reading
 	rd.open = false
 	if ev.Err != nil {
 		if rd.failures == 0 {
-			fo.note(event.LogReadFailed, event.F("Next", fo.state.next))
+			fo.logEvent(event.LogReadFailed, event.F("Next", fo.state.next))
 		}
 		rd.failures++
 		rd.next = now + fo.backoff(rd.failures)
 		return
 	}
 	if rd.failures > 0 {
-		fo.note(event.LogReadResumed, event.F("Failures", rd.failures))
+		fo.logEvent(event.LogReadResumed, event.F("Failures", rd.failures))
 	}
 	rd.failures = 0
 	if !rd.seen {
-		rd.seen, rd.tail = true, ev.Batch.End
+		rd.seen, rd.initialEnd = true, ev.Batch.End
 	}
 	rd.first, rd.end = ev.Batch.First, max(rd.end, ev.Batch.End)
 	if fo.state.begun && ev.Batch.First > fo.state.next {
-		fo.note(event.LogRecordsMissed, event.F("Next", fo.state.next), event.F("First", ev.Batch.First))
+		fo.logEvent(event.LogRecordsMissed, event.F("Next", fo.state.next), event.F("First", ev.Batch.First))
 	}
 	outs, bad := fo.state.Advance(ev.Batch)
 	fo.recent.add(fo.Settings, ev.Batch)
-	fo.learn(outs, bad)
+	fo.applyOutcomes(outs, bad)
 	if fo.state.next >= rd.end {
 		// What is read later was appended after this point.
-		rd.endAt = rd.since
+		rd.endAt = rd.requestedAt
 	}
 }
 
-// cutOff tells whether the log can't be read at the moment.
-func (fo *Follower) cutOff(now clock.Millis) bool {
-	return fo.reading.failures > 0 || fo.reading.open && now >= fo.reading.due
+// logUnavailable tells whether the log can't be read at the moment.
+func (fo *Follower) logUnavailable(now clock.Millis) bool {
+	return fo.reading.failures > 0 || fo.reading.open && now >= fo.reading.deadline
 }
 
-// planHelp asks peers while the log doesn't serve, or holds too little.
-func (fo *Follower) planHelp(now clock.Millis) clock.Millis {
-	if !fo.cutOff(now) && fo.Ready() {
+// planPeerRequest asks peers while the log doesn't serve, or holds too little.
+func (fo *Follower) planPeerRequest(now clock.Millis) clock.Millis {
+	if !fo.logUnavailable(now) && fo.Ready() {
 		if fo.reading.open {
-			return fo.reading.due
+			return fo.reading.deadline
 		}
 		return never
 	}
-	if now < fo.helping.next {
-		return fo.helping.next
+	if now < fo.peerRequests.next {
+		return fo.peerRequests.next
 	}
-	peer, ok := fo.peer()
-	fo.helping.next = now + fo.jitter(fo.Settings.PeerEvery)
+	peer, ok := fo.choosePeer()
+	fo.peerRequests.next = now + fo.jitter(fo.Settings.PeerInterval)
 	if !ok {
-		return fo.helping.next
+		return fo.peerRequests.next
 	}
-	if fo.state.Known() && !fo.helping.snapshot {
-		fo.emit(AskPeer{VM: peer, From: fo.state.next, Max: fo.Settings.MaxRecords})
+	if fo.state.Known() && !fo.peerRequests.needSnapshot {
+		fo.emit(RequestRecords{VM: peer, From: fo.state.next, Max: fo.Settings.MaxRecords})
 	} else {
 		// A snapshot may take a while; the next is asked for once it failed.
-		fo.helping.next = now + snapshotWait
-		fo.emit(AskSnapshot{VM: peer})
+		fo.peerRequests.next = now + snapshotWait
+		fo.emit(RequestSnapshot{VM: peer})
 	}
-	return fo.helping.next
+	return fo.peerRequests.next
 }
 
-// peer picks one of the other serving VMs.
-func (fo *Follower) peer() (board.VM, bool) {
+// choosePeer picks one of the other serving VMs.
+func (fo *Follower) choosePeer() (board.VM, bool) {
 	var others []board.VM
 	for _, vm := range fo.fleet.Serving() {
 		if vm.ID != fo.Self.ID {
@@ -139,7 +139,7 @@
 	return others[fo.Rand.IntN(len(others))], true
 }
 
-func (fo *Follower) peerRecords(now clock.Millis, ev PeerRecords) {
+func (fo *Follower) handlePeerRecords(now clock.Millis, ev PeerRecords) {
 	if ev.Err != nil || ev.Batch.Check("", 0) != nil {
 		return
 	}
@@ -147,18 +147,18 @@
 	var gap *GapError
 	if errors.As(err, &gap) {
 		// Only a peer that is ahead of this VM can help with a snapshot.
-		fo.helping.snapshot = ev.Batch.Next > fo.state.next
-		if fo.helping.snapshot {
-			fo.helping.next = now
+		fo.peerRequests.needSnapshot = ev.Batch.Next > fo.state.next
+		if fo.peerRequests.needSnapshot {
+			fo.peerRequests.next = now
 		}
 		return
 	}
 	fo.recent.add(fo.Settings, ev.Batch)
-	fo.learn(outs, bad)
+	fo.applyOutcomes(outs, bad)
 }
 
-func (fo *Follower) peerSnapshot(now clock.Millis, ev PeerSnapshot) {
-	fo.helping.next = now + fo.jitter(fo.Settings.PeerEvery)
+func (fo *Follower) handlePeerSnapshot(now clock.Millis, ev PeerSnapshot) {
+	fo.peerRequests.next = now + fo.jitter(fo.Settings.PeerInterval)
 	if ev.Err != nil {
 		return
 	}
@@ -169,21 +169,21 @@
 		outs, err = fo.state.Import(snap)
 	}
 	if err != nil {
-		fo.note(event.SnapshotRejected, event.F("Peer", ev.VM.ID))
+		fo.logEvent(event.SnapshotRejected, event.F("Peer", ev.VM.ID))
 		return
 	}
-	fo.helping.snapshot = false
+	fo.peerRequests.needSnapshot = false
 	if fo.state.next != before {
-		fo.recent.jump(fo.state.next)
-		fo.note(event.SnapshotTaken, event.F("Peer", ev.VM.ID), event.F("AsOf", snap.AsOf))
+		fo.recent.reset(fo.state.next)
+		fo.logEvent(event.SnapshotTaken, event.F("Peer", ev.VM.ID), event.F("AsOf", snap.AsOf))
 	}
-	fo.learn(outs, nil)
+	fo.applyOutcomes(outs, nil)
 }
 
 // add keeps the records of a batch.
 func (rc *recent) add(se Settings, ba logsvc.Batch) {
 	if ba.First > rc.next {
-		rc.jump(ba.First)
+		rc.reset(ba.First)
 	}
 	for _, rec := range ba.Records {
 		if rec.Offset >= rc.next {
@@ -200,8 +200,8 @@
 	}
 }
 
-// jump forgets all records; those from the offset on come next.
-func (rc *recent) jump(offset uint64) { *rc = recent{first: offset, next: offset} }
+// reset forgets all records; those from the offset on come next.
+func (rc *recent) reset(offset uint64) { *rc = recent{first: offset, next: offset} }
 
 func (rc *recent) batch(from uint64, most int) logsvc.Batch {
 	ba := logsvc.Batch{First: rc.first, Next: rc.next, End: rc.next}
--- a/internal/register/record.go
+++ b/internal/register/record.go
@@ -117,9 +117,9 @@
 	return 0, false
 }
 
-// remembers tells whether every publication that was accepted with the given
+// remembersSince tells whether every publication that was accepted with the given
 // revision or a later one is still known to the register.
-func (en Entry) remembers(revision uint64) bool {
+func (en Entry) remembersSince(revision uint64) bool {
 	return len(en.Earlier) < maxEarlier || en.Earlier[0].Revision <= revision
 }
 
--- a/internal/register/record_test.go
+++ b/internal/register/record_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestValuesHaveOneForm(tt *testing.T) {
+func TestValuesAreCanonical(tt *testing.T) {
 	rec, err := Parse(0, []byte(`{"Version":1,"Publish":{"ID":"a","Key":"b","Value":{ "Holder" : "<x>" , "Duration":"1s"}}}`))
 	assert.NilError(tt, err)
 	data, err := Marshal(rec)
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -29,11 +29,11 @@
 //		switch in := in.(type) {
 //		case register.ReadLog: ...   // answer with Read
 //		case register.Append: ...    // answer with Appended
-//		case register.AskPeer: ...   // answer with PeerRecords
-//		case register.AskSnapshot: ... // answer with PeerSnapshot
-//		case register.InForce: ...
+//		case register.RequestRecords: ...   // answer with PeerRecords
+//		case register.RequestSnapshot: ... // answer with PeerSnapshot
+//		case register.TemplatesChanged: ...
 //		case register.Verdict: ...
-//		case register.Note: ...
+//		case register.LogEvent: ...
 //		case register.Wake: ...      // answer with Tick
 //		}
 //	}
@@ -79,12 +79,12 @@
 
 // Rulings on a publication, the same at every VM.
 const (
-	Accepted Ruling = "Accepted" // in force with its own revision
-	Already  Ruling = "Already"  // a repeat of an accepted publication; changed nothing
-	Refused  Ruling = "Refused"  // changed nothing
-	// Passed is said of a publication that this VM did not see decided, and
+	Accepted        Ruling = "Accepted" // in force with its own revision
+	AlreadyAccepted Ruling = "Already"  // a repeat of an accepted publication; changed nothing
+	Refused         Ruling = "Refused"  // changed nothing
+	// Undetermined is said of a publication that this VM did not see decided, and
 	// that it can't tell the ruling of any more.
-	Passed Ruling = "Passed"
+	Undetermined Ruling = "Passed"
 )
 
 // Why a publication was refused.
--- a/internal/register/rest_test.go
+++ b/internal/register/rest_test.go
@@ -18,9 +18,9 @@
 	standin "alderdyke/internal/standin/logsvc"
 )
 
-// atRestBound is the bytes a second that following one stream may cost a VM
+// idleBound is the bytes a second that following one stream may cost a VM
 // while nothing changes.
-const atRestBound = 300
+const idleBound = 300
 
 // countedConn counts what passes a connection in both directions.
 type countedConn struct {
@@ -40,9 +40,9 @@
 	return count, err
 }
 
-// TestBytesAtRest measures one read that finds nothing, on the wire, at an
+// TestIdleBytes measures one read that finds nothing, on the wire, at an
 // offset with many digits.
-func TestBytesAtRest(tt *testing.T) {
+func TestIdleBytes(tt *testing.T) {
 	srv := &standin.Server{Token: "0123456789abcdef0123456789abcdef"}
 	ts := httptest.NewServer(srv)
 	defer ts.Close()
@@ -60,9 +60,9 @@
 	_, err := cl.Read(context.Background(), "configuration", offset, se.MaxRecords, 1)
 	assert.NilError(tt, err)
 	each := bytes.Load()
-	rest := float64(each) * 1000 / float64(se.Wait)
+	rest := float64(each) * 1000 / float64(se.ReadWait)
 	tt.Logf("%d bytes a read, %.0f bytes a second at rest", each, rest)
-	assert.Assert(tt, rest <= atRestBound)
+	assert.Assert(tt, rest <= idleBound)
 
 	ask, err := proto.Marshal(&peerpb.Frame{Body: &peerpb.Frame_LogAsk{
 		LogAsk: &peerpb.LogAsk{Stream: "configuration", From: offset, Max: int32(se.MaxRecords)}}})
--- a/internal/register/restate.go
+++ b/internal/register/restate.go
@@ -17,7 +17,7 @@
 const (
 	// A bucket is written again when its newest restatement is as old as
 	// this part of the retention.
-	restateParts = 4
+	restateFraction = 4
 	// maxRank bounds how long a VM leaves a due bucket to the VMs before it.
 	maxRank = 4
 
@@ -25,68 +25,68 @@
 	requestSpacing = 2 * clock.Second
 	recoverSpacing = 10 * clock.Second
 
-	// emptyRecover is how much longer a VM waits that never knew a bucket: if
+	// emptyRecoverFactor is how much longer a VM waits that never knew a bucket: if
 	// nobody knows it, all VMs were replaced and the log dropped everything.
-	emptyRecover = 10
+	emptyRecoverFactor = 10
 
 	requestBucket = -1 // stands for a request in the names of appends
 	restatePrefix = "restate/"
 )
 
-// rounds is the state of writing again what is in force. A VM that did not
+// restating is the state of writing again what is in force. A VM that did not
 // see how old a bucket's restatement is takes it for due soon: VMs are
 // replaced more often than a retention ends, and each new one counting from
 // its own start would let everything expire.
-type rounds struct {
-	due    []clock.Millis // of each bucket, for the VM that comes first
-	seen   []uint64       // AsOf of the newest restatement that due counts from
-	open   string         // ID of the append under way
-	bucket int            // of it
-	asOf   uint64         // of it
-	next   clock.Millis   // earliest point of the next append
-	number int
-
-	requested   uint64       // the newest request that was read
-	requestedAt clock.Millis // when this VM read it
-	answered    []uint64     // request that this VM has answered for each bucket
-	doubtAt     clock.Millis // since when buckets are unknown, or the last request of this VM
+type restating struct {
+	due      []clock.Millis // of each bucket, for the VM that comes first
+	seenAsOf []uint64       // AsOf of the newest restatement that due counts from
+	openID   string         // ID of the append under way
+	bucket   int            // of it
+	asOf     uint64         // of it
+	next     clock.Millis   // earliest point of the next append
+	number   int
+
+	requested       uint64       // the newest request that was read
+	requestedAt     clock.Millis // when this VM read it
+	answeredRequest []uint64     // request that this VM has answered for each bucket
+	unknownSince    clock.Millis // since when buckets are unknown, or the last request of this VM
 
 	fleet *board.Fleet // that the ranks are of
 	ranks []int        // of this VM for each bucket, plus one; zero if not known yet
 }
 
-func (ro *rounds) begin(now clock.Millis, fo *Follower) {
+func (ro *restating) begin(now clock.Millis, fo *Follower) {
 	ro.due = make([]clock.Millis, fo.state.Buckets)
-	ro.seen = make([]uint64, fo.state.Buckets)
-	ro.answered = make([]uint64, fo.state.Buckets)
+	ro.seenAsOf = make([]uint64, fo.state.Buckets)
+	ro.answeredRequest = make([]uint64, fo.state.Buckets)
 	for ix := range ro.due {
-		ro.due[ix] = now + fo.jitter(min(clock.Minute, fo.Settings.Retention/restateParts))
+		ro.due[ix] = now + fo.jitter(min(clock.Minute, fo.Settings.Retention/restateFraction))
 	}
 }
 
-// learn notes restatements that were read. They are no older than the last
+// noteRestatements notes restatements that were read. They are no older than the last
 // read that reached the log's end before them.
-func (ro *rounds) learn(fo *Follower) {
+func (ro *restating) noteRestatements(fo *Follower) {
 	for ix := range fo.state.slots {
-		asOf := fo.state.slots[ix].restated
-		if asOf <= ro.seen[ix] {
+		asOf := fo.state.slots[ix].restatedAsOf
+		if asOf <= ro.seenAsOf[ix] {
 			continue
 		}
-		ro.seen[ix] = asOf
+		ro.seenAsOf[ix] = asOf
 		if rd := &fo.reading; rd.endAt > 0 {
-			ro.due[ix] = rd.endAt + fo.Settings.Retention/restateParts
+			ro.due[ix] = rd.endAt + fo.Settings.Retention/restateFraction
 		}
 	}
 }
 
-// planRounds appends the restatement of one bucket that is due, and tells
+// planRestate appends the restatement of one bucket that is due, and tells
 // when the next is. A VM that reads no log, or not all of it yet, waits.
-func (fo *Follower) planRounds(now clock.Millis) clock.Millis {
-	ro, rd := &fo.rounds, &fo.reading
+func (fo *Follower) planRestate(now clock.Millis) clock.Millis {
+	ro, rd := &fo.restating, &fo.reading
 	if ro.requested != fo.state.requested {
 		ro.requested, ro.requestedAt = fo.state.requested, now
 	}
-	if ro.open != "" || rd.failures > 0 || !rd.seen || fo.state.next < rd.end {
+	if ro.openID != "" || rd.failures > 0 || !rd.seen || fo.state.next < rd.end {
 		return never
 	}
 	if now < ro.next {
@@ -95,52 +95,52 @@
 	if !fo.state.Known() {
 		return fo.planRecover(now)
 	}
-	ro.doubtAt = 0
+	ro.unknownSince = 0
 	next := never
 	for ix := range ro.due {
-		due := fo.bucketDue(ix, now)
+		due := fo.restateDue(ix, now)
 		if due > now {
 			next = min(next, due)
 			continue
 		}
 		if rst, ok := fo.state.Restatement(ix); ok {
 			ro.asOf = rst.AsOf
-			fo.write(now, ix, rst)
+			fo.appendOwn(now, ix, rst)
 			return never
 		}
 	}
 	return next
 }
 
-// bucketDue tells when this VM writes a bucket again: the owner by rendezvous
+// restateDue tells when this VM writes a bucket again: the owner by rendezvous
 // hash first, the others one after another in case it doesn't.
-func (fo *Follower) bucketDue(ix int, now clock.Millis) clock.Millis {
-	ro, rd := &fo.rounds, &fo.reading
-	if fo.state.slots[ix].covered < ro.requested && ro.answered[ix] != ro.requested {
+func (fo *Follower) restateDue(ix int, now clock.Millis) clock.Millis {
+	ro, rd := &fo.restating, &fo.reading
+	if fo.state.slots[ix].covered < ro.requested && ro.answeredRequest[ix] != ro.requested {
 		return ro.requestedAt + clock.Millis(fo.rank(ix))*requestSpacing
 	}
 	due := ro.due[ix]
-	if ro.seen[ix] > 0 && rd.first > 0 && ro.seen[ix] < rd.first+(rd.end-rd.first)/restateParts {
+	if ro.seenAsOf[ix] > 0 && rd.first > 0 && ro.seenAsOf[ix] < rd.first+(rd.end-rd.first)/restateFraction {
 		due = min(due, now) // among the oldest records that the log keeps
 	}
 	if due > now {
 		return due
 	}
-	return due + clock.Millis(fo.rank(ix))*fo.Settings.Retention/(restateParts*restateParts)
+	return due + clock.Millis(fo.rank(ix))*fo.Settings.Retention/(restateFraction*restateFraction)
 }
 
 func (fo *Follower) rank(ix int) int {
-	ro := &fo.rounds
+	ro := &fo.restating
 	if ro.fleet != fo.fleet {
 		ro.fleet, ro.ranks = fo.fleet, make([]int, len(ro.due))
 	}
 	if ro.ranks[ix] == 0 {
-		ro.ranks[ix] = 1 + fo.rankOf(ix)
+		ro.ranks[ix] = 1 + fo.computeRank(ix)
 	}
 	return ro.ranks[ix] - 1
 }
 
-func (fo *Follower) rankOf(ix int) int {
+func (fo *Follower) computeRank(ix int) int {
 	ranked := rendezvous.Rank(restatePrefix+string(fo.Settings.Content)+"/"+strconv.Itoa(ix), fo.fleet.Serving())
 	for rank, vm := range ranked {
 		if vm.ID == fo.Self.ID {
@@ -154,20 +154,20 @@
 // asks the others to restate; if nobody does, nobody knows better, and what
 // was last known is put in force anew.
 func (fo *Follower) planRecover(now clock.Millis) clock.Millis {
-	ro, se := &fo.rounds, &fo.Settings
-	if ro.doubtAt == 0 {
-		ro.doubtAt = now
-	}
-	stale := ro.requestedAt + 2*emptyRecover*se.RecoverAfter
-	knownTo := fo.state.missedFrom()
-	if ro.requested == 0 || now >= stale || knownTo > fo.state.requestKnown {
-		due := ro.doubtAt + se.RequestAfter + clock.Millis(fo.rank(0))*requestSpacing
+	ro, se := &fo.restating, &fo.Settings
+	if ro.unknownSince == 0 {
+		ro.unknownSince = now
+	}
+	stale := ro.requestedAt + 2*emptyRecoverFactor*se.RecoverDelay
+	knownTo := fo.state.missedKnownTo()
+	if ro.requested == 0 || now >= stale || knownTo > fo.state.requestKnownTo {
+		due := ro.unknownSince + se.RequestDelay + clock.Millis(fo.rank(0))*requestSpacing
 		if due > now {
 			return due
 		}
-		ro.doubtAt = now
-		fo.note(event.RestatementRequested, event.F("Next", fo.state.next))
-		fo.write(now, requestBucket, RestateRequest{VM: fo.Self.ID, KnownTo: knownTo})
+		ro.unknownSince = now
+		fo.logEvent(event.RestatementRequested, event.F("Next", fo.state.next))
+		fo.appendOwn(now, requestBucket, RestateRequest{VM: fo.Self.ID, KnownTo: knownTo})
 		return never
 	}
 	if !fo.fleet.Quorate {
@@ -175,73 +175,73 @@
 	}
 	next := stale
 	for ix := range fo.state.slots {
-		rc, ok := fo.state.lastKnown(ix)
-		if !ok || ro.answered[ix] == ro.requested {
+		rc, ok := fo.state.recoverRecord(ix)
+		if !ok || ro.answeredRequest[ix] == ro.requested {
 			continue
 		}
-		due := ro.requestedAt + se.RecoverAfter + clock.Millis(fo.rank(ix))*recoverSpacing
-		if rc.AsOf < fo.state.requestKnown {
-			due += se.RecoverAfter // leave it to the one that knew more
+		due := ro.requestedAt + se.RecoverDelay + clock.Millis(fo.rank(ix))*recoverSpacing
+		if rc.AsOf < fo.state.requestKnownTo {
+			due += se.RecoverDelay // leave it to the one that knew more
 		}
-		if !fo.state.slots[ix].ever {
-			due += emptyRecover * se.RecoverAfter
+		if !fo.state.slots[ix].everKnown {
+			due += emptyRecoverFactor * se.RecoverDelay
 		}
 		if due > now {
 			next = min(next, due)
 			continue
 		}
-		fo.note(event.BucketRecovered, event.F("Bucket", ix), event.F("AsOf", rc.AsOf))
-		fo.write(now, ix, rc)
+		fo.logEvent(event.BucketRecovered, event.F("Bucket", ix), event.F("AsOf", rc.AsOf))
+		fo.appendOwn(now, ix, rc)
 		return never
 	}
 	return next
 }
 
-// write appends a record of this VM's own.
-func (fo *Follower) write(now clock.Millis, ix int, rec Record) {
-	ro := &fo.rounds
-	ro.next = now + fo.pace(ix)
+// appendOwn appends a record of this VM's own.
+func (fo *Follower) appendOwn(now clock.Millis, ix int, rec Record) {
+	ro := &fo.restating
+	ro.next = now + fo.appendDelay(ix)
 	data, err := Marshal(rec)
 	if err != nil {
-		fo.note(event.RestatementFailed, event.F("Bucket", ix))
+		fo.logEvent(event.RestatementFailed, event.F("Bucket", ix))
 		ro.next = now + fo.jitter(clock.Minute)
 		return
 	}
 	ro.number++
-	ro.open = fmt.Sprintf("%s%d/%d", restatePrefix, ix, ro.number)
+	ro.openID = fmt.Sprintf("%s%d/%d", restatePrefix, ix, ro.number)
 	ro.bucket = ix
-	fo.emit(Append{ID: ro.open, Data: data})
+	fo.emit(Append{ID: ro.openID, Data: data})
 }
 
-// pace is the span to the next append: short while others wait for it.
-func (fo *Follower) pace(ix int) clock.Millis {
+// appendDelay is the span to the next append: short while others wait for it.
+func (fo *Follower) appendDelay(ix int) clock.Millis {
 	if ix != requestBucket && fo.state.slots[ix].covered < fo.state.requested {
-		return fo.jitter(max(2, fo.Settings.RestateEvery/10))
+		return fo.jitter(max(2, fo.Settings.RestateInterval/10))
 	}
-	return fo.jitter(fo.Settings.RestateEvery)
+	return fo.jitter(fo.Settings.RestateInterval)
 }
 
-// appended takes the answer to a restatement's append; false if it is none.
-func (ro *rounds) appended(now clock.Millis, fo *Follower, ev Appended) bool {
+// handleAppended takes the answer to a restatement's append; false if it is none.
+func (ro *restating) handleAppended(now clock.Millis, fo *Follower, ev Appended) bool {
 	if !strings.HasPrefix(ev.ID, restatePrefix) {
 		return false
 	}
-	if ev.ID != ro.open {
+	if ev.ID != ro.openID {
 		return true
 	}
-	ro.open = ""
-	ro.next = now + fo.pace(ro.bucket)
+	ro.openID = ""
+	ro.next = now + fo.appendDelay(ro.bucket)
 	if ev.Err != nil {
-		fo.note(event.RestatementFailed, event.F("Bucket", ro.bucket))
-		ro.next = now + fo.jitter(10*fo.Settings.RestateEvery)
+		fo.logEvent(event.RestatementFailed, event.F("Bucket", ro.bucket))
+		ro.next = now + fo.jitter(10*fo.Settings.RestateInterval)
 		return true
 	}
 	if ro.bucket == requestBucket {
 		return true
 	}
-	ro.answered[ro.bucket] = ro.requested
-	ro.due[ro.bucket] = now + fo.Settings.Retention/restateParts
-	ro.seen[ro.bucket] = max(ro.seen[ro.bucket], ro.asOf)
+	ro.answeredRequest[ro.bucket] = ro.requested
+	ro.due[ro.bucket] = now + fo.Settings.Retention/restateFraction
+	ro.seenAsOf[ro.bucket] = max(ro.seenAsOf[ro.bucket], ro.asOf)
 	return true
 }
 
--- a/internal/register/schedule_test.go
+++ b/internal/register/schedule_test.go
@@ -21,14 +21,14 @@
 		hn.keep = 10 * clock.Minute
 		hn.run(2 * clock.Second)
 		rt.Repeat(faults(hn))
-		hn.logDown, hn.lose = false, 0
+		hn.logDown, hn.loseReplies = false, 0
 		for _, vm := range hn.vms {
-			vm.cut, vm.alone = false, false
+			vm.cut, vm.isolated = false, false
 			if !vm.up {
 				vm.start()
 			}
 		}
-		hn.tellFleet()
+		hn.updateFleets()
 		// Long enough to recover what no VM has read.
 		hn.run(5 * clock.Minute)
 		hn.checkAgree()
@@ -47,7 +47,7 @@
 	ask := func(rt *rapid.T, number int) {
 		vm := rapid.IntRange(0, 3).Draw(rt, "vm")
 		en, _ := hn.vms[vm].fo.Entry("kedelsyn")
-		ch := change(fmt.Sprint("p", number), en.Revision)
+		ch := publishRequest(fmt.Sprint("p", number), en.Revision)
 		if wi := hn.changes[ch.ID]; wi != nil {
 			ch = wi.change
 		}
@@ -60,11 +60,11 @@
 		"again":   func(rt *rapid.T) { ask(rt, max(0, len(hn.changes)-1)) },
 		"cut":     func(rt *rapid.T) { toggle(&draw(rt, 0).cut) },
 		"alone": func(rt *rapid.T) {
-			toggle(&draw(rt, 0).alone)
-			hn.tellFleet()
+			toggle(&draw(rt, 0).isolated)
+			hn.updateFleets()
 		},
 		"down": func(*rapid.T) { toggle(&hn.logDown) },
-		"lose": func(*rapid.T) { hn.lose++ },
+		"lose": func(*rapid.T) { hn.loseReplies++ },
 		"replace": func(rt *rapid.T) {
 			// Two VMs stay: what no VM and no record holds is lost.
 			vm := draw(rt, 2)
@@ -81,9 +81,9 @@
 			// Peers reach each other: what only a VM knows that reaches
 			// neither the log nor a peer beyond the retention is lost.
 			for _, vm := range hn.vms {
-				vm.alone = false
+				vm.isolated = false
 			}
-			hn.tellFleet()
+			hn.updateFleets()
 			hn.run(clock.Millis(rapid.SampledFrom([]int{60_000, 400_000}).Draw(rt, "span")))
 		},
 	}
@@ -139,11 +139,11 @@
 		told := int64(hn.now) + 1
 		if len(wi.verdicts) > 0 && wi.verdicts[0].Result != Unknown {
 			out = swapOutput{result: wi.verdicts[0].Result, revision: wi.verdicts[0].Revision}
-			told = int64(wi.told)
+			told = int64(wi.answeredAt)
 		}
 		ops = append(ops, porcupine.Operation{
 			ClientId: len(ops), Input: swapInput{base: wi.change.Base}, Output: out,
-			Call: int64(wi.asked), Return: told,
+			Call: int64(wi.askedAt), Return: told,
 		})
 	}
 	return ops
@@ -161,18 +161,18 @@
 		for ix := range 30 {
 			vm := hn.rng.IntN(3)
 			en, _ := hn.vms[vm].fo.Entry("kedelsyn")
-			hn.publish(vm, change(fmt.Sprint("p", ix), en.Revision))
-			hn.lose = hn.rng.IntN(2)
+			hn.publish(vm, publishRequest(fmt.Sprint("p", ix), en.Revision))
+			hn.loseReplies = hn.rng.IntN(2)
 			hn.logDown = hn.rng.IntN(8) == 0
 			hn.run(clock.Millis(hn.rng.IntN(300)))
-			if hn.logDown = hn.logDown || hn.lose > 0 && hn.rng.IntN(6) == 0; hn.logDown && hn.rng.IntN(2) == 0 {
+			if hn.logDown = hn.logDown || hn.loseReplies > 0 && hn.rng.IntN(6) == 0; hn.logDown && hn.rng.IntN(2) == 0 {
 				hn.run(6 * clock.Second)
 			}
 		}
 		hn.logDown = false
 		hn.run(30 * clock.Second)
 		for _, wi := range hn.changes {
-			results[result(tt, wi).Result]++
+			results[onlyVerdict(tt, wi).Result]++
 		}
 		assert.Assert(tt, porcupine.CheckOperations(model, hn.history()), "seed %d", seed)
 		hn.checkVerdicts()
--- a/internal/register/snapshot.go
+++ b/internal/register/snapshot.go
@@ -66,10 +66,10 @@
 	return snap, nil
 }
 
-// takenBack finds a register that the snapshot would replace although its last
+// findReverted finds a register that the snapshot would replace although its last
 // known revision is newer. Only a Recover of its bucket since then explains
 // that.
-func (st *State) takenBack(parts [][]Entry, snap Snapshot) (key string, back bool) {
+func (st *State) findReverted(parts [][]Entry, snap Snapshot) (key string, back bool) {
 	for ix := range st.slots {
 		if st.slots[ix].known && snap.AsOf <= st.next {
 			continue
@@ -105,7 +105,7 @@
 		ix := st.bucket(en.Key)
 		parts[ix] = append(parts[ix], en)
 	}
-	if key, back := st.takenBack(parts, snap); back && !st.broken.snapshotWins {
+	if key, back := st.findReverted(parts, snap); back && !st.broken.snapshotWins {
 		return nil, &SnapshotError{Detail: fmt.Sprintf("takes %q back", key)}
 	}
 	if ahead {
@@ -115,12 +115,12 @@
 	var outs []Outcome
 	for ix := range st.slots {
 		sl := &st.slots[ix]
-		if snap.AsOf < sl.lowest {
+		if snap.AsOf < sl.minAsOf {
 			continue
 		}
 		sl.covered = max(sl.covered, snap.Covered[ix])
 		if ahead || !sl.known || st.broken.snapshotWins {
-			outs = append(outs, st.settle(sl, snap.AsOf, parts[ix])...)
+			outs = append(outs, st.adoptContent(sl, snap.AsOf, parts[ix])...)
 		}
 	}
 	return outs, nil
--- a/internal/register/state.go
+++ b/internal/register/state.go
@@ -26,25 +26,25 @@
 
 		// requested is the offset of the newest RestateRequest, plus one;
 		// zero if there is none or it may have been missed.
-		requested    uint64
-		requestKnown uint64 // KnownTo of that request; only steers who goes first
+		requested      uint64
+		requestKnownTo uint64 // KnownTo of that request; only steers who goes first
 
-		broken guards
+		broken brokenGuards
 	}
 
 	// slot is one bucket.
 	slot struct {
 		// known is false while records that count may have been missed;
 		// the entries are then the last ones known.
-		known    bool
-		entries  map[string]Entry
-		bytes    int
-		held     []heldPublish // while not known, in the order of the log
-		restated uint64        // AsOf of the newest Restate read
-		covered  uint64        // offset of the newest Restate or Recover in force, plus one
-		lowest   uint64        // a Restate from before this offset tells too little
-		ever     bool          // the bucket was known once
-		knownTo  uint64        // up to where it was, while it is not
+		known        bool
+		entries      map[string]Entry
+		bytes        int
+		held         []heldPublish // while not known, in the order of the log
+		restatedAsOf uint64        // AsOf of the newest Restate read
+		covered      uint64        // offset of the newest Restate or Recover in force, plus one
+		minAsOf      uint64        // a Restate from before this offset tells too little
+		everKnown    bool          // the bucket was known once
+		knownTo      uint64        // up to where it was, while it is not
 	}
 
 	heldPublish struct {
@@ -52,8 +52,8 @@
 		pub    Publish
 	}
 
-	// guards are switched off by tests, which show that each is needed.
-	guards struct {
+	// brokenGuards are switched off by tests, which show that each is needed.
+	brokenGuards struct {
 		anyBase      bool // accept a publication whatever it is based on
 		noRepeat     bool // don't recognise a repeated publication
 		restateWins  bool // let a Restate replace what is known
@@ -94,7 +94,7 @@
 func (st *State) Entries() []Entry {
 	var out []Entry
 	for ix := range st.slots {
-		out = append(out, st.slots[ix].sorted()...)
+		out = append(out, st.slots[ix].sortedEntries()...)
 	}
 	slices.SortFunc(out, func(ea, eb Entry) int { return cmp.Compare(ea.Key, eb.Key) })
 	return out
@@ -106,7 +106,7 @@
 func (st *State) Advance(ba logsvc.Batch) ([]Outcome, []error) {
 	st.init()
 	if !st.begun || ba.First > st.next {
-		st.restart(ba.First)
+		st.restartAt(ba.First)
 	}
 	return st.apply(ba)
 }
@@ -136,8 +136,8 @@
 	}
 }
 
-// restart begins anew at an offset. Nothing was missed only if it is zero.
-func (st *State) restart(first uint64) {
+// restartAt begins anew at an offset. Nothing was missed only if it is zero.
+func (st *State) restartAt(first uint64) {
 	if st.begun && st.broken.gapIgnored {
 		st.next = first
 		return
@@ -147,9 +147,9 @@
 	for ix := range st.slots {
 		sl := &st.slots[ix]
 		if st.begun && sl.known {
-			sl.ever, sl.knownTo = true, before
+			sl.everKnown, sl.knownTo = true, before
 		}
-		sl.held, sl.covered, sl.lowest = nil, 0, 0
+		sl.held, sl.covered, sl.minAsOf = nil, 0, 0
 		sl.known = first == 0 || st.broken.noHold
 	}
 	st.begun = true
@@ -170,15 +170,15 @@
 		case Publish:
 			outs = append(outs, st.publish(raw.Offset, rec)...)
 		case Restate:
-			out, err := st.restate(raw.Offset, rec)
+			out, err := st.applyRestate(raw.Offset, rec)
 			outs = append(outs, out...)
 			if err != nil {
 				bad = append(bad, err)
 			}
 		case RestateRequest:
-			st.requested, st.requestKnown = raw.Offset+1, rec.KnownTo
+			st.requested, st.requestKnownTo = raw.Offset+1, rec.KnownTo
 		case Recover:
-			out, err := st.recover(raw.Offset, rec)
+			out, err := st.applyRecover(raw.Offset, rec)
 			outs = append(outs, out...)
 			if err != nil {
 				bad = append(bad, err)
@@ -204,7 +204,7 @@
 	cur := sl.entries[pub.Key]
 	out := Outcome{Offset: offset, ID: pub.ID, Key: pub.Key, Ruling: Refused, Current: cur.Revision}
 	if rev, ok := cur.acceptedAs(pub.ID); ok && !st.broken.noRepeat {
-		out.Ruling, out.Revision = Already, rev
+		out.Ruling, out.Revision = AlreadyAccepted, rev
 		return out
 	}
 	if pub.Base != cur.Revision && !st.broken.anyBase {
@@ -212,15 +212,15 @@
 		return out
 	}
 	next := Entry{Key: pub.Key, Revision: offset + 1, ID: pub.ID, Value: pub.Value, Earlier: cur.earlier()}
-	if out.Reason = st.refuse(sl, cur, next); out.Reason != "" {
+	if out.Reason = st.refusalReason(sl, cur, next); out.Reason != "" {
 		return out
 	}
-	st.put(sl, next)
+	st.setEntry(sl, next)
 	out.Ruling, out.Revision, out.Current = Accepted, next.Revision, next.Revision
 	return out
 }
 
-func (st *State) refuse(sl *slot, cur, next Entry) Reason {
+func (st *State) refusalReason(sl *slot, cur, next Entry) Reason {
 	switch {
 	case len(next.Value) == 0 && cur.Revision == 0:
 		return NothingThere
@@ -241,7 +241,7 @@
 	return all[max(0, len(all)-maxEarlier):]
 }
 
-func (st *State) put(sl *slot, en Entry) {
+func (st *State) setEntry(sl *slot, en Entry) {
 	if old, ok := sl.entries[en.Key]; ok {
 		sl.bytes -= old.size()
 	}
--- a/internal/relay/continue.go
+++ b/internal/relay/continue.go
@@ -110,7 +110,7 @@
 // an error there is nothing to be read; the call is to be ended in any case.
 func (rl *Relay) readMoved(ctx context.Context, rn *run, mv movedRun) (rsp *http.Response, end func(), err error) {
 	within, end := rl.callTo(ctx, mv.at)
-	if bk := rl.Backends(); bk.Reborn(mv.at) || bk.Reborn(mv.src.Server) {
+	if bk := rl.Backends(); bk.Restarted(mv.at) || bk.Restarted(mv.src.Server) {
 		return nil, end, backend.NotSentError{Server: mv.at.ID, Call: "Send", Err: errReborn}
 	}
 	rsp, err = rl.Servers.Send(within, mv.at, rn.ex.req, Options{Left: rl.left(rn.ex), Source: mv.src, After: rn.sp.last})
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -113,7 +113,7 @@
 	if !kept {
 		pr = computed{handle: rl.prefill(ctx, ex, pl), at: rl.now()}
 	}
-	if rl.Backends().Reborn(pr.handle.Server) {
+	if rl.Backends().Restarted(pr.handle.Server) {
 		pr = computed{} // another life of the engine may have given the same ID to another prompt
 	}
 	if err := rl.mayDecode(ctx, ex, pl); err != nil {
--- a/internal/relay/lives.go
+++ b/internal/relay/lives.go
@@ -40,7 +40,7 @@
 func (rl *Relay) dropPreviousInstances(bk *board.Backends) map[string]int {
 	ended := make(map[string]int)
 	for cl := range rl.calls {
-		if bk.Reborn(cl.server) {
+		if bk.Restarted(cl.server) {
 			cl.cancel(errReborn)
 			ended[cl.server.ID]++
 		}
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -37,7 +37,7 @@
 func (rl *Relay) leaveEngines(bk *board.Backends) {
 	for rn := range rl.runs {
 		at, listed := bk.Server(rn.pl.server.ID)
-		stays := listed && !at.Leaving || bk.Reborn(rn.pl.server) // of an earlier life there is nothing to move
+		stays := listed && !at.Leaving || bk.Restarted(rn.pl.server) // of an earlier life there is nothing to move
 		if rn.moving || rn.broken || stays || rn.ex.svc.Engines == nil || !rn.ex.svc.Engines.Moves {
 			continue
 		}
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -304,7 +304,7 @@
 // giveBack makes the call. A server that started again holds nothing of before,
 // and may have given the same ID to something else.
 func (rl *Relay) giveBack(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
-	if rl.Backends().Reborn(bs) {
+	if rl.Backends().Restarted(bs) {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), tidyWithin.Std())
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -40,7 +40,7 @@
 	if pr.handle.ID == "" {
 		return computed{}, false
 	}
-	if rl.now()-pr.at >= promptFresh || rl.Backends().Reborn(pr.handle.Server) {
+	if rl.now()-pr.at >= promptFresh || rl.Backends().Restarted(pr.handle.Server) {
 		rl.forget(ex, pr.handle)
 		return computed{}, false
 	}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -42,7 +42,7 @@
 // others; false if none fits.
 func First(key string, vms []board.VM, fit func(vm *board.VM) bool) (board.VM, bool) {
 	best, bestScore := -1, uint64(0)
-	var buf scratch
+	var buf hashBuffer
 	for ix := range vms {
 		if !fit(&vms[ix]) {
 			continue
@@ -69,7 +69,7 @@
 		return cmp.Or(cmp.Compare(sb.score, sa.score), cmp.Compare(vms[sa.at].ID, vms[sb.at].ID))
 	}
 	top := make([]scored, 0, count+1)
-	var buf scratch
+	var buf hashBuffer
 	for ix := range vms {
 		if !fit(&vms[ix]) {
 			continue
@@ -94,7 +94,7 @@
 // of the others. It looks at each VM a few times and ranks none.
 func Spread(key string, vms []board.VM, count int) []board.VM {
 	scores := make([]uint64, len(vms))
-	var buf scratch
+	var buf hashBuffer
 	for ix := range vms {
 		scores[ix] = buf.weight(vms[ix].ID, key)
 	}
@@ -149,14 +149,14 @@
 }
 
 func weight(id, key string) uint64 {
-	var buf scratch
+	var buf hashBuffer
 	return buf.weight(id, key)
 }
 
-// scratch holds what is hashed, so that it is not made anew for each VM.
-type scratch []byte
+// hashBuffer holds what is hashed, so that it is not made anew for each VM.
+type hashBuffer []byte
 
-func (sc *scratch) weight(id, key string) uint64 {
+func (sc *hashBuffer) weight(id, key string) uint64 {
 	*sc = append(append(append((*sc)[:0], id...), 0), key...)
 	return xxhash.Sum64(*sc)
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -43,7 +43,7 @@
 	return out
 }
 
-func TestSpreadAndFirstAgreeWithTheRanking(t *testing.T) {
+func TestSpreadAndFirstMatchRank(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for round := range 2000 {
 		vms, key := randomFleet(rnd), fmt.Sprintf("key-%d", round)
@@ -60,7 +60,7 @@
 }
 
 // Choosing for a key makes a handful of objects, however many VMs there are.
-func TestChoosingAllocatesNothingForEachVM(t *testing.T) {
+func TestAllocationsDoNotGrowWithFleet(t *testing.T) {
 	var vms []board.VM
 	for ix := range 380 {
 		vms = append(vms, board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%03d", ix)}, FailureDomain: fmt.Sprintf("domain-%d", ix%8)})
--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -93,7 +93,7 @@
 // Run keeps the roles until the context ends.
 func (ke *Keeper) Run(ctx context.Context) {
 	ke.plans = make(map[string]*Plan)
-	ke.Holder.Lapses = true
+	ke.Holder.LetExpire = true
 	ticker := time.NewTicker(leaseCheckInterval.Std())
 	defer ticker.Stop()
 	for {
@@ -119,10 +119,10 @@
 	// waited out from when it was seen.
 	ke.observe(ctx)
 	if now >= ke.want {
-		ke.step(ctx, register.Want{}) // a lease that is still held lapses by itself
+		ke.step(ctx, register.LeaseWanted{}) // a lease that is still held lapses by itself
 		return
 	}
-	ke.step(ctx, register.Want{Hold: true})
+	ke.step(ctx, register.LeaseWanted{Hold: true})
 	for _, ch := range due {
 		ke.order(ctx, ch)
 	}
@@ -151,7 +151,7 @@
 		ke.step(ctx, register.LeaseTick{})
 		return // the store's loss has a line of its own; without it there is no lease
 	}
-	ke.step(ctx, register.Observed{Entry: en, Known: true})
+	ke.step(ctx, register.LeaseObserved{Entry: en, Known: true})
 }
 
 // step tells the holder and carries out what it intends.
@@ -160,9 +160,9 @@
 		switch in := in.(type) {
 		case register.LeaseAppend:
 			ke.append(ctx, in)
-		case register.Note:
+		case register.LogEvent:
 			ke.Log.Log(in.Event, in.Fields...)
-		case register.Held, register.Lapsed, register.Wake:
+		case register.LeaseHeld, register.LeaseLost, register.Wake:
 		}
 	}
 }
--- a/internal/slope/customers.go
+++ b/internal/slope/customers.go
@@ -114,13 +114,13 @@
 			return nil, nil, fmt.Errorf("publication %d was not accepted: %v", number, bad)
 		}
 	}
-	bd := &board.Templates{ByCustomer: make(map[string]board.InForce), ByKeyHash: make(map[string]string)}
+	bd := &board.Templates{ByCustomer: make(map[string]board.ActiveTemplate), ByKeyHash: make(map[string]string)}
 	for _, en := range st.Entries() {
 		var tpl template.Template
 		if err := json.Unmarshal(en.Value, &tpl); err != nil {
 			return nil, nil, fmt.Errorf("read a template: %w", err)
 		}
-		bd.ByCustomer[en.Key] = board.InForce{Template: tpl, Revision: en.Revision}
+		bd.ByCustomer[en.Key] = board.ActiveTemplate{Template: tpl, Revision: en.Revision}
 		for _, hash := range tpl.KeyHashes {
 			bd.ByKeyHash[hash] = en.Key
 		}
--- a/internal/slope/streams.go
+++ b/internal/slope/streams.go
@@ -77,7 +77,7 @@
 	bd := &board.Board{}
 	bd.SetTemplates(&board.Templates{
 		Ready:      true,
-		ByCustomer: map[string]board.InForce{tpl.Customer: {Template: tpl, Revision: 1}},
+		ByCustomer: map[string]board.ActiveTemplate{tpl.Customer: {Template: tpl, Revision: 1}},
 		ByKeyHash:  map[string]string{hex.EncodeToString(sum[:]): tpl.Customer},
 	})
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/slope/virtual.go
+++ b/internal/slope/virtual.go
@@ -160,9 +160,9 @@
 		switch in := in.(type) {
 		case membership.Send:
 			vf.send(vm, in)
-		case membership.Changed:
+		case membership.FleetChanged:
 			vm.fleet = in.Fleet
-		case membership.Fresh:
+		case membership.QuorumDeadline:
 			vm.freshTo = in.Until
 		case membership.Wake:
 			if vm.tickAt == 0 || in.At < vm.tickAt {
--- a/internal/topic/availability_test.go
+++ b/internal/topic/availability_test.go
@@ -9,12 +9,12 @@
 )
 
 // A VM that has been answered since 1,000 and last at 10,000.
-func TestOutageIsWhatNobodyWasAnsweredIn(t *testing.T) {
+func TestOutageDetection(t *testing.T) {
 	const at = 10 * clock.Second
-	fail := func(now clock.Millis) func(*availability) { return func(av *availability) { av.fail(now) } }
-	answer := func(now clock.Millis) func(*availability) { return func(av *availability) { av.answer(now) } }
+	fail := func(now clock.Millis) func(*availability) { return func(av *availability) { av.recordFailure(now) } }
+	answer := func(now clock.Millis) func(*availability) { return func(av *availability) { av.recordAnswer(now) } }
 	hear := func(now, span clock.Millis, ended bool) func(*availability) {
-		return func(av *availability) { av.hear(now, span, ended, "vm-2") }
+		return func(av *availability) { av.merge(now, span, ended, "vm-2") }
 	}
 	for _, tc := range []struct {
 		name  string
@@ -32,17 +32,17 @@
 		{"others are answered", []func(*availability){fail(at + 900), hear(at+1000, 9000, false), fail(at + 1900), fail(at + 2100)}, Outage{}, 1000},
 		{"others were answered", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 9000, false)}, Outage{}, at - 3100},
 		{"others were not", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 1000, true)},
-			Outage{Since: at, Until: at + 4900, Teller: "vm-2"}, at + 4900},
+			Outage{Since: at, Until: at + 4900, ReportedBy: "vm-2"}, at + 4900},
 		{"another VM's calls failed", []func(*availability){hear(at+800, 1, true), hear(at+1600, 801, true)}, Outage{}, 1000},
-		{"slept through an outage", []func(*availability){answer(at + 9000), hear(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, Teller: "vm-2"}, at + 8000},
-		{"an older copy", []func(*availability){func(av *availability) { av.restart(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
+		{"slept through an outage", []func(*availability){answer(at + 9000), hear(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, ReportedBy: "vm-2"}, at + 8000},
+		{"an older copy", []func(*availability){func(av *availability) { av.noteRestore(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			av := availability{since: 1000, last: at}
+			av := availability{since: 1000, lastAnswer: at}
 			for _, step := range tc.steps {
 				step(&av)
 			}
-			assert.Equal(t, av.outage(), tc.want)
+			assert.Equal(t, av.latestOutage(), tc.want)
 			assert.Equal(t, av.since, tc.since)
 		})
 	}
@@ -60,15 +60,15 @@
 	}{
 		{"answered at its end", at + 100, true, Outage{}},
 		{"answered in it", at + outageMin - 1, true, Outage{}},
-		{"no call in a short one", at + outageMin, false, Outage{Since: at, Until: at + outageMin, Teller: "vm-2"}},
-		{"no call in a long one", at + 1866, false, Outage{Since: at, Until: at + 1866, Teller: "vm-2"}},
+		{"no call in a short one", at + outageMin, false, Outage{Since: at, Until: at + outageMin, ReportedBy: "vm-2"}},
+		{"no call in a long one", at + 1866, false, Outage{Since: at, Until: at + 1866, ReportedBy: "vm-2"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			av := availability{since: 1000, last: at}
+			av := availability{since: 1000, lastAnswer: at}
 			now := tc.until + 1
 			assert.Equal(t, av.refutes(now, 1), tc.refutes)
-			av.hear(now, 1, true, "vm-2")
-			assert.Equal(t, av.outage(), tc.want)
+			av.merge(now, 1, true, "vm-2")
+			assert.Equal(t, av.latestOutage(), tc.want)
 		})
 	}
 }
@@ -76,6 +76,6 @@
 // The first answer of all says nothing of the time before.
 func TestFirstAnswerEndsNoOutage(t *testing.T) {
 	var av availability
-	av.answer(10 * clock.Second)
-	assert.Equal(t, av.outage(), Outage{})
+	av.recordAnswer(10 * clock.Second)
+	assert.Equal(t, av.latestOutage(), Outage{})
 }
--- a/internal/topic/follower_test.go
+++ b/internal/topic/follower_test.go
@@ -16,9 +16,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// newsDelay is the way of news to another VM. Without it those of one reader
+// updateDelay is the way of news to another VM. Without it those of one reader
 // overtake those of another that read at the same instant.
-const newsDelay = time.Millisecond
+const updateDelay = time.Millisecond
 
 type (
 	// store is a store in memory that counts what it is asked.
@@ -26,28 +26,28 @@
 		mu    sync.Mutex
 		recs  []topic.Record
 		first uint64 // lowest offset that is kept
-		asked int
+		calls int
 		down  bool
 	}
 
 	// fleet is followers that pass news to each other.
 	fleet struct {
-		st      *store
-		members []*member
-		deaf    bool // news are lost
+		st          *store
+		members     []*member
+		dropUpdates bool // news are lost
 	}
 
 	member struct {
-		fo       *topic.Follower
-		mu       sync.Mutex
-		values   map[string]string
-		rank     atomic.Int64
-		cut      atomic.Bool            // from the store
-		hangs    atomic.Bool            // its calls, until they are given up
-		lists    atomic.Pointer[string] // its history was dropped, and a value is written while it lists
-		missed   atomic.Int64
-		missedAt atomic.Int64 // when the store last did not answer, as far as is known
-		told     atomic.Int64 // records that were passed on
+		fo                *topic.Follower
+		mu                sync.Mutex
+		values            map[string]string
+		rank              atomic.Int64
+		cut               atomic.Bool            // from the store
+		hangs             atomic.Bool            // its calls, until they are given up
+		writeWhileListing atomic.Pointer[string] // its history was dropped, and a value is written while it lists
+		outages           atomic.Int64
+		outageUntil       atomic.Int64 // when the store last did not answer, as far as is known
+		recordsSent       atomic.Int64 // records that were passed on
 	}
 
 	bubbleClock struct{ start time.Time }
@@ -66,11 +66,11 @@
 func (st *store) count() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.asked
+	return st.calls
 }
 
-func (st *store) ask() error {
-	st.asked++
+func (st *store) countCall() error {
+	st.calls++
 	if st.down {
 		return errDown
 	}
@@ -80,17 +80,17 @@
 func (st *store) Newest(context.Context, string) ([]topic.Record, uint64, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return append([]topic.Record(nil), st.recs...), uint64(len(st.recs)), st.ask()
+	return append([]topic.Record(nil), st.recs...), uint64(len(st.recs)), st.countCall()
 }
 
 func (st *store) Read(_ context.Context, _ string, from uint64, _ clock.Millis) ([]topic.Record, uint64, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.ask(); err != nil {
+	if err := st.countCall(); err != nil {
 		return nil, 0, err
 	}
 	if from < st.first {
-		return nil, 0, topic.ErrDropped
+		return nil, 0, topic.ErrRecordsDropped
 	}
 	return append([]topic.Record(nil), st.recs[from:]...), uint64(len(st.recs)), nil
 }
@@ -105,7 +105,7 @@
 	if ms.mb.cut.Load() {
 		return nil, 0, errDown
 	}
-	if value := ms.mb.lists.Swap(nil); value != nil {
+	if value := ms.mb.writeWhileListing.Swap(nil); value != nil {
 		_, end, _ := ms.store.Newest(ctx, name)
 		ms.put("b", *value) // between the first page and the second
 		recs, _, err := ms.store.Newest(ctx, name)
@@ -115,8 +115,8 @@
 }
 
 func (ms memberStore) Read(ctx context.Context, name string, from uint64, wait clock.Millis) ([]topic.Record, uint64, error) {
-	if ms.mb.lists.Load() != nil {
-		return nil, 0, topic.ErrDropped
+	if ms.mb.writeWhileListing.Load() != nil {
+		return nil, 0, topic.ErrRecordsDropped
 	}
 	if ms.mb.hangs.Load() {
 		<-ctx.Done()
@@ -150,7 +150,7 @@
 			defer mb.mu.Unlock()
 			mb.values[rec.Key] = string(rec.Value)
 		}
-		mb.fo = &topic.Follower{Source: memberStore{fl.st, mb}, Name: "t", Pause: 700, Standby: 900, Patience: 1100, Clock: bubbleClock{time.Now()},
+		mb.fo = &topic.Follower{Source: memberStore{fl.st, mb}, Name: "t", Pause: 700, StandbyAfter: 900, SelfReadAfter: 1100, Clock: bubbleClock{time.Now()},
 			OnChange: change,
 			OnSnapshot: func(recs []topic.Record) {
 				for _, rec := range recs {
@@ -158,13 +158,13 @@
 				}
 			},
 			Rank:     func() int { return int(mb.rank.Load()) },
-			OnOutage: func(ou topic.Outage) { mb.missed.Add(1); mb.missedAt.Store(int64(ou.Until)) },
-			IsNews:   func(rec topic.Record) bool { return mb.get(rec.Key) != string(rec.Value) },
-			Tell: func(nw topic.News) {
-				mb.told.Add(int64(len(nw.Records)))
+			OnOutage: func(ou topic.Outage) { mb.outages.Add(1); mb.outageUntil.Store(int64(ou.Until)) },
+			IsNew:    func(rec topic.Record) bool { return mb.get(rec.Key) != string(rec.Value) },
+			Broadcast: func(nw topic.Update) {
+				mb.recordsSent.Add(int64(len(nw.Records)))
 				for _, other := range fl.members {
-					if other != mb && !fl.deaf {
-						time.AfterFunc(newsDelay, func() { other.fo.Hear(nw) })
+					if other != mb && !fl.dropUpdates {
+						time.AfterFunc(updateDelay, func() { other.fo.Receive(nw) })
 					}
 				}
 			}}
@@ -185,8 +185,8 @@
 	return mb.values[key]
 }
 
-// all tells whether every member knows the value.
-func (fl *fleet) all(key, want string) error {
+// allHave tells whether every member knows the value.
+func (fl *fleet) allHave(key, want string) error {
 	for ix, mb := range fl.members {
 		if got := mb.get(key); got != want {
 			return fmt.Errorf("member %d has %q for %s, not %q", ix, got, key, want)
@@ -197,7 +197,7 @@
 
 // Entries that are only renewed are not passed on; what changes among them is,
 // and nobody reads for want of the others.
-func TestRenewedEntriesAreNoNews(t *testing.T) {
+func TestRenewalsAreNotBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -216,8 +216,8 @@
 			time.Sleep(time.Second)
 		}
 		time.Sleep(2 * time.Second)
-		assert.NilError(t, fl.all("a", "9"))
-		told := fl.members[0].told.Load() + fl.members[1].told.Load()
+		assert.NilError(t, fl.allHave("a", "9"))
+		told := fl.members[0].recordsSent.Load() + fl.members[1].recordsSent.Load()
 		assert.Assert(t, told >= 10 && told <= 20, "%d records", told)
 		assert.Assert(t, fl.st.count()-asked <= 2*20, "%d calls", fl.st.count()-asked)
 	})
@@ -225,7 +225,7 @@
 
 // What the store is asked does not grow with the fleet, and a change reaches
 // all within a read of the readers.
-func TestFewReadForAll(t *testing.T) {
+func TestFewReadersServeAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -236,29 +236,29 @@
 		before := fl.st.count()
 		fl.st.put("a", "2")
 		time.Sleep(800 * time.Millisecond)
-		assert.NilError(t, fl.all("a", "2"))
+		assert.NilError(t, fl.allHave("a", "2"))
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, fl.st.count()-before < 40, "%d", fl.st.count()-before)
 	})
 }
 
 // Without news each VM reads for itself, and still follows in time.
-func TestNewsAreLost(t *testing.T) {
+func TestLostUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		fl := newFleet(5, 1)
-		fl.deaf = true
+		fl.dropUpdates = true
 		fl.run(ctx)
 		time.Sleep(3 * time.Second)
 		fl.st.put("a", "1")
 		time.Sleep(1900 * time.Millisecond)
-		assert.NilError(t, fl.all("a", "1"))
+		assert.NilError(t, fl.allHave("a", "1"))
 	})
 }
 
 // A VM that missed news notices the gap at the next and reads at once.
-func TestGapInTheNews(t *testing.T) {
+func TestUpdateGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -268,7 +268,7 @@
 		time.Sleep(2 * time.Second)
 		fl.st.put("a", "1")
 		fl.st.put("b", "1")
-		fl.members[2].fo.Hear(topic.News{Topic: "t", From: 1, Next: 2, Records: []topic.Record{{Key: "b", Value: []byte("1"), Offset: 1}}})
+		fl.members[2].fo.Receive(topic.Update{Topic: "t", From: 1, Next: 2, Records: []topic.Record{{Key: "b", Value: []byte("1"), Offset: 1}}})
 		synctest.Wait()
 		assert.Equal(t, fl.members[2].get("a"), "1")
 	})
@@ -276,13 +276,13 @@
 
 // A listing in pages may know of what was written after its end; the others have yet
 // to hear of that when it is read as a change.
-func TestChangeWithinAListingIsNotPassedOn(t *testing.T) {
+func TestChangeDuringListingReachesAll(t *testing.T) {
 	for _, value := range []string{"2", ""} {
-		t.Run("to "+value, func(t *testing.T) { playChangeWithinListing(t, value) })
+		t.Run("to "+value, func(t *testing.T) { testChangeDuringListing(t, value) })
 	}
 }
 
-func playChangeWithinListing(t *testing.T, value string) {
+func testChangeDuringListing(t *testing.T, value string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -291,14 +291,14 @@
 		fl.st.put("b", "1")
 		fl.run(ctx)
 		time.Sleep(2 * time.Second)
-		fl.members[0].lists.Store(&value)
+		fl.members[0].writeWhileListing.Store(&value)
 		time.Sleep(3 * time.Second)
-		assert.NilError(t, fl.all("b", value))
+		assert.NilError(t, fl.allHave("b", value))
 	})
 }
 
 // Old news never undo newer ones.
-func TestOldNews(t *testing.T) {
+func TestStaleUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -307,8 +307,8 @@
 		fl.st.put("a", "2")
 		fl.run(ctx)
 		time.Sleep(time.Second)
-		fl.members[0].fo.Hear(topic.News{Topic: "t", From: 0, Next: 1, Records: []topic.Record{{Key: "a", Value: []byte("1"), Offset: 0}}})
-		assert.NilError(t, fl.all("a", "2"))
+		fl.members[0].fo.Receive(topic.Update{Topic: "t", From: 0, Next: 1, Records: []topic.Record{{Key: "a", Value: []byte("1"), Offset: 0}}})
+		assert.NilError(t, fl.allHave("a", "2"))
 	})
 }
 
@@ -324,20 +324,20 @@
 		fl.st.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		for _, mb := range fl.members {
-			assert.Assert(t, mb.missed.Load() > 0, "each VM knows that the store is away")
+			assert.Assert(t, mb.outages.Load() > 0, "each VM knows that the store is away")
 		}
 		fl.st.put("a", "1")
 		fl.st.mu.Lock()
 		fl.st.down, fl.st.first = false, 1
 		fl.st.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond)
-		assert.NilError(t, fl.all("a", "1"), "also though the history was dropped")
+		assert.NilError(t, fl.allHave("a", "1"), "also though the history was dropped")
 	})
 }
 
 // One VM reads for all. When it loses the store the next in line takes over, so
 // that the others neither ask by themselves nor follow later than they may.
-func TestSecondInLineTakesOver(t *testing.T) {
+func TestStandbyReaderTakesOver(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		wait, pause clock.Millis
@@ -360,7 +360,7 @@
 				for round := range 5 {
 					fl.st.put("a", fmt.Sprint(round))
 					time.Sleep(1900 * time.Millisecond)
-					assert.NilError(t, fl.all("a", fmt.Sprint(round)))
+					assert.NilError(t, fl.allHave("a", fmt.Sprint(round)))
 				}
 				calls := fl.st.count() - before - steady
 				assert.Assert(t, calls <= 20, "%d calls in 9.5 s", calls)
@@ -377,7 +377,7 @@
 
 // Where the store turns some VMs away, those in line behind them read, and not
 // all others by themselves.
-func TestSomeInLineAreTurnedAway(t *testing.T) {
+func TestRefusedReadersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -391,7 +391,7 @@
 		for round := range 5 {
 			fl.st.put("a", fmt.Sprint(round))
 			time.Sleep(1900 * time.Millisecond)
-			assert.NilError(t, fl.all("a", fmt.Sprint(round)))
+			assert.NilError(t, fl.allHave("a", fmt.Sprint(round)))
 		}
 		calls := fl.st.count() - before
 		assert.Assert(t, calls <= 30, "%d calls of 57 VMs in 9.5 s", calls)
@@ -400,7 +400,7 @@
 
 // While the store is away those far behind ask it seldom: the first in line
 // tell them when it is back.
-func TestFewAskAStoreThatIsAway(t *testing.T) {
+func TestFewCallsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -420,12 +420,12 @@
 		fl.st.down = false
 		fl.st.mu.Unlock()
 		time.Sleep(1100 * time.Millisecond)
-		assert.NilError(t, fl.all("a", "1"))
+		assert.NilError(t, fl.allHave("a", "1"))
 	})
 }
 
 // A read that was abandoned for another says nothing of the store.
-func TestAbandonedReadIsTakenForAnAnswer(t *testing.T) {
+func TestCancelledReadIsNotAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -441,7 +441,7 @@
 		mb.hangs.Store(true)
 		time.Sleep(time.Second)
 		for range 5 {
-			mb.fo.Abandon()
+			mb.fo.CancelRead()
 			time.Sleep(300 * time.Millisecond)
 		}
 		assert.Equal(t, back, 0)
@@ -450,12 +450,12 @@
 
 // A VM that knows no other asks again soon after a call that failed: nobody tells
 // it what changed.
-func TestVMThatIsAloneAsksSoon(t *testing.T) {
+func TestLoneVMRetriesSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		fl := newFleet(1, 1)
-		fl.members[0].rank.Store(topic.Alone)
+		fl.members[0].rank.Store(topic.RankAlone)
 		fl.run(ctx)
 		time.Sleep(3 * time.Second)
 		fl.members[0].cut.Store(true)
@@ -463,13 +463,13 @@
 		fl.members[0].cut.Store(false)
 		fl.st.put("a", "1")
 		time.Sleep(700 * time.Millisecond)
-		assert.NilError(t, fl.all("a", "1"))
+		assert.NilError(t, fl.allHave("a", "1"))
 	})
 }
 
 // VMs that ask an absent store seldom still know, when it is back, until when it
 // was away: what lapsed meanwhile is not gone yet.
-func TestAllKnowUntilWhenTheStoreWasAway(t *testing.T) {
+func TestAllLearnEndOfOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -488,7 +488,7 @@
 		back := began.Now()
 		time.Sleep(1500 * time.Millisecond)
 		for ix, mb := range fl.members {
-			assert.Assert(t, clock.Millis(mb.missedAt.Load()) > back-1200, "member %d: %d, back at %d", ix, mb.missedAt.Load(), back)
+			assert.Assert(t, clock.Millis(mb.outageUntil.Load()) > back-1200, "member %d: %d, back at %d", ix, mb.outageUntil.Load(), back)
 		}
 	})
 }
--- a/internal/topic/line.go
+++ b/internal/topic/line.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// InLine is how many VMs read for the others when those before them don't.
+	// MaxReaders is how many VMs read for the others when those before them don't.
 	// Where the store turns a third of the VMs away, one time in 240 it turns
 	// away all five.
-	InLine = 5
-	// Alone is the place of a VM that knows no other that lives: nobody reads for
+	MaxReaders = 5
+	// RankAlone is the place of a VM that knows no other that lives: nobody reads for
 	// it, and it may hear of others at any moment.
-	Alone = math.MaxInt
+	RankAlone = math.MaxInt
 )
 
 const (
@@ -32,19 +32,19 @@
 	standbyBackoffMax = 4 * clock.Second
 )
 
-// silence is how long this VM goes without news before it reads. The lock is
+// silenceLimit is how long this VM goes without news before it reads. The lock is
 // held.
-func (fo *Follower) silence() clock.Millis {
+func (fo *Follower) silenceLimit() clock.Millis {
 	rank := fo.rank()
 	switch {
-	case rank == 0 || fo.leads:
+	case rank == 0 || fo.leading:
 		return 0
-	case rank >= InLine:
-		return fo.Patience
+	case rank >= MaxReaders:
+		return fo.SelfReadAfter
 	}
 	// Each in line leaves half of the span that is left to those behind it.
-	left := (fo.Patience - fo.Standby) >> (rank - 1)
-	return fo.Patience - left
+	left := (fo.SelfReadAfter - fo.StandbyAfter) >> (rank - 1)
+	return fo.SelfReadAfter - left
 }
 
 // rank is this VM's place; 0 if each VM reads for itself. The lock is held.
@@ -55,31 +55,31 @@
 	return fo.Rank()
 }
 
-// tells tells whether this VM passes on what it read.
-func (fo *Follower) tells() bool {
-	return fo.Tell != nil && fo.Rank != nil && fo.Rank() < InLine
+// broadcasts broadcasts whether this VM passes on what it read.
+func (fo *Follower) broadcasts() bool {
+	return fo.Broadcast != nil && fo.Rank != nil && fo.Rank() < MaxReaders
 }
 
-// pauseAfter is the pause after a call that failed, and so many before it. The span
+// backoff is the pause after a call that failed, and so many before it. The span
 // for which a reader's call hung counts as a part of it, so that a silent store is
 // asked as often as one that refuses.
-func (fo *Follower) pauseAfter(failures int, hung clock.Millis) clock.Millis {
+func (fo *Follower) backoff(failures int, hung clock.Millis) clock.Millis {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	first, most := backoffMin, backoffMax
 	rank := fo.rank()
-	if fo.listed && rank >= InLine && rank != Alone {
+	if fo.listed && rank >= MaxReaders && rank != RankAlone {
 		first, most = standbyBackoffMin, standbyBackoffMax
 	}
 	pause := min(most, first<<min(failures, 10))
-	if fo.listed && rank < InLine {
+	if fo.listed && rank < MaxReaders {
 		pause = max(backoffMin, pause-hung)
 	}
-	if fo.listed && rank > 0 && rank < InLine && failures == 1 {
+	if fo.listed && rank > 0 && rank < MaxReaders && failures == 1 {
 		// Readers lose the store together and would retry together, all of them
 		// hanging as it returns. The first in line is ahead of the next by about a
 		// step as it is.
-		pause += clock.Millis(rank-1) * backoffMax / InLine
+		pause += clock.Millis(rank-1) * backoffMax / MaxReaders
 	}
 	return pause
 }
--- a/internal/topic/outage.go
+++ b/internal/topic/outage.go
@@ -13,70 +13,70 @@
 	graceStep = 40 * clock.Millis(1)
 )
 
-// tell passes on what is known here of the topic and of the store. The lock is held.
-func (fo *Follower) tell(nw News) {
+// broadcast passes on what is known here of the topic and of the store. The lock is held.
+func (fo *Follower) broadcast(nw Update) {
 	now := fo.now()
 	nw.Topic = fo.Name
-	nw.Answered = max(1, now-fo.avail.since)
-	if ou := fo.avail.outage(); ou != (Outage{}) && now-ou.Until < outageNoticeTTL {
-		nw.OutageEnded = max(1, now-ou.Until)
+	nw.AvailableFor = max(1, now-fo.avail.since)
+	if ou := fo.avail.latestOutage(); ou != (Outage{}) && now-ou.Until < outageNoticeTTL {
+		nw.OutageEndedAgo = max(1, now-ou.Until)
 	}
-	fo.Tell(nw)
+	fo.Broadcast(nw)
 }
 
-// hearAvailability takes what another VM knows of the store, and tells whether that
+// mergeAvailability takes what another VM knows of the store, and tells whether that
 // refuted an outage. The lock is held.
-func (fo *Follower) hearAvailability(nw News) (refuted bool) {
+func (fo *Follower) mergeAvailability(nw Update) (refuted bool) {
 	if EraOf(nw.Next) != EraOf(fo.next) {
 		return false // what the store had before is no measure
 	}
-	now, span := fo.now(), nw.Answered
+	now, span := fo.now(), nw.AvailableFor
 	if span == 0 {
-		span = nw.OutageEnded
+		span = nw.OutageEndedAgo
 	}
-	if nw.OutageEnded > 0 && fo.avail.refutes(now, span) && fo.tells() {
-		fo.tellAvailability()
+	if nw.OutageEndedAgo > 0 && fo.avail.refutes(now, span) && fo.broadcasts() {
+		fo.broadcastAvailability()
 	}
-	fo.avail.hear(now, span, nw.OutageEnded > 0, nw.Teller)
-	return fo.announce()
+	fo.avail.merge(now, span, nw.OutageEndedAgo > 0, nw.Sender)
+	return fo.reportOutage()
 }
 
-// tellAvailability tells the others for how long the store has answered. The news end
+// broadcastAvailability tells the others for how long the store has answered. The news end
 // where the topic begins, so that nobody takes them for a read. The lock is held.
-func (fo *Follower) tellAvailability() {
+func (fo *Follower) broadcastAvailability() {
 	begin := Position(EraOf(fo.next), 0)
-	fo.tell(News{From: begin, Next: begin})
+	fo.broadcast(Update{From: begin, Next: begin})
 }
 
-// noteFailed notes a call that the store did not answer.
-func (fo *Follower) noteFailed() {
+// recordFailure notes a call that the store did not answer.
+func (fo *Follower) recordFailure() {
 	fo.mu.Lock()
-	fo.avail.fail(fo.now())
-	fo.announce()
+	fo.avail.recordFailure(fo.now())
+	fo.reportOutage()
 	fo.mu.Unlock()
 	if fo.OnFailure != nil {
 		fo.OnFailure()
 	}
 }
 
-// announce passes on the newest outage if it has changed, and tells whether the one
+// reportOutage passes on the newest outage if it has changed, and tells whether the one
 // before was refuted. The lock is held.
-func (fo *Follower) announce() (refuted bool) {
-	ou := fo.avail.outage()
-	if ou == fo.told {
+func (fo *Follower) reportOutage() (refuted bool) {
+	ou := fo.avail.latestOutage()
+	if ou == fo.reportedOutage {
 		return false
 	}
-	refuted = ou.Until < fo.told.Until
-	fo.told = ou
+	refuted = ou.Until < fo.reportedOutage.Until
+	fo.reportedOutage = ou
 	if fo.OnOutage != nil {
 		fo.OnOutage(ou)
 	}
 	return refuted
 }
 
-// pause is the pause before the next read, which is shorter where the grace period
+// nextPause is the nextPause before the next read, which is shorter where the grace period
 // after an outage ends before.
-func (fo *Follower) pause() clock.Millis {
+func (fo *Follower) nextPause() clock.Millis {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	left := fo.graceEnd() + graceMargin - fo.now()
@@ -89,9 +89,9 @@
 // graceEnd is the end of the grace period after the newest outage; zero: there is
 // none. The lock is held.
 func (fo *Follower) graceEnd() clock.Millis {
-	ou := fo.avail.outage()
-	if fo.Grace == 0 || ou == (Outage{}) {
+	ou := fo.avail.latestOutage()
+	if fo.GracePeriod == 0 || ou == (Outage{}) {
 		return 0
 	}
-	return ou.Until + fo.Grace
+	return ou.Until + fo.GracePeriod
 }
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -19,53 +19,53 @@
 )
 
 const (
-	// touchSpan is how long a VM, or the store, has to be without trouble before
+	// settleSpan is how long a VM, or the store, has to be without trouble before
 	// the VM counts as in touch.
-	touchSpan = 3 * clock.Second
-	// drainBound is how long after the store's word a server may get requests.
-	drainBound = 2 * clock.Second
-	// beat is a server's heartbeat; its entry lapses after three of silence.
-	beat = 1200 * clock.Millis(1)
+	settleSpan = 3 * clock.Second
+	// dropBound is how long after the store's word a server may get requests.
+	dropBound = 2 * clock.Second
+	// heartbeatPeriod is a server's heartbeat; its entry lapses after three of silence.
+	heartbeatPeriod = 1200 * clock.Millis(1)
 	// callTimeout ends a call that the store does not answer.
 	callTimeout = 900 * clock.Millis(1)
-	lookEvery   = 20 * clock.Millis(1)
+	checkPeriod = 20 * clock.Millis(1)
 )
 
 // Ways in which a VM does not reach the store.
 const (
-	reached trouble = iota
+	reachable linkFault = iota
 	refused
 	silent
 	cut // also from all other VMs
 )
 
 type (
-	trouble int
+	linkFault int
 
 	// site is a store, servers that register there, and VMs that follow them.
 	site struct {
-		mu      sync.Mutex
-		clk     bubbleClock
-		rnd     *rand.Rand
-		entries map[string]string
-		recs    []topic.Record
-		down    trouble      // for everybody
-		upSince clock.Millis // the store's last return
-		asked   clock.Millis // start of the last call that it answered
-		servers map[string]*simServer
-		vms     []*simVM
-		loss    float64 // of news
-		delay   clock.Millis
-		wrong   []string
+		mu         sync.Mutex
+		clk        bubbleClock
+		rnd        *rand.Rand
+		entries    map[string]string
+		recs       []topic.Record
+		down       linkFault    // for everybody
+		upSince    clock.Millis // the store's last return
+		answeredAt clock.Millis // start of the last call that it answered
+		servers    map[string]*simServer
+		vms        []*simVM
+		loss       float64 // of news
+		delay      clock.Millis
+		violations []string
 	}
 
 	simServer struct {
-		tried   clock.Millis // last heartbeat
-		renewed clock.Millis // last one that the store had
-		word    bool         // it said that it leaves
-		left    clock.Millis // when the store had that it leaves; zero: it does not
-		stable  bool         // the store was stable then
-		listed  clock.Millis // first entry
+		tried     clock.Millis // last heartbeat
+		renewed   clock.Millis // last one that the store had
+		announced bool         // it said that it leaves
+		left      clock.Millis // when the store had that it leaves; zero: it does not
+		stable    bool         // the store was stable then
+		listed    clock.Millis // first entry
 	}
 
 	simVM struct {
@@ -73,7 +73,7 @@
 		name    string
 		fo      *topic.Follower
 		rg      registry.Registry
-		down    trouble
+		down    linkFault
 		upSince clock.Millis
 		known   map[string]bool // servers that were listed once
 		list    map[string]board.BackendServer
@@ -86,30 +86,30 @@
 		entries: make(map[string]string), servers: make(map[string]*simServer), delay: 2}
 	for ix := range vms {
 		vm := &simVM{st: st, name: fmt.Sprintf("vm-%d", ix), known: make(map[string]bool), list: make(map[string]board.BackendServer)}
-		vm.fo = &topic.Follower{Source: vm, Name: "servers", Pause: 800, Grace: registry.DefaultReturn, Standby: 950, Patience: 1100, Clock: st.clk,
-			OnSnapshot: vm.whole, OnChange: vm.change, IsNews: vm.isNews, OnCaughtUp: vm.apply,
-			Rank:     func() int { return ix },
-			Tell:     vm.tell,
-			OnOutage: func(ou topic.Outage) { vm.rg.NoteOutage(ou.Until) }}
+		vm.fo = &topic.Follower{Source: vm, Name: "servers", Pause: 800, GracePeriod: registry.DefaultReturn, StandbyAfter: 950, SelfReadAfter: 1100, Clock: st.clk,
+			OnSnapshot: vm.whole, OnChange: vm.change, IsNew: vm.isNews, OnCaughtUp: vm.apply,
+			Rank:      func() int { return ix },
+			Broadcast: vm.tell,
+			OnOutage:  func(ou topic.Outage) { vm.rg.NoteOutage(ou.Until) }}
 		st.vms = append(st.vms, vm)
 	}
 	return st
 }
 
 func (st *site) run(ctx context.Context) {
-	go st.live(ctx)
+	go st.runServers(ctx)
 	for _, vm := range st.vms {
 		go vm.fo.Run(ctx)
 	}
 }
 
-// live plays the servers and looks at what the VMs believe.
-func (st *site) live(ctx context.Context) {
-	for clock.Sleep(ctx, lookEvery) {
+// runServers plays the servers and looks at what the VMs believe.
+func (st *site) runServers(ctx context.Context) {
+	for clock.Sleep(ctx, checkPeriod) {
 		st.mu.Lock()
 		now := st.clk.Now()
 		for id, sv := range st.servers {
-			st.play(now, id, sv)
+			st.stepServer(now, id, sv)
 		}
 		for _, vm := range st.vms {
 			st.check(now, vm)
@@ -118,22 +118,22 @@
 	}
 }
 
-// play renews and ends a server's entry. The lock is held, as below.
-func (st *site) play(now clock.Millis, id string, sv *simServer) {
-	if now-sv.tried >= beat && (sv.left == 0 || sv.word) {
+// stepServer renews and ends a server's entry. The lock is held, as below.
+func (st *site) stepServer(now clock.Millis, id string, sv *simServer) {
+	if now-sv.tried >= heartbeatPeriod && (sv.left == 0 || sv.announced) {
 		sv.tried = now
-		if st.down == reached {
+		if st.down == reachable {
 			sv.renewed = now
 			st.put(id, sv.state())
 		}
 	}
-	if now-sv.renewed >= 3*beat {
+	if now-sv.renewed >= 3*heartbeatPeriod {
 		st.put(id, "")
 	}
 }
 
 func (sv *simServer) state() string {
-	if sv.word {
+	if sv.announced {
 		return "draining"
 	}
 	return "ready"
@@ -161,11 +161,11 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	sv := st.servers[id]
-	if st.down != reached || sv.left > 0 {
+	if st.down != reachable || sv.left > 0 {
 		return
 	}
 	now := st.clk.Now()
-	sv.left, sv.word, sv.stable = now, word, now-st.upSince >= touchSpan
+	sv.left, sv.announced, sv.stable = now, word, now-st.upSince >= settleSpan
 	if word {
 		st.put(id, "draining")
 	} else {
@@ -173,21 +173,21 @@
 	}
 }
 
-func (st *site) setStore(down trouble) {
+func (st *site) setStore(down linkFault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.down, st.upSince = down, st.clk.Now()
 }
 
-func (st *site) setVM(ix int, down trouble) {
+func (st *site) setVM(ix int, down linkFault) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.vms[ix].down, st.vms[ix].upSince = down, st.clk.Now()
 }
 
-// inTouch tells whether a VM, and the store, were without trouble for long enough.
-func (st *site) inTouch(now clock.Millis, vm *simVM) bool {
-	return st.down == reached && vm.down == reached && now-st.upSince >= touchSpan && now-vm.upSince >= touchSpan
+// connected tells whether a VM, and the store, were without trouble for long enough.
+func (st *site) connected(now clock.Millis, vm *simVM) bool {
+	return st.down == reachable && vm.down == reachable && now-st.upSince >= settleSpan && now-vm.upSince >= settleSpan
 }
 
 // check notes a server that left and is in use at a VM in touch, and one that
@@ -197,19 +197,19 @@
 		bs, listed := vm.list[id]
 		ready := listed && !bs.Leaving
 		switch {
-		case sv.left > 0 && sv.stable && ready && now > sv.left+drainBound+lookEvery && st.inTouch(now, vm):
-			st.wrong = append(st.wrong, fmt.Sprintf("%s: %s uses %s, which left %v ago", now, vm.name, id, now-sv.left))
+		case sv.left > 0 && sv.stable && ready && now > sv.left+dropBound+checkPeriod && st.connected(now, vm):
+			st.violations = append(st.violations, fmt.Sprintf("%s: %s uses %s, which left %v ago", now, vm.name, id, now-sv.left))
 		case sv.left == 0 && vm.known[id] && !ready:
-			st.wrong = append(st.wrong, fmt.Sprintf("%s: %s dropped %s, which lives", now, vm.name, id))
+			st.violations = append(st.violations, fmt.Sprintf("%s: %s dropped %s, which lives", now, vm.name, id))
 		}
 	}
 }
 
-// faults returns the first few of what was wrong.
-func (st *site) faults() []string {
+// firstViolations returns the first few of what was wrong.
+func (st *site) firstViolations() []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.wrong[:min(3, len(st.wrong))]
+	return st.violations[:min(3, len(st.violations))]
 }
 
 var errNoAnswer = errors.New("no answer")
@@ -218,8 +218,8 @@
 func (vm *simVM) reach(ctx context.Context) error {
 	vm.st.mu.Lock()
 	down := max(vm.st.down, vm.down)
-	if down == reached {
-		vm.st.asked = vm.st.clk.Now()
+	if down == reachable {
+		vm.st.answeredAt = vm.st.clk.Now()
 	}
 	vm.st.mu.Unlock()
 	span := 4 * clock.Millis(1)
@@ -229,7 +229,7 @@
 	if !clock.Sleep(ctx, span) {
 		return ctx.Err()
 	}
-	if down != reached {
+	if down != reachable {
 		return errNoAnswer
 	}
 	return nil
@@ -260,7 +260,7 @@
 }
 
 // tell sends news to all VMs that are reached, late and with losses.
-func (vm *simVM) tell(nw topic.News) {
+func (vm *simVM) tell(nw topic.Update) {
 	st := vm.st
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -274,7 +274,7 @@
 			lost := vm.down == cut || other.down == cut
 			st.mu.Unlock()
 			if !lost {
-				other.fo.Hear(nw)
+				other.fo.Receive(nw)
 			}
 		})
 	}
@@ -331,13 +331,13 @@
 		time.Sleep(5 * time.Second)
 		play(st)
 		time.Sleep(8 * time.Second)
-		faults = st.faults()
+		faults = st.firstViolations()
 	})
 	return faults
 }
 
 // A server that left was in use for as long as one VM had trouble of its own.
-func TestOwnTroubleIsTakenForAnOutage(t *testing.T) {
+func TestLocalFaultIsNotAnOutage(t *testing.T) {
 	const s = time.Second
 	for _, tc := range []struct {
 		name string
@@ -348,13 +348,13 @@
 			time.Sleep(s)
 			st.leave("leaves", false)
 			time.Sleep(9 * s)
-			st.setVM(0, reached)
+			st.setVM(0, reachable)
 		}},
 		{"VMs are cut off in turn", func(st *site) {
 			for turn := range 6 {
 				st.setVM(turn, cut)
 				time.Sleep(2 * s)
-				st.setVM(turn, reached)
+				st.setVM(turn, reachable)
 				st.leave("leaves", false)
 			}
 		}},
@@ -363,7 +363,7 @@
 			time.Sleep(4 * s)
 			st.leave("leaves", false)
 			time.Sleep(5 * s)
-			st.setVM(0, reached)
+			st.setVM(0, reachable)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -373,7 +373,7 @@
 }
 
 // The first reader, back from a cut, is told at once that the store was not away.
-func TestReturningReaderIsToldThatOthersWereAnswered(t *testing.T) {
+func TestReturningReaderLearnsStoreWasAvailable(t *testing.T) {
 	for late := 0 * time.Second; late < 2*time.Second; late += 100 * time.Millisecond {
 		t.Run(late.String(), func(t *testing.T) { playReturningReader(t, late) })
 	}
@@ -391,7 +391,7 @@
 		time.Sleep(6 * time.Second)
 		st.leave("leaves", false)
 		time.Sleep(2*time.Second + late)
-		st.setVM(0, reached)
+		st.setVM(0, reachable)
 		time.Sleep(1300 * time.Millisecond)
 		st.mu.Lock()
 		defer st.mu.Unlock()
@@ -403,7 +403,7 @@
 // happens beside it.
 func TestOutageDropsNoLiveServer(t *testing.T) {
 	const s = time.Second
-	for _, down := range []trouble{refused, silent} {
+	for _, down := range []linkFault{refused, silent} {
 		for _, tc := range []struct {
 			name string
 			play func(st *site)
@@ -417,10 +417,10 @@
 					tc.play(st)
 					st.setStore(down)
 					time.Sleep(6 * s)
-					st.setStore(reached)
+					st.setStore(reachable)
 					time.Sleep(700 * time.Millisecond)
 					for ix := range st.vms {
-						st.setVM(ix, reached)
+						st.setVM(ix, reachable)
 					}
 				}), []string(nil))
 			})
@@ -429,7 +429,7 @@
 }
 
 // Readers do not all wait for a silent store's timeout as it returns.
-func TestReadersAskAnAbsentStoreInTurn(t *testing.T) {
+func TestReadersRetryInTurn(t *testing.T) {
 	for phase := 0 * time.Millisecond; phase < 1200*time.Millisecond; phase += 50 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
@@ -440,11 +440,11 @@
 			time.Sleep(5 * time.Second)
 			st.setStore(silent)
 			time.Sleep(6*time.Second + phase)
-			st.setStore(reached)
+			st.setStore(reachable)
 			time.Sleep(350 * time.Millisecond)
 			st.mu.Lock()
 			defer st.mu.Unlock()
-			assert.Assert(t, st.asked >= st.upSince, "nobody asked in 0.35 s after the return (outage of 6 s and %s)", phase)
+			assert.Assert(t, st.answeredAt >= st.upSince, "nobody asked in 0.35 s after the return (outage of 6 s and %s)", phase)
 		})
 	}
 }
@@ -457,7 +457,7 @@
 				st.leave("leaves", false)
 				st.setStore(refused)
 				time.Sleep(2 * time.Second)
-				st.setStore(reached)
+				st.setStore(reachable)
 				time.Sleep(late)
 				st.setVM(0, silent)
 			}), []string(nil))
@@ -467,7 +467,7 @@
 
 // An entry that servers could not renew in an outage expires in a second one, which
 // is too short for any VM to see.
-func TestUnseenOutageCostsAnotherRenewal(t *testing.T) {
+func TestUndetectedSecondOutage(t *testing.T) {
 	for early := 100 * time.Millisecond; early < 1200*time.Millisecond; early += 50 * time.Millisecond {
 		t.Run(early.String(), func(t *testing.T) {
 			assert.DeepEqual(t, playSite(t, 1, func(st *site) {
@@ -475,11 +475,11 @@
 				time.Sleep(time.Second + early)
 				st.setStore(refused)
 				time.Sleep(2410*time.Millisecond - early)
-				st.setStore(reached)
+				st.setStore(reachable)
 				time.Sleep(1140 * time.Millisecond)
 				st.setStore(refused)
 				time.Sleep(100 * time.Millisecond)
-				st.setStore(reached)
+				st.setStore(reachable)
 			}), []string(nil))
 		})
 	}
@@ -487,22 +487,22 @@
 
 // VMs are cut off while they keep servers, and return: the word that there was no
 // further outage comes before the renewals.
-func TestRefutedOutageDropsNoServerUnread(t *testing.T) {
+func TestRefutedOutageWaitsForRenewals(t *testing.T) {
 	for phase := 0 * time.Millisecond; phase < 1200*time.Millisecond; phase += 50 * time.Millisecond {
 		for _, delay := range []clock.Millis{2, 200} {
 			t.Run(fmt.Sprint(phase, " ", delay), func(t *testing.T) {
-				assert.DeepEqual(t, playSite(t, 1, func(st *site) { playCutBesideOutage(st, phase, delay) }), []string(nil))
+				assert.DeepEqual(t, playSite(t, 1, func(st *site) { playPartitionDuringOutage(st, phase, delay) }), []string(nil))
 			})
 		}
 	}
 }
 
-func playCutBesideOutage(st *site, phase time.Duration, delay clock.Millis) {
+func playPartitionDuringOutage(st *site, phase time.Duration, delay clock.Millis) {
 	// Servers renew at 4.8 and 9.6 s.
 	time.Sleep(500 * time.Millisecond)
 	st.setStore(refused)
 	time.Sleep(3 * time.Second)
-	st.setStore(reached)
+	st.setStore(reachable)
 	time.Sleep(800 * time.Millisecond)
 	st.setVM(4, cut)
 	time.Sleep(1500 * time.Millisecond)
@@ -511,35 +511,35 @@
 	st.mu.Lock()
 	st.delay = delay
 	st.mu.Unlock()
-	st.setVM(1, reached)
-	st.setVM(4, reached)
+	st.setVM(1, reachable)
+	st.setVM(4, reachable)
 }
 
-// explored is how many drawn sites are played.
-const explored = 600
+// randomSites is how many drawn sites are played.
+const randomSites = 600
 
 // Drawn troubles of VMs and of the store beside servers that leave.
-func TestServersThatLeaveBesideDrawnTroubles(t *testing.T) {
-	for seed := range uint64(explored) {
-		faults := playSite(t, seed, func(st *site) { playDrawn(st, rand.New(rand.NewPCG(seed, 2))) })
+func TestServersLeaveUnderRandomFaults(t *testing.T) {
+	for seed := range uint64(randomSites) {
+		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 		assert.Assert(t, len(faults) == 0, "seed %d: %v", seed, faults)
 	}
 }
 
 // Drawn sites in which several VMs are in trouble beside two outages, and the grace
 // period is too short (4188) or ends after VMs are in touch again.
-func TestGracePeriodBesideSeriesOfTroubles(t *testing.T) {
+func TestGracePeriodUnderRepeatedFaults(t *testing.T) {
 	for _, seed := range []uint64{2205, 4188, 5320} {
-		faults := playSite(t, seed, func(st *site) { playDrawn(st, rand.New(rand.NewPCG(seed, 2))) })
+		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 		assert.Check(t, len(faults) == 0, "seed %d: %v", seed, faults)
 	}
 }
 
 // Further drawn sites that failed: VMs that asked nothing, or heard of an outage or
 // of none before they had read on, and backoffs left from an earlier outage (1985).
-func TestDrawnSitesThatFailed(t *testing.T) {
+func TestRandomFaultRegressions(t *testing.T) {
 	for _, seed := range []uint64{762, 1985, 6173, 7674, 10338, 13903, 14980} {
-		faults := playSite(t, seed, func(st *site) { playDrawn(st, rand.New(rand.NewPCG(seed, 2))) })
+		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 		assert.Check(t, len(faults) == 0, "seed %d: %v", seed, faults)
 	}
 }
@@ -548,11 +548,11 @@
 // that was cut off then keeps a server that left too long.
 func TestFirstAnswerAfterHungCalls(t *testing.T) {
 	const seed = 7244
-	faults := playSite(t, seed, func(st *site) { playDrawn(st, rand.New(rand.NewPCG(seed, 2))) })
+	faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 	assert.Check(t, len(faults) == 0, "seed %d: %v", seed, faults)
 }
 
-func playDrawn(st *site, rnd *rand.Rand) {
+func playRandomFaults(st *site, rnd *rand.Rand) {
 	st.mu.Lock()
 	if rnd.IntN(3) == 0 {
 		st.loss, st.delay = 0.1, 200
@@ -562,23 +562,23 @@
 		switch draw := rnd.IntN(10); {
 		case draw < 5:
 			ix := rnd.IntN(len(st.vms))
-			st.setVM(ix, trouble(rnd.IntN(4)))
+			st.setVM(ix, linkFault(rnd.IntN(4)))
 		case draw < 6:
-			st.setStore(trouble(rnd.IntN(3)))
+			st.setStore(linkFault(rnd.IntN(3)))
 		case draw < 8:
 			for ix := range st.vms {
 				if rnd.IntN(2) == 0 {
-					st.setVM(ix, reached)
+					st.setVM(ix, reachable)
 				}
 			}
-			st.setStore(reached)
+			st.setStore(reachable)
 		case draw < 9 && step > 2:
 			st.leave("leaves", rnd.IntN(2) == 0)
 		}
 		time.Sleep(time.Duration(100+rnd.IntN(2400)) * time.Millisecond)
 	}
-	st.setStore(reached)
+	st.setStore(reachable)
 	for ix := range st.vms {
-		st.setVM(ix, reached)
+		st.setVM(ix, reachable)
 	}
 }
--- a/internal/topic/position_test.go
+++ b/internal/topic/position_test.go
@@ -27,21 +27,21 @@
 	}
 }
 
-// drillStore is a store that comes back from older copies.
-type drillStore struct {
+// restoringStore is a store that comes back from older copies.
+type restoringStore struct {
 	mu   sync.Mutex
 	era  uint64
 	recs []topic.Record // offsets of this era
 }
 
-func (ds *drillStore) put(key, value string) {
+func (ds *restoringStore) put(key, value string) {
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
 	ds.recs = append(ds.recs, topic.Record{Key: key, Value: []byte(value)})
 }
 
-// drill loses the newest records.
-func (ds *drillStore) drill(lost int) {
+// restoreOlder loses the newest records.
+func (ds *restoringStore) restoreOlder(lost int) {
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
 	ds.era++
@@ -49,7 +49,7 @@
 }
 
 // from lists the records from an offset on, with their positions. The lock is held.
-func (ds *drillStore) from(offset uint64) (out []topic.Record, next uint64) {
+func (ds *restoringStore) from(offset uint64) (out []topic.Record, next uint64) {
 	for ix := offset; ix < uint64(len(ds.recs)); ix++ {
 		rec := ds.recs[ix]
 		rec.Offset = topic.Position(ds.era, ix)
@@ -58,18 +58,18 @@
 	return out, topic.Position(ds.era, uint64(len(ds.recs)))
 }
 
-func (ds *drillStore) Newest(context.Context, string) ([]topic.Record, uint64, error) {
+func (ds *restoringStore) Newest(context.Context, string) ([]topic.Record, uint64, error) {
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
 	recs, next := ds.from(0)
 	return recs, next, nil
 }
 
-func (ds *drillStore) Read(_ context.Context, _ string, from uint64, _ clock.Millis) ([]topic.Record, uint64, error) {
+func (ds *restoringStore) Read(_ context.Context, _ string, from uint64, _ clock.Millis) ([]topic.Record, uint64, error) {
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
 	if topic.EraOf(from) != ds.era {
-		return nil, 0, topic.ErrOlderCopy
+		return nil, 0, topic.ErrStoreRestored
 	}
 	recs, next := ds.from(topic.OffsetOf(from))
 	return recs, next, nil
@@ -77,11 +77,11 @@
 
 // Whatever the store loses, and however often, a follower and one that hears its news
 // know all that the store has then, and nothing comes to them out of order.
-func TestFollowersOfAStoreThatComesBack(t *testing.T) {
+func TestFollowersAcrossStoreRestores(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 9))
-			ds := &drillStore{}
+			ds := &restoringStore{}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			var mu sync.Mutex
@@ -96,11 +96,11 @@
 					last[ix] = rec.Offset
 					known[ix][rec.Key] = string(rec.Value)
 				}
-				fos[ix] = &topic.Follower{Source: ds, Name: "t", Pause: 50, Clock: bubbleClock{time.Now()}, Standby: 200, Patience: 400,
-					Rank: func() int { return ix * topic.InLine }, OnSnapshot: topic.Each(take), OnChange: take, OnOlderCopy: func() { returned[ix]++ }}
+				fos[ix] = &topic.Follower{Source: ds, Name: "t", Pause: 50, Clock: bubbleClock{time.Now()}, StandbyAfter: 200, SelfReadAfter: 400,
+					Rank: func() int { return ix * topic.MaxReaders }, OnSnapshot: topic.ApplyEach(take), OnChange: take, OnStoreRestored: func() { returned[ix]++ }}
 			}
-			fos[0].Tell = fos[1].Hear
-			fos[1].Tell = func(topic.News) {}
+			fos[0].Broadcast = fos[1].Receive
+			fos[1].Broadcast = func(topic.Update) {}
 			ds.put("first", "0")
 			for _, fo := range fos {
 				go fo.Run(ctx)
@@ -108,7 +108,7 @@
 			drills := 0
 			for step := range 60 {
 				if rnd.IntN(8) == 0 {
-					ds.drill(rnd.IntN(6))
+					ds.restoreOlder(rnd.IntN(6))
 					drills++
 				}
 				ds.put(fmt.Sprint("k", rnd.IntN(5)), fmt.Sprint(step))
