--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -31,8 +31,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// endBytes is the size of a token's end in memory.
-const endBytes = 8
+// tokenEndBytes is the size of a token's end in memory.
+const tokenEndBytes = 8
 
 // Kinds of events.
 const (
@@ -63,14 +63,14 @@
 	// Tokens lie one behind the other in text, and are not kept as events:
 	// an event takes some hundred bytes beside the few that it carries.
 	Stream struct {
-		mu       sync.Mutex
-		text     []byte // grows only; what was written is never changed
-		ends     []int  // of each token in text
-		last     Event  // the final event
-		final    bool
-		watchers int
-		changed  chan struct{} // closed and replaced at every change
-		moved    func(watchers int)
+		mu         sync.Mutex
+		text       []byte // grows only; what was written is never changed
+		ends       []int  // of each token in text
+		last       Event  // the final event
+		final      bool
+		watchers   int
+		changed    chan struct{} // closed and replaced at every change
+		onWatchers func(watchers int)
 	}
 
 	// Reader follows a stream.
@@ -86,14 +86,14 @@
 		Kind Kind
 	}
 
-	// OtherError tells that an event is of another answer than the stream's.
-	OtherError struct {
+	// OtherAnswerError tells that an event is of another answer than the stream's.
+	OtherAnswerError struct {
 		ID int // of the event
 	}
 )
 
 // Error says where the answers differ.
-func (oe OtherError) Error() string {
+func (oe OtherAnswerError) Error() string {
 	return fmt.Sprintf("event %d is of another answer", oe.ID)
 }
 
@@ -110,7 +110,7 @@
 
 // OnWatchers sets a function that is called, without locks held, whenever
 // the number of attached readers changed. Set it before the stream is shared.
-func (st *Stream) OnWatchers(fn func(watchers int)) { st.moved = fn }
+func (st *Stream) OnWatchers(fn func(watchers int)) { st.onWatchers = fn }
 
 // Token adds a piece of the answer.
 func (st *Stream) Token(data []byte) error { return st.add(Event{Kind: Token, Data: data}) }
@@ -140,19 +140,19 @@
 	return st.add(ev)
 }
 
-// Join takes an event from one who tells the answer from its start. An event
+// AddOrVerify takes an event from one who tells the answer from its start. An event
 // that the stream has already must be the same, else the error is an
-// OtherError; the next one is added.
-func (st *Stream) Join(ev Event) error {
+// OtherAnswerError; the next one is added.
+func (st *Stream) AddOrVerify(ev Event) error {
 	if ev.ID < 0 {
 		return st.Add(ev)
 	}
-	had, ok, _ := st.at(ev.ID)
+	had, ok, _ := st.eventAt(ev.ID)
 	if !ok {
 		return st.Add(ev)
 	}
 	if had.Kind != ev.Kind || !bytes.Equal(had.Data, ev.Data) {
-		return OtherError{ID: ev.ID}
+		return OtherAnswerError{ID: ev.ID}
 	}
 	return nil
 }
@@ -171,7 +171,7 @@
 		st.text = append(st.text, ev.Data...)
 		st.ends = append(st.ends, len(st.text))
 	}
-	st.wake()
+	st.notify()
 	return nil
 }
 
@@ -192,7 +192,7 @@
 	return st.text[begin:st.ends[ix]:st.ends[ix]]
 }
 
-func (st *Stream) wake() {
+func (st *Stream) notify() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
@@ -229,34 +229,34 @@
 func (st *Stream) Size() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return cap(st.text) + cap(st.ends)*endBytes + len(st.last.Data)
+	return cap(st.text) + cap(st.ends)*tokenEndBytes + len(st.last.Data)
 }
 
 // Attach starts to follow the stream at the event with the given ID. Every
 // reader must be detached.
 func (st *Stream) Attach(from int) *Reader {
-	st.watch(1)
+	st.addWatchers(1)
 	return &Reader{st: st, next: from}
 }
 
-func (st *Stream) watch(by int) {
+func (st *Stream) addWatchers(by int) {
 	st.mu.Lock()
 	st.watchers += by
 	now := st.watchers
 	st.mu.Unlock()
-	if st.moved != nil {
-		st.moved(now)
+	if st.onWatchers != nil {
+		st.onWatchers(now)
 	}
 }
 
 // Detach ends the reader. More than one call does no harm.
-func (rd *Reader) Detach() { rd.once.Do(func() { rd.st.watch(-1) }) }
+func (rd *Reader) Detach() { rd.once.Do(func() { rd.st.addWatchers(-1) }) }
 
 // Next waits for the next event. It returns the context's error if that ends
 // first, and ErrPastEnd if the answer has ended without such an event.
 func (rd *Reader) Next(ctx context.Context) (Event, error) {
 	for {
-		ev, ok, changed := rd.st.at(rd.next)
+		ev, ok, changed := rd.st.eventAt(rd.next)
 		if ok {
 			rd.next++
 			return ev, nil
@@ -272,7 +272,7 @@
 	}
 }
 
-func (st *Stream) at(ix int) (Event, bool, <-chan struct{}) {
+func (st *Stream) eventAt(ix int) (Event, bool, <-chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	switch {
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -88,23 +88,23 @@
 	assert.Assert(t, st.Size() < 5<<10, "%d bytes", st.Size())
 }
 
-func TestJoinTakesOnlyEventsOfTheAnswer(t *testing.T) {
+func TestAddOrVerifyTakesOnlyEventsOfTheAnswer(t *testing.T) {
 	st := NewStream()
 	assert.NilError(t, st.Token([]byte("a")))
 	assert.NilError(t, st.Token([]byte("b")))
-	assert.NilError(t, st.Join(Event{ID: 0, Kind: Token, Data: []byte("a")}))
-	assert.ErrorType(t, st.Join(Event{ID: 1, Kind: Token, Data: []byte("x")}), OtherError{})
-	assert.ErrorType(t, st.Join(Event{ID: 1, Kind: End}), OtherError{})
-	assert.ErrorContains(t, st.Join(Event{ID: 3, Kind: Token}), "where 2 was due")
-	assert.ErrorContains(t, st.Join(Event{ID: -1, Kind: Token}), "where 2 was due")
-	assert.NilError(t, st.Join(Event{ID: 2, Kind: Token, Data: []byte("c")}))
-	assert.NilError(t, st.Join(Event{ID: 3, Kind: End}))
+	assert.NilError(t, st.AddOrVerify(Event{ID: 0, Kind: Token, Data: []byte("a")}))
+	assert.ErrorType(t, st.AddOrVerify(Event{ID: 1, Kind: Token, Data: []byte("x")}), OtherAnswerError{})
+	assert.ErrorType(t, st.AddOrVerify(Event{ID: 1, Kind: End}), OtherAnswerError{})
+	assert.ErrorContains(t, st.AddOrVerify(Event{ID: 3, Kind: Token}), "where 2 was due")
+	assert.ErrorContains(t, st.AddOrVerify(Event{ID: -1, Kind: Token}), "where 2 was due")
+	assert.NilError(t, st.AddOrVerify(Event{ID: 2, Kind: Token, Data: []byte("c")}))
+	assert.NilError(t, st.AddOrVerify(Event{ID: 3, Kind: End}))
 	assert.DeepEqual(t, st.Tokens(), []string{"a", "b", "c"})
 }
 
 // A reader that asked for an event behind the end of an answer waited for as
 // long as its context lasted, because nothing wakes it any more.
-func TestReaderBehindTheEndIsTold(t *testing.T) {
+func TestReaderPastTheEndGetsAnError(t *testing.T) {
 	st := NewStream()
 	rd := st.Attach(2)
 	defer rd.Detach()
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	hc := backend.NewHTTP(backend.Limits{})
-//	rsp, err := backend.Send(ctx, hc, backend.Call{Server: "e1", Name: "Prefill", Request: req, Once: true})
+//	rsp, err := backend.Send(ctx, hc, backend.Call{Server: "e1", Name: "Prefill", Request: req, FreshConnection: true})
 //	if backend.NotRun(err) { ... }
 package backend
 
@@ -34,9 +34,9 @@
 // Limits that hold where a field of Limits is zero.
 const (
 	DefaultConnections = 256
-	DefaultDialWait    = 2 * clock.Second
+	DefaultDialTimeout = 2 * clock.Second
 	idleConnections    = 4
-	idleWait           = 30 * clock.Second
+	idleTimeout        = 30 * clock.Second
 	headerBytes        = 64 << 10
 )
 
@@ -46,7 +46,7 @@
 	ErrTooLarge = errors.New("response is larger than its bound")
 	// ErrBadCall tells that a call can't be sent as it is written.
 	ErrBadCall = errors.New("call can't be sent as it is written")
-	// ErrWithheld tells that May of a call said no.
+	// ErrWithheld tells that Allowed of a call said no.
 	ErrWithheld = errors.New("call may not be sent any more")
 	// ErrBadAnswer tells that what came back can't be read.
 	ErrBadAnswer = errors.New("answer can't be read")
@@ -56,7 +56,7 @@
 	// Limits bounds what the calls of one client may use.
 	Limits struct {
 		Connections int          // to one backend server at a time, for each kind of call
-		DialWait    clock.Millis // until a connection stands
+		DialTimeout clock.Millis // until a connection stands
 		// Dial replaces the dialer of TCP connections, such as in a test
 		// with connections in memory.
 		Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -67,13 +67,13 @@
 		Server  string // ID for errors
 		Name    string // for errors
 		Request *http.Request
-		// Once asks for a connection of its own. It is set on every call
+		// FreshConnection asks for a connection of its own. It is set on every call
 		// that has an effect.
-		Once bool
-		// May is asked as the last thing before the first byte is written,
+		FreshConnection bool
+		// Allowed is asked as the last thing before the first byte is written,
 		// when the connection stands. If it says no, the call ends in a
 		// NotSentError that unwraps to ErrWithheld. Nil always says yes.
-		May func() bool
+		Allowed func() bool
 		// Incarnations takes note of the server's; nil does not.
 		Incarnations *Incarnations
 	}
@@ -85,13 +85,13 @@
 		hc   *http.Client
 	}
 
-	onceKey struct{}
+	freshConnectionKey struct{}
 
 	// transport sends calls with an effect on fresh connections and all
 	// others on kept ones.
 	transport struct {
-		once *http.Transport
-		kept *http.Transport
+		fresh *http.Transport
+		kept  *http.Transport
 	}
 
 	// gatedConn counts the writes of a connection and can be sealed against
@@ -103,19 +103,19 @@
 		sealed bool
 	}
 
-	// carrier remembers the connections that a call was given.
-	carrier struct {
+	// connTracker remembers the connections that a call was given.
+	connTracker struct {
 		mu     sync.Mutex
 		marks  map[*gatedConn]uint64 // writes before the call
 		opaque bool                  // a connection that can't be asked
 
-		may      func() bool // nil: always
+		allowed  func() bool // nil: always
 		withheld bool
 	}
 
-	// singleBody hides everything of a body but its reading, so that
+	// oneShotBody hides everything of a body but its reading, so that
 	// net/http can't rewind it.
-	singleBody struct{ io.Reader }
+	oneShotBody struct{ io.Reader }
 )
 
 // NewHTTP makes a client for [Send]. It uses no proxy, follows no redirect
@@ -124,21 +124,21 @@
 	if lm.Connections == 0 {
 		lm.Connections = DefaultConnections
 	}
-	if lm.DialWait == 0 {
-		lm.DialWait = DefaultDialWait
+	if lm.DialTimeout == 0 {
+		lm.DialTimeout = DefaultDialTimeout
 	}
 	if lm.Dial == nil {
-		lm.Dial = (&net.Dialer{Timeout: lm.DialWait.Std(), KeepAlive: 15 * time.Second}).DialContext
+		lm.Dial = (&net.Dialer{Timeout: lm.DialTimeout.Std(), KeepAlive: 15 * time.Second}).DialContext
 	}
 	return &http.Client{
-		Transport:     transport{once: lm.transport(true), kept: lm.transport(false)},
+		Transport:     transport{fresh: lm.transport(true), kept: lm.transport(false)},
 		CheckRedirect: noRedirect,
 	}
 }
 
-// Or returns the client that was given with the first call, or one with the
+// Client returns the client that was given with the first call, or one with the
 // default limits in place of nil. It always returns the same one.
-func (ht *HTTP) Or(given *http.Client) *http.Client {
+func (ht *HTTP) Client(given *http.Client) *http.Client {
 	ht.once.Do(func() {
 		ht.hc = given
 		if ht.hc == nil {
@@ -161,22 +161,22 @@
 		DisableCompression:     true,
 		MaxConnsPerHost:        lm.Connections,
 		MaxIdleConnsPerHost:    idleConnections,
-		IdleConnTimeout:        idleWait.Std(),
+		IdleConnTimeout:        idleTimeout.Std(),
 		MaxResponseHeaderBytes: headerBytes,
 	}
 }
 
 // RoundTrip implements [http.RoundTripper].
 func (tr transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if req.Context().Value(onceKey{}) != nil {
-		return tr.once.RoundTrip(req)
+	if req.Context().Value(freshConnectionKey{}) != nil {
+		return tr.fresh.RoundTrip(req)
 	}
 	return tr.kept.RoundTrip(req)
 }
 
 // CloseIdleConnections closes connections that carry no call.
 func (tr transport) CloseIdleConnections() {
-	tr.once.CloseIdleConnections()
+	tr.fresh.CloseIdleConnections()
 	tr.kept.CloseIdleConnections()
 }
 
@@ -212,7 +212,7 @@
 	return true
 }
 
-func (cr *carrier) got(info httptrace.GotConnInfo) {
+func (cr *connTracker) gotConn(info httptrace.GotConnInfo) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	gc, ok := info.Conn.(*gatedConn)
@@ -221,7 +221,7 @@
 	} else if _, seen := cr.marks[gc]; !seen {
 		cr.marks[gc] = gc.mark()
 	}
-	if cr.may == nil || cr.may() {
+	if cr.allowed == nil || cr.allowed() {
 		return
 	}
 	cr.withheld = true
@@ -232,19 +232,19 @@
 	_ = info.Conn.Close() // so that nothing can be written to it
 }
 
-// cause is why a call that was not sent failed.
-func (cr *carrier) cause(err error) error {
+// notSentCause is why a call that was not sent failed.
+func (cr *connTracker) notSentCause(err error) error {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.withheld {
 		return ErrWithheld
 	}
-	return bare(err, ErrBadCall)
+	return redact(err, ErrBadCall)
 }
 
-// untouched seals every connection of the call and tells whether none of
+// sealUnwritten seals every connection of the call and tells whether none of
 // them was ever written to for it.
-func (cr *carrier) untouched() bool {
+func (cr *connTracker) sealUnwritten() bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.opaque {
@@ -263,21 +263,21 @@
 //
 // Errors are NotSentError, DeclinedError and InDoubtError.
 func Send(ctx context.Context, hc *http.Client, cl Call) (*http.Response, error) {
-	cr := &carrier{marks: map[*gatedConn]uint64{}, may: cl.May}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: cr.got})
-	if cl.Once {
-		ctx = context.WithValue(ctx, onceKey{}, true)
+	cr := &connTracker{marks: map[*gatedConn]uint64{}, allowed: cl.Allowed}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: cr.gotConn})
+	if cl.FreshConnection {
+		ctx = context.WithValue(ctx, freshConnectionKey{}, true)
 	}
 	own := *hc
 	own.CheckRedirect = noRedirect
-	rsp, err := own.Do(single(cl.Request.WithContext(ctx)))
+	rsp, err := own.Do(withoutReplay(cl.Request.WithContext(ctx)))
 	if err != nil {
-		if cr.untouched() {
-			return nil, NotSentError{Server: cl.Server, Call: cl.Name, Err: cr.cause(err)}
+		if cr.sealUnwritten() {
+			return nil, NotSentError{Server: cl.Server, Call: cl.Name, Err: cr.notSentCause(err)}
 		}
-		return nil, InDoubtError{Server: cl.Server, Call: cl.Name, Err: bare(err, ErrBadAnswer)}
+		return nil, InDoubtError{Server: cl.Server, Call: cl.Name, Err: redact(err, ErrBadAnswer)}
 	}
-	cl.Incarnations.note(cl.Server, rsp.Header)
+	cl.Incarnations.record(cl.Server, rsp.Header)
 	if err := DeclinedBy(cl.Server, cl.Name, rsp); err != nil {
 		_ = rsp.Body.Close() // the headers say all
 		return nil, err
@@ -298,23 +298,23 @@
 }
 
 // Close implements [io.Closer].
-func (singleBody) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
 
-// single makes net/http unable to send the request a second time: it repeats
+// withoutReplay makes net/http unable to send the request a second time: it repeats
 // only requests without a body, or with one that it can rewind.
-func single(req *http.Request) *http.Request {
+func withoutReplay(req *http.Request) *http.Request {
 	req.GetBody = nil
 	if req.Body == nil || req.Body == http.NoBody {
-		req.Body = singleBody{http.NoBody}
+		req.Body = oneShotBody{http.NoBody}
 		req.ContentLength = 0
 	}
 	return req
 }
 
-// bare drops everything of an error that could quote the request's path or
+// redact drops everything of an error that could quote the request's path or
 // the answer, which must not be logged. What is left of an error that it does
 // not know is the fallback.
-func bare(err, fallback error) error {
+func redact(err, fallback error) error {
 	if ue, ok := errors.AsType[*url.Error](err); ok {
 		err = ue.Err
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -102,7 +102,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			rsp, err := Send(t.Context(), NewHTTP(Limits{}), Call{Server: "e1", Name: "Prefill", Request: post(t, tc.server(t)), Once: true})
+			rsp, err := Send(t.Context(), NewHTTP(Limits{}), Call{Server: "e1", Name: "Prefill", Request: post(t, tc.server(t)), FreshConnection: true})
 			if err == nil {
 				assert.NilError(t, rsp.Body.Close())
 			}
@@ -126,7 +126,7 @@
 	addr := rawServer(t, func(_ int, cn net.Conn) {
 		_, _ = readRequest(cn)
 	})
-	_, err := Send(ended, NewHTTP(Limits{}), Call{Request: post(t, addr), Once: true})
+	_, err := Send(ended, NewHTTP(Limits{}), Call{Request: post(t, addr), FreshConnection: true})
 	assert.Assert(t, NotRun(err), "%v", err)
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -135,7 +135,7 @@
 		cancel()
 		_, _ = cn.Read(make([]byte, 1)) // until the client hangs up
 	})
-	_, err = Send(ctx, NewHTTP(Limits{}), Call{Request: post(t, slow), Once: true})
+	_, err = Send(ctx, NewHTTP(Limits{}), Call{Request: post(t, slow), FreshConnection: true})
 	oc, _ := OutcomeOf(err)
 	assert.Equal(t, oc, InDoubt, "%v", err)
 	assert.ErrorIs(t, err, context.Canceled)
@@ -150,7 +150,7 @@
 	})
 	req := post(t, addr)
 	req.ContentLength-- // net/http notices before it flushes
-	_, err := Send(t.Context(), NewHTTP(Limits{}), Call{Request: req, Once: true})
+	_, err := Send(t.Context(), NewHTTP(Limits{}), Call{Request: req, FreshConnection: true})
 	oc, _ := OutcomeOf(err)
 	assert.Equal(t, oc, NotSent, "%v", err)
 	assert.Equal(t, <-got, int64(0))
@@ -170,10 +170,10 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-// cutSecond answers the first request of its first connection and cuts that
+// cutSecondRequest answers the first request of its first connection and cuts that
 // connection on the second, which is what makes net/http repeat requests. It
 // answers everything on later connections.
-func cutSecond(t *testing.T, orders *atomic.Int64) string {
+func cutSecondRequest(t *testing.T, orders *atomic.Int64) string {
 	t.Helper()
 	return rawServer(t, func(num int, cn net.Conn) {
 		for nth := 1; ; nth++ {
@@ -197,7 +197,7 @@
 		for _, body := range []string{"", "x"} {
 			t.Run(fmt.Sprintf("%s with %d bytes", method, len(body)), func(t *testing.T) {
 				var orders atomic.Int64
-				addr := cutSecond(t, &orders)
+				addr := cutSecondRequest(t, &orders)
 				hc := &http.Client{Transport: &http.Transport{}} // keeps connections
 				defer hc.CloseIdleConnections()
 				warm(t, hc, addr)
@@ -215,17 +215,17 @@
 
 // A connection of its own keeps a call out of the doubt that a kept one can
 // leave it in.
-func TestOnceIsNotLeftInDoubt(t *testing.T) {
+func TestFreshConnectionIsNotLeftInDoubt(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		var orders atomic.Int64
 		hc := NewHTTP(Limits{})
 		defer hc.CloseIdleConnections()
-		addr := cutSecond(t, &orders)
+		addr := cutSecondRequest(t, &orders)
 		warm(t, hc, addr)
 		if once {
 			hc.CloseIdleConnections() // the raw server takes one connection at a time
 		}
-		rsp, err := Send(t.Context(), hc, Call{Request: post(t, addr), Once: once})
+		rsp, err := Send(t.Context(), hc, Call{Request: post(t, addr), FreshConnection: once})
 		oc, _ := OutcomeOf(err)
 		assert.Equal(t, oc == Done, once, "%v", err)
 		if err == nil {
@@ -238,7 +238,7 @@
 // shape, so that the test before it can fail.
 func TestServerProvokesRepetition(t *testing.T) {
 	var orders atomic.Int64
-	addr := cutSecond(t, &orders)
+	addr := cutSecondRequest(t, &orders)
 	hc := &http.Client{Transport: &http.Transport{}}
 	defer hc.CloseIdleConnections()
 	warm(t, hc, addr)
@@ -260,7 +260,7 @@
 	assert.NilError(t, rsp.Body.Close())
 }
 
-func TestOnceUsesFreshConnections(t *testing.T) {
+func TestFreshConnectionIsNotReused(t *testing.T) {
 	var conns atomic.Int64
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	srv.Config.ConnState = func(_ net.Conn, st http.ConnState) {
@@ -273,7 +273,7 @@
 	hc := NewHTTP(Limits{})
 	defer hc.CloseIdleConnections()
 	send := func(once bool) {
-		rsp, err := Send(t.Context(), hc, Call{Request: post(t, srv.Listener.Addr().String()), Once: once})
+		rsp, err := Send(t.Context(), hc, Call{Request: post(t, srv.Listener.Addr().String()), FreshConnection: once})
 		assert.NilError(t, err)
 		_, err = ReadAll(rsp.Body, 10)
 		assert.NilError(t, err)
@@ -307,7 +307,7 @@
 		if (status < 400 || said == "") != (err == nil) {
 			t.Fatalf("status %d, reason %q: %v", status, said, err)
 		}
-		if de, ok := errors.AsType[DeclinedError](err); ok && (de.RetryAfter < 0 || !reasons[de.Reason] && de.Reason != Other) {
+		if de, ok := errors.AsType[DeclinedError](err); ok && (de.RetryAfter < 0 || !knownReasons[de.Reason] && de.Reason != Other) {
 			t.Fatalf("untrusted text went through: %+v", de)
 		}
 	})
@@ -324,7 +324,7 @@
 			for b.Loop() {
 				req, err := http.NewRequest(http.MethodPost, srv.URL, strings.NewReader(secret))
 				assert.NilError(b, err)
-				rsp, err := Send(b.Context(), hc, Call{Request: req, Once: once})
+				rsp, err := Send(b.Context(), hc, Call{Request: req, FreshConnection: once})
 				assert.NilError(b, err)
 				_, err = ReadAll(rsp.Body, 10)
 				assert.NilError(b, err)
@@ -350,7 +350,7 @@
 	assert.Equal(t, asked.Load(), int64(0))
 }
 
-// A call whose May says no reaches no server, whatever the client is made of;
+// A call whose Allowed says no reaches no server, whatever the client is made of;
 // only connections of our own let it say so.
 func TestWithheldCallIsNotSent(t *testing.T) {
 	for _, tc := range []struct {
@@ -366,7 +366,7 @@
 					read <- got
 				}
 			})
-			_, err := Send(t.Context(), tc.hc, Call{Server: "e1", Name: "Order", Request: post(t, addr), Once: true, May: func() bool { return false }})
+			_, err := Send(t.Context(), tc.hc, Call{Server: "e1", Name: "Order", Request: post(t, addr), FreshConnection: true, Allowed: func() bool { return false }})
 			got, _ := OutcomeOf(err)
 			assert.Equal(t, got, tc.want)
 			assert.Equal(t, errors.Is(err, ErrWithheld), tc.want == NotSent)
@@ -377,7 +377,7 @@
 }
 
 // A rest that is garbled does not take a server out for good.
-func TestRestOf(t *testing.T) {
+func TestRetryAfterOf(t *testing.T) {
 	for _, tc := range []struct {
 		err    error
 		server string
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -15,42 +15,42 @@
 // knows none; its methods may be called at the same time.
 type Incarnations struct {
 	mu       sync.Mutex
-	byServer map[string]told
+	byServer map[string]reported
 }
 
-// told is what a server told.
-type told struct {
+// reported is what a server reported.
+type reported struct {
 	incarnation uint64 // the latest
 	times       uint64
 }
 
-// Of is the incarnation of a server; zero: it told none.
-func (in *Incarnations) Of(server string) uint64 {
+// Latest is the incarnation of a server; zero: it told none.
+func (in *Incarnations) Latest(server string) uint64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.byServer[server].incarnation
 }
 
-// Times is how often a server told its incarnation.
-func (in *Incarnations) Times(server string) uint64 {
+// Reports is how often a server told its incarnation.
+func (in *Incarnations) Reports(server string) uint64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.byServer[server].times
 }
 
-// Missing tells, once for each server, that nothing is known of it.
-func (in *Incarnations) Missing(server string) bool {
+// FirstMissing tells, once for each server, that nothing is known of it.
+func (in *Incarnations) FirstMissing(server string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if _, known := in.byServer[server]; known {
 		return false
 	}
-	in.set(server, told{})
+	in.set(server, reported{})
 	return true
 }
 
-// Keep forgets all servers but those that are listed.
-func (in *Incarnations) Keep(listed func(server string) bool) {
+// Retain forgets all servers but those that are listed.
+func (in *Incarnations) Retain(listed func(server string) bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for server := range in.byServer {
@@ -60,8 +60,8 @@
 	}
 }
 
-// note reads what a response tells. A late one of an earlier life changes nothing.
-func (in *Incarnations) note(server string, hd http.Header) {
+// record reads what a response tells. A late one of an earlier life changes nothing.
+func (in *Incarnations) record(server string, hd http.Header) {
 	incarnation, err := strconv.ParseUint(hd.Get(ServerIncarnationHeader), 10, 64)
 	if in == nil || err != nil || incarnation == 0 {
 		return
@@ -69,12 +69,12 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	was := in.byServer[server]
-	in.set(server, told{incarnation: max(incarnation, was.incarnation), times: was.times + 1})
+	in.set(server, reported{incarnation: max(incarnation, was.incarnation), times: was.times + 1})
 }
 
-func (in *Incarnations) set(server string, td told) {
+func (in *Incarnations) set(server string, td reported) {
 	if in.byServer == nil {
-		in.byServer = make(map[string]told)
+		in.byServer = make(map[string]reported)
 	}
 	in.byServer[server] = td
 }
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -21,8 +21,8 @@
 	}))
 	defer srv.Close()
 	in := &Incarnations{}
-	assert.Assert(t, in.Missing("e1"))
-	assert.Assert(t, !in.Missing("e1"), "told once")
+	assert.Assert(t, in.FirstMissing("e1"))
+	assert.Assert(t, !in.FirstMissing("e1"), "told once")
 	for _, tt := range []struct {
 		told, path string
 		want       uint64
@@ -39,14 +39,14 @@
 		told = tt.told
 		req, err := http.NewRequest(http.MethodGet, srv.URL+tt.path, http.NoBody)
 		assert.NilError(t, err)
-		rsp, err := Send(t.Context(), NewHTTP(Limits{}), Call{Server: "e1", Name: "Test", Request: req, Once: true, Incarnations: in})
+		rsp, err := Send(t.Context(), NewHTTP(Limits{}), Call{Server: "e1", Name: "Test", Request: req, FreshConnection: true, Incarnations: in})
 		if err == nil {
 			assert.NilError(t, rsp.Body.Close())
 		}
-		assert.Equal(t, in.Of("e1"), tt.want, "%q", tt.told)
+		assert.Equal(t, in.Latest("e1"), tt.want, "%q", tt.told)
 	}
-	assert.Assert(t, !in.Missing("e1"))
-	in.Keep(func(server string) bool { return server != "e1" })
-	assert.Equal(t, in.Of("e1"), uint64(0))
-	assert.Assert(t, in.Missing("e1"))
+	assert.Assert(t, !in.FirstMissing("e1"))
+	in.Retain(func(server string) bool { return server != "e1" })
+	assert.Equal(t, in.Latest("e1"), uint64(0))
+	assert.Assert(t, in.FirstMissing("e1"))
 }
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -53,7 +53,7 @@
 // take it out for good.
 const maxRetryAfter = 5 * clock.Minute
 
-var reasons = map[Reason]bool{
+var knownReasons = map[Reason]bool{
 	Full: true, Leaving: true, StaleFence: true, NoKV: true, TransferFailed: true,
 	Cancelled: true, WrongRole: true, Unknown: true, Unauthorized: true,
 	BadOrder: true, Refused: true, Duplicate: true,
@@ -172,7 +172,7 @@
 	if said == "" || rsp.StatusCode < http.StatusBadRequest {
 		return nil
 	}
-	if !reasons[said] {
+	if !knownReasons[said] {
 		said = Other
 	}
 	if said == Duplicate {
--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -16,7 +16,7 @@
 const (
 	rankNear = iota
 	rankFar
-	rankDoubted
+	rankSuspect
 )
 
 // addressesBody is the answer to a caller that asks which VMs to use.
@@ -50,7 +50,7 @@
 	case vm.Health == board.Alive:
 		return rankFar, true
 	case vm.Health == board.Suspect && quorate:
-		return rankDoubted, true
+		return rankSuspect, true
 	case vm.Health == board.Suspect, vm.Health == board.Dead && vm.Listed && !quorate:
 		return rankNear, true
 	default:
@@ -65,9 +65,9 @@
 		return
 	}
 	list, keepFor := srv.Runner.Addresses()
-	key := freshKey()
+	key := newKey()
 	body, err := json.Marshal(addressesBody{
-		Addresses: spread(list, key, srv.limits.Addresses), KeepFor: keepFor, Key: key,
+		Addresses: pickAddresses(list, key, srv.limits.Addresses), KeepFor: keepFor, Key: key,
 	})
 	if err != nil {
 		srv.refuse(wr, "", err)
@@ -79,11 +79,11 @@
 	srv.writeWhole(wr, http.StatusOK, body)
 }
 
-// spread picks up to most addresses for the caller with the given key. Within
-// a rank they are ordered by a hash, so that callers spread evenly, and the
+// pickAddresses picks up to most addresses for the caller with the given key. Within
+// a rank they are ordered by a hash, so that callers pickAddresses evenly, and the
 // failure domains take turns, so that one that is lost does not take all of
 // a caller's addresses.
-func spread(list []Address, key string, most int) []Address {
+func pickAddresses(list []Address, key string, most int) []Address {
 	type place struct {
 		addr Address
 		hash uint64
--- a/internal/caller/auth.go
+++ b/internal/caller/auth.go
@@ -11,7 +11,7 @@
 	"alderdyke/pkg/template"
 )
 
-const maxKey = 128 // bytes of a request key
+const maxKeyBytes = 128 // bytes of a request key
 
 // authenticate finds the customer that the API key speaks for. Only hashes of
 // keys are known here; they are compared in constant time.
@@ -31,7 +31,7 @@
 		return tpl, nil
 	}
 	srv.count("Unauthenticated")
-	if srv.unknown.Allow() {
+	if srv.unknownKeyEvents.Allow() {
 		srv.Logger.Log(event.CallerUnknown, event.F("Remote", remoteIP(req.RemoteAddr)))
 	}
 	return template.Template{}, refusal.Refusal{
@@ -43,7 +43,7 @@
 func requestKey(hd http.Header) (key string, given bool, err error) {
 	switch keys := hd.Values(headerKey); {
 	case len(keys) == 0:
-		return freshKey(), false, nil
+		return newKey(), false, nil
 	case len(keys) > 1:
 		return "", false, badRequest(headerKey + " is given more than once")
 	default:
@@ -51,11 +51,11 @@
 	}
 }
 
-// freshKey makes a key of 128 random bits or more.
-func freshKey() string { return rand.Text() }
+// newKey makes a key of 128 random bits or more.
+func newKey() string { return rand.Text() }
 
 func checkKey(key string) error {
-	if key == "" || len(key) > maxKey {
+	if key == "" || len(key) > maxKeyBytes {
 		return badRequest("a request key has 1 to 128 bytes")
 	}
 	for ix := range len(key) {
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -83,7 +83,7 @@
 	var cb chatBody
 	dec := json.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(&cb); err != nil {
-		return chatBody{}, badRequest("the body is not the JSON of a chat completion: " + jsonFault(err))
+		return chatBody{}, badRequest("the body is not the JSON of a chat completion: " + describeJSONError(err))
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		return chatBody{}, badRequest("the body goes on after its JSON object")
@@ -101,7 +101,7 @@
 		return badRequest(fmt.Sprintf("messages holds more than %d", maxMessages))
 	case cb.Choices != nil && *cb.Choices != 1:
 		return badRequest("n must be 1: every request has one answer")
-	case cb.tokens() != nil && *cb.tokens() <= 0:
+	case cb.requestedTokens() != nil && *cb.requestedTokens() <= 0:
 		return badRequest("max_tokens must be above 0")
 	}
 	for ix, msg := range cb.Messages {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (cb chatBody) tokens() *int {
+func (cb chatBody) requestedTokens() *int {
 	if cb.MaxCompletionTokens != nil {
 		return cb.MaxCompletionTokens
 	}
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	most := cls.MaxTokens
-	if asked := cb.tokens(); asked != nil && (most <= 0 || *asked < most) {
+	if asked := cb.requestedTokens(); asked != nil && (most <= 0 || *asked < most) {
 		most = *asked
 	}
 	if most <= 0 {
@@ -241,8 +241,8 @@
 	return sum.Sum(nil)
 }
 
-// jsonFault says what is wrong with a JSON text without quoting it.
-func jsonFault(err error) string {
+// describeJSONError says what is wrong with a JSON text without quoting it.
+func describeJSONError(err error) string {
 	var (
 		syn *json.SyntaxError
 		typ *json.UnmarshalTypeError
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -50,7 +50,7 @@
 		hd.Set(headerLastID, last)
 		hd.Set(headerDeadline, span)
 		if got, given, err := requestKey(hd); err == nil {
-			assert.Assert(t, given && got == key && len(key) > 0 && len(key) <= maxKey && strings.TrimSpace(key) == key)
+			assert.Assert(t, given && got == key && len(key) > 0 && len(key) <= maxKeyBytes && strings.TrimSpace(key) == key)
 		}
 		if id, err := lastEventID(hd); err == nil {
 			assert.Assert(t, id >= 0 || last == "")
@@ -91,8 +91,8 @@
 		}
 		cut = max(0, min(cut, len(data)))
 		dl := &delivery{}
-		got := dl.complete(data[:cut]) + dl.complete(data[cut:])
+		got := dl.completeText(data[:cut]) + dl.completeText(data[cut:])
 		assert.Equal(t, got, string(data))
-		assert.Equal(t, len(dl.held), 0)
+		assert.Equal(t, len(dl.partialChar), 0)
 	})
 }
--- a/internal/caller/handlers.go
+++ b/internal/caller/handlers.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// lost answers a request that no route takes.
-func (srv *Server) lost(wr http.ResponseWriter, _ *http.Request) {
+// notFound answers a request that no route takes.
+func (srv *Server) notFound(wr http.ResponseWriter, _ *http.Request) {
 	srv.refuse(wr, "", refusal.Refusal{
 		Ran: refusal.NotRun, Reason: refusal.UnknownService, Detail: "no such path or method",
 	})
@@ -52,12 +52,12 @@
 
 // serve lets a caller in, reads the request and runs it.
 func (srv *Server) serve(wr http.ResponseWriter, req *http.Request, parse parser) {
-	vs, err := srv.enter(req)
+	vs, err := srv.admit(req)
 	if err != nil {
 		srv.refuse(wr, "", err)
 		return
 	}
-	defer vs.leave()
+	defer vs.release()
 	body, err := vs.readBody(wr, req)
 	if err != nil {
 		srv.refuse(wr, "", err)
@@ -73,7 +73,7 @@
 
 // run starts a request, or finds the answer that its key has, and delivers it.
 func (srv *Server) run(wr http.ResponseWriter, req *http.Request, run Request, streamed bool) {
-	dl, err := srv.start(wr, req, &run)
+	dl, err := srv.prepare(wr, req, &run)
 	if err != nil {
 		srv.refuse(wr, run.Class.Name, err)
 		return
@@ -91,8 +91,8 @@
 	dl.deliver(st, streamed)
 }
 
-// start fills what the headers say into the request.
-func (srv *Server) start(wr http.ResponseWriter, req *http.Request, run *Request) (*delivery, error) {
+// prepare fills what the headers say into the request.
+func (srv *Server) prepare(wr http.ResponseWriter, req *http.Request, run *Request) (*delivery, error) {
 	after, err := lastEventID(req.Header)
 	if err != nil {
 		return nil, err
@@ -115,14 +115,14 @@
 	return srv.delivery(wr, req, run.Class.Name, run.Key, after), nil
 }
 
-// find serves an answer by its key, without the request.
-func (srv *Server) find(wr http.ResponseWriter, req *http.Request) {
-	vs, err := srv.enter(req)
+// findAnswer serves an answer by its key, without the request.
+func (srv *Server) findAnswer(wr http.ResponseWriter, req *http.Request) {
+	vs, err := srv.admit(req)
 	if err != nil {
 		srv.refuse(wr, "", err)
 		return
 	}
-	defer vs.leave()
+	defer vs.release()
 	key, err := url.PathUnescape(strings.TrimPrefix(req.URL.EscapedPath(), answersRoot))
 	if err != nil {
 		srv.refuse(wr, "", badRequest("the path is not escaped as it should be"))
@@ -163,7 +163,7 @@
 func (srv *Server) delivery(wr http.ResponseWriter, req *http.Request, class, key string, after int) *delivery {
 	return &delivery{
 		srv: srv, wr: wr, rc: http.NewResponseController(wr), ctx: req.Context(),
-		class: class, key: key, after: after,
+		class: class, key: key, lastSeen: after,
 	}
 }
 
--- a/internal/caller/limits.go
+++ b/internal/caller/limits.go
@@ -60,37 +60,37 @@
 	// pacedBody reads a body under a deadline that moves with every byte, so
 	// that a body slower than the least rate fails and a steady one never.
 	pacedBody struct {
-		src   io.Reader
-		vs    *visit
-		rc    *http.ResponseController
-		start time.Time
-		grace time.Duration
-		rate  int64
-		got   int64
+		src      io.Reader
+		vs       *visit
+		rc       *http.ResponseController
+		start    time.Time
+		grace    time.Duration
+		rate     int64
+		received int64
 	}
 )
 
 func (lm Limits) withDefaults() Limits {
-	orSet(&lm.MaxBody, 8<<20)
-	orSet(&lm.BodiesHeld, 64<<20)
-	orSet(&lm.HeaderBytes, 16<<10)
-	orSet(&lm.HeaderTimeout, 10*clock.Second)
-	orSet(&lm.BodyGrace, 10*clock.Second)
-	orSet(&lm.BodyRate, 1<<10)
-	orSet(&lm.IdleTimeout, clock.Minute)
-	orSet(&lm.WriteTimeout, 20*clock.Second)
-	orSet(&lm.HeaderWait, 15*clock.Second)
-	orSet(&lm.KeepAlive, 10*clock.Second)
-	orSet(&lm.Connections, 4096)
-	orSet(&lm.ConnectionsPerIP, 512)
-	orSet(&lm.StreamsPerCustomer, 1024)
-	orSet(&lm.Addresses, 4)
-	orSet(&lm.ListLag, 5*clock.Second)
-	orSet(&lm.StopWait, 15*clock.Minute)
+	setDefault(&lm.MaxBody, 8<<20)
+	setDefault(&lm.BodiesHeld, 64<<20)
+	setDefault(&lm.HeaderBytes, 16<<10)
+	setDefault(&lm.HeaderTimeout, 10*clock.Second)
+	setDefault(&lm.BodyGrace, 10*clock.Second)
+	setDefault(&lm.BodyRate, 1<<10)
+	setDefault(&lm.IdleTimeout, clock.Minute)
+	setDefault(&lm.WriteTimeout, 20*clock.Second)
+	setDefault(&lm.HeaderWait, 15*clock.Second)
+	setDefault(&lm.KeepAlive, 10*clock.Second)
+	setDefault(&lm.Connections, 4096)
+	setDefault(&lm.ConnectionsPerIP, 512)
+	setDefault(&lm.StreamsPerCustomer, 1024)
+	setDefault(&lm.Addresses, 4)
+	setDefault(&lm.ListLag, 5*clock.Second)
+	setDefault(&lm.StopWait, 15*clock.Minute)
 	return lm
 }
 
-func orSet[Number ~int | ~int64](field *Number, preset Number) {
+func setDefault[Number ~int | ~int64](field *Number, preset Number) {
 	if *field <= 0 {
 		*field = preset
 	}
@@ -129,7 +129,7 @@
 		return nil, tooLarge(lm.MaxBody)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		vs.srv.count("SlowBodies")
-		return nil, slowBodyError{least: lm.BodyRate}
+		return nil, slowBodyError{minRate: lm.BodyRate}
 	default:
 		return nil, badRequest("the body broke off")
 	}
@@ -137,13 +137,13 @@
 
 // Read fails with os.ErrDeadlineExceeded once the body is behind its rate.
 func (pb *pacedBody) Read(buf []byte) (int, error) {
-	earned := time.Duration(float64(pb.got) / float64(pb.rate) * float64(time.Second))
+	earned := time.Duration(float64(pb.received) / float64(pb.rate) * float64(time.Second))
 	if err := pb.rc.SetReadDeadline(pb.start.Add(pb.grace + earned)); err != nil {
 		return 0, fmt.Errorf("set the deadline of a body: %w", err)
 	}
 	got, err := pb.src.Read(buf)
-	pb.got += int64(got)
-	if herr := pb.vs.hold(int64(got)); herr != nil {
+	pb.received += int64(got)
+	if herr := pb.vs.countBody(int64(got)); herr != nil {
 		return got, herr
 	}
 	return got, err
@@ -151,12 +151,12 @@
 
 // slowBodyError tells that a body came below the least rate.
 type slowBodyError struct {
-	least int64 // bytes a second
+	minRate int64 // bytes a second
 }
 
 // Error says which rate was missed.
 func (se slowBodyError) Error() string {
-	return fmt.Sprintf("body slower than %d bytes a second", se.least)
+	return fmt.Sprintf("body slower than %d bytes a second", se.minRate)
 }
 
 // Unwrap returns the refusal that the caller is told.
--- a/internal/caller/limits_test.go
+++ b/internal/caller/limits_test.go
@@ -59,7 +59,7 @@
 	assert.NilError(t, rg.rn.streams["first"].Whole(data))
 	assert.Equal(t, <-got, "done")
 	rg.halt(t)
-	assert.Equal(t, rg.bodies.Load(), int64(0))
+	assert.Equal(t, rg.bodyBytes.Load(), int64(0))
 	assert.Equal(t, rg.openStreams(), 0)
 }
 
@@ -93,7 +93,7 @@
 			assert.Assert(t, strings.HasPrefix(string(data), tc.want), "%q", data)
 		})
 	}
-	assert.Equal(t, rg.counted("SlowBodies", ""), int64(1))
+	assert.Equal(t, rg.counterSum("SlowBodies", ""), int64(1))
 }
 
 func TestConnectionsAreLimited(t *testing.T) {
@@ -103,17 +103,17 @@
 	assert.NilError(t, err)
 	data, err := io.ReadAll(dialRaw(t, rg, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx"))
 	assert.NilError(t, err)
-	assert.Assert(t, strings.HasSuffix(string(data), turnedAwayBody))
-	assert.Equal(t, rg.counted("ConnectionsTurnedAway", ""), int64(1))
+	assert.Assert(t, strings.HasSuffix(string(data), rejectionBody))
+	assert.Equal(t, rg.counterSum("ConnectionsTurnedAway", ""), int64(1))
 	var body errorBody
-	assert.NilError(t, json.Unmarshal([]byte(turnedAwayBody), &body))
+	assert.NilError(t, json.Unmarshal([]byte(rejectionBody), &body))
 	assert.Equal(t, body.Error.Reason, refusal.TooManyConnections)
 
-	ln := &listener{most: 2, mostPerIP: 2}
+	ln := &listener{maxOpen: 2, maxPerIP: 2}
 	one, two := addrOf(held), netip.Addr{}
-	assert.Assert(t, ln.take(one) && ln.take(two) && !ln.take(one))
-	ln.free(two)
-	assert.Assert(t, ln.take(one) && !ln.take(two))
+	assert.Assert(t, ln.acquire(one) && ln.acquire(two) && !ln.acquire(one))
+	ln.release(two)
+	assert.Assert(t, ln.acquire(one) && !ln.acquire(two))
 }
 
 // halfPipe is a pipe end that passes for a connection with two directions.
@@ -121,46 +121,46 @@
 
 func (halfPipe) CloseWrite() error { return nil }
 
-func TestTurnedAwayCallersAreReadToTheEnd(t *testing.T) {
-	ln := &listener{turning: make(chan struct{}, 1)}
+func TestRejectedConnectionsAreDrained(t *testing.T) {
+	ln := &listener{rejecting: make(chan struct{}, 1)}
 	there, here := net.Pipe()
-	ln.turnAway(halfPipe{there})
-	got := make([]byte, len(turnedAway))
+	ln.reject(halfPipe{there})
+	got := make([]byte, len(rejectionResponse))
 	_, err := io.ReadFull(here, got)
 	assert.NilError(t, err)
 	_, err = here.Write([]byte("late")) // succeeds only if it is read
 	assert.NilError(t, err)
 
 	above, other := net.Pipe()
-	ln.turnAway(halfPipe{above}) // one more than may be told at once
+	ln.reject(halfPipe{above}) // one more than may be told at once
 	_, err = other.Read(got)
 	assert.ErrorIs(t, err, io.EOF)
 	assert.NilError(t, here.Close())
-	ln.turning <- struct{}{} // the first has ended
+	ln.rejecting <- struct{}{} // the first has ended
 }
 
-func TestGoneAndStalledCallersAreDetached(t *testing.T) {
+func TestDisconnectedAndStalledCallersAreDetached(t *testing.T) {
 	rg := serve(t, func(rg *rig) {
 		// Data may stay unacknowledged for twice as long, after which the kernel ends the
 		// connection: the test's machine must not take that long between two events.
 		rg.Limits = Limits{WriteTimeout: 3 * clock.Second}
-		rg.rn.moved = make(chan int, 16)
+		rg.rn.watcherCounts = make(chan int, 16)
 	})
 	request := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer " + testKey +
 		"\r\nIdempotency-Key: %\r\nContent-Length: " + strconv.Itoa(len(chatText)) + "\r\n\r\n" + chatText
 	gone := dialRaw(t, rg, strings.Replace(request, "%", "gone", 1))
-	assert.Equal(t, <-rg.rn.moved, 1)
+	assert.Equal(t, <-rg.rn.watcherCounts, 1)
 	assert.NilError(t, gone.Close())
-	assert.Equal(t, <-rg.rn.moved, 0)
+	assert.Equal(t, <-rg.rn.watcherCounts, 0)
 
 	dialRaw(t, rg, strings.Replace(request, "%", "stalled", 1))
-	assert.Equal(t, <-rg.rn.moved, 1)
+	assert.Equal(t, <-rg.rn.watcherCounts, 1)
 	piece := []byte(strings.Repeat("x", 1<<20))
 	for range 64 { // far above what the buffers of a socket take
 		assert.NilError(t, rg.rn.streams["stalled"].Token(piece))
 	}
-	assert.Equal(t, <-rg.rn.moved, 0)
-	assert.Equal(t, rg.counted("StalledReaders", ""), int64(1))
+	assert.Equal(t, <-rg.rn.watcherCounts, 0)
+	assert.Equal(t, rg.counterSum("StalledReaders", ""), int64(1))
 }
 
 func TestStreamsOfACustomerAreLimited(t *testing.T) {
--- a/internal/caller/listen.go
+++ b/internal/caller/listen.go
@@ -14,20 +14,20 @@
 
 // Bounds on telling callers above a limit why.
 const (
-	turnAtOnce  = 64
-	turnTimeout = time.Second
-	turnBytes   = 64 << 10
+	maxRejecting    = 64
+	rejectTimeout   = time.Second
+	rejectReadBytes = 64 << 10
 )
 
-// turnedAwayBody is the refusal on a connection above a limit.
-const turnedAwayBody = `{"error":{"Ran":"NotRun","Reason":"TooManyConnections","RetryAfter":"1s",` +
+// rejectionBody is the refusal on a connection above a limit.
+const rejectionBody = `{"error":{"Ran":"NotRun","Reason":"TooManyConnections","RetryAfter":"1s",` +
 	`"Detail":"connection limit of this VM"}}`
 
-// turnedAway is the whole response on such a connection.
-var turnedAway = []byte("HTTP/1.1 503 Service Unavailable\r\n" +
+// rejectionResponse is the whole response on such a connection.
+var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\n" +
 	"Alderdyke-Refusal: TooManyConnections\r\n" +
 	"Retry-After: 1\r\nConnection: close\r\nContent-Type: application/json\r\n" +
-	"Content-Length: " + strconv.Itoa(len(turnedAwayBody)) + "\r\n\r\n" + turnedAwayBody)
+	"Content-Length: " + strconv.Itoa(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
 type (
 	// listener accepts no more connections than its limits, in all and from
@@ -35,12 +35,12 @@
 	// accept nothing.
 	listener struct {
 		net.Listener
-		most      int
-		mostPerIP int
-		unacked   clock.Millis // how long sent data may stay unacknowledged
-		rejected  func(remote string)
-		turning   chan struct{} // one entry for each caller that is being turned away
-		closed    sync.Once
+		maxOpen    int
+		maxPerIP   int
+		unacked    clock.Millis // how long sent data may stay unacknowledged
+		onRejected func(remote string)
+		rejecting  chan struct{} // one entry for each caller that is being turned away
+		closed     sync.Once
 
 		mu   sync.Mutex
 		open int
@@ -54,8 +54,8 @@
 	// countedConn gives its place back when it is closed.
 	countedConn struct {
 		net.Conn
-		once sync.Once
-		free func()
+		once    sync.Once
+		release func()
 	}
 )
 
@@ -67,24 +67,24 @@
 			return nil, err
 		}
 		addr := addrOf(conn)
-		if !ln.take(addr) {
-			ln.rejected(addr.String())
-			ln.turnAway(conn)
+		if !ln.acquire(addr) {
+			ln.onRejected(addr.String())
+			ln.reject(conn)
 			continue
 		}
 		if err := sockopt.SetUserTimeout(conn, ln.unacked); err != nil {
-			ln.free(addr)
+			ln.release(addr)
 			_ = conn.Close()
 			continue
 		}
-		return &countedConn{Conn: conn, free: func() { ln.free(addr) }}, nil
+		return &countedConn{Conn: conn, release: func() { ln.release(addr) }}, nil
 	}
 }
 
-func (ln *listener) take(addr netip.Addr) bool {
+func (ln *listener) acquire(addr netip.Addr) bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	if ln.open >= ln.most || ln.byIP[addr] >= ln.mostPerIP {
+	if ln.open >= ln.maxOpen || ln.byIP[addr] >= ln.maxPerIP {
 		return false
 	}
 	if ln.byIP == nil {
@@ -95,7 +95,7 @@
 	return true
 }
 
-func (ln *listener) free(addr netip.Addr) {
+func (ln *listener) release(addr netip.Addr) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	ln.open--
@@ -108,28 +108,28 @@
 // Close closes the connection and gives its place back once.
 func (cc *countedConn) Close() error {
 	err := cc.Conn.Close()
-	cc.once.Do(cc.free)
+	cc.once.Do(cc.release)
 	return err
 }
 
-// turnAway tells the caller why and closes. It reads what the caller sends
+// reject tells the caller why and closes. It reads what the caller sends
 // meanwhile, since a close with unread data would take the answer back.
-func (ln *listener) turnAway(conn net.Conn) {
+func (ln *listener) reject(conn net.Conn) {
 	select {
-	case ln.turning <- struct{}{}:
+	case ln.rejecting <- struct{}{}:
 	default:
 		_ = conn.Close()
 		return
 	}
 	go func() {
-		defer func() { <-ln.turning }()
+		defer func() { <-ln.rejecting }()
 		defer func() { _ = conn.Close() }()
-		_ = conn.SetDeadline(time.Now().Add(turnTimeout))
-		if _, err := conn.Write(turnedAway); err != nil {
+		_ = conn.SetDeadline(time.Now().Add(rejectTimeout))
+		if _, err := conn.Write(rejectionResponse); err != nil {
 			return
 		}
 		if hc, ok := conn.(halfCloser); ok && hc.CloseWrite() == nil {
-			_, _ = io.CopyN(io.Discard, conn, turnBytes)
+			_, _ = io.CopyN(io.Discard, conn, rejectReadBytes)
 		}
 	}()
 }
@@ -139,8 +139,8 @@
 func (ln *listener) Close() error {
 	err := ln.Listener.Close()
 	ln.closed.Do(func() {
-		for range cap(ln.turning) {
-			ln.turning <- struct{}{}
+		for range cap(ln.rejecting) {
+			ln.rejecting <- struct{}{}
 		}
 	})
 	return err
--- a/internal/caller/plain.go
+++ b/internal/caller/plain.go
@@ -16,16 +16,16 @@
 const servicesRoot = "/services/"
 
 var (
-	// dropped headers of a request or an answer: those for one hop, and
+	// droppedHeaders headers of a request or an answer: those for one hop, and
 	// those that speak to this VM.
-	dropped = []string{
+	droppedHeaders = []string{
 		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 		"Authorization", headerKey, textproto.CanonicalMIMEHeaderKey(headerLastID),
 	}
 
-	// varying headers may differ between two sendings of one request.
-	varying = []string{
+	// volatileHeaders headers may differ between two sendings of one request.
+	volatileHeaders = []string{
 		"User-Agent", "Accept-Encoding", "Date", "Traceparent", "Tracestate", "X-Request-Id",
 	}
 
@@ -58,7 +58,7 @@
 func DecodePlain(data []byte) (PlainAnswer, error) {
 	var pa PlainAnswer
 	if err := json.Unmarshal(data, &pa); err != nil {
-		return PlainAnswer{}, fmt.Errorf("decode a plain answer: %s", jsonFault(err))
+		return PlainAnswer{}, fmt.Errorf("decode a plain answer: %s", describeJSONError(err))
 	}
 	if pa.Status < 200 || pa.Status > 999 {
 		return PlainAnswer{}, fmt.Errorf("decode a plain answer: status %d", pa.Status)
@@ -78,7 +78,7 @@
 	}
 	return &Plain{
 		Service: service, Method: req.Method, Path: path, Query: req.URL.RawQuery,
-		Header: forwarded(req.Header), Body: body,
+		Header: forwardedHeaders(req.Header), Body: body,
 	}, clean, nil
 }
 
@@ -156,12 +156,12 @@
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
 
-// forwarded copies the headers that are meant for the other end.
-func forwarded(hd http.Header) http.Header {
+// forwardedHeaders copies the headers that are meant for the other end.
+func forwardedHeaders(hd http.Header) http.Header {
 	out := make(http.Header, len(hd))
 	for name, values := range hd {
 		name = http.CanonicalHeaderKey(name)
-		if !slices.Contains(dropped, name) && !strings.HasPrefix(name, ownPrefix) {
+		if !slices.Contains(droppedHeaders, name) && !strings.HasPrefix(name, ownPrefix) {
 			out[name] = slices.Clone(values)
 		}
 	}
@@ -177,7 +177,7 @@
 	parts := []string{"plain", class, pl.Service, pl.Method, pl.Path, pl.Query, string(pl.Body)}
 	names := make([]string, 0, len(pl.Header))
 	for name := range pl.Header {
-		if !slices.Contains(varying, name) {
+		if !slices.Contains(volatileHeaders, name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/caller/rig_test.go
+++ b/internal/caller/rig_test.go
@@ -34,13 +34,13 @@
 type (
 	// fakeRunner keeps one stream per key.
 	fakeRunner struct {
-		mu      sync.Mutex
-		streams map[string]*answer.Stream
-		started []Request
-		begin   func(req Request, st *answer.Stream) error
-		refuse  error
-		moved   chan int
-		list    []Address
+		mu            sync.Mutex
+		streams       map[string]*answer.Stream
+		started       []Request
+		begin         func(req Request, st *answer.Stream) error
+		refuse        error
+		watcherCounts chan int
+		list          []Address
 	}
 
 	rig struct {
@@ -65,8 +65,8 @@
 		return nil, refusal.Refusal{Ran: refusal.MayHaveRun, Reason: refusal.AnswerExpired}
 	}
 	st := answer.NewStream()
-	if fr.moved != nil {
-		st.OnWatchers(func(now int) { fr.moved <- now })
+	if fr.watcherCounts != nil {
+		st.OnWatchers(func(now int) { fr.watcherCounts <- now })
 	}
 	fr.streams[req.Key] = st
 	if fr.begin != nil {
@@ -173,7 +173,7 @@
 	return rg.do(t, http.MethodPost, "/v1/chat/completions", chatText, header...)
 }
 
-func (rg *rig) counted(name, reason string) int64 {
+func (rg *rig) counterSum(name, reason string) int64 {
 	var sum int64
 	for _, ct := range rg.scope.Snapshot().Counters() {
 		if ct.Name() == name && (reason == "" || ct.Tags()["Reason"] == reason) {
@@ -217,7 +217,7 @@
 	return body.Error
 }
 
-func tell(parts ...string) func(Request, *answer.Stream) error {
+func answerWith(parts ...string) func(Request, *answer.Stream) error {
 	return func(_ Request, st *answer.Stream) error {
 		for _, part := range parts {
 			_ = st.Token([]byte(part))
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	answersRoot = "/v1/answers/"
-	probes      = 3 // unanswered TCP keep-alive probes after which a connection is broken
+	answersRoot     = "/v1/answers/"
+	keepAliveProbes = 3 // unanswered TCP keep-alive probes after which a connection is broken
 )
 
 type (
@@ -43,12 +43,12 @@
 		// of the address, in a planned stop. Nil waits for the given span.
 		Linger func(span clock.Millis) <-chan time.Time
 
-		limits  Limits
-		scope   tally.Scope
-		unknown *rate.Limiter // of events about unknown API keys
-		turned  *rate.Limiter // of events about connections turned away
+		limits           Limits
+		scope            tally.Scope
+		unknownKeyEvents *rate.Limiter // of events about unknown API keys
+		rejectedEvents   *rate.Limiter // of events about connections turned away
 
-		bodies atomic.Int64 // bytes of request bodies held
+		bodyBytes atomic.Int64 // bytes of request bodies held
 
 		mu      sync.Mutex
 		addr    net.Addr
@@ -118,16 +118,16 @@
 
 func (srv *Server) listen(ctx context.Context) (*listener, error) {
 	cfg := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: srv.limits.KeepAlive.Std(), Interval: srv.limits.KeepAlive.Std() / 2, Count: probes,
+		Enable: true, Idle: srv.limits.KeepAlive.Std(), Interval: srv.limits.KeepAlive.Std() / 2, Count: keepAliveProbes,
 	}}
 	base, err := cfg.Listen(ctx, "tcp", srv.Listen)
 	if err != nil {
 		return nil, oops.In("caller").With("Address", srv.Listen).Wrapf(err, "listen for callers")
 	}
 	return &listener{
-		Listener: base, most: srv.limits.Connections, mostPerIP: srv.limits.ConnectionsPerIP,
-		unacked: 2 * srv.limits.WriteTimeout, rejected: srv.turnedAway,
-		turning: make(chan struct{}, turnAtOnce),
+		Listener: base, maxOpen: srv.limits.Connections, maxPerIP: srv.limits.ConnectionsPerIP,
+		unacked: 2 * srv.limits.WriteTimeout, onRejected: srv.recordRejected,
+		rejecting: make(chan struct{}, maxRejecting),
 	}, nil
 }
 
@@ -166,8 +166,8 @@
 // standard library's own response writer.
 func (srv *Server) handler() (http.Handler, error) {
 	srv.limits = srv.Limits.withDefaults()
-	srv.unknown = rate.NewLimiter(rate.Every(time.Second), 1)
-	srv.turned = rate.NewLimiter(rate.Every(time.Second), 1)
+	srv.unknownKeyEvents = rate.NewLimiter(rate.Every(time.Second), 1)
+	srv.rejectedEvents = rate.NewLimiter(rate.Every(time.Second), 1)
 	if srv.scope = srv.Scope; srv.scope == nil {
 		srv.scope = tally.NoopScope
 	}
@@ -180,21 +180,21 @@
 	)
 	app.Get("/v1/addresses", srv.wrap(srv.addresses))
 	app.Post("/v1/chat/completions", srv.wrap(srv.chat))
-	app.Get(answersRoot+"{key:path}", srv.wrap(srv.find))
+	app.Get(answersRoot+"{key:path}", srv.wrap(srv.findAnswer))
 	for _, method := range plainMethods {
 		app.Handle(method, servicesRoot+"{path:path}", srv.wrap(srv.service))
 	}
-	app.Any("/", srv.wrap(srv.lost))
-	app.Any("/{path:path}", srv.wrap(srv.lost))
+	app.Any("/", srv.wrap(srv.notFound))
+	app.Any("/{path:path}", srv.wrap(srv.notFound))
 	if err := app.Build(); err != nil {
 		return nil, fmt.Errorf("build the callers' routes: %w", err)
 	}
 	return app, nil
 }
 
-func (srv *Server) turnedAway(remote string) {
+func (srv *Server) recordRejected(remote string) {
 	srv.count("ConnectionsTurnedAway")
-	if srv.turned.Allow() {
+	if srv.rejectedEvents.Allow() {
 		srv.Logger.Log(event.ConnectionLimit, event.F("Remote", remote))
 	}
 }
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -27,7 +27,7 @@
 			assert.Equal(t, refusalIn(t, resp).Ran, refusal.NotRun)
 		}
 	}
-	assert.Equal(t, rg.counted("Unauthenticated", ""), int64(18))
+	assert.Equal(t, rg.counterSum("Unauthenticated", ""), int64(18))
 	rg.Board.SetTemplates(&board.Templates{})
 	resp := rg.chat(t)
 	assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
@@ -128,14 +128,14 @@
 	fl.VMs[3].Health = board.Dead
 	first := map[string]int{}
 	for ix := range 200 {
-		got := spread(Candidates(fl), strconv.Itoa(ix), 4)
+		got := pickAddresses(Candidates(fl), strconv.Itoa(ix), 4)
 		assert.Equal(t, len(got), 3)
 		assert.Equal(t, got[2].Address, "b1", "one in doubt comes last")
 		first[got[0].Address]++
 	}
 	assert.Assert(t, first["a2"] > 50 && first["c1"] > 50, "%v", first)
 	fl.Quorate = false
-	got := spread(Candidates(fl), "k", 4)
+	got := pickAddresses(Candidates(fl), "k", 4)
 	assert.Equal(t, got[0].FailureDomain+got[1].FailureDomain, "bb", "the majority may be beyond the partition")
 }
 
--- a/internal/caller/stream.go
+++ b/internal/caller/stream.go
@@ -36,18 +36,18 @@
 
 	// delivery is one caller following one answer.
 	delivery struct {
-		srv    *Server
-		wr     http.ResponseWriter
-		rc     *http.ResponseController
-		ctx    context.Context
-		class  string
-		key    string
-		model  string
-		after  int    // ID of the last event that the caller has
-		began  bool   // the status was sent
-		held   []byte // bytes of a character that is not complete yet
-		text   strings.Builder
-		tokens int
+		srv         *Server
+		wr          http.ResponseWriter
+		rc          *http.ResponseController
+		ctx         context.Context
+		class       string
+		key         string
+		model       string
+		lastSeen    int    // ID of the last event that the caller has
+		headerSent  bool   // the status was sent
+		partialChar []byte // bytes of a character that is not complete yet
+		text        strings.Builder
+		tokens      int
 	}
 
 	chatAnswer struct {
@@ -107,7 +107,7 @@
 		if err != nil {
 			abort()
 		}
-		if dl.event(ev) {
+		if dl.sendAnswerEvent(ev) {
 			return
 		}
 	}
@@ -118,7 +118,7 @@
 	lm := dl.srv.limits
 	for {
 		wait := lm.KeepAlive
-		if !dl.began {
+		if !dl.headerSent {
 			wait = lm.HeaderWait
 		}
 		ctx, cancel := context.WithTimeout(dl.ctx, wait.Std())
@@ -131,28 +131,28 @@
 	}
 }
 
-// event sends one event and tells whether it was the caller's last.
-func (dl *delivery) event(ev answer.Event) bool {
+// sendAnswerEvent sends one sendAnswerEvent and tells whether it was the caller's last.
+func (dl *delivery) sendAnswerEvent(ev answer.Event) bool {
 	switch ev.Kind {
 	case answer.Token:
-		dl.token(ev)
+		dl.sendToken(ev)
 		return false
 	case answer.End:
-		dl.end(ev)
+		dl.sendEnd(ev)
 	case answer.Whole:
-		dl.whole(ev)
+		dl.sendWhole(ev)
 	case answer.Refused:
-		dl.refused(ev.ID, ev.Refusal)
+		dl.sendRefusal(ev.ID, ev.Refusal)
 	default:
-		dl.refused(ev.ID, brokenAnswer())
+		dl.sendRefusal(ev.ID, brokenAnswerRefusal())
 	}
 	return true
 }
 
-func (dl *delivery) token(ev answer.Event) {
+func (dl *delivery) sendToken(ev answer.Event) {
 	dl.tokens++
-	text := dl.complete(ev.Data)
-	if ev.ID <= dl.after {
+	text := dl.completeText(ev.Data)
+	if ev.ID <= dl.lastSeen {
 		return
 	}
 	delta := &chatDelta{Content: text}
@@ -162,18 +162,18 @@
 	dl.sendEvent(ev.ID, "", dl.chunk(chatChoice{Delta: delta}, nil))
 }
 
-func (dl *delivery) end(ev answer.Event) {
-	if ev.ID < dl.after { // the caller's part is of another, longer answer
-		dl.refused(ev.ID, otherAnswer())
+func (dl *delivery) sendEnd(ev answer.Event) {
+	if ev.ID < dl.lastSeen { // the caller's part is of another, longer answer
+		dl.sendRefusal(ev.ID, otherAnswerRefusal())
 		return
 	}
 	end, err := parseEnd(ev.Data)
 	if err != nil {
-		dl.refused(ev.ID, brokenAnswer())
+		dl.sendRefusal(ev.ID, brokenAnswerRefusal())
 		return
 	}
 	choice := chatChoice{
-		Delta:        &chatDelta{Content: strings.ToValidUTF8(string(dl.held), "\uFFFD")},
+		Delta:        &chatDelta{Content: strings.ToValidUTF8(string(dl.partialChar), "\uFFFD")},
 		FinishReason: &end.FinishReason,
 	}
 	chunk := dl.chunk(choice, dl.usage(end))
@@ -182,22 +182,22 @@
 	dl.srv.count("AnswersDelivered")
 }
 
-// whole sends a plain service's answer: as the response itself, unless the
+// sendWhole sends a plain service's answer: as the response itself, unless the
 // status of a stream went out already.
-func (dl *delivery) whole(ev answer.Event) {
+func (dl *delivery) sendWhole(ev answer.Event) {
 	pa, err := DecodePlain(ev.Data)
 	switch {
 	case err != nil:
-		dl.refused(ev.ID, brokenAnswer())
-	case dl.began:
+		dl.sendRefusal(ev.ID, brokenAnswerRefusal())
+	case dl.headerSent:
 		dl.sendEvent(ev.ID, "whole", pa)
 	default:
-		dl.plain(pa)
+		dl.sendPlain(pa)
 	}
 }
 
-func (dl *delivery) refused(id int, rf refusal.Refusal) {
-	if !dl.began {
+func (dl *delivery) sendRefusal(id int, rf refusal.Refusal) {
+	if !dl.headerSent {
 		dl.wr.Header().Set(headerKey, dl.key)
 		dl.srv.refuse(dl.wr, dl.class, rf)
 		return
@@ -206,10 +206,10 @@
 	dl.sendEvent(id, "refusal", rf)
 }
 
-// complete returns the text so far that is made of whole characters and
+// completeText returns the text so far that is made of whole characters and
 // holds back the rest.
-func (dl *delivery) complete(data []byte) string {
-	all := append(dl.held, data...)
+func (dl *delivery) completeText(data []byte) string {
+	all := append(dl.partialChar, data...)
 	cut := len(all)
 	for back := 1; back < utf8.UTFMax && back <= len(all); back++ {
 		if first := all[len(all)-back]; utf8.RuneStart(first) {
@@ -219,17 +219,17 @@
 			break
 		}
 	}
-	dl.held = append([]byte(nil), all[cut:]...)
+	dl.partialChar = append([]byte(nil), all[cut:]...)
 	return strings.ToValidUTF8(string(all[:cut]), "\uFFFD")
 }
 
 func (dl *delivery) chunk(choice chatChoice, use *chatUsage) chatAnswer {
-	ca := dl.answer(kindChunk, choice)
+	ca := dl.newAnswer(kindChunk, choice)
 	ca.Usage = use
 	return ca
 }
 
-func (dl *delivery) answer(object string, choice chatChoice) chatAnswer {
+func (dl *delivery) newAnswer(object string, choice chatChoice) chatAnswer {
 	return chatAnswer{
 		ID: "chatcmpl-" + dl.key, Object: object, Created: time.Now().Unix(),
 		Model: dl.model, Choices: []chatChoice{choice},
@@ -261,17 +261,17 @@
 
 // send writes and flushes within the write timeout, or detaches the caller.
 func (dl *delivery) send(text string) {
-	if !dl.began {
-		dl.begin()
+	if !dl.headerSent {
+		dl.beginStream()
 	}
 	if err := dl.srv.write(dl.wr, dl.rc, []byte(text)); err != nil {
-		dl.srv.broken(err, dl.key)
+		dl.srv.recordBrokenWrite(err, dl.key)
 		abort()
 	}
 }
 
-func (dl *delivery) begin() {
-	dl.began = true
+func (dl *delivery) beginStream() {
+	dl.headerSent = true
 	hd := dl.wr.Header()
 	hd.Set("Content-Type", "text/event-stream; charset=utf-8")
 	hd.Set("Cache-Control", "no-store")
@@ -293,8 +293,8 @@
 	return nil
 }
 
-// broken counts a caller's connection that failed under a write.
-func (srv *Server) broken(err error, key string) {
+// recordBrokenWrite counts a caller's connection that failed under a write.
+func (srv *Server) recordBrokenWrite(err error, key string) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		srv.count("BrokenConnections")
 		return
@@ -307,7 +307,7 @@
 	var end ChatEnd
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &end); err != nil {
-			return ChatEnd{}, fmt.Errorf("decode the end of an answer: %s", jsonFault(err))
+			return ChatEnd{}, fmt.Errorf("decode the end of an answer: %s", describeJSONError(err))
 		}
 	}
 	if end.FinishReason == "" {
@@ -316,14 +316,14 @@
 	return end, nil
 }
 
-func otherAnswer() refusal.Refusal {
+func otherAnswerRefusal() refusal.Refusal {
 	return refusal.Refusal{
 		Ran: refusal.MayHaveRun, Reason: refusal.AnswerExpired,
 		Detail: "the answer that the caller has a part of is no longer kept",
 	}
 }
 
-func brokenAnswer() refusal.Refusal {
+func brokenAnswerRefusal() refusal.Refusal {
 	return refusal.Refusal{
 		Ran: refusal.MayHaveRun, Reason: refusal.BackendFailed, Detail: "the answer can't be read",
 	}
--- a/internal/caller/stream_test.go
+++ b/internal/caller/stream_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestStreamedAnswer(t *testing.T) {
-	rg := serve(t, func(rg *rig) { rg.rn.begin = tell("pit", "ting ", "found") })
+	rg := serve(t, func(rg *rig) { rg.rn.begin = answerWith("pit", "ting ", "found") })
 	resp := rg.chat(t, headerDeadline, "2s")
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	body := text(t, resp)
@@ -36,7 +36,7 @@
 }
 
 func TestWholeAnswer(t *testing.T) {
-	rg := serve(t, func(rg *rig) { rg.rn.begin = tell("å", "ben") })
+	rg := serve(t, func(rg *rig) { rg.rn.begin = answerWith("å", "ben") })
 	resp := rg.do(t, http.MethodPost, "/v1/chat/completions", strings.Replace(chatText, "true", "false", 1))
 	var ca chatAnswer
 	assert.NilError(t, json.Unmarshal([]byte(text(t, resp)), &ca))
@@ -46,7 +46,7 @@
 
 func TestResumeContinuesWhereItBroke(t *testing.T) {
 	rg := serve(t, func(rg *rig) {
-		rg.rn.begin = tell("a", "\xc3", "\xa5", "b") // one character over two events
+		rg.rn.begin = answerWith("a", "\xc3", "\xa5", "b") // one character over two events
 	})
 	first, _ := pieces(t, text(t, rg.chat(t, headerKey, "k1")))
 	assert.Equal(t, first, "aåb")
@@ -87,7 +87,7 @@
 			assert.Equal(t, resp.StatusCode, code, reason)
 			assert.Equal(t, resp.Header.Get("Retry-After"), "2")
 			assert.DeepEqual(t, refusalIn(t, resp), rf)
-			assert.Equal(t, rg.counted("Refusals", string(reason)), int64(1))
+			assert.Equal(t, rg.counterSum("Refusals", string(reason)), int64(1))
 			assert.Assert(t, resp.Header.Get(headerKey) != "")
 		}
 	}
@@ -150,8 +150,8 @@
 // The key of a caller with a part of an answer ran again from its start, and
 // that answer was shorter than the part. Its end came to the caller behind the
 // part as if it were the part's own, so pieces of one run ended with another.
-func TestEndOfAShorterAnswerIsNotTheEndOfThePart(t *testing.T) {
-	rg := serve(t, func(rg *rig) { rg.rn.begin = tell("a", "b") })
+func TestEndOfAShorterAnswerIsRefused(t *testing.T) {
+	rg := serve(t, func(rg *rig) { rg.rn.begin = answerWith("a", "b") })
 	text(t, rg.chat(t, headerKey, "k1"))
 	for _, tc := range []struct {
 		last  string
--- a/internal/caller/visit.go
+++ b/internal/caller/visit.go
@@ -13,11 +13,11 @@
 type visit struct {
 	srv  *Server
 	tpl  template.Template
-	body int64 // bytes counted into Server.bodies
+	body int64 // bytes counted into Server.bodyBytes
 }
 
-// enter authenticates a request and takes its customer's place at this VM.
-func (srv *Server) enter(req *http.Request) (*visit, error) {
+// admit authenticates a request and takes its customer's place at this VM.
+func (srv *Server) admit(req *http.Request) (*visit, error) {
 	tpl, err := srv.authenticate(req)
 	if err != nil {
 		return nil, err
@@ -33,23 +33,23 @@
 	if srv.streams == nil {
 		srv.streams = make(map[string]int)
 	}
-	srv.moveLocked(tpl.Customer, 1)
+	srv.addOpenLocked(tpl.Customer, 1)
 	return &visit{srv: srv, tpl: tpl}, nil
 }
 
-// leave gives back all that the visit holds.
-func (vs *visit) leave() {
-	vs.srv.bodies.Add(-vs.body)
+// release gives back all that the visit holds.
+func (vs *visit) release() {
+	vs.srv.bodyBytes.Add(-vs.body)
 	vs.srv.mu.Lock()
 	defer vs.srv.mu.Unlock()
-	vs.srv.moveLocked(vs.tpl.Customer, -1)
+	vs.srv.addOpenLocked(vs.tpl.Customer, -1)
 }
 
-// hold counts bytes of the body. A small body is always let in, so that long
+// countBody counts bytes of the body. A small body is always let in, so that long
 // documents can't keep quick requests out.
-func (vs *visit) hold(bytes int64) error {
+func (vs *visit) countBody(bytes int64) error {
 	vs.body += bytes
-	if vs.srv.bodies.Add(bytes) <= vs.srv.limits.BodiesHeld || vs.body <= smallBody {
+	if vs.srv.bodyBytes.Add(bytes) <= vs.srv.limits.BodiesHeld || vs.body <= smallBody {
 		return nil
 	}
 	return refusal.Refusal{
@@ -58,7 +58,7 @@
 	}
 }
 
-func (srv *Server) moveLocked(customer string, by int) {
+func (srv *Server) addOpenLocked(customer string, by int) {
 	srv.streams[customer] += by
 	if srv.streams[customer] == 0 {
 		delete(srv.streams, customer)
--- a/internal/caller/whole.go
+++ b/internal/caller/whole.go
@@ -20,34 +20,34 @@
 		if err != nil {
 			abort()
 		}
-		if dl.gather(ev) {
+		if dl.collectEvent(ev) {
 			return
 		}
 	}
 }
 
-// gather takes one event in and tells whether it was the last.
-func (dl *delivery) gather(ev answer.Event) bool {
+// collectEvent takes one event in and tells whether it was the last.
+func (dl *delivery) collectEvent(ev answer.Event) bool {
 	switch ev.Kind {
 	case answer.Token:
 		dl.tokens++
 		_, _ = dl.text.Write(ev.Data)
 		return false
 	case answer.End:
-		dl.gathered(ev)
+		dl.sendCollected(ev)
 		return true
 	default:
-		return dl.event(ev)
+		return dl.sendAnswerEvent(ev)
 	}
 }
 
-func (dl *delivery) gathered(ev answer.Event) {
+func (dl *delivery) sendCollected(ev answer.Event) {
 	end, err := parseEnd(ev.Data)
 	if err != nil {
-		dl.refused(ev.ID, brokenAnswer())
+		dl.sendRefusal(ev.ID, brokenAnswerRefusal())
 		return
 	}
-	ca := dl.answer(kindWhole, chatChoice{
+	ca := dl.newAnswer(kindWhole, chatChoice{
 		Message:      &chatDelta{Role: "assistant", Content: strings.ToValidUTF8(dl.text.String(), "\uFFFD")},
 		FinishReason: &end.FinishReason,
 	})
@@ -64,9 +64,9 @@
 	dl.srv.count("AnswersDelivered")
 }
 
-func (dl *delivery) plain(pa PlainAnswer) {
+func (dl *delivery) sendPlain(pa PlainAnswer) {
 	hd := dl.wr.Header()
-	for name, values := range forwarded(pa.Header) {
+	for name, values := range forwardedHeaders(pa.Header) {
 		hd[name] = values
 	}
 	hd.Set(headerKey, dl.key)
@@ -90,7 +90,7 @@
 			return
 		}
 		if err != nil {
-			srv.broken(err, "")
+			srv.recordBrokenWrite(err, "")
 			abort()
 		}
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -70,20 +70,20 @@
 		// Incarnations takes note of the engines'; nil does not.
 		Incarnations *backend.Incarnations
 
-		made backend.HTTP
+		httpClient backend.HTTP
 	}
 
 	// call is one exchange with an engine.
 	call struct {
-		srv     board.BackendServer
-		name    string
-		request string // that it is about; empty: none
-		method  string
-		path    string
-		query   url.Values
-		body    any  // nil for reads
-		once    bool // on a connection of its own, as all that is no read
-		may     func() bool
+		srv             board.BackendServer
+		name            string
+		request         string // that it is about; empty: none
+		method          string
+		path            string
+		query           url.Values
+		body            any  // nil for reads
+		freshConnection bool // on a connection of its own, as all that is no read
+		allowed         func() bool
 	}
 )
 
@@ -92,7 +92,7 @@
 func (ec *Client) Prefill(ctx context.Context, srv board.BackendServer, od PrefillOrder) (PrefillResult, error) {
 	var out PrefillResult
 	cl := call{srv: srv, name: "Prefill", request: od.Request, method: http.MethodPost, path: PrefillPath, body: od}
-	if err := ec.document(ctx, cl, documentBytes, &out); err != nil {
+	if err := ec.exchangeDocument(ctx, cl, documentBytes, &out); err != nil {
 		return PrefillResult{}, fmt.Errorf("prefill request %s: %w", od.Request, err)
 	}
 	return out, nil
@@ -103,7 +103,7 @@
 // until it is cancelled. After a DeclinedError it holds nothing.
 func (ec *Client) Import(ctx context.Context, srv board.BackendServer, od ImportOrder) error {
 	cl := call{srv: srv, name: "Import", request: od.Request, method: http.MethodPost, path: ImportPath, body: od}
-	if err := ec.document(ctx, cl, documentBytes, nil); err != nil {
+	if err := ec.exchangeDocument(ctx, cl, documentBytes, nil); err != nil {
 		return fmt.Errorf("import KV cache of request %s: %w", od.Request, err)
 	}
 	return nil
@@ -115,7 +115,7 @@
 // cancelled.
 func (ec *Client) Decode(ctx context.Context, srv board.BackendServer, od DecodeOrder) (*Stream, error) {
 	cl := call{srv: srv, name: "Decode", request: od.Request, method: http.MethodPost, path: DecodePath, body: od}
-	st, err := ec.open(ctx, cl, od.From)
+	st, err := ec.openStream(ctx, cl, od.From)
 	if err != nil {
 		return nil, fmt.Errorf("decode request %s: %w", od.Request, err)
 	}
@@ -142,7 +142,7 @@
 func (ec *Client) resume(ctx context.Context, srv board.BackendServer, request string, from int, take bool) (*Stream, error) {
 	qy := url.Values{"Request": {request}, "From": {strconv.Itoa(from)}, "Take": {strconv.FormatBool(take)}}
 	cl := call{srv: srv, name: "Resume", method: http.MethodGet, path: ResumePath, query: qy}
-	st, err := ec.open(ctx, cl, from)
+	st, err := ec.openStream(ctx, cl, from)
 	if err != nil {
 		return nil, fmt.Errorf("resume request %s: %w", request, err)
 	}
@@ -162,7 +162,7 @@
 	od := CancelOrder{Request: request, Attempt: attempt}
 	cl := call{srv: srv, name: "Cancel", request: od.Request, method: http.MethodPost, path: CancelPath, body: od}
 	var out CancelResult
-	if err := ec.document(ctx, cl, documentBytes, &out); err != nil {
+	if err := ec.exchangeDocument(ctx, cl, documentBytes, &out); err != nil {
 		return fmt.Errorf("cancel request %s: %w", request, err)
 	}
 	return nil
@@ -172,7 +172,7 @@
 func (ec *Client) Load(ctx context.Context, srv board.BackendServer) (board.LoadReport, error) {
 	var doc LoadDoc
 	cl := call{srv: srv, name: "Load", method: http.MethodGet, path: LoadPath}
-	if err := ec.document(ctx, cl, documentBytes, &doc); err != nil {
+	if err := ec.exchangeDocument(ctx, cl, documentBytes, &doc); err != nil {
 		return board.LoadReport{}, fmt.Errorf("read load: %w", err)
 	}
 	return board.LoadReport{
@@ -184,8 +184,8 @@
 
 // Ping asks the engine whether it is there, on a connection of its own.
 func (ec *Client) Ping(ctx context.Context, srv board.BackendServer) error {
-	cl := call{srv: srv, name: "Ping", method: http.MethodGet, path: LoadPath, once: true}
-	if err := ec.document(ctx, cl, documentBytes, nil); err != nil {
+	cl := call{srv: srv, name: "Ping", method: http.MethodGet, path: LoadPath, freshConnection: true}
+	if err := ec.exchangeDocument(ctx, cl, documentBytes, nil); err != nil {
 		return fmt.Errorf("ping engine: %w", err)
 	}
 	return nil
@@ -195,7 +195,7 @@
 func (ec *Client) Running(ctx context.Context, srv board.BackendServer) ([]Running, error) {
 	var doc RunningReport
 	cl := call{srv: srv, name: "Running", method: http.MethodGet, path: RunningPath}
-	if err := ec.document(ctx, cl, listBytes, &doc); err != nil {
+	if err := ec.exchangeDocument(ctx, cl, listBytes, &doc); err != nil {
 		return nil, fmt.Errorf("list running requests: %w", err)
 	}
 	return doc.Runs, nil
@@ -207,7 +207,7 @@
 	var doc CacheEvents
 	qy := url.Values{"From": {strconv.FormatUint(from, 10)}}
 	cl := call{srv: srv, name: "CacheEvents", method: http.MethodGet, path: CacheEventsPath, query: qy}
-	if err := ec.document(ctx, cl, listBytes, &doc); err != nil {
+	if err := ec.exchangeDocument(ctx, cl, listBytes, &doc); err != nil {
 		return CacheEvents{}, fmt.Errorf("read cache events: %w", err)
 	}
 	return doc, nil
@@ -225,8 +225,8 @@
 // unwraps to backend.ErrWithheld.
 func (ec *Client) OrderIf(ctx context.Context, srv board.BackendServer, od Order, may func() bool) (OrderResult, error) {
 	var out OrderResult
-	cl := call{srv: srv, name: "Order", method: http.MethodPost, path: OrderPath, body: od, may: may}
-	if err := ec.document(ctx, cl, documentBytes, &out); err != nil {
+	cl := call{srv: srv, name: "Order", method: http.MethodPost, path: OrderPath, body: od, allowed: may}
+	if err := ec.exchangeDocument(ctx, cl, documentBytes, &out); err != nil {
 		return OrderResult{}, fmt.Errorf("order %s: %w", od.Kind, err)
 	}
 	ec.Log.Log(event.EngineOrdered, event.F("Server", srv.ID), event.F("Kind", od.Kind),
@@ -234,14 +234,14 @@
 	return out, nil
 }
 
-// document exchanges one JSON document and counts the outcome.
-func (ec *Client) document(ctx context.Context, cl call, bound int64, out any) error {
-	err := ec.exchange(ctx, cl, bound, out)
+// exchangeDocument exchanges one JSON exchangeDocument and counts the outcome.
+func (ec *Client) exchangeDocument(ctx context.Context, cl call, bound int64, out any) error {
+	err := ec.sendAndDecode(ctx, cl, bound, out)
 	ec.count(cl, err)
 	return err
 }
 
-func (ec *Client) exchange(ctx context.Context, cl call, bound int64, out any) error {
+func (ec *Client) sendAndDecode(ctx context.Context, cl call, bound int64, out any) error {
 	rsp, err := ec.send(ctx, cl)
 	if err != nil {
 		return err
@@ -267,7 +267,7 @@
 		return nil, NotSentError{Server: cl.srv.ID, Call: cl.name, Err: err}
 	}
 	rsp, err := backend.Send(ctx, ec.client(), backend.Call{
-		Server: cl.srv.ID, Name: cl.name, Request: req, Once: cl.once || cl.body != nil, May: cl.may,
+		Server: cl.srv.ID, Name: cl.name, Request: req, FreshConnection: cl.freshConnection || cl.body != nil, Allowed: cl.allowed,
 		Incarnations: ec.Incarnations,
 	})
 	if err != nil {
@@ -303,7 +303,7 @@
 	return req, nil
 }
 
-func (ec *Client) client() *http.Client { return ec.made.Or(ec.HTTP) }
+func (ec *Client) client() *http.Client { return ec.httpClient.Client(ec.HTTP) }
 
 func (ec *Client) now() clock.Millis { return clock.Or(ec.Clock).Now() }
 
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -24,8 +24,8 @@
 
 const prompt = "field notes"
 
-// bench is a prefill engine p1 and a decode engine d1 in memory.
-type bench struct {
+// enginePair is a prefill engine p1 and a decode engine d1 in memory.
+type enginePair struct {
 	ec       *engine.Client
 	pre, dec *standinengine.Engine
 	ps, ds   board.BackendServer
@@ -33,13 +33,13 @@
 	nw       *standin.Network
 }
 
-func run(t *testing.T, fn func(t *testing.T, bn bench)) {
+func run(t *testing.T, fn func(t *testing.T, bn enginePair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		nw := &standin.Network{}
 		hc := backend.NewHTTP(backend.Limits{Dial: nw.Dial})
 		set := standinengine.Settings{PrefillTokensPerSecond: 1000, KVBytesPerToken: 1, KeepPrefill: 800, Slots: 2, TPOT: 10, ChecksFencing: true}
-		bn := bench{
+		bn := enginePair{
 			nw:  nw,
 			ec:  &engine.Client{HTTP: hc, Self: board.VMRef{ID: "vm-1", Incarnation: 7}, Scope: tally.NewTestScope("", nil)},
 			pre: &standinengine.Engine{ID: "p1", Role: board.Prefill, Settings: set, HTTP: hc},
@@ -70,17 +70,17 @@
 type order struct {
 	name    string
 	server  string
-	prepare func(ctx context.Context, bn bench) error
-	give    func(ctx context.Context, bn bench) error
-	effects func(bn bench) int
+	prepare func(ctx context.Context, bn enginePair) error
+	give    func(ctx context.Context, bn enginePair) error
+	effects func(bn enginePair) int
 }
 
 func orders() []order {
-	prefill := func(ctx context.Context, bn bench) error {
+	prefill := func(ctx context.Context, bn enginePair) error {
 		_, err := bn.ec.Prefill(ctx, bn.ps, engine.PrefillOrder{Request: "r1", Attempt: 1, Prompt: prompt, PromptTokens: 10})
 		return err
 	}
-	imported := func(ctx context.Context, bn bench) error {
+	imported := func(ctx context.Context, bn enginePair) error {
 		runs, err := bn.ec.Running(ctx, bn.ps)
 		if err != nil || len(runs) != 1 {
 			return fmt.Errorf("%d runs: %w", len(runs), err)
@@ -88,33 +88,33 @@
 		kv := bn.pre.History().Runs[0].KV
 		return bn.ec.Import(ctx, bn.ds, engine.ImportOrder{Request: "r1", Attempt: 1, KV: kv, From: bn.ps.Address})
 	}
-	placed := func(ctx context.Context, bn bench) error {
+	placed := func(ctx context.Context, bn enginePair) error {
 		return errors.Join(prefill(ctx, bn), imported(ctx, bn))
 	}
-	decode := func(ctx context.Context, bn bench) error {
+	decode := func(ctx context.Context, bn enginePair) error {
 		st, err := bn.ec.Decode(ctx, bn.ds, engine.DecodeOrder{Request: "r1", Attempt: 1, MaxTokens: 5})
 		if err == nil {
 			st.Close()
 		}
 		return err
 	}
-	nothing := func(context.Context, bench) error { return nil }
+	nothing := func(context.Context, enginePair) error { return nil }
 	return []order{
-		{"Prefill", "p1", nothing, prefill, func(bn bench) int { return len(bn.pre.History().Runs) }},
-		{"Import", "d1", prefill, imported, func(bn bench) int { return len(bn.dec.History().Runs) }},
-		{"Decode", "d1", placed, decode, func(bn bench) int { return bn.dec.History().Runs[0].Decodes }},
+		{"Prefill", "p1", nothing, prefill, func(bn enginePair) int { return len(bn.pre.History().Runs) }},
+		{"Import", "d1", prefill, imported, func(bn enginePair) int { return len(bn.dec.History().Runs) }},
+		{"Decode", "d1", placed, decode, func(bn enginePair) int { return bn.dec.History().Runs[0].Decodes }},
 		{
 			"Cancel", "d1", placed,
-			func(ctx context.Context, bn bench) error { return bn.ec.Cancel(ctx, bn.ds, "r1") },
-			func(bn bench) int { return 1 - bn.dec.History().SlotsHeld },
+			func(ctx context.Context, bn enginePair) error { return bn.ec.Cancel(ctx, bn.ds, "r1") },
+			func(bn enginePair) int { return 1 - bn.dec.History().SlotsHeld },
 		},
 		{
 			"Order", "d1", nothing,
-			func(ctx context.Context, bn bench) error {
+			func(ctx context.Context, bn enginePair) error {
 				_, err := bn.ec.Order(ctx, bn.ds, engine.Order{Kind: engine.LoadModel, Name: "m", Fence: 1})
 				return err
 			},
-			func(bn bench) int { return len(bn.dec.History().Orders) },
+			func(bn enginePair) int { return len(bn.dec.History().Orders) },
 		},
 	}
 }
@@ -140,7 +140,7 @@
 	for _, od := range orders() {
 		for _, ft := range faults {
 			t.Run(od.name+" "+ft.name, func(t *testing.T) {
-				run(t, func(t *testing.T, bn bench) {
+				run(t, func(t *testing.T, bn enginePair) {
 					assert.NilError(t, od.prepare(t.Context(), bn))
 					en, srv := bn.pre, bn.ps
 					if od.server == "d1" {
@@ -167,7 +167,7 @@
 // to it, unless a cancel order was handled first.
 func TestOrderGivenUpIsCarriedOutLater(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
-		run(t, func(t *testing.T, bn bench) {
+		run(t, func(t *testing.T, bn enginePair) {
 			bn.pre.Control.Set(standin.Faults{Slow: 5000, Paths: []string{engine.PrefillPath}})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -185,7 +185,7 @@
 	}
 }
 
-func assertCounted(t *testing.T, bn bench, call string, oc backend.Outcome) {
+func assertCounted(t *testing.T, bn enginePair, call string, oc backend.Outcome) {
 	t.Helper()
 	for _, ct := range bn.ec.Scope.(tally.TestScope).Snapshot().Counters() {
 		if ct.Name() == "EngineCalls" && ct.Tags()["Call"] == call && ct.Tags()["Outcome"] == string(oc) {
@@ -197,7 +197,7 @@
 }
 
 func TestStreamCutAndResumed(t *testing.T) {
-	run(t, func(t *testing.T, bn bench) {
+	run(t, func(t *testing.T, bn enginePair) {
 		for _, od := range orders()[:2] {
 			assert.NilError(t, od.give(t.Context(), bn))
 		}
@@ -236,7 +236,7 @@
 }
 
 func TestCancelEndsStream(t *testing.T) {
-	run(t, func(t *testing.T, bn bench) {
+	run(t, func(t *testing.T, bn enginePair) {
 		for _, od := range orders()[:2] {
 			assert.NilError(t, od.give(t.Context(), bn))
 		}
--- a/internal/engine/order_test.go
+++ b/internal/engine/order_test.go
@@ -18,7 +18,7 @@
 
 // A holder whose lease ends while the connection is made, as in a pause, is
 // asked after that, and nothing of its order leaves.
-func TestOrderIfAsksWhenTheConnectionStands(t *testing.T) {
+func TestOrderIfChecksOnceConnected(t *testing.T) {
 	const lease, connects = 5 * clock.Second, 6 * clock.Second
 	for _, tc := range []struct {
 		name  string
@@ -26,7 +26,7 @@
 		sent  bool
 	}{{"held", 0, true}, {"ended", connects, false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			run(t, func(t *testing.T, bn bench) {
+			run(t, func(t *testing.T, bn enginePair) {
 				asked := 0
 				ec := &engine.Client{HTTP: slowDial(bn.nw, tc.pause), Self: bn.ec.Self}
 				until := time.Now().Add(lease.Std())
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -15,8 +15,8 @@
 	"alderdyke/internal/event"
 )
 
-// readAhead is how many tokens a stream reads before they are asked for.
-const readAhead = 16
+// readAheadTokens is how many tokens a stream reads before they are asked for.
+const readAheadTokens = 16
 
 // Errors of a token stream, found with errors.Is inside an InDoubtError.
 var (
@@ -38,10 +38,10 @@
 		cl     call
 		log    event.Logger
 		items  chan item
-		gone   chan struct{}
+		closed chan struct{}
 		cancel context.CancelFunc
 		once   sync.Once
-		failed error
+		endErr error
 	}
 
 	item struct {
@@ -50,15 +50,15 @@
 	}
 )
 
-// open opens a token stream. The context bounds only the time until the
+// openStream opens a token stream. The context bounds only the time until the
 // engine has answered.
-func (ec *Client) open(ctx context.Context, cl call, from int) (*Stream, error) {
-	st, err := ec.opened(ctx, cl, from)
+func (ec *Client) openStream(ctx context.Context, cl call, from int) (*Stream, error) {
+	st, err := ec.connectStream(ctx, cl, from)
 	ec.count(cl, err)
 	return st, err
 }
 
-func (ec *Client) opened(ctx context.Context, cl call, from int) (*Stream, error) {
+func (ec *Client) connectStream(ctx context.Context, cl call, from int) (*Stream, error) {
 	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, cancel)
 	rsp, err := ec.send(life, cl)
@@ -78,7 +78,7 @@
 	}
 	st := &Stream{
 		Attempt: att, cl: cl, log: ec.Log, cancel: cancel,
-		items: make(chan item, readAhead), gone: make(chan struct{}),
+		items: make(chan item, readAheadTokens), closed: make(chan struct{}),
 	}
 	go st.read(rsp, from)
 	return st, nil
@@ -89,19 +89,19 @@
 // io.EOF, and after Close it may return ErrStreamClosed. Any other error is an
 // InDoubtError and ends the stream; [Client.Resume] may go on from there.
 func (st *Stream) Next(ctx context.Context) (Token, error) {
-	if st.failed != nil {
-		return Token{}, st.failed
+	if st.endErr != nil {
+		return Token{}, st.endErr
 	}
 	select {
 	case <-ctx.Done():
 		return Token{}, fmt.Errorf("wait for token: %w", ctx.Err())
-	case <-st.gone:
+	case <-st.closed:
 		return Token{}, ErrStreamClosed
 	case it := <-st.items:
 		if it.err != nil {
-			st.failed = it.err
+			st.endErr = it.err
 		} else if it.tok.Last {
-			st.failed = io.EOF
+			st.endErr = io.EOF
 		}
 		return it.tok, it.err
 	}
@@ -110,7 +110,7 @@
 // Close drops the connection. The decode goes on at the engine.
 func (st *Stream) Close() {
 	st.once.Do(func() {
-		close(st.gone)
+		close(st.closed)
 		st.cancel()
 	})
 }
@@ -122,7 +122,7 @@
 	sc := bufio.NewScanner(rsp.Body)
 	sc.Buffer(make([]byte, 0, 512), lineBytes)
 	for want := from; ; want++ {
-		tok, err := next(sc, want)
+		tok, err := readToken(sc, want)
 		if err != nil {
 			if errors.Is(err, ErrTorn) {
 				st.log.Log(event.EngineStreamTorn, event.F("Server", st.cl.srv.ID), event.F("Index", want))
@@ -131,7 +131,7 @@
 		}
 		select {
 		case st.items <- item{tok, err}:
-		case <-st.gone:
+		case <-st.closed:
 			return
 		}
 		if err != nil || tok.Last {
@@ -140,7 +140,7 @@
 	}
 }
 
-func next(sc *bufio.Scanner, want int) (Token, error) {
+func readToken(sc *bufio.Scanner, want int) (Token, error) {
 	if !sc.Scan() {
 		if err := sc.Err(); err != nil {
 			return Token{}, fmt.Errorf("read token %d: %w", want, err)
@@ -159,7 +159,7 @@
 		return Token{}, fmt.Errorf("token %d is no JSON document: %w", want, ErrTorn)
 	}
 	if tok.Ended != "" {
-		return Token{}, fmt.Errorf("before token %d: %w: %s", want, ErrEnded, known(tok.Ended))
+		return Token{}, fmt.Errorf("before token %d: %w: %s", want, ErrEnded, knownReason(tok.Ended))
 	}
 	if tok.Index != want {
 		return Token{}, fmt.Errorf("token %d came where %d was due: %w", tok.Index, want, ErrTorn)
@@ -167,8 +167,8 @@
 	return tok, nil
 }
 
-// known keeps free text of an engine out of errors.
-func known(said string) backend.Reason {
+// knownReason keeps free text of an engine out of errors.
+func knownReason(said string) backend.Reason {
 	switch rs := backend.Reason(said); rs {
 	case backend.Cancelled, backend.Leaving:
 		return rs
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -59,7 +59,7 @@
 		if ev.Kind == answer.Refused && ev.Refusal.Reason == refusal.CallerGone {
 			return errUnknownKey // the runner gave up on a caller who is here
 		}
-		if err := rn.st.Join(ev); err != nil {
+		if err := rn.st.AddOrVerify(ev); err != nil {
 			return fmt.Errorf("follow %s: %w", runner.ID, notKept(err))
 		}
 		if ev.Kind.Final() {
@@ -70,7 +70,7 @@
 
 // notKept makes an answer.OtherError an errNotKept too.
 func notKept(err error) error {
-	if _, other := errors.AsType[answer.OtherError](err); other {
+	if _, other := errors.AsType[answer.OtherAnswerError](err); other {
 		return errors.Join(errNotKept, err)
 	}
 	return err
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -162,7 +162,7 @@
 	}
 	vm.backendsMu.Unlock()
 	if !same {
-		vm.incarnations.Keep(func(id string) bool { _, listed := vm.Board.Backends().Server(id); return listed })
+		vm.incarnations.Retain(func(id string) bool { _, listed := vm.Board.Backends().Server(id); return listed })
 		vm.accountant.follow(ctx)
 	}
 }
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -196,7 +196,7 @@
 		return failure{"prefill", err}
 	}
 	ma.kv = kv
-	ma.prefill.Incarnation = rn.vm.incarnations.Of(ma.prefill.ID) // which keeps the KV cache
+	ma.prefill.Incarnation = rn.vm.incarnations.Latest(ma.prefill.ID) // which keeps the KV cache
 	took := rn.vm.Clock.Now() - began
 	ma.rs.progress(sched.Prefilled, ma.prefill.ID, 0, took)
 	rn.tr.add(event.PrefillDone, ma.prefill.ID)
@@ -331,7 +331,7 @@
 		}
 		return false
 	}
-	sc.server.Incarnation = rn.vm.incarnations.Of(srv.ID) // it has answered just now
+	sc.server.Incarnation = rn.vm.incarnations.Latest(srv.ID) // it has answered just now
 	rn.claimed.became(decodesAt(sc.server, dec.EngineRequest))
 	if err := rn.stream(ctx, st, sc, dec.EngineRequest, 0, rn.vm.Engines.Resume); err != nil {
 		if !rn.takenOver(ctx) {
@@ -360,7 +360,7 @@
 		return false
 	}
 	rn.tr.add(event.ReadOn, srv.ID)
-	srv.Incarnation = rn.vm.incarnations.Of(srv.ID) // it has answered just now
+	srv.Incarnation = rn.vm.incarnations.Latest(srv.ID) // it has answered just now
 	return rn.stream(ctx, st, sentCall{server: srv, held: true}, dec.EngineRequest, 0, rn.vm.Engines.Follow) == nil
 }
 
@@ -402,7 +402,7 @@
 		if got > 0 {
 			tries = 0
 		}
-		_, other := errors.AsType[answer.OtherError](err)
+		_, other := errors.AsType[answer.OtherAnswerError](err)
 		if tries++; tries > resumeTries || other || errors.Is(err, engine.ErrEnded) {
 			return failure{"stream", err}
 		}
@@ -459,14 +459,14 @@
 // joinToken adds a token that is new, and holds any other against the answer.
 func (rn *run) joinToken(tok engine.Token) error {
 	ev := answer.Event{ID: tok.Index, Kind: answer.Token, Data: []byte(tok.Text)}
-	if err := rn.st.Join(ev); err != nil {
+	if err := rn.st.AddOrVerify(ev); err != nil {
 		return fmt.Errorf("add a token: %w", err)
 	}
 	if rn.first == 0 {
 		rn.first = rn.vm.Clock.Now()
 	}
 	if tok.Last && tok.Index+1 < rn.tokens() {
-		return fmt.Errorf("end the answer: %w", answer.OtherError{ID: tok.Index + 1})
+		return fmt.Errorf("end the answer: %w", answer.OtherAnswerError{ID: tok.Index + 1})
 	}
 	return nil
 }
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -60,7 +60,7 @@
 			break
 		}
 	}
-	refused, now := errors.Is(err, syscall.ECONNREFUSED), vm.incarnations.Of(cl.Server.ID)
+	refused, now := errors.Is(err, syscall.ECONNREFUSED), vm.incarnations.Latest(cl.Server.ID)
 	switch {
 	case ctx.Err() != nil:
 		return poison.Alive
@@ -157,8 +157,8 @@
 // one that is known may have ended unnoticed.
 func (rn *run) beginCall(srv board.BackendServer) sentCall {
 	vm := rn.vm
-	sc := sentCall{server: srv, began: vm.Clock.Now(), told: vm.incarnations.Times(srv.ID)}
-	if vm.incarnations.Missing(srv.ID) || vm.poison.Any() && vm.poison.Suspected(rn.mark()) {
+	sc := sentCall{server: srv, began: vm.Clock.Now(), told: vm.incarnations.Reports(srv.ID)}
+	if vm.incarnations.FirstMissing(srv.ID) || vm.poison.Any() && vm.poison.Suspected(rn.mark()) {
 		vm.askIncarnation(srv)
 	}
 	return sc
@@ -185,14 +185,14 @@
 
 func (rn *run) recordBrokenCall(ctx context.Context, sc sentCall) {
 	if !sc.held {
-		sc.server.Incarnation = rn.vm.incarnations.Of(sc.server.ID)
+		sc.server.Incarnation = rn.vm.incarnations.Latest(sc.server.ID)
 	}
 	rn.vm.poison.RecordBrokenCall(ctx, poison.Call{
 		Request:   rn.name(),
 		Mark:      rn.mark(),
 		Server:    sc.server,
 		Instance:  fmt.Sprintf("%s/%d", sc.server.ID, sc.server.Incarnation),
-		Confirmed: sc.server.Incarnation != 0 && (sc.held || rn.vm.incarnations.Times(sc.server.ID) > sc.told),
+		Confirmed: sc.server.Incarnation != 0 && (sc.held || rn.vm.incarnations.Reports(sc.server.ID) > sc.told),
 		Began:     sc.began,
 		Answered:  sc.answered,
 		Beside:    poison.UnknownBeside,
--- a/internal/entry/transfer.go
+++ b/internal/entry/transfer.go
@@ -158,7 +158,7 @@
 				ma.letGo(srv.ID)
 				return failure{"import", err}
 			}
-			ma.decode.Incarnation = ma.rn.vm.incarnations.Of(srv.ID) // which holds the KV cache
+			ma.decode.Incarnation = ma.rn.vm.incarnations.Latest(srv.ID) // which holds the KV cache
 			return nil
 		case fr, ok := <-said:
 			if !ok {
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -352,7 +352,7 @@
 func (vm *VM) server(id string) (board.BackendServer, bool) {
 	srv, ok := vm.Board.Backends().Server(id)
 	if srv.Incarnation == 0 {
-		srv.Incarnation = vm.incarnations.Of(id)
+		srv.Incarnation = vm.incarnations.Latest(id)
 	}
 	return srv, ok
 }
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -99,8 +99,8 @@
 func (ps *placeSim) startVM(ctx context.Context, ix int) *simVM {
 	rl := &relay.Relay{Clock: ps.clock, Rand: rand.New(rand.NewPCG(ps.seed, uint64(ix))),
 		Settings: relay.Settings{Budget: retry.Settings{Burst: 3, Floor: 0.001, Ratio: 0.1, Base: 1}}}
-	vm := ps.newVM(ctx, ix, simHears{usage: rl.HeardUsage, place: rl.AnswerPlace, moved: rl.TellAgain})
-	rl.Servers, rl.Others, rl.Schedulers = simServers{ps, vm}, vm.ne.Others, vm
+	vm := ps.newVM(ctx, ix, simHears{usage: rl.ReceiveUsage, place: rl.AnswerPlace, moved: rl.TriggerUsageReport})
+	rl.Servers, rl.OtherVMs, rl.Schedulers = simServers{ps, vm}, vm.ne.Others, vm
 	ps.configure(rl)
 	ps.mu.Lock()
 	ps.relays[vm] = rl
@@ -153,10 +153,10 @@
 	rl := ps.relays[vm]
 	ps.mu.Unlock()
 	req := &relay.Request{ID: fmt.Sprint("r", number), Method: http.MethodPost, Host: "h", URI: "/draft/x", Path: "/draft/x", Header: http.Header{},
-		Came: ps.clock.Now(), Left: 14 * clock.Second, Prompt: &relay.Prompt{Tokens: simPrompt, Most: 800, Hint: 100}}
+		Arrived: ps.clock.Now(), WaitLimit: 14 * clock.Second, Prompt: &relay.Prompt{Tokens: simPrompt, MaxOutput: 800, Hint: 100}}
 	err := rl.Serve(vm.ctx, httptest.NewRecorder(), req)
 	if rf, ok := errors.AsType[refusal.Refusal](err); ok && rf.Reason == refusal.QueueFull && vm.ctx.Err() == nil {
-		ps.noteRefusal(vm, req.Came)
+		ps.noteRefusal(vm, req.Arrived)
 	}
 }
 
@@ -323,7 +323,7 @@
 	termFault = usage.Stale + termWell
 	// tookMost is how long a request may wait in vain: its own span, an ask of each
 	// scheduler, and an engine that declines.
-	tookMost = relay.DefaultWait + 100*clock.Millis(1)
+	tookMost = relay.DefaultPlaceWait + 100*clock.Millis(1)
 
 	// agreeWithin is how long after that all name the same schedulers: a VM that was
 	// frozen when another one died finds out by a probe of its own, the last in a round.
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// wholeBytes is the largest answer that is read whole before its first
+	// maxBufferedBytes is the largest answer that is read whole before its first
 	// byte goes to the caller, so that another attempt can still follow. The
 	// answers of plain services are about a hundredth of it.
-	wholeBytes = 256 << 10
-	// copyBytes is the buffer of an answer that is passed on as it comes.
-	copyBytes = 16 << 10
+	maxBufferedBytes = 256 << 10
+	// copyBufferBytes is the buffer of an answer that is passed on as it comes.
+	copyBufferBytes = 16 << 10
 )
 
 // hopHeaders concern one connection only (RFC 9110, section 7.6.1).
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// whole is an answer that is in memory.
-type whole struct {
+// bufferedAnswer is an answer that is in memory.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -50,23 +50,23 @@
 	return out
 }
 
-// readWhole reads an answer up to its end. One that is larger than the bound
+// bufferAnswer reads an answer up to its end. One that is larger than the bound
 // comes back with what was read, and the rest to read.
-func readWhole(rsp *http.Response) (wh whole, rest io.Reader, err error) {
-	wh = whole{status: rsp.StatusCode, header: rsp.Header}
-	wh.body, err = io.ReadAll(io.LimitReader(rsp.Body, wholeBytes+1))
+func bufferAnswer(rsp *http.Response) (wh bufferedAnswer, rest io.Reader, err error) {
+	wh = bufferedAnswer{status: rsp.StatusCode, header: rsp.Header}
+	wh.body, err = io.ReadAll(io.LimitReader(rsp.Body, maxBufferedBytes+1))
 	if err != nil {
 		return wh, nil, err
 	}
-	if len(wh.body) > wholeBytes {
+	if len(wh.body) > maxBufferedBytes {
 		return wh, rsp.Body, nil
 	}
 	return wh, nil, nil
 }
 
-// writeHead passes on the status and the header of an answer. Without a
+// writeHeader passes on the status and the header of an answer. Without a
 // length the body goes out in chunks, whose last one marks its end.
-func writeHead(wr http.ResponseWriter, status int, header http.Header) {
+func writeHeader(wr http.ResponseWriter, status int, header http.Header) {
 	to := wr.Header()
 	for name, values := range EndToEnd(header) {
 		to[name] = slices.Clone(values)
@@ -80,17 +80,17 @@
 	wr.WriteHeader(status)
 }
 
-// writeWhole passes on an answer that is in memory.
-func writeWhole(wr http.ResponseWriter, wh whole, rest io.Reader) error {
-	writeHead(wr, wh.status, wh.header)
+// writeBuffered passes on an answer that is in memory.
+func writeBuffered(wr http.ResponseWriter, wh bufferedAnswer, rest io.Reader) error {
+	writeHeader(wr, wh.status, wh.header)
 	if _, err := wr.Write(wh.body); err != nil {
-		return cut(err)
+		return wrapCut(err)
 	}
 	if rest == nil {
 		return nil
 	}
-	if _, err := io.CopyBuffer(wr, rest, make([]byte, copyBytes)); err != nil {
-		return cut(err)
+	if _, err := io.CopyBuffer(wr, rest, make([]byte, copyBufferBytes)); err != nil {
+		return wrapCut(err)
 	}
 	return nil
 }
--- a/internal/relay/arrivals.go
+++ b/internal/relay/arrivals.go
@@ -29,50 +29,50 @@
 // arrival beyond the first is a repeat, but for the first prefill that a server
 // accepts. The relay's lock guards it.
 type arrivals struct {
-	counted int     // all but that prefill
-	staged  bool    // that prefill was accepted
-	credit  float64 // paid for and not used
+	counted         int     // all but that prefill
+	prefillAccepted bool    // that prefill was accepted
+	credit          float64 // paid for and not used
 }
 
 // price is what the next call costs.
 func (ar *arrivals) price(call string) float64 {
-	if ar.counted == 0 && !(ar.staged && call == callPrefill) {
+	if ar.counted == 0 && !(ar.prefillAccepted && call == callPrefill) {
 		return 0
 	}
 	return 1
 }
 
-// note takes the end of a call that was paid for into account, and returns what is
+// record takes the end of a call that was paid for into account, and returns what is
 // to be given back of its price: nothing arrived, or it was the first prefill.
-func (ar *arrivals) note(call string, price float64, err error) (back float64) {
+func (ar *arrivals) record(call string, price float64, err error) (back float64) {
 	switch {
 	case notSent(err):
 		return price
-	case call == callPrefill && !ar.staged && err == nil:
-		ar.staged = true
+	case call == callPrefill && !ar.prefillAccepted && err == nil:
+		ar.prefillAccepted = true
 		return price
 	}
 	ar.counted++
 	return 0
 }
 
-// send makes a call that carries the request to a server, if its arrival there is
+// callWithinBudget makes a call that carries the request to a server, if its arrival there is
 // free or the budget pays for it. Every way to one more server leads through here,
 // or the servers would get more of a failing fleet's repeats than was agreed. The
 // fields are for the call's log line.
-func (rl *Relay) send(ex *exchange, call, server string, do func() error) ([]event.Field, error) {
-	price, ok := rl.pay(ex, call)
+func (rl *Relay) callWithinBudget(ex *exchange, call, server string, do func() error) ([]event.Field, error) {
+	price, ok := rl.payForCall(ex, call)
 	if !ok {
 		return nil, backend.NotSentError{Server: server, Call: call, Err: errBudget}
 	}
 	err := do()
-	rl.heedRest(err)
+	rl.applyRetryAfter(err)
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	back := ex.arrivals.note(call, price, err)
+	back := ex.arrivals.record(call, price, err)
 	ex.arrivals.credit += back
 	if back < price || price == 0 && !notSent(err) {
-		rl.count("Arrivals", map[string]string{"Service": ex.svc.Name, "Call": call, "Way": wayOf(price)})
+		rl.count("Arrivals", map[string]string{"Service": ex.svc.Name, "Call": call, "Way": arrivalTag(price)})
 	}
 	return []event.Field{event.F("Arrivals", ex.arrivals.counted), event.F("Paid", price-back)}, err
 }
@@ -82,19 +82,19 @@
 	return oc == backend.NotSent
 }
 
-func wayOf(price float64) string {
+func arrivalTag(price float64) string {
 	if price > 0 {
 		return arrivalPaid
 	}
 	return arrivalFree
 }
 
-// pay takes the price of the next call from what was paid before, or else from the
+// payForCall takes the price of the next call from what was paid before, or else from the
 // budget.
-func (rl *Relay) pay(ex *exchange, call string) (price float64, ok bool) {
+func (rl *Relay) payForCall(ex *exchange, call string) (price float64, ok bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.divide()
+	rl.applyRetryShare()
 	price = ex.arrivals.price(call)
 	if ex.arrivals.credit >= price {
 		ex.arrivals.credit -= price
@@ -116,16 +116,16 @@
 	return true
 }
 
-// allowsTwo tells whether a prefill apart and the decode behind it could both be
+// canPayPrefillAndDecode tells whether a prefill apart and the decode behind it could both be
 // paid for. The lock is held.
-func (rl *Relay) allowsTwo(ex *exchange) bool {
+func (rl *Relay) canPayPrefillAndDecode(ex *exchange) bool {
 	ar := &ex.arrivals
 	price := ar.price(callPrefill) + ar.price(callDecode)
 	return ar.credit+rl.budget.Left(rl.now(), "", ex.svc.Name) >= price
 }
 
-// refund gives back what was paid for and not used.
-func (rl *Relay) refund(ex *exchange) {
+// refundArrivals gives back what was paid for and not used.
+func (rl *Relay) refundArrivals(ex *exchange) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	if ex.arrivals.credit > 0 {
--- a/internal/relay/arrivals_test.go
+++ b/internal/relay/arrivals_test.go
@@ -19,9 +19,9 @@
 	"alderdyke/internal/retry"
 )
 
-// beyond counts the arrivals beyond the first of one request: all calls that
+// extraArrivals counts the arrivals extraArrivals the first of one request: all calls that
 // carried it to a server, but for the first prefill, if that was accepted.
-func (sv *servers) beyond(serve func()) int {
+func (sv *servers) extraArrivals(serve func()) int {
 	sent, prefills, _ := sv.counts()
 	serve()
 	sentNow, prefillsNow, accepted := sv.counts()
@@ -38,10 +38,10 @@
 	return len(sv.sent), len(sv.prefills), sv.accepted
 }
 
-// manyEngines is the rig's servers with so many more engines of each role, so that
+// withMoreEngines is the rig's servers with so many more engines of each role, so that
 // one that failed is not missed.
-func manyEngines(more int) []board.BackendServer {
-	out := slices.Clone(list)
+func withMoreEngines(more int) []board.BackendServer {
+	out := slices.Clone(allServers)
 	for ix := range more {
 		out = append(out, board.BackendServer{ID: fmt.Sprintf("d%d", ix+3), Service: "model", Role: board.Decode},
 			board.BackendServer{ID: fmt.Sprintf("f%d", ix+3), Service: "model", Role: board.Prefill})
@@ -57,10 +57,10 @@
 // it when a stream was first gone on with, or when a decode engine computed a prompt
 // that was given up elsewhere: 158 of the 189 arrivals of that day were these, by the
 // count that stands in the calls' lines since ("Arrivals":3,"Unpaid":2).
-func TestRepeatsArePaidFor(t *testing.T) {
+func TestRepeatedArrivalsAreBudgeted(t *testing.T) {
 	const requests = 20
 	broken := func(_ context.Context, _ int, se sent) (*http.Response, error) {
-		if se.op.After == "" {
+		if se.op.LastEventID == "" {
 			return answer(http.StatusOK, eventOne, io.ErrUnexpectedEOF), nil
 		}
 		return answer(http.StatusOK, eventTwo, nil), nil
@@ -95,11 +95,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				rl.SetBackends(rl.Clock.Now(), manyEngines(requests))
+				rl.SetBackends(rl.Clock.Now(), withMoreEngines(requests))
 				tc.prepare(sv)
 				beyond := 0
 				for range requests {
-					beyond += sv.beyond(func() { _, _ = serve(t.Context(), rl, tc.route) })
+					beyond += sv.extraArrivals(func() { _, _ = serve(t.Context(), rl, tc.route) })
 					time.Sleep(100 * time.Millisecond)
 				}
 				assert.Assert(t, float64(beyond) <= rigBurst+rigRatio*requests, "%d arrivals beyond the first of %d requests", beyond, requests)
@@ -112,17 +112,17 @@
 // arrives once more: 20 runs that moved were 20 arrivals that nobody had paid for.
 // They had the same cause as the streams that break off: what led a request to one
 // more server was no retry to the budget.
-func TestMovesArePaidFor(t *testing.T) {
+func TestMovedRunsAreBudgeted(t *testing.T) {
 	const runs = 20
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		all := withDecoders(rl, "d3", "d4", "d5", "d6")
 		ended := make(chan struct{})
 		sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
-			if se.op.After != "" {
+			if se.op.LastEventID != "" {
 				return answer(http.StatusOK, eventTwo, nil), nil
 			}
-			return untilEnd(eventOne, ended, "", io.ErrUnexpectedEOF), nil
+			return streamUntil(eventOne, ended, "", io.ErrUnexpectedEOF), nil
 		}
 		var open sync.WaitGroup
 		for range runs {
@@ -143,15 +143,15 @@
 	})
 }
 
-// failing counts the arrivals beyond the first of requests that all servers fail, at
+// extraArrivalsOfFailing counts the arrivals beyond the first of requests that all servers fail, at
 // one VM.
-func failing(t *testing.T, rl *relay.Relay, sv *servers, requests int) int {
+func extraArrivalsOfFailing(t *testing.T, rl *relay.Relay, sv *servers, requests int) int {
 	sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 		return answer(http.StatusInternalServerError, "", nil), nil
 	}
 	beyond := 0
 	for range requests {
-		beyond += sv.beyond(func() { _, _ = serve(t.Context(), rl, "again") })
+		beyond += sv.extraArrivals(func() { _, _ = serve(t.Context(), rl, "again") })
 	}
 	return beyond
 }
@@ -159,7 +159,7 @@
 // newFleetRig is a VM of a fleet that may repeat so many attempts, beside a small part
 // of its requests, in ten seconds.
 func newFleetRig(t *testing.T, slack float64) (*relay.Relay, *servers) {
-	return newRigWith(t, 2, relay.Settings{Slack: slack, Budget: retry.Settings{Ratio: rigRatio, Floor: 0.001, Base: 1}})
+	return newRigWith(t, 2, relay.Settings{RetrySlack: slack, Budget: retry.Settings{Ratio: rigRatio, Floor: 0.001, Base: 1}})
 }
 
 // A VM that started again had its whole part of what the fleet may repeat, as if its
@@ -167,14 +167,14 @@
 // four times within ten seconds repeated 140 attempts where 82 were agreed. None of
 // the days that were looked at showed it, for few of them have VMs start so often
 // while servers fail.
-func TestRepeatsOfVMsThatStartAgain(t *testing.T) {
+func TestRetryBudgetOfRestartedVMs(t *testing.T) {
 	const slack, vms, lives, requests = 54, 7, 4, 10
 	synctest.Test(t, func(t *testing.T) {
 		beyond := 0
 		for range lives * vms {
 			rl, sv := newFleetRig(t, slack)
-			rl.SetFleet(vms)
-			beyond += failing(t, rl, sv, requests)
+			rl.SetFleetSize(vms)
+			beyond += extraArrivalsOfFailing(t, rl, sv, requests)
 		}
 		assert.Assert(t, float64(beyond) <= slack+rigRatio*lives*vms*requests, "%d arrivals beyond the first", beyond)
 	})
@@ -183,33 +183,33 @@
 // VMs that lost sight of each other each took the part of the fleet's smallest size,
 // and all of them together many times what the fleet may repeat: 82 VMs 1,640 attempts
 // where 532 were agreed. Who is out of sight may live, and spends its own part.
-func TestRepeatsOfVMsThatLoseSight(t *testing.T) {
+func TestRetryBudgetOfPartitionedVMs(t *testing.T) {
 	const slack, vms, requests = 204, 82, 40
 	synctest.Test(t, func(t *testing.T) {
 		beyond := 0
 		for range vms {
 			rl, sv := newFleetRig(t, slack)
-			rl.SetFleet(vms)
+			rl.SetFleetSize(vms)
 			time.Sleep(10 * time.Second)
-			rl.SetFleet(1)
-			beyond += failing(t, rl, sv, requests)
+			rl.SetFleetSize(1)
+			beyond += extraArrivalsOfFailing(t, rl, sv, requests)
 		}
 		assert.Assert(t, float64(beyond) <= slack+rigRatio*vms*requests, "%d arrivals beyond the first", beyond)
 	})
 }
 
 // A fleet that has shrunk for good divides by what is left of it after a while.
-func TestRepeatsOfAFleetThatShrank(t *testing.T) {
+func TestRetryBudgetOfAShrunkFleet(t *testing.T) {
 	const slack, vms, left = 204, 82, 10
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newFleetRig(t, slack)
-		rl.SetFleet(vms)
+		rl.SetFleetSize(vms)
 		time.Sleep(20 * time.Second)
-		rl.SetFleet(left)
-		assert.Assert(t, failing(t, rl, sv, 10) <= 2)
+		rl.SetFleetSize(left)
+		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 10) <= 2)
 		time.Sleep(2 * time.Minute)
-		assert.Assert(t, failing(t, rl, sv, 10) <= 2, "the first of them brings the new part into force")
+		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 10) <= 2, "the first of them brings the new part into force")
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, failing(t, rl, sv, 40) >= slack/left/2)
+		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 40) >= slack/left/2)
 	})
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -22,19 +22,19 @@
 		runs, waiting int // of an engine, of the fleet
 	}{{"room", 4, 0}, {"nearly full", 9, 100}, {"full", 12, 100}} {
 		bb.Run(tc.name, func(bb *testing.B) {
-			rl := scheduler(bb, tc.runs, tc.waiting)
+			rl := newScheduler(bb, tc.runs, tc.waiting)
 			ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model", Turn: 1 << 31}, Run: usage.Run{Tokens: 5200, Left: 2000}, Reserve: 5500,
 				MayWait: 180, MayWaitBack: 2800, Prompt: true}
 			for bb.Loop() {
 				rl.AnswerPlace("vm-0", ask)
-				rl.HeardUsage("vm-0", usage.Report{}) // so that no place stays taken
+				rl.ReceiveUsage("vm-0", usage.Report{}) // so that no place stays taken
 			}
 		})
 	}
 }
 
-// scheduler is the relay of a VM that hears all others.
-func scheduler(tb testing.TB, runs, waiting int) *relay.Relay {
+// newScheduler is the relay of a VM that hears all others.
+func newScheduler(tb testing.TB, runs, waiting int) *relay.Relay {
 	const vms, engines = 295, 48
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2)), Clock: bubbleClock{time.Now()}}
 	table, err := route.New(1, nil, []route.Service{{Name: "model", Engines: &route.Engines{Memory: 66642}}})
@@ -50,7 +50,7 @@
 	for ix := range vms {
 		names = append(names, fmt.Sprintf("vm-%d", ix))
 	}
-	rl.Others = func() ([]string, bool) { return append([]string(nil), names...), true }
+	rl.OtherVMs = func() ([]string, bool) { return append([]string(nil), names...), true }
 	for ix, name := range names {
 		var rp usage.Report
 		for run := ix; run < engines*runs; run += vms {
@@ -59,7 +59,7 @@
 		if ix < waiting {
 			rp.Waiting = []usage.Ask{{Service: "model", Turn: uint32(ix + 1)}}
 		}
-		rl.HeardUsage(name, rp)
+		rl.ReceiveUsage(name, rp)
 	}
 	return rl
 }
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -16,9 +16,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// others lets a relay hear one other VM.
-func others(rl *relay.Relay) {
-	rl.Others = func() ([]string, bool) { return []string{"vm-2"}, true }
+// withOneOther lets a relay hear one other VM.
+func withOneOther(rl *relay.Relay) {
+	rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
 }
 
 // In a burst some VM always says that places are wanting. A request that came
@@ -36,16 +36,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				others(rl)
+				withOneOther(rl)
 				tell := func() {
 					rp := usage.Report{Short: true}
 					for _, engine := range []string{"d1", "d2"} {
 						rp.Runs = append(rp.Runs, usage.Run{Engine: engine, Tokens: tc.tokens})
 					}
-					rl.HeardUsage("vm-2", rp)
+					rl.ReceiveUsage("vm-2", rp)
 				}
 				tell()
-				_, err := send(t, rl, 14*clock.Second, 2000)
+				_, err := sendGeneration(t, rl, 14*clock.Second, 2000)
 				assert.NilError(t, err, "a new one")
 				ticker := time.NewTicker(200 * time.Millisecond)
 				defer ticker.Stop()
@@ -61,7 +61,7 @@
 					}
 				}()
 				before := len(sv.sentTo())
-				_, err = send(t, rl, 11*clock.Second, 4000)
+				_, err = sendGeneration(t, rl, 11*clock.Second, 4000)
 				close(ended)
 				assert.Equal(t, err == nil, tc.places, "%v", err)
 				assert.Equal(t, len(sv.sentTo()) > before, tc.places)
@@ -70,8 +70,8 @@
 	}
 }
 
-// send carries a generation with a prompt of a size.
-func send(t *testing.T, rl *relay.Relay, left clock.Millis, tokens int) (int, error) {
+// sendGeneration carries a generation with a prompt of a size.
+func sendGeneration(t *testing.T, rl *relay.Relay, left clock.Millis, tokens int) (int, error) {
 	t.Helper()
 	rec, req := newGeneration(rl, left, tokens)
 	return rec.Code, rl.Serve(t.Context(), rec, req)
@@ -82,9 +82,9 @@
 func TestEngineThatFailedAnotherVMIsAskedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		others(rl)
+		withOneOther(rl)
 		busy := []usage.Run{{Engine: "d2", Tokens: 2000}}
-		rl.HeardUsage("vm-2", usage.Report{Runs: busy, Failing: []string{"d1"}})
+		rl.ReceiveUsage("vm-2", usage.Report{Runs: busy, Failing: []string{"d1"}})
 		var asked []string
 		sv.onReserve = func(bs board.BackendServer, _ int) error {
 			asked = append(asked, bs.ID)
@@ -93,22 +93,22 @@
 			}
 			return nil
 		}
-		_, err := send(t, rl, 14*clock.Second, 2000)
+		_, err := sendGeneration(t, rl, 14*clock.Second, 2000)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, asked, []string{"d2"})
 
 		// The word is of a VM that may be cut off itself: without another
 		// engine the one that it names is asked.
 		asked = nil
-		rl.HeardUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d2", Tokens: 9500}}, Failing: []string{"d1"}})
-		_, err = send(t, rl, 14*clock.Second, 2000)
+		rl.ReceiveUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d2", Tokens: 9500}}, Failing: []string{"d1"}})
+		_, err = sendGeneration(t, rl, 14*clock.Second, 2000)
 		refusalOf(t, err)
 		assert.DeepEqual(t, asked, []string{"d1"})
 	})
 }
 
 // A VM tells the others which engine failed it, and that it works again.
-func TestFailedEngineIsTold(t *testing.T) {
+func TestFailedEngineIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		var told atomic.Pointer[usage.Report]
@@ -119,7 +119,7 @@
 			}
 			return nil
 		}
-		_, err := send(t, rl, 14*clock.Second, 2000)
+		_, err := sendGeneration(t, rl, 14*clock.Second, 2000)
 		assert.NilError(t, err)
 		assert.Equal(t, len(sv.prefills), 2, "the next prefill engine was asked")
 		time.Sleep(10 * time.Millisecond)
@@ -134,7 +134,7 @@
 // An engine that failed another VM and looks empty may be gone: it is asked to
 // compute the prompt itself, so that none is computed elsewhere in vain. One that
 // has runs is sound.
-func TestEngineThatMayBeGone(t *testing.T) {
+func TestDoubtfulEngineComputesThePrompt(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		runs     int // that the other VM has there
@@ -143,14 +143,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				others(rl)
-				rl.SetBackends(rl.Clock.Now(), []board.BackendServer{list[0], list[2]})
+				withOneOther(rl)
+				rl.SetBackends(rl.Clock.Now(), []board.BackendServer{allServers[0], allServers[2]})
 				rp := usage.Report{Failing: []string{"d1"}}
 				for range tc.runs {
 					rp.Runs = append(rp.Runs, usage.Run{Engine: "d1", Tokens: 100})
 				}
-				rl.HeardUsage("vm-2", rp)
-				_, err := send(t, rl, 14*clock.Second, 2000)
+				rl.ReceiveUsage("vm-2", rp)
+				_, err := sendGeneration(t, rl, 14*clock.Second, 2000)
 				assert.NilError(t, err)
 				assert.Equal(t, len(sv.prefills), tc.prefills)
 			})
--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -37,9 +37,9 @@
 //	RelayMoved Last=57 Status=500 Error=
 //	RelayAnswered Events=57 Last=57
 
-// foreign are responses that do not go on with an answer of which the caller has
+// unrelatedResponses are responses that do not go on with an answer of which the caller has
 // the first event.
-var foreign = []struct {
+var unrelatedResponses = []struct {
 	name   string
 	status int
 	body   string
@@ -54,9 +54,9 @@
 	{"text", http.StatusOK, "out of memory\n"},
 }
 
-// moving has the run of a request moved away once its first event is out. Its
+// moveAfterFirstEvent has the run of a request moved away once its first event is out. Its
 // stream ends with the error when the run is stopped; nil is an orderly end.
-func moving(rl *relay.Relay, sv *servers, end error, next func() *http.Response) {
+func moveAfterFirstEvent(rl *relay.Relay, sv *servers, end error, next func() *http.Response) {
 	stopped := make(chan struct{})
 	sv.onMove = func(_ int, _ board.BackendServer, stop bool) error {
 		if stop {
@@ -68,9 +68,9 @@
 		if nth > 1 {
 			return next(), nil
 		}
-		return untilEnd(eventOne, stopped, "", end), nil
+		return streamUntil(eventOne, stopped, "", end), nil
 	}
-	leaveAfter(rl, sv, list, 200*time.Millisecond)
+	leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 }
 
 // leaveAfter has the first engine that was sent a run leave after a span.
@@ -86,7 +86,7 @@
 
 // withDecoders adds decode engines to those of the rig.
 func withDecoders(rl *relay.Relay, ids ...string) []board.BackendServer {
-	more := slices.Clone(list)
+	more := slices.Clone(allServers)
 	for _, id := range ids {
 		more = append(more, board.BackendServer{ID: id, Service: "model", Role: board.Decode})
 	}
@@ -97,8 +97,8 @@
 
 // An answer goes on only with events of its own. What else an engine answers is
 // neither joined to it nor taken for its end.
-func TestAnswerGoesOnWithItsOwnEventsOnly(t *testing.T) {
-	for _, tc := range foreign {
+func TestContinuationTakesOnlyFollowingEvents(t *testing.T) {
+	for _, tc := range unrelatedResponses {
 		t.Run("resumed, "+tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
@@ -112,13 +112,13 @@
 				assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
 				assert.Equal(t, rec.Body.String(), eventOne)
 				synctest.Wait()
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 		t.Run("moved, "+tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				moving(rl, sv, io.ErrUnexpectedEOF, func() *http.Response { return answer(tc.status, tc.body, nil) })
+				moveAfterFirstEvent(rl, sv, io.ErrUnexpectedEOF, func() *http.Response { return answer(tc.status, tc.body, nil) })
 				rec, err := serve(t.Context(), rl, "draft")
 				assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
 				assert.Equal(t, rec.Body.String(), eventOne)
@@ -133,7 +133,7 @@
 func TestStoppedRunIsNotAWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		moving(rl, sv, nil, func() *http.Response { return answer(http.StatusOK, eventTwo+eventThree, nil) })
+		moveAfterFirstEvent(rl, sv, nil, func() *http.Response { return answer(http.StatusOK, eventTwo+eventThree, nil) })
 		rec, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo+eventThree)
@@ -142,7 +142,7 @@
 
 // A caller who comes back with the last event that it has gets what follows it,
 // or nothing of this engine's.
-func TestCallerThatComesBackGetsWhatFollows(t *testing.T) {
+func TestReturningCallerGetsFollowingEvents(t *testing.T) {
 	for _, tc := range []struct {
 		name, body string
 		want       string // empty: it is refused
@@ -159,7 +159,7 @@
 					return answer(http.StatusOK, tc.body, nil), nil
 				}
 				rec, req := newGeneration(rl, 14*clock.Second, 5000)
-				req.After = "1"
+				req.LastEventID = "1"
 				err := rl.Serve(t.Context(), rec, req)
 				if tc.want == "refused" {
 					assert.Equal(t, refusalOf(t, err).Ran, refusal.MayHaveRun)
@@ -175,7 +175,7 @@
 
 // An engine that fails, or declines, what it was to go on with is passed over:
 // the next one goes on, for as long as the route allows.
-func TestNextEngineGoesOn(t *testing.T) {
+func TestNextEngineContinuesTheStream(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		second func() (*http.Response, error)
@@ -206,7 +206,7 @@
 				assert.NilError(t, err)
 				assert.Equal(t, rec.Body.String(), eventOne+eventTwo+eventThree)
 				synctest.Wait()
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 	}
@@ -252,7 +252,7 @@
 				assert.NilError(t, err)
 				assert.Assert(t, !slices.Contains(sv.sentTo()[1:], sv.sentTo()[0]))
 				synctest.Wait()
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 	}
@@ -290,7 +290,7 @@
 
 // All new runs but the first are paid from the budget of retries, also where each
 // engine answers with events that do not follow.
-func TestFurtherRunsArePaid(t *testing.T) {
+func TestResumedRunsAreBudgeted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests, paid = 12, 3 // the rig's budget pays for one further run of each two calls
 		rl, sv := newRig(t)
@@ -313,11 +313,11 @@
 
 // A prompt that was computed by an engine that has started again since is not
 // gone on from: its ID may name another prompt there.
-func TestResumeLeavesAPromptOfAnEarlierLife(t *testing.T) {
+func TestResumeIgnoresPromptOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		lives := func(again bool) []board.BackendServer {
-			out := slices.Clone(list)
+			out := slices.Clone(allServers)
 			for ix := range out {
 				out[ix].Name = out[ix].ID
 				if again && out[ix].Role == board.Prefill {
@@ -349,14 +349,14 @@
 
 // A caller that names an event which its answer never had is refused, and no
 // engine is passed over for that.
-func TestEventThatNeverWas(t *testing.T) {
+func TestUnknownLastEventIDIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 			return answer(http.StatusOK, eventOne+eventTwo, nil), nil
 		}
 		rec, req := newGeneration(rl, 14*clock.Second, 5000)
-		req.After, req.URI, req.Path = "900", "/thrice/x", "/thrice/x"
+		req.LastEventID, req.URI, req.Path = "900", "/thrice/x", "/thrice/x"
 		err := rl.Serve(t.Context(), rec, req)
 		assert.Equal(t, refusalOf(t, err).Ran, refusal.MayHaveRun)
 		assert.Equal(t, len(sv.sentTo()), 1)
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -13,8 +13,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// told answers as a server that tells how many wait at it.
-func told(status int, load string) *http.Response {
+// answerWithLoad answers as a server that tells how many wait at it.
+func answerWithLoad(status int, load string) *http.Response {
 	rsp := answer(status, "a", nil)
 	rsp.Header.Set("X-Load", load)
 	return rsp
@@ -23,13 +23,13 @@
 // While the servers tell of a long line an idempotent request that one of them failed
 // is not sent again, and others are refused at once with a time to come back; when the
 // line is gone both are as before.
-func TestLongLine(t *testing.T) {
+func TestLongQueueRefusesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		load, status := "6,0,6", http.StatusOK
 		sv.onSend = func(_ context.Context, _ int, _ sent) (*http.Response, error) {
 			time.Sleep(20 * time.Millisecond)
-			return told(status, load), nil
+			return answerWithLoad(status, load), nil
 		}
 		for range 20 {
 			_, err := serve(t.Context(), rl, "again")
@@ -63,11 +63,11 @@
 }
 
 // A route without an objective waits for as long as it has to.
-func TestLongLineWithoutObjective(t *testing.T) {
+func TestLongQueueWithoutObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, _ int, _ sent) (*http.Response, error) {
-			return told(http.StatusOK, "6,24,6"), nil
+			return answerWithLoad(http.StatusOK, "6,24,6"), nil
 		}
 		for range 50 {
 			_, err := serve(t.Context(), rl, "once")
--- a/internal/relay/customer.go
+++ b/internal/relay/customer.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// unknownEvery is the least span between two log lines on unknown keys.
-	unknownEvery = 10 * clock.Second
-	// mostCounted is how many customers have counters by name, so that those of a
+	// unknownKeyLogInterval is the least span between two log lines on unknown keys.
+	unknownKeyLogInterval = 10 * clock.Second
+	// maxCountedCustomers is how many customers have counters by name, so that those of a
 	// configuration that changes do not fill the memory.
-	mostCounted = 256
+	maxCountedCustomers = 256
 	// otherCustomers stands for those beyond.
 	otherCustomers = "(others)"
 )
@@ -32,8 +32,8 @@
 
 	// unknownKeys counts requests with unknown keys between two log lines.
 	unknownKeys struct {
-		count int
-		told  clock.Millis
+		count      int
+		lastLogged clock.Millis
 	}
 )
 
@@ -53,12 +53,12 @@
 		if cu.Priority >= 0 {
 			ex.priority = cu.Priority
 		}
-		ex.order = rl.orderOf(ex.req, rt, cu)
+		ex.order = rl.chargeOrder(ex.req, rt, cu)
 		return nil
 	case rt.Public:
 		return nil
 	}
-	rl.noteUnknown(tb.Version())
+	rl.recordUnknownKey(tb.Version())
 	detail := "no customer has this API key"
 	if ex.req.KeyFault != nil {
 		detail = ex.req.KeyFault.Error()
@@ -66,15 +66,15 @@
 	return refuse(refusal.UnknownCustomer, 0, detail)
 }
 
-// orderOf is what a request takes of its customer's quota; nil: there is no limit.
+// chargeOrder is what a request takes of its customer's quota; nil: there is no limit.
 // Where no keeper of quotas answers, it waits for as long as for a place.
-func (rl *Relay) orderOf(req *Request, rt route.Route, cu route.Customer) *charge.Order {
+func (rl *Relay) chargeOrder(req *Request, rt route.Route, cu route.Customer) *charge.Order {
 	if !cu.Limit.Limited() {
 		return nil
 	}
 	tokens := 0
 	if req.Prompt != nil {
-		tokens = req.Prompt.Tokens + req.Prompt.Most
+		tokens = req.Prompt.Tokens + req.Prompt.MaxOutput
 	}
 	return &charge.Order{Customer: cu.Name, Limit: cu.Limit, Tokens: cu.Cost(tokens), Patience: rl.placeWait(rt, false)}
 }
@@ -87,8 +87,8 @@
 	return rl.Charger.Charge(ctx, *ex.order)
 }
 
-// settle gives back what was taken for a request that did not run.
-func (rl *Relay) settle(ex *exchange, err error) {
+// refundQuota gives back what was taken for a request that did not run.
+func (rl *Relay) refundQuota(ex *exchange, err error) {
 	rf, ok := errors.AsType[refusal.Refusal](err)
 	if ex.order == nil || rl.Charger == nil || !ok || rf.Ran != refusal.NotRun || errors.Is(err, ErrCut) {
 		return
@@ -96,8 +96,8 @@
 	rl.Charger.GiveBack(*ex.order)
 }
 
-// named is the customer that the configuration names for a request; empty: none.
-func (ex *exchange) named() string {
+// configuredCustomer is the customer that the configuration names for a request; empty: none.
+func (ex *exchange) configuredCustomer() string {
 	if !ex.req.Keyed {
 		return ""
 	}
@@ -106,7 +106,7 @@
 
 // countCustomer counts how a request of a customer that the configuration names ended.
 func (rl *Relay) countCustomer(ex *exchange, outcome string) {
-	if rl.Scope == nil || ex.named() == "" {
+	if rl.Scope == nil || ex.configuredCustomer() == "" {
 		return
 	}
 	switch outcome {
@@ -114,34 +114,34 @@
 	default:
 		outcome = "Refused"
 	}
-	rl.count("Customers", map[string]string{"Customer": rl.counted(ex.req.Customer), "Outcome": outcome})
+	rl.count("Customers", map[string]string{"Customer": rl.customerTag(ex.req.Customer), "Outcome": outcome})
 }
 
-// counted is the name under which a customer is counted.
-func (rl *Relay) counted(name string) string {
+// customerTag is the name under which a customer is customerTag.
+func (rl *Relay) customerTag(name string) string {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	if rl.customers == nil {
 		rl.customers = make(map[string]struct{})
 	}
-	if _, ok := rl.customers[name]; !ok && len(rl.customers) >= mostCounted {
+	if _, ok := rl.customers[name]; !ok && len(rl.customers) >= maxCountedCustomers {
 		return otherCustomers
 	}
 	rl.customers[name] = struct{}{}
 	return name
 }
 
-// noteUnknown tells of requests with unknown keys, now and then: whoever sends them
+// recordUnknownKey tells of requests with unknown keys, now and then: whoever sends them
 // may send many.
-func (rl *Relay) noteUnknown(version uint64) {
+func (rl *Relay) recordUnknownKey(version uint64) {
 	rl.count("UnknownKeys", nil)
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now := rl.now()
 	rl.unknown.count++
-	if rl.unknown.told > 0 && now-rl.unknown.told < unknownEvery {
+	if rl.unknown.lastLogged > 0 && now-rl.unknown.lastLogged < unknownKeyLogInterval {
 		return
 	}
 	rl.Log.Log(event.RelayUnknownKey, event.F("Version", version), event.F("Count", rl.unknown.count))
-	rl.unknown = unknownKeys{told: max(1, now)}
+	rl.unknown = unknownKeys{lastLogged: max(1, now)}
 }
--- a/internal/relay/customer_test.go
+++ b/internal/relay/customer_test.go
@@ -34,7 +34,7 @@
 		assert.Assert(t, rl.Configure(tb.WithCustomers(list)))
 		ask := func(key string) {
 			req := &relay.Request{ID: "r", Method: http.MethodPost, Host: "h", URI: "/again/x", Path: "/again/x", Header: http.Header{},
-				Came: rl.Clock.Now(), Customer: "another", KeyHash: apikey.Of(key)}
+				Arrived: rl.Clock.Now(), Customer: "another", KeyHash: apikey.Of(key)}
 			_ = rl.Serve(t.Context(), httptest.NewRecorder(), req)
 		}
 		ask("k7")
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// added adds bytes to a splitter that is at no joint.
-func added(t assert.TestingT, sp *splitter, data string) string {
+// mustAdd adds bytes to a splitter that is at no joint.
+func mustAdd(t assert.TestingT, sp *splitter, data string) string {
 	out, err := sp.add([]byte(data))
 	assert.NilError(t, err)
 	return string(out)
 }
 
-func restOf(t assert.TestingT, sp *splitter) string {
-	out, err := sp.rest()
+func mustFlush(t assert.TestingT, sp *splitter) string {
+	out, err := sp.flush()
 	assert.NilError(t, err)
 	return string(out)
 }
 
 func TestSplitterHoldsBackPartOfAnEvent(t *testing.T) {
 	var sp splitter
-	assert.Equal(t, added(t, &sp, "id: 7\nda"), "")
-	assert.Equal(t, added(t, &sp, "ta: x\n\nid: 8\n"), "id: 7\ndata: x\n\n")
+	assert.Equal(t, mustAdd(t, &sp, "id: 7\nda"), "")
+	assert.Equal(t, mustAdd(t, &sp, "ta: x\n\nid: 8\n"), "id: 7\ndata: x\n\n")
 	assert.Equal(t, sp.last, "7")
-	sp.drop()
-	assert.Equal(t, restOf(t, &sp), "")
+	sp.discard()
+	assert.Equal(t, mustFlush(t, &sp), "")
 	assert.Equal(t, sp.last, "7")
 }
 
@@ -40,10 +40,10 @@
 		var out strings.Builder
 		for left := stream; left != ""; {
 			size := rapid.IntRange(1, len(left)).Draw(t, "read")
-			out.WriteString(added(t, &sp, left[:size]))
+			out.WriteString(mustAdd(t, &sp, left[:size]))
 			left = left[size:]
 		}
-		out.WriteString(restOf(t, &sp))
+		out.WriteString(mustFlush(t, &sp))
 		assert.Equal(t, out.String(), stream)
 	})
 }
@@ -53,13 +53,13 @@
 	f.Fuzz(func(t *testing.T, data []byte, cutAt int) {
 		cutAt = max(0, min(cutAt, len(data)))
 		var sp splitter
-		out := added(t, &sp, string(data[:cutAt])) + added(t, &sp, string(data[cutAt:])) + restOf(t, &sp)
+		out := mustAdd(t, &sp, string(data[:cutAt])) + mustAdd(t, &sp, string(data[cutAt:])) + mustFlush(t, &sp)
 		assert.Equal(t, out, string(data))
 	})
 }
 
 // What another engine adds has to follow what went out before.
-func TestSplitterAtAJoint(t *testing.T) {
+func TestSplitterWhenTheSourceChanges(t *testing.T) {
 	for _, tc := range []struct {
 		name, before, after string
 		fits                bool
@@ -81,11 +81,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var sp splitter
-			assert.Equal(t, added(t, &sp, tc.before), tc.before)
-			sp.joint = true
+			assert.Equal(t, mustAdd(t, &sp, tc.before), tc.before)
+			sp.sourceChanged = true
 			_, err := sp.add([]byte(tc.after))
 			if err == nil {
-				_, err = sp.rest()
+				_, err = sp.flush()
 			}
 			assert.Equal(t, err == nil, tc.fits, "%v", err)
 		})
--- a/internal/relay/first_test.go
+++ b/internal/relay/first_test.go
@@ -17,10 +17,10 @@
 // happened: a soak's race detector saw its request read the settings while another
 // goroutine of the start filled in their defaults ("Write ... prepare ... ShareUsage,
 // previous read ... begin ... Serve").
-func TestFirstRequestIsToldWhenToComeBack(t *testing.T) {
+func TestFirstRequestGetsRetryAfter(t *testing.T) {
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2))}
-	req := &relay.Request{ID: "r-1", Method: http.MethodGet, Host: "h", URI: "/x", Path: "/x", Header: http.Header{}, Came: clock.Or(nil).Now()}
+	req := &relay.Request{ID: "r-1", Method: http.MethodGet, Host: "h", URI: "/x", Path: "/x", Header: http.Header{}, Arrived: clock.Or(nil).Now()}
 	rf := refusalOf(t, rl.Serve(t.Context(), httptest.NewRecorder(), req))
 	assert.Equal(t, rf.Reason, refusal.Starting)
-	assert.Equal(t, rf.RetryAfter, relay.DefaultStartAfter)
+	assert.Equal(t, rf.RetryAfter, relay.DefaultStartRetryAfter)
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// prefillWithin bounds one prefill. One that is given up is wasted work,
+	// prefillTimeout bounds one prefill. One that is given up is wasted work,
 	// so the bound is for engines that are gone.
-	prefillWithin = 1200 * clock.Millis(1)
-	// goneFor outlasts the registry entry of an engine whose address was reused.
+	prefillTimeout = 1200 * clock.Millis(1)
+	// replacedAvoidTime outlasts the registry entry of an engine whose address was reused.
 	// The engine there takes reservations for the earlier one, so that each VM
 	// that finds out by itself pays for a prefill.
-	goneFor = 4 * clock.Second
-	// generateCost is what another attempt at a generation costs the budget at least:
+	replacedAvoidTime = 4 * clock.Second
+	// generationRetryCost is what another attempt at a generation costs the budget at least:
 	// one more decode arrives. A prefill before it is paid for when it is sent.
-	generateCost = 1
-	// generateNeed is the least time in which another attempt at a generation
+	generationRetryCost = 1
+	// minGenerationRetryTime is the least time in which another attempt at a generation
 	// is of use: a place, a prefill and the first event.
-	generateNeed = 300 * clock.Millis(1)
+	minGenerationRetryTime = 300 * clock.Millis(1)
 )
 
 // decoding is a decode that an engine was ordered.
 type decoding struct {
-	rsp     *http.Response
-	ordered clock.Millis // when
-	itself  bool         // the engine computes the prompt too
-	ahead   int          // tokens of prompts that it had to compute before
-	events  int          // that came from it
-	begun   func()       // is called when the first event came, or the decode failed
-	end     func()       // ends the call at the engine
+	rsp            *http.Response
+	orderedAt      clock.Millis // when
+	computesPrompt bool         // the engine computes the prompt too
+	tokensAhead    int          // tokens of prompts that it had to compute before
+	events         int          // that came from it
+	promptDone     func()       // is called when the first event came, or the decode failed
+	end            func()       // ends the call at the engine
 }
 
 // close ends what is left of the decode.
 func (dec decoding) close() {
 	_ = dec.rsp.Body.Close() // it was read, broke, or is given up
-	dec.begun()
+	dec.promptDone()
 	dec.end()
 }
 
 func (rl *Relay) newDecoding(ex *exchange, pl place, itself bool) decoding {
-	dec := decoding{ordered: rl.now(), itself: itself, begun: func() {}, end: func() {}}
+	dec := decoding{orderedAt: rl.now(), computesPrompt: itself, promptDone: func() {}, end: func() {}}
 	if itself {
 		rl.mu.Lock()
-		dec.ahead = rl.ledger.Prompts(dec.ordered, pl.server.ID)
+		dec.tokensAhead = rl.ledger.Prompts(dec.orderedAt, pl.server.ID)
 		rl.mu.Unlock()
-		dec.begun = rl.readsItself(pl, ex.req.Prompt.Tokens)
+		dec.promptDone = rl.countLocalPrompt(pl, ex.req.Prompt.Tokens)
 	}
 	return dec
 }
 
-// generate carries a generation: a place first, so that the prompt is not
+// serveGeneration carries a generation: a place first, so that the prompt is not
 // computed for nothing; then the prefill; then the decode.
-func (rl *Relay) generate(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
+func (rl *Relay) serveGeneration(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
 	defer rl.dropPrompt(ex)
 	for number := 1; ; number++ {
 		if err := rl.checkPoison(ctx, ex); err != nil {
@@ -71,35 +71,35 @@
 		if err != nil {
 			return err
 		}
-		rn, err := rl.start(ctx, ex, pl)
-		if err == nil && !rl.runAgain(ctx, ex, number, rn) {
-			return rl.pass(ctx, wr, ex, rn)
+		rn, err := rl.startRun(ctx, ex, pl)
+		if err == nil && !rl.awaitRerun(ctx, ex, number, rn) {
+			return rl.deliver(ctx, wr, ex, rn)
 		}
 		if err == nil {
 			rl.endRun(rn)
 			continue
 		}
 		rl.leavePlace(pl)
-		if err := rl.again(ctx, ex, number, generateCost, err, generateNeed); err != nil {
+		if err := rl.awaitRetry(ctx, ex, number, generationRetryCost, err, minGenerationRetryTime); err != nil {
 			return err
 		}
 	}
 }
 
-// runAgain tells whether a generation that its engine failed by its own word is
+// awaitRerun tells whether a generation that its engine failed by its own word is
 // begun once more: one that may be resumed may also run again.
-func (rl *Relay) runAgain(ctx context.Context, ex *exchange, number int, rn *run) bool {
+func (rl *Relay) awaitRerun(ctx context.Context, ex *exchange, number int, rn *run) bool {
 	if rn.rsp.StatusCode < http.StatusInternalServerError || !ex.rt.Resumable {
 		return false
 	}
 	failed := backend.InDoubtError{Server: rn.pl.server.ID, Call: "Send", Status: rn.rsp.StatusCode}
-	return rl.again(ctx, ex, number, generateCost, failed, generateNeed) == nil
+	return rl.awaitRetry(ctx, ex, number, generationRetryCost, failed, minGenerationRetryTime) == nil
 }
 
-// start has the prompt computed and the decode begun. After an error nothing
+// startRun has the prompt computed and the decode begun. After an error nothing
 // is left at the engines, and the place is the caller's to leave.
-func (rl *Relay) start(ctx context.Context, ex *exchange, pl place) (*run, error) {
-	_, dec, err := rl.startDecode(ctx, ex, pl, ex.req.After)
+func (rl *Relay) startRun(ctx context.Context, ex *exchange, pl place) (*run, error) {
+	_, dec, err := rl.startDecode(ctx, ex, pl, ex.req.LastEventID)
 	if err != nil {
 		return nil, err
 	}
@@ -111,12 +111,12 @@
 func (rl *Relay) startDecode(ctx context.Context, ex *exchange, pl place, after string) (Handle, decoding, error) {
 	pr, kept := rl.takePrompt(ex)
 	if !kept {
-		pr = computed{handle: rl.prefill(ctx, ex, pl), at: rl.now()}
+		pr = computedPrompt{handle: rl.prefill(ctx, ex, pl), at: rl.now()}
 	}
 	if rl.Backends().Reborn(pr.handle.Server) {
-		pr = computed{} // another life of the engine may have given the same ID to another prompt
+		pr = computedPrompt{} // another life of the engine may have given the same ID to another prompt
 	}
-	if err := rl.mayDecode(ctx, ex, pl); err != nil {
+	if err := rl.checkDecode(ctx, ex, pl); err != nil {
 		err = backend.NotSentError{Server: pl.server.ID, Call: "Decode", Err: err}
 		rl.keepPrompt(ex, pr, err)
 		rl.release(ex, pl)
@@ -126,8 +126,8 @@
 	return pr.handle, dec, err
 }
 
-// mayDecode tells why a decode at a place is of no use any more; nil if it is.
-func (rl *Relay) mayDecode(ctx context.Context, ex *exchange, pl place) error {
+// checkDecode tells why a decode at a place is of no use any more; nil if it is.
+func (rl *Relay) checkDecode(ctx context.Context, ex *exchange, pl place) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -137,7 +137,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	if !rl.poolOf(pl.service).Takes(rl.now(), pl.server.ID) {
-		return errLeft
+		return errEngineLeaving
 	}
 	return nil
 }
@@ -146,29 +146,29 @@
 // it is asked once to compute the prompt itself: the prompt may have lapsed,
 // which says nothing of this engine. After an error nothing is left at the
 // engines.
-func (rl *Relay) decode(ctx context.Context, ex *exchange, pl place, pr computed, after string) (decoding, error) {
+func (rl *Relay) decode(ctx context.Context, ex *exchange, pl place, pr computedPrompt, after string) (decoding, error) {
 	hd := pr.handle
-	op := Options{Left: rl.left(ex), Source: hd, Reservation: pl.reservation, After: after}
+	op := Options{TimeLeft: rl.timeLeft(ex), Source: hd, Reservation: pl.reservation, LastEventID: after}
 	dec, err := rl.sendDecode(ctx, ex, pl, op)
-	if _, why := backend.OutcomeOf(err); hd.ID != "" && why == backend.Full && rl.again(ctx, ex, 1, 1, err, generateNeed) == nil {
-		op.Source, op.Left = Handle{}, rl.left(ex)
+	if _, why := backend.OutcomeOf(err); hd.ID != "" && why == backend.Full && rl.awaitRetry(ctx, ex, 1, 1, err, minGenerationRetryTime) == nil {
+		op.Source, op.TimeLeft = Handle{}, rl.timeLeft(ex)
 		if dec, err = rl.sendDecode(ctx, ex, pl, op); err == nil {
-			rl.declined(hd.Server.ID)
+			rl.avoidDeclined(hd.Server.ID)
 			rl.forget(ex, hd)
 		}
 	}
 	if err != nil {
-		rl.afterDecode(ctx, ex, pl, pr, err)
+		rl.cleanUpDecode(ctx, ex, pl, pr, err)
 		return decoding{}, err
 	}
-	ex.ran++
+	ex.possibleRuns++
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	if po := rl.poolOf(ex.svc.Name); dec.rsp.StatusCode >= http.StatusInternalServerError {
 		// One that fails at once looks empty, so that more would go there.
-		rl.failed(po, pl.server.ID)
+		rl.recordFailure(po, pl.server.ID)
 	} else {
-		rl.worked(po, pl.server.ID)
+		rl.recordRecovery(po, pl.server.ID)
 	}
 	return dec, nil
 }
@@ -176,45 +176,45 @@
 // sendDecode orders a decode. After an error there is none to be closed.
 func (rl *Relay) sendDecode(ctx context.Context, ex *exchange, pl place, op Options) (decoding, error) {
 	dec := rl.newDecoding(ex, pl, op.Source.ID == "")
-	ctx, dec.end = rl.callTo(ctx, pl.server)
-	fields, err := rl.send(ex, callDecode, pl.server.ID, func() (err error) {
+	ctx, dec.end = rl.beginCall(ctx, pl.server)
+	fields, err := rl.callWithinBudget(ex, callDecode, pl.server.ID, func() (err error) {
 		dec.rsp, err = rl.Servers.Send(ctx, pl.server, ex.req, op)
 		return err
 	})
 	rl.Log.Log(event.RelayDecode, append(fields, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID),
-		event.F("After", op.After), event.F("Prefill", op.Source.Server.ID), event.F("Since", (rl.now()-ex.req.Came).String()),
-		event.F("Status", statusOf(dec.rsp)), event.F("Error", text(err)))...)
+		event.F("After", op.LastEventID), event.F("Prefill", op.Source.Server.ID), event.F("Since", (rl.now()-ex.req.Arrived).String()),
+		event.F("Status", statusOf(dec.rsp)), event.F("Error", errorText(err)))...)
 	if err != nil {
 		if poison.Broke(ctx, err) {
-			rl.recordBrokenCall(ctx, ex, pl.server, false, rl.besides(pl.server.ID))
+			rl.recordBrokenCall(ctx, ex, pl.server, false, rl.otherRunsAt(pl.server.ID))
 		}
-		dec.begun()
+		dec.promptDone()
 		dec.end()
 		return decoding{}, err
 	}
 	return dec, nil
 }
 
-var errLeft = errors.New("the engine has begun to leave, or rests")
+var errEngineLeaving = errors.New("the engine has begun to leave, or rests")
 
-// afterDecode cleans up after a decode that did not begin.
-func (rl *Relay) afterDecode(ctx context.Context, ex *exchange, pl place, pr computed, err error) {
+// cleanUpDecode cleans up after a decode that did not begin.
+func (rl *Relay) cleanUpDecode(ctx context.Context, ex *exchange, pl place, pr computedPrompt, err error) {
 	if !backend.NotRun(err) {
-		ex.ran++
+		ex.possibleRuns++
 	}
 	rl.keepPrompt(ex, pr, err)
 	rl.release(ex, pl)
 	if _, why := backend.OutcomeOf(err); why == backend.Full {
-		rl.declined(pl.server.ID)
+		rl.avoidDeclined(pl.server.ID)
 		return
 	}
-	rl.fault(ctx, ex, pl.server.ID, err)
+	rl.recordFault(ctx, ex, pl.server.ID, err)
 }
 
-// fault notes what a failed call says of an engine. An engine that declines
+// recordFault notes what a failed call says of an engine. An engine that declines
 // what it reserved a place for is about to change its role, or is another engine
 // by now, which the other VMs are told.
-func (rl *Relay) fault(ctx context.Context, ex *exchange, server string, err error) {
+func (rl *Relay) recordFault(ctx context.Context, ex *exchange, server string, err error) {
 	if ctx.Err() != nil || errors.Is(err, errBudget) {
 		return
 	}
@@ -224,24 +224,24 @@
 	switch _, why := backend.OutcomeOf(err); why {
 	case backend.Unknown:
 		po.Deny(server)
-		rl.ledger.Avoid(server, rl.now()+goneFor)
-		rl.usageMoved()
+		rl.ledger.Avoid(server, rl.now()+replacedAvoidTime)
+		rl.notifyUsageChanged()
 	case backend.WrongRole:
 		po.Deny(server)
 	default:
-		rl.failed(po, server)
+		rl.recordFailure(po, server)
 	}
 }
 
-// failed has this VM pass an engine over, and the others ask it last. The lock is
+// recordFailure has this VM pass an engine over, and the others ask it last. The lock is
 // held.
-func (rl *Relay) failed(po *pool.Pool, server string) {
+func (rl *Relay) recordFailure(po *pool.Pool, server string) {
 	rl.ledger.Failed(server, po.Failed(rl.now(), server))
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 }
 
-// worked ends that. The lock is held.
-func (rl *Relay) worked(po *pool.Pool, server string) {
+// recordRecovery ends that. The lock is held.
+func (rl *Relay) recordRecovery(po *pool.Pool, server string) {
 	po.Worked(server)
 	rl.ledger.Worked(server)
 }
@@ -268,47 +268,47 @@
 // choosePrefill chooses the engine that computes a prompt and counts it there;
 // none if the decode engine is to do it.
 func (rl *Relay) choosePrefill(ex *exchange, pl place) (pool.Prefill, bool) {
-	st := pool.Start{Spent: rl.now() - ex.req.Came, Objective: ex.rt.Objective}
-	pf, itself := rl.takePrefill(ex, pl, st)
+	st := pool.Start{Spent: rl.now() - ex.req.Arrived, Objective: ex.rt.Objective}
+	pf, itself := rl.assignPrefill(ex, pl, st)
 	rl.count("Prompts", map[string]string{"Itself": strconv.FormatBool(itself)})
 	if itself {
-		rl.Log.Log(event.RelayNoPrefill, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("Doubt", pl.doubt),
+		rl.Log.Log(event.RelayNoPrefill, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("Doubt", pl.doubtful),
 			event.F("Best", pf.Server.ID), event.F("Ahead", pf.Ahead), event.F("Would", pf.Takes.String()), event.F("Spent", st.Spent.String()))
 	}
 	return pf, !itself
 }
 
-// takePrefill chooses the engine and counts the prompt there, or tells that the
+// assignPrefill chooses the engine and counts the prompt there, or tells that the
 // decode engine computes it itself.
-func (rl *Relay) takePrefill(ex *exchange, pl place, st pool.Start) (pf pool.Prefill, itself bool) {
+func (rl *Relay) assignPrefill(ex *exchange, pl place, st pool.Start) (pf pool.Prefill, itself bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now, tokens := rl.now(), ex.req.Prompt.Tokens
 	po := rl.poolOf(ex.svc.Name)
-	pf, ok := rl.prefillOf(now, po, pl, tokens)
+	pf, ok := rl.prefillForPlace(now, po, pl, tokens)
 	// An engine that may be gone first shows that it is there: reservations are
 	// taken also when another one answers in its place. Where the budget pays for
 	// one more arrival only, that is the decode's.
-	if !ok || pl.doubt || !rl.allowsTwo(ex) || po.Itself(pf, tokens, rl.ledger.Prompts(now, pl.server.ID), st) {
+	if !ok || pl.doubtful || !rl.canPayPrefillAndDecode(ex) || po.Itself(pf, tokens, rl.ledger.Prompts(now, pl.server.ID), st) {
 		return pf, true
 	}
 	rl.ledger.Prompt(pf.Server.ID, tokens)
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 	return pf, false
 }
 
-// prefillOf is the engine that was chosen with a place, if it still computes
+// prefillForPlace is the engine that was chosen with a place, if it still computes
 // prompts, or one that is chosen now. The lock is held.
-func (rl *Relay) prefillOf(now clock.Millis, po *pool.Pool, pl place, tokens int) (pool.Prefill, bool) {
+func (rl *Relay) prefillForPlace(now clock.Millis, po *pool.Pool, pl place, tokens int) (pool.Prefill, bool) {
 	if pl.prefill != nil && po.Computes(now, pl.prefill.Server.ID) {
 		return *pl.prefill, true
 	}
-	return rl.prefillFor(now, po, tokens, pl.server)
+	return rl.findPrefiller(now, po, tokens, pl.server)
 }
 
-// prefillFor chooses the engine that computes a prompt for a decode. The lock is
+// findPrefiller chooses the engine that computes a prompt for a decode. The lock is
 // held.
-func (rl *Relay) prefillFor(now clock.Millis, po *pool.Pool, tokens int, decode board.BackendServer) (pool.Prefill, bool) {
+func (rl *Relay) findPrefiller(now clock.Millis, po *pool.Pool, tokens int, decode board.BackendServer) (pool.Prefill, bool) {
 	return po.Prefiller(now, pool.Prompt{Tokens: tokens, Domain: decode.FailureDomain, Ahead: rl.promptsAt(now),
 		Last: func(id string) bool { return rl.ledger.Failing(now, id) }})
 }
@@ -316,23 +316,23 @@
 // prefillAt has the prompt computed at an engine.
 func (rl *Relay) prefillAt(ctx context.Context, ex *exchange, pf pool.Prefill) (Handle, error) {
 	began := rl.now()
-	within, end := rl.callTo(ctx, pf.Server)
+	within, end := rl.beginCall(ctx, pf.Server)
 	defer end()
-	within, stop := context.WithTimeout(within, prefillWithin.Std())
+	within, stop := context.WithTimeout(within, prefillTimeout.Std())
 	defer stop()
 	tokens := ex.req.Prompt.Tokens
 	var hd Handle
-	fields, err := rl.send(ex, callPrefill, pf.Server.ID, func() (err error) {
-		hd, err = rl.Servers.Prefill(within, pf.Server, ex.req, rl.left(ex))
+	fields, err := rl.callWithinBudget(ex, callPrefill, pf.Server.ID, func() (err error) {
+		hd, err = rl.Servers.Prefill(within, pf.Server, ex.req, rl.timeLeft(ex))
 		return err
 	})
 	took := rl.now() - began
 	rl.mu.Lock()
 	rl.ledger.Prompt(pf.Server.ID, -tokens)
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 	if err == nil {
 		po := rl.poolOf(ex.svc.Name)
-		rl.worked(po, pf.Server.ID)
+		rl.recordRecovery(po, pf.Server.ID)
 		po.Read(pf, tokens, took)
 	}
 	rl.mu.Unlock()
@@ -340,9 +340,9 @@
 		if poison.Broke(within, err) {
 			rl.recordBrokenCall(ctx, ex, pf.Server, false, poison.UnknownBeside)
 		}
-		rl.fault(ctx, ex, pf.Server.ID, err)
+		rl.recordFault(ctx, ex, pf.Server.ID, err)
 	}
 	rl.Log.Log(event.RelayPrefill, append(fields, event.F("Request", ex.req.ID), event.F("Server", pf.Server.ID),
-		event.F("Ahead", pf.Ahead), event.F("Expected", pf.Takes.String()), event.F("Took", took.String()), event.F("Error", text(err)))...)
+		event.F("Ahead", pf.Ahead), event.F("Expected", pf.Takes.String()), event.F("Took", took.String()), event.F("Error", errorText(err)))...)
 	return hd, err
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -37,7 +37,7 @@
 		assert.Assert(t, strings.HasPrefix(se.server, "d"), se.server)
 		assert.Assert(t, se.op.Reservation != "" && se.op.Source.ID != "")
 		assert.Assert(t, strings.HasPrefix(se.op.Source.Server.ID, "f"))
-		assert.Equal(t, sv.left(), 0)
+		assert.Equal(t, sv.held(), 0)
 	})
 }
 
@@ -54,7 +54,7 @@
 		assert.Equal(t, rf.Reason, refusal.QueueFull)
 		assert.Assert(t, rf.RetryAfter > 0)
 		first := time.Since(began)
-		assert.Assert(t, first <= relay.DefaultWait.Std(), first)
+		assert.Assert(t, first <= relay.DefaultPlaceWait.Std(), first)
 		assert.Equal(t, len(sv.prefills), 0)
 
 		began = time.Now()
@@ -110,7 +110,7 @@
 		told   int // tokens that vm-2 has at each decode engine
 		want   int // reserved; zero: no engine is asked
 	}{
-		{"all are heard", []string{"vm-2"}, true, 100, 5000 + relay.DefaultReserve},
+		{"all are heard", []string{"vm-2"}, true, 100, 5000 + relay.DefaultReserveTokens},
 		{"the engines are full", []string{"vm-2"}, true, 9000, 0},
 		{"one is silent", []string{"vm-2", "vm-3"}, true, 9000, 7000},
 		{"cut off", nil, false, 100, 7000},
@@ -118,8 +118,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				rl.Others = func() ([]string, bool) { return tc.others, tc.whole }
-				rl.HeardUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d1", Tokens: tc.told}, {Engine: "d2", Tokens: tc.told}}})
+				rl.OtherVMs = func() ([]string, bool) { return tc.others, tc.whole }
+				rl.ReceiveUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d1", Tokens: tc.told}, {Engine: "d2", Tokens: tc.told}}})
 				reserved := 0
 				sv.onReserve = func(_ board.BackendServer, tokens int) error {
 					reserved = tokens
@@ -154,7 +154,7 @@
 				_, err := serve(t.Context(), rl, "draft")
 				assert.Equal(t, refusalOf(t, err).Ran, tc.ran)
 				synctest.Wait()
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 	}
@@ -171,7 +171,7 @@
 		assert.Equal(t, len(sv.prefills), 1)
 		assert.Assert(t, sv.sent[0].op.Reservation != "")
 		assert.Equal(t, sv.sent[0].op.Source.ID, "")
-		assert.Equal(t, sv.left(), 0)
+		assert.Equal(t, sv.held(), 0)
 	})
 }
 
@@ -194,7 +194,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, distinct(sv.prefills), 2)
 		synctest.Wait()
-		assert.Equal(t, sv.left(), 0)
+		assert.Equal(t, sv.held(), 0)
 	})
 }
 
@@ -219,7 +219,7 @@
 				assert.Equal(t, sv.sent[1].op.Source, sv.sent[0].op.Source)
 				assert.Assert(t, sv.sent[1].server != sv.sent[0].server)
 				synctest.Wait()
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 	}
@@ -233,7 +233,7 @@
 		_, err := serve(t.Context(), rl, "resumable")
 		assert.Equal(t, refusalOf(t, err).Ran, refusal.NotRun)
 		synctest.Wait()
-		assert.Equal(t, sv.left(), 0)
+		assert.Equal(t, sv.held(), 0)
 	})
 }
 
@@ -268,9 +268,9 @@
 		rec, err := serve(t.Context(), rl, "resumable")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo+eventThree)
-		assert.Equal(t, sv.sent[1].op.After, "1")
+		assert.Equal(t, sv.sent[1].op.LastEventID, "1")
 		assert.Equal(t, distinct(sv.sentTo()), 2, "the engine that broke off is passed over")
-		assert.Equal(t, sv.left(), 0)
+		assert.Equal(t, sv.held(), 0)
 	})
 }
 
@@ -298,12 +298,12 @@
 			}()
 			return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: rd}, nil
 		}
-		leaveAfter(rl, sv, list, 200*time.Millisecond)
+		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		rec, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo+eventThree)
 		assert.Equal(t, sv.sent[1].op.Source.ID, "copy")
-		assert.Equal(t, sv.sent[1].op.After, "1")
+		assert.Equal(t, sv.sent[1].op.LastEventID, "1")
 		assert.Equal(t, sv.moves, 2, "a copy while it runs, and the rest after it stopped")
 	})
 }
@@ -338,12 +338,12 @@
 					}()
 					return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: rd}, nil
 				}
-				leaveAfter(rl, sv, list, 200*time.Millisecond)
+				leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 				rec, err := serve(t.Context(), rl, "draft")
 				assert.NilError(t, err)
 				assert.Equal(t, rec.Body.String(), eventOne)
 				time.Sleep(5 * time.Second)
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 	}
@@ -368,7 +368,7 @@
 			return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: rd}, nil
 		}
 		time.AfterFunc(200*time.Millisecond, func() {
-			leaving := slices.Clone(list)
+			leaving := slices.Clone(allServers)
 			leaving[0].Leaving, leaving[1].Leaving = true, true
 			rl.SetBackends(rl.Clock.Now(), leaving)
 		})
@@ -398,6 +398,6 @@
 		assert.Assert(t, errors.Is(err, relay.ErrCut))
 		<-closed
 		assert.Equal(t, len(sv.sentTo()), 1)
-		assert.Equal(t, rl.Open(), 0)
+		assert.Equal(t, rl.OpenRequests(), 0)
 	})
 }
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -1,29 +1,29 @@
 package relay
 
-// learn notes how long a whole answer came out. One of which the caller had a
+// recordAnswerLength notes how long a whole answer came out. One of which the caller had a
 // part already tells nothing of that.
-func (rl *Relay) learn(rn *run) {
+func (rl *Relay) recordAnswerLength(rn *run) {
 	pr := rn.ex.req.Prompt
-	if pr == nil || rn.ex.req.After != "" || !succeeded(rn.status) {
+	if pr == nil || rn.ex.req.LastEventID != "" || !succeeded(rn.status) {
 		return
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.ledger.Learn(rn.ex.rt.Name, pr.Hint, rn.made)
+	rl.ledger.Learn(rn.ex.rt.Name, pr.Hint, rn.tokens)
 }
 
-// learnBegin notes how long a decode took to its first event.
-func (rl *Relay) learnBegin(rn *run) {
+// recordFirstEventTime notes how long a decode took to its first event.
+func (rl *Relay) recordFirstEventTime(rn *run) {
 	if rn.ex.svc.Engines == nil || rn.ex.req.Prompt == nil || !succeeded(rn.rsp.StatusCode) {
 		return
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	po, took := rl.poolOf(rn.ex.svc.Name), rl.now()-rn.ordered
+	po, took := rl.poolOf(rn.ex.svc.Name), rl.now()-rn.orderedAt
 	switch {
-	case !rn.itself:
+	case !rn.computesPrompt:
 		po.Began(took)
-	case rn.ahead == 0:
+	case rn.tokensAhead == 0:
 		po.BeganItself(rn.ex.req.Prompt.Tokens, took)
 	}
 }
--- a/internal/relay/leaving.go
+++ b/internal/relay/leaving.go
@@ -29,9 +29,9 @@
 	}
 	now := rl.now()
 	rl.draining[id] = now
-	ended := rl.takeBackends(now, rl.Backends().Servers)
+	ended := rl.setBackendsLocked(now, rl.Backends().Servers)
 	rl.mu.Unlock()
-	rl.noteReborn(ended)
+	rl.recordRestarts(ended)
 }
 
 // withDraining returns the list with the servers marked that said themselves that they
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -13,17 +13,17 @@
 
 // A server's own word that it leaves does what its entry's does: nothing new goes
 // there, its runs move, and no later list takes the word back.
-func TestServerThatSaysItLeaves(t *testing.T) {
+func TestServerThatAnnouncesItLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		movesOnce(sv, eventOne, eventTwo)
+		moveOnce(sv, eventOne, eventTwo)
 		time.AfterFunc(200*time.Millisecond, func() { rl.MarkDraining(sv.sentTo()[0]) })
 		rec, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo)
 		left := sv.sentTo()[0]
 		for range 10 {
-			rl.SetBackends(rl.Clock.Now(), list)
+			rl.SetBackends(rl.Clock.Now(), allServers)
 			_, err := serve(t.Context(), rl, "draft")
 			assert.NilError(t, err)
 		}
@@ -33,10 +33,10 @@
 
 // Only the life that said so leaves, and a word is forgotten in the end: an entry that
 // stands for ten minutes more is that of a server that stays.
-func TestWordOfLeavingIsOfOneLife(t *testing.T) {
+func TestDrainingMarkIsOfOneIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
-		rl.SetBackends(rl.Clock.Now(), reborn())
+		rl.SetBackends(rl.Clock.Now(), restarted())
 		leaves := func(id string) bool {
 			bs, ok := rl.Backends().Server(id)
 			assert.Assert(t, ok, id)
@@ -45,10 +45,10 @@
 		rl.MarkDraining("p1")
 		rl.MarkDraining("nobody")
 		assert.Assert(t, leaves("p1") && !leaves("p2"))
-		rl.SetBackends(rl.Clock.Now(), reborn("p1"))
+		rl.SetBackends(rl.Clock.Now(), restarted("p1"))
 		assert.Assert(t, !leaves("p1.2"))
 		time.Sleep((10 * clock.Minute).Std())
-		rl.SetBackends(rl.Clock.Now(), reborn())
+		rl.SetBackends(rl.Clock.Now(), restarted())
 		assert.Assert(t, !leaves("p1"))
 	})
 }
--- a/internal/relay/lives.go
+++ b/internal/relay/lives.go
@@ -8,8 +8,8 @@
 	"alderdyke/internal/event"
 )
 
-// errReborn ends the calls at a server that has started again since.
-var errReborn = errors.New("the server has started again and knows nothing of the call")
+// errServerRestarted ends the calls at a server that has started again since.
+var errServerRestarted = errors.New("the server has started again and knows nothing of the call")
 
 // call is one call at a backend server that may last: a run, an attempt at a
 // plain service, a prefill.
@@ -18,10 +18,10 @@
 	cancel context.CancelCauseFunc
 }
 
-// callTo makes a context for a call at a server, which ends when another life
+// beginCall makes a context for a call at a server, which ends when another life
 // of the server is listed: the server then works on nothing of before, and its
 // connection may stay silent for good. The function ends the call.
-func (rl *Relay) callTo(ctx context.Context, bs board.BackendServer) (context.Context, context.CancelFunc) {
+func (rl *Relay) beginCall(ctx context.Context, bs board.BackendServer) (context.Context, context.CancelFunc) {
 	within, cancel := context.WithCancelCause(ctx)
 	cl := &call{server: bs, cancel: cancel}
 	rl.mu.Lock()
@@ -41,15 +41,15 @@
 	ended := make(map[string]int)
 	for cl := range rl.calls {
 		if bk.Reborn(cl.server) {
-			cl.cancel(errReborn)
+			cl.cancel(errServerRestarted)
 			ended[cl.server.ID]++
 		}
 	}
 	return ended
 }
 
-// noteReborn tells how many calls ended with the lives of their servers.
-func (rl *Relay) noteReborn(ended map[string]int) {
+// recordRestarts tells how many calls ended with the lives of their servers.
+func (rl *Relay) recordRestarts(ended map[string]int) {
 	for server, calls := range ended {
 		rl.count("Reborn", nil)
 		rl.Log.Log(event.RelayServerReborn, event.F("Server", server), event.F("Calls", calls))
--- a/internal/relay/lives_test.go
+++ b/internal/relay/lives_test.go
@@ -19,14 +19,14 @@
 	"alderdyke/pkg/refusal"
 )
 
-// silent is a body that brings its text and then nothing until its call ends,
+// silentBody is a body that brings its text and then nothing until its call ends,
 // as a connection does whose server lost its power.
-type silent struct {
+type silentBody struct {
 	io.Reader
 	ctx context.Context
 }
 
-func (si *silent) Read(data []byte) (int, error) {
+func (si *silentBody) Read(data []byte) (int, error) {
 	if size, err := si.Reader.Read(data); err == nil {
 		return size, nil
 	}
@@ -34,11 +34,11 @@
 	return 0, si.ctx.Err()
 }
 
-func (si *silent) Close() error { return nil }
+func (si *silentBody) Close() error { return nil }
 
-// reborn is the list in which the servers started again under their names.
-func reborn(names ...string) []board.BackendServer {
-	out := slices.Clone(list)
+// restarted is the list in which the servers started again under their names.
+func restarted(names ...string) []board.BackendServer {
+	out := slices.Clone(allServers)
 	for ix, bs := range out {
 		out[ix].Name = bs.ID
 		if slices.Contains(names, bs.ID) {
@@ -50,7 +50,7 @@
 
 // A server that starts again works on nothing of before, and its connections
 // may stay silent for good: what was asked of its earlier life ends at once.
-func TestCallsAtAServerThatStartsAgain(t *testing.T) {
+func TestCallsToARestartedServer(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		route string
@@ -72,20 +72,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				rl.SetBackends(rl.Clock.Now(), reborn())
+				rl.SetBackends(rl.Clock.Now(), restarted())
 				sv.onSend = func(ctx context.Context, nth int, _ sent) (*http.Response, error) {
 					switch {
 					case nth > 1:
 						return answer(http.StatusOK, eventTwo, nil), nil
 					case tc.route == "draft" || tc.route == "resumable":
-						return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: &silent{strings.NewReader(eventOne), ctx}}, nil
+						return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: &silentBody{strings.NewReader(eventOne), ctx}}, nil
 					default:
 						<-ctx.Done()
 						return nil, errReset
 					}
 				}
 				time.AfterFunc(50*time.Millisecond, func() {
-					rl.SetBackends(rl.Clock.Now(), reborn(sv.sentTo()[0]))
+					rl.SetBackends(rl.Clock.Now(), restarted(sv.sentTo()[0]))
 				})
 				began := time.Now()
 				rec, err := serve(t.Context(), rl, tc.route)
@@ -99,12 +99,12 @@
 // A prompt that was computed by an earlier life is not decoded from: the new
 // one may give the same handle to another prompt, and must not be told to free
 // it either.
-func TestHandlesOfAnEarlierLife(t *testing.T) {
+func TestHandlesOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		rl.SetBackends(rl.Clock.Now(), reborn())
+		rl.SetBackends(rl.Clock.Now(), restarted())
 		sv.onPrefill = func(int, board.BackendServer) error {
-			go rl.SetBackends(rl.Clock.Now(), reborn("f1", "f2"))
+			go rl.SetBackends(rl.Clock.Now(), restarted("f1", "f2"))
 			return nil
 		}
 		slow := &slowPrefill{servers: sv}
@@ -113,7 +113,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, sv.sent[0].op.Source.ID, "")
 		synctest.Wait()
-		assert.Equal(t, sv.left(), 1, "the handle of the earlier life is no longer ours to free")
+		assert.Equal(t, sv.held(), 1, "the handle of the earlier life is no longer ours to free")
 	})
 }
 
@@ -128,10 +128,10 @@
 
 // What other VMs, and this one, told of an earlier life does not count for the
 // new one: it is empty and has failed nobody.
-func TestANewLifeBeginsEmpty(t *testing.T) {
+func TestRestartedServerHasNoHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		rl.SetBackends(rl.Clock.Now(), reborn())
+		rl.SetBackends(rl.Clock.Now(), restarted())
 		failed := ""
 		sv.onReserve = func(bs board.BackendServer, _ int) error {
 			if strings.HasSuffix(bs.ID, ".2") {
@@ -143,7 +143,7 @@
 		_, err := serve(t.Context(), rl, "draft")
 		refusalOf(t, err)
 		assert.Assert(t, failed != "")
-		rl.SetBackends(rl.Clock.Now(), reborn("d1", "d2"))
+		rl.SetBackends(rl.Clock.Now(), restarted("d1", "d2"))
 		_, err = serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 	})
@@ -152,7 +152,7 @@
 // In the place of an engine that crashed another one answers, which takes
 // reservations for the earlier one. The VM that finds out tells the others, and
 // they don't pay for a prefill each.
-func TestEngineInWhosePlaceAnotherAnswers(t *testing.T) {
+func TestEngineReplacedAtItsAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// moveWithin bounds a move: an engine is gone about two seconds after notice.
-	moveWithin = 3 * clock.Second
-	// stayWithin is how long after the notice a run that could not be moved goes
+	// moveTimeout bounds a move: an engine is gone about two seconds after notice.
+	moveTimeout = 3 * clock.Second
+	// stayTimeout is how long after the notice a run that could not be moved goes
 	// on where it was: engines may be sent nothing new after two seconds.
-	stayWithin = 1500 * clock.Millis(1)
+	stayTimeout = 1500 * clock.Millis(1)
 )
 
 // Causes for which a run does not go on where it is.
 var (
-	errNoTarget = errors.New("no engine has room for the run")
-	errStopped  = errors.New("the run was stopped to be moved")
+	errNoTarget       = errors.New("no engine has room for the run")
+	errStoppedForMove = errors.New("the run was stopped to be moved")
 )
 
 // movedRun is where a run can be gone on with.
 type movedRun struct {
-	at      board.BackendServer
+	target  board.BackendServer
 	src     Handle
 	stopped bool // the run was stopped, or may have been
 	err     error
 }
 
-// leaveEngines moves the runs of this VM away from engines that leave. The
+// moveFromLeavingEngines moves the runs of this VM away from engines that leave. The
 // lock is held.
-func (rl *Relay) leaveEngines(bk *board.Backends) {
+func (rl *Relay) moveFromLeavingEngines(bk *board.Backends) {
 	for rn := range rl.runs {
 		at, listed := bk.Server(rn.pl.server.ID)
 		stays := listed && !at.Leaving || bk.Reborn(rn.pl.server) // of an earlier life there is nothing to move
@@ -49,11 +49,11 @@
 // move takes a run away from an engine that leaves. The copy is made while
 // the run goes on; only what is new since then is copied after it stopped.
 func (rl *Relay) move(rn *run, from place, result chan<- movedRun) {
-	stays := rl.now() + stayWithin
-	ctx, stop := context.WithTimeout(context.Background(), moveWithin.Std())
+	stays := rl.now() + stayTimeout
+	ctx, stop := context.WithTimeout(context.Background(), moveTimeout.Std())
 	defer stop()
-	if !clock.Sleep(ctx, rl.Settings.MoveAfter) || rl.ended(rn) {
-		result <- movedRun{err: errNoEvents}
+	if !clock.Sleep(ctx, rl.Settings.MoveAfter) || rl.hasEnded(rn) {
+		result <- movedRun{err: errStreamBroken}
 		return
 	}
 	mv := movedRun{err: errBudget}
@@ -62,7 +62,7 @@
 	}
 	if mv.err != nil {
 		rl.Log.Log(event.RelayNotMoved, event.F("Request", rn.ex.req.ID), event.F("From", from.server.ID),
-			event.F("Stopped", mv.stopped), event.F("Error", text(mv.err)))
+			event.F("Stopped", mv.stopped), event.F("Error", errorText(mv.err)))
 	}
 	result <- mv
 }
@@ -87,24 +87,24 @@
 	if err != nil {
 		return movedRun{err: err}
 	}
-	if !rl.beginStop(rn) {
+	if !rl.markStopping(rn) {
 		rl.forget(rn.ex, first)
-		return movedRun{err: errNoEvents}
+		return movedRun{err: errStreamBroken}
 	}
 	last, err := rl.Servers.Move(ctx, from, to, rn.ex.req.ID, true)
 	if err == nil {
-		return movedRun{at: to, src: last}
+		return movedRun{target: to, src: last}
 	}
 	if last.ID != "" && rl.now() < stays {
 		// The first copy lapses: to free it might free the memory behind it too.
-		return movedRun{at: from, src: last}
+		return movedRun{target: from, src: last}
 	}
 	rl.forget(rn.ex, first)
 	return movedRun{stopped: mayHaveStopped(err), err: err}
 }
 
-// beginStop notes that a run is about to be stopped, unless it has ended.
-func (rl *Relay) beginStop(rn *run) bool {
+// markStopping notes that a run is about to be stopped, unless it has ended.
+func (rl *Relay) markStopping(rn *run) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	_, there := rl.runs[rn]
@@ -112,11 +112,11 @@
 	return there
 }
 
-// forgetMove frees the copy of a run that ended before the copy was used.
-func (rl *Relay) forgetMove(rn *run) {
-	mv := rn.settled
+// freeUnusedCopy frees the copy of a run that ended before the copy was used.
+func (rl *Relay) freeUnusedCopy(rn *run) {
+	mv := rn.moveResult
 	if mv == nil {
-		got := <-rn.moved // a move always comes to something, within moveWithin
+		got := <-rn.moved // a move always comes to something, within moveTimeout
 		mv = &got
 	}
 	if mv.err == nil {
@@ -134,12 +134,12 @@
 
 // awaitMove waits for what the move of a run came to.
 func (rn *run) awaitMove(ctx context.Context) (movedRun, error) {
-	if rn.settled != nil {
-		return *rn.settled, nil
+	if rn.moveResult != nil {
+		return *rn.moveResult, nil
 	}
 	select {
 	case mv := <-rn.moved:
-		rn.settled = &mv
+		rn.moveResult = &mv
 		return mv, nil
 	case <-ctx.Done():
 		return movedRun{}, ctx.Err()
@@ -164,7 +164,7 @@
 	return err != nil || mv.err == nil || mv.stopped
 }
 
-func (rl *Relay) ended(rn *run) bool {
+func (rl *Relay) hasEnded(rn *run) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	_, there := rl.runs[rn]
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -17,12 +17,12 @@
 	"alderdyke/internal/relay"
 )
 
-var errOver = backend.DeclinedError{Server: "x", Call: "Move", Reason: backend.Unknown}
+var errRunOver = backend.DeclinedError{Server: "x", Call: "Move", Reason: backend.Unknown}
 
-// untilEnd is a response without a length, whose body holds the text and, once the
+// streamUntil is a response without a length, whose body holds the text and, once the
 // channel is closed, what follows. Then it ends with the error; nil is an orderly
 // end of its connection.
-func untilEnd(text string, until <-chan struct{}, rest string, end error) *http.Response {
+func streamUntil(text string, until <-chan struct{}, rest string, end error) *http.Response {
 	rd, wr := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(wr, text)
@@ -50,12 +50,12 @@
 				once.Do(func() { close(stopped) })
 				return errFull
 			case nth > 1:
-				return errOver
+				return errRunOver
 			}
 			return nil
 		}
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-			return untilEnd(eventOne, stopped, "", nil), nil
+			return streamUntil(eventOne, stopped, "", nil), nil
 		}
 		leaveAfter(rl, sv, all, 200*time.Millisecond)
 		rec, err := serve(t.Context(), rl, "draft")
@@ -83,24 +83,24 @@
 		}
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 			if nth == 1 {
-				return untilEnd(eventOne, stopped, "", io.ErrUnexpectedEOF), nil
+				return streamUntil(eventOne, stopped, "", io.ErrUnexpectedEOF), nil
 			}
 			return answer(http.StatusOK, eventTwo, nil), nil
 		}
-		leaveAfter(rl, sv, list, 200*time.Millisecond)
+		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		rec, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo)
 		assert.Equal(t, len(sv.sent), 2)
 		assert.Equal(t, sv.sent[1].server, sv.sent[0].server)
 		assert.Equal(t, sv.sent[1].op.Source.ID, "kept")
-		assert.Equal(t, sv.sent[1].op.After, "1")
+		assert.Equal(t, sv.sent[1].op.LastEventID, "1")
 	})
 }
 
-// movesOnce has the first run give a text and end without a length when its move stops
+// moveOnce has the first run give a text and end without a length when its move stops
 // it, and all others give the rest.
-func movesOnce(sv *servers, text, rest string) {
+func moveOnce(sv *servers, text, rest string) {
 	stopped := make(chan struct{})
 	sv.onMove = func(_ int, _ board.BackendServer, stop bool) error {
 		if stop {
@@ -110,7 +110,7 @@
 	}
 	sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 		if nth == 1 {
-			return untilEnd(text, stopped, "", nil), nil
+			return streamUntil(text, stopped, "", nil), nil
 		}
 		return answer(http.StatusOK, rest, nil), nil
 	}
@@ -121,8 +121,8 @@
 func TestRunMovesBeforeItsFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		movesOnce(sv, "", `{"text":"a"}`)
-		leaveAfter(rl, sv, list, 200*time.Millisecond)
+		moveOnce(sv, "", `{"text":"a"}`)
+		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		rec, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), `{"text":"a"}`)
@@ -135,9 +135,9 @@
 		rl, sv := newRig(t)
 		ended := make(chan struct{})
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-			return untilEnd(eventOne, ended, eventTwo, nil), nil
+			return streamUntil(eventOne, ended, eventTwo, nil), nil
 		}
-		leaveAfter(rl, sv, list, 200*time.Millisecond)
+		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		time.AfterFunc(210*time.Millisecond, func() { close(ended) })
 		began := time.Now()
 		rec, err := serve(t.Context(), rl, "draft")
@@ -162,12 +162,12 @@
 			return nil
 		}
 		sv.onSend = func(ctx context.Context, _ int, _ sent) (*http.Response, error) {
-			return untilEnd(eventOne, ctx.Done(), "", nil), nil
+			return streamUntil(eventOne, ctx.Done(), "", nil), nil
 		}
-		leaveAfter(rl, sv, list, 200*time.Millisecond)
+		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		_, err := serve(ctx, rl, "draft")
 		assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, sv.left(), 0)
+		assert.Equal(t, sv.held(), 0)
 	})
 }
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// minRetryAfterPart is the least part of Settings.Back that a refused caller is
+	// minRetryAfterPart is the least part of Settings.RetryAfter that a refused caller is
 	// told; the most is as much above the whole.
 	minRetryAfterPart = 0.75
 	// spareWhileShort is the further requests that an engine must have room for
 	// when it takes one that came back while places are wanting.
 	spareWhileShort = 1
-	// tidyWithin bounds a call that gives something back.
-	tidyWithin = clock.Second
-	// reserveWithin bounds the ask for a place; a sound engine answers
+	// cleanupTimeout bounds a call that gives something back.
+	cleanupTimeout = clock.Second
+	// reserveTimeout bounds the ask for a place; a sound engine answers
 	// within two crossings of a failure domain.
-	reserveWithin = 150 * clock.Millis(1)
+	reserveTimeout = 150 * clock.Millis(1)
 )
 
 type (
@@ -37,13 +37,13 @@
 		reservation string
 		service     string
 		prefill     *pool.Prefill // chosen with the place; nil: none was
-		doubt       bool          // the engine may be gone
-		by          string        // the VM that chose it; empty: this one
+		doubtful    bool          // the engine may be gone
+		chosenBy    string        // the VM that chose it; empty: this one
 		entry       *usage.Entry
 	}
 
-	// placeTry is one look for a place.
-	placeTry struct {
+	// placeAttempt is one look for a place.
+	placeAttempt struct {
 		place  place // the zero value: none was found
 		before int   // requests at other VMs that take their places first
 		asked  int   // engines that were asked
@@ -51,23 +51,23 @@
 	}
 )
 
-// returning tells whether the caller was refused before: it brings less time
+// isReturning tells whether the caller was refused before: it brings less time
 // than callers of the route bring at first, by no less than what it was told to
 // wait. No VM needs to remember whom it refused. Callers that bring up to two
 // seconds less than others at first still count as new.
-func (rl *Relay) returning(ex *exchange) bool {
-	longest := rl.longest[ex.rt.Name]
-	if ex.req.Left > longest {
-		rl.longest[ex.rt.Name] = ex.req.Left
+func (rl *Relay) isReturning(ex *exchange) bool {
+	longest := rl.longestWait[ex.rt.Name]
+	if ex.req.WaitLimit > longest {
+		rl.longestWait[ex.rt.Name] = ex.req.WaitLimit
 		return false
 	}
-	return ex.req.Left > 0 && ex.req.Left < longest-rl.minRetryAfter()
+	return ex.req.WaitLimit > 0 && ex.req.WaitLimit < longest-rl.minRetryAfter()
 }
 
 // findPlace waits for a place on a decode engine. The error is a refusal.
 func (rl *Relay) findPlace(ctx context.Context, ex *exchange) (place, error) {
 	rl.mu.Lock()
-	back := rl.returning(ex)
+	back := rl.isReturning(ex)
 	po := rl.poolOf(ex.svc.Name)
 	tk := po.Enter(rl.now(), pool.Ask{Returning: back, Priority: ex.priority})
 	waiting := po.Waiting()
@@ -75,44 +75,44 @@
 	defer func() {
 		rl.mu.Lock()
 		po.Leave(tk)
-		rl.usageMoved()
-		rl.signal()
+		rl.notifyUsageChanged()
+		rl.wakeWaiters()
 		rl.mu.Unlock()
 	}()
-	until := min(rl.now()+rl.placeWait(ex.rt, back), ex.until)
+	until := min(rl.now()+rl.placeWait(ex.rt, back), ex.deadline)
 	asked := 0
 	for {
 		tr := rl.tryPlace(ctx, ex, po, tk, until)
 		asked += tr.asked
 		if pl := tr.place; pl.server.ID != "" {
-			rl.Log.Log(event.RelayPlaced, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("By", pl.by),
-				event.F("Tokens", ex.req.Prompt.Tokens), event.F("Returning", back), event.F("Left", ex.req.Left.String()),
-				event.F("Waited", (rl.now()-ex.req.Came).String()))
+			rl.Log.Log(event.RelayPlaced, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("By", pl.chosenBy),
+				event.F("Tokens", ex.req.Prompt.Tokens), event.F("Returning", back), event.F("Left", ex.req.WaitLimit.String()),
+				event.F("Waited", (rl.now()-ex.req.Arrived).String()))
 			return pl, nil
 		}
-		if err := rl.allRest(ctx, ex, po, until); err != nil {
+		if err := rl.refuseIfAllRest(ctx, ex, po, until); err != nil {
 			return place{}, err
 		}
 		if err := rl.awaitPlace(ctx, until, back); err != nil {
 			if !back {
-				rl.runShort()
+				rl.reportShortage()
 			}
-			rl.noteNoPlace(ex, po, event.F("Returning", back), event.F("Waiting", waiting),
+			rl.logNoPlace(ex, po, event.F("Returning", back), event.F("Waiting", waiting),
 				event.F("Before", tr.before), event.F("Asked", asked), event.F("Short", tr.short))
-			return place{}, rl.noPlace(ctx, ex)
+			return place{}, rl.refuseNoPlace(ctx, ex)
 		}
 	}
 }
 
-// noteNoPlace tells that a request found no place, and what room there was.
-func (rl *Relay) noteNoPlace(ex *exchange, po *pool.Pool, fields ...event.Field) {
+// logNoPlace tells that a request found no place, and what room there was.
+func (rl *Relay) logNoPlace(ex *exchange, po *pool.Pool, fields ...event.Field) {
 	rl.mu.Lock()
-	now, nd := rl.now(), rl.needOf(ex, rl.hears)
+	now, nd := rl.now(), rl.needOf(ex, rl.synced)
 	least, engines := po.Least(now, pool.Want{Need: rl.peakAt(now, nd.run)})
 	rl.mu.Unlock()
 	rl.count("NoPlace", map[string]string{"Room": strconv.FormatBool(least <= nd.limit)})
 	rl.Log.Log(event.RelayNoPlace, append(fields, event.F("Request", ex.req.ID), event.F("Tokens", ex.req.Prompt.Tokens),
-		event.F("Left", ex.req.Left.String()), event.F("Engines", engines), event.F("Least", least), event.F("Limit", nd.limit))...)
+		event.F("Left", ex.req.WaitLimit.String()), event.F("Engines", engines), event.F("Least", least), event.F("Limit", nd.limit))...)
 }
 
 // placeWait is how long a request of the route waits for a place. A new one is
@@ -123,9 +123,9 @@
 	case back:
 		return rt.Patience() - rl.Settings.StartTime
 	case rt.Objective > 0:
-		return clock.Millis(rl.Settings.WaitPart * float64(rt.Objective))
+		return clock.Millis(rl.Settings.WaitFraction * float64(rt.Objective))
 	default:
-		return rl.Settings.Wait
+		return rl.Settings.PlaceWait
 	}
 }
 
@@ -136,9 +136,9 @@
 		return context.DeadlineExceeded
 	}
 	rl.mu.Lock()
-	moved := rl.moved
+	moved := rl.placeFreed
 	rl.mu.Unlock()
-	timer := time.NewTimer(min(left.Std(), rl.awaitTurn(back)))
+	timer := time.NewTimer(min(left.Std(), rl.turnPollInterval(back)))
 	defer timer.Stop()
 	select {
 	case <-moved:
@@ -152,25 +152,25 @@
 
 // minRetryAfter is the least time after which a refused caller is told to come back.
 func (rl *Relay) minRetryAfter() clock.Millis {
-	return clock.Millis(minRetryAfterPart * float64(rl.Settings.Back))
+	return clock.Millis(minRetryAfterPart * float64(rl.Settings.RetryAfter))
 }
 
-func (rl *Relay) noPlace(ctx context.Context, ex *exchange) error {
+func (rl *Relay) refuseNoPlace(ctx context.Context, ex *exchange) error {
 	rl.mu.Lock()
 	least := rl.minRetryAfter()
-	back := least + clock.Millis(rl.Rand.Int64N(int64(2*(rl.Settings.Back-least))+1))
+	back := least + clock.Millis(rl.Rand.Int64N(int64(2*(rl.Settings.RetryAfter-least))+1))
 	rl.mu.Unlock()
-	return rl.endOf(ctx, ex, refuse(refusal.QueueFull, back, "no decode engine has room"))
+	return rl.finalRefusal(ctx, ex, refuse(refusal.QueueFull, back, "no decode engine has room"))
 }
 
 // tryPlace asks the engines for a place if it is the request's turn.
-func (rl *Relay) tryPlace(ctx context.Context, ex *exchange, po *pool.Pool, tk *pool.Ticket, until clock.Millis) (tr placeTry) {
+func (rl *Relay) tryPlace(ctx context.Context, ex *exchange, po *pool.Pool, tk *pool.Ticket, until clock.Millis) (tr placeAttempt) {
 	ch := rl.choose(ctx, ex, po, tk)
 	tr.short, tr.before = ch.short, ch.before
 	if len(ch.list) == 0 {
 		rl.mu.Lock()
 		if po.Tried(tk) {
-			rl.usageMoved()
+			rl.notifyUsageChanged()
 		}
 		rl.mu.Unlock()
 		return tr
@@ -180,10 +180,10 @@
 			return tr
 		}
 		tr.asked++
-		if pl, ok := rl.placeAt(ctx, ex, bs, ch.need); ok {
-			pl.by = ch.by
+		if pl, ok := rl.reserveAt(ctx, ex, bs, ch.need); ok {
+			pl.chosenBy = ch.chosenBy
 			if ix == 0 {
-				pl.prefill, pl.doubt = ch.prefill, ch.doubt
+				pl.prefill, pl.doubtful = ch.prefill, ch.doubtful
 			}
 			tr.place = pl
 			return tr
@@ -192,8 +192,8 @@
 	return tr
 }
 
-// placeAt reserves a place at an engine.
-func (rl *Relay) placeAt(ctx context.Context, ex *exchange, bs board.BackendServer, nd need) (place, bool) {
+// reserveAt reserves a place at an engine.
+func (rl *Relay) reserveAt(ctx context.Context, ex *exchange, bs board.BackendServer, nd memoryNeed) (place, bool) {
 	// The others are told before the engine has answered, or some of them would
 	// choose the same engine in between.
 	pl := rl.takePlace(place{server: bs, service: ex.svc.Name}, nd.run)
@@ -203,14 +203,14 @@
 		return pl, true
 	}
 	rl.leavePlace(pl)
-	rl.heedRest(err)
+	rl.applyRetryAfter(err)
 	if _, why := backend.OutcomeOf(err); why == backend.Full {
 		rl.mu.Lock()
 		rl.poolOf(ex.svc.Name).Full(rl.now(), bs.ID, nd.reserve)
 		rl.mu.Unlock()
 		return place{}, false
 	}
-	rl.fault(ctx, ex, bs.ID, err)
+	rl.recordFault(ctx, ex, bs.ID, err)
 	return place{}, false
 }
 
@@ -225,16 +225,16 @@
 	return 0
 }
 
-// lastAt tells which engines are asked after all others: those that compute a
+// askedLast tells which engines are asked after all others: those that compute a
 // prompt themselves, which holds up what begins there, and those that failed
 // another VM just now. An engine that died looks empty, so that all VMs would
 // choose it, and each would have to find out for itself. The lock is held.
-func (rl *Relay) lastAt(now clock.Millis) func(id string) bool {
+func (rl *Relay) askedLast(now clock.Millis) func(id string) bool {
 	return func(id string) bool { return rl.ledger.Prompts(now, id) > 0 || rl.ledger.Failing(now, id) }
 }
 
 func (rl *Relay) reserve(ctx context.Context, ex *exchange, bs board.BackendServer, tokens int) (string, error) {
-	ctx, stop := context.WithTimeout(ctx, reserveWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, reserveTimeout.Std())
 	defer stop()
 	return rl.Servers.Reserve(ctx, bs, tokens, ex.svc.Engines.Hold)
 }
@@ -246,7 +246,7 @@
 	rl.poolOf(pl.service).Take(pl.server.ID)
 	run.Engine = pl.server.ID
 	pl.entry = rl.ledger.Begin(run)
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 	return pl
 }
 
@@ -256,29 +256,29 @@
 	defer rl.mu.Unlock()
 	rl.poolOf(pl.service).Free(pl.server.ID)
 	rl.ledger.End(pl.entry)
-	rl.usageMoved()
-	rl.signal()
+	rl.notifyUsageChanged()
+	rl.wakeWaiters()
 }
 
-// readsItself counts a prompt on the engine of a place that computes it, until
+// countLocalPrompt counts a prompt on the engine of a place that computes it, until
 // the function that it returns is called.
-func (rl *Relay) readsItself(pl place, tokens int) (done func()) {
+func (rl *Relay) countLocalPrompt(pl place, tokens int) (done func()) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	rl.ledger.Prompt(pl.server.ID, tokens)
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 	return sync.OnceFunc(func() {
 		rl.mu.Lock()
 		defer rl.mu.Unlock()
 		rl.ledger.Prompt(pl.server.ID, -tokens)
-		rl.usageMoved()
+		rl.notifyUsageChanged()
 	})
 }
 
 // release gives a reservation back that was not used. The request's own
 // context may have ended, so the call has one of its own.
 func (rl *Relay) release(ex *exchange, pl place) {
-	rl.tidy(ex, pl.server, "Release", func(ctx context.Context) error {
+	rl.cleanUp(ex, pl.server, "Release", func(ctx context.Context) error {
 		return rl.Servers.Release(ctx, pl.server, pl.reservation)
 	})
 }
@@ -288,26 +288,26 @@
 	if hd.ID == "" {
 		return
 	}
-	rl.tidy(ex, hd.Server, "Forget", func(ctx context.Context) error { return rl.Servers.Forget(ctx, hd) })
+	rl.cleanUp(ex, hd.Server, "Forget", func(ctx context.Context) error { return rl.Servers.Forget(ctx, hd) })
 }
 
-// tidy gives something back to a server, beside the request. The VM does not exit
+// cleanUp gives something back to a server, beside the request. The VM does not exit
 // before that, or the engine would hold it until it lapses.
-func (rl *Relay) tidy(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
-	rl.tidying.Add(1)
+func (rl *Relay) cleanUp(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
+	rl.cleanups.Add(1)
 	go func() {
-		defer rl.tidying.Add(-1)
-		rl.giveBack(ex, bs, what, call)
+		defer rl.cleanups.Add(-1)
+		rl.cleanUpNow(ex, bs, what, call)
 	}()
 }
 
-// giveBack makes the call. A server that started again holds nothing of before,
+// cleanUpNow makes the call. A server that started again holds nothing of before,
 // and may have given the same ID to something else.
-func (rl *Relay) giveBack(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
+func (rl *Relay) cleanUpNow(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
 	if rl.Backends().Reborn(bs) {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), tidyWithin.Std())
+	ctx, stop := context.WithTimeout(context.Background(), cleanupTimeout.Std())
 	defer stop()
 	if err := call(ctx); err != nil {
 		rl.Log.Log(event.RelayNotTidied, event.F("Request", ex.req.ID), event.F("Call", what), event.F("Error", err.Error()))
