--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// plainNeed is the least time in which another attempt at a plain service
+	// minPlainRetryTime is the least time in which another attempt at a plain service
 	// is of use: two crossings of a failure domain and the usual work.
-	plainNeed = 25 * clock.Millis(1)
-	// plainCost is what another attempt at a plain service costs the budget.
-	plainCost = 1
-	// declineTries bounds the attempts that follow servers that declined.
-	declineTries = 3
+	minPlainRetryTime = 25 * clock.Millis(1)
+	// plainRetryCost is what another attempt at a plain service costs the budget.
+	plainRetryCost = 1
+	// maxDeclinedAttempts bounds the attempts that follow servers that declined.
+	maxDeclinedAttempts = 3
 )
 
 // attempt is how one attempt at a plain service ended.
 type attempt struct {
-	wh   whole
+	wh   bufferedAnswer
 	rest io.Reader
 	rsp  *http.Response
 	err  error
@@ -45,37 +45,37 @@
 	at.end()
 }
 
-// plain carries a request to a plain service.
-func (rl *Relay) plain(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
+// servePlain carries a request to a servePlain service.
+func (rl *Relay) servePlain(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
 	for number := 1; ; number++ {
 		if err := rl.checkPoison(ctx, ex); err != nil {
 			return err
 		}
 		bs, err := rl.pick(ex)
 		if err != nil {
-			return rl.endOf(ctx, ex, err)
+			return rl.finalRefusal(ctx, ex, err)
 		}
-		at := rl.try(ctx, ex, bs)
-		if at.err == nil && !rl.another(ctx, ex, number, at) {
-			return rl.passPlain(ctx, wr, ex, at)
+		at := rl.attemptAt(ctx, ex, bs)
+		if at.err == nil && !rl.awaitPlainRetry(ctx, ex, number, at) {
+			return rl.sendPlainAnswer(ctx, wr, ex, at)
 		}
 		at.close()
 		if at.err != nil {
-			if err := rl.again(ctx, ex, number, plainCost, at.err, plainNeed); err != nil {
+			if err := rl.awaitRetry(ctx, ex, number, plainRetryCost, at.err, minPlainRetryTime); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// passPlain sends the answer of a plain service to the caller.
-func (rl *Relay) passPlain(ctx context.Context, wr http.ResponseWriter, ex *exchange, at attempt) error {
+// sendPlainAnswer sends the answer of a plain service to the caller.
+func (rl *Relay) sendPlainAnswer(ctx context.Context, wr http.ResponseWriter, ex *exchange, at attempt) error {
 	defer at.close()
 	if ex.rt.Kind == route.Stream {
-		rn := rl.newRun(ex, place{service: ex.svc.Name}, decoding{rsp: at.rsp, begun: func() {}, end: func() {}})
-		return rl.pass(ctx, wr, ex, rn)
+		rn := rl.newRun(ex, place{service: ex.svc.Name}, decoding{rsp: at.rsp, promptDone: func() {}, end: func() {}})
+		return rl.deliver(ctx, wr, ex, rn)
 	}
-	return writeWhole(wr, at.wh, at.rest)
+	return writeBuffered(wr, at.wh, at.rest)
 }
 
 // pick chooses a backend server and counts the request on it.
@@ -83,44 +83,44 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	id, err := rl.chooser.Pick(rl.now(), balance.Ask{Service: ex.svc.Name, Share: 1, Exclude: ex.tried,
-		Sender: ex.named(), Objective: ex.rt.Objective})
+		Sender: ex.configuredCustomer(), Objective: ex.rt.Objective})
 	if err != nil {
 		if rf, ok := errors.AsType[refusal.Refusal](err); ok {
-			return board.BackendServer{}, rf.WithRetryAfter(max(rl.Settings.PlainBack, rl.chooser.Rests(rl.now(), ex.svc.Name)))
+			return board.BackendServer{}, rf.WithRetryAfter(max(rl.Settings.PlainRetryAfter, rl.chooser.Rests(rl.now(), ex.svc.Name)))
 		}
-		return board.BackendServer{}, refuse(refusal.NoBackend, rl.Settings.PlainBack, err.Error())
+		return board.BackendServer{}, refuse(refusal.NoBackend, rl.Settings.PlainRetryAfter, err.Error())
 	}
 	bs, ok := rl.Backends().Server(id)
 	if !ok {
 		rl.chooser.Done(rl.now(), id, balance.Outcome{Result: balance.Cancelled})
-		return board.BackendServer{}, refuse(refusal.NoBackend, rl.Settings.PlainBack, "the server has just left")
+		return board.BackendServer{}, refuse(refusal.NoBackend, rl.Settings.PlainRetryAfter, "the server has just left")
 	}
 	return bs, nil
 }
 
-// try makes one attempt and reads its answer.
-func (rl *Relay) try(ctx context.Context, ex *exchange, bs board.BackendServer) (at attempt) {
+// attemptAt makes one attempt and reads its answer.
+func (rl *Relay) attemptAt(ctx context.Context, ex *exchange, bs board.BackendServer) (at attempt) {
 	began := rl.now()
 	ex.tried = append(ex.tried, bs.ID)
-	within, end := rl.callTo(ctx, bs)
+	within, end := rl.beginCall(ctx, bs)
 	at.end = end
-	if span := rl.attemptSpan(ex); span > 0 {
+	if span := rl.attemptTimeout(ex); span > 0 {
 		// What is left of a large answer may take longer.
 		timer := time.AfterFunc(span.Std(), end)
 		defer timer.Stop()
 	}
-	fields, err := rl.send(ex, callPlain, bs.ID, func() (err error) {
-		at.rsp, err = rl.Servers.Send(within, bs, ex.req, Options{Left: rl.left(ex), After: ex.req.After})
+	fields, err := rl.callWithinBudget(ex, callPlain, bs.ID, func() (err error) {
+		at.rsp, err = rl.Servers.Send(within, bs, ex.req, Options{TimeLeft: rl.timeLeft(ex), LastEventID: ex.req.LastEventID})
 		return err
 	})
 	at.err = err
 	if !backend.NotRun(at.err) {
-		ex.ran++
+		ex.possibleRuns++
 	}
 	if at.err == nil && ex.rt.Kind != route.Stream {
-		at.wh, at.rest, at.err = readWhole(at.rsp)
+		at.wh, at.rest, at.err = bufferAnswer(at.rsp)
 	} else if at.err == nil {
-		at.wh = whole{status: at.rsp.StatusCode}
+		at.wh = bufferedAnswer{status: at.rsp.StatusCode}
 	}
 	took := rl.now() - began
 	if poison.Broke(within, at.err) {
@@ -134,7 +134,7 @@
 	rl.mu.Unlock()
 	rl.Log.Log(event.RelayAttempt, append(fields, event.F("Request", ex.req.ID), event.F("Server", bs.ID),
 		event.F("Service", ex.svc.Name), event.F("Took", took.String()), event.F("Status", at.wh.status),
-		event.F("Error", text(at.err)))...)
+		event.F("Error", errorText(at.err)))...)
 	return at
 }
 
@@ -150,11 +150,11 @@
 	return &ld
 }
 
-// attemptSpan bounds one attempt, so that a server that hangs leaves time for
+// attemptTimeout bounds one attempt, so that a server that hangs leaves time for
 // another; zero bounds it by the request's end alone.
-func (rl *Relay) attemptSpan(ex *exchange) clock.Millis {
-	span := clock.Millis(rl.Settings.AttemptPart * float64(ex.rt.Objective))
-	if !ex.rt.MayRepeat() || ex.ran+1 >= ex.rt.Attempts || span >= rl.left(ex) {
+func (rl *Relay) attemptTimeout(ex *exchange) clock.Millis {
+	span := clock.Millis(rl.Settings.AttemptFraction * float64(ex.rt.Objective))
+	if !ex.rt.MayRepeat() || ex.possibleRuns+1 >= ex.rt.Attempts || span >= rl.timeLeft(ex) {
 		return 0
 	}
 	return span
@@ -180,14 +180,14 @@
 	}
 }
 
-// another tells whether an idempotent request that the server failed by its
+// awaitPlainRetry tells whether an idempotent request that the server failed by its
 // own word is sent once more.
-func (rl *Relay) another(ctx context.Context, ex *exchange, number int, at attempt) bool {
+func (rl *Relay) awaitPlainRetry(ctx context.Context, ex *exchange, number int, at attempt) bool {
 	if at.wh.status < http.StatusInternalServerError || !ex.rt.MayRepeat() || rl.crowded(ex) {
 		return false
 	}
 	failed := backend.InDoubtError{Call: "Send", Status: at.wh.status}
-	return rl.again(ctx, ex, number, plainCost, failed, plainNeed) == nil
+	return rl.awaitRetry(ctx, ex, number, plainRetryCost, failed, minPlainRetryTime) == nil
 }
 
 // crowded tells whether requests of the route are being refused for the line before
@@ -199,14 +199,14 @@
 	return rl.chooser.Crowded(now, ex.svc.Name, ex.rt.Objective) || rl.chooser.Rests(now, ex.svc.Name) > 0
 }
 
-// again decides what follows a failed attempt: nil is another attempt, whose
+// awaitRetry decides what follows a failed attempt: nil is another attempt, whose
 // backoff has passed, and an error the end of the request.
-func (rl *Relay) again(ctx context.Context, ex *exchange, number int, cost float64, failed error, need clock.Millis) error {
+func (rl *Relay) awaitRetry(ctx context.Context, ex *exchange, number int, cost float64, failed error, need clock.Millis) error {
 	if ctx.Err() != nil {
-		return rl.endOf(ctx, ex, failed)
+		return rl.finalRefusal(ctx, ex, failed)
 	}
-	if ex.ran >= max(1, ex.rt.Attempts) || number >= declineTries {
-		return rl.endOf(ctx, ex, failed) // before the budget is asked, which pays at its word
+	if ex.possibleRuns >= max(1, ex.rt.Attempts) || number >= maxDeclinedAttempts {
+		return rl.finalRefusal(ctx, ex, failed) // before the budget is asked, which pays at its word
 	}
 	ran := refusal.MayHaveRun
 	if backend.NotRun(failed) {
@@ -217,7 +217,7 @@
 	verdict := rl.budget.Decide(rl.now(), retry.Attempt{
 		Service: ex.svc.Name, Idempotent: mayRepeat, Number: number,
 		Last:              refusal.Refusal{Ran: ran, Reason: refusal.BackendFailed, Detail: failed.Error()},
-		EarlierMayHaveRun: ex.ran > 0, Deadline: ex.until, Need: need, Cost: cost,
+		EarlierMayHaveRun: ex.possibleRuns > 0, Deadline: ex.deadline, Need: need, Cost: cost,
 	})
 	ag, ok := verdict.(retry.Again)
 	if ok {
@@ -225,7 +225,7 @@
 	}
 	rl.mu.Unlock()
 	if !ok {
-		return rl.endOf(ctx, ex, failed)
+		return rl.finalRefusal(ctx, ex, failed)
 	}
 	rl.Log.Log(event.RelayRetried, event.F("Request", ex.req.ID), event.F("Reason", ag.Reason),
 		event.F("Attempt", number+1), event.F("After", ag.After.String()), event.F("Cost", cost))
@@ -234,17 +234,17 @@
 	case <-time.After(ag.After.Std()):
 		return nil
 	case <-ctx.Done():
-		return rl.endOf(ctx, ex, failed)
+		return rl.finalRefusal(ctx, ex, failed)
 	}
 }
 
-// endOf is the refusal that a failure ends a request with.
-func (rl *Relay) endOf(ctx context.Context, ex *exchange, failed error) error {
+// finalRefusal is the refusal that a failure ends a request with.
+func (rl *Relay) finalRefusal(ctx context.Context, ex *exchange, failed error) error {
 	rf, ok := errors.AsType[refusal.Refusal](failed)
 	if !ok {
-		rf = refuse(refusal.BackendFailed, rl.Settings.PlainBack, text(failed))
+		rf = refuse(refusal.BackendFailed, rl.Settings.PlainRetryAfter, errorText(failed))
 	}
-	if ex.ran > 0 {
+	if ex.possibleRuns > 0 {
 		rf = rf.WithRan(refusal.MayHaveRun).WithRetryAfter(0)
 	}
 	switch {
@@ -257,7 +257,7 @@
 	return rf
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/relay/plain_test.go
+++ b/internal/relay/plain_test.go
@@ -27,13 +27,13 @@
 		assert.Equal(t, rec.Code, http.StatusTeapot)
 		assert.Equal(t, rec.Body.String(), "body")
 		assert.Equal(t, rec.Header().Get("X-Seal"), "s")
-		assert.Equal(t, rl.Open(), 0)
+		assert.Equal(t, rl.OpenRequests(), 0)
 	})
 }
 
 // What must not run twice is not sent again once it may have run, and what
 // did not run may be.
-func TestOnce(t *testing.T) {
+func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		first error
@@ -154,12 +154,12 @@
 	})
 }
 
-func TestCallersOwnTimeIsWhatServersHear(t *testing.T) {
+func TestCallerDeadlineIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		_, err := serveLeft(t.Context(), rl, "once", 300)
 		assert.NilError(t, err)
-		assert.Equal(t, sv.sent[0].op.Left, clock.Millis(300))
+		assert.Equal(t, sv.sent[0].op.TimeLeft, clock.Millis(300))
 	})
 }
 
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
 		same := rl.Table()
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -9,12 +9,12 @@
 	"alderdyke/pkg/refusal"
 )
 
-// guardOf is the search for requests that end their servers.
-func (rl *Relay) guardOf() *poison.Guard {
+// poisonGuard is the search for requests that end their servers.
+func (rl *Relay) poisonGuard() *poison.Guard {
 	rl.guardOnce.Do(func() {
 		gd := &rl.guard
 		gd.Clock, gd.Log, gd.Scope = rl.Clock, rl.Log, rl.Scope
-		gd.Key, gd.Tell, gd.VMs = rl.Key, rl.TellEnd, rl.livingVMs
+		gd.Key, gd.Tell, gd.VMs = rl.MarkKey, rl.SendServerEnd, rl.livingVMs
 		gd.Probe, gd.Backends = rl.probe, rl.Backends
 	})
 	return &rl.guard
@@ -28,10 +28,10 @@
 }
 
 func (rl *Relay) livingVMs() int {
-	if rl.Others == nil {
+	if rl.OtherVMs == nil {
 		return 1
 	}
-	others, _ := rl.Others()
+	others, _ := rl.OtherVMs()
 	return 1 + len(others)
 }
 
@@ -39,7 +39,7 @@
 func (rl *Relay) markOf(ex *exchange) suspect.Mark {
 	if ex.mark == nil {
 		req := ex.req
-		mk := rl.guardOf().Mark([]byte(req.Method), []byte(req.Host), []byte(req.URI), []byte(req.Content), req.Body)
+		mk := rl.poisonGuard().Mark([]byte(req.Method), []byte(req.Host), []byte(req.URI), []byte(req.Content), req.Body)
 		ex.mark = &mk
 	}
 	return *ex.mark
@@ -48,39 +48,39 @@
 // checkPoison refuses a request under which servers ended. While no request is under
 // suspicion it costs nothing, and else a mark, 6 us for 5 KB (BenchmarkMarkOf).
 func (rl *Relay) checkPoison(ctx context.Context, ex *exchange) error {
-	if !rl.guardOf().Any() {
+	if !rl.poisonGuard().Any() {
 		return nil
 	}
-	span := rl.guardOf().Check(rl.markOf(ex))
+	span := rl.poisonGuard().Check(rl.markOf(ex))
 	if span == 0 {
 		return nil
 	}
-	return rl.endOf(ctx, ex, refuse(refusal.EndsServers, span, "servers ended when they ran this request"))
+	return rl.finalRefusal(ctx, ex, refuse(refusal.EndsServers, span, "servers ended when they ran this request"))
 }
 
 // recordSuccess notes that a request had its whole answer.
 func (rl *Relay) recordSuccess(ex *exchange) {
-	if rl.guardOf().Any() {
-		rl.guardOf().RecordSuccess(ex.req.ID, rl.markOf(ex))
+	if rl.poisonGuard().Any() {
+		rl.poisonGuard().RecordSuccess(ex.req.ID, rl.markOf(ex))
 	}
 }
 
 // recordBrokenCall notes that a call at a server broke off, and returns when it is known
 // whether the server has ended, or soon after.
 func (rl *Relay) recordBrokenCall(ctx context.Context, ex *exchange, bs board.BackendServer, answered bool, beside int) {
-	rl.guardOf().RecordBrokenCall(ctx, poison.Call{
+	rl.poisonGuard().RecordBrokenCall(ctx, poison.Call{
 		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Beside: beside})
 }
 
-// ShareEnds tells the other VMs now and then, until the context ends, what is known of
+// ShareServerEnds tells the other VMs now and then, until the context ends, what is known of
 // requests at which servers ended.
-func (rl *Relay) ShareEnds(ctx context.Context) { rl.guardOf().Share(ctx) }
+func (rl *Relay) ShareServerEnds(ctx context.Context) { rl.poisonGuard().Share(ctx) }
 
-// HeardEnd takes an end that another VM saw.
-func (rl *Relay) HeardEnd(en suspect.End) { rl.guardOf().Heard(en) }
+// ReceiveServerEnd takes an end that another VM saw.
+func (rl *Relay) ReceiveServerEnd(en suspect.End) { rl.poisonGuard().Heard(en) }
 
-// besides is how many other runs an engine has, as far as this VM knows.
-func (rl *Relay) besides(engine string) int {
+// otherRunsAt is how many other runs an engine has, as far as this VM knows.
+func (rl *Relay) otherRunsAt(engine string) int {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	return max(0, rl.ledger.Runs(rl.now(), engine)-1)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,11 +70,11 @@
 		Body   []byte
 		// Content is what else belongs to what is asked, beside method, host, URI
 		// and body, and is the same when a caller tries again.
-		Content string
-		Left    clock.Millis // how long the caller waits from Came; zero if it did not say
-		Came    clock.Millis // point
-		After   string       // ID of the last event that the caller has of a stream
-		Prompt  *Prompt      // nil if the request does not describe a generation
+		Content     string
+		WaitLimit   clock.Millis // how long the caller waits from Arrived; zero if it did not say
+		Arrived     clock.Millis // point
+		LastEventID string       // ID of the last event that the caller has of a stream
+		Prompt      *Prompt      // nil if the request does not describe a generation
 		// KeyHash is the hash of the caller's API key; empty: there is none, for
 		// which KeyFault is the reason.
 		KeyHash  string
@@ -87,9 +87,9 @@
 
 	// Prompt is the size of a generation.
 	Prompt struct {
-		Tokens int // of the prompt
-		Most   int // that may be generated
-		Hint   int // the caller's guess of how many will be; zero if there is none
+		Tokens    int // of the prompt
+		MaxOutput int // that may be generated
+		Hint      int // the caller's guess of how many will be; zero if there is none
 	}
 
 	// Handle names a computed prompt, or the memory of a run, at an engine.
@@ -100,10 +100,10 @@
 
 	// Options of one attempt.
 	Options struct {
-		Left        clock.Millis // to the end of the answer
+		TimeLeft    clock.Millis // to the end of the answer
 		Source      Handle       // memory to go on from; the zero value is none
 		Reservation string       // empty: none
-		After       string       // ID of the last event that the answer already has
+		LastEventID string       // ID of the last event that the answer already has
 	}
 
 	// Servers speaks to backend servers. Every call names the incarnation
@@ -143,55 +143,55 @@
 		Log      event.Logger
 		Scope    tally.Scope
 		Settings Settings
-		// Others lists the VMs that live besides this one; whole tells whether
+		// OtherVMs lists the VMs that live besides this one; whole tells whether
 		// there may be no further ones. Nil, a fleet that is not whole, or
 		// VMs that did not tell their usage lately make the relay reserve
 		// more.
-		Others func() (ids []string, whole bool)
+		OtherVMs func() (ids []string, whole bool)
 		// Schedulers asks the VMs that choose engines for all of a large fleet;
 		// nil: each VM chooses by itself.
 		Schedulers Schedulers
-		// Key is what all VMs of the fleet know requests by again; nil, or empty:
+		// MarkKey is what all VMs of the fleet know requests by again; nil, or empty:
 		// a key of this VM's own, so that it knows them for itself alone.
-		Key func() []byte
+		MarkKey func() []byte
 		// Charger charges requests to their customers' quotas; nil: they have none.
 		Charger Charger
-		// Newer waits a little for a configuration that is newer than a version, and
+		// AwaitNewerConfig waits a little for a configuration that is newer than a version, and
 		// tells whether there is one; nil: there is none. It is asked on behalf of
 		// callers whose keys are unknown, which may be many.
-		Newer func(ctx context.Context, version uint64) bool
-		// TellEnd tells the other VMs at which server's end a request was there;
+		AwaitNewerConfig func(ctx context.Context, version uint64) bool
+		// SendServerEnd tells the other VMs at which server's end a request was there;
 		// nil: they are not told.
-		TellEnd func(en suspect.End)
+		SendServerEnd func(en suspect.End)
 
-		guard     poison.Guard // used through guardOf
+		guard     poison.Guard // used through poisonGuard
 		guardOnce sync.Once
 
-		table    atomic.Pointer[route.Table]
-		backends atomic.Pointer[board.Backends]
-		open     atomic.Int64
-		tidying  atomic.Int64 // calls under way that give something back to a server
-
-		mu         sync.Mutex // guards all below and Rand
-		once       bool
-		chooser    *balance.Chooser
-		budget     *retry.Policy
-		fleet      fleetSize
-		pools      map[string]*pool.Pool
-		longest    map[string]clock.Millis // by route: longest time that a caller brought
-		runs       map[*run]struct{}
-		calls      map[*call]struct{}
-		ledger     usage.Ledger
-		hears      bool         // what the others have at the engines is known
-		hearsUntil clock.Millis // until when a scheduler goes by hears
-		unknown    unknownKeys
-		customers  map[string]struct{}     // that are counted by name
-		noRoom     map[roomKey]noRoom      // sizes that found no room just now
-		draining   map[string]clock.Millis // servers that said themselves that they leave, and when
-		silent     map[string]clock.Millis // schedulers that did not answer, until when they are not asked
-		stopping   bool                    // a planned stop began
-		stopAt     clock.Millis            // when
-		moved      chan struct{}           // closed when a place may have become free
+		table        atomic.Pointer[route.Table]
+		backends     atomic.Pointer[board.Backends]
+		openRequests atomic.Int64
+		cleanups     atomic.Int64 // calls under way that give something back to a server
+
+		mu               sync.Mutex // guards all below and Rand
+		initialized      bool
+		chooser          *balance.Chooser
+		budget           *retry.Policy
+		fleet            fleetSize
+		pools            map[string]*pool.Pool
+		longestWait      map[string]clock.Millis // by route: longest time that a caller brought
+		runs             map[*run]struct{}
+		calls            map[*call]struct{}
+		ledger           usage.Ledger
+		synced           bool         // what the others have at the engines is known
+		syncedUntil      clock.Millis // until when a scheduler goes by hears
+		unknown          unknownKeys
+		customers        map[string]struct{}     // that are counted by name
+		noRoom           map[roomKey]noRoom      // sizes that found no room just now
+		draining         map[string]clock.Millis // servers that said themselves that they leave, and when
+		silentSchedulers map[string]clock.Millis // schedulers that did not answer, until when they are not asked
+		stopping         bool                    // a planned stop began
+		stopAt           clock.Millis            // when
+		placeFreed       chan struct{}           // closed when a place may have become free
 
 		usageChanged chan struct{} // holds a word when runs came or went
 	}
@@ -203,30 +203,30 @@
 		svc   route.Service
 		order *charge.Order // what the request takes of its customer's quota; nil: nothing
 		// priority of the customer, or else of the route; the lowest goes first
-		priority int
-		table    uint64        // version of the configuration that applies
-		until    clock.Millis  // point at which the request ends, whatever happens
-		ran      int           // backend servers that may have run it
-		arrivals arrivals      // at backend servers, and what was paid for them
-		prompt   computed      // that an engine keeps for the next decode
-		tried    []string      // backend servers that were tried
-		mark     *suspect.Mark // nil until it is needed
-		first    clock.Millis  // from the request to its answer's first event; zero: none came
-		event    clock.Millis  // when the last event came
-		pause    clock.Millis  // longest between two events
-		last     string        // ID of the last event that the caller was sent
-		made     int           // events that the caller was sent
+		priority        int
+		table           uint64         // version of the configuration that applies
+		deadline        clock.Millis   // point at which the request ends, whatever happens
+		possibleRuns    int            // backend servers that may have run it
+		arrivals        arrivals       // at backend servers, and what was paid for them
+		prompt          computedPrompt // that an engine keeps for the next decode
+		tried           []string       // backend servers that were tried
+		mark            *suspect.Mark  // nil until it is needed
+		firstEventAfter clock.Millis   // from the request to its answer's first event; zero: none came
+		lastEventAt     clock.Millis   // when the last event came
+		longestPause    clock.Millis   // longest between two events
+		lastEventID     string         // ID of the last event that the caller was sent
+		eventsSent      int            // events that the caller was sent
 	}
 )
 
-// noteEvents notes that events came, up to the one with the ID.
-func (ex *exchange) noteEvents(now clock.Millis, events int, last string) {
-	ex.made += events
-	ex.last = last
-	if ex.event > 0 {
-		ex.pause = max(ex.pause, now-ex.event)
+// recordEvents notes that events came, up to the one with the ID.
+func (ex *exchange) recordEvents(now clock.Millis, events int, last string) {
+	ex.eventsSent += events
+	ex.lastEventID = last
+	if ex.lastEventAt > 0 {
+		ex.longestPause = max(ex.longestPause, now-ex.lastEventAt)
 	}
-	ex.event = now
+	ex.lastEventAt = now
 }
 
 // Configure puts a configuration in force unless a newer one is, and tells
@@ -254,26 +254,26 @@
 	return &board.Backends{}
 }
 
-// Open is the number of requests in progress.
-func (rl *Relay) Open() int { return int(rl.open.Load()) }
+// OpenRequests is the number of requests in progress.
+func (rl *Relay) OpenRequests() int { return int(rl.openRequests.Load()) }
 
 // SetBackends takes the list of backend servers, sorted by ID.
 func (rl *Relay) SetBackends(now clock.Millis, list []board.BackendServer) {
-	rl.noteReborn(rl.setBackends(now, list))
+	rl.recordRestarts(rl.setBackends(now, list))
 }
 
 // setBackends returns how many calls ended because their servers started again.
 func (rl *Relay) setBackends(now clock.Millis, list []board.BackendServer) (ended map[string]int) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	return rl.takeBackends(now, list)
+	return rl.setBackendsLocked(now, list)
 }
 
-// takeBackends is setBackends while the lock is held.
-func (rl *Relay) takeBackends(now clock.Millis, list []board.BackendServer) (ended map[string]int) {
-	rl.prepare()
+// setBackendsLocked is setBackends while the lock is held.
+func (rl *Relay) setBackendsLocked(now clock.Millis, list []board.BackendServer) (ended map[string]int) {
+	rl.initialize()
 	list = rl.withDraining(now, list)
-	rl.changed(rl.Backends(), list)
+	rl.readmitChangedRoles(rl.Backends(), list)
 	bk := rl.Backends().WithServers(list)
 	rl.backends.Store(bk)
 	// The fleet's size only divides shares of customers, which have none here.
@@ -292,55 +292,55 @@
 			rl.poolOf(name).Update(servers)
 		}
 	}
-	rl.signal()
+	rl.wakeWaiters()
 	ended = rl.dropPreviousInstances(bk)
-	rl.leaveEngines(bk)
+	rl.moveFromLeavingEngines(bk)
 	return ended
 }
 
 // Serve carries a request to its end. A [refusal.Refusal] means that nothing
 // was written; ErrCut that the connection must break.
 func (rl *Relay) Serve(ctx context.Context, wr http.ResponseWriter, req *Request) error {
-	rl.open.Add(1)
-	defer rl.open.Add(-1)
-	ex, err := rl.begin(ctx, req)
+	rl.openRequests.Add(1)
+	defer rl.openRequests.Add(-1)
+	ex, err := rl.resolve(ctx, req)
 	if err == nil {
-		err = rl.carry(ctx, wr, ex)
-		rl.refund(ex)
+		err = rl.execute(ctx, wr, ex)
+		rl.refundArrivals(ex)
 	}
-	rl.note(ex, err)
+	rl.recordEnd(ex, err)
 	return err
 }
 
-// carry charges a request to its customer and carries it to its end.
-func (rl *Relay) carry(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
-	ctx, stop := clock.WithDeadline(ctx, clock.Or(rl.Clock), ex.until)
+// execute charges a request to its customer and carries it to its end.
+func (rl *Relay) execute(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
+	ctx, stop := clock.WithDeadline(ctx, clock.Or(rl.Clock), ex.deadline)
 	defer stop()
 	if err := rl.charge(ctx, ex); err != nil {
 		return err
 	}
 	var err error
 	if ex.svc.Engines != nil && ex.req.Prompt != nil {
-		err = rl.generate(ctx, wr, ex)
+		err = rl.serveGeneration(ctx, wr, ex)
 	} else {
-		err = rl.plain(ctx, wr, ex)
+		err = rl.servePlain(ctx, wr, ex)
 	}
 	if err == nil {
 		rl.recordSuccess(ex)
 	}
-	rl.settle(ex, err)
+	rl.refundQuota(ex, err)
 	return err
 }
 
-// begin finds the route of a request, its customer, its service and its end.
-func (rl *Relay) begin(ctx context.Context, req *Request) (*exchange, error) {
+// resolve finds the route of a request, its customer, its service and its end.
+func (rl *Relay) resolve(ctx context.Context, req *Request) (*exchange, error) {
 	tb := rl.table.Load()
 	ex := &exchange{req: req, table: tb.Version()}
 	if err := rl.admit(); err != nil {
 		return ex, err
 	}
 	if tb == nil {
-		return ex, refuse(refusal.Starting, rl.Settings.StartAfter, "no configuration is known yet")
+		return ex, refuse(refusal.Starting, rl.Settings.StartRetryAfter, "no configuration is known yet")
 	}
 	rt, ok := tb.Match(req.Host, req.Path)
 	if !ok {
@@ -351,22 +351,22 @@
 	}
 	ex.priority = rt.Priority
 	if err := rl.authenticate(tb, ex, rt); err != nil {
-		if req.KeyHash != "" && rl.Newer != nil && rl.Newer(ctx, tb.Version()) {
-			return rl.begin(ctx, req) // is not asked again for long
+		if req.KeyHash != "" && rl.AwaitNewerConfig != nil && rl.AwaitNewerConfig(ctx, tb.Version()) {
+			return rl.resolve(ctx, req) // is not asked again for long
 		}
 		return ex, err
 	}
 	rl.mu.Lock()
-	rl.prepare()
+	rl.initialize()
 	ex.rt = rt
 	ex.svc = tb.Service(rt.Service(rl.Rand.Float64()))
 	rl.budget.Request(rl.now(), "", ex.svc.Name)
 	rl.mu.Unlock()
-	ex.until = req.Came + rt.Timeout
-	if req.Left > 0 && (rt.Timeout == 0 || req.Left < rt.Timeout) {
-		ex.until = req.Came + req.Left
+	ex.deadline = req.Arrived + rt.Timeout
+	if req.WaitLimit > 0 && (rt.Timeout == 0 || req.WaitLimit < rt.Timeout) {
+		ex.deadline = req.Arrived + req.WaitLimit
 	}
-	if rl.now() >= ex.until {
+	if rl.now() >= ex.deadline {
 		return ex, refuse(refusal.DeadlinePassed, 0, "the time of the request is over")
 	}
 	return ex, nil
@@ -378,24 +378,24 @@
 
 func (rl *Relay) now() clock.Millis { return clock.Or(rl.Clock).Now() }
 
-// left is what remains of the request's time.
-func (rl *Relay) left(ex *exchange) clock.Millis { return max(0, ex.until-rl.now()) }
+// timeLeft is what remains of the request's time.
+func (rl *Relay) timeLeft(ex *exchange) clock.Millis { return max(0, ex.deadline-rl.now()) }
 
-func (rl *Relay) prepare() {
-	if rl.once {
+func (rl *Relay) initialize() {
+	if rl.initialized {
 		return
 	}
-	rl.once = true
+	rl.initialized = true
 	rl.Settings = rl.Settings.withDefaults()
 	rl.chooser = &balance.Chooser{Rand: rl.Rand, Settings: balance.Settings{
 		Failures: rl.Settings.Failures, Eject: rl.Settings.Eject, SlowStart: rl.Settings.SlowStart}}
 	rl.budget = &retry.Policy{Rand: rl.Rand, Settings: rl.Settings.Budget}
-	rl.divide()
+	rl.applyRetryShare()
 	rl.pools = make(map[string]*pool.Pool)
-	rl.longest = make(map[string]clock.Millis)
+	rl.longestWait = make(map[string]clock.Millis)
 	rl.runs = make(map[*run]struct{})
 	rl.calls = make(map[*call]struct{})
-	rl.moved = make(chan struct{})
+	rl.placeFreed = make(chan struct{})
 	rl.usageChanged = make(chan struct{}, 1)
 }
 
@@ -408,21 +408,21 @@
 	return po
 }
 
-// signal wakes the requests that wait for a place. The lock is held.
-func (rl *Relay) signal() {
-	close(rl.moved)
-	rl.moved = make(chan struct{})
+// wakeWaiters wakes the requests that wait for a place. The lock is held.
+func (rl *Relay) wakeWaiters() {
+	close(rl.placeFreed)
+	rl.placeFreed = make(chan struct{})
 }
 
-// note writes the end of a request to the log and the counters.
-func (rl *Relay) note(ex *exchange, err error) {
-	took := rl.now() - ex.req.Came
+// recordEnd writes the end of a request to the log and the counters.
+func (rl *Relay) recordEnd(ex *exchange, err error) {
+	took := rl.now() - ex.req.Arrived
 	fields := []event.Field{event.F("Request", ex.req.ID), event.F("Route", ex.rt.Name), event.F("Customer", ex.req.Customer),
 		event.F("Configuration", ex.table), event.F("Took", took.String())}
-	if ex.first > 0 {
-		fields = append(fields, event.F("First", ex.first.String()), event.F("Objective", ex.rt.Objective.String()),
-			event.F("Pause", ex.pause.String()),
-			event.F("Events", ex.made), event.F("Last", ex.last))
+	if ex.firstEventAfter > 0 {
+		fields = append(fields, event.F("First", ex.firstEventAfter.String()), event.F("Objective", ex.rt.Objective.String()),
+			event.F("Pause", ex.longestPause.String()),
+			event.F("Events", ex.eventsSent), event.F("Last", ex.lastEventID))
 	}
 	outcome := outcomeAnswered
 	if rf, ok := errors.AsType[refusal.Refusal](err); ok && !errors.Is(err, ErrCut) {
@@ -451,5 +451,5 @@
 	}
 }
 
-// cut wraps the cause of an answer that broke off.
-func cut(err error) error { return fmt.Errorf("%w: %w", ErrCut, err) }
+// wrapCut wraps the cause of an answer that broke off.
+func wrapCut(err error) error { return fmt.Errorf("%w: %w", ErrCut, err) }
--- a/internal/relay/rest.go
+++ b/internal/relay/rest.go
@@ -10,10 +10,10 @@
 	"alderdyke/pkg/refusal"
 )
 
-// heedRest gives a server the rest that it asked for when it declined a call. It is
+// applyRetryAfter gives a server the rest that it asked for when it declined a call. It is
 // asked for nothing meanwhile: what it would decline costs the caller an attempt, the
 // fleet a repeat, and the server the time in which it was to recover.
-func (rl *Relay) heedRest(err error) {
+func (rl *Relay) applyRetryAfter(err error) {
 	server, span := backend.RetryAfterOf(err)
 	if span <= 0 {
 		return
@@ -29,9 +29,9 @@
 	rl.Log.Log(event.ServerAsksForRest, event.F("Server", server), event.F("For", span.String()), event.F("Error", err.Error()))
 }
 
-// allRest refuses a request at once that could wait for a place only until a point at
+// refuseIfAllRest refuses a request at once that could wait for a place only until a point at
 // which all decode engines still rest.
-func (rl *Relay) allRest(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
+func (rl *Relay) refuseIfAllRest(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
 	rl.mu.Lock()
 	now := rl.now()
 	rests := po.Rests(now)
@@ -39,5 +39,5 @@
 	if rests == 0 || now+rests <= until {
 		return nil
 	}
-	return rl.endOf(ctx, ex, refuse(refusal.NoBackend, rests, "all decode engines asked for rest"))
+	return rl.finalRefusal(ctx, ex, refuse(refusal.NoBackend, rests, "all decode engines asked for rest"))
 }
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -180,8 +180,8 @@
 	return relay.Handle{Server: from, ID: "copy"}, nil
 }
 
-// left tells what is still held at the engines.
-func (sv *servers) left() int {
+// held tells what is still held at the engines.
+func (sv *servers) held() int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return len(sv.taken) + len(sv.handles)
@@ -197,7 +197,7 @@
 	return out
 }
 
-var list = []board.BackendServer{
+var allServers = []board.BackendServer{
 	{ID: "d1", Service: "model", Role: board.Decode}, {ID: "d2", Service: "model", Role: board.Decode},
 	{ID: "f1", Service: "model", Role: board.Prefill}, {ID: "f2", Service: "model", Role: board.Prefill},
 	{ID: "p1", Service: "plain", Role: board.Plain}, {ID: "p2", Service: "plain", Role: board.Plain},
@@ -233,7 +233,7 @@
 	}, []route.Service{{Name: "plain"}, {Name: "model", Engines: engines}})
 	assert.NilError(t, err)
 	assert.Assert(t, rl.Configure(tb))
-	rl.SetBackends(rl.Clock.Now(), list)
+	rl.SetBackends(rl.Clock.Now(), allServers)
 	return rl, sv
 }
 
@@ -245,9 +245,9 @@
 func serveLeft(ctx context.Context, rl *relay.Relay, name string, left clock.Millis) (*httptest.ResponseRecorder, error) {
 	rec := httptest.NewRecorder()
 	req := &relay.Request{ID: "r-" + name, Method: http.MethodPost, Host: "h", URI: "/" + name + "/x", Path: "/" + name + "/x",
-		Header: http.Header{}, Came: rl.Clock.Now(), Left: left}
+		Header: http.Header{}, Arrived: rl.Clock.Now(), WaitLimit: left}
 	if name == "draft" || name == "resumable" || name == "thrice" {
-		req.Prompt = &relay.Prompt{Tokens: 5000, Most: 8000, Hint: 1000}
+		req.Prompt = &relay.Prompt{Tokens: 5000, MaxOutput: 8000, Hint: 1000}
 	}
 	return rec, rl.Serve(ctx, rec, req)
 }
@@ -256,7 +256,7 @@
 // much time.
 func newGeneration(rl *relay.Relay, left clock.Millis, tokens int) (*httptest.ResponseRecorder, *relay.Request) {
 	return httptest.NewRecorder(), &relay.Request{ID: "r-generation", Method: http.MethodPost, Host: "h", URI: "/draft/x", Path: "/draft/x",
-		Header: http.Header{}, Came: rl.Clock.Now(), Left: left, Prompt: &relay.Prompt{Tokens: tokens, Most: 800, Hint: 100}}
+		Header: http.Header{}, Arrived: rl.Clock.Now(), WaitLimit: left, Prompt: &relay.Prompt{Tokens: tokens, MaxOutput: 800, Hint: 100}}
 }
 
 func refusalOf(t *testing.T, err error) refusal.Refusal {
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -20,18 +20,18 @@
 	// unresponsiveFor is how long a VM that did not answer is not asked again. One
 	// that is dead is known to be after a second.
 	unresponsiveFor = 500 * clock.Millis(1)
-	// noRoomFor is how long no engine has room for a request as large as one that
+	// noRoomTTL is how long no engine has room for a request as large as one that
 	// found none, so that a scheduler on a small VM answers in time in a burst
 	// (BenchmarkAnswerPlace).
-	noRoomFor = 15 * clock.Millis(1)
-	// hearsFor is how long a scheduler goes by having heard all others: their words
+	noRoomTTL = 15 * clock.Millis(1)
+	// syncCacheTime is how long a scheduler goes by having heard all others: their words
 	// count for fifty times that.
-	hearsFor = 50 * clock.Millis(1)
-	// mostChoices is how many engines one answer names: an engine that declines
+	syncCacheTime = 50 * clock.Millis(1)
+	// maxChoices is how many engines one answer names: an engine that declines
 	// is rare, and each further one is known less well.
-	mostChoices = 3
-	// mostSkips bounds the engines that an ask excludes, to fit a datagram.
-	mostSkips = 12
+	maxChoices = 3
+	// maxExcluded bounds the engines that an ask excludes, to fit a datagram.
+	maxExcluded = 12
 )
 
 type (
@@ -62,13 +62,13 @@
 
 	// choice is where a generation may find its place.
 	choice struct {
-		by      string // the VM that chose; empty: this one
-		need    need
-		list    []board.BackendServer // to be asked, in this order
-		before  int                   // requests at other VMs that take their places first
-		short   bool                  // places are wanting somewhere in the fleet
-		prefill *pool.Prefill         // with the first of the list; nil: not chosen yet
-		doubt   bool                  // the first of the list may be gone
+		chosenBy string // the VM that chose; empty: this one
+		need     memoryNeed
+		list     []board.BackendServer // to be asked, in this order
+		before   int                   // requests at other VMs that take their places first
+		short    bool                  // places are wanting somewhere in the fleet
+		prefill  *pool.Prefill         // with the first of the list; nil: not chosen yet
+		doubtful bool                  // the first of the list may be gone
 	}
 )
 
@@ -93,11 +93,11 @@
 	defer rl.mu.Unlock()
 	switch {
 	case ok:
-		return rl.chosen(ex, po, by, ans)
+		return rl.acceptAnswer(ex, po, by, ans)
 	case here:
 		return rl.chooseHere(rl.now(), ex, po, tk)
 	default:
-		return rl.chooseBlindly(rl.now(), ex, po)
+		return rl.chooseByOwnRuns(rl.now(), ex, po)
 	}
 }
 
@@ -110,7 +110,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now := rl.now()
-	return slices.DeleteFunc(vms, func(vm string) bool { return now < rl.silent[vm] }), here
+	return slices.DeleteFunc(vms, func(vm string) bool { return now < rl.silentSchedulers[vm] }), here
 }
 
 // chooseHere chooses by what this VM knows of all. The lock is held.
@@ -119,22 +119,22 @@
 	if ch.need.limit != noLimit {
 		ch.before = rl.ledger.Before(now, askOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
 	}
-	ch.list = po.Decoders(now, rl.wantOf(now, ch.need, ch.before, spare(tk.Ask().Returning, ch.short)))
-	ch.doubt = len(ch.list) > 0 && rl.ledger.Doubtful(now, ch.list[0].ID)
+	ch.list = po.Decoders(now, rl.decodeWant(now, ch.need, ch.before, spare(tk.Ask().Returning, ch.short)))
+	ch.doubtful = len(ch.list) > 0 && rl.ledger.Doubtful(now, ch.list[0].ID)
 	return ch
 }
 
-// chooseBlindly chooses by this VM's own runs alone. The lock is held.
-func (rl *Relay) chooseBlindly(now clock.Millis, ex *exchange, po *pool.Pool) choice {
+// chooseByOwnRuns chooses by this VM's own runs alone. The lock is held.
+func (rl *Relay) chooseByOwnRuns(now clock.Millis, ex *exchange, po *pool.Pool) choice {
 	rl.setInSync(false, 0, 0, false)
 	ch := choice{need: rl.needOf(ex, false), short: rl.ledger.Short(now)}
-	ch.list = po.Decoders(now, rl.wantOf(now, ch.need, 0, 0))
+	ch.list = po.Decoders(now, rl.decodeWant(now, ch.need, 0, 0))
 	return ch
 }
 
-// wantOf is what a request wants of the decode engines. The lock is held.
-func (rl *Relay) wantOf(now clock.Millis, nd need, before, spare int) pool.Want {
-	return pool.Want{Tokens: nd.reserve, Limit: nd.limit, Before: before, Spare: spare, Need: rl.peakAt(now, nd.run), Last: rl.lastAt(now)}
+// decodeWant is what a request wants of the decode engines. The lock is held.
+func (rl *Relay) decodeWant(now clock.Millis, nd memoryNeed, before, spare int) pool.Want {
+	return pool.Want{Tokens: nd.reserve, Limit: nd.limit, Before: before, Spare: spare, Need: rl.peakAt(now, nd.run), Last: rl.askedLast(now)}
 }
 
 // placeAsk is what the scheduler is asked. The lock is held.
@@ -142,7 +142,7 @@
 	nd := rl.needOf(ex, true)
 	skip := po.Passed(now)
 	return usage.PlaceAsk{Ask: askOf(now, ex.svc.Name, tk), Run: nd.run, Reserve: nd.reserve, Prompt: true,
-		MayWait: rl.placeWait(ex.rt, false), MayWaitBack: rl.placeWait(ex.rt, true), Skip: skip[:min(len(skip), mostSkips)]}
+		MayWait: rl.placeWait(ex.rt, false), MayWaitBack: rl.placeWait(ex.rt, true), Skip: skip[:min(len(skip), maxExcluded)]}
 }
 
 // askPlace asks the VMs in turn until one knows.
@@ -158,45 +158,45 @@
 			rl.count("Asks", map[string]string{"Outcome": "Known"})
 			return ans, vm, true
 		}
-		rl.noteSilent(vm, err)
+		rl.recordSilentScheduler(vm, err)
 	}
 	return usage.PlaceAnswer{}, "", false
 }
 
-// noteSilent has a VM that did not answer, or does not know, not asked for a
+// recordSilentScheduler has a VM that did not answer, or does not know, not asked for a
 // while.
-func (rl *Relay) noteSilent(vm string, err error) {
+func (rl *Relay) recordSilentScheduler(vm string, err error) {
 	outcome := "Unknown"
 	if err != nil {
 		outcome = "Silent"
 	}
 	rl.count("Asks", map[string]string{"Outcome": outcome})
-	rl.Log.Log(event.SchedulerSilent, event.F("Other", vm), event.F("Outcome", outcome), event.F("Error", text(err)))
+	rl.Log.Log(event.SchedulerSilent, event.F("Other", vm), event.F("Outcome", outcome), event.F("Error", errorText(err)))
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	if rl.silent == nil {
-		rl.silent = make(map[string]clock.Millis)
+	if rl.silentSchedulers == nil {
+		rl.silentSchedulers = make(map[string]clock.Millis)
 	}
-	rl.silent[vm] = rl.now() + unresponsiveFor
+	rl.silentSchedulers[vm] = rl.now() + unresponsiveFor
 }
 
-// chosen takes another VM's answer. The lock is held.
-func (rl *Relay) chosen(ex *exchange, po *pool.Pool, by string, ans usage.PlaceAnswer) choice {
+// acceptAnswer takes another VM's answer. The lock is held.
+func (rl *Relay) acceptAnswer(ex *exchange, po *pool.Pool, by string, ans usage.PlaceAnswer) choice {
 	now := rl.now()
 	rl.setInSync(true, 0, 0, true)
 	if ans.Short {
 		rl.ledger.HeardShort(now)
 	}
-	ch := choice{by: by, need: rl.needOf(ex, true), before: ans.Before, short: ans.Short, doubt: ans.Doubtful, list: rl.stayingOf(po, ans.Engines)}
+	ch := choice{chosenBy: by, need: rl.needOf(ex, true), before: ans.Before, short: ans.Short, doubtful: ans.Doubtful, list: rl.availableEngines(po, ans.Engines)}
 	if pf, ok := po.PrefillAt(ans.Prefill, ans.Ahead, ex.req.Prompt.Tokens); ok {
 		ch.prefill = &pf
 	}
 	return ch
 }
 
-// stayingOf lists the engines by their IDs that take new work as this VM knows.
+// availableEngines lists the engines by their IDs that take new work as this VM knows.
 // The lock is held.
-func (rl *Relay) stayingOf(po *pool.Pool, ids []string) []board.BackendServer {
+func (rl *Relay) availableEngines(po *pool.Pool, ids []string) []board.BackendServer {
 	var out []board.BackendServer
 	for _, id := range ids {
 		if bs, ok := rl.Backends().Server(id); ok && po.Takes(rl.now(), id) {
@@ -211,9 +211,9 @@
 func (rl *Relay) AnswerPlace(vm string, ask usage.PlaceAsk) usage.PlaceAnswer {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.prepare()
+	rl.initialize()
 	now, tb := rl.now(), rl.table.Load()
-	if tb == nil || !rl.hearsLately(now) {
+	if tb == nil || !rl.recentlyInSync(now) {
 		return usage.PlaceAnswer{}
 	}
 	svc := tb.Service(ask.Ask.Service)
@@ -231,14 +231,14 @@
 		}
 		return ask.MayWait
 	})
-	nd := need{run: ask.Run, reserve: ask.Reserve, limit: rl.limitOf(svc)}
-	list := po.Decoders(now, rl.wantOf(now, nd, ans.Before, spare(ask.Ask.Returning, ans.Short)))
+	nd := memoryNeed{run: ask.Run, reserve: ask.Reserve, limit: rl.memoryLimit(svc)}
+	list := po.Decoders(now, rl.decodeWant(now, nd, ans.Before, spare(ask.Ask.Returning, ans.Short)))
 	list = slices.DeleteFunc(list, func(bs board.BackendServer) bool { return slices.Contains(ask.Skip, bs.ID) })
-	for _, bs := range list[:min(len(list), mostChoices)] {
+	for _, bs := range list[:min(len(list), maxChoices)] {
 		ans.Engines = append(ans.Engines, bs.ID)
 	}
 	if len(list) > 0 {
-		rl.assume(now, vm, po, ask, list[0], &ans)
+		rl.countAssumed(now, vm, po, ask, list[0], &ans)
 	}
 	return ans
 }
@@ -252,32 +252,32 @@
 	if now < none.until && ask.Run.Tokens >= none.tokens {
 		return false
 	}
-	if po.Room(now, pool.Want{Limit: rl.limitOf(svc), Spare: key.spare, Need: rl.peakAt(now, ask.Run)}) {
+	if po.Room(now, pool.Want{Limit: rl.memoryLimit(svc), Spare: key.spare, Need: rl.peakAt(now, ask.Run)}) {
 		return true
 	}
 	if rl.noRoom == nil {
 		rl.noRoom = make(map[roomKey]noRoom)
 	}
-	rl.noRoom[key] = noRoom{until: now + noRoomFor, tokens: ask.Run.Tokens}
+	rl.noRoom[key] = noRoom{until: now + noRoomTTL, tokens: ask.Run.Tokens}
 	return false
 }
 
-// hearsLately is inSync of a moment ago, which looks at each VM. The lock is
+// recentlyInSync is inSync of a moment ago, which looks at each VM. The lock is
 // held.
-func (rl *Relay) hearsLately(now clock.Millis) bool {
-	if rl.hears && now < rl.hearsUntil {
+func (rl *Relay) recentlyInSync(now clock.Millis) bool {
+	if rl.synced && now < rl.syncedUntil {
 		return true
 	}
-	rl.hearsUntil = now + hearsFor
+	rl.syncedUntil = now + syncCacheTime
 	return rl.inSync()
 }
 
-// assume counts a place, and the prompt at an engine near it, as taken by the
+// countAssumed counts a place, and the prompt at an engine near it, as taken by the
 // VM that asked. The lock is held.
-func (rl *Relay) assume(now clock.Millis, vm string, po *pool.Pool, ask usage.PlaceAsk, at board.BackendServer, ans *usage.PlaceAnswer) {
+func (rl *Relay) countAssumed(now clock.Millis, vm string, po *pool.Pool, ask usage.PlaceAsk, at board.BackendServer, ans *usage.PlaceAnswer) {
 	ans.Doubtful = rl.ledger.Doubtful(now, at.ID)
 	if ask.Prompt && !ans.Doubtful {
-		pf, ok := rl.prefillFor(now, po, ask.Run.Tokens, at)
+		pf, ok := rl.findPrefiller(now, po, ask.Run.Tokens, at)
 		if ok {
 			ans.Prefill, ans.Ahead = pf.Server.ID, pf.Ahead
 		}
@@ -298,7 +298,7 @@
 		if ans, _, ok := rl.askPlace(ctx, vms, ask); ok && len(ans.Engines) > 0 {
 			rl.mu.Lock()
 			defer rl.mu.Unlock()
-			return rl.stayingOf(po, ans.Engines)
+			return rl.availableEngines(po, ans.Engines)
 		}
 	}
 	rl.mu.Lock()
@@ -313,18 +313,18 @@
 	return rl.poolOf(service)
 }
 
-// awaitTurn is how long a request that found no place waits before it asks
+// turnPollInterval is how long a request that found no place waits before it asks
 // again, if nothing is known to have become free. Who asks a scheduler does not
 // hear of places: a new request asks twice as often as one that would. One that
 // came back waits for seconds.
-func (rl *Relay) awaitTurn(back bool) time.Duration {
+func (rl *Relay) turnPollInterval(back bool) time.Duration {
 	_, here := rl.schedulers()
 	switch {
 	case here:
-		return rl.Settings.Poll.Std()
+		return rl.Settings.PollInterval.Std()
 	case back:
-		return (2 * rl.Settings.Poll).Std()
+		return (2 * rl.Settings.PollInterval).Std()
 	default:
-		return (rl.Settings.Poll / 2).Std()
+		return (rl.Settings.PollInterval / 2).Std()
 	}
 }
--- a/internal/relay/schedule_test.go
+++ b/internal/relay/schedule_test.go
@@ -52,9 +52,9 @@
 		asked   []string                     // by two requests
 		reserve int
 	}{
-		{"the first knows", map[string]usage.PlaceAnswer{"a": known}, []string{"a", "a"}, 5000 + relay.DefaultReserve},
-		{"the first is silent", map[string]usage.PlaceAnswer{"b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserve},
-		{"the first does not know", map[string]usage.PlaceAnswer{"a": {}, "b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserve},
+		{"the first knows", map[string]usage.PlaceAnswer{"a": known}, []string{"a", "a"}, 5000 + relay.DefaultReserveTokens},
+		{"the first is silent", map[string]usage.PlaceAnswer{"b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserveTokens},
+		{"the first does not know", map[string]usage.PlaceAnswer{"a": {}, "b": known}, []string{"a", "b", "b"}, 5000 + relay.DefaultReserveTokens},
 		{"none knows", nil, []string{"a", "b"}, 7000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 					assert.DeepEqual(t, sv.sentTo(), []string{"d2", "d2"})
 					assert.DeepEqual(t, sv.prefills, []string{"f2", "f2"})
 				}
-				assert.Equal(t, sv.left(), 0)
+				assert.Equal(t, sv.held(), 0)
 			})
 		})
 	}
@@ -109,13 +109,13 @@
 }
 
 // Who does not hear the others, or knows no configuration, says so.
-func TestSchedulerThatDoesNotKnow(t *testing.T) {
+func TestSchedulerWithoutFullView(t *testing.T) {
 	ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model"}, Run: usage.Run{Tokens: 100}, Reserve: 100, Prompt: true}
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
-		rl.Others = func() ([]string, bool) { return []string{"vm-2"}, true }
+		rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
 		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Known, "vm-2 told nothing")
-		rl.HeardUsage("vm-2", usage.Report{})
+		rl.ReceiveUsage("vm-2", usage.Report{})
 		ans := rl.AnswerPlace("vm-2", ask)
 		assert.Assert(t, ans.Known && len(ans.Engines) == 2 && ans.Prefill != "", "%+v", ans)
 		ask.Ask.Service = "plain"
@@ -148,11 +148,11 @@
 				return ans, nil
 			}}
 			go rl.ShareUsage(ctx, func(rp usage.Report) {
-				time.AfterFunc(2*time.Millisecond, func() { first.HeardUsage(name, rp) })
+				time.AfterFunc(2*time.Millisecond, func() { first.ReceiveUsage(name, rp) })
 			})
 			rls = append(rls, rl)
 		}
-		first.Others = func() ([]string, bool) { return others, true }
+		first.OtherVMs = func() ([]string, bool) { return others, true }
 		time.Sleep(20 * time.Millisecond) // until all have told
 		var mu sync.Mutex
 		var waits []time.Duration
@@ -175,7 +175,7 @@
 		assert.DeepEqual(t, runs.most, map[string]int{"d1": fits, "d2": fits})
 		assert.Equal(t, len(waits), vms-2*fits)
 		for _, wait := range waits {
-			assert.Assert(t, wait <= relay.DefaultWait.Std()+2*time.Millisecond, "%v, with the last ask", wait)
+			assert.Assert(t, wait <= relay.DefaultPlaceWait.Std()+2*time.Millisecond, "%v, with the last ask", wait)
 		}
 	})
 }
@@ -201,9 +201,9 @@
 func TestSchedulerWithoutRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
-		rl.Others = func() ([]string, bool) { return []string{"vm-2"}, true }
+		rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
 		tell := func(tokens int) {
-			rl.HeardUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d1", Tokens: tokens}, {Engine: "d2", Tokens: tokens}}})
+			rl.ReceiveUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d1", Tokens: tokens}, {Engine: "d2", Tokens: tokens}}})
 		}
 		engines := func(tokens int) int {
 			ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model"}, Run: usage.Run{Tokens: tokens}, Reserve: tokens}
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -13,7 +13,7 @@
 func (rl *Relay) BeginStop() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.prepare()
+	rl.initialize()
 	if !rl.stopping {
 		rl.stopping, rl.stopAt = true, rl.now()
 	}
@@ -24,7 +24,7 @@
 // is over may still be on their way out of the process.
 func (rl *Relay) MayExit() bool {
 	since, stopping := rl.stoppingFor()
-	return stopping && since >= rl.Settings.StopAccept && rl.Open() == 0 && rl.tidying.Load() == 0
+	return stopping && since >= rl.Settings.StopAccept && rl.OpenRequests() == 0 && rl.cleanups.Load() == 0
 }
 
 // Stopping tells whether a planned stop has begun.
@@ -36,14 +36,14 @@
 func (rl *Relay) stoppingFor() (since clock.Millis, stopping bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.prepare() // whoever comes first: what follows reads the settings without the lock
+	rl.initialize() // whoever comes first: what follows reads the settings without the lock
 	return rl.now() - rl.stopAt, rl.stopping
 }
 
 // admit refuses a new request that this VM can't end before it exits.
 func (rl *Relay) admit() error {
 	if since, stopping := rl.stoppingFor(); stopping && since >= rl.Settings.StopAccept {
-		return rl.leaving()
+		return rl.refuseDraining()
 	}
 	return nil
 }
@@ -53,11 +53,11 @@
 	since, stopping := rl.stoppingFor()
 	long := req.Prompt != nil || rt.Kind == route.Stream
 	if stopping && long && since >= rl.Settings.StopGenerate {
-		return rl.leaving()
+		return rl.refuseDraining()
 	}
 	return nil
 }
 
-func (rl *Relay) leaving() error {
-	return refuse(refusal.Draining, rl.Settings.StopBack, "this VM is leaving")
+func (rl *Relay) refuseDraining() error {
+	return refuse(refusal.Draining, rl.Settings.StopRetryAfter, "this VM is leaving")
 }
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestQuickRequestsAreTakenForAWhile(t *testing.T) {
+func TestShortRequestsAreAcceptedLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
 		rl.BeginStop()
@@ -76,7 +76,7 @@
 }
 
 // What was taken at an engine is given back before the process ends.
-func TestExitWaitsForWhatIsGivenBack(t *testing.T) {
+func TestExitWaitsForCleanUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
@@ -88,7 +88,7 @@
 		assert.Equal(t, refusalOf(t, err).Ran, refusal.NotRun)
 		rl.BeginStop()
 		time.Sleep(relay.DefaultStopAccept.Std())
-		assert.Equal(t, rl.Open(), 0)
+		assert.Equal(t, rl.OpenRequests(), 0)
 		assert.Assert(t, !rl.MayExit(), "a computed prompt is still held")
 		close(release)
 		synctest.Wait()
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// killer has each server end that runs the request, before its first event.
-func killer(sv *servers) {
+// endServersOnSend has each server end that runs the request, before its first event.
+func endServersOnSend(sv *servers) {
 	sv.ended = make(map[string]bool)
 	sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
 		time.Sleep(60 * time.Millisecond)
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		withDecoders(rl, "d3", "d4", "d5", "d6", "d7", "d8", "d9", "d10")
-		killer(sv)
+		endServersOnSend(sv)
 		for range 6 { // callers, each with two attempts
 			for range 2 {
 				_, _ = serve(t.Context(), rl, "resumable")
--- a/internal/relay/suspended_test.go
+++ b/internal/relay/suspended_test.go
@@ -14,19 +14,21 @@
 	"alderdyke/pkg/refusal"
 )
 
-// suspending is the clock of a machine that may be suspended: the time of that counts,
+// suspendableClock is the clock of a machine that may be suspended: the time of that counts,
 // and no timer does.
-type suspending struct {
+type suspendableClock struct {
 	bubbleClock
-	away atomic.Int64 // milliseconds
+	suspended atomic.Int64 // milliseconds
 }
 
-func (sc *suspending) Now() clock.Millis { return sc.bubbleClock.Now() + clock.Millis(sc.away.Load()) }
+func (sc *suspendableClock) Now() clock.Millis {
+	return sc.bubbleClock.Now() + clock.Millis(sc.suspended.Load())
+}
 
 // A machine that was suspended for 20 s woke with requests whose callers had long
 // gone: the timers of their ends still had as long to run as before ("14s" on timers,
 // 34 s after the request came), since timers stand while the machine does.
-func TestRequestsEndWhenTheirMachineWakes(t *testing.T) {
+func TestRequestsEndWhenTheirVMResumes(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		away    clock.Millis
@@ -40,13 +42,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				sc := &suspending{bubbleClock: bubbleClock{time.Now()}}
+				sc := &suspendableClock{bubbleClock: bubbleClock{time.Now()}}
 				rl.Clock = sc
 				sv.onSend = func(ctx context.Context, _ int, _ sent) (*http.Response, error) {
 					<-ctx.Done()
 					return nil, errReset
 				}
-				time.AfterFunc(time.Second, func() { sc.away.Store(int64(tc.away)) })
+				time.AfterFunc(time.Second, func() { sc.suspended.Store(int64(tc.away)) })
 				began := time.Now()
 				_, err := serve(t.Context(), rl, "draft")
 				took := time.Since(began)
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -38,7 +38,7 @@
 		rls, names = append(rls, rl), append(names, fmt.Sprintf("vm-%d", ix))
 	}
 	for ix, rl := range rls {
-		rl.Others = func() ([]string, bool) {
+		rl.OtherVMs = func() ([]string, bool) {
 			var others []string
 			for jx, name := range names {
 				if jx != ix {
@@ -50,7 +50,7 @@
 		go rl.ShareUsage(ctx, func(rp usage.Report) {
 			for jx, other := range rls {
 				if jx != ix {
-					time.AfterFunc(2*time.Millisecond, func() { other.HeardUsage(names[ix], rp) })
+					time.AfterFunc(2*time.Millisecond, func() { other.ReceiveUsage(names[ix], rp) })
 				}
 			}
 		})
@@ -86,7 +86,7 @@
 		}
 		tell := func(rp usage.Report) {
 			for _, rl := range rls {
-				rl.HeardUsage("vm-far", rp)
+				rl.ReceiveUsage("vm-far", rp)
 			}
 		}
 		tell(full("d1", "d2"))
@@ -106,7 +106,7 @@
 
 // A request that comes while another VM's reservation is under way knows of
 // it.
-func TestPlaceIsToldBeforeItIsConfirmed(t *testing.T) {
+func TestPlaceIsReportedBeforeItIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		var told atomic.Int64 // runs in the last word
@@ -144,7 +144,7 @@
 				began := time.Now()
 				_, err = serveLeft(t.Context(), rl, "draft", tc.left)
 				refusalOf(t, err)
-				assert.Equal(t, time.Since(began) > relay.DefaultWait.Std(), tc.back)
+				assert.Equal(t, time.Since(began) > relay.DefaultPlaceWait.Std(), tc.back)
 			})
 		})
 	}
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// tellEvery is how often this VM tells the others what it has at the
-	// engines, and tellSoonest the least span between two words: a burst of
+	// reportInterval is how often this VM tells the others what it has at the
+	// engines, and minReportInterval the least span between two words: a burst of
 	// changes makes one word, and one of them is known elsewhere before an
 	// engine is chosen for the next request of 30 a second.
-	tellEvery   = 400 * clock.Millis(1)
-	tellSoonest = 4 * clock.Millis(1)
-	// avoidFor is how long an engine is avoided that declined what it had a
+	reportInterval    = 400 * clock.Millis(1)
+	minReportInterval = 4 * clock.Millis(1)
+	// declinedAvoidTime is how long an engine is avoided that declined what it had a
 	// place for. Where computed prompts lapse, they do for 4 to 5 s; each try
 	// costs a prefill.
-	avoidFor = 2500 * clock.Millis(1)
-	// tellPerVM is the least span for each VM that is told, so that a VM of a
+	declinedAvoidTime = 2500 * clock.Millis(1)
+	// reportIntervalPerVM is the least span for each VM that is told, so that a VM of a
 	// large fleet sends no more than about 70 words a second to keep them
 	// fresh.
-	tellPerVM = 14 * clock.Millis(1)
-	tellMost  = usage.Stale * 2 / 5
-	// waitingMost bounds the waiting requests that one word names: it keeps
+	reportIntervalPerVM = 14 * clock.Millis(1)
+	maxReportInterval   = usage.Stale * 2 / 5
+	// maxWaitingReported bounds the waiting requests that one word names: it keeps
 	// the word within a datagram.
-	waitingMost = 16
+	maxWaitingReported = 16
 )
 
 // ShareUsage tells what this VM has at the engines until the context ends:
@@ -37,14 +37,14 @@
 func (rl *Relay) ShareUsage(ctx context.Context, tell func(rp usage.Report)) {
 	for {
 		rl.mu.Lock()
-		rl.prepare()
+		rl.initialize()
 		rp, changed := rl.report(rl.now()), rl.usageChanged
 		rl.mu.Unlock()
 		tell(rp)
-		if !clock.Sleep(ctx, tellSoonest) {
+		if !clock.Sleep(ctx, minReportInterval) {
 			return
 		}
-		timer := time.NewTimer(rl.tellSpan().Std())
+		timer := time.NewTimer(rl.reportPeriod().Std())
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -59,7 +59,7 @@
 	rp := rl.ledger.Report(now)
 	for name, po := range rl.pools {
 		for _, tk := range po.Tickets() {
-			if len(rp.Waiting) < waitingMost {
+			if len(rp.Waiting) < maxWaitingReported {
 				rp.Waiting = append(rp.Waiting, askOf(now, name, tk))
 			}
 		}
@@ -72,54 +72,54 @@
 	return usage.Ask{Service: service, Returning: tk.Ask().Returning, Turn: tk.Turn(), Age: tk.Waited(now)}
 }
 
-// tellSpan is how often the others are told without a change.
-func (rl *Relay) tellSpan() clock.Millis {
-	if rl.Others == nil {
-		return tellEvery
+// reportPeriod is how often the others are told without a change.
+func (rl *Relay) reportPeriod() clock.Millis {
+	if rl.OtherVMs == nil {
+		return reportInterval
 	}
-	others, _ := rl.Others()
-	return min(tellMost, max(tellEvery, clock.Millis(len(others))*tellPerVM))
+	others, _ := rl.OtherVMs()
+	return min(maxReportInterval, max(reportInterval, clock.Millis(len(others))*reportIntervalPerVM))
 }
 
-// HeardUsage takes what another VM has at the engines.
-func (rl *Relay) HeardUsage(vm string, rp usage.Report) {
+// ReceiveUsage takes what another VM has at the engines.
+func (rl *Relay) ReceiveUsage(vm string, rp usage.Report) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.prepare()
+	rl.initialize()
 	rl.ledger.Heard(rl.now(), vm, rp)
-	rl.signal()
+	rl.wakeWaiters()
 }
 
-// Changing notes that this VM ordered an engine to change its role, and until
+// MarkRoleChanging notes that this VM ordered an engine to change its role, and until
 // when that may be under way. The other VMs are told.
-func (rl *Relay) Changing(engine string, until clock.Millis) {
+func (rl *Relay) MarkRoleChanging(engine string, until clock.Millis) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.prepare()
+	rl.initialize()
 	rl.ledger.Avoid(engine, until)
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 }
 
-// declined has all VMs avoid an engine that declined, by its own word, what it
+// avoidDeclined has all VMs avoid an engine that avoidDeclined, by its own word, what it
 // had a place for or had computed.
-func (rl *Relay) declined(engine string) {
+func (rl *Relay) avoidDeclined(engine string) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.ledger.Avoid(engine, rl.now()+avoidFor)
-	rl.usageMoved()
+	rl.ledger.Avoid(engine, rl.now()+declinedAvoidTime)
+	rl.notifyUsageChanged()
 }
 
-// runShort has all VMs know that a new request was refused for want of a
+// reportShortage has all VMs know that a new request was refused for want of a
 // place.
-func (rl *Relay) runShort() {
+func (rl *Relay) reportShortage() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	rl.ledger.RunShort(rl.now())
-	rl.usageMoved()
+	rl.notifyUsageChanged()
 }
 
-// changed notes engines whose role is another than before. The lock is held.
-func (rl *Relay) changed(old *board.Backends, list []board.BackendServer) {
+// readmitChangedRoles notes engines whose role is another than before. The lock is held.
+func (rl *Relay) readmitChangedRoles(old *board.Backends, list []board.BackendServer) {
 	for _, bs := range list {
 		if was, ok := old.Server(bs.ID); ok && was.Role != bs.Role {
 			rl.ledger.Readmit(bs.ID)
@@ -149,30 +149,30 @@
 	}
 }
 
-// TellAgain has the other VMs told, whatever they know.
-func (rl *Relay) TellAgain() {
+// TriggerUsageReport has the other VMs told, whatever they know.
+func (rl *Relay) TriggerUsageReport() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.prepare()
-	rl.usageMoved()
+	rl.initialize()
+	rl.notifyUsageChanged()
 }
 
-// usageMoved has the other VMs told. The lock is held.
-func (rl *Relay) usageMoved() {
+// notifyUsageChanged has the other VMs told. The lock is held.
+func (rl *Relay) notifyUsageChanged() {
 	select {
 	case rl.usageChanged <- struct{}{}:
 	default: // they will be told of this change too
 	}
 }
 
-// grew notes what a run has generated.
-func (rl *Relay) grew(rn *run, events int) {
+// recordGrowth notes what a run has generated.
+func (rl *Relay) recordGrowth(rn *run, events int) {
 	if events == 0 || rn.ex.svc.Engines == nil {
 		return
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	tokens := events * rn.ex.svc.Engines.Stride
-	rn.made += tokens
+	rn.tokens += tokens
 	rl.ledger.Grow(rl.now(), rn.pl.entry, tokens)
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -170,7 +170,7 @@
 		return Response{}, NotSentError{Server: srv.ID, Call: "Call", Err: err}
 	}
 	rsp, err := backend.Send(ctx, sc.client(), backend.Call{
-		Server: srv.ID, Name: "Call", Request: req, Once: !rq.Idempotent, Incarnations: sc.Incarnations,
+		Server: srv.ID, Name: "Call", Request: req, FreshConnection: !rq.Idempotent, Incarnations: sc.Incarnations,
 	})
 	if err != nil {
 		return Response{}, err
@@ -240,7 +240,7 @@
 	return out
 }
 
-func (sc *Client) client() *http.Client { return sc.made.Or(sc.HTTP) }
+func (sc *Client) client() *http.Client { return sc.made.Client(sc.HTTP) }
 
 func (sc *Client) now() clock.Millis { return clock.Or(sc.Clock).Now() }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -48,7 +48,7 @@
 	assert.Equal(t, rsp.Header.Get("X-Kept"), "body")
 	assert.Equal(t, rsp.Header.Get("X-Hop"), "")
 	assert.Equal(t, rsp.Header.Get(backend.ServerIncarnationHeader), "")
-	assert.Equal(t, in.Of(srv.ID), uint64(9))
+	assert.Equal(t, in.Latest(srv.ID), uint64(9))
 	assert.Equal(t, got.RequestURI, "/a%2Fb?q=1")
 	assert.Equal(t, got.Header.Get("X-Plant"), "17")
 	assert.DeepEqual(t, got.Header.Values("Authorization"), []string{"Bearer ours"})
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return kvHead{}, fmt.Errorf("fetch KV cache: %w", err)
 	}
-	rsp, err := backend.Send(rn.life, en.HTTP, backend.Call{Server: od.From, Name: "KV", Request: req, Once: true})
+	rsp, err := backend.Send(rn.life, en.HTTP, backend.Call{Server: od.From, Name: "KV", Request: req, FreshConnection: true})
 	if err != nil {
 		return kvHead{}, fmt.Errorf("fetch KV cache: %w", err)
 	}
