--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,15 +1,15 @@
-// Package board is the blackboard of one VM: the shared facts that
-// controllers read and write.
+// Package board holds the state that the controllers of one VM share: the
+// entry VMs, the backend servers and the customers' configuration.
 //
 // Every section is an immutable snapshot behind an atomic pointer. A
 // controller loads the snapshots that it needs, decides, and stores a new
 // snapshot of the section that it owns; each section has one writer. The
-// board itself does no I/O and decides nothing.
+// board itself does no I/O and makes no decisions.
 //
 // # Usage
 //
 //	var bd board.Board
-//	bd.SetFleet(bd.Fleet().WithVM(vm))
+//	bd.SetFleet(&board.Fleet{Self: self, VMs: vms, Epoch: 1, Quorate: true})
 //	for _, srv := range bd.Backends().Servers { ... }
 //
 // The zero Board is empty and ready to use.
@@ -26,112 +26,112 @@
 	"alderdyke/pkg/template"
 )
 
-// Health of a VM as this VM sees it.
+// Health states of a VM as observed by this VM.
 const (
-	Alive   Health = iota // answers, or has not been doubted
-	Suspect               // does not answer; may still be alive
-	Dead                  // held dead after its suspicion ran out
-	Left                  // said itself that it stopped
+	Alive   Health = iota // responds, or was never suspected
+	Suspect               // does not respond; may still be alive
+	Dead                  // declared dead after its suspicion timed out
+	Left                  // announced that it stopped
 )
 
-// Roles and kinds of backend servers.
+// Roles of backend servers.
 const (
-	Prefill Role = "Prefill" // model engine that computes prompts
+	Prefill Role = "Prefill" // model engine that processes prompts
 	Decode  Role = "Decode"  // model engine that generates tokens
-	Plain   Role = "Plain"   // plain service
+	Plain   Role = "Plain"   // plain service, not a model engine
 )
 
 type (
-	// Board holds the shared facts of one VM.
+	// Board holds the current snapshots of one VM's shared state.
 	Board struct {
 		fleet     atomic.Pointer[Fleet]
 		backends  atomic.Pointer[Backends]
 		templates atomic.Pointer[Templates]
 	}
 
-	// Health of a VM.
+	// Health is the state of a VM as observed by this VM.
 	Health int
 
-	// Role of a backend server.
+	// Role is the kind of work that a backend server does.
 	Role string
 
-	// VMRef names one run of one VM: a VM that was replaced or restarted has
-	// a higher incarnation.
+	// VMRef identifies one run of one VM. A VM that was replaced or
+	// restarted has a higher incarnation.
 	VMRef struct {
 		ID          string
 		Incarnation uint64
 	}
 
-	// VM is an entry VM of the fleet.
+	// VM describes an entry VM of the fleet.
 	VM struct {
 		VMRef
 		FailureDomain string
 		Region        string
-		Caller        string // "IP:port" where callers connect
+		Caller        string // "IP:port" for callers' connections
 		Peer          string // "IP:port" for TCP and UDP between VMs
 		Health        Health
-		Leaving       bool // announced its stop, or the VM list says so
-		Listed        bool // the platform's VM list holds it
+		Leaving       bool // it announced its stop, or the VM list marks it as leaving
+		Listed        bool // it is in the platform's VM list
 	}
 
-	// Fleet is the entry VMs as this VM sees them, itself included.
+	// Fleet is a snapshot of the entry VMs as observed by this VM, itself included.
 	Fleet struct {
 		Self VMRef
 		VMs  []VM // sorted by ID
-		// Epoch grows by one with every change of VMs.
+		// Epoch increases by one with every change of VMs.
 		Epoch uint64
 		// Quorate is false while this VM reaches only a minority of the
-		// fleet: it then starts nothing that may run at most once.
+		// fleet. It then starts nothing that must run at most once.
 		Quorate bool
 	}
 
-	// BackendServer is one life of a model engine or of a server of a plain
-	// service. A server that starts again knows nothing of before, so that it is
-	// another BackendServer with another ID.
+	// BackendServer is one run of a model engine or of a server of a plain
+	// service. A restarted server keeps no state, so it is a new
+	// BackendServer with a new ID.
 	BackendServer struct {
-		ID            string // of this life
-		Name          string // by which the server calls itself in all of its lives; empty: its ID
-		Incarnation   uint64 // higher in each life; zero if the server does not tell it
+		ID            string // of this run
+		Name          string // the server's own name, the same in all of its runs; empty: its ID
+		Incarnation   uint64 // higher in each run; zero if the server does not report it
 		Service       string
 		Role          Role
 		Address       string // "IP:port"
 		FailureDomain string
-		ChecksFencing bool // refuses orders with an old fencing number
-		Leaving       bool // from the VM list or from its own load report
+		ChecksFencing bool // rejects orders with an outdated fencing token
+		Leaving       bool // according to the VM list or its own load report
 	}
 
-	// LoadReport is what a backend server last said of itself.
+	// LoadReport is the last load report that a backend server sent.
 	LoadReport struct {
 		Server    string
 		At        clock.Millis // when this VM received it
 		Running   int          // requests in its memory
-		Slots     int          // requests that fit its memory
+		Slots     int          // requests that fit in its memory
 		Queued    int
 		LinkBytes int64 // bytes still to send on its link
 		Leaving   bool
-		Role      Role         // that a model engine has by its own word; empty if it does not say
-		Age       clock.Millis // how old the report was when it was received
+		Role      Role         // that a model engine reports for itself; empty if it reports none
+		Age       clock.Millis // of the report when it was received
 	}
 
-	// Backends is the backend servers and their last reports.
+	// Backends is a snapshot of the backend servers and their last reports.
 	Backends struct {
 		Servers []BackendServer // sorted by ID
 		Reports map[string]LoadReport
 		Epoch   uint64
 	}
 
-	// ActiveTemplate is a template with the revision that put it in force.
+	// ActiveTemplate is a template and the revision that made it active.
 	ActiveTemplate struct {
 		Template template.Template
 		Revision uint64
 	}
 
-	// Templates is the customers' configuration in force.
+	// Templates is the active configuration of the customers.
 	Templates struct {
 		ByCustomer map[string]ActiveTemplate
 		ByKeyHash  map[string]string // API key hash to customer
-		Ready      bool              // false until the configuration was learned
-		Applied    uint64            // log offset up to which it was learned
+		Ready      bool              // false until the configuration was loaded
+		Applied    uint64            // log offset up to which records were applied
 	}
 )
 
@@ -157,7 +157,7 @@
 // SetBackends stores a new snapshot of the backend servers.
 func (bd *Board) SetBackends(bk *Backends) { bd.backends.Store(bk) }
 
-// Templates returns the configuration in force; never nil.
+// Templates returns the active configuration; never nil.
 func (bd *Board) Templates() *Templates {
 	if tp := bd.templates.Load(); tp != nil {
 		return tp
@@ -165,10 +165,10 @@
 	return &Templates{}
 }
 
-// SetTemplates stores a new snapshot of the configuration in force.
+// SetTemplates stores a new snapshot of the active configuration.
 func (bd *Board) SetTemplates(tp *Templates) { bd.templates.Store(tp) }
 
-// Serving lists the VMs that may be given work: not dead, not left.
+// Serving lists the VMs that may be given work: those that are neither dead nor left.
 func (fl *Fleet) Serving() []VM {
 	var out []VM
 	for _, vm := range fl.VMs {
@@ -179,7 +179,7 @@
 	return out
 }
 
-// VM finds a VM by its ID.
+// VM returns the VM with the given ID; false if there is none.
 func (fl *Fleet) VM(id string) (VM, bool) {
 	for _, vm := range fl.VMs {
 		if vm.ID == id {
@@ -189,8 +189,8 @@
 	return VM{}, false
 }
 
-// WithServers returns the snapshot with another list of servers, sorted by ID.
-// Reports of servers that are no longer listed are dropped.
+// WithServers returns a copy of the snapshot with the given servers, which must
+// be sorted by ID. Reports of servers that are not among them are dropped.
 func (bk *Backends) WithServers(servers []BackendServer) *Backends {
 	out := &Backends{Servers: servers, Epoch: bk.Epoch + 1, Reports: make(map[string]LoadReport, len(servers))}
 	for _, srv := range servers {
@@ -201,7 +201,7 @@
 	return out
 }
 
-// WithReport returns the snapshot with a newer report of one server.
+// WithReport returns a copy of the snapshot with a newer report of one server.
 func (bk *Backends) WithReport(rp LoadReport) *Backends {
 	out := &Backends{Servers: bk.Servers, Epoch: bk.Epoch, Reports: maps.Clone(bk.Reports)}
 	if out.Reports == nil {
@@ -211,18 +211,17 @@
 	return out
 }
 
-// Key is what all lives of the server have in common.
+// Key identifies the server across all of its runs.
 func (bs BackendServer) Key() string { return cmp.Or(bs.Name, bs.ID) }
 
-// Restarted tells whether another life of the server is listed in place of this
-// one.
+// Restarted reports whether another run of the same server is listed.
 func (bk *Backends) Restarted(bs BackendServer) bool {
 	return slices.ContainsFunc(bk.Servers, func(other BackendServer) bool {
 		return other.Key() == bs.Key() && other.ID != bs.ID
 	})
 }
 
-// Server finds a backend server by its ID.
+// Server returns the backend server with the given ID; false if there is none.
 func (bk *Backends) Server(id string) (BackendServer, bool) {
 	at, ok := slices.BinarySearchFunc(bk.Servers, id, func(srv BackendServer, id string) int { return strings.Compare(srv.ID, id) })
 	if !ok {
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -30,7 +30,7 @@
 	assert.Assert(t, !ok)
 }
 
-// A snapshot that readers hold never changes.
+// A snapshot that readers hold must never change.
 func TestBackendsAreImmutable(t *testing.T) {
 	first := (&board.Backends{}).WithServers([]board.BackendServer{{ID: "e1"}, {ID: "e2"}})
 	second := first.WithReport(board.LoadReport{Server: "e1", Running: 3})
@@ -38,10 +38,10 @@
 	assert.Equal(t, len(first.Reports), 0)
 	assert.Equal(t, second.Reports["e1"].Running, 3)
 	assert.Equal(t, third.Reports["e1"].Running, 5)
-	assert.Equal(t, third.Epoch, first.Epoch, "a report is no change of the servers")
+	assert.Equal(t, third.Epoch, first.Epoch, "a report does not change the epoch")
 
 	fourth := third.WithServers([]board.BackendServer{{ID: "e2"}})
-	assert.Equal(t, len(fourth.Reports), 0, "the report of a server that is not listed stayed")
+	assert.Equal(t, len(fourth.Reports), 0, "report of an unlisted server was kept")
 	assert.Equal(t, fourth.Epoch, third.Epoch+1)
 	_, ok := fourth.Server("e1")
 	assert.Assert(t, !ok)
