--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous ranks VMs for a key by highest-random-weight hashing, so
-// that VMs with the same view agree without a message, and a change of one VM
-// moves only that VM's keys.
+// that VMs with the same fleet snapshot agree without exchanging messages, and
+// adding or removing a VM moves only that VM's keys.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 	"alderdyke/internal/board"
 )
 
-// Rank returns the VMs from most to least preferred for the key.
+// Rank returns the VMs in order of preference for the key, the most preferred first.
 func Rank(key string, vms []board.VM) []board.VM {
 	type scored struct {
 		vm    board.VM
@@ -38,8 +38,8 @@
 	return out
 }
 
-// First returns the most preferred of the VMs that fit, without ranking the
-// others; false if none fits.
+// First returns the most preferred of the VMs that fit accepts, without ranking
+// the others; false if it accepts none.
 func First(key string, vms []board.VM, fit func(vm *board.VM) bool) (board.VM, bool) {
 	best, bestScore := -1, uint64(0)
 	var buf hashBuffer
@@ -58,8 +58,8 @@
 	return vms[best], true
 }
 
-// Top returns up to count of the VMs that fit, the most preferred first, as Rank
-// does, but ranks none of the others.
+// Top returns up to count of the VMs that fit accepts, in the order of Rank.
+// It does not rank the rest.
 func Top(key string, vms []board.VM, count int, fit func(vm *board.VM) bool) []board.VM {
 	type scored struct {
 		at    int
@@ -89,9 +89,9 @@
 	return out
 }
 
-// Spread returns up to count VMs: the most preferred of each failure domain,
-// most preferred first, and where the domains are too few, the most preferred
-// of the others. It looks at each VM a few times and ranks none.
+// Spread returns up to count VMs: the most preferred of each failure domain, in
+// order of preference, and if there are fewer domains than count, the most
+// preferred of the remaining VMs. It scans the VMs a few times and ranks none.
 func Spread(key string, vms []board.VM, count int) []board.VM {
 	scores := make([]uint64, len(vms))
 	var buf hashBuffer
@@ -117,11 +117,11 @@
 	return out
 }
 
-// Bucket assigns a VM to one of so many buckets for the key.
+// Bucket assigns a VM to one of count buckets for the key.
 func Bucket(key, vmID string, count int) int { return int(weight(vmID, key) % uint64(count)) }
 
-// bestOf finds the VM with the highest score among those that fit; -1 if none
-// does. Of equal scores the lower ID wins, as in Rank.
+// bestOf returns the index of the VM with the highest score among those that fit
+// accepts; -1 if there is none. Ties go to the lower ID, as in Rank.
 func bestOf(vms []board.VM, scores []uint64, fit func(vm *board.VM) bool) int {
 	best := -1
 	for ix := range vms {
@@ -135,8 +135,9 @@
 	return best
 }
 
-// Subset picks up to most of the servers for the VM with the given ID, so that
-// VMs spread over all of them and each keeps its own when others come and go.
+// Subset returns up to most of the servers for the VM with the given ID. The
+// subsets of the VMs spread over all servers, and each VM keeps its own servers
+// when others are added or removed.
 func Subset(vmID string, servers []board.BackendServer, most int) []board.BackendServer {
 	if len(servers) <= most {
 		return servers
@@ -153,7 +154,7 @@
 	return buf.weight(id, key)
 }
 
-// hashBuffer holds what is hashed, so that it is not made anew for each VM.
+// hashBuffer is reused between hashes to avoid an allocation for each VM.
 type hashBuffer []byte
 
 func (sc *hashBuffer) weight(id, key string) uint64 {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// spreadByRank is what Spread must return, from the whole ranking.
+// spreadByRank computes the expected result of Spread from the complete ranking.
 func spreadByRank(key string, vms []board.VM, count int) []board.VM {
 	out := []board.VM{}
 	ranked := Rank(key, vms)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Choosing for a key makes a handful of objects, however many VMs there are.
+// Spread and First must not allocate for each VM of the fleet.
 func TestAllocationsDoNotGrowWithFleet(t *testing.T) {
 	var vms []board.VM
 	for ix := range 380 {
@@ -67,10 +67,10 @@
 	}
 	spread := testing.AllocsPerRun(10, func() { Spread("customer\x00key", vms, 3) })
 	first := testing.AllocsPerRun(10, func() { First("cell/model/0", vms, func(*board.VM) bool { return true }) })
-	assert.Assert(t, spread <= 8 && first <= 8, "%v objects for Spread, %v for First", spread, first)
+	assert.Assert(t, spread <= 8 && first <= 8, "%v allocations for Spread, %v for First", spread, first)
 }
 
-// Top is the beginning of Rank, however many are asked for.
+// Top must return the first VMs of Rank, for any count.
 func TestTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var vms []board.VM
