--- a/internal/invariant/fleet.go
+++ b/internal/invariant/fleet.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkLeavingServers finds work that began at backend servers that had left.
+// checkLeavingServers finds runs that started at a backend server too long after it began to leave.
 func checkLeavingServers(hs History) []Violation {
 	var out []Violation
 	for _, lv := range hs.LeavingServers {
@@ -19,7 +19,7 @@
 	return out
 }
 
-// lastStartsAt tells when the last run of each request began at a server.
+// lastStartsAt returns the start time of each request's last run at a server.
 func (hs History) lastStartsAt(server string) map[string]time.Time {
 	out := make(map[string]time.Time)
 	add := func(name string, at time.Time) {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// checkPlannedStops finds calls that planned stops cut off.
+// checkPlannedStops finds planned stops that failed and calls that they interrupted.
 func checkPlannedStops(hs History) []Violation {
 	var out []Violation
 	for _, st := range hs.PlannedStops {
@@ -67,7 +67,7 @@
 
 func (ca Call) callerLeft() bool { return slices.Contains(ca.Outcomes, Outcome(CallerLeft{})) }
 
-// checkReverted finds VMs whose revision in force went back.
+// checkReverted finds VMs whose active revision decreased.
 func checkReverted(hs History) []Violation {
 	type place struct{ vm, customer string }
 	var out []Violation
@@ -82,7 +82,7 @@
 	return out
 }
 
-// checkActivation finds VMs that got an accepted revision late or never.
+// checkActivation finds VMs that activated an accepted revision late or never.
 func checkActivation(hs History) []Violation {
 	var out []Violation
 	for _, pb := range hs.Publications {
@@ -99,7 +99,7 @@
 	return out
 }
 
-// firstSeen tells when a VM was first seen with a publication or a newer one.
+// firstSeen returns when a VM was first observed with the published or a newer revision.
 func (hs History) firstSeen(vm string, pb Publication) (time.Time, bool) {
 	for _, sg := range hs.ObservedRevisions {
 		if sg.VM == vm && sg.Customer == pb.Customer && sg.Revision >= pb.Revision {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,9 +1,10 @@
-// Package invariant tells what must always hold from what cannot hold: it
-// reads what callers got, what backend servers did, which revisions VMs saw
-// and which stops were planned, and reports every violation.
+// Package invariant checks the recorded history of a run against rules that
+// must always hold. It reads what callers received, what backend servers
+// executed, which revisions VMs had active and which stops were planned, and
+// reports every violation.
 //
-// It knows nothing of how the histories came about, so that the same rules
-// judge tests with real processes, tests in one process and benchmarks. The
+// It does not depend on how the history was recorded, so that the same rules
+// apply to tests with real processes, tests in one process and benchmarks. The
 // router never imports it.
 //
 // # Usage
@@ -24,128 +25,128 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Rules.
+// Rules of a history.
 const (
-	// Held: no engine holds memory for a request beyond MaxHoldAfterEnd after its
-	// last caller had an end or left, and none holds any when the history
-	// was taken.
+	// Held: no engine holds memory for a request longer than MaxHoldAfterEnd
+	// after the last call for it ended or its caller left, and no engine
+	// holds any memory when the history is taken.
 	Held Rule = "Held"
-	// OneEnd: each call has exactly one end, and calls with one key never
-	// get two answers that differ.
+	// OneEnd: each call has exactly one outcome, and calls with the same key
+	// never receive different answers.
 	OneEnd Rule = "OneEnd"
-	// WrongAnswer: what a caller got is the answer to its own request, and
-	// an answer that counts as whole is whole.
+	// WrongAnswer: a caller receives only the answer to its own request, and
+	// an answer that is reported complete is complete.
 	WrongAnswer Rule = "WrongAnswer"
-	// FalseNotRun: a request of which every call was told NotRun did not run.
+	// FalseNotRun: a request whose calls were all refused with NotRun did not run.
 	FalseNotRun Rule = "FalseNotRun"
 	// RanTwice: a request that is not idempotent runs at most once.
 	RanTwice Rule = "RanTwice"
-	// UsedLeaving: a leaving backend server begins nothing new beyond
-	// MaxStartAfterLeaving.
+	// UsedLeaving: a leaving backend server starts no work later than
+	// MaxStartAfterLeaving after it began to leave.
 	UsedLeaving Rule = "UsedLeaving"
-	// CutOff: a call in progress during a planned stop has a whole answer,
-	// and the stop ends by itself.
+	// CutOff: a call in progress during a planned stop receives a complete
+	// answer, and the stop ends with exit code 0.
 	CutOff Rule = "CutOff"
-	// Reverted: the revision that a VM has in force never goes back.
+	// Reverted: the active revision of a VM never decreases.
 	Reverted Rule = "Reverted"
-	// LateInForce: an accepted revision is in force at each VM that can be
-	// reached within MaxActivationDelay.
+	// LateInForce: an accepted revision is active at each reachable VM within
+	// MaxActivationDelay.
 	LateInForce Rule = "LateInForce"
 )
 
-// Bounds that need no setting.
+// Time limits that do not depend on a setting.
 const (
-	// MaxStartAfterLeaving is the time in which a leaving backend server's last new
-	// work may still begin.
+	// MaxStartAfterLeaving is the time for which a leaving backend server may
+	// still start work.
 	MaxStartAfterLeaving = 3 * clock.Second
-	// MaxActivationDelay is the time from acceptance until a revision is in
-	// force everywhere.
+	// MaxActivationDelay is the time from acceptance until a revision is
+	// active at all VMs.
 	MaxActivationDelay = 4 * clock.Second
 )
 
 type (
-	// Rule names one of the rules.
+	// Rule identifies one of the rules.
 	Rule string
 
-	// Violation is one breach of a rule.
+	// Violation describes one breach of a rule.
 	Violation struct {
 		Rule    Rule
 		Subject string // the request, VM or backend server
 		Detail  string
 	}
 
-	// History is all that happened until it was taken. The zero value is an
-	// empty history.
+	// History holds everything recorded up to the time when it was taken. The
+	// zero value is an empty history.
 	History struct {
 		Calls             []Call
 		Engines           []enginesim.History
 		Services          []servicesim.History
 		LeavingServers    []LeavingServer
 		PlannedStops      []PlannedStop
-		ObservedRevisions []ObservedRevision // of each VM in the order of time
+		ObservedRevisions []ObservedRevision // in time order for each VM
 		Publications      []Publication
 
-		// MaxHoldAfterEnd bounds how long an engine may hold a request whose
-		// callers have their end or are gone. Zero leaves out that part of
-		// the rule Held.
+		// MaxHoldAfterEnd bounds how long an engine may hold memory for a
+		// request after its last call has ended. Zero skips that part of the
+		// rule Held.
 		MaxHoldAfterEnd clock.Millis
 	}
 
-	// Call is one call of one caller, over all its tries.
+	// Call records one call of one caller, including all its attempts.
 	Call struct {
 		Customer   string
 		Key        string
 		Idempotent bool
 		Request    Request
-		Received   string // what came of the answer, in order, also if it broke off
+		Received   string // the part of the answer that arrived, in order, even if the answer was interrupted
 		Outcomes   []Outcome
 		Began      time.Time
-		Ended      time.Time // or when the caller left
+		Ended      time.Time // when it ended or its caller left
 	}
 
-	// Request is what a call asked for: Chat or Plain.
+	// Request is the request of a call: Chat or Plain.
 	Request interface{ expectedAnswer() string }
 
 	// Chat is a request to a model service.
 	Chat struct {
-		Prompt string // as the engines get it
-		Tokens int    // length of the whole answer
+		Prompt string // as the engines receive it
+		Tokens int    // length of the complete answer
 	}
 
-	// Plain is a call of a plain service.
+	// Plain is a request to a plain service.
 	Plain struct {
 		Method string
 		Path   string
 		Body   string
 	}
 
-	// Outcome of a call: Complete, Refused or CallerLeft.
+	// Outcome is how a call ended: Complete, Refused or CallerLeft.
 	Outcome interface{ outcome() }
 
-	// Complete is a whole answer, which is in Call.Received.
+	// Complete is a complete answer, which is in Call.Received.
 	Complete struct{}
 
 	// Refused is a refusal.
 	Refused struct{ Refusal refusal.Refusal }
 
-	// CallerLeft is a caller that went and asked no more.
+	// CallerLeft is the outcome of a call whose caller left and did not retry.
 	CallerLeft struct{}
 
-	// LeavingServer is a backend server that leaves.
+	// LeavingServer records when a backend server began to leave.
 	LeavingServer struct {
 		Server string
 		Since  time.Time
 	}
 
-	// PlannedStop is a planned stop of a VM.
+	// PlannedStop records a planned stop of a VM.
 	PlannedStop struct {
 		VM       string
 		Began    time.Time
-		Ended    time.Time // zero: it did not end
+		Ended    time.Time // zero if it did not end
 		ExitCode int
 	}
 
-	// ObservedRevision is a revision that a VM had in force.
+	// ObservedRevision is a revision that a VM had active at a point in time.
 	ObservedRevision struct {
 		VM       string // with its incarnation, if it was replaced
 		Customer string
@@ -153,7 +154,7 @@
 		At       time.Time
 	}
 
-	// Publication is an accepted revision and the VMs that must get it.
+	// Publication is an accepted revision and the VMs that must activate it.
 	Publication struct {
 		Customer string
 		Revision uint64
@@ -166,13 +167,13 @@
 func (Refused) outcome()    {}
 func (CallerLeft) outcome() {}
 
-// Error makes a Violation usable as an error.
+// Error formats the violation as rule, subject and detail.
 func (vi Violation) Error() string { return fmt.Sprintf("%s: %s: %s", vi.Rule, vi.Subject, vi.Detail) }
 
-// RequestName is how backend servers name the request of a call.
+// RequestName returns the name under which backend servers record the request.
 func (ca Call) RequestName() string { return ca.Customer + "/" + ca.Key }
 
-// Check reports all violations; none means that every rule holds.
+// Check returns all violations of the rules; an empty result means that every rule holds.
 func Check(hs History) []Violation {
 	var out []Violation
 	for _, check := range []func(History) []Violation{
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -30,7 +30,7 @@
 
 func at(span clock.Millis) time.Time { return start.Add(span.Std()) }
 
-// validHistory is a history in which every rule holds and has something to hold for.
+// validHistory returns a history that satisfies every rule and exercises each of them.
 func validHistory() invariant.History {
 	reply := standin.Reply("POST", "/payments", nil)
 	stages := func(began clock.Millis) []enginesim.StageTime {
@@ -47,7 +47,7 @@
 		}, {
 			Customer: "cu", Key: "full", Request: invariant.Plain{Method: "POST", Path: "/payments"},
 			Outcomes: []invariant.Outcome{invariant.Refused{Refusal: refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull}}},
-			// Before the planned stop.
+			// It ended before the planned stop began.
 			Began: at(0), Ended: at(50),
 		}},
 		Engines: []enginesim.History{
@@ -74,7 +74,7 @@
 	assert.Equal(t, len(invariant.Check(validHistory())), 0, "%v", invariant.Check(validHistory()))
 }
 
-// Each rule rejects a history that breaks only it.
+// Each history breaks exactly one rule, and the check must report that rule alone.
 func TestBrokenHistoriesAreRejected(t *testing.T) {
 	notRun := invariant.Refused{Refusal: refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull}}
 	mayHaveRun := invariant.Refused{Refusal: refusal.Refusal{Ran: refusal.MayHaveRun, Reason: refusal.VMLost}}
@@ -156,8 +156,8 @@
 	}
 }
 
-// A caller who left is owed no answer, and a NotRun beside another call's run
-// of the same key is true.
+// A caller that left is owed no answer. A refusal with NotRun is true even if
+// another call with the same key ran.
 func TestAllowedHistories(t *testing.T) {
 	hs := validHistory()
 	left := hs.Calls[0]
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -11,13 +11,13 @@
 )
 
 type (
-	// request is all calls with one key and what ran of it.
+	// request groups all calls with one key and counts its runs.
 	request struct {
 		name       string
 		idempotent bool
 		calls      []Call
-		starts     int // runs at plain services and prefills
-		executions int // runs at decode engines and plain services that made something
+		starts     int // runs at plain services and prefill engines
+		executions int // runs at plain services, and at decode engines that produced output
 	}
 )
 
@@ -25,7 +25,7 @@
 
 func (pl Plain) expectedAnswer() string { return standin.Reply(pl.Method, pl.Path, []byte(pl.Body)) }
 
-// checkCalls looks at each call by itself.
+// checkCalls checks each call on its own.
 func checkCalls(hs History) []Violation {
 	var out []Violation
 	for _, ca := range hs.Calls {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// checkKeys looks at all calls and runs of each key together.
+// checkKeys checks the calls and runs of each key together.
 func checkKeys(hs History) []Violation {
 	var out []Violation
 	for _, rq := range requestsOf(hs) {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// checkHeldResources finds memory that is held for nobody.
+// checkHeldResources finds engine memory that is held without a caller.
 func checkHeldResources(hs History) []Violation {
 	var out []Violation
 	for _, en := range hs.Engines {
@@ -78,14 +78,14 @@
 			ended, known := last[requestName(rec.Request)]
 			late := runEnd(en, rec).Sub(ended)
 			if known && late > hs.MaxHoldAfterEnd.Std() {
-				out = append(out, violation(Held, en.Server, "%s until %v after its last caller", rec.Request, late))
+				out = append(out, violation(Held, en.Server, "%s held until %v after its last call ended", rec.Request, late))
 			}
 		}
 	}
 	return out
 }
 
-// runEnd is when a run ended, or when the history was taken.
+// runEnd returns when a run ended; for an unfinished run, when the history was taken.
 func runEnd(en enginesim.History, rec *enginesim.Run) time.Time {
 	if rec.Outcome == "" {
 		return en.Started.Add(en.Now.Std())
@@ -93,7 +93,7 @@
 	return en.Started.Add(rec.EndedAt.Std())
 }
 
-// lastCallEnds tells when the last call of each request had its end.
+// lastCallEnds returns when the last call of each request ended.
 func lastCallEnds(calls []Call) map[string]time.Time {
 	out := make(map[string]time.Time)
 	for _, ca := range calls {
@@ -143,7 +143,7 @@
 	}
 }
 
-// allNotRun tells whether every caller was told that the request did not run.
+// allNotRun reports whether every call was refused with NotRun.
 func (rq *request) allNotRun() bool {
 	for _, ca := range rq.calls {
 		for _, end := range ca.Outcomes {
@@ -156,7 +156,7 @@
 	return true
 }
 
-// distinctAnswers counts the whole answers that differ.
+// distinctAnswers counts the different complete answers.
 func (rq *request) distinctAnswers() int {
 	seen := make(map[string]bool)
 	for _, ca := range rq.calls {
@@ -176,7 +176,7 @@
 	return false
 }
 
-// requestName takes the attempt off an engine's name of a request.
+// requestName strips the attempt from the name under which an engine records a request.
 func requestName(name string) string {
 	if ix := strings.LastIndexByte(name, '/'); ix >= 0 {
 		return name[:ix]
