--- a/internal/topic/availability.go
+++ b/internal/topic/availability.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// outageMin is the shortest span without an answer that counts as an outage if
-	// calls failed in it. Entries lapse after three heartbeats of silence, so a
-	// shorter span ends none.
+	// outageMin is the shortest span without an answer, but with failed calls, that
+	// counts as an outage. Entries expire after three missed heartbeats, so a shorter
+	// span expires none.
 	outageMin = 1200 * clock.Millis(1)
-	// quietMax is the longest span without a call after which the store is assumed
-	// to have answered throughout.
+	// quietMax is the longest span without calls over which the store is assumed to
+	// have been available.
 	quietMax = 1600 * clock.Millis(1)
 )
 
 type (
-	// Outage is a span in which the store answered no VM, as far as is known. The
-	// zero value means that none is known.
+	// Outage is a span in which, to this VM's knowledge, the store answered no VM.
+	// The zero value stands for no known outage.
 	Outage struct {
-		Since      clock.Millis // the last known answer before it; Until if none is known
-		Until      clock.Millis // its end, or the last failed call
-		ReportedBy string       // VM whose news told of it; empty: own calls
+		Since      clock.Millis // last known answer before it; equal to Until if none is known
+		Until      clock.Millis // its end, or the last failed call while it lasts
+		ReportedBy string       // VM whose update reported it; empty: this VM's own calls
 	}
 
-	// availability is what a VM knows of when the store answered, from its own calls
-	// and from the news of others. A VM whose calls fail while others are answered
-	// has seen no outage.
+	// availability tracks when the store answered, from this VM's own calls and from
+	// the updates of others. Failed calls of this VM are no outage while other VMs are
+	// answered.
 	availability struct {
-		since       clock.Millis // start of the span in which the store is known to answer
-		lastAnswer  clock.Millis // last known answer
-		previous    Outage       // that ended at since; zero: none is known
-		failed      bool         // a call failed after last
-		lastFailure clock.Millis // last failed call of an outage that goes on, since last; zero: none does
+		since       clock.Millis // start of the current span of availability
+		lastAnswer  clock.Millis // time of the last known answer
+		previous    Outage       // the outage that ended at since; zero if none is known
+		failed      bool         // a call failed after lastAnswer
+		lastFailure clock.Millis // last failed call of the outage in progress since lastAnswer; zero if there is none
 	}
 )
 
-// latestOutage is the newest outage.
+// latestOutage returns the outage in progress, or else the previous one.
 func (av *availability) latestOutage() Outage {
 	if av.lastFailure > 0 {
 		return Outage{Since: av.lastAnswer, Until: av.lastFailure}
@@ -45,7 +45,7 @@
 	return av.previous
 }
 
-// recordFailure notes a call of this VM that was not answered.
+// recordFailure records a call of this VM that was not answered.
 func (av *availability) recordFailure(now clock.Millis) {
 	av.failed = true
 	if now-av.lastAnswer >= outageMin {
@@ -53,10 +53,10 @@
 	}
 }
 
-// recordAnswer notes an answer to a call of this VM.
+// recordAnswer records an answer to a call of this VM.
 func (av *availability) recordAnswer(now clock.Millis) {
 	if now-av.lastAnswer >= av.maxGap() {
-		// A VM that made no call in the gap does not know that there was no outage.
+		// Without calls in the gap, this VM cannot rule out an outage.
 		av.since, av.previous = now, Outage{}
 		if av.lastAnswer > 0 {
 			av.previous = Outage{Since: av.lastAnswer, Until: now}
@@ -65,8 +65,8 @@
 	av.markAnswered(now)
 }
 
-// merge takes the word of another VM, the teller: the store has answered for a span up
-// to now, and with ended an outage came before.
+// merge applies the report of another VM, the teller: the store has been available for
+// span up to now, and ended says whether an outage came before that.
 func (av *availability) merge(now, span clock.Millis, ended bool, teller string) {
 	since := now - span
 	gap := since-av.lastAnswer >= av.maxGap() || ended && since-av.lastAnswer >= outageMin
@@ -83,15 +83,15 @@
 	av.markAnswered(now)
 }
 
-// refutes tells whether this VM knows of answers in an outage that another VM says
-// ended a span ago. A VM that made no call in it knows of none.
+// refutes reports whether this VM knows of answers during an outage that another VM
+// reports to have ended span ago. A VM that made no calls during it knows of none.
 func (av *availability) refutes(now, span clock.Millis) bool {
 	until := now - span
 	return av.lastFailure == 0 && until-av.since >= outageMin && until-av.lastAnswer < outageMin
 }
 
-// noteRestore notes that the store came back with older entries, which is an outage
-// that no earlier answer refutes.
+// noteRestore records that the store was restored from an older copy. That counts as an
+// outage which no earlier answer refutes.
 func (av *availability) noteRestore(now clock.Millis) {
 	*av = availability{since: now, lastAnswer: now, previous: Outage{Since: av.lastAnswer, Until: now}}
 }
@@ -100,8 +100,8 @@
 	av.lastAnswer, av.failed, av.lastFailure = now, false, 0
 }
 
-// maxGap is the longest span between two answers in which the store is assumed to
-// have answered throughout.
+// maxGap returns the longest span between two answers over which the store is assumed
+// to have been available.
 func (av *availability) maxGap() clock.Millis {
 	if av.failed {
 		return outageMin
--- a/internal/topic/availability_test.go
+++ b/internal/topic/availability_test.go
@@ -8,7 +8,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// A VM that has been answered since 1,000 and last at 10,000.
+// The VM has been answered since 1,000 ms, and last at 10,000 ms.
 func TestOutageDetection(t *testing.T) {
 	const at = 10 * clock.Second
 	fail := func(now clock.Millis) func(*availability) { return func(av *availability) { av.recordFailure(now) } }
@@ -24,18 +24,18 @@
 	}{
 		{"one call failed", []func(*availability){fail(at + 900), answer(at + 1100)}, Outage{}, 1000},
 		{"no call was answered", []func(*availability){fail(at + 900), fail(at + 2000), answer(at + 2200)}, Outage{Since: at, Until: at + 2200}, at + 2200},
-		{"it goes on", []func(*availability){fail(at + 900), fail(at + 2000)}, Outage{Since: at, Until: at + 2000}, 1000},
-		{"no call was made", []func(*availability){answer(at + 1500)}, Outage{}, 1000},
-		{"no call was made for long", []func(*availability){answer(at + 5000)}, Outage{Since: at, Until: at + 5000}, at + 5000},
-		{"no call was made for long, others were answered", []func(*availability){answer(at + 5000), hear(at+5100, 9000, false)},
+		{"outage in progress", []func(*availability){fail(at + 900), fail(at + 2000)}, Outage{Since: at, Until: at + 2000}, 1000},
+		{"short gap without calls", []func(*availability){answer(at + 1500)}, Outage{}, 1000},
+		{"long gap without calls", []func(*availability){answer(at + 5000)}, Outage{Since: at, Until: at + 5000}, at + 5000},
+		{"long gap without calls, others were answered", []func(*availability){answer(at + 5000), hear(at+5100, 9000, false)},
 			Outage{}, at - 3900},
-		{"others are answered", []func(*availability){fail(at + 900), hear(at+1000, 9000, false), fail(at + 1900), fail(at + 2100)}, Outage{}, 1000},
+		{"others are answered meanwhile", []func(*availability){fail(at + 900), hear(at+1000, 9000, false), fail(at + 1900), fail(at + 2100)}, Outage{}, 1000},
 		{"others were answered", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 9000, false)}, Outage{}, at - 3100},
-		{"others were not", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 1000, true)},
+		{"others were not answered", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 1000, true)},
 			Outage{Since: at, Until: at + 4900, ReportedBy: "vm-2"}, at + 4900},
 		{"another VM's calls failed", []func(*availability){hear(at+800, 1, true), hear(at+1600, 801, true)}, Outage{}, 1000},
-		{"slept through an outage", []func(*availability){answer(at + 9000), hear(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, ReportedBy: "vm-2"}, at + 8000},
-		{"an older copy", []func(*availability){func(av *availability) { av.noteRestore(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
+		{"paused during an outage", []func(*availability){answer(at + 9000), hear(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, ReportedBy: "vm-2"}, at + 8000},
+		{"store restored from an older copy", []func(*availability){func(av *availability) { av.noteRestore(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			av := availability{since: 1000, lastAnswer: at}
@@ -48,8 +48,8 @@
 	}
 }
 
-// Only a VM that was answered in an outage refutes it. One that made no call takes
-// the word of the VM that did.
+// Only a VM that was answered during an outage refutes it. A VM that made no calls
+// during it accepts the report of the VM that did.
 func TestUnseenOutageIsNotRefuted(t *testing.T) {
 	const at = 10 * clock.Second
 	for _, tc := range []struct {
@@ -59,9 +59,9 @@
 		want    Outage
 	}{
 		{"answered at its end", at + 100, true, Outage{}},
-		{"answered in it", at + outageMin - 1, true, Outage{}},
-		{"no call in a short one", at + outageMin, false, Outage{Since: at, Until: at + outageMin, ReportedBy: "vm-2"}},
-		{"no call in a long one", at + 1866, false, Outage{Since: at, Until: at + 1866, ReportedBy: "vm-2"}},
+		{"answered during it", at + outageMin - 1, true, Outage{}},
+		{"no call during a short outage", at + outageMin, false, Outage{Since: at, Until: at + outageMin, ReportedBy: "vm-2"}},
+		{"no call during a long outage", at + 1866, false, Outage{Since: at, Until: at + 1866, ReportedBy: "vm-2"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			av := availability{since: 1000, lastAnswer: at}
@@ -73,7 +73,7 @@
 	}
 }
 
-// The first answer of all says nothing of the time before.
+// The first answer ever gives no information about the time before it.
 func TestFirstAnswerEndsNoOutage(t *testing.T) {
 	var av availability
 	av.recordAnswer(10 * clock.Second)
--- a/internal/topic/follower.go
+++ b/internal/topic/follower.go
@@ -1,24 +1,25 @@
-// Package topic follows a keyed topic of the platform's store: first a
-// listing of the newest record of each key, then the changes.
+// Package topic follows a keyed topic of the platform's store: it first lists
+// the newest record of each key and then applies the changes.
 //
-// In a fleet one VM reads and passes on what it read ([Update]), so that what the
-// store is asked does not grow with the fleet. The next few in line read when they
-// heard nothing for a little longer than a read takes, from [Follower.StandbyAfter] on
-// one shortly after the other, so that a first one that is cut off, slow or turned
-// away by the store does not make all others ask. A VM that hears nothing for
-// longer, or that missed something, reads for itself: no VM depends on another for
-// longer than [Follower.SelfReadAfter].
+// In a fleet one VM reads and broadcasts what it read as an [Update], so that
+// the load on the store does not grow with the fleet. The next few VMs by rank
+// are standby readers. They read if they received no update for a little longer
+// than a read takes, from [Follower.StandbyAfter] on and one shortly after the
+// other, so that a first reader that is partitioned, slow or refused by the
+// store does not make all others read. A VM that receives no update for longer,
+// or that missed records, reads for itself: no VM depends on another for longer
+// than [Follower.SelfReadAfter].
 //
-// Nor does a VM take its own failed calls for an [Outage] of the store: the news
-// tell for how long it has answered others.
+// A VM does not treat its own failed calls as an [Outage] of the store either:
+// updates carry for how long the store has answered other VMs.
 //
 // # Usage
 //
-//	fo := &topic.Follower{Source: store, Name: "servers", Pause: 700, OnSnapshot: whole, OnChange: change}
-//	fo.Rank = func() int { ... } // tells this VM's place among those that read for others
+//	fo := &topic.Follower{Source: store, Name: "servers", Pause: 700, OnSnapshot: snapshot, OnChange: change}
+//	fo.Rank = func() int { ... } // returns this VM's rank among the readers
 //	fo.Broadcast = func(nw topic.Update) { ... }
 //	go fo.Run(ctx)
-//	fo.Receive(update) // what another VM passed on
+//	fo.Receive(update) // from another VM
 package topic
 
 import (
@@ -33,105 +34,104 @@
 )
 
 var (
-	// ErrRecordsDropped tells that the records after an offset are not kept any more.
+	// ErrRecordsDropped reports that the store no longer keeps the records after an offset.
 	ErrRecordsDropped = errors.New("the records were dropped")
-	// ErrStoreRestored is an ErrRecordsDropped after which the store has come back from an
-	// older copy: what was read may be gone, and entries too of those that live.
+	// ErrStoreRestored is an ErrRecordsDropped after which the store was restored from an
+	// older copy: records that were read may be missing, and so may entries of live servers.
 	ErrStoreRestored = fmt.Errorf("the store came back from an older copy: %w", ErrRecordsDropped)
-	// errReadCancelled tells that a read was given up for another one.
-	errReadCancelled = errors.New("the read was abandoned")
+	// errReadCancelled reports that a read was cancelled in favour of a new one.
+	errReadCancelled = errors.New("the read was cancelled")
 )
 
 type (
-	// Record is one record of a keyed topic. Without a value its key was
-	// removed.
+	// Record is one record of a keyed topic. A record without a value removes
+	// its key.
 	Record struct {
 		Key    string
 		Value  []byte
-		Offset uint64 // a Position, as all offsets here are
+		Offset uint64 // a Position, like all offsets in this package
 	}
 
-	// Source is the store.
+	// Source reads topics from the store.
 	Source interface {
 		// Newest returns the newest record of each key, and the offset from
-		// which changes are to be read.
+		// which to read changes.
 		Newest(ctx context.Context, topic string) (recs []Record, next uint64, err error)
 		// Read returns the records from an offset on, and the offset after
-		// them. It waits up to a span for the first one. The error unwraps
-		// to ErrRecordsDropped if some are not kept any more, and to ErrStoreRestored if
-		// the offset is of an earlier era than the store's.
+		// them. It waits up to the given span for the first record. The error
+		// wraps ErrRecordsDropped if some records are no longer kept, and
+		// ErrStoreRestored if the offset is of an earlier era than the store's.
 		Read(ctx context.Context, topic string, from uint64, wait clock.Millis) (recs []Record, next uint64, err error)
 	}
 
-	// Update is what one VM read and passes on: every record from From up to
-	// Next that says something new. A VM that knows less than From has to read
-	// for itself.
+	// Update is what one VM read and broadcasts: every record from From up to
+	// Next that changes something. A VM whose next offset is below From must
+	// read for itself.
 	Update struct {
 		Topic   string
 		From    uint64
 		Next    uint64
 		Records []Record
-		// OutageEndedAgo is how long ago the last outage ended that the reader knows of;
-		// zero: none lately.
+		// OutageEndedAgo is the time since the last outage that the sender knows of
+		// ended; zero if there was none recently.
 		OutageEndedAgo clock.Millis
-		// AvailableFor is for how long the store has answered without an outage, as far
-		// as the reader knows; zero: not told.
+		// AvailableFor is for how long the store has been available without an
+		// outage, to the sender's knowledge; zero if unknown.
 		AvailableFor clock.Millis
-		Sender       string // VM from which the news came here
+		Sender       string // VM that sent the update to this VM
 	}
 
-	// Follower follows one topic. Set the exported fields before Run.
+	// Follower follows one topic. Set the exported fields before calling Run.
 	Follower struct {
 		Source      Source
 		Name        string
-		Wait        clock.Millis // that a read waits for a change; zero: does not wait
+		Wait        clock.Millis // for which a read waits for a change; zero: returns at once
 		Pause       clock.Millis // between two reads
-		GracePeriod clock.Millis // after an outage, in which entries may be renewed; at its end there is a read
-		SkipPause   func() bool  // tells that the pause is left out for now; may be nil
+		GracePeriod clock.Millis // after an outage, for entries to be renewed; this VM reads at its end
+		SkipPause   func() bool  // reports whether to skip the pause for now; may be nil
 		Clock       clock.Source
 		Log         event.Logger
 
-		OnSnapshot  func(recs []Record) // takes a listing
-		OnChange    func(rec Record)    // takes one change
-		OnCaughtUp  func()              // hears that all is known up to now, after the changes; may be nil
-		OnFailure   func()              // hears that a call of this VM was not answered; may be nil
-		OnOutage    func(ou Outage)     // hears of the newest outage, which replaces the one before; zero: that was none; may be nil
-		OnReconnect func()              // hears that the store answers this VM again; may be nil
-		// OnStoreRestored hears that the store has come back from an older copy, before the
-		// snapshot of what it has now; may be nil.
+		OnSnapshot  func(recs []Record) // receives a listing
+		OnChange    func(rec Record)    // receives one change
+		OnCaughtUp  func()              // called after the changes, once everything up to now is applied; may be nil
+		OnFailure   func()              // called when the store did not answer a call of this VM; may be nil
+		OnOutage    func(ou Outage)     // receives the latest outage, which replaces the one before; zero: that one was refuted; may be nil
+		OnReconnect func()              // called when the store answers this VM again; may be nil
+		// OnStoreRestored is called when the store was restored from an older copy,
+		// before OnSnapshot receives its content; may be nil.
 		OnStoreRestored func()
 
-		// Rank tells this VM's place among those that read for others: the
-		// first, 0, reads all the time, the next, 1, when it heard nothing for
-		// StandbyAfter, each further one a little later, and those far behind when
-		// they heard nothing for SelfReadAfter. Nil means that each VM reads for
-		// itself.
+		// Rank returns this VM's rank among the readers. Rank 0 reads all the
+		// time, rank 1 if it received no update for StandbyAfter, each further
+		// one a little later, and those from MaxReaders on if they received none
+		// for SelfReadAfter. If Rank is nil, each VM reads for itself.
 		Rank      func() int
-		Broadcast func(nw Update) // passes on what a reader read
-		// IsNew tells, before OnChange, whether a record that was read says more
-		// than is known; one that does not, such as a heartbeat, is not passed
-		// on. Nil: each does.
+		Broadcast func(nw Update) // sends what a reader read to the other VMs
+		// IsNew reports, before OnChange, whether a record says more than is
+		// known. Others, such as heartbeats, are not broadcast. If IsNew is nil,
+		// every record is.
 		IsNew         func(rec Record) bool
 		StandbyAfter  clock.Millis
 		SelfReadAfter clock.Millis
 
 		mu             sync.Mutex
-		everListed     bool // there was a listing
+		everListed     bool // a listing has succeeded
 		listed         bool
 		next           uint64
-		relisted       bool               // there was no read after the last listing
-		updatedAt      clock.Millis       // of the last news that left nothing out
-		gap            bool               // news named records that are not known here
-		leading        bool               // this VM reads in place of the first, of which it heard nothing
-		cancelRead     context.CancelFunc // ends the read in progress
-		wake           chan struct{}      // holds a word when a read may be due
+		relisted       bool               // no read has followed the last listing
+		updatedAt      clock.Millis       // when the last update or read left no gap
+		gap            bool               // an update skipped records that are not known here
+		leading        bool               // this VM reads in place of the first, from which it received no update
+		cancelRead     context.CancelFunc // cancels the read in progress
+		wake           chan struct{}      // holds a value when a read may be due
 		storeLost      bool               // the last call was not answered
 		avail          availability
-		reportedOutage Outage // that OnOutage heard of last
+		reportedOutage Outage // last one passed to OnOutage
 	}
 )
 
-// ApplyEach takes a listing as if each of its records were a change.
+// ApplyEach returns a function that applies each record of a listing as a change.
 func ApplyEach(change func(rec Record)) func(recs []Record) {
 	return func(recs []Record) {
 		for _, rec := range recs {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Refresh has the topic asked anew: what is known may be late.
+// Refresh makes the follower read again at once, since what it knows may be outdated.
 func (fo *Follower) Refresh() {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -149,15 +149,15 @@
 	fo.cancelReadLocked()
 }
 
-// CancelRead ends the read that waits, if one does. It hangs for as long as its
-// connection, also after the path to the store is back.
+// CancelRead cancels the read in progress, if there is one. Otherwise it would hang for as
+// long as its connection, even after the network path to the store has recovered.
 func (fo *Follower) CancelRead() {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	fo.cancelReadLocked()
 }
 
-// RetryNow has a read that failed tried again without a further pause.
+// RetryNow retries a failed read without a further pause.
 func (fo *Follower) RetryNow() {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -165,14 +165,14 @@
 	fo.cancelReadLocked()
 }
 
-// cancelReadLocked ends the read in progress. The lock is held.
+// cancelReadLocked cancels the read in progress. The caller holds the lock.
 func (fo *Follower) cancelReadLocked() {
 	if fo.cancelRead != nil {
 		fo.cancelRead()
 	}
 }
 
-// wakeLoop wakes the loop. The lock is held.
+// wakeLoop wakes the loop of Run. The caller holds the lock.
 func (fo *Follower) wakeLoop() {
 	if fo.wake == nil {
 		fo.wake = make(chan struct{}, 1)
@@ -183,7 +183,7 @@
 	}
 }
 
-// Receive takes what another VM passed on.
+// Receive applies an update from another VM.
 func (fo *Follower) Receive(nw Update) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -193,7 +193,7 @@
 	before := fo.reportedOutage
 	apply := fo.mergeAvailability(nw)
 	if apply && fo.updatedAt < before.Until {
-		// Renewals may be among what this VM has not read since.
+		// The records that this VM has not read since may contain renewals.
 		apply, fo.gap = false, true
 		fo.wakeLoop()
 	}
@@ -226,13 +226,13 @@
 
 func (fo *Follower) now() clock.Millis { return clock.Or(fo.Clock).Now() }
 
-// Run follows the topic until the context ends.
+// Run follows the topic until the context is cancelled.
 func (fo *Follower) Run(ctx context.Context) {
 	fo.mu.Lock()
 	fo.wakeLoop()
 	fo.mu.Unlock()
 	failures := 0
-	var failed clock.Millis // the last call that failed
+	var failed clock.Millis // time of the last failed call
 	for ctx.Err() == nil {
 		if !fo.readDue() {
 			fo.awaitRead(ctx)
@@ -248,7 +248,7 @@
 		if err != nil {
 			now := fo.now()
 			if now-failed > standbyBackoffMax && fo.updatedSince(failed) {
-				failures = 0 // it is another outage
+				failures = 0 // a new outage
 			}
 			failed = now
 			fo.sleepOrWake(ctx, fo.backoff(failures, now-began))
@@ -262,19 +262,20 @@
 	}
 }
 
-// readDue tells whether this VM has to read now.
+// readDue reports whether this VM has to read now.
 func (fo *Follower) readDue() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return !fo.listed || fo.gap || fo.now() >= fo.nextReadAt()
 }
 
-// nextReadAt is when this VM reads if it hears nothing until then. The lock is held.
+// nextReadAt returns when this VM reads if it receives no update until then. The caller
+// holds the lock.
 func (fo *Follower) nextReadAt() clock.Millis {
 	at := fo.updatedAt + fo.silenceLimit()
 	if end := fo.graceEnd(); fo.updatedAt < end {
-		// Entries that expired are kept until the next read. The reader may be lost,
-		// and so may its news.
+		// Expired entries are kept until the next read after the grace period. The
+		// reader may have failed, or its update may have been lost.
 		at = min(at, end+graceMargin+clock.Millis(min(fo.rank(), MaxReaders))*graceStep)
 	}
 	return at
@@ -288,14 +289,14 @@
 	fo.sleepOrWake(ctx, left)
 }
 
-// updatedSince tells whether news that left nothing out came after a point in time.
+// updatedSince reports whether an update or read left no gap after a point in time.
 func (fo *Follower) updatedSince(at clock.Millis) bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.updatedAt > at
 }
 
-// clearWake forgets a word on a read that is about to be made.
+// clearWake discards a pending wake-up, since the read it asks for is about to be made.
 func (fo *Follower) clearWake() {
 	select {
 	case <-fo.wake:
@@ -303,7 +304,7 @@
 	}
 }
 
-// sleepOrWake waits for a span, or until a read is due for a new reason.
+// sleepOrWake waits for a span, or until wakeLoop is called or the context is cancelled.
 func (fo *Follower) sleepOrWake(ctx context.Context, span clock.Millis) {
 	timer := time.NewTimer(span.Std())
 	defer timer.Stop()
@@ -314,7 +315,7 @@
 	}
 }
 
-// readOnce reads once, for this VM and, if it is one that tells, for the others.
+// readOnce reads once and, if this VM is a reader for others, broadcasts the result.
 func (fo *Follower) readOnce(ctx context.Context) error {
 	within, stop := context.WithCancel(ctx)
 	defer stop()
@@ -323,7 +324,7 @@
 	rank := fo.rank()
 	standby := rank > 0 && rank < MaxReaders && fo.now()-heard >= fo.silenceLimit()
 	if standby && !fo.leading || fo.storeLost {
-		wait = 0 // the others have waited too, and would ask by themselves
+		wait = 0 // the others have already waited, and would soon read for themselves
 	}
 	fo.gap, fo.cancelRead = false, stop
 	fo.mu.Unlock()
@@ -353,20 +354,20 @@
 		}
 		return err
 	}
-	fo.leading = standby && fo.updatedAt == heard // no: the first was heard meanwhile
+	fo.leading = standby && fo.updatedAt == heard // false if another reader's update arrived meanwhile
 	news := fo.applyRead(listed, recs, next)
 	if !fo.broadcasts() {
 		return nil
 	}
 	nw := Update{From: from, Next: next, Records: news}
 	if !listed {
-		nw.From = next // a listing does not tell what changed
+		nw.From = next // a listing does not say what changed
 	}
 	fo.broadcast(nw)
 	return nil
 }
 
-// read reads changes from an offset on.
+// read reads the changes from an offset on.
 func (fo *Follower) read(ctx context.Context, from uint64, wait clock.Millis) (recs []Record, next uint64, err error) {
 	if fo.storeLost {
 		within, stop := context.WithTimeout(ctx, retryTimeout.Std())
@@ -376,8 +377,8 @@
 	return fo.Source.Read(ctx, fo.Name, from, wait)
 }
 
-// applyRead takes what was read, and returns what of it is to be passed on. The
-// lock is held.
+// applyRead applies the result of a read, and returns the records to broadcast. The
+// caller holds the lock.
 func (fo *Follower) applyRead(listed bool, recs []Record, next uint64) (news []Record) {
 	if !listed {
 		fo.checkEra(next)
@@ -385,13 +386,13 @@
 		fo.listed, fo.next = true, next
 		recs = nil
 	}
-	// The pages of a listing are not of one moment, so that this VM may know already
-	// what is read after it, and the others may not.
+	// The pages of a listing are not taken at the same time. This VM may already know
+	// records that are read after it, while the others may not.
 	all := fo.relisted || fo.IsNew == nil
 	fo.relisted = !listed
 	for _, rec := range recs {
-		// Another reader's news may have come while the read was under way.
-		// Whether its records were new to the others is not known.
+		// Another reader's update may have arrived during the read. It is unknown
+		// whether its records were new to the others.
 		known := rec.Offset < fo.next
 		if all || known || fo.IsNew(rec) {
 			news = append(news, rec)
@@ -406,21 +407,21 @@
 	return news
 }
 
-// checkEra tells of a listing of a later era than what is known. The lock is held.
+// checkEra detects a listing of another era than the last one. The caller holds the lock.
 func (fo *Follower) checkEra(next uint64) {
 	if !fo.everListed || EraOf(next) == EraOf(fo.next) {
 		fo.everListed = true
 		return
 	}
 	fo.Log.Log(event.StoreReturned, event.F("Topic", fo.Name), event.F("Era", EraOf(next)))
-	fo.avail.noteRestore(fo.now()) // entries of those that live may be missing, as after an outage
+	fo.avail.noteRestore(fo.now()) // entries of live servers may be missing, as after an outage
 	fo.reportOutage()
 	if fo.OnStoreRestored != nil {
 		fo.OnStoreRestored()
 	}
 }
 
-// Next is the position from which this VM reads next.
+// Next returns the position from which this VM reads next.
 func (fo *Follower) Next() uint64 {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
--- a/internal/topic/follower_test.go
+++ b/internal/topic/follower_test.go
@@ -16,25 +16,25 @@
 	"alderdyke/pkg/clock"
 )
 
-// updateDelay is the way of news to another VM. Without it those of one reader
-// overtake those of another that read at the same instant.
+// updateDelay is the latency of updates between VMs. Without it, the updates of one
+// reader overtake those of another that read at the same instant.
 const updateDelay = time.Millisecond
 
 type (
-	// store is a store in memory that counts what it is asked.
+	// store is an in-memory store that counts the calls to it.
 	store struct {
 		mu    sync.Mutex
 		recs  []topic.Record
-		first uint64 // lowest offset that is kept
+		first uint64 // lowest offset that is still kept
 		calls int
 		down  bool
 	}
 
-	// fleet is followers that pass news to each other.
+	// fleet is a set of followers that send updates to each other.
 	fleet struct {
 		st          *store
 		members     []*member
-		dropUpdates bool // news are lost
+		dropUpdates bool // all updates are lost
 	}
 
 	member struct {
@@ -42,12 +42,12 @@
 		mu                sync.Mutex
 		values            map[string]string
 		rank              atomic.Int64
-		cut               atomic.Bool            // from the store
-		hangs             atomic.Bool            // its calls, until they are given up
-		writeWhileListing atomic.Pointer[string] // its history was dropped, and a value is written while it lists
+		cut               atomic.Bool            // disconnected from the store
+		hangs             atomic.Bool            // its calls hang until they are cancelled
+		writeWhileListing atomic.Pointer[string] // drops its history, and writes this value during its next listing
 		outages           atomic.Int64
-		outageUntil       atomic.Int64 // when the store last did not answer, as far as is known
-		recordsSent       atomic.Int64 // records that were passed on
+		outageUntil       atomic.Int64 // end of the latest reported outage
+		recordsSent       atomic.Int64 // records that it broadcast
 	}
 
 	bubbleClock struct{ start time.Time }
@@ -95,7 +95,7 @@
 	return append([]topic.Record(nil), st.recs[from:]...), uint64(len(st.recs)), nil
 }
 
-// memberStore is the store as one member reaches it.
+// memberStore is the store as reached by one member.
 type memberStore struct {
 	*store
 	mb *member
@@ -107,7 +107,7 @@
 	}
 	if value := ms.mb.writeWhileListing.Swap(nil); value != nil {
 		_, end, _ := ms.store.Newest(ctx, name)
-		ms.put("b", *value) // between the first page and the second
+		ms.put("b", *value) // between the first and the second page
 		recs, _, err := ms.store.Newest(ctx, name)
 		return recs, end, err
 	}
@@ -185,7 +185,7 @@
 	return mb.values[key]
 }
 
-// allHave tells whether every member knows the value.
+// allHave returns an error unless every member has the value.
 func (fl *fleet) allHave(key, want string) error {
 	for ix, mb := range fl.members {
 		if got := mb.get(key); got != want {
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Entries that are only renewed are not passed on; what changes among them is,
-// and nobody reads for want of the others.
+// Renewals without a change are not broadcast, but the changes among them are, and no
+// VM reads for itself because the renewals are missing from the updates.
 func TestRenewalsAreNotBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -218,13 +218,13 @@
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, fl.allHave("a", "9"))
 		told := fl.members[0].recordsSent.Load() + fl.members[1].recordsSent.Load()
-		assert.Assert(t, told >= 10 && told <= 20, "%d records", told)
+		assert.Assert(t, told >= 10 && told <= 20, "%d records broadcast", told)
 		assert.Assert(t, fl.st.count()-asked <= 2*20, "%d calls", fl.st.count()-asked)
 	})
 }
 
-// What the store is asked does not grow with the fleet, and a change reaches
-// all within a read of the readers.
+// The load on the store must not grow with the fleet, and a change must reach all VMs
+// within one read of the readers.
 func TestFewReadersServeAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -238,11 +238,11 @@
 		time.Sleep(800 * time.Millisecond)
 		assert.NilError(t, fl.allHave("a", "2"))
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, fl.st.count()-before < 40, "%d", fl.st.count()-before)
+		assert.Assert(t, fl.st.count()-before < 40, "%d calls", fl.st.count()-before)
 	})
 }
 
-// Without news each VM reads for itself, and still follows in time.
+// Without updates each VM reads for itself, and still applies changes in time.
 func TestLostUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -257,7 +257,7 @@
 	})
 }
 
-// A VM that missed news notices the gap at the next and reads at once.
+// A VM that missed an update detects the gap at the next one and reads at once.
 func TestUpdateGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -274,8 +274,8 @@
 	})
 }
 
-// A listing in pages may know of what was written after its end; the others have yet
-// to hear of that when it is read as a change.
+// A listing in pages may contain a record that was written after the listing's end
+// offset. When that record is read as a change, it must still be broadcast.
 func TestChangeDuringListingReachesAll(t *testing.T) {
 	for _, value := range []string{"2", ""} {
 		t.Run("to "+value, func(t *testing.T) { testChangeDuringListing(t, value) })
@@ -297,7 +297,7 @@
 	})
 }
 
-// Old news never undo newer ones.
+// An old update must not undo newer changes.
 func TestStaleUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -324,24 +324,24 @@
 		fl.st.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		for _, mb := range fl.members {
-			assert.Assert(t, mb.outages.Load() > 0, "each VM knows that the store is away")
+			assert.Assert(t, mb.outages.Load() > 0, "each VM detects the outage")
 		}
 		fl.st.put("a", "1")
 		fl.st.mu.Lock()
 		fl.st.down, fl.st.first = false, 1
 		fl.st.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond)
-		assert.NilError(t, fl.allHave("a", "1"), "also though the history was dropped")
+		assert.NilError(t, fl.allHave("a", "1"), "also after the history was dropped")
 	})
 }
 
-// One VM reads for all. When it loses the store the next in line takes over, so
-// that the others neither ask by themselves nor follow later than they may.
+// One VM reads for all. When it loses the store, the standby reader takes over, so that
+// the others neither read for themselves nor apply changes late.
 func TestStandbyReaderTakesOver(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		wait, pause clock.Millis
-	}{{"by reads that wait", 800, 0}, {"by pauses", 0, 700}} {
+	}{{"long polling", 800, 0}, {"polling with pauses", 0, 700}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
@@ -355,7 +355,7 @@
 				before := fl.st.count()
 				time.Sleep(7 * time.Second)
 				steady := fl.st.count() - before
-				assert.Assert(t, steady >= 8 && steady <= 11, "%d calls in 7 s, one each 0.7 or 0.8 s", steady)
+				assert.Assert(t, steady >= 8 && steady <= 11, "%d calls in 7 s, want one each 0.7 or 0.8 s", steady)
 				fl.members[0].cut.Store(true)
 				for round := range 5 {
 					fl.st.put("a", fmt.Sprint(round))
@@ -369,14 +369,14 @@
 				before = fl.st.count()
 				time.Sleep(7 * time.Second)
 				steady = fl.st.count() - before
-				assert.Assert(t, steady >= 8 && steady <= 11, "%d calls in 7 s after the first came back", steady)
+				assert.Assert(t, steady >= 8 && steady <= 11, "%d calls in 7 s after the first reader reconnected", steady)
 			})
 		})
 	}
 }
 
-// Where the store turns some VMs away, those in line behind them read, and not
-// all others by themselves.
+// If the store refuses some readers, those ranked behind them read, and the other VMs
+// do not read for themselves.
 func TestRefusedReadersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -398,8 +398,8 @@
 	})
 }
 
-// While the store is away those far behind ask it seldom: the first in line
-// tell them when it is back.
+// During an outage, VMs that are not readers call the store rarely: the readers report
+// to them when it has recovered.
 func TestFewCallsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -424,7 +424,7 @@
 	})
 }
 
-// A read that was abandoned for another says nothing of the store.
+// A read that was cancelled for a new one says nothing about the store's availability.
 func TestCancelledReadIsNotAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -448,8 +448,8 @@
 	})
 }
 
-// A VM that knows no other asks again soon after a call that failed: nobody tells
-// it what changed.
+// A VM that knows no other VM retries soon after a failed call, since no other VM sends
+// it updates.
 func TestLoneVMRetriesSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -459,7 +459,7 @@
 		fl.run(ctx)
 		time.Sleep(3 * time.Second)
 		fl.members[0].cut.Store(true)
-		time.Sleep(1200 * time.Millisecond) // one call fails, or two
+		time.Sleep(1200 * time.Millisecond) // one or two calls fail
 		fl.members[0].cut.Store(false)
 		fl.st.put("a", "1")
 		time.Sleep(700 * time.Millisecond)
@@ -467,8 +467,8 @@
 	})
 }
 
-// VMs that ask an absent store seldom still know, when it is back, until when it
-// was away: what lapsed meanwhile is not gone yet.
+// VMs that call an unavailable store rarely must still learn when the outage ended:
+// entries that expired during it may be renewed.
 func TestAllLearnEndOfOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/topic/line.go
+++ b/internal/topic/line.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// MaxReaders is how many VMs read for the others when those before them don't.
-	// Where the store turns a third of the VMs away, one time in 240 it turns
-	// away all five.
+	// MaxReaders is how many VMs are ranked to read for the others, each in place
+	// of those before it. If the store refuses a third of the VMs, it refuses all
+	// five in one of 240 cases.
 	MaxReaders = 5
-	// RankAlone is the place of a VM that knows no other that lives: nobody reads for
-	// it, and it may hear of others at any moment.
+	// RankAlone is the rank of a VM that knows no other live VM: no other VM reads for
+	// it, and it may discover others at any time.
 	RankAlone = math.MaxInt
 )
 
 const (
-	// backoffMin and backoffMax bound the pause after a call that the store
-	// did not answer. The longest leaves half of the two seconds in which a
-	// change must be followed.
+	// backoffMin and backoffMax bound the backoff after a call that the store did not
+	// answer. The maximum leaves half of the two seconds within which a change must
+	// be applied.
 	backoffMin = 200 * clock.Millis(1)
 	backoffMax = 700 * clock.Millis(1)
-	// retryTimeout bounds a read after one that failed, so that a store that is back
-	// is noticed soon though earlier calls hang.
+	// retryTimeout bounds a read after a failed one, so that the store's recovery is
+	// noticed soon even if earlier calls hang.
 	retryTimeout = 500 * clock.Millis(1)
-	// standbyBackoffMin and standbyBackoffMax are the same for a VM that does not read for
-	// others: those that do tell it when the store is back. In an outage of 8 s it
-	// asks two or three times a topic, in place of ten with the pauses above.
+	// standbyBackoffMin and standbyBackoffMax bound the backoff of a VM that does not
+	// read for others, since the readers report to it when the store has recovered. In
+	// an outage of 8 s it makes two or three calls for each topic instead of ten.
 	standbyBackoffMin = 2 * clock.Second
 	standbyBackoffMax = 4 * clock.Second
 )
 
-// silenceLimit is how long this VM goes without news before it reads. The lock is
-// held.
+// silenceLimit returns how long this VM waits for updates before it reads. The caller
+// holds the lock.
 func (fo *Follower) silenceLimit() clock.Millis {
 	rank := fo.rank()
 	switch {
@@ -42,12 +42,12 @@
 	case rank >= MaxReaders:
 		return fo.SelfReadAfter
 	}
-	// Each in line leaves half of the span that is left to those behind it.
+	// Each standby reader leaves half of the remaining span to those after it.
 	left := (fo.SelfReadAfter - fo.StandbyAfter) >> (rank - 1)
 	return fo.SelfReadAfter - left
 }
 
-// rank is this VM's place; 0 if each VM reads for itself. The lock is held.
+// rank returns this VM's rank; 0 if each VM reads for itself. The caller holds the lock.
 func (fo *Follower) rank() int {
 	if fo.Rank == nil {
 		return 0
@@ -55,14 +55,14 @@
 	return fo.Rank()
 }
 
-// broadcasts broadcasts whether this VM passes on what it read.
+// broadcasts reports whether this VM passes on what it reads.
 func (fo *Follower) broadcasts() bool {
 	return fo.Broadcast != nil && fo.Rank != nil && fo.Rank() < MaxReaders
 }
 
-// backoff is the pause after a call that failed, and so many before it. The span
-// for which a reader's call hung counts as a part of it, so that a silent store is
-// asked as often as one that refuses.
+// backoff returns the pause after a failed call that followed the given number of
+// failures. For a reader, the span for which the call hung counts towards the pause, so
+// that it calls an unresponsive store as often as one that refuses.
 func (fo *Follower) backoff(failures int, hung clock.Millis) clock.Millis {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -76,9 +76,9 @@
 		pause = max(backoffMin, pause-hung)
 	}
 	if fo.listed && rank > 0 && rank < MaxReaders && failures == 1 {
-		// Readers lose the store together and would retry together, all of them
-		// hanging as it returns. The first in line is ahead of the next by about a
-		// step as it is.
+		// Readers lose the store at the same time. If they also retried at the same
+		// time, all of them could be hanging when it recovers. The first reader is
+		// already ahead of the second by about one step.
 		pause += clock.Millis(rank-1) * backoffMax / MaxReaders
 	}
 	return pause
--- a/internal/topic/outage.go
+++ b/internal/topic/outage.go
@@ -3,17 +3,18 @@
 import "alderdyke/pkg/clock"
 
 const (
-	// outageNoticeTTL is how long others are told of an outage: longer than anybody
-	// takes to come back after one.
+	// outageNoticeTTL is how long an ended outage is reported to others. It is longer
+	// than any VM takes to reconnect after one.
 	outageNoticeTTL = 5 * clock.Second
-	// graceMargin lets what was written at the end of the grace period be read.
+	// graceMargin gives records written at the end of the grace period time to be read.
 	graceMargin = 50 * clock.Millis(1)
-	// graceStep is how much later each VM in line reads at the end of the grace
-	// period than the one before it.
+	// graceStep is the delay of each rank after the one before it when reading at the
+	// end of the grace period.
 	graceStep = 40 * clock.Millis(1)
 )
 
-// broadcast passes on what is known here of the topic and of the store. The lock is held.
+// broadcast completes an update with the store's availability and sends it. The caller
+// holds the lock.
 func (fo *Follower) broadcast(nw Update) {
 	now := fo.now()
 	nw.Topic = fo.Name
@@ -24,11 +25,11 @@
 	fo.Broadcast(nw)
 }
 
-// mergeAvailability takes what another VM knows of the store, and tells whether that
-// refuted an outage. The lock is held.
+// mergeAvailability applies another VM's view of the store's availability, and reports
+// whether that refuted an outage. The caller holds the lock.
 func (fo *Follower) mergeAvailability(nw Update) (refuted bool) {
 	if EraOf(nw.Next) != EraOf(fo.next) {
-		return false // what the store had before is no measure
+		return false // availability in another era does not compare
 	}
 	now, span := fo.now(), nw.AvailableFor
 	if span == 0 {
@@ -41,14 +42,15 @@
 	return fo.reportOutage()
 }
 
-// broadcastAvailability tells the others for how long the store has answered. The news end
-// where the topic begins, so that nobody takes them for a read. The lock is held.
+// broadcastAvailability tells the others for how long the store has been available. The
+// update has no records and ends at the start of the topic, so that no VM takes it for
+// a read. The caller holds the lock.
 func (fo *Follower) broadcastAvailability() {
 	begin := Position(EraOf(fo.next), 0)
 	fo.broadcast(Update{From: begin, Next: begin})
 }
 
-// recordFailure notes a call that the store did not answer.
+// recordFailure records a call that the store did not answer.
 func (fo *Follower) recordFailure() {
 	fo.mu.Lock()
 	fo.avail.recordFailure(fo.now())
@@ -59,8 +61,8 @@
 	}
 }
 
-// reportOutage passes on the newest outage if it has changed, and tells whether the one
-// before was refuted. The lock is held.
+// reportOutage reports the latest outage if it has changed, and returns whether the one
+// reported before was refuted. The caller holds the lock.
 func (fo *Follower) reportOutage() (refuted bool) {
 	ou := fo.avail.latestOutage()
 	if ou == fo.reportedOutage {
@@ -74,8 +76,8 @@
 	return refuted
 }
 
-// nextPause is the nextPause before the next read, which is shorter where the grace period
-// after an outage ends before.
+// nextPause returns the pause before the next read. It is shorter if the grace period
+// after an outage ends before that.
 func (fo *Follower) nextPause() clock.Millis {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -86,8 +88,8 @@
 	return min(fo.Pause, left)
 }
 
-// graceEnd is the end of the grace period after the newest outage; zero: there is
-// none. The lock is held.
+// graceEnd returns the end of the grace period after the latest outage; zero if there is
+// none. The caller holds the lock.
 func (fo *Follower) graceEnd() clock.Millis {
 	ou := fo.avail.latestOutage()
 	if fo.GracePeriod == 0 || ou == (Outage{}) {
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -19,52 +19,52 @@
 )
 
 const (
-	// settleSpan is how long a VM, or the store, has to be without trouble before
-	// the VM counts as in touch.
+	// settleSpan is how long a VM and the store must be free of faults before the VM
+	// counts as connected.
 	settleSpan = 3 * clock.Second
-	// dropBound is how long after the store's word a server may get requests.
+	// dropBound is how long a server may get requests after the store recorded that it left.
 	dropBound = 2 * clock.Second
-	// heartbeatPeriod is a server's heartbeat; its entry lapses after three of silence.
+	// heartbeatPeriod is a server's heartbeat interval; its entry expires after three missed ones.
 	heartbeatPeriod = 1200 * clock.Millis(1)
-	// callTimeout ends a call that the store does not answer.
+	// callTimeout ends a call to an unresponsive store.
 	callTimeout = 900 * clock.Millis(1)
 	checkPeriod = 20 * clock.Millis(1)
 )
 
-// Ways in which a VM does not reach the store.
+// Faults between a VM and the store.
 const (
 	reachable linkFault = iota
 	refused
 	silent
-	cut // also from all other VMs
+	cut // disconnected from the other VMs as well
 )
 
 type (
 	linkFault int
 
-	// site is a store, servers that register there, and VMs that follow them.
+	// site simulates a store, servers that register there, and VMs that follow them.
 	site struct {
 		mu         sync.Mutex
 		clk        bubbleClock
 		rnd        *rand.Rand
 		entries    map[string]string
 		recs       []topic.Record
-		down       linkFault    // for everybody
-		upSince    clock.Millis // the store's last return
+		down       linkFault    // for all VMs and servers
+		upSince    clock.Millis // when the store last recovered
 		answeredAt clock.Millis // start of the last call that it answered
 		servers    map[string]*simServer
 		vms        []*simVM
-		loss       float64 // of news
+		loss       float64 // of updates
 		delay      clock.Millis
 		violations []string
 	}
 
 	simServer struct {
 		tried     clock.Millis // last heartbeat
-		renewed   clock.Millis // last one that the store had
-		announced bool         // it said that it leaves
-		left      clock.Millis // when the store had that it leaves; zero: it does not
-		stable    bool         // the store was stable then
+		renewed   clock.Millis // last heartbeat that the store recorded
+		announced bool         // it leaves by draining first
+		left      clock.Millis // when the store recorded that it leaves; zero if it does not
+		stable    bool         // the store had been up for settleSpan by then
 		listed    clock.Millis // first entry
 	}
 
@@ -75,12 +75,12 @@
 		rg      registry.Registry
 		down    linkFault
 		upSince clock.Millis
-		known   map[string]bool // servers that were listed once
+		known   map[string]bool // servers that were ever listed
 		list    map[string]board.BackendServer
 	}
 )
 
-// newSite has so many VMs, all of which may read for the others.
+// newSite returns a site with the given number of VMs, all ranked as readers.
 func newSite(vms int, seed uint64) *site {
 	st := &site{clk: bubbleClock{time.Now().Add(-time.Minute)}, rnd: rand.New(rand.NewPCG(seed, 1)),
 		entries: make(map[string]string), servers: make(map[string]*simServer), delay: 2}
@@ -103,7 +103,7 @@
 	}
 }
 
-// runServers plays the servers and looks at what the VMs believe.
+// runServers simulates the servers and checks the server lists of the VMs.
 func (st *site) runServers(ctx context.Context) {
 	for clock.Sleep(ctx, checkPeriod) {
 		st.mu.Lock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// stepServer renews and ends a server's entry. The lock is held, as below.
+// stepServer renews or expires a server's entry. The caller holds the lock, as for the methods below.
 func (st *site) stepServer(now clock.Millis, id string, sv *simServer) {
 	if now-sv.tried >= heartbeatPeriod && (sv.left == 0 || sv.announced) {
 		sv.tried = now
@@ -139,7 +139,7 @@
 	return "ready"
 }
 
-// put appends a record if the entry changes.
+// put appends a record if the entry's state changes.
 func (st *site) put(id, state string) {
 	if st.entries[id] == state {
 		return
@@ -156,7 +156,7 @@
 	st.put(id, "ready")
 }
 
-// leave has a server leave, with a word or without one. It needs the store.
+// leave makes a server leave, draining first if word is set. It needs the store.
 func (st *site) leave(id string, word bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -185,13 +185,13 @@
 	st.vms[ix].down, st.vms[ix].upSince = down, st.clk.Now()
 }
 
-// connected tells whether a VM, and the store, were without trouble for long enough.
+// connected reports whether a VM and the store have been free of faults for settleSpan.
 func (st *site) connected(now clock.Millis, vm *simVM) bool {
 	return st.down == reachable && vm.down == reachable && now-st.upSince >= settleSpan && now-vm.upSince >= settleSpan
 }
 
-// check notes a server that left and is in use at a VM in touch, and one that
-// lives and was dropped.
+// check records a violation if a connected VM uses a server that left, or if any VM
+// dropped a live server.
 func (st *site) check(now clock.Millis, vm *simVM) {
 	for id, sv := range st.servers {
 		bs, listed := vm.list[id]
@@ -200,12 +200,12 @@
 		case sv.left > 0 && sv.stable && ready && now > sv.left+dropBound+checkPeriod && st.connected(now, vm):
 			st.violations = append(st.violations, fmt.Sprintf("%s: %s uses %s, which left %v ago", now, vm.name, id, now-sv.left))
 		case sv.left == 0 && vm.known[id] && !ready:
-			st.violations = append(st.violations, fmt.Sprintf("%s: %s dropped %s, which lives", now, vm.name, id))
+			st.violations = append(st.violations, fmt.Sprintf("%s: %s dropped %s, which is live", now, vm.name, id))
 		}
 	}
 }
 
-// firstViolations returns the first few of what was wrong.
+// firstViolations returns up to three violations.
 func (st *site) firstViolations() []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -214,7 +214,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// reach is the way of a call to the store.
+// reach simulates the transport of a call to the store.
 func (vm *simVM) reach(ctx context.Context) error {
 	vm.st.mu.Lock()
 	down := max(vm.st.down, vm.down)
@@ -259,7 +259,7 @@
 	return append([]topic.Record(nil), vm.st.recs[from:]...), uint64(len(vm.st.recs)), nil
 }
 
-// tell sends news to all VMs that are reached, late and with losses.
+// tell sends an update to all reachable VMs, with delays and losses.
 func (vm *simVM) tell(nw topic.Update) {
 	st := vm.st
 	st.mu.Lock()
@@ -319,7 +319,7 @@
 	vm.st.check(vm.st.clk.Now(), vm)
 }
 
-// playSite plays a site of seven VMs and two servers.
+// playSite runs a site of seven VMs and two servers under the faults that play injects.
 func playSite(t *testing.T, seed uint64, play func(st *site)) (faults []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -336,7 +336,8 @@
 	return faults
 }
 
-// A server that left was in use for as long as one VM had trouble of its own.
+// A VM that treats its own fault as an outage keeps a server that left for as long as
+// the fault lasts.
 func TestLocalFaultIsNotAnOutage(t *testing.T) {
 	const s = time.Second
 	for _, tc := range []struct {
@@ -358,7 +359,7 @@
 				st.leave("leaves", false)
 			}
 		}},
-		{"the store is silent to the first reader", func(st *site) {
+		{"the store does not respond to the first reader", func(st *site) {
 			st.setVM(0, silent)
 			time.Sleep(4 * s)
 			st.leave("leaves", false)
@@ -372,7 +373,7 @@
 	}
 }
 
-// The first reader, back from a cut, is told at once that the store was not away.
+// The first reader, back from a partition, must learn at once that the store was available.
 func TestReturningReaderLearnsStoreWasAvailable(t *testing.T) {
 	for late := 0 * time.Second; late < 2*time.Second; late += 100 * time.Millisecond {
 		t.Run(late.String(), func(t *testing.T) { playReturningReader(t, late) })
@@ -399,8 +400,8 @@
 	})
 }
 
-// A live server stays in use while the store is away for all, whatever else
-// happens beside it.
+// A live server must stay in use during an outage for all VMs, whatever other faults
+// occur at the same time.
 func TestOutageDropsNoLiveServer(t *testing.T) {
 	const s = time.Second
 	for _, down := range []linkFault{refused, silent} {
@@ -408,7 +409,7 @@
 			name string
 			play func(st *site)
 		}{
-			{"alone", func(*site) {}},
+			{"no other fault", func(*site) {}},
 			{"a VM cut off meanwhile", func(st *site) { st.setVM(0, cut) }},
 			{"a VM refused meanwhile", func(st *site) { st.setVM(1, refused) }},
 		} {
@@ -428,7 +429,7 @@
 	}
 }
 
-// Readers do not all wait for a silent store's timeout as it returns.
+// When an unresponsive store recovers, not all readers may be waiting for a call to time out.
 func TestReadersRetryInTurn(t *testing.T) {
 	for phase := 0 * time.Millisecond; phase < 1200*time.Millisecond; phase += 50 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -449,7 +450,7 @@
 	}
 }
 
-// The reader is lost shortly before the grace period ends.
+// The reader fails shortly before the grace period ends.
 func TestGracePeriodEndsWithoutTheReader(t *testing.T) {
 	for late := 1800 * time.Millisecond; late < 2400*time.Millisecond; late += 100 * time.Millisecond {
 		t.Run(late.String(), func(t *testing.T) {
@@ -465,8 +466,8 @@
 	}
 }
 
-// An entry that servers could not renew in an outage expires in a second one, which
-// is too short for any VM to see.
+// An entry that servers could not renew in one outage expires in a second one that is
+// too short for any VM to detect.
 func TestUndetectedSecondOutage(t *testing.T) {
 	for early := 100 * time.Millisecond; early < 1200*time.Millisecond; early += 50 * time.Millisecond {
 		t.Run(early.String(), func(t *testing.T) {
@@ -485,8 +486,8 @@
 	}
 }
 
-// VMs are cut off while they keep servers, and return: the word that there was no
-// further outage comes before the renewals.
+// VMs are partitioned while they keep servers, and reconnect. The report that there was
+// no further outage arrives before the renewals.
 func TestRefutedOutageWaitsForRenewals(t *testing.T) {
 	for phase := 0 * time.Millisecond; phase < 1200*time.Millisecond; phase += 50 * time.Millisecond {
 		for _, delay := range []clock.Millis{2, 200} {
@@ -515,10 +516,10 @@
 	st.setVM(4, reachable)
 }
 
-// randomSites is how many drawn sites are played.
+// randomSites is the number of sites with random faults that are simulated.
 const randomSites = 600
 
-// Drawn troubles of VMs and of the store beside servers that leave.
+// Servers leave while VMs and the store have random faults.
 func TestServersLeaveUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSites) {
 		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
@@ -526,8 +527,8 @@
 	}
 }
 
-// Drawn sites in which several VMs are in trouble beside two outages, and the grace
-// period is too short (4188) or ends after VMs are in touch again.
+// These seeds combine faults of several VMs with two outages. The grace period was too
+// short (4188), or ended after VMs counted as connected again.
 func TestGracePeriodUnderRepeatedFaults(t *testing.T) {
 	for _, seed := range []uint64{2205, 4188, 5320} {
 		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
@@ -535,8 +536,8 @@
 	}
 }
 
-// Further drawn sites that failed: VMs that asked nothing, or heard of an outage or
-// of none before they had read on, and backoffs left from an earlier outage (1985).
+// These seeds failed because VMs made no calls, learned of an outage or of its refutation
+// before they had caught up, or kept the backoff of an earlier outage (1985).
 func TestRandomFaultRegressions(t *testing.T) {
 	for _, seed := range []uint64{762, 1985, 6173, 7674, 10338, 13903, 14980} {
 		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
@@ -544,8 +545,8 @@
 	}
 }
 
-// The first answer after a silent outage comes when calls that hang time out; a VM
-// that was cut off then keeps a server that left too long.
+// The first answer after an unresponsive store recovers arrives when the hanging calls
+// time out. A VM that was partitioned then keeps a server that left for too long.
 func TestFirstAnswerAfterHungCalls(t *testing.T) {
 	const seed = 7244
 	faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
--- a/internal/topic/position_test.go
+++ b/internal/topic/position_test.go
@@ -27,11 +27,11 @@
 	}
 }
 
-// restoringStore is a store that comes back from older copies.
+// restoringStore is a store that is restored from older copies.
 type restoringStore struct {
 	mu   sync.Mutex
 	era  uint64
-	recs []topic.Record // offsets of this era
+	recs []topic.Record // by their offsets in this era
 }
 
 func (ds *restoringStore) put(key, value string) {
@@ -40,7 +40,7 @@
 	ds.recs = append(ds.recs, topic.Record{Key: key, Value: []byte(value)})
 }
 
-// restoreOlder loses the newest records.
+// restoreOlder starts a new era and loses the newest records.
 func (ds *restoringStore) restoreOlder(lost int) {
 	ds.mu.Lock()
 	defer ds.mu.Unlock()
@@ -48,7 +48,7 @@
 	ds.recs = slices.Clone(ds.recs[:max(0, len(ds.recs)-lost)])
 }
 
-// from lists the records from an offset on, with their positions. The lock is held.
+// from returns the records from an offset on, with their positions. The caller holds the lock.
 func (ds *restoringStore) from(offset uint64) (out []topic.Record, next uint64) {
 	for ix := offset; ix < uint64(len(ds.recs)); ix++ {
 		rec := ds.recs[ix]
@@ -75,8 +75,8 @@
 	return recs, next, nil
 }
 
-// Whatever the store loses, and however often, a follower and one that hears its news
-// know all that the store has then, and nothing comes to them out of order.
+// Whatever the store loses, and however often, a follower that reads and one that receives
+// its updates must end up with the store's content, and must receive records in order.
 func TestFollowersAcrossStoreRestores(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
