--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -12,8 +12,8 @@
 
 const noDeadDelay = clock.Millis(1)
 
-// variants are compared without DeadDelay, which would hide their false
-// deaths; the last one is what runs.
+// variants are compared without DeadDelay, which would hide their false deaths; the
+// last one has the default settings.
 var variants = []variant{
 	{"timeout", Settings{DeadDelay: noDeadDelay}, disabledFeatures{helpers: true, suspicion: true, localHealth: true}},
 	{"swim2s-deadline1s", Settings{DeadDelay: noDeadDelay, ProbeDeadline: clock.Second},
@@ -27,13 +27,13 @@
 	{"all", Settings{}, disabledFeatures{}},
 }
 
-// BenchmarkDetection compares the variants under 5% loss and pauses of 200 to
-// 800 ms, once in 10 s at each VM, and then kills VMs.
+// BenchmarkDetection compares the variants under 5% loss and pauses of 200 to 800 ms,
+// once per 10 s at each VM, and then kills VMs.
 func BenchmarkDetection(bb *testing.B) {
 	for _, size := range []int{7, 48, 96, 380} {
 		for _, vr := range variants {
 			if size > 96 && vr.disabled.suspicion {
-				continue // flaps so much that it takes very long
+				continue // flapping makes it take very long
 			}
 			bb.Run(fmt.Sprintf("size=%d/%s", size, vr.name), func(bb *testing.B) {
 				for ix := range bb.N {
@@ -44,8 +44,8 @@
 	}
 }
 
-// BenchmarkUnstableVMs makes every twelfth VM pause for 2 to 4 s again and again, and
-// counts what happens to the others.
+// BenchmarkUnstableVMs makes every twelfth VM pause repeatedly for 2 to 4 s, and counts
+// the false suspicions and deaths of the others.
 func BenchmarkUnstableVMs(bb *testing.B) {
 	for _, size := range []int{7, 96} {
 		for _, vr := range variants[1:] {
@@ -146,7 +146,7 @@
 	}
 }
 
-// BenchmarkPartition cuts one of three regions off for 3 minutes.
+// BenchmarkPartition disconnects one of three regions for 3 minutes.
 func BenchmarkPartition(bb *testing.B) {
 	for _, size := range []int{7, 380} {
 		bb.Run(fmt.Sprintf("size=%d", size), func(bb *testing.B) {
@@ -196,8 +196,8 @@
 	bb.ReportMetric(float64(tf.now-healed)/1000, "merged-s")
 }
 
-// BenchmarkStep measures the processor time of one VM among 380, for each
-// second of its life, under loss and pauses.
+// BenchmarkStep measures the processor time that one VM of 380 takes for each second of
+// virtual time, under loss and pauses.
 func BenchmarkStep(bb *testing.B) {
 	tf := newFleet(380, 8, 1, variant{})
 	tf.run(60 * clock.Second)
@@ -209,7 +209,7 @@
 	bb.ReportMetric(float64(bb.Elapsed().Microseconds())/float64(bb.N*380), "µs/VM/s")
 }
 
-// BenchmarkMemory measures the heap that one VM's detector keeps.
+// BenchmarkMemory measures the heap that one VM's detector retains.
 func BenchmarkMemory(bb *testing.B) {
 	for _, size := range []int{48, 380} {
 		bb.Run(fmt.Sprintf("size=%d", size), func(bb *testing.B) {
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -1,28 +1,30 @@
-// Package membership decides which entry VMs are alive, without a
+// Package membership detects which entry VMs are alive, without a
 // coordination service.
 //
-// Each VM probes one other VM a period over datagrams, asks helpers before it
-// suspects one, and spreads what it learned as rumours on the datagrams that
-// it sends anyway, as SWIM does. The number of datagrams that a VM sends does
-// not grow with the fleet. From Lifeguard it takes the local health
-// multiplier, suspicion timeouts that shrink with independent confirmations,
-// helpers that are asked one after another and report a missed ack, and the
-// flag that tells a VM that it is suspected.
+// It implements SWIM: each VM probes one other VM per period over datagrams,
+// requests indirect probes from helpers before it suspects a VM, and
+// disseminates what it learned as rumours piggybacked on the datagrams that it
+// sends anyway. The number of datagrams that a VM sends does not grow with the
+// fleet. From Lifeguard it takes the local health multiplier, suspicion
+// timeouts that shrink with independent confirmations, helpers that are
+// requested one after another and report a missed ack, and the flag that
+// informs a VM that it is suspected.
 //
 // A VM goes through Alive, Suspect and Dead. It counts as Dead only DeadDelay
-// after its suspicion ran out. DeadDelay is longer than AckTTL, the span after
-// which a VM without acks from a majority of the roster stops being quorate:
-// a VM that is cut off has fenced itself before others take over its work. A
-// VM that lost the majority counts as quorate again only after another AckTTL.
-// Dead is final for an incarnation: who hears that it was held dead goes on
-// under a new one.
+// after its suspicion timed out. DeadDelay is longer than AckTTL, the span
+// after which a VM without acks from a majority of the roster stops being
+// quorate. A partitioned VM has therefore fenced itself before others take
+// over its work. A VM that lost the majority counts as quorate again only
+// after it has reached one for another AckTTL. Dead is final for a generation
+// of an incarnation: a VM that learns that it was declared dead continues in a
+// new generation.
 //
-// A VM that is not quorate still marks VMs as Dead for itself, so that it goes
-// on serving what it can, but it does not tell others: one VM that was cut off
-// must not make the whole fleet refute its death.
+// A VM that is not quorate still marks VMs as Dead locally, so that it can
+// continue to serve, but does not tell others. Otherwise a single partitioned
+// VM would make the whole fleet refute its death.
 //
-// A Detector does no I/O: it is given events and the time, and returns
-// intents. It is not safe for concurrent use.
+// A Detector does no I/O: it takes events and the time, and returns intents.
+// It is not safe for concurrent use.
 //
 // # Usage
 //
@@ -73,37 +75,37 @@
 const (
 	cleanupInterval  = clock.Second
 	removedRetention = clock.Hour // how long removed VMs are remembered
-	maxHealth        = 8          // of the local health multiplier
-	pausePenalty     = 2          // added to it by a pause of this process
-	confirmations    = 2          // independent ones that shrink a suspicion to its minimum
+	maxHealth        = 8          // limit of the local health score
+	pausePenalty     = 2          // added to the local health score by a pause of this process
+	confirmations    = 2          // independent confirmations that shrink a suspicion timeout to its minimum
 )
 
 type (
-	// Detector is membership as one VM sees it. Set the exported fields
+	// Detector is the failure detector of one VM. Set the exported fields
 	// before the first Step.
 	Detector struct {
 		// Self is this VM. Its Incarnation must be higher than that of any
-		// earlier run under the same ID, such as the wall clock in
-		// milliseconds at the start of the process.
+		// earlier run with the same ID, such as the wall clock in milliseconds
+		// at process start.
 		Self board.VM
-		// Rand chooses VMs and spreads load. It must be seeded differently
+		// Rand selects VMs and spreads load. It must be seeded differently
 		// on each VM.
 		Rand     *rand.Rand
 		Settings Settings
-		// Counters grow while the detector runs; read them between steps.
+		// Counters increase while the detector runs; read them between steps.
 		Counters Counters
 
 		now       clock.Millis
 		selfHash  uint32 // hash of the ID of Self
 		started   bool
 		startedAt clock.Millis
-		listed    bool // the VM list or the seeds were given once
+		listed    bool // a VM list or seeds have been received
 		leaving   bool
 		left      bool
-		disabled  disabledFeatures // refinements switched off to measure their worth
+		disabled  disabledFeatures // for comparison in tests
 
-		refutation  uint32 // of this incarnation of Self
-		localHealth int    // local health: 0 is good
+		refutation  uint32 // current refutation number of Self
+		localHealth int    // score of the local health multiplier; 0 is healthy
 		table       table
 		rumours     rumours
 		prober      prober
@@ -112,61 +114,61 @@
 
 		nextCleanup   clock.Millis
 		wakeAt        clock.Millis
-		staleAtSender []*member // of which the sender of this step's datagram holds an old doubt
+		staleAtSender []*member // members whose outdated suspicion the current datagram's sender still holds
 		fleet         *board.Fleet
 		dirty         bool
 		out           []Intent
 	}
 
-	// Settings of a Detector. A zero field means the default.
+	// Settings configure a Detector. A zero field means its default.
 	Settings struct {
-		ProbeInterval clock.Millis // one VM is probed each such period
-		ProbeTimeout  clock.Millis // without an ack by then, helpers are asked
-		HelperStagger clock.Millis // between one helper and the next
-		ProbeDeadline clock.Millis // without an ack by then, the VM is suspect
-		SuspicionMin  clock.Millis // with independent confirmations
-		SuspicionMax  clock.Millis // without any
-		// AckTTL is how long an ack counts toward being quorate, from when
-		// its probe was sent.
+		ProbeInterval clock.Millis // one VM is probed in each interval
+		ProbeTimeout  clock.Millis // without an ack by then, helpers are requested
+		HelperStagger clock.Millis // between requests to two helpers
+		ProbeDeadline clock.Millis // without an ack by then, the VM is suspected
+		SuspicionMin  clock.Millis // suspicion timeout with all independent confirmations
+		SuspicionMax  clock.Millis // suspicion timeout without any
+		// AckTTL is how long an ack counts towards the quorum, from when its
+		// probe was sent.
 		AckTTL clock.Millis
-		// DeadDelay passes after a suspicion ran out before the VM counts as
-		// Dead. Keep it longer than AckTTL plus the time a rumour needs to
-		// reach the fleet.
+		// DeadDelay is the span from a suspicion's timeout until the VM counts
+		// as Dead. It must be longer than AckTTL plus the time in which a
+		// rumour reaches the fleet.
 		DeadDelay    clock.Millis
-		RemoveAfter  clock.Millis // Dead and not listed for so long leaves the roster
+		RemoveAfter  clock.Millis // a VM that is Dead and not listed for this span is removed from the roster
 		SyncInterval clock.Millis // between comparisons of tables that differ
-		PauseLimit   clock.Millis // a Tick later than this shows a pause of this process
+		PauseLimit   clock.Millis // a Tick that is later than this indicates a pause of this process
 		Helpers      int
-		MaxDatagram  int // bytes of an encoded datagram, without what the transport adds
+		MaxDatagram  int // bytes of an encoded datagram, without the transport's overhead
 	}
 
-	// Counters of a Detector since it started.
+	// Counters of a Detector since its start.
 	Counters struct {
-		Probes         uint64 // sent on own behalf
-		Acked          uint64 // probes that were acked, directly or by a helper
-		Missed         uint64 // probes that were not
+		Probes         uint64 // sent by this VM for itself
+		Acked          uint64 // probes that were acked, directly or through a helper
+		Missed         uint64 // probes that were not acked
 		Relayed        uint64 // probes sent on behalf of others
-		Suspected      uint64 // suspicions that began from an own probe
+		Suspected      uint64 // suspicions that this VM's own probes started
 		MarkedDead     uint64 // VMs that became Dead
-		Refutations    uint64 // of suspicion or death of Self
-		Pauses         uint64 // of this process
+		Refutations    uint64 // of a suspicion or death of Self
+		Pauses         uint64 // detected pauses of this process
 		Syncs          uint64 // requests to compare tables
-		Ignored        uint64 // datagrams that are not well formed or not for Self
-		UnknownSenders uint64 // datagrams of VMs whose address is not known
+		Ignored        uint64 // datagrams and rumours that are malformed, exceed a limit or are not for Self
+		UnknownSenders uint64 // datagrams from VMs whose address is unknown or whose incarnation is outdated
 	}
 
-	// disabledFeatures switches refinements off, for comparison only.
+	// disabledFeatures switches refinements off, for comparison in tests.
 	disabledFeatures struct {
-		helpers     bool // suspect after the direct probe alone
-		suspicion   bool // no suspicion: dead at the first missed probe
-		localHealth bool // timeouts do not follow local health or pauses
-		decay       bool // suspicion lasts SuspicionMin whatever the confirmations
-		stagger     bool // all helpers are asked at once
+		helpers     bool // a VM is suspected after the direct probe alone
+		suspicion   bool // a VM is dead at the first missed probe
+		localHealth bool // timeouts do not depend on local health or pauses
+		decay       bool // the suspicion timeout is SuspicionMin regardless of confirmations
+		stagger     bool // all helpers are requested at once
 	}
 )
 
-// Step takes one event at a point in time and returns what is to be done. The
-// time must not go backward.
+// Step handles one event at the given time and returns the resulting intents.
+// The time must not go backward.
 func (dt *Detector) Step(now clock.Millis, ev Event) []Intent {
 	dt.start(now)
 	dt.out = nil
@@ -187,8 +189,8 @@
 	return dt.finish()
 }
 
-// Quorate tells whether this VM reaches a majority of the roster at the
-// given point, as far as is known from the steps so far.
+// Quorate reports whether this VM reaches a majority of the roster at the
+// given time, according to the steps so far.
 func (dt *Detector) Quorate(now clock.Millis) bool {
 	return dt.started && !dt.left && dt.quorum.until > now
 }
@@ -213,9 +215,9 @@
 	dt.invalidate()
 }
 
-// detectPause notices that this process did not run when it wanted to. What
-// the others sent in the meantime is still queued, so open probes prove
-// nothing and suspicions wait for as long as the pause took.
+// detectPause detects that this process did not run when it was due. Datagrams
+// that arrived in the meantime are still queued, so probes in progress prove
+// nothing and are dropped, and suspicions are extended by the pause.
 func (dt *Detector) detectPause() {
 	late := dt.now - dt.wakeAt
 	if dt.wakeAt == 0 || late <= dt.Settings.PauseLimit {
@@ -234,7 +236,7 @@
 	}
 }
 
-// adjustHealth worsens the local health, and improves it if by is negative.
+// adjustHealth adds to the local health score; a negative value improves it.
 func (dt *Detector) adjustHealth(by int) {
 	if dt.disabled.localHealth {
 		return
@@ -242,7 +244,7 @@
 	dt.localHealth = min(max(dt.localHealth+by, 0), maxHealth)
 }
 
-// scaleTimeout stretches a timeout by the local health.
+// scaleTimeout multiplies a timeout by the local health multiplier.
 func (dt *Detector) scaleTimeout(span clock.Millis) clock.Millis {
 	return span * clock.Millis(1+dt.localHealth)
 }
@@ -278,7 +280,7 @@
 	}
 }
 
-// announceLeave tells a few VMs at once, since this VM sends nothing afterwards.
+// announceLeave notifies a few VMs at once, since this VM sends nothing afterwards.
 func (dt *Detector) announceLeave() {
 	told := 0
 	for _, mb := range dt.shuffled(dt.table.members) {
@@ -292,7 +294,7 @@
 	}
 }
 
-// finish closes a step: quorum, snapshot and the next wake.
+// finish completes a step: it updates the quorum, the snapshot and the next wake-up.
 func (dt *Detector) finish() []Intent {
 	dt.updateQuorum()
 	if dt.dirty {
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// testDetector knows VMs 1 to 4, which are alive.
+// testDetector returns a detector that knows VMs 1 to 4 as alive.
 func testDetector() *Detector {
 	dt := &Detector{Self: vmOf("0", "d0"), Rand: rand.New(rand.NewPCG(1, 2))}
 	list := []board.VM{vmOf("0", "d0"), vmOf("1", "d1"), vmOf("2", "d1"), vmOf("3", "d2"), vmOf("4", "d2")}
@@ -54,7 +54,7 @@
 		{"old run is ignored", []*peerpb.Rumour{{Incarnation: 9, Health: dead}}, board.Alive},
 		{"left beats dead", []*peerpb.Rumour{{Incarnation: 10, Health: dead}, {Incarnation: 10, Health: left}}, board.Left},
 		{"dead does not beat left", []*peerpb.Rumour{{Incarnation: 10, Health: left}, {Incarnation: 10, Health: dead}}, board.Left},
-		{"no such health", []*peerpb.Rumour{{Incarnation: 10, Health: 9}}, board.Alive},
+		{"unknown health value", []*peerpb.Rumour{{Incarnation: 10, Health: 9}}, board.Alive},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -74,14 +74,14 @@
 		name       string
 		rr         *peerpb.Rumour
 		want       Intent // nil is neither DeathRefuted nor Replaced
-		generation uint32 // that Self is in afterwards
+		generation uint32 // of Self afterwards
 	}{
 		{"suspicion is refuted within the incarnation", &peerpb.Rumour{Incarnation: 10, Health: 1}, nil, 0},
-		{"death needs a new life", &peerpb.Rumour{Incarnation: 10, Health: 2}, DeathRefuted{Incarnation: 10}, 1},
-		{"a later death too", &peerpb.Rumour{Incarnation: 10, Health: 2, Refutation: 3<<generationShift + 7}, DeathRefuted{Incarnation: 10}, 4},
-		{"one of a later incarnation needs another", &peerpb.Rumour{Incarnation: 12, Health: 2}, DeathRefuted{Incarnation: 13}, 0},
+		{"death starts a new generation", &peerpb.Rumour{Incarnation: 10, Health: 2}, DeathRefuted{Incarnation: 10}, 1},
+		{"death of a later generation", &peerpb.Rumour{Incarnation: 10, Health: 2, Refutation: 3<<generationShift + 7}, DeathRefuted{Incarnation: 10}, 4},
+		{"death of a later incarnation needs a new incarnation", &peerpb.Rumour{Incarnation: 12, Health: 2}, DeathRefuted{Incarnation: 13}, 0},
 		{"death of an earlier run", &peerpb.Rumour{Incarnation: 9, Health: 2}, nil, 0},
-		{"a later run elsewhere", &peerpb.Rumour{Incarnation: 11, Peer: "10.9.9.9:1"}, Replaced{Incarnation: 11}, 0},
+		{"a later run at another address", &peerpb.Rumour{Incarnation: 11, Peer: "10.9.9.9:1"}, Replaced{Incarnation: 11}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 }
 
 func TestQuorumBySamples(t *testing.T) {
-	// Two VMs in d1 and two in d2; with Self the roster is five.
+	// Two VMs in d1 and two in d2; with Self the roster has five.
 	cases := []struct {
 		name   string
 		acks   map[string]bool
@@ -110,7 +110,7 @@
 		until  clock.Millis
 		nobody bool
 	}{
-		{"no evidence", nil, false, 0, false},
+		{"no probes", nil, false, 0, false},
 		{"one domain is a majority", map[string]bool{"1": true}, true, 1000 + defaultAckTTL, false},
 		{"half of each domain", map[string]bool{"1": true, "2": false, "3": true, "4": false}, true, 1000 + defaultAckTTL, false},
 		{"half of one domain", map[string]bool{"1": true, "2": false}, false, 0, false},
@@ -126,7 +126,7 @@
 			dt.updateQuorum()
 			assert.Equal(t, dt.quorum.quorate, tc.want)
 			assert.Equal(t, dt.quorum.until, tc.until)
-			assert.Equal(t, dt.Quorate(1000+defaultAckTTL), false, "evidence runs out")
+			assert.Equal(t, dt.Quorate(1000+defaultAckTTL), false, "acks expire")
 		})
 	}
 }
@@ -138,7 +138,7 @@
 	assert.Equal(t, dt.suspicionSpan(confirmations), defaultSuspicionMin)
 }
 
-// FuzzReceived feeds what an authenticated but broken peer may send.
+// FuzzReceived feeds datagrams as an authenticated but faulty peer may send them.
 func FuzzReceived(ff *testing.F) {
 	dt := testDetector()
 	for _, in := range dt.Step(600, Tick{}) {
--- a/internal/membership/fault_test.go
+++ b/internal/membership/fault_test.go
@@ -15,7 +15,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// faultyFleet is a settled fleet with 5% loss and pauses of 200 to 800 ms.
+// faultyFleet returns a settled fleet with 5% loss and pauses of 200 to 800 ms.
 func faultyFleet(size, domains int, seed uint64, vr variant) *testFleet {
 	tf := settledFleet(size, domains, seed, vr)
 	tf.run(10 * clock.Second)
@@ -47,7 +47,7 @@
 	return count
 }
 
-// allAlive tells whether all live VMs hold each other alive and are quorate.
+// allAlive reports whether all live VMs see each other as alive and are quorate.
 func (tf *testFleet) allAlive() bool {
 	live := len(tf.live())
 	return tf.countViews(board.Alive) == live*live && tf.quorate() == live
@@ -89,7 +89,7 @@
 		tf.kill(victim)
 		tf.run(20 * clock.Second)
 		dead := tf.detected[victim.self.ID]
-		assert.Equal(t, len(dead), size-1, "each VM holds it dead, once")
+		assert.Equal(t, len(dead), size-1, "each other VM declares it dead once")
 		assert.Assert(t, quantile(dead, 0) > defaultAckTTL+defaultSuspicionMin)
 		assert.Assert(t, quantile(dead, 0.99) <= 17*clock.Second)
 		assert.Assert(t, quantile(tf.suspected[victim.self.ID], 0.5) <= 6*clock.Second)
@@ -132,19 +132,19 @@
 		for _, vm := range tf.vms {
 			for _, other := range vm.fleet.VMs {
 				same := other.Region == vm.self.Region || (other.Region != "region-2" && vm.self.Region != "region-2")
-				assert.Equal(t, other.Health == board.Dead, !same, "%s holds %s %v", vm.self.ID, other.ID, other.Health)
+				assert.Equal(t, other.Health == board.Dead, !same, "%s sees %s as %v", vm.self.ID, other.ID, other.Health)
 			}
 		}
 		tf.cut = nil
 		assert.Assert(t, tf.runUntil(clock.Minute, tf.allAlive))
 		assert.Equal(t, tf.unfenced, 0)
 		assert.Equal(t, tf.resurrected, 0)
-		assert.Equal(t, tf.refutations(minority), len(minority), "each VM of the minority was told of its death")
-		assert.Equal(t, tf.refutations(tf.vms), len(minority), "no VM of the majority was")
+		assert.Equal(t, tf.refutations(minority), len(minority), "each VM of the minority refutes its death")
+		assert.Equal(t, tf.refutations(tf.vms), len(minority), "no VM of the majority refutes a death")
 	})
 }
 
-// Without DeadDelay the check above finds VMs that are not fenced.
+// Without DeadDelay, the unfenced check of the partition test must find VMs.
 func TestFencingNeedsDeadDelay(t *testing.T) {
 	t.Parallel()
 	unfenced := 0
@@ -168,10 +168,10 @@
 	}
 	tf.run(clock.Minute)
 	assert.Equal(t, tf.quorate(), 0)
-	assert.Equal(t, tf.countViews(board.Dead), 32, "each half serves on without the other")
+	assert.Equal(t, tf.countViews(board.Dead), 32, "each half sees the other as dead")
 	tf.cut = nil
 	assert.Assert(t, tf.runUntil(30*clock.Second, tf.allAlive))
-	assert.Equal(t, tf.refutations(tf.vms), 0, "neither half told the other of its death")
+	assert.Equal(t, tf.refutations(tf.vms), 0, "neither half reports the other's death")
 }
 
 func TestPausedVMWakes(t *testing.T) {
@@ -184,7 +184,7 @@
 		assert.Assert(t, paused.quorateUntil <= pausedAt+defaultAckTTL)
 		tf.run(2 * clock.Second)
 		for _, vm := range paused.fleet.VMs {
-			assert.Assert(t, vm.Health != board.Dead, "the waking VM holds %s dead", vm.ID)
+			assert.Assert(t, vm.Health != board.Dead, "the resumed VM declared %s dead", vm.ID)
 		}
 		assert.Assert(t, tf.runUntil(clock.Minute, tf.allAlive))
 		assert.Equal(t, paused.refutedDeaths, 1)
@@ -236,7 +236,7 @@
 	assert.Equal(t, leaver.dt.Quorate(tf.now), false)
 }
 
-// Four of seven are gone; when the VM list agrees, three are a majority.
+// Four of seven VMs are killed. Once the VM list drops them, the other three are a majority.
 func TestRosterShrinks(t *testing.T) {
 	t.Parallel()
 	tf := newFleet(7, 4, 1, variant{})
@@ -256,7 +256,7 @@
 	assert.Equal(t, len(tf.vms[5].fleet.VMs), 3)
 }
 
-// All VMs of a fleet start at once, with nothing but the VM list.
+// All VMs of a fleet start at once and know only the VM list.
 func TestFleetStarts(t *testing.T) {
 	t.Parallel()
 	tf := newFleet(96, 8, 1, variant{})
@@ -266,8 +266,8 @@
 	assert.Equal(t, tf.refutations(tf.vms), 0)
 }
 
-// Two VMs and a third that was cut off from them for 2.3 s suspect each
-// other; found by TestRandomFaultsConverge.
+// A VM that was partitioned from two others for 2.3 s and those two suspect each other.
+// Each must receive the other's refutation.
 func TestMutualSuspicionIsRefuted(t *testing.T) {
 	t.Parallel()
 	tf := newFleet(3, 4, 0, variant{})
@@ -282,9 +282,8 @@
 	assert.Equal(t, tf.refutations(tf.vms), 0)
 }
 
-// VM 1 changes from one side to the other: what it said on the one side must
-// not make a majority there while it makes another one here. Also found by
-// TestRandomFaultsConverge.
+// VM 1 moves from one side of a partition to the other. Its acks on the first side must
+// not complete a majority there while it is part of another majority here.
 func TestMajoritiesDoNotOverlap(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -302,8 +301,8 @@
 	}
 }
 
-// A cut through all failure domains leaves no domain that is not reached, so
-// the sample alone tells the sides apart too late in a large fleet.
+// A partition that crosses all failure domains leaves no domain unreached, so in a large
+// fleet the sample of acks alone detects it too late.
 func TestCutThroughDomainsFences(t *testing.T) {
 	t.Parallel()
 	tf := settledFleet(200, 8, 1, variant{})
@@ -321,8 +320,8 @@
 	}
 }
 
-// Whatever happens, no VM is held dead while it may start work, and when it
-// is calm again all views agree with what is.
+// Under random faults, no VM is declared dead while it may start work. Once the faults
+// end, all views match the actual state.
 func TestRandomFaultsConverge(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -368,8 +367,8 @@
 	}
 }
 
-// TestMain fixes the seed of the property test, so that a run gives the same
-// verdict each time; -rapid.seed=0 -rapid.checks=1000 looks for new faults.
+// TestMain fixes the seed of the property test, so that each run has the same result;
+// -rapid.seed=0 -rapid.checks=1000 searches for new faults.
 func TestMain(m *testing.M) {
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.nofailfile", "true")); err != nil {
 		panic(err)
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -13,15 +13,15 @@
 	"alderdyke/pkg/clock"
 )
 
-// packetOverhead is what IPv4 and UDP add to a datagram.
+// packetOverhead is the size of the IPv4 and UDP headers of a datagram.
 const packetOverhead = 28
 
-// neverSeen is the health of a VM that was listed but never heard of.
+// neverSeen is the health of a VM that was listed but never responded.
 const neverSeen board.Health = -1
 
 type (
-	// testFleet exchanges datagrams between real detectors under virtual
-	// time, with loss, delay, pauses, deaths and cuts.
+	// testFleet exchanges datagrams between real detectors in virtual time, with
+	// loss, delay, pauses, deaths and partitions.
 	testFleet struct {
 		now       clock.Millis
 		rnd       *rand.Rand
@@ -31,25 +31,25 @@
 		seq       int
 		loss      float64
 		cut       func(from, to *testVM) bool
-		countFrom clock.Millis // nothing is counted before
-		// pauseEvery is the mean span between pauses of a VM; zero is none.
+		countFrom clock.Millis // false suspicions and deaths are counted from here on
+		// pauseEvery is the mean span between pauses of a VM; zero: no pauses.
 		pauseEvery clock.Millis
-		// unstable VMs pause 2 to 4 s again and again; what is thought of them is
-		// not counted as false.
+		// unstable VMs pause repeatedly for 2 to 4 s; suspicions and deaths of
+		// them do not count as false.
 		unstable map[string]bool
 
-		suspects, deaths map[string]int // views of live VMs, by ID
+		suspects, deaths map[string]int // number of live VMs with that view, by ID
 		falseSuspicions  int
 		falseDeaths      int
-		unfenced         int // VMs quorate while a quorate VM held them dead
-		resurrected      int // VMs held dead by a quorate one and then alive in the same life
+		unfenced         int // VMs that were quorate while a quorate VM saw them as dead
+		resurrected      int // VMs that a quorate VM saw as dead and then as alive in the same generation
 		largest          int
 		killed           map[string]clock.Millis
 		suspected        map[string][]clock.Millis
 		detected         map[string][]clock.Millis
 	}
 
-	// variant is a detector to compare.
+	// variant is a detector configuration to compare.
 	variant struct {
 		name     string
 		settings Settings
@@ -63,14 +63,14 @@
 		pausedUntil   clock.Millis
 		tickAt        clock.Millis
 		fleet         *board.Fleet
-		generations   map[string]generation // of the other VMs, in its last snapshot
+		generations   map[string]generation // of the other VMs, according to its last snapshot
 		quorateUntil  clock.Millis
 		refutedDeaths int
 		sent, got     traffic
 	}
 
-	// generation is one span of a VM's time, from its start or from when it was
-	// told that it was held dead.
+	// generation is one span of a VM's existence, from its start or from when it
+	// learned that it was declared dead.
 	generation struct {
 		incarnation uint64
 		deaths      uint32
@@ -83,7 +83,7 @@
 		seq int
 		vm  *testVM
 		ev  Event // nil pauses the VM
-		// size is that of the datagram that is received.
+		// size is the size of the received datagram.
 		size int
 	}
 
@@ -106,8 +106,8 @@
 	return last
 }
 
-// newFleet makes VMs spread over failure domains in three regions and starts
-// them all at once with the whole list.
+// newFleet creates VMs in failure domains of three regions, and starts all of them
+// at once with the complete list.
 func newFleet(size, domains int, seed uint64, vr variant) *testFleet {
 	tf := stoppedFleet(size, domains, seed, vr)
 	for _, vm := range tf.vms {
@@ -116,8 +116,8 @@
 	return tf
 }
 
-// settledFleet makes a fleet whose VMs know each other for long, which saves
-// the work of a start of all at once.
+// settledFleet creates a fleet whose VMs already know each other, which saves the
+// simulation of a simultaneous start.
 func settledFleet(size, domains int, seed uint64, vr variant) *testFleet {
 	tf := stoppedFleet(size, domains, seed, vr)
 	for _, vm := range tf.vms {
@@ -172,7 +172,7 @@
 	return vm
 }
 
-// restart replaces the process of a VM by a new one under the same ID.
+// restart replaces the process of a VM by a new one with the same ID.
 func (tf *testFleet) restart(vm *testVM, seed uint64) {
 	self := vm.self
 	self.Incarnation += uint64(tf.now) + 1
@@ -206,7 +206,7 @@
 	heap.Push(&tf.queue, ev)
 }
 
-// run passes the time up to a span from now.
+// run advances the time by a span and handles the events that are due.
 func (tf *testFleet) run(span clock.Millis) {
 	end := tf.now + span
 	for len(tf.queue) > 0 && tf.queue[0].at <= end {
@@ -230,7 +230,7 @@
 func (tf *testFleet) handle(ev event) {
 	if _, ok := ev.ev.(Tick); ok {
 		if ev.at < ev.vm.tickAt {
-			return // replaced by a later wish
+			return // replaced by a later Wake
 		}
 		ev.vm.tickAt = 0
 	}
@@ -247,7 +247,7 @@
 	}
 }
 
-// schedulePause sets when a VM pauses next: an ill one every 5 s.
+// schedulePause sets when a VM pauses next: an unstable one every 5 s on average.
 func (tf *testFleet) schedulePause(vm *testVM) {
 	switch {
 	case tf.unstable[vm.self.ID]:
@@ -264,7 +264,7 @@
 	return 200 + clock.Millis(tf.rnd.Int64N(601))
 }
 
-// add counts one datagram of so many encoded bytes.
+// add counts one datagram of the given encoded size.
 func (tr *traffic) add(size int) {
 	tr.messages++
 	tr.bytes += size + packetOverhead
@@ -310,7 +310,7 @@
 	tf.pushEvent(event{at: tf.now + delay, vm: to, ev: Received{Datagram: in.Datagram}, size: size})
 }
 
-// compareSnapshots counts what a new snapshot changed in the view of one VM.
+// compareSnapshots counts the changes between two snapshots of one VM.
 func (tf *testFleet) compareSnapshots(vm *testVM, fl *board.Fleet) {
 	old := vm.fleet
 	vm.fleet = fl
@@ -341,7 +341,7 @@
 	}
 }
 
-// checkFenced is checkFence for a VM that becomes quorate.
+// checkFenced applies checkFence to a VM that becomes quorate.
 func (tf *testFleet) checkFenced(target *testVM) {
 	for _, vm := range tf.live() {
 		if vm.fleet == nil || vm.quorateUntil <= tf.now {
@@ -353,8 +353,8 @@
 	}
 }
 
-// checkFence counts a VM that a quorate one holds dead while it may still
-// start work in the same life.
+// checkFence counts a VM that a quorate VM sees as dead while it may still start work in
+// the same generation.
 func (tf *testFleet) checkFence(holder *testVM, held board.VM) {
 	target := tf.byID[held.ID]
 	if target.up && target.quorateUntil > tf.now && target.generation() == holder.generationSeen(held) {
@@ -362,12 +362,12 @@
 	}
 }
 
-// generation is a VM's own count of its lives, in the order of its incarnations.
+// generation returns a VM's own generation.
 func (vm *testVM) generation() generation {
 	return generation{vm.dt.Self.Incarnation, generationOf(vm.dt.refutation)}
 }
 
-// generationSeen is the life in which a VM holds another one.
+// generationSeen returns the generation in which a VM sees another one.
 func (vm *testVM) generationSeen(other board.VM) generation {
 	lf := generation{incarnation: other.Incarnation}
 	if mb := vm.dt.table.byID[other.ID]; mb != nil {
@@ -380,7 +380,7 @@
 	return cmp.Or(cmp.Compare(lf.incarnation, other.incarnation), cmp.Compare(lf.deaths, other.deaths)) <= 0
 }
 
-// healthOf tells a VM that was never heard of from a dead one.
+// healthOf distinguishes a VM that never responded from a dead one.
 func healthOf(vm board.VM) board.Health {
 	if vm.Incarnation == 0 {
 		return neverSeen
@@ -419,7 +419,7 @@
 	}
 }
 
-// countViews counts in how many pairs of live VMs the first holds the second so.
+// countViews counts the pairs of live VMs in which the first sees the second with a health.
 func (tf *testFleet) countViews(hl board.Health) int {
 	count := 0
 	for _, vm := range tf.vms {
@@ -449,15 +449,15 @@
 	return count
 }
 
-// resetTraffic begins the count of traffic anew.
+// resetTraffic resets the traffic counts.
 func (tf *testFleet) resetTraffic() {
 	for _, vm := range tf.vms {
 		vm.sent, vm.got = traffic{}, traffic{}
 	}
 }
 
-// perVM returns bytes and messages a second, sent and received together, for
-// the mean live VM and for the busiest.
+// perVM returns bytes and messages per second, sent and received together: the mean of
+// the live VMs, and the bytes of the busiest one.
 func (tf *testFleet) perVM(span clock.Millis) (bytes, messages, most float64) {
 	sec := float64(span) / float64(clock.Second)
 	for _, vm := range tf.live() {
@@ -478,7 +478,7 @@
 	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
 }
 
-// regionCut separates region-2 from the others.
+// regionCut disconnects region-2 from the others.
 func regionCut(from, to *testVM) bool {
 	return (from.self.Region == "region-2") != (to.self.Region == "region-2")
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	maxOpenProbes   = 256 // own probes that wait for an ack
-	maxDirectProbes = 192 // of them, those that no helper is asked for
-	maxRelays       = 64  // probes on behalf of others that wait for one
+	maxOpenProbes   = 256 // own probes that await an ack
+	maxDirectProbes = 192 // open probes above which no probe without helpers is sent
+	maxRelays       = 64  // probes on behalf of others that await an ack
 
 	// maxDeadProbeShare is the largest share of periods in which a dead VM is
-	// probed too, to find out when a partition ends.
+	// probed as well, to detect when a partition heals.
 	maxDeadProbeShare = 0.25
-	// A failure domain without an ack for this share of AckTTL makes this VM
-	// probe one more VM there.
+	// A failure domain without an ack for this fraction of AckTTL gets one
+	// more probe.
 	staleNumerator, staleDenominator = 9, 10
 )
 
 type (
-	// prober holds the probes of this VM.
+	// prober holds the state of this VM's probes and relays.
 	prober struct {
 		next     clock.Millis // when the next period begins
-		round    []*member    // still to be probed in this round
-		inserted int          // of them, those put in since the round was laid out
+		round    []*member    // members still to be probed in this round
+		inserted int          // of them, members added since the round started
 		number   uint64
 		open     map[uint64]*probe
 		relays   map[uint64]relay
 	}
 
-	// probe is one probe without a verdict yet.
+	// probe is one probe in progress.
 	probe struct {
 		number        uint64
 		target        *member
-		directOnly    bool // no helper is asked, and it is no fair sample of the fleet
+		directOnly    bool // no helpers are requested, and the result is not a fair sample of the fleet
 		sent          clock.Millis
-		nextAt        clock.Millis // when the next helper is asked, or the verdict falls
+		nextAt        clock.Millis // when the next helper is requested, or the probe fails
 		deadline      clock.Millis
-		helpers       []*member // chosen when the first is needed
+		helpers       []*member // chosen when the first one is needed
 		helpersAsked  int
-		helpersMissed int // helpers that said that they got no ack either
+		helpersMissed int // helpers that reported a missed ack
 	}
 
-	// relay is a probe on behalf of another VM.
+	// relay is an indirect probe on behalf of another VM.
 	relay struct {
 		requester string
 		number    uint64
 		target    *member
-		deadline  clock.Millis // when the asker is told that no ack came
-		expires   clock.Millis // a later ack is still forwarded until then
+		deadline  clock.Millis // when a missed ack is reported to the requester
+		expires   clock.Millis // until when a late ack is still forwarded
 	}
 )
 
@@ -61,7 +61,7 @@
 	return &peerpb.Datagram{Body: &peerpb.Datagram_Notice{Notice: &peerpb.Notice{}}}
 }
 
-// send fills in the ends and the rumours of a datagram.
+// send addresses a datagram, attaches rumours to it and emits it.
 func (dt *Detector) send(to *member, dg *peerpb.Datagram) {
 	dg.From = dt.Self.ID
 	dg.Incarnation = dt.Self.Incarnation
@@ -70,7 +70,7 @@
 	dt.out = append(dt.out, Send{To: to.vm, Datagram: dg})
 }
 
-// addToRound gives a new member a random place in the round that runs.
+// addToRound inserts a new member at a random position of the current round.
 func (pb *prober) addToRound(mb *member, rnd *rand.Rand) {
 	if !slices.Contains(pb.round, mb) {
 		pb.round = slices.Insert(pb.round, rnd.IntN(len(pb.round)+1), mb)
@@ -78,8 +78,8 @@
 	}
 }
 
-// probeRound sends the probes of one period: the next VM of the round, now
-// and then a dead one, and one in a failure domain without a fresh ack.
+// probeRound sends the probes of one period: to the next VM of the round,
+// sometimes to a dead one, and to one in a failure domain without a recent ack.
 func (dt *Detector) probeRound() {
 	target := dt.nextInRound()
 	if target != nil {
@@ -99,7 +99,7 @@
 
 func (dt *Detector) nextInRound() *member {
 	if dt.prober.inserted > len(dt.prober.round)/4 {
-		dt.startRound() // too many at random to be a sample of all domains
+		dt.startRound() // too many random positions for the round to sample all domains evenly
 	}
 	for range 2 {
 		for len(dt.prober.round) > 0 {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// startRound begins a round. It shuffles the VMs so that those of each failure domain are spread
-// evenly over the round: any stretch of it is a sample of all domains.
+// startRound starts a round. It shuffles the VMs so that those of each failure
+// domain are spread evenly over the round, and any part of it samples all domains.
 func (dt *Detector) startRound() {
 	type placed struct {
 		mb *member
@@ -143,13 +143,13 @@
 	dt.prober.inserted = 0
 }
 
-// domainPhase of a failure domain within the round, the same in every round, so
-// that the span between two probes there stays the same too.
+// domainPhase returns the offset of a failure domain within a round. It is the same
+// in every round, so that the span between two probes of the domain stays the same.
 func (dt *Detector) domainPhase(domain string) float64 {
 	return float64(hashOf(dt.Self.ID+"\x00"+domain)&(1<<31-1)) / (1 << 31)
 }
 
-// deadMembers lists the VMs that may come back.
+// deadMembers lists the dead VMs, which may recover.
 func (dt *Detector) deadMembers() []*member {
 	var dead []*member
 	for _, mb := range dt.table.members {
@@ -160,7 +160,7 @@
 	return dead
 }
 
-// sendProbe probes a member, alone or with the help of others.
+// sendProbe probes a member, with or without the help of others.
 func (dt *Detector) sendProbe(mb *member, alone bool) {
 	if len(dt.prober.open) >= maxOpenProbes || (alone && len(dt.prober.open) >= maxDirectProbes) {
 		return
@@ -184,7 +184,7 @@
 	}}}
 }
 
-// expireProbes asks helpers and passes verdicts.
+// expireProbes requests helpers that are due, and ends probes and relays that timed out.
 func (dt *Detector) expireProbes() {
 	for _, number := range sortedKeys(dt.prober.open) {
 		pr := dt.prober.open[number]
@@ -209,7 +209,8 @@
 	}
 }
 
-// sendIndirectProbe asks the next helper of a probe, or lets it wait for its verdict.
+// sendIndirectProbe requests the next helper of a probe. After the last one the
+// probe only awaits its deadline.
 func (dt *Detector) sendIndirectProbe(pr *probe) {
 	if pr.helpers == nil {
 		pr.helpers = dt.chooseHelpers(pr.target)
@@ -233,8 +234,8 @@
 	}
 }
 
-// chooseHelpers picks VMs that reach the target on different paths: the
-// first in the target's failure domain, the others each in another one.
+// chooseHelpers selects VMs that reach the target over different paths: the
+// first in the target's failure domain, the others each in a different one.
 func (dt *Detector) chooseHelpers(target *member) []*member {
 	var near, apart, rest []*member
 	seen := map[string]bool{target.vm.FailureDomain: true}
@@ -255,8 +256,8 @@
 	return all[:min(len(all), dt.Settings.Helpers)]
 }
 
-// handleMissedProbe passes the verdict that the target did not answer. If no
-// helper answered either, this VM may itself be the one in trouble.
+// handleMissedProbe handles a probe that was not acked in time. If no helper
+// answered either, the fault may be local to this VM.
 func (dt *Detector) handleMissedProbe(pr *probe) {
 	dt.Counters.Missed++
 	mb := pr.target
@@ -269,7 +270,7 @@
 	switch {
 	case !mb.confirmed:
 		mb.missedProbes++
-	case mb.maybeAlive() && !pr.directOnly: // alone, one lost datagram would do
+	case mb.maybeAlive() && !pr.directOnly: // a single lost datagram must not cause a suspicion
 		dt.recordSample(pr, false)
 		dt.suspectMissed(mb)
 	}
@@ -286,7 +287,7 @@
 	dt.suspect(mb, dt.selfHash)
 }
 
-// receive takes in a datagram.
+// receive handles a datagram.
 func (dt *Detector) receive(dg *peerpb.Datagram) {
 	if dg.GetTo() != dt.Self.ID || dg.GetFrom() == "" || dg.GetFrom() == dt.Self.ID ||
 		dg.GetIncarnation() == 0 || dg.GetIncarnation() >= maxIncarnation || dg.GetBody() == nil {
@@ -310,7 +311,7 @@
 	dt.staleAtSender = nil
 }
 
-// sendCorrection tells a VM that it uses an incarnation that it had before.
+// sendCorrection tells a VM that it uses an outdated incarnation.
 func (dt *Detector) sendCorrection(from *member) {
 	if from == nil || !from.confirmed || dt.left {
 		return
@@ -368,7 +369,7 @@
 	}
 }
 
-// handleAck ends a probe of this VM, or forwards the ack to whom it was for.
+// handleAck completes a probe of this VM, or forwards the ack to the VM that requested it.
 func (dt *Detector) handleAck(from *member, ack *peerpb.Ack) {
 	if ack.GetTarget() == "" {
 		if rl, ok := dt.prober.relays[ack.GetNumber()]; ok && rl.target == from {
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -8,40 +8,41 @@
 	"alderdyke/pkg/clock"
 )
 
-// samplingThreshold is the size of a fleet above which the acks within AckTTL are only a
-// sample. A cut through all failure domains then shows in what this side
-// doubts sooner than in the sample.
+// samplingThreshold is the fleet size above which the acks within AckTTL are only
+// a sample. A partition that crosses all failure domains is then visible in this
+// side's suspicions earlier than in the sample.
 const samplingThreshold = 16
 
 type (
-	// quorum is the evidence that this VM reaches a majority of the roster.
+	// quorum holds the evidence that this VM reaches a majority of the roster.
 	quorum struct {
-		samples       []sample // sorted by when the probe was sent
+		samples       []sample // sorted by the time when the probe was sent
 		quorate       bool
-		lostOnce      bool         // it was quorate, and then not
-		majoritySince clock.Millis // since when a majority is reached without a break; zero is not
-		until         clock.Millis // when the evidence runs out without new acks
+		lostOnce      bool         // this VM was quorate and lost it
+		majoritySince clock.Millis // start of the uninterrupted majority; zero if there is none
+		until         clock.Millis // when the majority expires without new acks
 
-		stale   bool // the counts below need to be made again
-		roster  int  // VMs over which a majority is counted, with Self
-		alive   int  // of them, those that nobody is known to doubt, with Self
+		stale   bool // the counts below must be recomputed
+		roster  int  // VMs over which a majority is counted, including Self
+		alive   int  // of them, those not suspected, including Self
 		domains map[string]*tally
 	}
 
-	// sample is the last verdict about one VM. It dates from when its probe
-	// was sent: an ack proves that the VM was reached after that point.
+	// sample is the latest probe result of one VM. It is dated by when the
+	// probe was sent, since an ack proves only that the VM was reached after
+	// that point.
 	sample struct {
 		mb   *member
 		sent clock.Millis
 		ok   bool
 	}
 
-	// tally counts one failure domain.
+	// tally holds the counts of one failure domain.
 	tally struct{ maybeAlive, acked, missed int }
 )
 
-// recordSample records the verdict of a probe. Probes of VMs that are doubted
-// already are left out: they would weigh more than their share.
+// recordSample records the result of a probe. Direct-only probes, such as those of
+// suspected VMs, are skipped because they would be overrepresented.
 func (dt *Detector) recordSample(pr *probe, ok bool) {
 	if pr.directOnly {
 		return
@@ -67,10 +68,9 @@
 	return last
 }
 
-// updateQuorum estimates how many VMs of the roster are reached. In each
-// failure domain the share of acked probes among the fresh ones stands for
-// all VMs that may be alive there; a domain without a fresh ack counts as not
-// reached.
+// updateQuorum estimates how many VMs of the roster are reached. In each failure
+// domain, the share of acked probes among the recent ones stands for all VMs that
+// may be alive there. A domain without a recent ack counts as not reached.
 func (dt *Detector) updateQuorum() {
 	qr := &dt.quorum
 	oldest := dt.now - dt.Settings.AckTTL
@@ -103,9 +103,9 @@
 	}
 }
 
-// majoritySettled tells whether the majority is reached for long enough. A VM that
-// lost it waits for AckTTL: until then, a VM that it still cannot reach may be
-// quorate by older acks of the same VMs, and may hold this one dead.
+// majoritySettled reports whether the majority has been reached for long enough. A
+// VM that lost it waits for AckTTL: until then, a VM that it still cannot reach may
+// be quorate through older acks of the same VMs, and may have declared this one dead.
 func (dt *Detector) majoritySettled() bool {
 	if dt.quorum.majoritySince == 0 {
 		dt.quorum.majoritySince = dt.now
@@ -121,8 +121,8 @@
 	ta.missed += by
 }
 
-// countDomains counts the roster with Self, and the VMs of each failure
-// domain that may be alive, without Self. The verdicts start at zero.
+// countDomains counts the roster including Self, and the VMs of each failure domain
+// that may be alive, excluding Self. It resets the counts of probe results.
 func (dt *Detector) countDomains() {
 	qr := &dt.quorum
 	if !qr.stale {
@@ -153,11 +153,11 @@
 	}
 }
 
-// majority tells whether more than half of the roster is reached.
+// majority reports whether more than half of the roster is reached.
 func (qr *quorum) majority() bool {
-	// The sum of shares is not exact; the slack is far below the share of
-	// one VM and keeps exactly half from counting as more. It also covers
-	// that maps are walked, and so summed, in any order.
+	// The floating-point sum of shares is inexact. The slack is far below the
+	// share of one VM and keeps exactly half from counting as a majority. It
+	// also absorbs that map iteration sums in varying order.
 	const slack = 1e-6
 	if qr.roster > samplingThreshold && 2*qr.alive <= qr.roster {
 		return false
@@ -171,7 +171,7 @@
 	return 2*reached > float64(qr.roster)+slack
 }
 
-// majorityExpiry tells when the majority is lost if no further ack comes.
+// majorityExpiry returns when the majority is lost if no further ack arrives.
 func (dt *Detector) majorityExpiry() clock.Millis {
 	qr := &dt.quorum
 	for _, sm := range qr.samples {
@@ -180,11 +180,11 @@
 			return sm.sent + dt.Settings.AckTTL
 		}
 	}
-	return dt.now + dt.Settings.AckTTL // a roster of this VM alone
+	return dt.now + dt.Settings.AckTTL // the roster is this VM alone
 }
 
-// memberOfStaleDomain picks a VM of the failure domain that was without an ack for
-// longest, if that is so long that its evidence will run out.
+// memberOfStaleDomain returns a random VM of the failure domain whose last ack is the
+// oldest, if it is so old that it will soon expire; nil otherwise.
 func (dt *Detector) memberOfStaleDomain() *member {
 	last := make(map[string]clock.Millis)
 	for _, sm := range dt.quorum.samples {
--- a/internal/membership/rumour.go
+++ b/internal/membership/rumour.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// retransmitFactor is how often a rumour is sent for each doubling of the fleet.
+	// retransmitFactor is how often a rumour is sent for each doubling of the fleet size.
 	retransmitFactor = 2
-	// rumourOverhead is the tag and length that a rumour costs in a datagram.
+	// rumourOverhead is the size of a rumour's tag and length in a datagram.
 	rumourOverhead = 3
-	// rumourBudget is for the rumours of one datagram, in bytes. When much
-	// changes at once, it trades the speed of rumours for a bounded rate.
+	// rumourBudget is the space for rumours in one datagram, in bytes. When many
+	// VMs change at once, it bounds the traffic at the cost of slower rumours.
 	rumourBudget = 400
-	// introductionPeriod is how long this VM adds its address to what it sends to
-	// a VM that is new or came back, and that may not know it yet.
+	// introductionPeriod is how long this VM adds its address to datagrams to a
+	// VM that is new or recovered, since that VM may not know it yet.
 	introductionPeriod = 10 * clock.Second
-	// addressPeriod is how long rumours about a new VM hold its address even
-	// if it had to refute a suspicion.
+	// addressPeriod is how long rumours about a new VM contain its address, even
+	// if the VM had to refute a suspicion.
 	addressPeriod = clock.Minute
-	// Limits of what a rumour may hold: counters that can still grow, and a
-	// size that fits a datagram beside others.
+	// Limits of a rumour: its counters must be able to grow, and it must fit in
+	// a datagram beside others.
 	maxIncarnation = 1 << 62
 	maxRefutation  = 1 << 30
 	maxRumourSize  = 350
@@ -35,21 +35,21 @@
 )
 
 type (
-	// rumours waits to be told, the least told first.
+	// rumours is the queue of rumours to send, the least sent first.
 	rumours struct{ queue []rumour }
 
-	// rumour names the VM that it is about; what is told is the state of
-	// that VM at the time of sending. by is the hash of the VM that suspects it.
+	// rumour refers to the VM that it is about; its content is that VM's state
+	// at the time of sending. by is the hash of the VM that suspects it.
 	rumour struct {
 		id    string
 		by    uint32
 		sent  int
-		brief bool // others say the same about now: a quarter of the sends will do
+		brief bool // others start the same rumour at this time, so a quarter of the sends is enough
 	}
 )
 
-// push queues a rumour, or starts it again. A rumour about a VM itself
-// replaces the suspicions about it.
+// push queues a rumour, or restarts it. A rumour about a VM's own state replaces
+// the suspicions of it.
 func (rm *rumours) push(id string, by uint32) {
 	rm.queue = slices.DeleteFunc(rm.queue, func(ru rumour) bool {
 		return ru.id == id && (by == 0 || ru.by == by || ru.by == 0)
@@ -57,7 +57,7 @@
 	rm.queue = append(rm.queue, rumour{id: id, by: by})
 }
 
-// markBrief tells rumours about a VM fewer times: others find them out too.
+// markBrief reduces how often rumours about a VM are sent, since others start them too.
 func (rm *rumours) markBrief(id string) {
 	for ix := range rm.queue {
 		if rm.queue[ix].id == id {
@@ -66,13 +66,13 @@
 	}
 }
 
-// pushBrief queues a rumour that others find out too.
+// pushBrief queues a rumour that others start too.
 func (rm *rumours) pushBrief(id string, by uint32) {
 	rm.push(id, by)
 	rm.queue[len(rm.queue)-1].brief = true
 }
 
-// exhausted tells whether a rumour was told often enough.
+// exhausted reports whether a rumour was sent often enough.
 func (ru rumour) exhausted(limit int) bool {
 	if ru.brief {
 		limit = (limit + 3) / 4
@@ -80,8 +80,8 @@
 	return ru.sent >= limit
 }
 
-// countReceived counts a rumour that another VM told as told: the more know it, the
-// less it needs to be spread.
+// countReceived counts a rumour received from another VM as sent: the more VMs
+// know it, the less it needs to be disseminated.
 func (rm *rumours) countReceived(id string, by uint32) {
 	for ix := range rm.queue {
 		if ru := &rm.queue[ix]; ru.id == id && (ru.by == by || ru.by == 0) {
@@ -94,8 +94,8 @@
 	rm.queue = slices.DeleteFunc(rm.queue, func(ru rumour) bool { return ru.id == id })
 }
 
-// attachRumours fills a datagram with rumours up to its limit. What this VM doubts
-// about the addressee goes first, so that the addressee can refute it.
+// attachRumours fills a datagram with rumours up to its limit. A suspicion of the
+// recipient goes first, so that the recipient can refute it.
 func (dt *Detector) attachRumours(to *member, dg *peerpb.Datagram) {
 	room := dt.Settings.MaxDatagram - proto.Size(dg) - maxSequenceSize
 	if !to.confirmed || dt.now-to.joinedAt < introductionPeriod {
@@ -105,8 +105,8 @@
 		room = dt.appendRumour(dg, room, dt.memberRumour(to, dt.selfHash, false))
 	}
 	if to.confirmed && to.vm.Health != board.Alive {
-		// It is likely that nobody reads the rest. But two VMs may suspect
-		// each other, so a refutation is told.
+		// The recipient is probably not running, so the queue is not sent. But
+		// two VMs may suspect each other, so this VM's refutation is included.
 		self := dt.selfRumour()
 		dt.appendRumour(dg, room, &peerpb.Rumour{
 			VM: self.GetVM(), Incarnation: self.GetIncarnation(),
@@ -138,7 +138,7 @@
 	dt.rumours.queue = queue
 }
 
-// appendRumour adds a rumour if there is room for it, and returns the room left.
+// appendRumour adds a rumour if it fits, and returns the space left.
 func (dt *Detector) appendRumour(dg *peerpb.Datagram, room int, rr *peerpb.Rumour) int {
 	need := proto.Size(rr) + rumourOverhead
 	if need > room {
@@ -148,7 +148,7 @@
 	return room - need
 }
 
-// encodeRumour makes the message of a queued rumour; nil if it no longer holds.
+// encodeRumour returns the message for a queued rumour; nil if it no longer applies.
 func (dt *Detector) encodeRumour(ru rumour) *peerpb.Rumour {
 	if ru.id == dt.Self.ID {
 		return dt.selfRumour()
@@ -170,7 +170,7 @@
 	return rr
 }
 
-// memberRumour tells the state of a member, with its places if whole.
+// memberRumour describes the state of a member, with its addresses if whole.
 func (dt *Detector) memberRumour(mb *member, by uint32, whole bool) *peerpb.Rumour {
 	rr := &peerpb.Rumour{VM: mb.vm.ID, Incarnation: mb.vm.Incarnation, Health: uint32(mb.vm.Health)}
 	if whole {
@@ -200,7 +200,7 @@
 	}
 }
 
-// applyRumours takes in the rumours of a datagram. It tells whether any was news.
+// applyRumours applies the rumours of a datagram, and reports whether any was new.
 func (dt *Detector) applyRumours(dg *peerpb.Datagram) bool {
 	_, bySync := dg.GetBody().(*peerpb.Datagram_SyncReply)
 	news := false
@@ -211,13 +211,13 @@
 		}
 		news = true
 		if bySync {
-			dt.rumours.drop(rr.GetVM()) // others know it for long
+			dt.rumours.drop(rr.GetVM()) // already known to others
 		}
 	}
 	return news
 }
 
-// applyRumour takes in one rumour. It tells whether the rumour was news.
+// applyRumour applies one rumour, and reports whether it was new.
 func (dt *Detector) applyRumour(rr *peerpb.Rumour) bool {
 	hl := board.Health(rr.GetHealth())
 	if !wellFormed(rr) {
@@ -255,7 +255,7 @@
 		rr.GetRefutation() < maxRefutation && proto.Size(rr) <= maxRumourSize
 }
 
-// applySelfRumour refutes a doubt, unless another process runs under this ID.
+// applySelfRumour refutes a suspicion or death of Self, unless another process runs under this ID.
 func (dt *Detector) applySelfRumour(rr *peerpb.Rumour, hl board.Health) {
 	later := rr.GetIncarnation() > dt.Self.Incarnation
 	switch {
@@ -270,14 +270,14 @@
 	}
 }
 
-// noNewerGeneration tells whether a rumour knows of no refuted death that this VM does
-// not know of.
+// noNewerGeneration reports whether a rumour is of the member's incarnation and of no
+// later generation than this VM knows of.
 func (mb *member) noNewerGeneration(rr *peerpb.Rumour) bool {
 	return rr.GetIncarnation() == mb.vm.Incarnation && generationOf(rr.GetRefutation()) <= generationOf(mb.refutation)
 }
 
-// notifyDead lets a VM know that this one holds it dead. What it ran may have
-// been taken over, so it must go on in a new life, even if it refuted the
+// notifyDead informs a VM that this one declared it dead. Its work may have been
+// taken over, so it must continue in a new generation, even if it refuted the
 // suspicion elsewhere.
 func (dt *Detector) notifyDead(mb *member) {
 	if len(dt.prober.open) < maxOpenProbes/8 {
@@ -285,8 +285,8 @@
 	}
 }
 
-// addMember takes in a VM that was not known. Without its address there is
-// nothing to be done with it.
+// addMember adds a VM that was not known. A rumour without an address is ignored,
+// since the VM could not be reached.
 func (dt *Detector) addMember(rr *peerpb.Rumour, hl board.Health) bool {
 	gv, gone := dt.table.removed[rr.GetVM()]
 	if len(dt.table.members) >= maxMembers {
@@ -302,7 +302,7 @@
 	return dt.applyNewer(mb, rr, hl)
 }
 
-// applyNewer takes in a rumour about a later run or refutation.
+// applyNewer applies a rumour about a later incarnation or refutation.
 func (dt *Detector) applyNewer(mb *member, rr *peerpb.Rumour, hl board.Health) bool {
 	if rr.GetIncarnation() != mb.vm.Incarnation {
 		mb.leaving = false
@@ -310,7 +310,7 @@
 		mb.joinedAt = dt.now
 	}
 	wasProbed := mb.confirmed && mb.maybeAlive()
-	expected := !mb.confirmed && mb.vm.Listed // the others were told by the list too
+	expected := !mb.confirmed && mb.vm.Listed // the VM list informed the others too
 	mb.confirmed = true
 	mb.vm.Incarnation = rr.GetIncarnation()
 	mb.refutation = rr.GetRefutation()
@@ -343,7 +343,7 @@
 	mb.vm.Region = rr.GetRegion()
 }
 
-// applySameVersion takes in a rumour about the run and refutation that is known.
+// applySameVersion applies a rumour about the known incarnation and refutation.
 func (dt *Detector) applySameVersion(mb *member, rr *peerpb.Rumour, hl board.Health) bool {
 	news := false
 	if rr.GetLeaving() == mb.leaving && hl == mb.vm.Health {
@@ -372,7 +372,7 @@
 	return news
 }
 
-// revive takes back this VM's own judgement that a member is Dead.
+// revive reverts this VM's local decision that a member is Dead.
 func (dt *Detector) revive(mb *member) {
 	dt.setHealth(mb, board.Alive)
 	dt.prober.addToRound(mb, dt.Rand)
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -8,19 +8,19 @@
 	"alderdyke/pkg/clock"
 )
 
-// recheckInterval is how often a VM probes again what it suspects itself.
+// recheckInterval is how often a VM probes a member again that it suspects itself.
 const recheckInterval = 2 * clock.Second
 
-// suspicion is the state of a member between the first doubt and its death.
+// suspicion is the state of a member from the first suspicion until it is refuted or the member is Dead.
 type suspicion struct {
 	started   clock.Millis
 	deadline  clock.Millis // when the member counts as Dead
-	reporters []uint32     // hashes of the VMs that found it suspect, each on its own
-	recheck   clock.Millis // when this VM probes it again; zero is never
-	ownProbe  bool         // this VM itself found it suspect
+	reporters []uint32     // hashes of the VMs that suspect it independently
+	recheck   clock.Millis // when this VM probes it again; zero: never
+	ownProbe  bool         // a probe of this VM failed
 }
 
-// nextAction is when the suspicion wants attention.
+// nextAction returns when the suspicion is due next.
 func (su *suspicion) nextAction() clock.Millis {
 	if su.recheck != 0 {
 		return min(su.deadline, su.recheck)
@@ -28,8 +28,8 @@
 	return su.deadline
 }
 
-// suspect begins or confirms a suspicion that the VM with the hash by has of
-// a member.
+// suspect starts or confirms a suspicion of a member, reported by the VM whose hash
+// is by.
 func (dt *Detector) suspect(mb *member, by uint32) {
 	if mb.vm.Health != board.Suspect {
 		dt.setHealth(mb, board.Suspect)
@@ -54,8 +54,8 @@
 	dt.rumours.push(mb.vm.ID, by)
 }
 
-// scheduleSuspicion sets when a suspicion ends. A VM that only heard of it probes once
-// itself while DeadDelay passes, in case that it missed the refutation.
+// scheduleSuspicion sets when a suspicion ends. A VM that only received the suspicion
+// probes the member itself once during DeadDelay, in case it missed the refutation.
 func (dt *Detector) scheduleSuspicion(su *suspicion) {
 	ranOut := su.started + dt.suspicionSpan(len(su.reporters)-1)
 	su.deadline = ranOut + dt.Settings.DeadDelay
@@ -64,8 +64,8 @@
 	}
 }
 
-// suspicionSpan shrinks from the maximum to the minimum with the number of
-// independent confirmations.
+// suspicionSpan returns the suspicion timeout, which shrinks from the maximum to the
+// minimum with the number of independent confirmations.
 func (dt *Detector) suspicionSpan(confirmed int) clock.Millis {
 	low, high := dt.Settings.SuspicionMin, dt.Settings.SuspicionMax
 	wanted := min(confirmations, len(dt.table.members)-1)
@@ -83,7 +83,7 @@
 			dt.markDead(mb)
 			continue
 		}
-		if dt.now >= su.deadline { // left from when this VM was cut off: only a probe with helpers decides
+		if dt.now >= su.deadline { // it dates from when this VM was partitioned: only a probe with helpers decides
 			su.deadline = dt.now + dt.Settings.DeadDelay
 			dt.sendProbe(mb, false)
 		}
@@ -97,8 +97,8 @@
 	}
 }
 
-// markDead marks a member as Dead after its suspicion. Others are told only by a
-// VM that reaches a majority: else it may be the one that is cut off.
+// markDead marks a member as Dead after its suspicion. The VM tells others only if it
+// reaches a majority, since otherwise it may itself be the partitioned one.
 func (dt *Detector) markDead(mb *member) {
 	dt.setHealth(mb, board.Dead)
 	if dt.updateQuorum(); dt.quorum.quorate {
@@ -109,8 +109,8 @@
 	dt.rumours.drop(mb.vm.ID)
 }
 
-// restartSuspicions begins all doubts again when this VM reaches a majority again: while
-// it did not, the others may have answered without its hearing it.
+// restartSuspicions restarts all suspicions when this VM regains a majority, since the
+// others may have refuted them while it could not receive that.
 func (dt *Detector) restartSuspicions() {
 	for _, mb := range dt.table.suspects {
 		mb.suspicion.started = dt.now
@@ -132,18 +132,18 @@
 	}
 }
 
-// refute answers a rumour that doubts Self. Doubts and deaths are answered
-// within the incarnation, which names this process to everything that it has
-// in progress elsewhere; what others took over meanwhile is for claims to
-// decide. A death begins a new life. Only a later incarnation, or word that
-// this one left, needs a new incarnation.
+// refute answers a rumour that Self is suspect or dead. It does so within the
+// incarnation, which identifies this process to everything that it has in progress
+// elsewhere; claims decide about work that others took over meanwhile. A death starts a
+// new generation. Only a rumour about a later incarnation, or that this one left,
+// requires a new incarnation.
 func (dt *Detector) refute(incarnation uint64, refutation uint32, hl board.Health) {
 	if incarnation < dt.Self.Incarnation {
 		return
 	}
 	same := incarnation == dt.Self.Incarnation && (hl == board.Suspect || hl == board.Dead)
 	if same && dt.alreadyRefuted(refutation, hl) {
-		dt.rumours.push(dt.Self.ID, 0) // who told it missed that
+		dt.rumours.push(dt.Self.ID, 0) // the sender missed the refutation
 		return
 	}
 	dt.Counters.Refutations++
@@ -165,7 +165,7 @@
 	dt.rumours.push(dt.Self.ID, 0)
 }
 
-// alreadyRefuted tells whether Self has answered the doubt or death already.
+// alreadyRefuted reports whether Self has already refuted the suspicion or death.
 func (dt *Detector) alreadyRefuted(refutation uint32, hl board.Health) bool {
 	if hl == board.Dead {
 		return generationOf(refutation) < generationOf(dt.refutation)
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -14,23 +14,23 @@
 const (
 	syncBuckets     = 64                    // into which a table is split for comparison
 	syncTimeout     = 500 * clock.Millis(1) // for one reply
-	maxSequenceSize = 10                    // bytes that the transport's Sequence may take
-	maxSyncPages    = 80                    // replies in a row from one VM
-	syncQuietPeriod = 2 * clock.Second      // without a change before tables are compared: gossip first
-	joinPeriod      = 10 * clock.Second     // after the start, tables are compared without a wait
+	maxSequenceSize = 10                    // encoded bytes of the transport's Sequence
+	maxSyncPages    = 80                    // consecutive replies from one VM
+	syncQuietPeriod = 2 * clock.Second      // without a change before tables are compared, so that gossip can finish first
+	joinPeriod      = 10 * clock.Second     // after the start, in which tables are compared without the quiet period
 )
 
-// syncer compares tables with other VMs, to learn the whole fleet at the
-// start and what gossip missed later.
+// syncer compares tables with other VMs, to learn the whole fleet at the start and to
+// repair what gossip missed later.
 type syncer struct {
-	stale         bool // the digests below need to be computed again
-	computed      bool // they were computed once
+	stale         bool // the digests below must be recomputed
+	computed      bool // the digests were computed at least once
 	total         uint64
 	bucketDigests [syncBuckets]uint32
 	changed       clock.Millis // when the digests last changed
-	awaiting      string       // VM whose reply is awaited
+	awaiting      string       // ID of the VM whose reply is awaited
 	deadline      clock.Millis
-	notBefore     clock.Millis // no comparison begins before
+	notBefore     clock.Millis // earliest start of the next comparison
 	pages         int
 }
 
@@ -39,7 +39,7 @@
 	return dt.syncer.total
 }
 
-// computeDigests folds the live VMs, this one included, into the digests.
+// computeDigests computes the digests over the VMs that may be alive, including this one.
 func (dt *Detector) computeDigests() {
 	sy := &dt.syncer
 	if sy.computed && !sy.stale {
@@ -68,10 +68,10 @@
 
 func bucketOf(id string) int { return int(hashOf(id) % syncBuckets) }
 
-// hashOf is never zero, which stands for no VM.
+// hashOf returns the hash of a VM's ID. It is never zero, which stands for no VM.
 func hashOf(id string) uint32 { return uint32(xxhash.Sum64String(id)) | 1<<31 }
 
-// startSync begins a comparison with a VM whose digest differs.
+// startSync starts a comparison with a VM whose digest differs.
 func (dt *Detector) startSync(mb *member) {
 	joining := dt.joining()
 	if dt.syncer.awaiting != "" || dt.now < dt.syncer.notBefore {
@@ -89,7 +89,7 @@
 	dt.requestSync(mb)
 }
 
-// joining tells whether this VM is new or listed VMs have not been met yet.
+// joining reports whether this VM is new or listed VMs were never reached.
 func (dt *Detector) joining() bool {
 	return dt.now-dt.startedAt < joinPeriod || slices.ContainsFunc(dt.table.members, func(mb *member) bool {
 		return !mb.confirmed && mb.missedProbes < maxJoinProbes
@@ -108,7 +108,7 @@
 	}}})
 }
 
-// expireSync gives a lost reply up; the next ack begins anew.
+// expireSync stops waiting for a lost reply; the next ack may start a new comparison.
 func (dt *Detector) expireSync() {
 	if dt.syncer.awaiting != "" && dt.now >= dt.syncer.deadline {
 		dt.syncer.awaiting = ""
@@ -116,7 +116,7 @@
 	}
 }
 
-// replySync sends the VMs of the differing buckets, as many as fit.
+// replySync sends the members of the differing buckets, as many as fit.
 func (dt *Detector) replySync(from *member, ask *peerpb.SyncAsk) {
 	if len(ask.GetBuckets()) != syncBuckets {
 		dt.Counters.Ignored++
@@ -142,7 +142,7 @@
 	dt.send(from, dg)
 }
 
-// allRumours is all that this VM can tell of the fleet.
+// allRumours returns everything that this VM can report about the fleet.
 func (dt *Detector) allRumours() []*peerpb.Rumour {
 	all := []*peerpb.Rumour{dt.selfRumour()}
 	for _, mb := range dt.table.members {
@@ -153,7 +153,7 @@
 	return all
 }
 
-// handleSyncReply asks the same VM for more while its replies hold news.
+// handleSyncReply requests more from the same VM while its replies contain new rumours.
 func (dt *Detector) handleSyncReply(from *member, news bool) {
 	if dt.syncer.awaiting != from.vm.ID {
 		return
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,12 +11,12 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxJoinProbes is how many probes a listed VM gets that never answered; after
-// that it is probed no more often than a dead one.
+// maxJoinProbes is the number of probes to a listed VM that never answered. After
+// that it is probed as rarely as a dead VM.
 const maxJoinProbes = 3
 
 type (
-	// table is all VMs but Self that this VM knows of.
+	// table holds all VMs that this VM knows of, except Self.
 	table struct {
 		members  []*member // sorted by ID
 		byID     map[string]*member
@@ -26,21 +26,21 @@
 
 	// member is one VM of the table.
 	member struct {
-		vm            board.VM // as the snapshot shows it
+		vm            board.VM // as it appears in the snapshot
 		refutation    uint32
-		confirmed     bool         // it sent something, or a VM that knows it said so
-		missedProbes  int          // probes it missed while not heard
-		leaving       bool         // announced by itself
-		listedLeaving bool         // the VM list says that it leaves
-		localOnly     bool         // doubted by this VM alone, from when it was not quorate
-		healthSince   clock.Millis // when its Health began
-		joinedAt      clock.Millis // when it became known or came back
+		confirmed     bool         // it sent a datagram, or a rumour about it was received
+		missedProbes  int          // probes that it missed before it was confirmed
+		leaving       bool         // it announced its stop
+		listedLeaving bool         // the VM list marks it as leaving
+		localOnly     bool         // Dead or Suspect by this VM's decision alone while it was not quorate
+		healthSince   clock.Millis // when its Health last changed
+		joinedAt      clock.Millis // when it became known or recovered
 		unlistedAt    clock.Millis // when the VM list dropped it
 		suspicion     suspicion    // while it is Suspect
 	}
 
-	// removedVM remembers a removed VM, so that late rumours do not bring it
-	// back.
+	// removedVM remembers a removed VM, so that late rumours do not add it
+	// again.
 	removedVM struct {
 		incarnation uint64
 		at          clock.Millis
@@ -65,44 +65,44 @@
 	tb.suspects = slices.DeleteFunc(tb.suspects, func(other *member) bool { return other == mb })
 }
 
-// compareVersion orders the facts about one VM: by incarnation, then by
-// refutation within it.
+// compareVersion compares the member's version with another one: by incarnation,
+// then by refutation.
 func (mb *member) compareVersion(incarnation uint64, refutation uint32) int {
 	return cmp.Or(
 		cmp.Compare(mb.vm.Incarnation, incarnation),
 		cmp.Compare(mb.refutation, refutation))
 }
 
-// maybeAlive tells whether the member is alive or may be.
+// maybeAlive reports whether the member is Alive or Suspect.
 func (mb *member) maybeAlive() bool {
 	return mb.vm.Health == board.Alive || mb.vm.Health == board.Suspect
 }
 
-// generationShift divides a refutation: below are the suspicions that were refuted
-// in one life, above the deaths.
+// generationShift divides a refutation: the low bits count the suspicions refuted in
+// one generation, the high bits the deaths.
 const generationShift = 16
 
-// generationOf counts the deaths that a VM was told of, and refuted, within its
-// incarnation. It tells a VM that knows that it was held dead from one that
+// generationOf returns the number of deaths that a VM learned of and refuted within its
+// incarnation. It distinguishes a VM that knows that it was declared dead from one that
 // only refuted the suspicion before.
 func generationOf(refutation uint32) uint32 { return refutation >> generationShift }
 
-// confirmedDead tells whether the member is dead to others too. No refutation within
-// the same life takes that back.
+// confirmedDead reports whether the member is dead to others as well. No refutation
+// within the same generation reverts that.
 func (mb *member) confirmedDead() bool {
 	return mb.confirmed && mb.vm.Health == board.Dead && !mb.localOnly
 }
 
-// inProbeRound tells whether the member belongs into the round of regular probes.
+// inProbeRound reports whether the member is part of the regular probe round.
 func (mb *member) inProbeRound() bool {
 	return mb.maybeAlive() || (!mb.confirmed && mb.missedProbes < maxJoinProbes)
 }
 
-// inRoster tells whether a majority is counted over the member.
+// inRoster reports whether the member counts towards the size of a majority.
 func (mb *member) inRoster() bool { return mb.vm.Health != board.Left }
 
-// hashVM hashes what two tables must agree on. What changes with every
-// suspicion is left out.
+// hashVM hashes the fields on which two tables must agree. Fields that change with
+// every suspicion are left out.
 func hashVM(vm board.VM) uint64 {
 	var buf [9]byte
 	binary.LittleEndian.PutUint64(buf[:], vm.Incarnation)
@@ -116,14 +116,14 @@
 	return dg.Sum64()
 }
 
-// invalidate marks all that is derived from the table as outdated.
+// invalidate marks everything derived from the table as outdated.
 func (dt *Detector) invalidate() {
 	dt.dirty = true
 	dt.syncer.stale = true
 	dt.quorum.stale = true
 }
 
-// setHealth moves a member to another health and has the change told.
+// setHealth changes the health of a member and updates what depends on it.
 func (dt *Detector) setHealth(mb *member, hl board.Health) {
 	if mb.vm.Health == board.Suspect && hl != board.Suspect {
 		dt.table.unsuspect(mb)
@@ -145,7 +145,7 @@
 
 func (dt *Detector) applyList(vms []board.VM) {
 	if len(vms) == 0 {
-		return // an empty list tells nothing: at least Self is there
+		return // an empty list is invalid, since at least Self exists
 	}
 	first := !dt.listed
 	dt.listed = true
@@ -202,7 +202,7 @@
 	dt.invalidate()
 }
 
-// probeNewMembers asks a few VMs at once, so that a new VM needs not wait for its round.
+// probeNewMembers probes a few VMs at once, so that a new VM need not wait for its round.
 func (dt *Detector) probeNewMembers() {
 	asked := 0
 	for _, mb := range dt.shuffled(dt.table.members) {
@@ -216,7 +216,7 @@
 	}
 }
 
-// removeExpired removes VMs that are confirmed gone from the roster.
+// removeExpired removes VMs from the roster that are dead or left, and not listed, for RemoveAfter.
 func (dt *Detector) removeExpired() {
 	for _, mb := range slices.Clone(dt.table.members) {
 		if mb.maybeAlive() || mb.vm.Listed || !mb.confirmed {
@@ -236,7 +236,7 @@
 	}
 }
 
-// snapshot makes the section of the board.
+// snapshot builds the fleet snapshot for the board.
 func (dt *Detector) snapshot() *board.Fleet {
 	fl := &board.Fleet{
 		Self:    dt.Self.VMRef,
