--- a/internal/register/adapter_test.go
+++ b/internal/register/adapter_test.go
@@ -14,7 +14,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// logFollower carries a Follower's intents out at a log service, one after another.
+// logFollower executes a Follower's intents one after another against a log service.
 type logFollower struct {
 	fo       *Follower
 	cl       *logsvc.Client
@@ -29,7 +29,7 @@
 	wd.todo = append(wd.todo, wd.fo.Step(wd.now, ev)...)
 }
 
-// runIntents does up to so many intents, or all until done says so.
+// runIntents executes up to the given number of intents, or until done returns true.
 func (wd *logFollower) runIntents(intents int, done func() bool) {
 	ctx := context.Background()
 	for ; intents > 0 && len(wd.todo) > 0 && !done(); intents-- {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestFollowerWithLogService publishes over HTTP while the reply is lost, and
-// lets a second VM learn the result.
+// TestFollowerWithLogService publishes over HTTP while the reply is lost, and checks that
+// a second VM reads the result.
 func TestFollowerWithLogService(tt *testing.T) {
 	srv := &standin.Server{Token: "secret"}
 	ts := httptest.NewServer(srv)
--- a/internal/register/bucket.go
+++ b/internal/register/bucket.go
@@ -16,7 +16,7 @@
 	sl.covered = offset + 1
 	if sl.known && !st.broken.restateWins {
 		if rst.AsOf < covered {
-			return nil, nil // overtaken on its way, perhaps by a Recover
+			return nil, nil // outdated on arrival, possibly by a Recover
 		}
 		return nil, sl.checkAgreement(offset, rst)
 	}
@@ -28,19 +28,19 @@
 
 func (st *State) checkBucketKeys(offset uint64, bucket, buckets int, ens []Entry) error {
 	if buckets != st.Buckets {
-		return &RecordError{Offset: offset, Detail: "is for another number of buckets"}
+		return &RecordError{Offset: offset, Detail: "written for another number of buckets"}
 	}
 	for _, en := range ens {
 		if st.bucket(en.Key) != bucket {
-			return &RecordError{Offset: offset, Detail: "holds a key of another bucket"}
+			return &RecordError{Offset: offset, Detail: "contains a key of another bucket"}
 		}
 	}
 	return nil
 }
 
-// applyRecover takes a Recover. Whether it counts follows from the records since
-// the newest request. A reader that may have missed that request, and does
-// not know the bucket, starts the bucket anew after it.
+// applyRecover applies a Recover. Whether it counts depends on the records since the
+// newest request. A reader that may have missed that request, and does not know the
+// bucket, restarts the bucket after the Recover.
 func (st *State) applyRecover(offset uint64, rc Recover) ([]Outcome, error) {
 	if err := st.checkBucketKeys(offset, rc.Bucket, rc.Buckets, rc.Entries); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return outs, nil
 }
 
-// dropHeld drops the held publications, whose rulings mean nothing any more.
+// dropHeld drops the held publications, whose rulings no longer have any effect.
 func (sl *slot) dropHeld() []Outcome {
 	var outs []Outcome
 	for _, he := range sl.held {
@@ -77,8 +77,8 @@
 	return outs
 }
 
-// missedKnownTo is the highest offset up to which a bucket was known that is not
-// known now.
+// missedKnownTo returns the highest offset up to which a currently unknown bucket was
+// known.
 func (st *State) missedKnownTo() uint64 {
 	var from uint64
 	for ix := range st.slots {
@@ -89,9 +89,8 @@
 	return from
 }
 
-// recoverRecord returns the Recover of a bucket that is not known; false if there
-// is no request that stayed without answer. That of a bucket which never was
-// known is empty.
+// recoverRecord returns the Recover of an unknown bucket; false if there is no
+// unanswered request. The Recover of a bucket that was never known is empty.
 func (st *State) recoverRecord(bucket int) (Recover, bool) {
 	sl := &st.slots[bucket]
 	if sl.known || st.requested == 0 || sl.covered >= st.requested {
@@ -102,8 +101,8 @@
 	}, true
 }
 
-// checkAgreement tells whether a Restate says nothing that this VM should have known
-// and doesn't.
+// checkAgreement returns an error if a Restate contains a revision that this VM should
+// already have but does not.
 func (sl *slot) checkAgreement(offset uint64, rst Restate) error {
 	for _, en := range rst.Entries {
 		if sl.entries[en.Key].Revision < en.Revision {
@@ -113,8 +112,8 @@
 	return nil
 }
 
-// adoptContent decides a bucket whose content as of an offset, at or after the
-// start, has become known. It replaces the last known content, which is older.
+// adoptContent decides a bucket from its content as of an offset at or after the start.
+// The content replaces the last known one, which is older.
 func (st *State) adoptContent(sl *slot, asOf uint64, ens []Entry) []Outcome {
 	sl.entries, sl.bytes = map[string]Entry{}, 0
 	for _, en := range ens {
@@ -135,7 +134,7 @@
 	return outs
 }
 
-// inferRuling tells the ruling on a publication that was decided unseen.
+// inferRuling reconstructs the ruling on a publication whose decision this VM did not read.
 func (sl *slot) inferRuling(he heldPublish) Outcome {
 	cur := sl.entries[he.pub.Key]
 	out := Outcome{Offset: he.offset, ID: he.pub.ID, Key: he.pub.Key, Ruling: Undetermined, Current: cur.Revision}
@@ -150,8 +149,8 @@
 	return out
 }
 
-// Restatement returns the Restate of a bucket as of Next; false while the
-// bucket is not known.
+// Restatement returns the Restate of a bucket as of Next; false while the bucket is
+// not known.
 func (st *State) Restatement(bucket int) (Restate, bool) {
 	if !st.begun || !st.slots[bucket].known {
 		return Restate{}, false
--- a/internal/register/explore_test.go
+++ b/internal/register/explore_test.go
@@ -14,15 +14,15 @@
 )
 
 // The explorer walks every interleaving of a small world: VMs that read one
-// record at a time, operators who race, one crash, one lost reply, a log that
-// drops records, restatements and snapshots that arrive late. After each step
-// it holds the VMs against a plain fold of the whole log.
+// record at a time, operators that race, one crash, one lost reply, a log that
+// drops records, and restatements and snapshots that arrive late. After each
+// step it compares the VMs with a reference fold of the whole log.
 
 type (
-	// limits of one world.
+	// limits bounds the steps of one world.
 	limits struct {
 		vms, crashes, repeats, restates, trims, snapshots int
-		second                                            int // second publications by so many operators
+		second                                            int // operators that publish a second time
 		buckets                                           int
 		requests, recovers                                int
 	}
@@ -38,17 +38,17 @@
 		enc string
 	}
 
-	// world is immutable; a step makes a new one.
+	// world is immutable; a step creates a new one.
 	world struct {
 		log       []loggedRecord
 		logEnc    string
 		trim      int
 		vms       []vmState
-		sent      []int // publications appended by each operator
+		sent      []int // number of publications by each operator
 		repeated  int
 		crashed   int
 		restated  int
-		inFlight  []loggedRecord // restatements on their way to the log
+		inFlight  []loggedRecord // restatements and recoveries that the log has not received yet
 		requested int
 		recovers  int
 		snapped   int
@@ -62,29 +62,29 @@
 		seen      map[[2]uint64]struct{}
 		stack     []world
 		violation string
-		settled   int // buckets that a restatement or snapshot decided
-		released  int // held publications that were decided afterwards
+		settled   int // buckets decided by a restatement or snapshot
+		released  int // held publications decided afterwards
 		oracles   map[string][]view
 		buf       []byte
 		reads     map[readKey]vmState
 		pubs      map[pubKey]loggedRecord
 	}
 
-	// readKey names a read: a VM's state follows from its encoding and the
-	// log, so equal reads of different worlds are done and checked once.
+	// readKey identifies a read. A VM's state follows from its encoding and
+	// the log, so equal reads in different worlds are done and checked once.
 	readKey struct {
 		log  string
 		trim int
 		vm   string
 	}
 
-	// pubKey names a publication of an operator.
+	// pubKey identifies a publication of an operator.
 	pubKey struct {
 		id   string
 		base uint64
 	}
 
-	// view is what a plain fold says after a number of records.
+	// view is the state of the reference fold after a number of records.
 	view struct {
 		entries map[string]Entry
 		ruling  Outcome // of the last record
@@ -146,8 +146,8 @@
 	}
 }
 
-// operators appends publications: the first of each is based on nothing, so
-// they race; the second on what the operator's VM says is in force.
+// operators appends publications. The first ones of all operators have base 0, so they
+// race; the second ones are based on the revision that the operator's VM has as current.
 func (ex *explorer) operators(wo world) {
 	for op := range wo.sent {
 		if wo.sent[op] == 0 {
@@ -159,7 +159,7 @@
 				ex.publish(wo, op, pubKey{id: secondIDs[op], base: en.Revision})
 			}
 		}
-		// The reply was lost and the operator sends the first again.
+		// The reply was lost, and the operator repeats the first publication.
 		if wo.sent[op] > 0 && wo.repeated < ex.lim.repeats {
 			again := wo
 			again.repeated++
@@ -230,8 +230,8 @@
 	}
 }
 
-// recover lets a VM that does not know a bucket ask for it and recover it, at
-// once and whether or not others know it.
+// recover lets a VM request restatements for an unknown bucket and recover it, without
+// waiting and whether or not other VMs know it.
 func (ex *explorer) recover(wo world, st *State) {
 	if st.begun && !st.Known() && wo.requested < ex.lim.requests {
 		next := wo
@@ -268,7 +268,7 @@
 func (ex *explorer) read(wo world, ix int) {
 	old := wo.vms[ix].st
 	if old.begun && int(old.next) == len(wo.log) {
-		return // nothing to read, nothing dropped before it
+		return // nothing to read, and nothing was dropped before it
 	}
 	key := readKey{log: wo.logEnc, trim: wo.trim, vm: wo.vms[ix].enc}
 	if vm, ok := ex.reads[key]; ok {
@@ -289,7 +289,7 @@
 	ex.reads[key] = ex.recordStep(wo, ix, st, outs)
 }
 
-// recordStep takes the state of a VM after a step and checks it.
+// recordStep checks the state of a VM after a step and queues the resulting world.
 func (ex *explorer) recordStep(wo world, ix int, st *State, outs []Outcome) vmState {
 	old := wo.vms[ix].st
 	views := ex.views(wo.logEnc, wo.log)
@@ -318,7 +318,7 @@
 	sl := st.slots[sx]
 	if old.begun {
 		for key, en := range old.slots[sx].entries {
-			// Only a Recover after it may drop a change that nobody who
+			// Only a later Recover may drop a change, which then no VM that
 			// answered knew.
 			if sl.entries[key].Revision < en.Revision && views[st.next].recovered <= int(en.Revision) {
 				ex.violation = fmt.Sprintf("%s reverted from revision %d to %d", key, en.Revision, sl.entries[key].Revision)
@@ -336,11 +336,11 @@
 	}
 }
 
-// referenceFold is a fold that reads everything and holds nothing back.
+// referenceFold folds the whole log without holding back any publication.
 type referenceFold struct {
 	buckets   int
 	requested int         // offset of the newest request, plus one
-	covered   map[int]int // offset of the newest restatement in force, plus one
+	covered   map[int]int // offset of the newest valid restatement, plus one
 	winners   map[string]string
 	fault     string
 }
@@ -388,7 +388,7 @@
 	return Outcome{Ruling: Accepted, Revision: rev}
 }
 
-// views folds the whole log without dropped records, the plain way.
+// views returns the reference views of the whole log, including dropped records.
 func (ex *explorer) views(enc string, log []loggedRecord) []view {
 	if vs, ok := ex.oracles[enc]; ok {
 		return vs
@@ -424,8 +424,8 @@
 
 func restatement(rst Restate) loggedRecord { return encodeRecord(rst, "") }
 
-// encodeRecord names a record in the world's encoding, by its bytes if no
-// shorter name is given.
+// encodeRecord encodes a record. enc identifies it in the world's encoding; if it is
+// empty, the record's bytes do.
 func encodeRecord(rec Record, enc string) loggedRecord {
 	raw, err := Marshal(rec)
 	if err != nil {
@@ -490,14 +490,14 @@
 			tt.Logf("%d states, %d logs, %d distinct reads, %d buckets settled, %d held publications decided",
 				len(ex.seen), len(ex.oracles), len(ex.reads), ex.settled, ex.released)
 			assert.Equal(tt, ex.violation, "")
-			// The walk must have met what it is meant for.
+			// Otherwise the walk did not reach the states that it is meant to check.
 			assert.Assert(tt, ex.settled > 100 && ex.released > 100 && len(ex.seen) > 20_000)
 		})
 	}
 }
 
-// TestEachGuardIsNeeded switches one guard off at a time; the walk must then
-// find a violation.
+// TestEachGuardIsNeeded switches one guard off at a time. The walk must then find a
+// violation.
 func TestEachGuardIsNeeded(tt *testing.T) {
 	tt.Parallel()
 	cases := []struct {
--- a/internal/register/follower.go
+++ b/internal/register/follower.go
@@ -11,41 +11,41 @@
 	"alderdyke/pkg/template"
 )
 
-// How a publication ended, as its operator is told.
+// Results of a publish request, as reported to its operator.
 const (
-	Published    Result = "Published"    // in force with the Revision
-	Conflict     Result = "Conflict"     // refused for good; Current is in force
-	NotPublished Result = "NotPublished" // promise: the log never took it
-	Unknown      Result = "Unknown"      // ask again with the same ID
+	Published    Result = "Published"    // active, with the verdict's Revision
+	Conflict     Result = "Conflict"     // refused permanently; Current is active
+	NotPublished Result = "NotPublished" // guarantees that the log never accepted it
+	Unknown      Result = "Unknown"      // repeat the request with the same ID
 )
 
 type (
-	// Settings of a Follower. The zero value of a field means its default.
+	// Settings configure a Follower. A zero field means its default.
 	Settings struct {
 		Content Content
 		Buckets int
 
-		// Retention is how long the log service keeps a record; a quarter
-		// of it is the age at which a bucket is written again. Default 24 h.
+		// Retention is how long the log service keeps a record. A bucket is
+		// restated at a quarter of that age. Default 24 h.
 		Retention clock.Millis
 
-		ReadWait        clock.Millis // that a read waits for the next record; default 1.5 s
-		ReadGrace       clock.Millis // after ReadWait, when an open read counts as failed; default 700 ms
+		ReadWait        clock.Millis // for which a read waits for the next record; default 1.5 s
+		ReadGrace       clock.Millis // after ReadWait, until an open read counts as failed; default 700 ms
 		MaxRecords      int          // of one read; default 256
-		RetryDelay      clock.Millis // after a failed call; doubles up to eight times; default 250 ms
-		PeerInterval    clock.Millis // between two questions to peers; default 500 ms
+		RetryDelay      clock.Millis // after a failed call; doubles with each failure, up to eightfold; default 250 ms
+		PeerInterval    clock.Millis // between two requests to peers; default 500 ms
 		PublishTimeout  clock.Millis // until an operator gets a verdict; default 5 s
-		RequestDelay    clock.Millis // that a VM misses records, until it asks for restatements; default 10 s
-		RecoverDelay    clock.Millis // that nobody answers, until a VM recovers what it last knew; default 1 min
-		MaxPending      int          // publications that wait at this VM; default 64
+		RequestDelay    clock.Millis // from when a VM misses records until it requests restatements; default 10 s
+		RecoverDelay    clock.Millis // from an unanswered request until a VM recovers its last known content; default 1 min
+		MaxPending      int          // publications pending at this VM; default 64
 		RestateInterval clock.Millis // between two restatements of this VM; default 500 ms
 		KeepRecords     int          // newest records kept for peers; default 256
-		KeepBytes       int          // of them; default 512 KiB
+		KeepBytes       int          // their total size; default 512 KiB
 	}
 
-	// Follower decides what one VM reads, asks and appends to follow one
-	// stream. Set the exported fields before the first Step. It has a single
-	// owner.
+	// Follower decides what one VM reads, requests from peers and appends to
+	// follow one stream. Set the exported fields before the first Step. It has
+	// a single owner.
 	Follower struct {
 		Self     board.VMRef
 		Rand     *rand.Rand
@@ -64,21 +64,21 @@
 		started         bool
 	}
 
-	// emittedState is what the last TemplatesChanged said.
+	// emittedState is the state that the last TemplatesChanged reported.
 	emittedState struct {
 		edits uint64
 		ready bool
 	}
 
-	// Result is how a publication ended.
+	// Result is the result of a publish request.
 	Result string
 
-	// Event is what a Follower is told: Read, PeerRecords, PeerSnapshot,
+	// Event is an input of a Follower: Read, PeerRecords, PeerSnapshot,
 	// FleetChanged, PublishRequest, Appended or Tick.
 	Event interface{ followerEvent() }
 
-	// Intent is what a Follower wants done: ReadLog, RequestRecords, RequestSnapshot,
-	// Append, TemplatesChanged, Verdict, LogEvent or Wake.
+	// Intent is an action that a Follower requests: ReadLog, RequestRecords,
+	// RequestSnapshot, Append, TemplatesChanged, Verdict, LogEvent or Wake.
 	Intent interface{ followerIntent() }
 
 	// Read answers a ReadLog.
@@ -87,14 +87,14 @@
 		Err   error
 	}
 
-	// PeerRecords answers an RequestRecords.
+	// PeerRecords answers a RequestRecords.
 	PeerRecords struct {
 		VM    board.VMRef
 		Batch logsvc.Batch
 		Err   error
 	}
 
-	// PeerSnapshot answers an RequestSnapshot. A peer that is not ready answers
+	// PeerSnapshot answers a RequestSnapshot. A peer that is not ready answers
 	// with an error.
 	PeerSnapshot struct {
 		VM   board.VMRef
@@ -102,20 +102,20 @@
 		Err  error
 	}
 
-	// FleetChanged tells of the entry VMs.
+	// FleetChanged carries a new snapshot of the entry VMs.
 	FleetChanged struct{ Fleet *board.Fleet }
 
-	// PublishRequest is an operator's wish to publish a customer's template, or to
-	// withdraw it if Template is nil. The same ID asked again never
-	// publishes twice.
+	// PublishRequest is an operator's request to publish a customer's
+	// template, or to withdraw it if Template is nil. A request repeated with
+	// the same ID is published at most once.
 	PublishRequest struct {
 		ID       string
 		Customer string
 		Base     uint64
 		Template *template.Template
-		// Repeated tells that this ID was asked before, here or at another VM,
-		// without a certain verdict. This VM can't know what became of that,
-		// so it never answers NotPublished.
+		// Repeated reports that a request with this ID was made before, here or
+		// at another VM, without a definite verdict. This VM cannot know whether
+		// that one was appended, so it never answers NotPublished.
 		Repeated bool
 	}
 
@@ -123,56 +123,56 @@
 	Appended struct {
 		ID     string
 		Offset uint64
-		Err    error // unwraps to a *logsvc.AppendError
+		Err    error // wraps a *logsvc.AppendError
 	}
 
-	// Tick passes the time.
+	// Tick reports that time has passed.
 	Tick struct{}
 
-	// ReadLog asks for a read of the log; there is one at a time.
+	// ReadLog requests a read of the log. At most one is in progress.
 	ReadLog struct {
 		From uint64
 		Max  int
 		Wait clock.Millis
 	}
 
-	// RequestRecords asks a peer for records that it has read.
+	// RequestRecords requests records that a peer has read.
 	RequestRecords struct {
 		VM   board.VM
 		From uint64
 		Max  int
 	}
 
-	// RequestSnapshot asks a peer for its state.
+	// RequestSnapshot requests a peer's state.
 	RequestSnapshot struct{ VM board.VM }
 
-	// Append asks for an append to the log.
+	// Append requests an append to the log.
 	Append struct {
 		ID   string
 		Data []byte
 	}
 
-	// TemplatesChanged tells of a change of the customers' templates in force.
+	// TemplatesChanged carries the customers' active templates after a change.
 	TemplatesChanged struct{ Templates *board.Templates }
 
-	// Verdict ends a PublishRequest. Each PublishRequest gets one, but several with the same
-	// ID at the same time share it.
+	// Verdict answers a PublishRequest. Each request gets one, but concurrent
+	// requests with the same ID share it.
 	Verdict struct {
 		ID       string
 		Result   Result
-		Revision uint64 // that it was published with
-		Current  uint64 // in force, as far as this VM has read
+		Revision uint64 // assigned to the publication
+		Current  uint64 // active revision, as far as this VM has read
 		Reason   Reason
 	}
 
-	// LogEvent asks for a log line and a count.
+	// LogEvent requests that an event be logged and counted.
 	LogEvent struct {
 		Event  event.Event
 		Fields []event.Field
 	}
 
-	// Wake asks for a Tick at the given point, at the latest. It replaces
-	// the one before.
+	// Wake requests a Tick at the given time at the latest. It replaces the
+	// previous Wake.
 	Wake struct{ At clock.Millis }
 )
 
@@ -193,7 +193,7 @@
 func (LogEvent) followerIntent()         {}
 func (Wake) followerIntent()             {}
 
-// Step takes one event and returns what is to be done, in order.
+// Step handles one event and returns the resulting intents, in order.
 func (fo *Follower) Step(now clock.Millis, ev Event) []Intent {
 	fo.begin(now)
 	switch ev := ev.(type) {
@@ -232,7 +232,7 @@
 	fo.restating.begin(now, fo)
 }
 
-// plan does all that is due and says when more will be.
+// plan performs everything that is due and requests a Wake for the next due time.
 func (fo *Follower) plan(now clock.Millis) {
 	next := min(
 		fo.planRead(now),
@@ -246,22 +246,22 @@
 	}
 }
 
-// Ready tells whether all registers are decided and the end of the log, as it
-// was first seen, was reached.
+// Ready reports whether all registers are decided and the follower has reached the end
+// that the log had at its first successful read.
 func (fo *Follower) Ready() bool {
 	return fo.state.Known() && (!fo.reading.seen || fo.state.next >= fo.reading.initialEnd)
 }
 
-// Entry returns a register and whether it is decided up to what was read.
+// Entry returns a register, and whether it is decided up to what was read.
 func (fo *Follower) Entry(key string) (Entry, bool) { return fo.state.Entry(key) }
 
-// Entries returns all registers, withdrawn ones too, sorted by key.
+// Entries returns all registers, including withdrawn ones, sorted by key.
 func (fo *Follower) Entries() []Entry { return fo.state.Entries() }
 
-// Next is the offset that comes next.
+// Next returns the offset of the next record.
 func (fo *Follower) Next() uint64 { return fo.state.next }
 
-// Snapshot returns the state for a peer, and the offset that it is as of. It
+// Snapshot returns the encoded state for a peer, and the offset that it is as of. It
 // returns ErrNotKnown while this VM is not ready itself.
 func (fo *Follower) Snapshot() (data []byte, asOf uint64, err error) {
 	if !fo.started || !fo.Ready() {
@@ -271,8 +271,8 @@
 	return data, fo.state.next, err
 }
 
-// Records returns records that were read and are still kept for peers. First
-// is the lowest of them, not of the log.
+// Records returns records that were read and are still kept for peers. First of the batch
+// is the lowest offset kept here, not in the log.
 func (fo *Follower) Records(from uint64, most int) logsvc.Batch {
 	return fo.recent.batch(from, most)
 }
@@ -283,17 +283,17 @@
 	fo.emit(LogEvent{Event: ev, Fields: fields})
 }
 
-// jitter spreads a span over half to the whole of it.
+// jitter returns a random span between half of the given span and all of it.
 func (fo *Follower) jitter(span clock.Millis) clock.Millis {
 	return span/2 + clock.Millis(fo.Rand.Int64N(int64(span/2)+1))
 }
 
-// backoff grows with the failures in a row.
+// backoff returns a jittered delay that grows with the number of consecutive failures.
 func (fo *Follower) backoff(failures int) clock.Millis {
 	return fo.jitter(fo.Settings.RetryDelay << min(max(failures-1, 0), 3))
 }
 
-// applyOutcomes takes in what a batch or snapshot decided.
+// applyOutcomes handles what a batch or snapshot decided.
 func (fo *Follower) applyOutcomes(outs []Outcome, bad []error) {
 	for _, err := range bad {
 		var re *RecordError
@@ -308,7 +308,7 @@
 	fo.restating.noteRestatements(fo)
 }
 
-// emitChanges tells of what is in force if it changed.
+// emitChanges reports the active templates if they changed.
 func (fo *Follower) emitChanges() {
 	ready := fo.emitted.ready || fo.Ready()
 	if ready && !fo.emitted.ready {
--- a/internal/register/follower_test.go
+++ b/internal/register/follower_test.go
@@ -22,14 +22,14 @@
 	return wi.verdicts[0]
 }
 
-// longestDelay returns the longest time from an acceptance until the revision was in
-// force at a VM that is up.
+// longestDelay returns the longest time from acceptance until the revision was active at
+// a running VM.
 func longestDelay(tt *testing.T, hn *harness, revision uint64) clock.Millis {
 	tt.Helper()
 	var span clock.Millis
 	for _, vm := range hn.vms {
 		at, ok := vm.activeSince[revision]
-		assert.Assert(tt, ok, "revision %d never came into force at %s", revision, vm.id)
+		assert.Assert(tt, ok, "revision %d never became active at %s", revision, vm.id)
 		span = max(span, at-hn.log[revision-1].at)
 	}
 	return span
@@ -83,11 +83,11 @@
 	assert.Equal(tt, onlyVerdict(tt, never).Result, NotPublished)
 	assert.Equal(tt, onlyVerdict(tt, never).Reason, LogUnreachable)
 
-	// The log takes the record, then goes down before anyone has read it.
+	// The log accepts the record, then fails before any VM has read it.
 	hn.logDown = false
 	hn.run(5 * clock.Second)
 	for _, vm := range hn.vms {
-		vm.cut = true // from reading; the append below goes to the log by hand
+		vm.cut = true // no VM may read; VM 0 is reconnected below only for the append
 	}
 	hn.run(3 * clock.Second)
 	doubt := hn.publish(0, publishRequest("p2", 0))
@@ -112,7 +112,7 @@
 	hn.checkAgree()
 }
 
-// TestCutOffFromTheLog publishes right after some VMs lost the log.
+// TestCutOffFromTheLog publishes immediately after some VMs lost the log.
 func TestCutOffFromTheLog(tt *testing.T) {
 	tt.Parallel()
 	var spans []clock.Millis
@@ -144,14 +144,14 @@
 	hn.run(5 * clock.Second)
 	assert.Assert(tt, hn.vms[2].inForce.Ready)
 	assert.Equal(tt, hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision, onlyVerdict(tt, wi).Revision)
-	asks := hn.vms[1].intents["AskPeer"]
+	asks := hn.vms[1].intents["RequestRecords"]
 	hn.run(clock.Minute)
-	tt.Logf("questions to peers by one VM in a minute of an outage: %d", hn.vms[1].intents["AskPeer"]-asks)
-	assert.Assert(tt, hn.vms[1].intents["AskPeer"]-asks <= 241)
+	tt.Logf("requests to peers by one VM in a minute of an outage: %d", hn.vms[1].intents["RequestRecords"]-asks)
+	assert.Assert(tt, hn.vms[1].intents["RequestRecords"]-asks <= 241)
 }
 
-// TestRetention replaces a VM each quarter of an hour while the log keeps an
-// hour: nobody lives long enough to see its own timer out.
+// TestRetentionUnderRollingReplacement replaces a VM every ten minutes while the log keeps
+// records for one hour, so no VM lives until its own restatement timer expires.
 func TestRetentionUnderRollingReplacement(tt *testing.T) {
 	tt.Parallel()
 	hn := newHarness(tt, 6, 6, Settings{Retention: clock.Hour})
@@ -173,7 +173,7 @@
 	assert.Assert(tt, hn.first > DefaultBuckets)
 	hn.checkAgree()
 
-	// A VM that finds no peer learns all from the log's middle.
+	// A VM that reaches no peer must reconstruct the state from the middle of the log.
 	vm := hn.vms[0]
 	vm.stop()
 	vm.isolated = true
@@ -184,8 +184,8 @@
 	assert.Equal(tt, vm.inForce.ByCustomer["kedelsyn"].Revision, revision)
 }
 
-// TestMissedRecords lets the log drop what a VM that was cut off from
-// everything has not read.
+// TestMissedRecords makes the log drop records that a VM, partitioned from the log and its
+// peers, has not read.
 func TestMissedRecords(tt *testing.T) {
 	tt.Parallel()
 	hn := newHarness(tt, 7, 3, Settings{Retention: clock.Hour})
@@ -209,8 +209,7 @@
 	hn.checkAgree()
 }
 
-// TestADayOfChanges publishes 1,800 changes, then a burst, while VMs lose and
-// regain the log.
+// TestADayOfChanges publishes 1,800 changes, then a burst, while VMs lose and regain the log.
 func TestADayOfChanges(tt *testing.T) {
 	tt.Parallel()
 	const customers, changes, burst = 50, 1800, 100
@@ -242,7 +241,7 @@
 		changes, spans[changes/2], spans[changes*99/100], spans[changes-1])
 	assert.Assert(tt, spans[changes*99/100] <= inForceBound)
 
-	// Two operators race for each customer, all at once.
+	// Two operators race for each customer, all at the same time.
 	var wishes []*publishAttempt
 	for ix := range burst {
 		wishes = append(wishes, publish(changes+ix, ix%len(hn.vms)))
@@ -265,8 +264,8 @@
 	hn.checkVerdicts()
 }
 
-// beyondRetention makes the log drop a record while it can't be read. Only
-// the VMs that reads lists have read it.
+// beyondRetention makes the log drop a record during an outage. Only the VMs listed in
+// reads have read it.
 func beyondRetention(tt *testing.T, reads ...int) (hn *harness, revision uint64) {
 	tt.Helper()
 	hn = newHarness(tt, 9, 3, Settings{Retention: clock.Hour})
@@ -298,9 +297,9 @@
 	return hn, revision
 }
 
-// TestOutageBeyondRetention drops a record that nobody has read. The VMs go
-// on with the last known templates, tell operators that nothing is published,
-// and after nobody answered put what they knew in force anew.
+// TestOutageBeyondRetention drops a record that no VM has read. The VMs keep the last known
+// templates and refuse publications as not published. After their request is not answered,
+// they make the last known templates active again.
 func TestOutageBeyondRetention(tt *testing.T) {
 	tt.Parallel()
 	hn, revision := beyondRetention(tt)
@@ -328,8 +327,8 @@
 	assert.DeepEqual(tt, hn.vms[0].fo.Entries(), hn.vms[2].fo.Entries())
 }
 
-// TestOneVMKnowsWhatTheLogDropped leaves that VM without peers: it restates,
-// and the others, a majority, recover nothing older.
+// TestOneVMKnowsWhatTheLogDropped isolates that VM from its peers. It must restate, and the
+// others, a majority, must not recover anything older.
 func TestOneVMKnowsWhatTheLogDropped(tt *testing.T) {
 	hn, revision := beyondRetention(tt, 1)
 	hn.run(2 * clock.Minute)
@@ -341,8 +340,8 @@
 	hn.checkAgree()
 }
 
-// TestEverythingReplacedAndDropped leaves nobody who knows anything. The VMs
-// become ready after a long wait, so that operators can publish again.
+// TestEverythingReplacedAndDropped leaves no VM with any content. The VMs must become ready
+// after a long wait, so that operators can publish again.
 func TestEverythingReplacedAndDropped(tt *testing.T) {
 	hn := newHarness(tt, 10, 3, Settings{Retention: clock.Hour})
 	hn.keep = clock.Hour
--- a/internal/register/harness_test.go
+++ b/internal/register/harness_test.go
@@ -17,8 +17,8 @@
 	"alderdyke/pkg/template"
 )
 
-// The harness runs Followers under virtual time against a log and peers that
-// answer after a delay, with faults that a test sets.
+// The harness runs Followers in virtual time against a log and peers that answer after a
+// delay, with faults that a test sets.
 
 const oneWay = clock.Millis(2)
 
@@ -34,10 +34,10 @@
 		settings Settings
 
 		log         []record
-		keep        clock.Millis // retention; zero keeps all
+		keep        clock.Millis // retention; zero keeps everything
 		first       int
 		logDown     bool
-		loseReplies int // replies to appends still to lose
+		loseReplies int // number of replies to appends that are still to be lost
 		readers     []func()
 		appends     int
 		bytesRead   int
@@ -54,23 +54,23 @@
 	follower struct {
 		hn          *harness
 		id          string
-		run         uint64 // grows with every restart; late answers to another are dropped
+		run         uint64 // incremented by every restart; answers to an earlier run are dropped
 		up          bool
-		cut         bool // from the log
-		isolated    bool // from peers
+		cut         bool // disconnected from the log
+		isolated    bool // disconnected from peers
 		fo          *Follower
 		wake        clock.Millis
 		inForce     *board.Templates
-		activeSince map[uint64]clock.Millis // when a revision came into force here
+		activeSince map[uint64]clock.Millis // when a revision became active here
 		intents     map[string]int
 		events      map[string]int
 	}
 
-	// publishAttempt is what an operator asked and was told.
+	// publishAttempt records an operator's requests with one ID and their verdicts.
 	publishAttempt struct {
 		change     PublishRequest
 		requests   int
-		repeatedAt map[string]bool // VMs that were told that it is not the first time
+		repeatedAt map[string]bool // VMs that were told that the request is a repeat
 		askedAt    clock.Millis
 		answeredAt clock.Millis
 		verdicts   []Verdict
@@ -131,7 +131,7 @@
 	}
 }
 
-// fleet is the VMs as one of them sees them.
+// fleet returns the fleet snapshot of one VM.
 func (hn *harness) fleet(self *follower) *board.Fleet {
 	fl := &board.Fleet{}
 	reached := 0
@@ -154,7 +154,7 @@
 	}
 }
 
-// publish asks a VM for a change; the same ID may be asked again.
+// publish sends a publish request to a VM; the same ID may be sent again.
 func (hn *harness) publish(vm int, ch PublishRequest) *publishAttempt {
 	wi := hn.changes[ch.ID]
 	if wi == nil {
@@ -210,12 +210,12 @@
 		vm.intents["Append"]++
 		vm.append(in)
 	case RequestRecords:
-		vm.intents["AskPeer"]++
+		vm.intents["RequestRecords"]++
 		vm.callPeer(in.VM, func(peer *follower) Event {
 			return PeerRecords{VM: in.VM.VMRef, Batch: peer.fo.Records(in.From, in.Max)}
 		}, PeerRecords{Err: errCut})
 	case RequestSnapshot:
-		vm.intents["AskSnapshot"]++
+		vm.intents["RequestSnapshot"]++
 		vm.callPeer(in.VM, func(peer *follower) Event {
 			data, _, err := peer.fo.Snapshot()
 			return PeerSnapshot{VM: in.VM.VMRef, Data: data, Err: err}
@@ -225,13 +225,13 @@
 	case Verdict:
 		wi := hn.changes[in.ID]
 		if in.Result == NotPublished && wi.repeatedAt[vm.id] {
-			hn.tt.Errorf("%s tells %+v although %s was asked before", vm.id, in, in.ID)
+			hn.tt.Errorf("%s answers %+v although %s was requested before", vm.id, in, in.ID)
 		}
 		wi.verdicts, wi.answeredAt = append(wi.verdicts, in), hn.now
 	case LogEvent:
 		vm.events[in.Event.Name]++
 		if in.Event.Level == event.Error {
-			hn.tt.Errorf("%s notes %s %v", vm.id, in.Event.Name, in.Fields)
+			hn.tt.Errorf("%s logs %s %v", vm.id, in.Event.Name, in.Fields)
 		}
 	case Wake:
 		vm.wake = in.At
@@ -244,7 +244,7 @@
 	}
 }
 
-// takeTemplates checks that no customer's revision goes back.
+// takeTemplates checks that no customer's revision decreases.
 func (vm *follower) takeTemplates(tp *board.Templates) {
 	for name, old := range vm.inForce.ByCustomer {
 		now, ok := tp.ByCustomer[name]
@@ -269,7 +269,7 @@
 	serve = func() {
 		switch {
 		case vm.cut || hn.logDown:
-			// The connection goes silent; the adapter gives up in its time.
+			// The connection does not respond; the client times out.
 			hn.after(max(0, until-hn.now)+hn.overdue(), func() { vm.step(run, Read{Err: errCut}) })
 		case len(hn.log) > int(in.From) || hn.first > int(in.From) || hn.now >= until:
 			answer(Read{Batch: hn.batch(in)})
@@ -343,8 +343,8 @@
 	})
 }
 
-// oracle folds the whole log, dropped records too, and lists the publications
-// that were accepted.
+// oracle folds the whole log, including dropped records, and returns the state and the
+// accepted publications.
 func (hn *harness) oracle() (*State, map[string]uint64) {
 	st := &State{Content: Templates, Buckets: hn.settings.Buckets}
 	accepted := map[string]uint64{}
@@ -363,7 +363,7 @@
 	return st, accepted
 }
 
-// checkAgree holds every VM against the oracle at the end of the log.
+// checkAgree compares every VM with the oracle at the end of the log.
 func (hn *harness) checkAgree() {
 	st, _ := hn.oracle()
 	want := st.Entries()
@@ -373,7 +373,7 @@
 	}
 }
 
-// checkVerdicts holds what operators were told against the oracle.
+// checkVerdicts compares the verdicts with the oracle.
 func (hn *harness) checkVerdicts() {
 	_, revisions := hn.oracle()
 	for id, wi := range hn.changes {
@@ -385,7 +385,7 @@
 			case Conflict:
 				assert.Assert(hn.tt, !accepted, "%s was told %+v", id, ve)
 			case NotPublished:
-				// Asked again, it may have been published then.
+				// A repeated request may have been published later.
 				assert.Assert(hn.tt, !accepted || wi.requests > 1, "%s was told %+v", id, ve)
 			case Unknown:
 			}
--- a/internal/register/lease.go
+++ b/internal/register/lease.go
@@ -11,20 +11,20 @@
 	"alderdyke/pkg/clock"
 )
 
-// DefaultMargin covers how far two VMs' clocks drift apart within a lease.
+// DefaultMargin covers the relative drift of two VMs' clocks within a lease.
 const DefaultMargin = clock.Second
 
 type (
-	// Holder decides for one VM and one resource when to take, renew and
-	// give back the lease, and whether an order may be sent.
+	// Holder decides for one VM and one resource when to acquire, renew and
+	// release the lease, and whether an order may be sent.
 	//
-	// No clocks are compared. The one who holds the lease counts its duration
-	// from before the append; everyone else counts it, and a margin more,
-	// from when they read the record. A lease therefore ends at its holder
-	// before another VM appends. A renewal and a takeover that race name the
-	// same base, so one is accepted. The fencing token is the revision; for a
-	// backend server that doesn't check it, MayOrder is asked right before
-	// the order is sent.
+	// No clocks are compared. The lease holder counts the duration from before
+	// the append; every other VM counts the duration plus a margin from when
+	// it read the record. The lease therefore ends at its holder before
+	// another VM appends. A renewal and a takeover that race name the same
+	// base, so only one is accepted. The fencing token is the revision. For a
+	// backend server that does not check it, call MayOrder immediately before
+	// sending the order.
 	//
 	// Set the exported fields before the first Step. It has a single owner.
 	Holder struct {
@@ -32,52 +32,52 @@
 		Self     string // this VM and its incarnation
 		Rand     *rand.Rand
 		Duration clock.Millis // of the lease; default 10 s
-		Margin   clock.Millis // default DefaultMargin; under half of Duration
-		// LetExpire lets a lease that is not wanted any more run out, in place of
-		// giving it back: then a duration lies between the last order of one
-		// VM and the first of another.
+		Margin   clock.Millis // default DefaultMargin; must be less than half of Duration
+		// LetExpire lets a lease that is no longer wanted expire instead of
+		// releasing it, so that the last order of one VM and the first of
+		// another are a duration apart.
 		LetExpire bool
-		// LossyRegister tells that the record of a lease that is held may be gone from
-		// the register: where none is there at first, one is waited out.
+		// LossyRegister means that the register may have lost the record of a
+		// held lease. If there is none at first, the Holder waits out a lease.
 		LossyRegister bool
 
 		wanted      bool
 		lastEntry   Entry        // last record observed
 		known       bool         // the register is decided
-		freeAt      clock.Millis // when another VM's lease has surely ended
-		usableUntil clock.Millis // when this VM stops to use its own
+		freeAt      clock.Millis // when another VM's lease has certainly ended
+		usableUntil clock.Millis // when this VM stops using its own lease
 		token       uint64       // zero if the lease is not held
 		attempt     *attempt
 		number      int
-		notBefore   clock.Millis // earliest point of the next append
+		notBefore   clock.Millis // earliest time of the next append
 		started     bool
 	}
 
-	// attempt is an append whose fate is not known yet.
+	// attempt is an append whose result is unknown yet.
 	attempt struct {
 		id      string
-		since   clock.Millis // before the append; the lease counts from here
+		since   clock.Millis // before the append; the lease duration counts from here
 		release bool
 		base    uint64
 	}
 
-	// HolderEvent is what a Holder is told: LeaseObserved, LeaseWanted, LeaseAppended or
-	// LeaseTick.
+	// HolderEvent is an input of a Holder: LeaseObserved, LeaseWanted,
+	// LeaseAppended or LeaseTick.
 	HolderEvent interface{ holderEvent() }
 
-	// HolderIntent is what a Holder wants done: LeaseAppend, LeaseHeld, LeaseLost,
-	// LogEvent or Wake.
+	// HolderIntent is an action that a Holder requests: LeaseAppend, LeaseHeld,
+	// LeaseLost, LogEvent or Wake.
 	HolderIntent interface{ holderIntent() }
 
-	// LeaseObserved tells the resource's register after each step of the
+	// LeaseObserved carries the resource's register after each step of the
 	// Follower, see [Follower.Entry].
 	LeaseObserved struct {
 		Entry Entry
 		Known bool
 	}
 
-	// LeaseWanted tells whether this VM is to hold the lease. A VM that gives it
-	// back must have stopped its orders.
+	// LeaseWanted sets whether this VM is to hold the lease. The VM must have
+	// stopped its orders before it releases the lease.
 	LeaseWanted struct{ Hold bool }
 
 	// LeaseAppended answers a LeaseAppend.
@@ -86,22 +86,22 @@
 		Err error
 	}
 
-	// LeaseTick passes the time.
+	// LeaseTick reports that time has passed.
 	LeaseTick struct{}
 
-	// LeaseAppend asks for an append to the stream of leases.
+	// LeaseAppend requests an append to the stream of leases.
 	LeaseAppend struct {
 		ID   string
 		Data []byte
 	}
 
-	// LeaseHeld tells that the lease is held with a fencing token.
+	// LeaseHeld reports that the lease is held, with its fencing token.
 	LeaseHeld struct {
 		Token uint64
-		Until clock.Millis // point on this VM's clock
+		Until clock.Millis // on this VM's clock
 	}
 
-	// LeaseLost tells that the lease is not held any more.
+	// LeaseLost reports that the lease is no longer held.
 	LeaseLost struct{ Token uint64 }
 )
 
@@ -116,8 +116,8 @@
 func (LogEvent) holderIntent()    {}
 func (Wake) holderIntent()        {}
 
-// MayOrder tells whether an order may be sent right now, and its fencing
-// token. Ask with a time that was taken after everything else was prepared.
+// MayOrder reports whether an order may be sent at the given time, and its fencing
+// token. Read the clock only after the order is completely prepared.
 func (ho *Holder) MayOrder(now clock.Millis) (token uint64, may bool) {
 	if ho.token == 0 || now >= ho.usableUntil {
 		return 0, false
@@ -125,7 +125,7 @@
 	return ho.token, true
 }
 
-// Step takes one event and returns what is to be done, in order.
+// Step handles one event and returns the resulting intents, in order.
 func (ho *Holder) Step(now clock.Millis, ev HolderEvent) []HolderIntent {
 	if !ho.started {
 		ho.started = true
@@ -161,13 +161,13 @@
 	ho.lastEntry = ev.Entry
 	var le Lease
 	if !ev.Entry.Withdrawn() && json.Unmarshal(ev.Entry.Value, &le) != nil {
-		le.Duration = maxLease // the fold accepts no value that can't be read
+		le.Duration = maxLease // not reached: the register accepts no value that does not decode
 	}
 	ho.freeAt = now + le.Duration + ho.Margin + ho.jitter(ho.Margin)
 	at := ho.attempt
 	mine := at != nil && at.id == ev.Entry.ID
 	if at != nil && (mine || ev.Entry.Revision > at.base) {
-		ho.attempt = nil // accepted, or refused for good
+		ho.attempt = nil // accepted, or refused permanently
 	}
 	if !mine || at.release {
 		return ho.dropLease()
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// handleAppended notes a failed append. Only one that surely was not appended may
-// be followed by another at once; otherwise reading tells, or time does.
+// handleAppended handles a failed append. Only an append that certainly failed may be
+// followed by another at once; otherwise the register, or the attempt's expiry, decides.
 func (ho *Holder) handleAppended(now clock.Millis, ev LeaseAppended) {
 	if ho.attempt == nil || ho.attempt.id != ev.ID || ev.Err == nil {
 		return
@@ -211,7 +211,7 @@
 	}
 }
 
-// plan takes, renews or gives back the lease when that is due.
+// plan acquires, renews or releases the lease when that is due.
 func (ho *Holder) plan(now clock.Millis) []HolderIntent {
 	due, release := ho.nextAppend(now)
 	if due == never {
@@ -224,14 +224,14 @@
 		return []HolderIntent{Wake{At: due}}
 	}
 	if at := ho.attempt; at != nil && now-at.since < ho.Duration/3 {
-		// The same record again: if the first was taken, this one changes
-		// nothing, and the lease still counts from the first.
+		// Append the same record again: if the first one was accepted, the
+		// second changes nothing, and the lease still counts from the first.
 		return ho.send(now, at)
 	}
 	ho.attempt = nil
 	if release {
-		// Whoever comes next may append at once, so stop first. Without an
-		// answer the others wait for the end of the duration instead.
+		// The next holder may append at once, so stop using the lease first.
+		// If the append is not answered, the others wait out the duration.
 		if ho.token == 0 {
 			return nil
 		}
@@ -266,14 +266,14 @@
 func (ho *Holder) record(at *attempt) []byte {
 	pub := Publish{ID: at.id, Key: ho.Resource, Base: at.base}
 	if !at.release {
-		// Two fields of plain types always marshal.
+		// A struct of plain types always marshals.
 		pub.Value, _ = json.Marshal(Lease{Holder: ho.Self, Duration: ho.Duration})
 	}
 	data, _ := Marshal(pub)
 	return data
 }
 
-// nextAppend tells when the next append is nextAppend, and whether it gives the lease back.
+// nextAppend returns when the next append is due, and whether it releases the lease.
 func (ho *Holder) nextAppend(now clock.Millis) (at clock.Millis, release bool) {
 	mine := ho.token != 0
 	switch {
--- a/internal/register/lease_test.go
+++ b/internal/register/lease_test.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// leaseWorld runs Holders on one log, each with its own reader that can
-	// lag, and its own clock that can be paused between any two steps.
+	// leaseWorld runs Holders on one log. Each has its own reader, which can lag,
+	// and its own clock, which can be paused between any two steps.
 	leaseWorld struct {
 		tt      rapid.TB
 		now     clock.Millis
@@ -29,8 +29,8 @@
 		st     *State
 		wake   clock.Millis
 		paused bool
-		cut    bool // reads nothing
-		lose   bool // replies to appends
+		cut    bool // reads nothing from the log
+		lose   bool // replies to appends are lost
 		out    []byte
 		outID  string
 	}
@@ -59,20 +59,20 @@
 			vm.wake = in.At
 		case LeaseHeld:
 			if who, ok := lw.granted[in.Token]; ok && who != vm.ho.Self {
-				lw.tt.Errorf("token %d went to %s and %s", in.Token, who, vm.ho.Self)
+				lw.tt.Errorf("token %d was granted to %s and %s", in.Token, who, vm.ho.Self)
 			}
 			lw.granted[in.Token] = vm.ho.Self
 		}
 	}
 }
 
-// tick passes 100 ms: appends land, readers read, holders wake, and whoever
-// may order does.
+// tick advances the time by 100 ms: appends arrive, readers read, holders handle their
+// Wake, and VMs that may order are counted.
 func (lw *leaseWorld) tick() {
 	lw.now += 100
 	for _, vm := range lw.holders {
 		if vm.out != nil {
-			// On its way: it lands even if the VM is paused meanwhile.
+			// The append is already sent: it arrives even if the VM is paused.
 			lw.log = append(lw.log, vm.out)
 			vm.out = nil
 			if !vm.paused && !vm.lose {
@@ -105,8 +105,8 @@
 	lw.step(vm, LeaseObserved{Entry: en, Known: known})
 }
 
-// checkOrders holds that at most one VM may order, paused ones included: a
-// paused VM asks MayOrder with the time at which it wakes.
+// checkOrders checks that at most one VM may order. Paused VMs are included: a paused VM
+// calls MayOrder with the time at which it resumes.
 func (lw *leaseWorld) checkOrders() {
 	var first string
 	for _, vm := range lw.holders {
@@ -169,7 +169,7 @@
 	token, _ := lw.holders[1].ho.MayOrder(lw.now)
 	assert.Assert(tt, token > old)
 
-	// It wakes, still believing, before it has read anything.
+	// It resumes and has not read yet that it was replaced.
 	lw.holders[0].paused, lw.holders[0].cut = false, true
 	_, may := lw.holders[0].ho.MayOrder(lw.now)
 	assert.Assert(tt, !may)
@@ -191,7 +191,7 @@
 	assert.Assert(tt, vm.ho.usableUntil <= asked+vm.ho.Duration-vm.ho.Margin)
 }
 
-// TestLeaseUnderRandomFaults pauses, cuts off and loses replies at random.
+// TestLeaseUnderRandomFaults pauses VMs, disconnects them and loses replies at random.
 func TestLeaseUnderRandomFaults(tt *testing.T) {
 	tt.Parallel()
 	rapid.Check(tt, func(rt *rapid.T) {
@@ -217,8 +217,8 @@
 	})
 }
 
-// TestLeaseNeedsItsMargins shows that the check can fail: a contender who
-// doesn't wait out the duration is caught.
+// TestLeaseNeedsItsMargins shows that the check can fail: it must detect a contender that
+// does not wait out the duration.
 func TestLeaseNeedsItsMargins(tt *testing.T) {
 	caught := &recorder{TB: tt}
 	lw := newLeaseWorld(caught, 2, 5)
@@ -233,7 +233,7 @@
 	assert.Assert(tt, caught.errors > 0)
 }
 
-// recorder counts errors in place of failing.
+// recorder counts errors instead of failing the test.
 type recorder struct {
 	rapid.TB
 	errors int
--- a/internal/register/main_test.go
+++ b/internal/register/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of random schedules, so that a run has the same
-// verdict each time; -rapid.seed tries another.
+// TestMain fixes the seed of random schedules, so that each run has the same result;
+// -rapid.seed sets another one.
 func TestMain(mm *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/register/publish.go
+++ b/internal/register/publish.go
@@ -11,19 +11,19 @@
 	"alderdyke/pkg/template"
 )
 
-// pending is a publication whose operator waits for a verdict.
+// pending is a publish request that awaits its verdict.
 type pending struct {
 	key           string
 	base          uint64
 	data          []byte
-	until         clock.Millis // when the operator is told, whatever is known
-	open          bool         // an append is under way
-	mayBeAppended bool         // the log may have taken it, from here or from elsewhere
-	retryAt       clock.Millis // of the next append
+	until         clock.Millis // when the operator gets a verdict at the latest
+	open          bool         // an append is in progress
+	mayBeAppended bool         // the log may have accepted it, from this VM or another
+	retryAt       clock.Millis // earliest time of the next append
 	tries         int
 }
 
-// handlePublish takes an operator's wish. What is certain is told at once.
+// handlePublish handles an operator's request. A verdict that is already certain is returned at once.
 func (fo *Follower) handlePublish(now clock.Millis, ev PublishRequest) {
 	if pe := fo.pending[ev.ID]; pe != nil {
 		pe.until = now + fo.Settings.PublishTimeout
@@ -55,8 +55,8 @@
 	}
 }
 
-// unappendedResult is the result of a publication that this VM appended nothing
-// for.
+// unappendedResult returns the result of a request for which this VM appended nothing; doubt
+// says that an earlier append is possible.
 func unappendedResult(doubt bool) Result {
 	if doubt {
 		return Unknown
@@ -75,7 +75,7 @@
 	}
 	pub, err := pub.checked()
 	if strings.HasPrefix(pub.ID, restatePrefix) {
-		return pub, false // the names of this VM's own appends
+		return pub, false // reserved for the IDs of this VM's own appends
 	}
 	if err == nil && pub.Value != nil {
 		err = Templates.check(pub.Key, pub.Value)
@@ -83,8 +83,8 @@
 	return pub, err == nil
 }
 
-// resolveWithoutAppend gives the verdict on a publication that needs no append: it was
-// accepted before, or a newer revision than its base is in force.
+// resolveWithoutAppend emits the verdict on a publication that needs no append, because it
+// was already accepted or a newer revision than its base is current. It reports whether it did.
 func (fo *Follower) resolveWithoutAppend(pub Publish) bool {
 	cur, _ := fo.state.Entry(pub.Key)
 	if rev, ok := cur.acceptedAs(pub.ID); ok {
@@ -94,8 +94,8 @@
 	if pub.Base >= cur.Revision {
 		return false
 	}
-	// It can't be accepted any more. Whether it was once is known if the
-	// register still remembers back to its base.
+	// It can no longer be accepted. Whether it was accepted earlier is known only
+	// if the register remembers every publication since its base.
 	result, reason := Conflict, BaseMismatch
 	if !cur.remembersSince(pub.Base + 1) {
 		result, reason = Unknown, InDoubt
@@ -104,7 +104,7 @@
 	return true
 }
 
-// rejectReason tells why a publication is not even appended.
+// rejectReason returns why a publication is not appended; empty if it may be.
 func (fo *Follower) rejectReason(ev PublishRequest) Reason {
 	switch {
 	case !fo.Ready():
@@ -126,7 +126,7 @@
 	return false
 }
 
-// planPending appends, appends again and tells operators whose time is up.
+// planPending appends and retries publications, and ends those that timed out.
 func (fo *Follower) planPending(now clock.Millis) clock.Millis {
 	next := never
 	for _, id := range sortedKeys(fo.pending) {
@@ -169,8 +169,8 @@
 		return
 	}
 	pe.open = false
-	// Unless the log refused it, the record is there or may come: reading
-	// tells. A second one with the same ID does no harm.
+	// Unless the log refused it, the record may have been appended; reading the
+	// log tells. A second record with the same ID has no effect.
 	pe.retryAt = now + fo.backoff(pe.tries)
 	switch {
 	case ev.Err == nil:
@@ -181,7 +181,7 @@
 	}
 }
 
-// resolvePending tells the operator what the fold decided.
+// resolvePending reports the ruling on a pending publication to its operator.
 func (fo *Follower) resolvePending(out Outcome) {
 	if fo.pending[out.ID] == nil || fo.pending[out.ID].key != out.Key {
 		return
@@ -199,8 +199,8 @@
 	fo.emit(ve)
 }
 
-// resolvePendingFromState finds publications that were decided in records which a
-// snapshot took this VM past.
+// resolvePendingFromState resolves publications that were decided in records which this VM
+// skipped because of a snapshot.
 func (fo *Follower) resolvePendingFromState() {
 	for _, id := range sortedKeys(fo.pending) {
 		pe := fo.pending[id]
@@ -210,8 +210,8 @@
 	}
 }
 
-// buildTemplates builds what is in force. An API key that two customers name
-// speaks for neither.
+// buildTemplates builds the active templates. An API key that two customers list
+// authenticates neither.
 func (fo *Follower) buildTemplates(ready bool) *board.Templates {
 	tp := &board.Templates{
 		ByCustomer: map[string]board.ActiveTemplate{},
@@ -228,7 +228,7 @@
 		if inf.Revision != en.Revision {
 			inf = board.ActiveTemplate{Revision: en.Revision}
 			if json.Unmarshal(en.Value, &inf.Template) != nil {
-				continue // the fold accepts no value that can't be read
+				continue // not reached: the register accepts no value that does not decode
 			}
 		}
 		tp.ByCustomer[en.Key] = inf
--- a/internal/register/reading.go
+++ b/internal/register/reading.go
@@ -13,31 +13,31 @@
 const (
 	never = clock.Millis(math.MaxInt64)
 
-	snapshotWait = 3 * clock.Second // for a peer's snapshot, before another is asked
+	snapshotWait = 3 * clock.Second // for a peer's snapshot, before another peer is tried
 )
 
 type (
-	// reading is the state of reads from the log.
+	// reading is the state of the reads from the log.
 	reading struct {
 		open        bool
-		requestedAt clock.Millis // when the open read was asked for
-		deadline    clock.Millis // of the open read's answer
-		next        clock.Millis // earliest point of the next read
-		failures    int          // in a row
+		requestedAt clock.Millis // when the open read was requested
+		deadline    clock.Millis // for the answer to the open read
+		next        clock.Millis // earliest time of the next read
+		failures    int          // consecutive
 		seen        bool         // a read has succeeded
-		initialEnd  uint64       // end of the log when it first did
+		initialEnd  uint64       // end of the log at the first successful read
 		first       uint64       // lowest offset that the log keeps
-		end         uint64       // newest end of the log that was told
-		endAt       clock.Millis // when a read that reached the end was asked for
+		end         uint64       // highest known end of the log
+		endAt       clock.Millis // when the last read that reached the end was requested
 	}
 
-	// peerRequests is the state of questions to peers.
+	// peerRequests is the state of the requests to peers.
 	peerRequests struct {
 		next         clock.Millis
-		needSnapshot bool // the last peer no longer had the records
+		needSnapshot bool // the last peer no longer had the records that this VM needs
 	}
 
-	// recent is the newest records, kept for peers: all from first to next.
+	// recent holds the newest records for peers: all from first to next.
 	recent struct {
 		first   uint64
 		next    uint64
@@ -49,14 +49,14 @@
 func (fo *Follower) planRead(now clock.Millis) clock.Millis {
 	rd := &fo.reading
 	if rd.open {
-		return never // planPeerRequest watches over it
+		return never // planPeerRequest checks its deadline
 	}
 	if now < rd.next {
 		return rd.next
 	}
 	wait := fo.Settings.ReadWait
 	if !rd.seen {
-		wait = 0 // learn where the log ends
+		wait = 0 // return at once with the end of the log
 	}
 	rd.open, rd.requestedAt, rd.deadline = true, now, now+wait+fo.Settings.ReadGrace
 	fo.emit(ReadLog{From: fo.state.next, Max: fo.Settings.MaxRecords, Wait: wait})
@@ -89,17 +89,17 @@
 	fo.recent.add(fo.Settings, ev.Batch)
 	fo.applyOutcomes(outs, bad)
 	if fo.state.next >= rd.end {
-		// What is read later was appended after this point.
+		// Any record read later was appended after this read was requested.
 		rd.endAt = rd.requestedAt
 	}
 }
 
-// logUnavailable tells whether the log can't be read at the moment.
+// logUnavailable reports whether the log cannot be read at the moment.
 func (fo *Follower) logUnavailable(now clock.Millis) bool {
 	return fo.reading.failures > 0 || fo.reading.open && now >= fo.reading.deadline
 }
 
-// planPeerRequest asks peers while the log doesn't serve, or holds too little.
+// planPeerRequest sends requests to peers while the log is unavailable or incomplete.
 func (fo *Follower) planPeerRequest(now clock.Millis) clock.Millis {
 	if !fo.logUnavailable(now) && fo.Ready() {
 		if fo.reading.open {
@@ -118,14 +118,14 @@
 	if fo.state.Known() && !fo.peerRequests.needSnapshot {
 		fo.emit(RequestRecords{VM: peer, From: fo.state.next, Max: fo.Settings.MaxRecords})
 	} else {
-		// A snapshot may take a while; the next is asked for once it failed.
+		// A snapshot may take a while; the next one is requested after it failed.
 		fo.peerRequests.next = now + snapshotWait
 		fo.emit(RequestSnapshot{VM: peer})
 	}
 	return fo.peerRequests.next
 }
 
-// choosePeer picks one of the other serving VMs.
+// choosePeer returns a random other VM that is serving.
 func (fo *Follower) choosePeer() (board.VM, bool) {
 	var others []board.VM
 	for _, vm := range fo.fleet.Serving() {
@@ -180,7 +180,7 @@
 	fo.applyOutcomes(outs, nil)
 }
 
-// add keeps the records of a batch.
+// add appends the records of a batch and drops the oldest beyond the limits.
 func (rc *recent) add(se Settings, ba logsvc.Batch) {
 	if ba.First > rc.next {
 		rc.reset(ba.First)
@@ -195,12 +195,12 @@
 	for len(rc.records) > se.KeepRecords || rc.bytes > se.KeepBytes {
 		rc.first = rc.records[0].Offset + 1
 		rc.bytes -= len(rc.records[0].Data)
-		rc.records[0] = logsvc.Record{} // lets the data go
+		rc.records[0] = logsvc.Record{} // releases the data
 		rc.records = rc.records[1:]
 	}
 }
 
-// reset forgets all records; those from the offset on come next.
+// reset drops all records; the next ones start at the offset.
 func (rc *recent) reset(offset uint64) { *rc = recent{first: offset, next: offset} }
 
 func (rc *recent) batch(from uint64, most int) logsvc.Batch {
--- a/internal/register/record.go
+++ b/internal/register/record.go
@@ -7,23 +7,23 @@
 	"fmt"
 )
 
-// formatVersion of records and snapshots.
+// formatVersion is the version of the format of records and snapshots.
 const formatVersion = 1
 
 type (
-	// Record is what a stream holds: a Publish, a Restate, a RestateRequest
+	// Record is a record of a stream: a Publish, a Restate, a RestateRequest
 	// or a Recover.
 	Record interface{ record() }
 
 	// Publish changes one register, or withdraws it if Value is empty.
 	Publish struct {
-		ID    string // of the publication; a repeat carries the same
+		ID    string // of the publication; a repeat has the same ID
 		Key   string
-		Base  uint64          // revision that the operator has seen; 0 if none
+		Base  uint64          // revision that the change is based on; 0 if none
 		Value json.RawMessage `json:",omitempty"`
 	}
 
-	// Restate holds the whole content of one bucket after all records below
+	// Restate holds the complete content of one bucket after all records below
 	// the offset AsOf.
 	Restate struct {
 		AsOf    uint64
@@ -32,44 +32,44 @@
 		Entries []Entry `json:",omitempty"` // sorted by key
 	}
 
-	// RestateRequest asks every VM that knows buckets to restate them now.
+	// RestateRequest asks every VM that has complete buckets to restate them.
 	RestateRequest struct {
-		VM string // that asks; for people who read the log
+		VM string // the requesting VM; for humans who read the log
 		// KnownTo is the highest offset up to which the VM knew a bucket that
-		// it misses now. VMs that knew more ask again with theirs, and the
-		// one that knew most recovers first.
+		// is now incomplete. VMs with a higher offset repeat the request with
+		// theirs, and the VM with the highest recovers first.
 		KnownTo uint64
 	}
 
-	// Recover puts the last known content of a bucket in force anew, with a
+	// Recover makes the last known content of a bucket current again, with a
 	// new revision. It counts only if no VM has restated the bucket since the
-	// newest request: the log dropped records that nobody has read, and
-	// nobody knows better.
+	// newest request. Then the log dropped records that no VM has read, and
+	// no VM has newer content.
 	Recover struct {
-		Request uint64 // offset of the RestateRequest that stayed without answer
-		AsOf    uint64 // up to which the content was known
+		Request uint64 // offset of the unanswered RestateRequest
+		AsOf    uint64 // offset up to which the content is known
 		Bucket  int
 		Buckets int
 		Entries []Entry `json:",omitempty"` // sorted by key
 	}
 
-	// Entry is one register. A withdrawn one keeps its revision and has no
-	// value.
+	// Entry is one register. A withdrawn register keeps its revision and has
+	// no value.
 	Entry struct {
 		Key      string
 		Revision uint64
 		ID       string
 		Value    json.RawMessage `json:",omitempty"`
-		Earlier  []Earlier       `json:",omitempty"` // accepted before it, oldest first
+		Earlier  []Earlier       `json:",omitempty"` // publications accepted before it, oldest first
 	}
 
-	// Earlier is a publication that was accepted and replaced.
+	// Earlier is an accepted publication that was replaced since.
 	Earlier struct {
 		ID       string
 		Revision uint64
 	}
 
-	// RecordError tells why a record is passed over.
+	// RecordError reports why a record is skipped.
 	RecordError struct {
 		Offset uint64
 		Detail string
@@ -90,7 +90,7 @@
 func (RestateRequest) record() {}
 func (Recover) record()        {}
 
-// Error names the offset.
+// Error returns a message with the offset, the detail and the cause.
 func (re *RecordError) Error() string {
 	if re.Err != nil {
 		return fmt.Sprintf("record at offset %d: %s: %v", re.Offset, re.Detail, re.Err)
@@ -101,10 +101,10 @@
 // Unwrap returns the cause, which may be nil.
 func (re *RecordError) Unwrap() error { return re.Err }
 
-// Withdrawn tells whether the register was published and then withdrawn.
+// Withdrawn reports whether the register was published and then withdrawn.
 func (en Entry) Withdrawn() bool { return en.Revision > 0 && len(en.Value) == 0 }
 
-// acceptedAs finds the revision that a publication was accepted with.
+// acceptedAs returns the revision with which a publication was accepted.
 func (en Entry) acceptedAs(id string) (uint64, bool) {
 	if en.Revision > 0 && en.ID == id {
 		return en.Revision, true
@@ -117,8 +117,8 @@
 	return 0, false
 }
 
-// remembersSince tells whether every publication that was accepted with the given
-// revision or a later one is still known to the register.
+// remembersSince reports whether the register still remembers every publication that was
+// accepted with the given revision or a later one.
 func (en Entry) remembersSince(revision uint64) bool {
 	return len(en.Earlier) < maxEarlier || en.Earlier[0].Revision <= revision
 }
@@ -127,7 +127,7 @@
 	return len(en.Key) + len(en.Value) + (1+len(en.Earlier))*(MaxID+40)
 }
 
-// Marshal writes a record as the log keeps it.
+// Marshal encodes a record for the log.
 func Marshal(rec Record) ([]byte, error) {
 	env := envelope{Version: formatVersion}
 	switch rec := rec.(type) {
@@ -140,7 +140,7 @@
 	case Recover:
 		env.Recover = &rec
 	default:
-		return nil, fmt.Errorf("marshal a record of type %T", rec)
+		return nil, fmt.Errorf("marshal a record: unknown type %T", rec)
 	}
 	data, err := json.Marshal(env)
 	if err != nil {
@@ -149,24 +149,24 @@
 	return data, nil
 }
 
-// Parse reads a record. Its result depends on nothing but the data, so all
-// VMs pass over the same records; the error is a *RecordError.
+// Parse decodes and checks a record. The result depends on nothing but the
+// arguments, so all VMs skip the same records; the error is a *RecordError.
 func Parse(offset uint64, data []byte) (Record, error) {
 	var env envelope
 	if err := json.Unmarshal(data, &env); err != nil {
-		return nil, &RecordError{Offset: offset, Detail: "not JSON of a record", Err: err}
+		return nil, &RecordError{Offset: offset, Detail: "invalid JSON", Err: err}
 	}
 	rec, err := env.record(offset)
 	if err != nil {
-		return nil, &RecordError{Offset: offset, Detail: "content", Err: err}
+		return nil, &RecordError{Offset: offset, Detail: "invalid content", Err: err}
 	}
 	return rec, nil
 }
 
-// record returns the one record of the envelope, checked.
+// record returns the checked record of the envelope, which must hold exactly one.
 func (env envelope) record(offset uint64) (Record, error) {
 	if env.Version != formatVersion {
-		return nil, fmt.Errorf("version %d is not known", env.Version)
+		return nil, fmt.Errorf("unsupported version %d", env.Version)
 	}
 	var found []Record
 	var err error
@@ -187,7 +187,7 @@
 		found = append(found, *env.Recover)
 	}
 	if len(found) != 1 {
-		return nil, fmt.Errorf("%d records in one", len(found))
+		return nil, fmt.Errorf("envelope holds %d records, must hold one", len(found))
 	}
 	return found[0], err
 }
@@ -195,13 +195,13 @@
 func (pub Publish) checked() (Publish, error) {
 	switch {
 	case pub.ID == "" || len(pub.ID) > MaxID:
-		return pub, fmt.Errorf("ID of %d bytes; write 1 to %d", len(pub.ID), MaxID)
+		return pub, fmt.Errorf("ID has %d bytes, must have 1 to %d", len(pub.ID), MaxID)
 	case pub.Key == "" || len(pub.Key) > MaxKey:
-		return pub, fmt.Errorf("key of %d bytes; write 1 to %d", len(pub.Key), MaxKey)
+		return pub, fmt.Errorf("key has %d bytes, must have 1 to %d", len(pub.Key), MaxKey)
 	}
 	value, err := canonical(pub.Value)
 	if len(value) > MaxValue {
-		return pub, fmt.Errorf("value of %d bytes; write up to %d", len(value), MaxValue)
+		return pub, fmt.Errorf("value has %d bytes, must have at most %d", len(value), MaxValue)
 	}
 	pub.Value = value
 	return pub, err
@@ -209,16 +209,16 @@
 
 func checkBucket(asOf, offset uint64, bucket, buckets int, ens []Entry) error {
 	if asOf > offset {
-		return fmt.Errorf("as of %d, which lies after it", asOf)
+		return fmt.Errorf("content as of offset %d, after its own record", asOf)
 	}
 	if buckets < 1 || bucket < 0 || bucket >= buckets {
-		return fmt.Errorf("bucket %d of %d", bucket, buckets)
+		return fmt.Errorf("bucket %d of %d does not exist", bucket, buckets)
 	}
 	return checkEntries(ens, asOf)
 }
 
-// checkEntries holds for restatements and snapshots: sorted, unique and no
-// newer than they claim to be.
+// checkEntries checks the entries of a restatement or snapshot: they must be sorted by
+// key, unique, and no newer than asOf.
 func checkEntries(ens []Entry, asOf uint64) error {
 	for ix := range ens {
 		en := &ens[ix]
@@ -226,9 +226,9 @@
 		case en.Key == "" || ix > 0 && en.Key <= ens[ix-1].Key:
 			return fmt.Errorf("entry %d is out of order", ix)
 		case en.Revision == 0 || en.Revision > asOf:
-			return fmt.Errorf("entry %d has revision %d as of %d", ix, en.Revision, asOf)
+			return fmt.Errorf("entry %d has revision %d, must have 1 to %d", ix, en.Revision, asOf)
 		case len(en.Earlier) > maxEarlier:
-			return fmt.Errorf("entry %d remembers %d publications", ix, len(en.Earlier))
+			return fmt.Errorf("entry %d has too many earlier publications: %d", ix, len(en.Earlier))
 		}
 		value, err := canonical(en.Value)
 		if err != nil {
@@ -239,15 +239,15 @@
 	return nil
 }
 
-// canonical makes equal values equal bytes, in the form that Marshal writes;
-// null is no value.
+// canonical returns equal bytes for equal values, in the form that Marshal writes.
+// A null counts as no value.
 func canonical(value json.RawMessage) (json.RawMessage, error) {
 	if len(value) == 0 || bytes.Equal(value, []byte("null")) {
 		return nil, nil
 	}
 	var short, safe bytes.Buffer
 	if err := json.Compact(&short, value); err != nil {
-		return nil, errors.New("value is not JSON")
+		return nil, errors.New("value is not valid JSON")
 	}
 	json.HTMLEscape(&safe, short.Bytes())
 	return safe.Bytes(), nil
--- a/internal/register/record_test.go
+++ b/internal/register/record_test.go
@@ -67,8 +67,8 @@
 	assert.Assert(tt, len(data) <= logsvc.DefaultMaxRecord)
 }
 
-// FuzzParse holds that what is accepted survives a round trip and does not
-// upset a state, and that a state at its start refuses nothing else.
+// FuzzParse checks that every accepted record survives a round trip and can be applied to a
+// state, and that a rejected record has no outcome.
 func FuzzParse(ff *testing.F) {
 	ff.Add([]byte(`{"Version":1,"Publish":{"ID":"a","Key":"b","Value":{"Holder":"h","Duration":"1s"}}}`))
 	ff.Add([]byte(`{"Version":1,"Restate":{"AsOf":1,"Buckets":2,"Entries":[{"Key":"a","Revision":1,"ID":"x"}]}}`))
@@ -92,8 +92,8 @@
 	})
 }
 
-// FuzzSnapshot holds that no snapshot takes a state back, unless it says that
-// the bucket was recovered since.
+// FuzzSnapshot checks that no snapshot reverts a state, unless it says that the bucket was
+// recovered since.
 func FuzzSnapshot(ff *testing.F) {
 	ff.Add([]byte(`{"Version":1,"Content":"Leases","Buckets":2,"AsOf":9,"Entries":[{"Key":"a","Revision":1,"ID":"x"}]}`))
 	ff.Add([]byte(`{"Version":1,"Content":"Leases","Buckets":2,"AsOf":9,"Covered":[3,0],"Entries":[{"Key":"a","Revision":1,"ID":"x"}]}`))
@@ -134,8 +134,8 @@
 	// late Refused 2 "BaseMismatch"
 }
 
-// TestSnapshotBehindADecidedBucket: a Restate has decided one bucket, a
-// publication has changed it since, and an older snapshot decides the rest.
+// TestSnapshotBehindADecidedBucket imports an older snapshot after a Restate has decided one
+// bucket and a publication has changed it. The snapshot decides only the other bucket.
 func TestSnapshotBehindADecidedBucket(tt *testing.T) {
 	const keys = "abcdefgh"
 	st := &State{Content: Leases, Buckets: 2}
--- a/internal/register/rest_test.go
+++ b/internal/register/rest_test.go
@@ -18,11 +18,11 @@
 	standin "alderdyke/internal/standin/logsvc"
 )
 
-// idleBound is the bytes a second that following one stream may cost a VM
+// idleBound is the traffic in bytes per second that following one stream may cost a VM
 // while nothing changes.
 const idleBound = 300
 
-// countedConn counts what passes a connection in both directions.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -40,8 +40,8 @@
 	return count, err
 }
 
-// TestIdleBytes measures one read that finds nothing, on the wire, at an
-// offset with many digits.
+// TestIdleBytes measures one read without records on the wire, at an offset with many
+// digits.
 func TestIdleBytes(tt *testing.T) {
 	srv := &standin.Server{Token: "0123456789abcdef0123456789abcdef"}
 	ts := httptest.NewServer(srv)
@@ -61,7 +61,7 @@
 	assert.NilError(tt, err)
 	each := bytes.Load()
 	rest := float64(each) * 1000 / float64(se.ReadWait)
-	tt.Logf("%d bytes a read, %.0f bytes a second at rest", each, rest)
+	tt.Logf("%d bytes a read, %.0f bytes a second while idle", each, rest)
 	assert.Assert(tt, rest <= idleBound)
 
 	ask, err := proto.Marshal(&peerpb.Frame{Body: &peerpb.Frame_LogAsk{
@@ -70,10 +70,10 @@
 	answer, err := proto.Marshal(&peerpb.Frame{Body: &peerpb.Frame_LogRecords{
 		LogRecords: &peerpb.LogRecords{First: offset, Next: offset}}})
 	assert.NilError(tt, err)
-	tt.Logf("%d bytes a question to a peer and its answer, without the session's frames", len(ask)+len(answer))
+	tt.Logf("%d bytes a request to a peer and its answer, without the session's frames", len(ask)+len(answer))
 }
 
-// TestSizesAtAThousandCustomers reports what the state of two years weighs.
+// TestSizesAtAThousandCustomers logs and bounds the size of the state of 1,000 customers.
 func TestSizesAtAThousandCustomers(tt *testing.T) {
 	st := &State{Content: Templates}
 	value, largest := 0, 0
--- a/internal/register/restate.go
+++ b/internal/register/restate.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	// A bucket is written again when its newest restatement is as old as
-	// this part of the retention.
+	// A bucket is restated when its newest restatement reaches the age of the
+	// retention divided by restateFraction.
 	restateFraction = 4
-	// maxRank bounds how long a VM leaves a due bucket to the VMs before it.
+	// maxRank bounds how long a VM leaves a due bucket to VMs with a lower rank.
 	maxRank = 4
 
-	// Spans between the VMs that answer a request, and that recover a bucket.
+	// Delays per rank of the VMs that answer a request, and that recover a bucket.
 	requestSpacing = 2 * clock.Second
 	recoverSpacing = 10 * clock.Second
 
-	// emptyRecoverFactor is how much longer a VM waits that never knew a bucket: if
-	// nobody knows it, all VMs were replaced and the log dropped everything.
+	// emptyRecoverFactor extends the wait for a bucket that this VM never knew. If
+	// no VM knows it, all VMs were replaced and the log dropped everything.
 	emptyRecoverFactor = 10
 
-	requestBucket = -1 // stands for a request in the names of appends
+	requestBucket = -1 // stands for a request in the IDs of appends
 	restatePrefix = "restate/"
 )
 
-// restating is the state of writing again what is in force. A VM that did not
-// see how old a bucket's restatement is takes it for due soon: VMs are
-// replaced more often than a retention ends, and each new one counting from
-// its own start would let everything expire.
+// restating is the state of restating buckets. A VM that did not read the restatement
+// of a bucket assumes that it is due soon. VMs are replaced more often than the
+// retention elapses, and if each new VM counted from its own start, everything would
+// expire.
 type restating struct {
-	due      []clock.Millis // of each bucket, for the VM that comes first
-	seenAsOf []uint64       // AsOf of the newest restatement that due counts from
-	openID   string         // ID of the append under way
-	bucket   int            // of it
-	asOf     uint64         // of it
-	next     clock.Millis   // earliest point of the next append
+	due      []clock.Millis // when each bucket is due at the VM with rank 0
+	seenAsOf []uint64       // AsOf of the restatement that due is derived from
+	openID   string         // ID of the append in progress
+	bucket   int            // bucket of that append
+	asOf     uint64         // AsOf of that append
+	next     clock.Millis   // earliest time of the next append
 	number   int
 
-	requested       uint64       // the newest request that was read
+	requested       uint64       // the newest request read
 	requestedAt     clock.Millis // when this VM read it
-	answeredRequest []uint64     // request that this VM has answered for each bucket
-	unknownSince    clock.Millis // since when buckets are unknown, or the last request of this VM
+	answeredRequest []uint64     // last request that this VM answered for each bucket
+	unknownSince    clock.Millis // when buckets became unknown, or this VM last sent a request
 
-	fleet *board.Fleet // that the ranks are of
-	ranks []int        // of this VM for each bucket, plus one; zero if not known yet
+	fleet *board.Fleet // for which the ranks were computed
+	ranks []int        // rank of this VM for each bucket, plus one; zero if not computed yet
 }
 
 func (ro *restating) begin(now clock.Millis, fo *Follower) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// noteRestatements notes restatements that were read. They are no older than the last
-// read that reached the log's end before them.
+// noteRestatements records the restatements that were read. They are no older than the
+// last read before them that reached the log's end.
 func (ro *restating) noteRestatements(fo *Follower) {
 	for ix := range fo.state.slots {
 		asOf := fo.state.slots[ix].restatedAsOf
@@ -79,8 +79,8 @@
 	}
 }
 
-// planRestate appends the restatement of one bucket that is due, and tells
-// when the next is. A VM that reads no log, or not all of it yet, waits.
+// planRestate appends the restatement of one due bucket, and returns when the next one is
+// due. A VM that cannot read the log, or has not caught up with it, waits.
 func (fo *Follower) planRestate(now clock.Millis) clock.Millis {
 	ro, rd := &fo.restating, &fo.reading
 	if ro.requested != fo.state.requested {
@@ -112,8 +112,8 @@
 	return next
 }
 
-// restateDue tells when this VM writes a bucket again: the owner by rendezvous
-// hash first, the others one after another in case it doesn't.
+// restateDue returns when this VM restates a bucket. The owner by rendezvous hashing is
+// first; the others follow one after another in case it fails to.
 func (fo *Follower) restateDue(ix int, now clock.Millis) clock.Millis {
 	ro, rd := &fo.restating, &fo.reading
 	if fo.state.slots[ix].covered < ro.requested && ro.answeredRequest[ix] != ro.requested {
@@ -147,12 +147,12 @@
 			return min(rank, maxRank)
 		}
 	}
-	return 0 // alone, as far as this VM knows
+	return 0 // this VM knows no other
 }
 
-// planRecover is for a VM that misses records which the log has dropped. It
-// asks the others to restate; if nobody does, nobody knows better, and what
-// was last known is put in force anew.
+// planRecover is for a VM that misses records which the log has dropped. It requests
+// restatements. If no VM restates, no VM has newer content, and the last known content
+// is made current again.
 func (fo *Follower) planRecover(now clock.Millis) clock.Millis {
 	ro, se := &fo.restating, &fo.Settings
 	if ro.unknownSince == 0 {
@@ -171,7 +171,7 @@
 		return never
 	}
 	if !fo.fleet.Quorate {
-		return stale // who knows better may be among those not reached
+		return stale // a VM that is not reached may have newer content
 	}
 	next := stale
 	for ix := range fo.state.slots {
@@ -181,7 +181,7 @@
 		}
 		due := ro.requestedAt + se.RecoverDelay + clock.Millis(fo.rank(ix))*recoverSpacing
 		if rc.AsOf < fo.state.requestKnownTo {
-			due += se.RecoverDelay // leave it to the one that knew more
+			due += se.RecoverDelay // leave it to the VM that knew more
 		}
 		if !fo.state.slots[ix].everKnown {
 			due += emptyRecoverFactor * se.RecoverDelay
@@ -197,7 +197,7 @@
 	return next
 }
 
-// appendOwn appends a record of this VM's own.
+// appendOwn appends a restatement, request or recovery of this VM.
 func (fo *Follower) appendOwn(now clock.Millis, ix int, rec Record) {
 	ro := &fo.restating
 	ro.next = now + fo.appendDelay(ix)
@@ -213,7 +213,7 @@
 	fo.emit(Append{ID: ro.openID, Data: data})
 }
 
-// appendDelay is the span to the next append: short while others wait for it.
+// appendDelay returns the delay until the next append. It is short while others wait for it.
 func (fo *Follower) appendDelay(ix int) clock.Millis {
 	if ix != requestBucket && fo.state.slots[ix].covered < fo.state.requested {
 		return fo.jitter(max(2, fo.Settings.RestateInterval/10))
@@ -221,7 +221,7 @@
 	return fo.jitter(fo.Settings.RestateInterval)
 }
 
-// handleAppended takes the answer to a restatement's append; false if it is none.
+// handleAppended handles the answer to an append of appendOwn; false if it is for another append.
 func (ro *restating) handleAppended(now clock.Millis, fo *Follower, ev Appended) bool {
 	if !strings.HasPrefix(ev.ID, restatePrefix) {
 		return false
--- a/internal/register/schedule_test.go
+++ b/internal/register/schedule_test.go
@@ -11,9 +11,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// TestRandomFaults drives Followers through random faults. The harness checks
-// at each step that nothing reverts; at the end, with the faults gone, all
-// VMs must agree with the log and operators must have been told the truth.
+// TestRandomFaults drives Followers through random faults. The harness checks at each step
+// that no revision decreases. After the faults, all VMs must agree with the log, and the
+// verdicts given to operators must be true.
 func TestRandomFaults(tt *testing.T) {
 	tt.Parallel()
 	rapid.Check(tt, func(rt *rapid.T) {
@@ -29,19 +29,19 @@
 			}
 		}
 		hn.updateFleets()
-		// Long enough to recover what no VM has read.
+		// Long enough to recover records that no VM has read.
 		hn.run(5 * clock.Minute)
 		hn.checkAgree()
 		hn.checkVerdicts()
 		for id, wi := range hn.changes {
-			// Only a VM that was replaced leaves its operator waiting.
+			// A request gets no verdict only if its VM was replaced.
 			replaced := hn.vms[2].run > 1 || hn.vms[3].run > 1
-			assert.Assert(rt, len(wi.verdicts) > 0 || replaced, "%s was never told", id)
+			assert.Assert(rt, len(wi.verdicts) > 0 || replaced, "%s never got a verdict", id)
 		}
 	})
 }
 
-// faults are the actions of a random schedule.
+// faults returns the actions of a random schedule.
 func faults(hn *harness) map[string]func(*rapid.T) {
 	draw := func(rt *rapid.T, low int) *follower { return hn.vms[rapid.IntRange(low, 3).Draw(rt, "vm")] }
 	ask := func(rt *rapid.T, number int) {
@@ -66,7 +66,7 @@
 		"down": func(*rapid.T) { toggle(&hn.logDown) },
 		"lose": func(*rapid.T) { hn.loseReplies++ },
 		"replace": func(rt *rapid.T) {
-			// Two VMs stay: what no VM and no record holds is lost.
+			// Two VMs stay, since content that neither a VM nor a record holds is lost.
 			vm := draw(rt, 2)
 			if vm.up {
 				vm.stop()
@@ -78,8 +78,8 @@
 			hn.run(clock.Millis(rapid.SampledFrom([]int{1, 5, 50, 700, 3000}).Draw(rt, "span")))
 		},
 		"pass long": func(rt *rapid.T) {
-			// Peers reach each other: what only a VM knows that reaches
-			// neither the log nor a peer beyond the retention is lost.
+			// Peers must reach each other, since content known only to a VM that
+			// reaches neither the log nor a peer for the retention is lost.
 			for _, vm := range hn.vms {
 				vm.isolated = false
 			}
@@ -99,9 +99,9 @@
 	}
 )
 
-// swapModel is a register that changes by compare-and-swap. An operator who
-// was told Unknown gives no output to check; the linearization then tries
-// both that it took place at some point and that it never did.
+// swapModel is a register that changes by compare-and-swap. The verdict Unknown gives no
+// output to check; the linearization then tries both that the publication took effect at
+// some point and that it never did.
 var swapModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
@@ -129,8 +129,8 @@
 	Equal: func(sa, sb any) bool { return sa == sb },
 }
 
-// history turns what operators asked and were told into operations. The
-// revision that an Unknown one may have made is taken from the log.
+// history converts requests and verdicts to operations. The revision that an Unknown
+// publication may have created is taken from the log.
 func (hn *harness) history() []porcupine.Operation {
 	_, revisions := hn.oracle()
 	var ops []porcupine.Operation
@@ -149,8 +149,8 @@
 	return ops
 }
 
-// TestHistoryIsLinearizable lets operators race through all VMs while replies
-// are lost and the log goes down.
+// TestHistoryIsLinearizable makes operators race through all VMs while replies are lost
+// and the log fails.
 func TestHistoryIsLinearizable(tt *testing.T) {
 	tt.Parallel()
 	model := swapModel.ToModel()
--- a/internal/register/snapshot.go
+++ b/internal/register/snapshot.go
@@ -7,10 +7,10 @@
 )
 
 // ErrNotKnown is returned by Export while some registers are undecided.
-var ErrNotKnown = errors.New("the registers are not all decided yet")
+var ErrNotKnown = errors.New("some registers are not decided yet")
 
 type (
-	// Snapshot is all registers of a stream after the records below AsOf.
+	// Snapshot holds all registers of a stream after the records below AsOf.
 	Snapshot struct {
 		Version int
 		Content Content
@@ -18,21 +18,21 @@
 		AsOf    uint64
 		Entries []Entry `json:",omitempty"` // sorted by key
 
-		// Requested is the offset of the newest RestateRequest, plus one, and
-		// Covered that of each bucket's newest Restate or Recover.
+		// Requested is the offset of the newest RestateRequest, plus one.
+		// Covered holds that of each bucket's newest valid Restate or Recover.
 		Requested uint64
 		Covered   []uint64
 	}
 
-	// SnapshotError tells why a snapshot is refused.
+	// SnapshotError reports why a snapshot is refused.
 	SnapshotError struct{ Detail string }
 )
 
-// Error says what is wrong with the snapshot.
+// Error returns a message with the detail.
 func (se *SnapshotError) Error() string { return "snapshot of registers: " + se.Detail }
 
-// Export writes the state for a peer. It returns ErrNotKnown while not all
-// registers are decided.
+// Export encodes the state for a peer. It returns ErrNotKnown while some registers
+// are undecided.
 func (st *State) Export() ([]byte, error) {
 	if !st.Known() {
 		return nil, ErrNotKnown
@@ -51,14 +51,14 @@
 	return data, nil
 }
 
-// ParseSnapshot reads and checks a snapshot.
+// ParseSnapshot decodes and checks a snapshot.
 func ParseSnapshot(data []byte) (Snapshot, error) {
 	var snap Snapshot
 	if err := json.Unmarshal(data, &snap); err != nil {
 		return Snapshot{}, fmt.Errorf("parse a snapshot: %w", err)
 	}
 	if snap.Version != formatVersion {
-		return Snapshot{}, &SnapshotError{Detail: fmt.Sprintf("version %d is not known", snap.Version)}
+		return Snapshot{}, &SnapshotError{Detail: fmt.Sprintf("unsupported version %d", snap.Version)}
 	}
 	if err := checkEntries(snap.Entries, snap.AsOf); err != nil {
 		return Snapshot{}, fmt.Errorf("check a snapshot: %w", err)
@@ -66,9 +66,8 @@
 	return snap, nil
 }
 
-// findReverted finds a register that the snapshot would replace although its last
-// known revision is newer. Only a Recover of its bucket since then explains
-// that.
+// findReverted finds a register that the snapshot would replace although its last known
+// revision is newer. That is valid only after a Recover of its bucket since then.
 func (st *State) findReverted(parts [][]Entry, snap Snapshot) (key string, back bool) {
 	for ix := range st.slots {
 		if st.slots[ix].known && snap.AsOf <= st.next {
@@ -87,14 +86,13 @@
 	return "", false
 }
 
-// Import merges a peer's snapshot. One that is ahead of the state replaces
-// it; one that is not behind its start decides what is still undecided; any
-// other changes nothing. One that would take a register back is refused with a
-// *SnapshotError.
+// Import merges a peer's snapshot. A snapshot that is ahead of the state replaces it; one
+// that is not behind the state's start decides the undecided buckets; any other changes
+// nothing. A snapshot that would revert a register is refused with a *SnapshotError.
 func (st *State) Import(snap Snapshot) ([]Outcome, error) {
 	st.init()
 	if snap.Content != st.Content || snap.Buckets != st.Buckets || len(snap.Covered) != st.Buckets {
-		return nil, &SnapshotError{Detail: "is of another stream"}
+		return nil, &SnapshotError{Detail: "belongs to another stream"}
 	}
 	ahead := !st.begun || snap.AsOf > st.next
 	if !ahead && !st.broken.snapshotWins && (snap.AsOf < st.start || st.Known()) {
@@ -106,7 +104,7 @@
 		parts[ix] = append(parts[ix], en)
 	}
 	if key, back := st.findReverted(parts, snap); back && !st.broken.snapshotWins {
-		return nil, &SnapshotError{Detail: fmt.Sprintf("takes %q back", key)}
+		return nil, &SnapshotError{Detail: fmt.Sprintf("would revert register %q", key)}
 	}
 	if ahead {
 		st.begun, st.start, st.next = true, snap.AsOf, snap.AsOf
--- a/internal/register/state.go
+++ b/internal/register/state.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// State is the registers of one stream as far as it was read. It has a
+	// State holds the registers of one stream as far as it was read. It has a
 	// single owner and must not be used from several goroutines. Set Content,
 	// and Buckets if it is not the default, before the first record. The zero
 	// State has read nothing.
@@ -20,31 +20,31 @@
 
 		begun bool
 		start uint64 // every record from here to next was read
-		next  uint64 // offset that comes next
+		next  uint64 // offset of the next record
 		slots []slot
-		edits uint64 // grows with every change of an entry
+		edits uint64 // number of changes of entries
 
 		// requested is the offset of the newest RestateRequest, plus one;
-		// zero if there is none or it may have been missed.
+		// zero if there is none or this VM may have missed it.
 		requested      uint64
-		requestKnownTo uint64 // KnownTo of that request; only steers who goes first
+		requestKnownTo uint64 // KnownTo of that request; affects only the order in which VMs recover
 
 		broken brokenGuards
 	}
 
-	// slot is one bucket.
+	// slot is the state of one bucket.
 	slot struct {
-		// known is false while records that count may have been missed;
-		// the entries are then the last ones known.
+		// known is false while records of the bucket may have been missed;
+		// the entries are then the last known ones.
 		known        bool
 		entries      map[string]Entry
 		bytes        int
-		held         []heldPublish // while not known, in the order of the log
-		restatedAsOf uint64        // AsOf of the newest Restate read
-		covered      uint64        // offset of the newest Restate or Recover in force, plus one
-		minAsOf      uint64        // a Restate from before this offset tells too little
-		everKnown    bool          // the bucket was known once
-		knownTo      uint64        // up to where it was, while it is not
+		held         []heldPublish // publications held back while not known, in log order
+		restatedAsOf uint64        // highest AsOf of the Restates read
+		covered      uint64        // offset of the newest valid Restate or Recover, plus one
+		minAsOf      uint64        // a Restate as of an earlier offset is incomplete
+		everKnown    bool          // the bucket was known before it became unknown
+		knownTo      uint64        // offset up to which it was known then
 	}
 
 	heldPublish struct {
@@ -52,36 +52,36 @@
 		pub    Publish
 	}
 
-	// brokenGuards are switched off by tests, which show that each is needed.
+	// brokenGuards lets tests switch guards off to show that each is needed.
 	brokenGuards struct {
-		anyBase      bool // accept a publication whatever it is based on
-		noRepeat     bool // don't recognise a repeated publication
-		restateWins  bool // let a Restate replace what is known
-		oldRestate   bool // trust a Restate from before the start
-		noHold       bool // decide without knowing what was missed
-		gapIgnored   bool // go on after missed records
-		snapshotWins bool // let any snapshot replace what is known
-		anyRecover   bool // trust a Recover whatever was restated
-		blindRecover bool // pass over a Recover that can't be verified
+		anyBase      bool // accept a publication with any base
+		noRepeat     bool // do not recognise a repeated publication
+		restateWins  bool // let a Restate replace known content
+		oldRestate   bool // trust a Restate as of before the start
+		noHold       bool // decide without what was missed
+		gapIgnored   bool // continue after missed records
+		snapshotWins bool // let any snapshot replace known content
+		anyRecover   bool // trust a Recover even if the bucket was restated
+		blindRecover bool // skip a Recover that can't be verified
 	}
 
-	// GapError tells that records which the state needs are not there.
+	// GapError reports that records are missing between the state and a batch.
 	GapError struct {
-		Next  uint64 // that the state needs
-		First uint64 // that there is
+		Next  uint64 // offset that the state needs next
+		First uint64 // lowest offset of the batch
 	}
 )
 
-// Next is the offset that comes next.
+// Next returns the offset of the next record.
 func (st *State) Next() uint64 { return st.next }
 
-// Known tells whether every register is decided up to Next.
+// Known reports whether every register is decided up to Next.
 func (st *State) Known() bool {
 	return st.begun && !slices.ContainsFunc(st.slots, func(sl slot) bool { return !sl.known })
 }
 
-// Entry returns a register, the zero Entry if there is none, and whether it
-// is decided up to Next. An entry that is not is the last one known.
+// Entry returns a register, the zero Entry if there is none, and whether it is
+// decided up to Next. An undecided entry is the last known one.
 func (st *State) Entry(key string) (en Entry, known bool) {
 	if !st.begun {
 		return Entry{}, false
@@ -101,8 +101,8 @@
 }
 
 // Advance applies a batch that was read from the log. If the log has dropped
-// records that the state needs, what is known becomes the last known, until
-// Restates or a snapshot tell what was missed.
+// records that the state needs, the registers become undecided and keep their last
+// known entries until Restates or a snapshot supply what was missed.
 func (st *State) Advance(ba logsvc.Batch) ([]Outcome, []error) {
 	st.init()
 	if !st.begun || ba.First > st.next {
@@ -111,9 +111,9 @@
 	return st.apply(ba)
 }
 
-// Follow applies a batch that a peer forwarded. If records are missing it
-// changes nothing and returns a *GapError: the peer may have dropped what
-// the log still holds.
+// Follow applies a batch that a peer forwarded. If records are missing before it,
+// Follow changes nothing and returns a *GapError, since the log may still hold what
+// the peer has dropped.
 func (st *State) Follow(ba logsvc.Batch) ([]Outcome, []error, error) {
 	st.init()
 	if !st.begun || ba.First > st.next {
@@ -136,7 +136,7 @@
 	}
 }
 
-// restartAt begins anew at an offset. Nothing was missed only if it is zero.
+// restartAt restarts the state at an offset. Only at offset zero was nothing missed.
 func (st *State) restartAt(first uint64) {
 	if st.begun && st.broken.gapIgnored {
 		st.next = first
@@ -198,8 +198,8 @@
 	return []Outcome{st.decide(sl, offset, pub)}
 }
 
-// decide rules on a publication. Everything that it looks at follows from the
-// records of the key's bucket before it.
+// decide decides a publication. The decision depends only on the earlier records of
+// the key's bucket.
 func (st *State) decide(sl *slot, offset uint64, pub Publish) Outcome {
 	cur := sl.entries[pub.Key]
 	out := Outcome{Offset: offset, ID: pub.ID, Key: pub.Key, Ruling: Refused, Current: cur.Revision}
@@ -232,7 +232,7 @@
 	return ""
 }
 
-// earlier lists the publications that the next entry remembers.
+// earlier returns the publications that the register's next entry remembers.
 func (en Entry) earlier() []Earlier {
 	if en.Revision == 0 {
 		return nil
@@ -254,5 +254,5 @@
 	return int(xxhash.Sum64String(key) % uint64(st.Buckets))
 }
 
-// Error names both offsets.
-func (ge *GapError) Error() string { return "records are missing before those that were offered" }
+// Error describes the gap.
+func (ge *GapError) Error() string { return "records are missing before the first one of the batch" }
