--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -136,7 +136,7 @@
 
 // start is a VM that just started.
 func (le *leaseExplorer) start(name string) exploreVM {
-	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(leastSource{}), Duration: exploreLease, LetExpire: true, LossyRegister: !le.broken.noWait}
+	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(leastSource{}), Duration: exploreLease, Lapses: true, Lossy: !le.broken.noWait}
 	return exploreVM{ho: ho, view: leaseView{lasts: exploreLease}}
 }
 
--- a/internal/register/follower.go
+++ b/internal/register/follower.go
@@ -29,18 +29,18 @@
 		// restated at a quarter of that age. Default 24 h.
 		Retention clock.Millis
 
-		ReadWait        clock.Millis // for which a read waits for the next record; default 1.5 s
-		ReadGrace       clock.Millis // after ReadWait, until an open read counts as failed; default 700 ms
-		MaxRecords      int          // of one read; default 256
-		RetryDelay      clock.Millis // after a failed call; doubles with each failure, up to eightfold; default 250 ms
-		PeerInterval    clock.Millis // between two requests to peers; default 500 ms
-		PublishTimeout  clock.Millis // until an operator gets a verdict; default 5 s
-		RequestDelay    clock.Millis // from when a VM misses records until it requests restatements; default 10 s
-		RecoverDelay    clock.Millis // from an unanswered request until a VM recovers its last known content; default 1 min
-		MaxPending      int          // publications pending at this VM; default 64
-		RestateInterval clock.Millis // between two restatements of this VM; default 500 ms
-		KeepRecords     int          // newest records kept for peers; default 256
-		KeepBytes       int          // their total size; default 512 KiB
+		ReadWait      clock.Millis // for which a read waits for the next record; default 1.5 s
+		Overdue       clock.Millis // after ReadWait, until an open read counts as failed; default 700 ms
+		MaxRecords    int          // of one read; default 256
+		Retry         clock.Millis // after a failed call; doubles with each failure, up to eightfold; default 250 ms
+		PeerEvery     clock.Millis // between two requests to peers; default 500 ms
+		PublishWithin clock.Millis // until an operator gets a verdict; default 5 s
+		RequestAfter  clock.Millis // from when a VM misses records until it requests restatements; default 10 s
+		RecoverAfter  clock.Millis // from an unanswered request until a VM recovers its last known content; default 1 min
+		MaxPending    int          // publications pending at this VM; default 64
+		RestateEvery  clock.Millis // between two restatements of this VM; default 500 ms
+		KeepRecords   int          // newest records kept for peers; default 256
+		KeepBytes     int          // their total size; default 512 KiB
 	}
 
 	// Follower decides what one VM reads, requests from peers and appends to
@@ -290,7 +290,7 @@
 
 // backoff returns a jittered delay that grows with the number of consecutive failures.
 func (fo *Follower) backoff(failures int) clock.Millis {
-	return fo.jitter(fo.Settings.RetryDelay << min(max(failures-1, 0), 3))
+	return fo.jitter(fo.Settings.Retry << min(max(failures-1, 0), 3))
 }
 
 // applyOutcomes handles what a batch or snapshot decided.
@@ -338,13 +338,13 @@
 	}
 	span(&se.Retention, 24*clock.Hour)
 	span(&se.ReadWait, 1500)
-	span(&se.ReadGrace, 700)
-	span(&se.RetryDelay, 250)
-	span(&se.PeerInterval, 500)
-	span(&se.PublishTimeout, 5*clock.Second)
-	span(&se.RestateInterval, 500)
-	span(&se.RequestDelay, 10*clock.Second)
-	span(&se.RecoverDelay, clock.Minute)
+	span(&se.Overdue, 700)
+	span(&se.Retry, 250)
+	span(&se.PeerEvery, 500)
+	span(&se.PublishWithin, 5*clock.Second)
+	span(&se.RestateEvery, 500)
+	span(&se.RequestAfter, 10*clock.Second)
+	span(&se.RecoverAfter, clock.Minute)
 	count(&se.Buckets, DefaultBuckets)
 	count(&se.MaxRecords, 256)
 	count(&se.MaxPending, 64)
--- a/internal/register/harness_test.go
+++ b/internal/register/harness_test.go
@@ -283,7 +283,7 @@
 	})
 }
 
-func (hn *harness) overdue() clock.Millis { return hn.settings.withDefaults().ReadGrace }
+func (hn *harness) overdue() clock.Millis { return hn.settings.withDefaults().Overdue }
 
 func (hn *harness) batch(in ReadLog) logsvc.Batch {
 	ba := logsvc.Batch{First: uint64(hn.first), End: uint64(len(hn.log))}
--- a/internal/register/lease.go
+++ b/internal/register/lease.go
@@ -33,13 +33,13 @@
 		Rand     *rand.Rand
 		Duration clock.Millis // of the lease; default 10 s
 		Margin   clock.Millis // default DefaultMargin; must be less than half of Duration
-		// LetExpire lets a lease that is no longer wanted expire instead of
+		// Lapses lets a lease that is no longer wanted expire instead of
 		// releasing it, so that the last order of one VM and the first of
 		// another are a duration apart.
-		LetExpire bool
-		// LossyRegister means that the register may have lost the record of a
+		Lapses bool
+		// Lossy means that the register may have lost the record of a
 		// held lease. If there is none at first, the Holder waits out a lease.
-		LossyRegister bool
+		Lossy bool
 
 		wanted      bool
 		lastEntry   Entry        // last record observed
@@ -151,7 +151,7 @@
 }
 
 func (ho *Holder) handleObserved(now clock.Millis, ev LeaseObserved) []HolderIntent {
-	if ho.LossyRegister && ev.Known && !ho.known {
+	if ho.Lossy && ev.Known && !ho.known {
 		ho.freeAt = max(ho.freeAt, now+ho.Duration+ho.Margin+ho.jitter(ho.Margin))
 	}
 	ho.known = ev.Known
@@ -281,7 +281,7 @@
 		return ho.expiryOrNever(), false
 	case ho.attempt != nil:
 		return ho.notBefore, ho.attempt.release
-	case mine && !ho.wanted && ho.LetExpire:
+	case mine && !ho.wanted && ho.Lapses:
 		return ho.expiryOrNever(), false
 	case mine && !ho.wanted:
 		return max(now, ho.notBefore), true
@@ -290,7 +290,7 @@
 		return max(third, ho.notBefore), false
 	case !ho.wanted:
 		return never, false
-	case !ho.LossyRegister && (ho.lastEntry.Revision == 0 || ho.lastEntry.Withdrawn()):
+	case !ho.Lossy && (ho.lastEntry.Revision == 0 || ho.lastEntry.Withdrawn()):
 		return max(now, ho.notBefore), false
 	default:
 		return max(ho.freeAt, ho.notBefore), false
--- a/internal/register/publish.go
+++ b/internal/register/publish.go
@@ -26,7 +26,7 @@
 // handlePublish handles an operator's request. A verdict that is already certain is returned at once.
 func (fo *Follower) handlePublish(now clock.Millis, ev PublishRequest) {
 	if pe := fo.pending[ev.ID]; pe != nil {
-		pe.until = now + fo.Settings.PublishTimeout
+		pe.until = now + fo.Settings.PublishWithin
 		pe.mayBeAppended = pe.mayBeAppended || ev.Repeated
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	fo.pending[ev.ID] = &pending{
-		key: rec.Key, base: rec.Base, data: data, until: now + fo.Settings.PublishTimeout, retryAt: now,
+		key: rec.Key, base: rec.Base, data: data, until: now + fo.Settings.PublishWithin, retryAt: now,
 		mayBeAppended: ev.Repeated,
 	}
 }
--- a/internal/register/reading.go
+++ b/internal/register/reading.go
@@ -58,7 +58,7 @@
 	if !rd.seen {
 		wait = 0 // return at once with the end of the log
 	}
-	rd.open, rd.requestedAt, rd.deadline = true, now, now+wait+fo.Settings.ReadGrace
+	rd.open, rd.requestedAt, rd.deadline = true, now, now+wait+fo.Settings.Overdue
 	fo.emit(ReadLog{From: fo.state.next, Max: fo.Settings.MaxRecords, Wait: wait})
 	return never
 }
@@ -111,7 +111,7 @@
 		return fo.peerRequests.next
 	}
 	peer, ok := fo.choosePeer()
-	fo.peerRequests.next = now + fo.jitter(fo.Settings.PeerInterval)
+	fo.peerRequests.next = now + fo.jitter(fo.Settings.PeerEvery)
 	if !ok {
 		return fo.peerRequests.next
 	}
@@ -158,7 +158,7 @@
 }
 
 func (fo *Follower) handlePeerSnapshot(now clock.Millis, ev PeerSnapshot) {
-	fo.peerRequests.next = now + fo.jitter(fo.Settings.PeerInterval)
+	fo.peerRequests.next = now + fo.jitter(fo.Settings.PeerEvery)
 	if ev.Err != nil {
 		return
 	}
--- a/internal/register/record.go
+++ b/internal/register/record.go
@@ -158,7 +158,7 @@
 	}
 	rec, err := env.record(offset)
 	if err != nil {
-		return nil, &RecordError{Offset: offset, Detail: "invalid content", Err: err}
+		return nil, &RecordError{Offset: offset, Detail: "content", Err: err}
 	}
 	return rec, nil
 }
--- a/internal/register/restate.go
+++ b/internal/register/restate.go
@@ -158,10 +158,10 @@
 	if ro.unknownSince == 0 {
 		ro.unknownSince = now
 	}
-	stale := ro.requestedAt + 2*emptyRecoverFactor*se.RecoverDelay
+	stale := ro.requestedAt + 2*emptyRecoverFactor*se.RecoverAfter
 	knownTo := fo.state.missedKnownTo()
 	if ro.requested == 0 || now >= stale || knownTo > fo.state.requestKnownTo {
-		due := ro.unknownSince + se.RequestDelay + clock.Millis(fo.rank(0))*requestSpacing
+		due := ro.unknownSince + se.RequestAfter + clock.Millis(fo.rank(0))*requestSpacing
 		if due > now {
 			return due
 		}
@@ -179,12 +179,12 @@
 		if !ok || ro.answeredRequest[ix] == ro.requested {
 			continue
 		}
-		due := ro.requestedAt + se.RecoverDelay + clock.Millis(fo.rank(ix))*recoverSpacing
+		due := ro.requestedAt + se.RecoverAfter + clock.Millis(fo.rank(ix))*recoverSpacing
 		if rc.AsOf < fo.state.requestKnownTo {
-			due += se.RecoverDelay // leave it to the VM that knew more
+			due += se.RecoverAfter // leave it to the VM that knew more
 		}
 		if !fo.state.slots[ix].everKnown {
-			due += emptyRecoverFactor * se.RecoverDelay
+			due += emptyRecoverFactor * se.RecoverAfter
 		}
 		if due > now {
 			next = min(next, due)
@@ -216,9 +216,9 @@
 // appendDelay returns the delay until the next append. It is short while others wait for it.
 func (fo *Follower) appendDelay(ix int) clock.Millis {
 	if ix != requestBucket && fo.state.slots[ix].covered < fo.state.requested {
-		return fo.jitter(max(2, fo.Settings.RestateInterval/10))
+		return fo.jitter(max(2, fo.Settings.RestateEvery/10))
 	}
-	return fo.jitter(fo.Settings.RestateInterval)
+	return fo.jitter(fo.Settings.RestateEvery)
 }
 
 // handleAppended handles the answer to an append of appendOwn; false if it is for another append.
@@ -233,7 +233,7 @@
 	ro.next = now + fo.appendDelay(ro.bucket)
 	if ev.Err != nil {
 		fo.logEvent(event.RestatementFailed, event.F("Bucket", ro.bucket))
-		ro.next = now + fo.jitter(10*fo.Settings.RestateInterval)
+		ro.next = now + fo.jitter(10*fo.Settings.RestateEvery)
 		return true
 	}
 	if ro.bucket == requestBucket {
--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -93,7 +93,7 @@
 // Run keeps the roles until the context ends.
 func (ke *Keeper) Run(ctx context.Context) {
 	ke.plans = make(map[string]*Plan)
-	ke.Holder.LetExpire = true
+	ke.Holder.Lapses = true
 	ticker := time.NewTicker(leaseCheckInterval.Std())
 	defer ticker.Stop()
 	for {
--- a/internal/topic/availability_test.go
+++ b/internal/topic/availability_test.go
@@ -11,9 +11,9 @@
 // The VM has been answered since 1,000 ms, and last at 10,000 ms.
 func TestOutageDetection(t *testing.T) {
 	const at = 10 * clock.Second
-	fail := func(now clock.Millis) func(*availability) { return func(av *availability) { av.recordFailure(now) } }
+	failure := func(now clock.Millis) func(*availability) { return func(av *availability) { av.recordFailure(now) } }
 	answer := func(now clock.Millis) func(*availability) { return func(av *availability) { av.recordAnswer(now) } }
-	hear := func(now, span clock.Millis, ended bool) func(*availability) {
+	merge := func(now, span clock.Millis, ended bool) func(*availability) {
 		return func(av *availability) { av.merge(now, span, ended, "vm-2") }
 	}
 	for _, tc := range []struct {
@@ -22,19 +22,19 @@
 		want  Outage
 		since clock.Millis
 	}{
-		{"one call failed", []func(*availability){fail(at + 900), answer(at + 1100)}, Outage{}, 1000},
-		{"no call was answered", []func(*availability){fail(at + 900), fail(at + 2000), answer(at + 2200)}, Outage{Since: at, Until: at + 2200}, at + 2200},
-		{"outage in progress", []func(*availability){fail(at + 900), fail(at + 2000)}, Outage{Since: at, Until: at + 2000}, 1000},
+		{"one call failed", []func(*availability){failure(at + 900), answer(at + 1100)}, Outage{}, 1000},
+		{"no call was answered", []func(*availability){failure(at + 900), failure(at + 2000), answer(at + 2200)}, Outage{Since: at, Until: at + 2200}, at + 2200},
+		{"outage in progress", []func(*availability){failure(at + 900), failure(at + 2000)}, Outage{Since: at, Until: at + 2000}, 1000},
 		{"short gap without calls", []func(*availability){answer(at + 1500)}, Outage{}, 1000},
 		{"long gap without calls", []func(*availability){answer(at + 5000)}, Outage{Since: at, Until: at + 5000}, at + 5000},
-		{"long gap without calls, others were answered", []func(*availability){answer(at + 5000), hear(at+5100, 9000, false)},
+		{"long gap without calls, others were answered", []func(*availability){answer(at + 5000), merge(at+5100, 9000, false)},
 			Outage{}, at - 3900},
-		{"others are answered meanwhile", []func(*availability){fail(at + 900), hear(at+1000, 9000, false), fail(at + 1900), fail(at + 2100)}, Outage{}, 1000},
-		{"others were answered", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 9000, false)}, Outage{}, at - 3100},
-		{"others were not answered", []func(*availability){fail(at + 5000), answer(at + 5100), hear(at+5900, 1000, true)},
+		{"others are answered meanwhile", []func(*availability){failure(at + 900), merge(at+1000, 9000, false), failure(at + 1900), failure(at + 2100)}, Outage{}, 1000},
+		{"others were answered", []func(*availability){failure(at + 5000), answer(at + 5100), merge(at+5900, 9000, false)}, Outage{}, at - 3100},
+		{"others were not answered", []func(*availability){failure(at + 5000), answer(at + 5100), merge(at+5900, 1000, true)},
 			Outage{Since: at, Until: at + 4900, ReportedBy: "vm-2"}, at + 4900},
-		{"another VM's calls failed", []func(*availability){hear(at+800, 1, true), hear(at+1600, 801, true)}, Outage{}, 1000},
-		{"paused during an outage", []func(*availability){answer(at + 9000), hear(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, ReportedBy: "vm-2"}, at + 8000},
+		{"another VM's calls failed", []func(*availability){merge(at+800, 1, true), merge(at+1600, 801, true)}, Outage{}, 1000},
+		{"paused during an outage", []func(*availability){answer(at + 9000), merge(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, ReportedBy: "vm-2"}, at + 8000},
 		{"store restored from an older copy", []func(*availability){func(av *availability) { av.noteRestore(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -87,9 +87,9 @@
 	for ix := range vms {
 		vm := &simVM{st: st, name: fmt.Sprintf("vm-%d", ix), known: make(map[string]bool), list: make(map[string]board.BackendServer)}
 		vm.fo = &topic.Follower{Source: vm, Name: "servers", Pause: 800, GracePeriod: registry.DefaultReturn, StandbyAfter: 950, SelfReadAfter: 1100, Clock: st.clk,
-			OnSnapshot: vm.whole, OnChange: vm.change, IsNew: vm.isNews, OnCaughtUp: vm.apply,
+			OnSnapshot: vm.takeSnapshot, OnChange: vm.change, IsNew: vm.isNew, OnCaughtUp: vm.apply,
 			Rank:      func() int { return ix },
-			Broadcast: vm.tell,
+			Broadcast: vm.broadcast,
 			OnOutage:  func(ou topic.Outage) { vm.rg.NoteOutage(ou.Until) }}
 		st.vms = append(st.vms, vm)
 	}
@@ -156,8 +156,8 @@
 	st.put(id, "ready")
 }
 
-// leave makes a server leave, draining first if word is set. It needs the store.
-func (st *site) leave(id string, word bool) {
+// leave makes a server leave, draining first if announce is set. It needs the store.
+func (st *site) leave(id string, announce bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	sv := st.servers[id]
@@ -165,8 +165,8 @@
 		return
 	}
 	now := st.clk.Now()
-	sv.left, sv.announced, sv.stable = now, word, now-st.upSince >= settleSpan
-	if word {
+	sv.left, sv.announced, sv.stable = now, announce, now-st.upSince >= settleSpan
+	if announce {
 		st.put(id, "draining")
 	} else {
 		st.put(id, "")
@@ -259,8 +259,8 @@
 	return append([]topic.Record(nil), vm.st.recs[from:]...), uint64(len(vm.st.recs)), nil
 }
 
-// tell sends an update to all reachable VMs, with delays and losses.
-func (vm *simVM) tell(nw topic.Update) {
+// broadcast sends an update to all reachable VMs, with delays and losses.
+func (vm *simVM) broadcast(nw topic.Update) {
 	st := vm.st
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -284,7 +284,7 @@
 	return board.BackendServer{ID: rec.Key, Name: rec.Key, Address: rec.Key + ":1", Leaving: string(rec.Value) == "draining"}
 }
 
-func (vm *simVM) whole(recs []topic.Record) {
+func (vm *simVM) takeSnapshot(recs []topic.Record) {
 	var list []board.BackendServer
 	for _, rec := range recs {
 		list = append(list, serverOf(rec))
@@ -300,7 +300,7 @@
 	vm.rg.Set(serverOf(rec))
 }
 
-func (vm *simVM) isNews(rec topic.Record) bool {
+func (vm *simVM) isNew(rec topic.Record) bool {
 	if len(rec.Value) == 0 {
 		return vm.rg.Lists(rec.Key)
 	}
