--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -45,7 +45,7 @@
 	// MaxStartAfterLeaving after it began to leave.
 	UsedLeaving Rule = "UsedLeaving"
 	// CutOff: a call in progress during a planned stop receives a complete
-	// answer, and the stop ends with exit code 0.
+	// answer, and the stop ends on its own with exit code 0.
 	CutOff Rule = "CutOff"
 	// Reverted: the active revision of a VM never decreases.
 	Reverted Rule = "Reverted"
--- a/internal/register/harness_test.go
+++ b/internal/register/harness_test.go
@@ -70,7 +70,7 @@
 	publishAttempt struct {
 		change     PublishRequest
 		requests   int
-		repeatedAt map[string]bool // VMs that were told that the request is a repeat
+		repeatedAt map[string]bool // VMs that received it marked as a repeat
 		askedAt    clock.Millis
 		answeredAt clock.Millis
 		verdicts   []Verdict
--- a/internal/register/publish.go
+++ b/internal/register/publish.go
@@ -169,8 +169,8 @@
 		return
 	}
 	pe.open = false
-	// Unless the log refused it, the record may have been appended; reading the
-	// log tells. A second record with the same ID has no effect.
+	// Unless the log refused it, the record may have been appended; only reading the
+	// log shows whether it was. A second record with the same ID has no effect.
 	pe.retryAt = now + fo.backoff(pe.tries)
 	switch {
 	case ev.Err == nil:
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -14,8 +14,8 @@
 // [Restate] holds the complete content of one bucket of keys as of an offset.
 // A reader that starts in the middle of the stream holds back the publications
 // of a bucket until it reads a Restate as of its start or later, or receives a
-// peer's snapshot. Then it decides them in order. A Restate tells such a reader
-// what it missed and has no effect on the others, so it never overrides a
+// peer's snapshot. Then it decides them in order. A Restate supplies what such a
+// reader missed and has no effect on the others, so it never overrides a
 // change.
 //
 // If the log drops records that no VM has read, no VM can restate. VMs then
--- a/internal/register/restate.go
+++ b/internal/register/restate.go
@@ -26,7 +26,7 @@
 	recoverSpacing = 10 * clock.Second
 
 	// emptyRecoverFactor extends the wait for a bucket that this VM never knew. If
-	// no VM knows it, all VMs were replaced and the log dropped everything.
+	// no VM has its content, all VMs were replaced and the log dropped everything.
 	emptyRecoverFactor = 10
 
 	requestBucket = -1 // stands for a request in the IDs of appends
