--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -11,13 +11,13 @@
 const (
 	minRetryAfter     = 250 * clock.Millis(1)
 	maxRetryAfter     = 60 * clock.Second
-	minQueueBound     = 8    // places in the queue that any group has
-	maxWaitShare      = 1.0  // part of the target that the expected wait may take
-	weightedWaitShare = 0.05 // part less at a weight of 1
+	minQueueBound     = 8    // queue slots that every group has
+	maxWaitShare      = 1.0  // share of the target that the expected wait may take
+	weightedWaitShare = 0.05 // reduction of that share at a weight of 1
 	groupIdleAfter    = 10 * clock.Second
 )
 
-// submit admits a request, refuses it, or lets it wait.
+// submit queues a request or refuses it.
 func (ce *Cell) submit(now clock.Millis, spec RequestSpec) {
 	if old, ok := ce.jobs[spec.Request]; ok {
 		ce.drop(now, old)
@@ -53,8 +53,8 @@
 	return jb
 }
 
-// group finds or makes the group of a request and takes its class's current
-// settings.
+// group returns the request's group, creating it if needed, and applies the current
+// settings of its class.
 func (ce *Cell) group(spec RequestSpec) *group {
 	key := groupKey{spec.Customer, spec.Class}
 	gp, ok := ce.groups[key]
@@ -76,7 +76,7 @@
 	return gp
 }
 
-// checkAdmission tells whether a request is refused at once, and why.
+// checkAdmission reports whether a request is refused at once, and with which refusal.
 func (ce *Cell) checkAdmission(now clock.Millis, jb *job) (refusal.Refusal, bool) {
 	gp := jb.grp
 	switch {
@@ -98,7 +98,7 @@
 	return refusal.Refusal{}, false
 }
 
-// checkQuickAdmission refuses a quick request whose target is out of reach.
+// checkQuickAdmission refuses a quick request whose target can't be met.
 func (ce *Cell) checkQuickAdmission(now clock.Millis, jb *job) (refusal.Refusal, bool) {
 	eng := ce.quickPrefills.best()
 	ready := max(0, eng.quickReadyAt(ce.Chunk)-float64(now)) + jb.prefillMS
@@ -113,7 +113,7 @@
 	return refusal.Refusal{}, false
 }
 
-// notRun makes a refusal of a request that was never sent to an engine.
+// notRun returns a refusal of a request that was never sent to an engine.
 func notRun(why refusal.Reason, after clock.Millis, detail string) refusal.Refusal {
 	if why != refusal.DeadlinePassed {
 		after = min(maxRetryAfter, max(minRetryAfter, after))
@@ -121,8 +121,8 @@
 	return refusal.Refusal{Ran: refusal.NotRun, Reason: why, RetryAfter: after, Detail: detail}
 }
 
-// expireQueued refuses waiting requests that can't meet what they need any more
-// and sets patient ones past their target apart.
+// expireQueued refuses queued requests that can no longer meet their target or
+// deadline, and moves patient requests past their target to the late queue.
 func (ce *Cell) expireQueued(now clock.Millis) {
 	ce.activeGroups = slices.DeleteFunc(ce.activeGroups, func(gp *group) bool {
 		gp.active = gp.hasQueued() || gp.held > 0 || now-gp.arrivals.at < groupIdleAfter
@@ -153,8 +153,8 @@
 	}
 }
 
-// refuse ends a waiting request. One that was granted before may have been
-// run in part, but no engine holds or answers it any more.
+// refuse ends a queued request. A request that was granted before may have been run in
+// part, but no engine holds it or will answer it any more.
 func (ce *Cell) refuse(now clock.Millis, jb *job, why refusal.Reason) {
 	gp := jb.grp
 	if gp.quick && !ce.isClosed() && gp.usage(now, ce.slots, ce.prefills.Len()) >= gp.share {
--- a/internal/sched/cell.go
+++ b/internal/sched/cell.go
@@ -9,7 +9,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// What a Cell assumes where its fields are zero.
+// Defaults for the zero values of a Cell's fields.
 const (
 	defaultSlots        = 20
 	defaultKVCacheTTL   = 800 * clock.Millis(1)
@@ -19,45 +19,45 @@
 	defaultChunk        = 2048
 	defaultMessageDelay = 15 * clock.Millis(1)
 
-	reportGrace = 2 * clock.Second // an engine without a report is held empty after this
+	reportGrace = 2 * clock.Second // an engine without a report is taken to be empty after this time
 	orphanGrace = 30 * clock.Second
 )
 
 type (
-	// Cell accounts for the engines of one cell. Its exported fields are set
-	// before the first Step; the zero value of each means its default. A
-	// Cell is not safe for concurrent use.
+	// Cell accounts for the engines of one cell. Its exported fields are set before the
+	// first Step; the zero value of each means its default. A Cell is not safe for
+	// concurrent use.
 	Cell struct {
 		Name       string
-		Slots      int          // places of a decode engine until it reports; 20
-		KVCacheTTL clock.Millis // how long a prefill engine keeps a KV cache; 800 ms
-		QueueBound int          // requests that may wait; 1024
+		Slots      int          // slots of a decode engine until it reports; default 20
+		KVCacheTTL clock.Millis // how long a prefill engine keeps a KV cache; default 800 ms
+		QueueBound int          // maximum number of queued requests; default 1024
 
-		MessageDelay clock.Millis // what the messages of one request take until its first token; 15 ms
+		MessageDelay clock.Millis // total delay of a request's messages until its first token; default 15 ms
 
-		PrefillRate float64 // prompt tokens per millisecond until learned; 10
-		LinkRate    float64 // KV cache of prompt tokens per millisecond until learned; 40
-		Chunk       int     // prompt tokens after which a quick prefill may pass; 2048
+		PrefillRate float64 // initial prompt tokens per millisecond; default 10
+		LinkRate    float64 // initial prompt tokens of KV cache per millisecond; default 40
+		Chunk       int     // prompt tokens after which a quick prefill may overtake; default 2048
 
 		engines       map[string]*engine
-		prefills      ranking   // by the point at which they are ready
-		quickPrefills ranking   // by the point at which they are ready for quick work
-		decodes       ranking   // by free places, most first
-		unreported    []*engine // listed, no report yet
+		prefills      ranking   // by the time at which they are ready
+		quickPrefills ranking   // by the time at which they are ready for quick work
+		decodes       ranking   // by free slots, most first
+		unreported    []*engine // listed or closed, not open yet
 
 		jobs         map[string]*job
 		groups       map[groupKey]*group
-		activeGroups []*group // that wait, hold or lately arrived
-		readyJobs    []*job   // prefilled, waiting for a link and a place
-		transferring []*job   // their transfer goes on
+		activeGroups []*group // with queued, running or recent requests
+		readyJobs    []*job   // prefilled, waiting for a link and a slot
+		transferring []*job   // with a transfer in progress
 
-		transferDelay delayEstimate // of transfers beside their links
+		transferDelay delayEstimate // time that transfers take outside their links
 
-		prefixHolders map[uint64][]*engine // prefill engines that lately computed a prefix
+		prefixHolders map[uint64][]*engine // prefill engines that recently computed a prefix
 
-		slots    int // places of usable decode engines, less those of others
+		slots    int // slots of usable decode engines, less those held by others
 		free     int
-		reserved [2]int     // prefilling or prefilled: patient, quick
+		reserved [2]int     // requests prefilling or prefilled: patient, quick
 		endRates [2]float64 // expected ends of decodes per millisecond: patient, quick
 		queued   int
 
@@ -66,8 +66,8 @@
 	}
 )
 
-// Step takes one event into account and returns what is to be done, in
-// order. Points of successive steps never go back.
+// Step processes one event and returns the resulting intents, in order. The time must
+// not go back between steps.
 func (ce *Cell) Step(now clock.Millis, ev Event) []Intent {
 	ce.init()
 	ce.intents = nil
@@ -94,11 +94,11 @@
 	return ce.intents
 }
 
-// Steps is the number of elementary steps taken so far: comparisons of
-// engines and looks at groups and waiting requests. Tests bound its growth.
+// Steps returns the number of elementary steps so far: comparisons of engines and
+// visits of groups and queued requests. Tests bound its growth.
 func (ce *Cell) Steps() int { return ce.steps }
 
-// Waiting is the number of requests that wait for a grant.
+// Waiting returns the number of requests that wait for a grant.
 func (ce *Cell) Waiting() int { return ce.queued }
 
 func (ce *Cell) init() {
@@ -123,8 +123,8 @@
 
 func (ce *Cell) emit(in Intent) { ce.intents = append(ce.intents, in) }
 
-// servers takes the list of engines. Those no longer listed get nothing new;
-// what runs on them ends by Progress.
+// servers sets the list of engines. Engines no longer listed get no new work; requests
+// that run on them end by Progress.
 func (ce *Cell) servers(now clock.Millis, list []board.BackendServer) {
 	listed := make(map[string]bool, len(list))
 	for _, srv := range list {
@@ -166,7 +166,7 @@
 	return ids
 }
 
-// report reconciles the accounting with what an engine says.
+// report reconciles the accounting with an engine's load report.
 func (ce *Cell) report(now clock.Millis, ld board.LoadReport) {
 	eng, ok := ce.engines[ld.Server]
 	if !ok {
@@ -184,7 +184,7 @@
 	}
 }
 
-// updateRankings brings the rankings and totals up to date with an engine.
+// updateRankings updates the rankings and totals after a change of an engine.
 func (ce *Cell) updateRankings(eng *engine) {
 	if eng.role == board.Decode {
 		free, slots := eng.free(), 0
@@ -210,7 +210,7 @@
 	ce.quickPrefills.set(eng, eng.quickReadyAt(ce.Chunk))
 }
 
-// progress moves a granted request to the stage that its runner tells.
+// progress moves a granted request to the stage that its runner reports.
 func (ce *Cell) progress(now clock.Millis, pr Progress) {
 	jb, ok := ce.jobs[pr.Request]
 	if !ok || pr.Attempt != jb.spec.Attempt {
@@ -243,10 +243,10 @@
 	}
 }
 
-// recordLoss closes an engine on which requests are lost one after another, as it
-// looks idle and would be given all that comes until the list of backend
-// servers shows that it is gone. A loss between the two engines has no
-// certain culprit.
+// recordLoss closes an engine on which consecutive requests are lost: it looks idle and
+// would get all new requests until the list of backend servers shows that it has
+// failed. A loss during a transfer could be the fault of either engine and closes
+// neither.
 func (ce *Cell) recordLoss(now clock.Millis, jb *job) {
 	var eng *engine
 	switch jb.stage {
@@ -264,7 +264,7 @@
 	}
 }
 
-// rest closes an engine for as long as it asked for.
+// rest closes an engine for the time that it asked for.
 func (ce *Cell) rest(now clock.Millis, re Rest) {
 	eng, ok := ce.engines[re.Server]
 	if !ok || re.For <= 0 {
@@ -284,9 +284,9 @@
 	}
 }
 
-// orphan marks a request whose runner is gone. A waiting one is dropped; a
-// granted one holds its place until an engine's report or Progress shows
-// that nothing is held any more.
+// orphan marks a request whose runner has failed. A queued request is dropped; a
+// granted one holds its slot until an engine's report or Progress shows that nothing is
+// held any more.
 func (ce *Cell) orphan(now clock.Millis, request string) {
 	jb, ok := ce.jobs[request]
 	switch {
@@ -300,8 +300,8 @@
 	}
 }
 
-// releaseOrphans frees the places of orphans that an engine, long after they
-// were left, reports to hold nothing for.
+// releaseOrphans frees the slots of requests orphaned long enough ago if the engine's
+// report shows that it no longer holds them.
 func (ce *Cell) releaseOrphans(now clock.Millis, eng *engine) {
 	var old []*job
 	for _, jb := range ce.jobs {
@@ -316,13 +316,13 @@
 	}
 }
 
-// drop releases all that a request holds and drops it.
+// drop releases everything that a request holds and removes it.
 func (ce *Cell) drop(now clock.Millis, jb *job) {
 	ce.release(now, jb)
 	delete(ce.jobs, jb.spec.Request)
 }
 
-// release takes a request out of whatever stage it is in.
+// release removes a request from its current stage.
 func (ce *Cell) release(now clock.Millis, jb *job) {
 	switch jb.stage {
 	case "":
@@ -353,7 +353,7 @@
 	jb.stage, jb.prefill, jb.decode = "", nil, nil
 }
 
-// endTransfer takes a transfer off the link of its prefill engine.
+// endTransfer removes a transfer from the link of its prefill engine.
 func (ce *Cell) endTransfer(jb *job) {
 	if !jb.spec.Quick && jb.prefill != nil {
 		jb.prefill.removeTransfer(jb.linkMS)
@@ -367,7 +367,7 @@
 	return 0
 }
 
-// requeue puts a granted request back among those that wait.
+// requeue puts a granted request back into the queue.
 func (ce *Cell) requeue(now clock.Millis, jb *job, why refusal.Reason) {
 	ce.release(now, jb)
 	ce.emit(Preempt{Request: jb.spec.Request, Attempt: jb.spec.Attempt, Reason: why})
--- a/internal/sched/cell_test.go
+++ b/internal/sched/cell_test.go
@@ -13,7 +13,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// fixture drives a cell in tests: it remembers what became of each request.
+// fixture drives a cell in tests and records the latest intents of each request.
 type fixture struct {
 	ce        *Cell
 	now       clock.Millis
@@ -189,7 +189,7 @@
 		ask.TTFT, ask.Deadline = 10*clock.Hour, 20*clock.Hour
 		fx.step(Submit{Spec: ask})
 	}
-	assert.Equal(t, fx.ce.Waiting(), 20) // half of the bound, as its share is a half
+	assert.Equal(t, fx.ce.Waiting(), 20) // half of the bound, because its share is a half
 	assert.Equal(t, fx.refusals["r59"].Refusal.Reason, refusal.QueueFull)
 }
 
@@ -219,7 +219,7 @@
 	assert.Equal(t, fx.ce.engines[first].held, 0)
 	assert.Equal(t, fx.ce.engines[second].held, 1)
 	fx.step(Report{Load: board.LoadReport{Server: first, Slots: 4, Running: 3}})
-	assert.Equal(t, fx.ce.engines[first].free(), 2, "one of the three may be this cell's own, reported late")
+	assert.Equal(t, fx.ce.engines[first].free(), 2, "one of the three may be of this cell in a late report")
 }
 
 func TestLapsedKVCacheIsTakenBack(t *testing.T) {
@@ -237,8 +237,8 @@
 	assert.Equal(t, fx.refusals["ra"].Refusal.Ran, refusal.MayHaveRun)
 }
 
-// TestKVCacheThatNeverArrivesIsGivenUp loses the KV cache of one request
-// again and again.
+// TestKVCacheThatNeverArrivesIsGivenUp guards against endless retries of a request
+// whose KV cache is lost each time.
 func TestKVCacheThatNeverArrivesIsGivenUp(t *testing.T) {
 	fx := newFixture(1, 1, 1)
 	fx.step(Submit{Spec: patient("ra")})
@@ -263,7 +263,7 @@
 	fx.now += 50
 	second := first
 	second.Request = "r1"
-	fx.step(Submit{Spec: second}) // waits behind the first for the cached prefix
+	fx.step(Submit{Spec: second}) // queued behind the first for the cached prefix
 	where := fx.grants["r0"].Prefill
 	assert.Equal(t, fx.grants["r1"].Prefill, where)
 	fx.now += 10
@@ -290,7 +290,7 @@
 	fx.startDecoding("r0")
 	fx.now += 40 * clock.Second
 	fx.step(Tick{})
-	assert.Equal(t, fx.ce.Waiting(), 5, "late, not refused")
+	assert.Equal(t, fx.ce.Waiting(), 5, "moved to the late queue, not refused")
 	fx.progress("r0", Ended, 100)
 	_, ok := fx.grants["r1"]
 	assert.Assert(t, ok)
@@ -332,7 +332,7 @@
 	fx.now += 300
 	fx.step(Tick{})
 	assert.Assert(t, fx.transfers["ra"].Decode != first)
-	assert.Equal(t, fx.ce.engines[first].free(), 3, "the place counts as taken until a report")
+	assert.Equal(t, fx.ce.engines[first].free(), 3, "the slot counts as taken until a report")
 }
 
 func TestOldAttemptIsDropped(t *testing.T) {
@@ -384,12 +384,12 @@
 		return where
 	}
 	assert.Equal(t, lose("q0"), "p0")
-	assert.Equal(t, lose("q1"), "p0", "one loss may be the request's own fault")
+	assert.Equal(t, lose("q1"), "p0", "a single loss does not close the engine")
 	fx.step(Report{Load: board.LoadReport{Server: "p0"}})
 	for ix := range 4 {
 		id := fmt.Sprint("r", ix)
 		fx.step(Submit{Spec: quick(id)})
-		assert.Equal(t, fx.grants[id].Prefill, "p1", "a lagging report does not open it")
+		assert.Equal(t, fx.grants[id].Prefill, "p1", "a lagging report does not open the engine")
 	}
 	fx.now += minClosed
 	fx.step(Report{Load: board.LoadReport{Server: "p0"}})
@@ -397,13 +397,14 @@
 	assert.Equal(t, fx.grants["q2"].Prefill, "p0")
 }
 
-// An engine that asked for rest gets nothing new until then, whatever its reports say.
+// An engine that asked for a rest gets no new work until the rest ends, whatever its
+// reports say.
 func TestEngineThatAsksForRestGetsIt(t *testing.T) {
 	const rest = 3 * clock.Second
 	fx := newFixture(2, 2, 8)
 	fx.step(Rest{Server: "p0", For: rest})
 	fx.step(Rest{Server: "d0", For: rest})
-	fx.step(Rest{Server: "d0", For: clock.Second}) // does not shorten it
+	fx.step(Rest{Server: "d0", For: clock.Second}) // does not shorten the rest
 	fx.step(Rest{Server: "none", For: rest})
 	ask := func(id string) (prefill, decode string) {
 		fx.step(Submit{Spec: quick(id)})
@@ -454,9 +455,9 @@
 	assert.Equal(t, fx.grants["rc"].Prefill, first)
 }
 
-// TestLentPlacesComeBack fills the cell with one customer's work and then
-// lets another ask: every place that frees goes to the other until it has its
-// share.
+// TestLentPlacesComeBack fills the cell with one customer's work and then submits
+// another customer's: every slot that is freed goes to the second customer until it has
+// its share.
 func TestLentPlacesComeBack(t *testing.T) {
 	fx := newFixture(8, 2, 10)
 	for ix := range 40 {
@@ -473,7 +474,7 @@
 	}
 	mine := 0
 	for ix := 0; mine < 8; ix++ {
-		assert.Assert(t, ix < 8, "place %d that freed did not come back", ix)
+		assert.Assert(t, ix < 8, "freed slot %d did not go to the second customer", ix)
 		fx.now += 20
 		before := len(fx.grants)
 		fx.progress(fmt.Sprint("a", ix), Ended, 100)
@@ -483,7 +484,7 @@
 				mine++
 			}
 		}
-		assert.Assert(t, len(fx.grants) > before, "work-conserving")
+		assert.Assert(t, len(fx.grants) > before, "a freed slot stays unused")
 	}
 }
 
@@ -506,10 +507,10 @@
 		}
 		return len(fx.grants) - began
 	}
-	assert.Assert(t, starts(0) > starts(1), "%d against %d", starts(0), starts(1))
+	assert.Assert(t, starts(0) > starts(1), "%d starts at weight 0, %d at weight 1", starts(0), starts(1))
 }
 
-// TestReplay plays one list of events into two cells.
+// TestReplay feeds the same events to two cells and expects the same intents.
 func TestReplay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fx := newFixture(3, 3, 4)
@@ -530,14 +531,14 @@
 			other.now += 7
 			got, want := other.step(ev), fx.step(ev)
 			if !reflect.DeepEqual(got, want) {
-				rt.Fatalf("event %d (%#v): %v, then %v", ix, ev, want, got)
+				rt.Fatalf("event %d (%#v): first cell returned %v, second %v", ix, ev, want, got)
 			}
 		}
 	})
 }
 
-// fullCell is a cell of some engines at its peak, and a step that one
-// request takes through it.
+// fullCell returns a cell of some engines at peak load, and a function that takes one
+// request through it.
 func fullCell(workers int) (*fixture, func(ix int)) {
 	fx := newFixture(workers/2, workers-workers/2, 20)
 	for ix := range workers * 9 {
@@ -564,8 +565,8 @@
 	}
 }
 
-// TestStepsGrowBelowLinear bounds the counted steps of one request's
-// decisions: fifty times the engines may take at most five times the steps.
+// TestStepsGrowBelowLinear bounds the counted steps of one request's decisions: fifty
+// times as many engines may take at most five times as many steps.
 func TestStepsGrowBelowLinear(t *testing.T) {
 	steps := func(workers int) float64 {
 		fx, one := fullCell(workers)
--- a/internal/sched/delay.go
+++ b/internal/sched/delay.go
@@ -6,25 +6,26 @@
 	"alderdyke/pkg/clock"
 )
 
-// Weights of a new measurement, and the deviations that a timeout allows for,
-// as in RFC 6298.
+// Weights of a new measurement, and the number of deviations that a timeout allows, as
+// in RFC 6298.
 const (
 	delayWeight          = 0.125
 	delayDeviationWeight = 0.25
 	timeoutDeviations    = 4
 )
 
-// delayEstimate estimates what transfers take beside the time on their links: the
-// messages to the runner and the engines, and the engines' own work. The zero
-// value has no measurement.
+// delayEstimate estimates the time that transfers take outside their links: the
+// messages to the runner and the engines, and the engines' own work. The zero value has
+// no measurement.
 type delayEstimate struct {
 	mean, dev float64 // milliseconds
 	known     bool
 	backoff   int // timeouts since the last measurement
 }
 
-// observe takes a measurement of a transfer that had one order. A transfer that
-// was ordered twice does not tell which order it answers (Karn's algorithm).
+// observe adds a measurement of a transfer that was ordered once. A transfer that was
+// ordered twice is not measured, because it is unclear which order it answers (Karn's
+// algorithm).
 func (dl *delayEstimate) observe(span float64) {
 	span, dl.backoff = max(0, span), 0
 	if !dl.known {
@@ -35,11 +36,11 @@
 	dl.mean += delayWeight * (span - dl.mean)
 }
 
-// recordTimeout notes a transfer that took longer than the timeout.
+// recordTimeout records a transfer that took longer than the timeout.
 func (dl *delayEstimate) recordTimeout() { dl.backoff++ }
 
-// timeout is the longest delay of a transfer that is not held to be stalled.
-// Without a measurement it is half of the most.
+// timeout returns the longest delay of a transfer that does not count as stalled.
+// Without a measurement it is half of the upper bound.
 func (dl *delayEstimate) timeout(upperBound clock.Millis) float64 {
 	span := dl.mean + timeoutDeviations*dl.dev
 	if !dl.known {
--- a/internal/sched/delay_test.go
+++ b/internal/sched/delay_test.go
@@ -11,12 +11,12 @@
 	"alderdyke/pkg/clock"
 )
 
-// slowMessages is a cell whose prefills are done at once and whose transfers
-// take a span beside their links.
+// slowMessages drives a cell whose prefills complete at once and whose transfers take a
+// fixed time outside their links.
 type slowMessages struct {
 	fx           *fixture
 	messageDelay clock.Millis
-	seen         int // intents looked at
+	seen         int // number of intents processed
 	due          map[string]clock.Millis
 	moves        []Transfer
 }
@@ -25,7 +25,7 @@
 	return &slowMessages{fx: newFixture(1, 4, 20), messageDelay: takes, due: make(map[string]clock.Millis)}
 }
 
-// advance passes the time. The newest order of a request replaces the one before.
+// advance passes the time. The newest order of a request replaces the previous one.
 func (sm *slowMessages) advance(span clock.Millis) {
 	for until := sm.fx.now + span; sm.fx.now < until; sm.fx.now += 5 {
 		for _, id := range sm.deliveredBy() {
@@ -74,26 +74,25 @@
 	return count
 }
 
-// Transfers of short prompts went one at a time on a link that each of them
-// uses for a millisecond, while their messages took 150 ms. The later ones of
-// thirty KV caches waited for the link until they lapsed.
+// A transfer of a short prompt uses its link for a millisecond and waits 150 ms for its
+// messages. If such transfers run one at a time, the last of thirty KV caches expire
+// while they wait for the link.
 func TestShortTransfersDoNotWaitForTheirMessages(t *testing.T) {
 	sm := newSlowMessages(150)
 	for ix := range 30 {
 		sm.submit(fmt.Sprint("r", ix), 20)
 	}
 	sm.advance(2 * clock.Second)
-	assert.Equal(t, len(sm.fx.preempts), 0, "KV caches that lapsed")
+	assert.Equal(t, len(sm.fx.preempts), 0, "KV caches expired")
 	for _, tr := range sm.moves {
-		assert.Check(t, tr.Waited < sm.fx.ce.KVCacheTTL/4, "%s waited %v for %s", tr.Request, tr.Waited, tr.WaitedFor)
+		assert.Check(t, tr.Waited < sm.fx.ce.KVCacheTTL/4, "transfer of %s waited %v for %s", tr.Request, tr.Waited, tr.WaitedFor)
 	}
 	for _, jb := range sm.fx.ce.jobs {
 		assert.Equal(t, jb.stage, Decoding)
 	}
 }
 
-// Long transfers share a link that one of them fills, and go one at a time as
-// before.
+// Long transfers fill their link, so they run one at a time.
 func TestLongTransfersGoOneAtATime(t *testing.T) {
 	sm := newSlowMessages(150)
 	for ix := range 3 {
@@ -103,8 +102,8 @@
 	assert.Equal(t, len(sm.moves), 1)
 }
 
-// A transfer of a short prompt was held to be stalled after 100 ms, however long
-// transfers took: beside load each of them was thrown away once, on its way.
+// A fixed stall timeout of 100 ms discards every transfer once when messages take
+// longer than that. The timeout has to adapt to the measured delay.
 func TestSlowMessagesAreNoStall(t *testing.T) {
 	for _, takes := range []clock.Millis{90, 150, 300} {
 		t.Run(takes.String(), func(t *testing.T) {
@@ -113,13 +112,12 @@
 				sm.submit(fmt.Sprint("r", ix), 100)
 				sm.advance(clock.Second)
 			}
-			assert.Assert(t, sm.stalled() <= 2, "%d transfers were held to be stalled", sm.stalled())
+			assert.Assert(t, sm.stalled() <= 2, "%d transfers counted as stalled", sm.stalled())
 		})
 	}
 }
 
-// A transfer that does stall goes another way in time, also where messages are
-// slow.
+// A transfer that does stall is redirected in time even when messages are slow.
 func TestStallIsFoundBesideSlowMessages(t *testing.T) {
 	sm := newSlowMessages(60)
 	for ix := range 10 {
@@ -133,8 +131,8 @@
 	assert.Equal(t, sm.stalled(), 1)
 }
 
-// A KV cache that is kept no more says nothing of the decode engine that could
-// not fetch it, and the request is taken back at once.
+// A KV cache that the prefill engine no longer keeps does not count against the decode
+// engine that could not fetch it, and the request is requeued at once.
 func TestLostKVCacheIsTakenBackAtOnce(t *testing.T) {
 	fx := newFixture(1, 1, 4)
 	fx.step(Submit{Spec: quick("q")})
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -7,55 +7,55 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds of what is kept for one engine.
+// Bounds on the per-engine accounting.
 const (
-	maxPrefixes       = 64   // recent prompt prefixes of one prefill engine
-	rateWeight        = 0.2  // weight of a new measurement of an engine's rate
+	maxPrefixes       = 64   // recent prompt prefixes kept per prefill engine
+	rateWeight        = 0.2  // weight of a new measurement in an engine's learned rate
 	maxPendingPatient = 2    // patient prefills sent to one engine and not complete
-	maxLinkShare      = 0.85 // part of the keep that a transfer may take
-	linkRecoveryRate  = 0.01 // of the way back to the usual rate, each report
-	lossesToClose     = 2    // requests lost in a row that close an engine
+	maxLinkShare      = 0.85 // share of the KV cache's TTL that a transfer may take
+	linkRecoveryRate  = 0.01 // share of the gap to the default link rate that is recovered per report
+	lossesToClose     = 2    // consecutive losses that close an engine
 	minClosed         = clock.Second
 	maxClosed         = 8 * clock.Second
-	reportHistory     = 6 // reports back that a lagging one may tell of
+	reportHistory     = 6 // reports by which the state that an engine reports may lag behind
 )
 
 type (
-	// engine is what a cell accounts for one engine.
+	// engine is the cell's accounting for one engine.
 	engine struct {
 		id          string
 		role        board.Role
-		delisted    bool // no longer listed
+		delisted    bool // not in the list of backend servers
 		leaving     bool
-		open        bool         // a report came, or the time to wait for one passed
-		opensAt     clock.Millis // without a report it is taken into use at this point
-		closedUntil clock.Millis // failed: reports do not open it before this point
-		losses      int          // requests lost on it in a row
+		open        bool         // takes new work: it has reported, or the grace period has passed
+		opensAt     clock.Millis // without a report it is opened at this time
+		closedUntil clock.Millis // after losses or a rest; reports do not open it before this time
+		losses      int          // consecutive requests lost on it
 		lastLossAt  clock.Millis
 
-		// Of a prefill engine.
-		pendingFrom      clock.Millis // point from which pending counts
+		// Fields of a prefill engine.
+		pendingFrom      clock.Millis // time from which pendingMS counts
 		pendingMS        float64      // milliseconds of prefill sent and not complete
-		pendingQuickMS   float64      // the quick part of pending
-		pendingPatient   int          // patient prefills among pending
-		prefillRate      float64      // prompt tokens per millisecond, learned
-		linkRate         float64      // KV cache of prompt tokens per millisecond, learned
+		pendingQuickMS   float64      // quick share of pendingMS
+		pendingPatient   int          // number of patient prefills in pendingMS
+		prefillRate      float64      // learned, in prompt tokens per millisecond
+		linkRate         float64      // learned, in prompt tokens of KV cache per millisecond
 		activeTransfers  int          // patient transfers on its link
-		activeTransferMS float64      // milliseconds that these take on it
+		activeTransferMS float64      // expected duration of those transfers on the link
 		prefixes         []uint64     // recent prefixes, latest last
 
-		// Of a decode engine.
+		// Fields of a decode engine.
 		slots        int
-		held         int // places that this cell gave out
-		heldByOthers int // places that others hold, from reports
+		held         int // slots that this cell has assigned
+		heldByOthers int // slots held by others, from reports
 		recentHeld   [reportHistory]int
 		orphans      int
-		countedFree  int // free places that the cell's total includes
-		countedSlots int // places that the cell's total includes
+		countedFree  int // free slots included in the cell's total
+		countedSlots int // slots included in the cell's total
 	}
 )
 
-// free is how many places of a decode engine this cell may give out.
+// free returns the number of slots of a decode engine that this cell may assign.
 func (eng *engine) free() int {
 	if !eng.usable() {
 		return 0
@@ -65,11 +65,11 @@
 
 func (eng *engine) usable() bool { return eng.open && !eng.delisted && !eng.leaving }
 
-// readyAt is when a prefill engine will have done all that was sent to it.
+// readyAt returns when a prefill engine completes all prefills sent to it.
 func (eng *engine) readyAt() float64 { return float64(eng.pendingFrom) + eng.pendingMS }
 
-// quickReadyAt is when it would begin a quick prefill, which passes patient
-// ones at the end of the chunk that runs.
+// quickReadyAt returns when the engine could start a quick prefill, which overtakes
+// patient prefills at the end of the current chunk.
 func (eng *engine) quickReadyAt(chunk int) float64 {
 	return float64(eng.pendingFrom) + eng.pendingQuickMS + min(eng.pendingMS-eng.pendingQuickMS, float64(chunk)/eng.prefillRate)
 }
@@ -86,7 +86,7 @@
 	}
 }
 
-// removePrefill takes a prefill off the engine, complete or not.
+// removePrefill removes a prefill from the accounting, whether complete or not.
 func (eng *engine) removePrefill(now clock.Millis, jb *job) {
 	eng.pendingFrom = now
 	eng.pendingMS = max(0, eng.pendingMS-jb.prefillMS)
@@ -100,38 +100,40 @@
 	}
 }
 
-// learnPrefill takes a measured prefill into the engine's rate.
+// learnPrefill updates the engine's prefill rate with a measured prefill.
 func (eng *engine) learnPrefill(tokens int, took clock.Millis) {
 	if took > 0 && tokens >= 256 {
 		eng.prefillRate += rateWeight * (clampMeasurement(float64(tokens)/float64(took), eng.prefillRate) - eng.prefillRate)
 	}
 }
 
-// learnLink takes a measured transfer into the link's rate.
+// learnLink updates the link rate with a measured transfer.
 func (eng *engine) learnLink(tokens int, took clock.Millis) {
 	if took > 0 && tokens >= 2048 {
 		eng.linkRate += rateWeight * (clampMeasurement(float64(tokens)/float64(took), eng.linkRate) - eng.linkRate)
 	}
 }
 
-// clampMeasurement keeps one odd measurement, as of a prefix that was cached unknown to
-// the cell, within a factor of two.
+// clampMeasurement limits a measurement to within a factor of two of the learned rate,
+// so that an outlier counts little, such as a prefix that was cached without the cell's
+// knowledge.
 func clampMeasurement(measured, known float64) float64 { return min(2*known, max(known/2, measured)) }
 
-// capLinkRate notes that a transfer is not complete after a span.
+// capLinkRate lowers the link rate after a transfer is still incomplete at the given
+// age.
 func (eng *engine) capLinkRate(tokens int, spent clock.Millis) {
 	if spent > 0 && tokens >= 2048 {
 		eng.linkRate = min(eng.linkRate, float64(tokens)/float64(spent))
 	}
 }
 
-// addTransfer puts a patient transfer on the link.
+// addTransfer accounts for a patient transfer on the link.
 func (eng *engine) addTransfer(linkMS float64) {
 	eng.activeTransfers++
 	eng.activeTransferMS += linkMS
 }
 
-// removeTransfer takes it off, complete or not.
+// removeTransfer ends the accounting for a transfer, whether complete or not.
 func (eng *engine) removeTransfer(linkMS float64) {
 	eng.activeTransfers--
 	eng.activeTransferMS -= linkMS
@@ -140,13 +142,13 @@
 	}
 }
 
-// linkCarries tells whether the link moves a prompt's KV cache well before it
-// lapses.
+// linkCarries reports whether the link moves a prompt's KV cache well before the cache
+// expires.
 func (eng *engine) linkCarries(tokens int, keep clock.Millis) bool {
 	return float64(tokens)/eng.linkRate <= maxLinkShare*float64(keep)
 }
 
-// recoverLinkRate lets a slow link be tried again after a while.
+// recoverLinkRate slowly raises a low link rate, so that a slow link is tried again.
 func (eng *engine) recoverLinkRate(usual float64) {
 	if eng.linkRate < usual {
 		eng.linkRate += linkRecoveryRate * (usual - eng.linkRate)
@@ -162,8 +164,8 @@
 	return false
 }
 
-// rememberPrefix notes that the engine computed the prefix and tells which one
-// it pushed out, if any.
+// rememberPrefix records that the engine computed the prefix and returns the prefix
+// that was evicted for it, or zero.
 func (eng *engine) rememberPrefix(hash uint64) (dropped uint64) {
 	for ix, px := range eng.prefixes {
 		if px == hash {
@@ -179,9 +181,8 @@
 	return dropped
 }
 
-// reconcile compares a report with the engine's own accounting. A report
-// lags: only what exceeds the most that this cell held during the last few
-// reports is held by others.
+// reconcile compares a report with the cell's own accounting. Reports lag: only load
+// above the maximum that this cell held during the last few reports belongs to others.
 func (eng *engine) reconcile(now clock.Millis, ld board.LoadReport) {
 	eng.open = eng.open || now >= eng.closedUntil
 	eng.leaving = eng.leaving || ld.Leaving
@@ -193,9 +194,9 @@
 	eng.recentHeld[reportHistory-1] = eng.held
 }
 
-// recordLoss notes that a request was lost on the engine and tells whether it is
-// closed for a while: after the second in a row within a short time, for
-// longer each time.
+// recordLoss records that a request was lost on the engine and reports whether the
+// engine is closed for a while: from the second consecutive loss within a short time,
+// for longer each time.
 func (eng *engine) recordLoss(now clock.Millis) bool {
 	if now-eng.lastLossAt > maxClosed {
 		eng.losses = 0
@@ -209,14 +210,14 @@
 	return true
 }
 
-// closeUntil takes the engine out of use up to a point.
+// closeUntil gives the engine no new work until the given time.
 func (eng *engine) closeUntil(until clock.Millis) {
 	eng.open = false
 	eng.closedUntil = until
 	eng.opensAt = until + reportGrace
 }
 
-// addHeld changes the count of places given out.
+// addHeld changes the number of assigned slots.
 func (eng *engine) addHeld(by int) {
 	eng.held += by
 	last := &eng.recentHeld[reportHistory-1]
--- a/internal/sched/fallback.go
+++ b/internal/sched/fallback.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	defaultMaxShare = 0.1  // of an engine's places that one VM uses on its own
-	minPatientFree  = 0.25 // of an engine's places that must be reported free for patient work
+	defaultMaxShare = 0.1  // share of an engine's slots that one VM uses on its own
+	minPatientFree  = 0.25 // share of an engine's slots that must be reported free for patient work
 )
 
 type (
-	// Fallback decides for one VM that can't reach the accounting VM of a
-	// cell. It trusts lagging reports, so it takes the better of two engines
-	// at random and only a small part of their places; an engine that is
-	// full after all refuses, and the VM asks again. Rand must be set; the
-	// zero MaxShare means a tenth.
+	// Fallback decides for one VM that can't reach the accounting VM of a cell. Its
+	// load reports lag, so it takes the better of two random engines and only a small
+	// share of their slots. An engine that is full after all refuses, and the VM
+	// retries. Rand must be set; the zero MaxShare means a tenth.
 	Fallback struct {
 		Rand     *rand.Rand
 		MaxShare float64
 	}
 
-	// EngineView is what a VM knows of a cell's engines by itself.
+	// EngineView is one VM's own view of a cell's engines.
 	EngineView struct {
 		Servers     []board.BackendServer
 		Reports     map[string]board.LoadReport
@@ -30,8 +29,8 @@
 	}
 )
 
-// Decide places a request, or tells that the VM should not: then it refuses
-// quick work with SchedulerAway and lets patient work wait.
+// Decide places a request, or reports false if the VM should not place it: the VM then
+// refuses quick work with SchedulerAway and keeps patient work queued.
 func (fb *Fallback) Decide(spec RequestSpec, vw EngineView) (Grant, bool) {
 	dec, ok := fb.decode(spec, vw)
 	if !ok {
@@ -77,9 +76,8 @@
 	return dec.ID, free(dec) >= need
 }
 
-// pick takes the better of two engines of a role drawn at random; a lower
-// score is better. It takes a fixed number of draws however many engines
-// there are.
+// pick returns the better of two random engines of a role; a lower score is better. The
+// number of draws is bounded regardless of the number of engines.
 func (fb *Fallback) pick(vw EngineView, role board.Role, score func(board.BackendServer) float64) (board.BackendServer, bool) {
 	var best board.BackendServer
 	found := 0
--- a/internal/sched/fallback_test.go
+++ b/internal/sched/fallback_test.go
@@ -35,7 +35,7 @@
 		{"nearly full, quick", quick("q"), viewOf(engines(2, 2), 19, 20), true},
 		{"nearly full, patient", patient("r"), viewOf(engines(2, 2), 18, 20), false},
 		{"half full, patient", patient("r"), viewOf(engines(2, 2), 10, 20), true},
-		{"own part used up", quick("q"), owned, false},
+		{"own share used up", quick("q"), owned, false},
 		{"leaving", quick("q"), viewOf(leaving, 0, 20), false},
 		{"no engines", quick("q"), EngineView{}, false},
 		{"no report", quick("q"), EngineView{Servers: engines(1, 1)}, false},
@@ -46,7 +46,7 @@
 			gr, ok := fb.Decide(tc.ask, tc.view)
 			assert.Equal(t, ok, tc.want)
 			if _, again := fb.Redirect(tc.ask, tc.view); again != tc.want {
-				t.Errorf("Redirect tells %v", again)
+				t.Errorf("Redirect returned %v", again)
 			}
 			if ok {
 				assert.Assert(t, gr.Prefill[0] == 'p' && gr.Decode[0] == 'd')
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestFallbackNeverPassesItsPart draws many views: a VM never goes beyond
-// its part of an engine's places, nor to one that is leaving or full.
+// TestFallbackNeverPassesItsPart draws random views: a VM never exceeds its share of an
+// engine's slots, nor uses an engine that is leaving or full.
 func TestFallbackNeverPassesItsPart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		servers := engines(rapid.IntRange(0, 5).Draw(rt, "prefills"), rapid.IntRange(0, 5).Draw(rt, "decodes"))
@@ -75,10 +75,10 @@
 		}
 		for _, srv := range servers {
 			if srv.ID == gr.Decode && (srv.Leaving || vw.OwnRequests[srv.ID] >= 2 || vw.Reports[srv.ID].Running >= 20) {
-				rt.Fatalf("chose %+v with %d of its own, %+v", srv, vw.OwnRequests[srv.ID], vw.Reports[srv.ID])
+				rt.Fatalf("chose decode engine %+v with %d requests of this VM, report %+v", srv, vw.OwnRequests[srv.ID], vw.Reports[srv.ID])
 			}
 			if srv.ID == gr.Prefill && srv.Leaving {
-				rt.Fatalf("chose %+v", srv)
+				rt.Fatalf("chose leaving prefill engine %+v", srv)
 			}
 		}
 	})
--- a/internal/sched/forecast.go
+++ b/internal/sched/forecast.go
@@ -6,29 +6,29 @@
 	"alderdyke/pkg/clock"
 )
 
-// How sure a place must be before a prefill starts, in standard deviations
-// of the number of places in use by then.
+// Safety margins of the slot forecast that must hold before a prefill starts, in
+// standard deviations of the number of slots in use.
 const (
-	minMarginSD       = 0.0 // at a weight of 0
-	maxMarginSD       = 1.5 // at a weight of 1
-	heldArrivalWeight = 1e-6
+	minMarginSD       = 0.0  // at a weight of 0
+	maxMarginSD       = 1.5  // at a weight of 1
+	heldArrivalWeight = 1e-6 // arrivals per millisecond that a held slot counts as
 
-	quickReserveSD = 2.5 // for places that quick work finds free while patient work holds the rest
+	quickReserveSD = 2.5 // of slots left for swings of quick work while patient work holds the rest
 )
 
-// slotForecast is what a cell expects of its decode places. Quick requests come
-// and go within about a second, so their number returns to its mean; patient
-// ones leave at the rate that their groups' lengths tell.
+// slotForecast is the expected use of the cell's decode slots. Quick requests finish
+// within about a second, so their number returns to its mean; patient ones leave at the
+// rate that follows from the decode times of their groups.
 type slotForecast struct {
-	patient       float64 // places that patient requests hold or are promised
+	patient       float64 // slots that patient requests hold or have reserved
 	endRate       float64 // ends of patient decodes per millisecond
-	quick         float64 // places that quick requests hold or are promised
-	quickMean     float64 // expected number of quick requests at the present arrivals
-	quickDecodeMS float64 // milliseconds that a quick request holds its place
+	quick         float64 // slots that quick requests hold or have reserved
+	quickMean     float64 // expected number of quick requests at the current arrival rate
+	quickDecodeMS float64 // milliseconds that a quick request holds its slot
 }
 
-// marginSD tells how many standard deviations a forecast is cut by, for a
-// weight of wasted prefill.
+// marginSD returns the safety margin, in standard deviations, for a weight of wasted
+// prefill.
 func marginSD(weight float64) float64 { return minMarginSD + weight*(maxMarginSD-minMarginSD) }
 
 func (ce *Cell) forecastSlots(now clock.Millis) slotForecast {
@@ -43,7 +43,7 @@
 		ol.quick += float64(gp.held)
 		in := gp.arrivals.now(now)
 		ol.quickMean += min(in*gp.decodeMS, gp.share*float64(ce.slots))
-		// Without arrivals, what is held tells how long quick work stays.
+		// Without arrivals, the held slots determine how long quick work stays.
 		weight := in + float64(gp.held)*heldArrivalWeight
 		ol.quickDecodeMS += weight * gp.decodeMS
 		weights += weight
@@ -56,9 +56,9 @@
 	return ol
 }
 
-// slotsInUse is the number of places that will hardly be exceeded after a span,
-// by some standard deviations. Ends that are not sure enough to count on are
-// left out rather than held against a place that is free already.
+// slotsInUse returns an upper bound of the slots in use after a span, with a margin of
+// some standard deviations. If counting on ends would raise the bound because they are
+// too uncertain, they are ignored, so that they can't hide a slot that is already free.
 func (ol slotForecast) slotsInUse(span, sure float64) float64 {
 	kept := math.Exp(-span / ol.quickDecodeMS)
 	quick := ol.quickMean + (ol.quick-ol.quickMean)*kept
@@ -69,11 +69,10 @@
 	return min(without, with)
 }
 
-// expectPatientSlot tells whether a patient request whose KV cache is ready after
-// a span will find a free place within the time that the cache is kept. The
-// more wasted prefill weighs, the surer it must be and the less of that time
-// is counted on. Beside that, patient work leaves enough places for the
-// usual swings of quick work.
+// expectPatientSlot reports whether a patient request whose KV cache is ready after a
+// span will find a free slot before the cache expires. The higher the weight of wasted
+// prefill, the larger the margin and the less of the cache's TTL is counted on. In
+// addition, patient work leaves enough slots for the usual swings of quick work.
 func (ce *Cell) expectPatientSlot(now clock.Millis, jb *job, after float64) bool {
 	weight, slots := jb.grp.weight, float64(ce.slots)
 	ol := ce.forecastSlots(now)
@@ -85,9 +84,9 @@
 	return stay+1+ol.quickMean+quickReserveSD*math.Sqrt(ol.quickMean) <= slots
 }
 
-// expectQuickSlot tells whether a quick request whose KV cache is ready
-// after a span finds a place by its due point. Quick requests take freed
-// places before patient ones do.
+// expectQuickSlot reports whether a quick request whose KV cache is ready after a span
+// will find a slot by its due time. Quick requests take freed slots before patient ones
+// do.
 func (ce *Cell) expectQuickSlot(now clock.Millis, jb *job, after float64) bool {
 	slack := min(float64(jb.due-now)-after-jb.linkMS, float64(ce.KVCacheTTL)/2)
 	if slack < 0 || ce.slots == 0 {
@@ -97,15 +96,15 @@
 	return have >= float64(ce.reserved[1]+1)
 }
 
-// patientWait is the expected wait of a new request of a group: the time in
-// which the cell does the work that waits before it, when each group gets its
-// share until its own work is done and quick work has its places.
+// patientWait returns the expected wait of a new request of a group: the time in which
+// the cell does the work queued ahead of it, when each group gets its share until its
+// own work is done and quick work has its slots.
 func (ce *Cell) patientWait(now clock.Millis, gp *group) float64 {
 	return ce.patientWaitFor(now, gp, ce.slots, ce.prefills.Len())
 }
 
-// patientWaitFor is patientWait with other numbers of places and of prefill
-// engines than there are.
+// patientWaitFor is patientWait for other numbers of slots and prefill engines than the
+// current ones.
 func (ce *Cell) patientWaitFor(now clock.Millis, gp *group, places, prefills int) float64 {
 	hold, fill, quickFill := gp.queuedDecodeMS, gp.queuedPrefillMS, 0.0
 	for _, other := range ce.activeGroups {
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -6,42 +6,42 @@
 	"alderdyke/pkg/clock"
 )
 
-// How a group's habits are learned.
+// Learning parameters of a group.
 const (
 	decodeWeight  = 0.03             // weight of one request's decode time
-	guessWeight   = 8                // decodes that the first guess counts for
-	arrivalWindow = 6 * clock.Second // time constant of the rate of arrivals
-	prefillWindow = 2 * clock.Second // time constant of the use of prefill engines
+	guessWeight   = 8                // decodes that the initial estimate counts as
+	arrivalWindow = 6 * clock.Second // time constant of the arrival rate
+	prefillWindow = 2 * clock.Second // time constant of the prefill engine usage
 	defaultTPOT   = 35 * clock.Millis(1)
-	lateTurnEvery = 4 // one of so many starts goes to a late request if both wait
+	lateTurnEvery = 4 // if both queues have requests, one start out of this many goes to a late request
 )
 
 type (
 	groupKey struct{ customer, class string }
 
-	// group is the requests of one class of one customer.
+	// group holds the requests of one class of one customer.
 	group struct {
 		key    groupKey
 		quick  bool
 		share  float64
-		weight float64 // of wasted prefill against goodput
+		weight float64 // cost of wasted prefill relative to goodput
 
-		waiting []*job // by due point
-		late    []*job // past their target, by deadline
-		starts  int    // starts, to serve late ones now and then
-		active  bool   // in the order of the cell
+		waiting []*job // ordered by due time
+		late    []*job // past their target, ordered by deadline
+		starts  int    // number of starts, to pick a late request at intervals
+		active  bool   // in Cell.activeGroups
 
-		held            int     // places in decode engines, promised ones included
-		decodeMS        float64 // learned time in decode
-		measuredDecodes int     // decodes that the learned time was taken from
-		queuedDecodeMS  float64 // decode milliseconds of those that wait
-		queuedPrefillMS float64 // prefill milliseconds of those that wait
+		held            int     // assigned and reserved decode slots
+		decodeMS        float64 // learned decode time
+		measuredDecodes int     // decodes from which decodeMS was learned
+		queuedDecodeMS  float64 // expected decode time of the queued requests
+		queuedPrefillMS float64 // expected prefill time of the queued requests
 
 		arrivals   rate
 		prefillUse rate // prefill milliseconds used per millisecond
 	}
 
-	// rate is an exponentially decaying sum, as events per millisecond.
+	// rate is an exponentially decaying sum, in events per millisecond.
 	rate struct {
 		timeConstant clock.Millis // time constant
 		value        float64
@@ -52,12 +52,12 @@
 	job struct {
 		spec  RequestSpec
 		grp   *group
-		stage Stage // empty while it waits
+		stage Stage // empty while queued
 		since clock.Millis
 
-		due         clock.Millis // latest first token that meets the target
+		due         clock.Millis // latest time of the first token that meets the target
 		arrived     clock.Millis
-		expires     clock.Millis // when the KV cache at the prefill engine lapses
+		expires     clock.Millis // when the KV cache at the prefill engine expires
 		tokens      int          // prompt tokens that the prefill computes
 		prefillMS   float64
 		decodeMS    float64 // expected decode time when it was queued
@@ -65,29 +65,29 @@
 		endRate     float64 // expected ends per millisecond while it decodes
 		exclusive   bool    // its prefill, or its transfer, had the engine to itself
 		orphan      bool
-		redirected  bool       // its transfer was sent another way once
-		waitReason  WaitReason // what its transfer waited for last
-		expirations int        // KV caches that lapsed
-		granted     bool       // it was granted at least once
+		redirected  bool       // its transfer was redirected once
+		waitReason  WaitReason // last reason why its transfer waited
+		expirations int        // number of its KV caches that expired
+		granted     bool       // granted at least once
 
 		prefill *engine
 		decode  *engine
 	}
 )
 
-// hasQueued tells whether the group has requests that wait.
+// hasQueued reports whether the group has queued requests.
 func (gp *group) hasQueued() bool { return len(gp.waiting)+len(gp.late) > 0 }
 
 func (gp *group) queued() int { return len(gp.waiting) + len(gp.late) }
 
-// enqueue puts a request in its place by due point.
+// enqueue inserts a request by due time.
 func (gp *group) enqueue(jb *job) {
 	gp.waiting = insertBy(gp.waiting, jb, func(ja *job) clock.Millis { return ja.due })
 	gp.queuedDecodeMS += jb.decodeMS
 	gp.queuedPrefillMS += jb.prefillMS
 }
 
-// dequeue takes a request out of the queues.
+// dequeue removes a request from the queues.
 func (gp *group) dequeue(jb *job) {
 	if len(gp.waiting) > 0 && gp.waiting[0] == jb {
 		gp.waiting[0] = nil
@@ -100,7 +100,7 @@
 	gp.queuedPrefillMS = max(0, gp.queuedPrefillMS-jb.prefillMS)
 }
 
-// next is the request of the group that starts next.
+// next returns the group's next request to start, or nil.
 func (gp *group) next() *job {
 	switch {
 	case len(gp.waiting) == 0 && len(gp.late) == 0:
@@ -112,7 +112,7 @@
 	}
 }
 
-// add takes an event of some size into the rate.
+// add adds an event of the given size to the rate.
 func (rt *rate) add(now clock.Millis, size float64) {
 	rt.value = rt.now(now) + size/float64(rt.timeConstant)
 	rt.at = now
@@ -122,15 +122,15 @@
 	return rt.value * math.Exp(-float64(now-rt.at)/float64(rt.timeConstant))
 }
 
-// usage is the part of the cell that the group uses: of the decode places or
-// of the prefill engines, whichever is more.
+// usage returns the share of the cell that the group uses: of the decode slots or of
+// the prefill engines, whichever is larger.
 func (gp *group) usage(now clock.Millis, slots, prefills int) float64 {
 	ofSlots := float64(gp.held) / float64(max(1, slots))
 	ofPrefill := gp.prefillUse.now(now) / float64(max(1, prefills))
 	return max(ofSlots, ofPrefill)
 }
 
-// learnDecode takes a measured decode into the expected one.
+// learnDecode updates the learned decode time with a measured decode.
 func (gp *group) learnDecode(took clock.Millis) {
 	gp.measuredDecodes++
 	part := max(decodeWeight, 1/float64(gp.measuredDecodes+guessWeight))
@@ -138,8 +138,8 @@
 	gp.decodeMS = max(gp.decodeMS, 1)
 }
 
-// guessDecodeMS is the first guess of a group's decode time: half of what its
-// bound of output tokens allows.
+// guessDecodeMS is the initial estimate of a group's decode time: half of what its
+// limit on output tokens allows.
 func guessDecodeMS(spec RequestSpec) float64 {
 	tpot := spec.TPOT
 	if tpot <= 0 {
--- a/internal/sched/model_test.go
+++ b/internal/sched/model_test.go
@@ -10,7 +10,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// TestInvariants plays random events and checks what must hold after each.
+// TestInvariants applies random events and checks the invariants after each.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fx := newFixture(rapid.IntRange(1, 4).Draw(rt, "prefills"), rapid.IntRange(1, 4).Draw(rt, "decodes"),
@@ -31,13 +31,13 @@
 	})
 }
 
-// model knows what each request should be doing.
+// model tracks the expected stage of each request.
 type model struct {
 	fx       *fixture
-	state    map[string]Stage // "" while it waits; absent once it ended
+	state    map[string]Stage // "" while queued; absent once it ended
 	orphaned map[string]bool
 	order    []string
-	seen     int // intents looked at
+	seen     int // number of intents processed
 	count    int
 }
 
@@ -81,7 +81,7 @@
 		}
 	case Prefilled:
 		md.state[id] = Prefilled
-	case Lapsed: // what becomes of it the intents tell
+	case Lapsed: // the intents show what becomes of it
 		if md.orphaned[id] {
 			delete(md.state, id)
 		}
@@ -111,8 +111,8 @@
 	}
 }
 
-// orphan loses the VM of a request: one in a decode engine holds its place
-// until progress frees it, all others are dropped.
+// orphan fails the VM of a request: a request at a decode engine holds its slot until
+// progress frees it, all others are dropped.
 func (md *model) orphan(rt *rapid.T) {
 	id := md.pick(rt)
 	if id == "" {
@@ -147,7 +147,7 @@
 	md.fx.step(Tick{})
 }
 
-// applyIntents takes the intents into the model and checks that each is allowed.
+// applyIntents applies the intents to the model and checks that each is allowed.
 func (md *model) applyIntents(rt *rapid.T) {
 	for ; md.seen < len(md.fx.intents); md.seen++ {
 		switch in := md.fx.intents[md.seen].(type) {
@@ -170,7 +170,7 @@
 
 func (md *model) expectStage(rt *rapid.T, id string, want Stage) {
 	if st, ok := md.state[id]; !ok || st != want {
-		rt.Fatalf("%s is in stage %q (known: %v), want %q", id, st, ok, want)
+		rt.Fatalf("request %s is in stage %q (tracked: %v), want %q", id, st, ok, want)
 	}
 }
 
@@ -183,13 +183,13 @@
 			continue
 		}
 		if eng.held > eng.slots {
-			rt.Fatalf("%s gave out %d of %d places", eng.id, eng.held, eng.slots)
+			rt.Fatalf("engine %s has %d of %d slots assigned", eng.id, eng.held, eng.slots)
 		}
 		free += eng.free()
 		held += eng.held
 	}
 	if free != ce.free {
-		rt.Fatalf("%d places are free, the total says %d", free, ce.free)
+		rt.Fatalf("engines have %d free slots, the cell's total is %d", free, ce.free)
 	}
 	want := 0
 	for _, st := range md.state {
@@ -198,14 +198,14 @@
 		}
 	}
 	if held != want {
-		rt.Fatalf("%d places are held, %d requests hold one", held, want)
+		rt.Fatalf("engines have %d held slots, %d requests hold one", held, want)
 	}
 	if ce.queued > 2*ce.QueueBound || len(ce.jobs) != len(md.state) {
-		rt.Fatalf("%d wait, %d known, want %d", ce.queued, len(ce.jobs), len(md.state))
+		rt.Fatalf("cell has %d queued and %d tracked requests, model has %d", ce.queued, len(ce.jobs), len(md.state))
 	}
 }
 
-// drain ends everything and checks that nothing stays held or waiting.
+// drain ends all requests and checks that nothing stays held or queued.
 func (md *model) drain(rt *rapid.T) {
 	for range 3*len(md.order) + 40 {
 		for _, id := range md.order {
@@ -228,11 +228,11 @@
 	}
 	ce := md.fx.ce
 	if len(md.state) != 0 || ce.queued != 0 || ce.reserved != [2]int{} || len(ce.readyJobs)+len(ce.transferring) != 0 {
-		rt.Fatalf("left over: %v, %d wait, %v promised", md.state, ce.queued, ce.reserved)
+		rt.Fatalf("left over: stages %v, %d queued, %v reserved", md.state, ce.queued, ce.reserved)
 	}
 	for _, gp := range ce.groups {
 		if gp.held != 0 {
-			rt.Fatalf("%v still holds %d places", gp.key, gp.held)
+			rt.Fatalf("group %v still holds %d slots", gp.key, gp.held)
 		}
 	}
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -10,19 +10,19 @@
 
 // Bounds of placement.
 const (
-	prefillSendAhead   = 20 * clock.Millis(1)  // a prefill is sent so long before its engine is ready
-	maxPrefixWait      = 400 * clock.Millis(1) // the longest queue joined for a cached prefix
-	stallFactor        = 3                     // times the expected span after which a transfer is stalled
+	prefillSendAhead   = 20 * clock.Millis(1)  // how long before its engine is ready a prefill is sent
+	maxPrefixWait      = 400 * clock.Millis(1) // longest queue joined for a cached prefix
+	stallFactor        = 3                     // multiple of the expected duration after which a transfer counts as stalled
 	minStallTimeout    = 100 * clock.Millis(1)
 	maxLinkTransfers   = 1                    // patient transfers on one link at a time
-	expiryMargin       = 15 * clock.Millis(1) // for the way of a Transfer to the engine
-	maxCarriersChecked = 16                   // engines looked at for one whose link is fast enough
-	maxTransferShare   = 0.9                  // part of the keep that a learned transfer time may claim
-	preemptMargin      = 50 * clock.Millis(1) // a prefill that begins sooner is not taken back
+	expiryMargin       = 15 * clock.Millis(1) // for the delivery of a Transfer to the engine
+	maxCarriersChecked = 16                   // engines checked for one whose link is fast enough
+	maxTransferShare   = 0.9                  // share of the KV cache's TTL that a learned transfer time may claim
+	preemptMargin      = 50 * clock.Millis(1) // a prefill that begins sooner than this is not preempted
 )
 
-// dispatch does all that has become possible: first what frees places, then
-// transfers, then quick requests, then patient ones.
+// dispatch does everything that has become possible: it first frees slots, then starts
+// transfers, quick requests and patient requests.
 func (ce *Cell) dispatch(now clock.Millis) {
 	ce.openUnreported(now)
 	ce.expireQueued(now)
@@ -33,7 +33,7 @@
 	ce.requestWake(now)
 }
 
-// openUnreported takes engines into use that sent no report for a while.
+// openUnreported opens engines that have sent no report within the grace period.
 func (ce *Cell) openUnreported(now clock.Millis) {
 	ce.unreported = slices.DeleteFunc(ce.unreported, func(eng *engine) bool {
 		ce.steps++
@@ -45,8 +45,8 @@
 	})
 }
 
-// startQuick grants quick requests whose place is in sight, the group that
-// uses least of its share first.
+// startQuick grants quick requests for which a slot is expected, from the group that
+// uses the smallest part of its share first.
 func (ce *Cell) startQuick(now clock.Millis) {
 	for {
 		gp := ce.leastServed(now, true)
@@ -69,9 +69,9 @@
 	}
 }
 
-// startPatient grants patient requests in the order of their groups' use of
-// their shares. The first that must wait stops the rest, so that no group's
-// bolder settings pass another's.
+// startPatient grants patient requests in the order of their groups' use of their
+// shares. The first request that must wait blocks the others, so that a group whose
+// settings accept more risk can't overtake another group.
 func (ce *Cell) startPatient(now clock.Millis) {
 	for {
 		gp := ce.leastServed(now, false)
@@ -94,9 +94,9 @@
 	}
 }
 
-// leastServed is the waiting group that uses the smallest part of its share.
-// Quick groups beyond their share stand back while a patient group that is
-// below its own waits.
+// leastServed returns the queued group that uses the smallest part of its share. Quick
+// groups above their share yield while a patient group below its share has queued
+// requests.
 func (ce *Cell) leastServed(now clock.Millis, quick bool) *group {
 	var best *group
 	var bestUse float64
@@ -118,9 +118,9 @@
 	return best
 }
 
-// choosePrefill is the prefill engine that would complete the request's
-// prefill first, the cached prefix counted, or nil if it is too early to
-// send one.
+// choosePrefill returns the prefill engine that would complete the request's prefill
+// first, taking the cached prefix into account, or nil if it is too early to send a
+// prefill.
 func (ce *Cell) choosePrefill(now clock.Millis, jb *job) *engine {
 	eng := ce.fastestCarrier(jb)
 	if eng == nil {
@@ -140,8 +140,8 @@
 	return eng
 }
 
-// fastestCarrier is the prefill engine that is ready first, among the few foremost
-// ones whose link carries the request's KV cache; the foremost if none does.
+// fastestCarrier returns the engine that is ready first among the first few whose link
+// carries the request's KV cache, or the first engine if none does.
 func (ce *Cell) fastestCarrier(jb *job) *engine {
 	first := ce.prefills.best()
 	if first == nil || first.linkCarries(jb.spec.PromptTokens, ce.KVCacheTTL) {
@@ -160,7 +160,7 @@
 	return best
 }
 
-// prefixEngine is the least loaded engine that lately computed the request's
+// prefixEngine returns the least loaded engine that recently computed the request's
 // prefix, or nil.
 func (ce *Cell) prefixEngine(jb *job) *engine {
 	if jb.spec.PrefixHash == 0 || jb.spec.PrefixTokens == 0 {
@@ -176,7 +176,7 @@
 	return best
 }
 
-// grant reserves a place and sends the prefill.
+// grant reserves a slot and sends the prefill.
 func (ce *Cell) grant(now clock.Millis, jb *job, eng *engine) {
 	gp := jb.grp
 	gp.dequeue(jb)
@@ -199,7 +199,7 @@
 	ce.emit(Grant{Request: jb.spec.Request, Attempt: jb.spec.Attempt, Prefill: eng.id, Decode: ce.bestDecodeID()})
 }
 
-// bestDecodeID is the decode engine that would be chosen now.
+// bestDecodeID returns the decode engine that would be chosen now, or "".
 func (ce *Cell) bestDecodeID() string {
 	if eng := ce.decodes.best(); eng != nil {
 		return eng.id
@@ -207,7 +207,7 @@
 	return ""
 }
 
-// recordPrefix notes which engine holds a prefix.
+// recordPrefix records that the engine holds a prefix.
 func (ce *Cell) recordPrefix(eng *engine, hash uint64) {
 	if hash == 0 {
 		return
@@ -224,7 +224,7 @@
 }
 
 // grantHeldPrefill grants a request whose KV cache a prefill engine still holds, so
-// that only the transfer is left.
+// that only the transfer is left. It reports whether it did.
 func (ce *Cell) grantHeldPrefill(now clock.Millis, jb *job) bool {
 	eng := ce.engines[jb.spec.HeldPrefill]
 	if eng == nil || eng.delisted || now-jb.arrived > ce.KVCacheTTL/2 {
@@ -243,8 +243,8 @@
 	return true
 }
 
-// preemptUnusable takes back grants whose prefill engine stopped taking work
-// before their prefill began.
+// preemptUnusable preempts grants whose prefill engine stopped taking work before the
+// prefill began.
 func (ce *Cell) preemptUnusable(now clock.Millis) {
 	var unfit []*job
 	for _, jb := range ce.jobs {
@@ -262,7 +262,8 @@
 	}
 }
 
-// requestWake asks for a tick when something is due without an event.
+// requestWake requests a tick for the next time at which something is due without an
+// event.
 func (ce *Cell) requestWake(now clock.Millis) {
 	al := wakeTime{now: now}
 	if len(ce.unreported) > 0 {
@@ -284,7 +285,7 @@
 	}
 }
 
-// wakeForQueued finds when something may be done for those that wait.
+// wakeForQueued adds the times at which queued requests may need action.
 func (ce *Cell) wakeForQueued(now clock.Millis, al *wakeTime) {
 	if eng := ce.prefills.best(); eng != nil && eng.readyAt() > float64(now+prefillSendAhead) {
 		al.atMost(clock.Millis(eng.readyAt()) - prefillSendAhead)
@@ -299,7 +300,7 @@
 	al.atMost(now + forecastInterval)
 }
 
-// wakeTime is the earliest of some points that are yet to come.
+// wakeTime is the earliest of several future times.
 type wakeTime struct{ now, at clock.Millis }
 
 func (al *wakeTime) atMost(point clock.Millis) {
@@ -308,7 +309,7 @@
 	}
 }
 
-// dropPrefixes forgets the prefixes of an engine that is gone.
+// dropPrefixes forgets the prefixes of an engine that was delisted.
 func (ce *Cell) dropPrefixes(eng *engine) {
 	if eng.role != board.Prefill {
 		return
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -3,13 +3,13 @@
 import "container/heap"
 
 type (
-	// ranking keeps engines ordered by a score, least first, so that the best
-	// is found without a look at the others and a change costs a logarithm of
-	// their number. The zero value is empty.
+	// ranking is a heap of engines by score, lowest first. The best engine is found
+	// without looking at the others, and an update takes logarithmic time. The zero
+	// value is empty.
 	ranking struct {
 		items []*ranked
 		where map[*engine]*ranked
-		steps *int // counts comparisons, for the bound on growth
+		steps *int // counts comparisons; tests bound its growth
 	}
 
 	ranked struct {
@@ -19,7 +19,7 @@
 	}
 )
 
-// set puts the engine at a score, adding it if it is new.
+// set inserts the engine or updates its score.
 func (rk *ranking) set(eng *engine, score float64) {
 	if rk.where == nil {
 		rk.where = make(map[*engine]*ranked)
@@ -36,7 +36,7 @@
 	heap.Push(rk, it)
 }
 
-// remove takes the engine out, if it is in.
+// remove removes the engine if present.
 func (rk *ranking) remove(eng *engine) {
 	if it, ok := rk.where[eng]; ok {
 		heap.Remove(rk, it.index)
@@ -44,7 +44,7 @@
 	}
 }
 
-// best returns the engine with the least score, or nil.
+// best returns the engine with the lowest score, or nil.
 func (rk *ranking) best() *engine {
 	if len(rk.items) == 0 {
 		return nil
@@ -52,10 +52,10 @@
 	return rk.items[0].eng
 }
 
-// Len, Less, Swap, Push and Pop are those of heap.Interface.
+// Len implements heap.Interface.
 func (rk *ranking) Len() int { return len(rk.items) }
 
-// Less orders by score and then by ID, so that replays agree.
+// Less orders by score and then by ID, so that replays are deterministic.
 func (rk *ranking) Less(ia, ib int) bool {
 	if rk.steps != nil {
 		*rk.steps++
@@ -67,20 +67,20 @@
 	return ra.eng.id < rb.eng.id
 }
 
-// Swap is that of heap.Interface.
+// Swap implements heap.Interface.
 func (rk *ranking) Swap(ia, ib int) {
 	rk.items[ia], rk.items[ib] = rk.items[ib], rk.items[ia]
 	rk.items[ia].index, rk.items[ib].index = ia, ib
 }
 
-// Push is that of heap.Interface.
+// Push implements heap.Interface.
 func (rk *ranking) Push(val any) {
 	it := val.(*ranked)
 	it.index = len(rk.items)
 	rk.items = append(rk.items, it)
 }
 
-// Pop is that of heap.Interface.
+// Pop implements heap.Interface.
 func (rk *ranking) Pop() any {
 	last := rk.items[len(rk.items)-1]
 	rk.items = rk.items[:len(rk.items)-1]
--- a/internal/sched/reopening.go
+++ b/internal/sched/reopening.go
@@ -6,18 +6,18 @@
 	"alderdyke/pkg/refusal"
 )
 
-// reopening is what a cell expects of engines that take nothing at present.
+// reopening is the expected state of a closed cell when it takes work again.
 type reopening struct {
-	at       clock.Millis // from when on each role has an engine, at the earliest
-	slots    int          // places of decode engines at that point
-	prefills int          // prefill engines at that point
+	at       clock.Millis // earliest time at which each role has an open engine
+	slots    int          // slots of decode engines at that time
+	prefills int          // prefill engines at that time
 }
 
-// isClosed tells whether a role has no engine that takes work.
+// isClosed reports whether a role has no engine that takes work.
 func (ce *Cell) isClosed() bool { return ce.slots == 0 || ce.prefills.Len() == 0 }
 
-// reopens tells when the engines of a closed cell take work again. It reports
-// false if a role has no engine that will.
+// reopens returns when the engines of a closed cell take work again. It reports false
+// if a role has no engine that will.
 func (ce *Cell) reopens(now clock.Millis) (reopening, bool) {
 	first := make(map[board.Role]clock.Millis, 2)
 	for _, eng := range ce.engines {
@@ -46,8 +46,8 @@
 	return ro, true
 }
 
-// reopensAt is the earliest point at which an engine takes work, and false if
-// that is not in sight.
+// reopensAt returns the earliest time at which an engine takes work, and false if none
+// is expected.
 func (eng *engine) reopensAt(now clock.Millis) (clock.Millis, bool) {
 	switch {
 	case eng.delisted || eng.leaving:
@@ -55,14 +55,14 @@
 	case eng.open:
 		return now, true
 	case eng.closedUntil > 0:
-		return max(now, eng.closedUntil), true // the next report opens it
+		return max(now, eng.closedUntil), true // opened by the next report from then on
 	default:
 		return max(now, eng.opensAt), true
 	}
 }
 
-// checkClosedAdmission refuses a request for which no engine of a role takes work
-// again in time for its target.
+// checkClosedAdmission refuses a request if a role has no engine that takes work again
+// in time for the request's target.
 func (ce *Cell) checkClosedAdmission(now clock.Millis, jb *job) (refusal.Refusal, bool) {
 	ro, ok := ce.reopens(now)
 	if !ok {
--- a/internal/sched/reopening_test.go
+++ b/internal/sched/reopening_test.go
@@ -10,12 +10,12 @@
 	"alderdyke/pkg/refusal"
 )
 
-// closures are the ways in which the only engine of a role comes to take
-// nothing for a while though it is listed, fit and reports.
+// closures are the ways in which the only engine of a role stops taking work for a
+// while although it is listed, fit and reporting.
 var closures = []struct {
 	name         string
 	server       string
-	reopensAfter clock.Millis // when a report has it take work again, if it is alive
+	reopensAfter clock.Millis // when a report reopens it, if it is alive
 	do           func(fx *fixture)
 }{
 	{"two decodes lost", "d0", minClosed, func(fx *fixture) {
@@ -33,7 +33,7 @@
 		}
 	}},
 	{"the decode engine rests", "d0", 3 * clock.Second, func(fx *fixture) { fx.step(Rest{Server: "d0", For: 3 * clock.Second}) }},
-	{"it rests while a decode goes on", "d0", 3 * clock.Second, func(fx *fixture) {
+	{"the decode engine rests while a decode runs", "d0", 3 * clock.Second, func(fx *fixture) {
 		fx.step(Submit{Spec: quick("l0")})
 		fx.startDecoding("l0")
 		fx.step(Rest{Server: "d0", For: 3 * clock.Second})
@@ -45,15 +45,15 @@
 		fx.progress("l0", Rejected, 2)
 		fx.step(Withdraw{Request: "l0"})
 	}},
-	{"the accountant is new", "d0", 0, func(fx *fixture) {
+	{"the accounting VM is new", "d0", 0, func(fx *fixture) {
 		fx.ce = &Cell{Slots: fx.ce.Slots}
 		fx.step(Servers{Servers: engines(1, 1)})
 		fx.step(Report{Load: board.LoadReport{Server: "p0"}})
 	}},
 }
 
-// A request that can wait isn't refused since the only engine of a role takes
-// nothing for a second, be it new or the next attempt of one that was lost.
+// A request that can wait isn't refused because the only engine of a role takes nothing
+// for a second, whether the request is new or the next attempt of one that was lost.
 func TestOnlyEngineThatComesBackIsWaitedFor(t *testing.T) {
 	for _, tc := range closures {
 		for _, attempt := range []int{0, 2} {
@@ -67,7 +67,7 @@
 				assert.Equal(t, fx.ce.Waiting(), 1)
 				for end := fx.now + tc.reopensAfter; fx.now < end; fx.now += 100 {
 					fx.step(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
-					assert.Equal(t, fx.ce.Waiting(), 1, "granted before the engine is back")
+					assert.Equal(t, fx.ce.Waiting(), 1, "granted before the engine reopened")
 				}
 				fx.step(Report{Load: board.LoadReport{Server: tc.server, Slots: 4}})
 				_, ok := fx.grants["ra"]
@@ -81,8 +81,8 @@
 	}
 }
 
-// A request whose target is over before the engine is back is refused at once,
-// with the time until then.
+// A request whose target passes before the engine reopens is refused at once, with the
+// time until then as RetryAfter.
 func TestRequestThatCannotWaitForTheOnlyEngineIsRefused(t *testing.T) {
 	for _, tc := range closures {
 		if tc.reopensAfter == 0 {
@@ -117,7 +117,7 @@
 	}
 }
 
-// An engine that is expected back and stays away holds no quick request beyond
+// An engine that is expected to reopen but doesn't keeps no quick request queued beyond
 // its target.
 func TestOnlyEngineThatStaysAwayHoldsNobodyBeyondTheTarget(t *testing.T) {
 	for _, tc := range closures {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,23 +1,22 @@
 // Package sched decides, for one cell of model engines, which request runs
 // where and when.
 //
-// A cell is a group of prefill and decode engines of one service. One VM at a
-// time accounts for it, chosen by rendezvous hashing, so that all VMs share
-// the engines without racing on lagging load reports. A [Cell] does no I/O:
-// it is given events and the time, and returns intents. Everything that it
-// decides can be replayed from the list of its events. A VM that can't reach
-// the accounting VM decides for itself by a [Fallback].
+// A cell is a group of prefill and decode engines of one service. One VM at a time
+// accounts for it, chosen by rendezvous hashing, so that the VMs share the engines
+// without racing on stale load reports. A [Cell] does no I/O: it takes events and the
+// time, and returns intents. All its decisions can be replayed from the list of its
+// events. A VM that can't reach the accounting VM decides on its own with a [Fallback].
 //
 // # Usage
 //
 //	ce := &sched.Cell{Name: "rapportmodel/0"}
 //	for _, in := range ce.Step(now, sched.Submit{Spec: spec}) {
 //		switch in := in.(type) {
-//		case sched.Grant: ... // send the prefill, then tell Progress
+//		case sched.Grant: ... // send the prefill, then report Progress
 //		case sched.Transfer: ... // import the KV cache and decode
 //		case sched.Preempt: ... // cancel, and wait for another Grant
 //		case sched.Refuse: ...
-//		case sched.Wake: ... // give a Tick by then
+//		case sched.Wake: ... // send a Tick at that time
 //		}
 //	}
 package sched
@@ -30,161 +29,160 @@
 
 // Stages of a granted request, in order.
 const (
-	Prefilling   Stage = "Prefilling"   // the prefill was sent
-	Prefilled    Stage = "Prefilled"    // the prefill is complete; its KV cache is kept for a short time
-	Transferring Stage = "Transferring" // the decode engine imports the KV cache
-	Decoding     Stage = "Decoding"     // the KV cache is in the decode engine's memory
-	Ended        Stage = "Ended"        // the last token came
-	Cancelled    Stage = "Cancelled"    // cancelled, and the engines confirmed that nothing is held
-	Lost         Stage = "Lost"         // an engine failed; what it held is unknown
-	Rejected     Stage = "Rejected"     // the decode engine refused the import as full; the KV cache is still kept
-	Lapsed       Stage = "Lapsed"       // the import failed since the KV cache is kept no more
+	Prefilling   Stage = "Prefilling"   // the prefill was sent to its engine
+	Prefilled    Stage = "Prefilled"    // the prefill is complete; the prefill engine keeps the KV cache for a short time
+	Transferring Stage = "Transferring" // the decode engine is importing the KV cache
+	Decoding     Stage = "Decoding"     // the decode engine holds the KV cache in memory
+	Ended        Stage = "Ended"        // the last token was received
+	Cancelled    Stage = "Cancelled"    // cancelled, and the engines confirmed that they hold nothing
+	Lost         Stage = "Lost"         // an engine failed; what it still holds is unknown
+	Rejected     Stage = "Rejected"     // the decode engine refused the import because it is full; the KV cache is still kept
+	Lapsed       Stage = "Lapsed"       // the import failed because the prefill engine no longer keeps the KV cache
 )
 
-// What a KV cache may wait for.
+// Reasons why a KV cache waits for its transfer.
 const (
-	WaitForLink  WaitReason = "Link"  // another transfer has the prefill engine's link
-	WaitForSlot  WaitReason = "Place" // no decode engine has a free place
-	WaitForQuick WaitReason = "Quick" // the free places are left to quick requests
+	WaitForLink  WaitReason = "Link"  // the prefill engine's link is busy with another transfer
+	WaitForSlot  WaitReason = "Place" // no decode engine has a free slot
+	WaitForQuick WaitReason = "Quick" // the free slots are reserved for quick requests
 )
 
 type (
-	// WaitReason is what a KV cache waits for before its transfer begins.
+	// WaitReason is what a KV cache waits for before its transfer starts.
 	WaitReason string
 
-	// Stage of a granted request.
+	// Stage is the progress of a granted request.
 	Stage string
 
-	// RequestSpec is all that the decision about a request needs.
+	// RequestSpec describes a request to the scheduler.
 	RequestSpec struct {
 		Request       string
 		Customer      string
 		Class         string
-		VM            board.VMRef // the VM that serves the caller
+		VM            board.VMRef // VM that serves the caller
 		Quick         bool
 		PromptTokens  int
 		PrefixHash    uint64 // of the shared prompt prefix; zero if there is none
-		PrefixTokens  int    // length of that prefix; zero if it is not known
+		PrefixTokens  int    // length of that prefix; zero if unknown
 		MaxTokens     int
 		TTFT          clock.Millis
 		TPOT          clock.Millis
-		Deadline      clock.Millis // point on this VM's clock
+		Deadline      clock.Millis // on this VM's clock
 		Share         float64
 		PrefillWeight float64
 		Attempt       int
-		HeldPrefill   string // prefill engine that still holds the KV cache, if any
+		HeldPrefill   string // prefill engine that still holds the KV cache; empty if none
 	}
 
-	// Event is what a cell is told: Submit, Adopt, Progress, Withdraw,
-	// Report, Rest, Servers, Orphan or Tick.
+	// Event is an input to a cell: Submit, Adopt, Progress, Withdraw, Report, Rest,
+	// Servers, Orphan or Tick.
 	Event interface{ event() }
 
-	// Intent is what a cell wants done: Grant, Transfer, Refuse, Preempt,
+	// Intent is an action that a cell requests: Grant, Transfer, Refuse, Preempt,
 	// Closed or Wake.
 	Intent interface{ intent() }
 
-	// Submit asks for a place for a request. A request that the cell already
-	// knows is asked for anew: what was reserved for it is released first.
+	// Submit queues a request for placement. Submitting a request that the cell already
+	// has first releases everything reserved for it.
 	Submit struct{ Spec RequestSpec }
 
-	// Adopt tells a cell, after the accounting VM changed, of a grant that
-	// the VM before it made and that its runner still uses. It never starts
-	// anything; the request counts from then on as granted by this cell.
+	// Adopt registers, after the accounting VM changed, a grant that the previous
+	// accounting VM made and that its runner still uses. It never starts anything; from
+	// then on the request counts as granted by this cell.
 	Adopt struct {
 		Spec    RequestSpec
 		Stage   Stage // Prefilling, Prefilled, Transferring or Decoding
 		Prefill string
 		Decode  string
-		Tokens  int          // output tokens so far
-		Since   clock.Millis // span since the stage began
+		Tokens  int          // output tokens generated so far
+		Since   clock.Millis // time since the stage began
 	}
 
-	// Progress tells how far a granted request is.
-	// Attempt is that of the Grant; Progress of an earlier one is dropped.
+	// Progress reports the stage of a granted request. Attempt is that of the Grant;
+	// Progress of an earlier attempt is dropped.
 	Progress struct {
 		Request string
 		Attempt int
 		Stage   Stage
-		Tokens  int          // output tokens so far
-		Took    clock.Millis // how long the stage before took
+		Tokens  int          // output tokens generated so far
+		Took    clock.Millis // duration of the previous stage
 	}
 
-	// Withdraw takes back a request that still waits, or whose grant was
-	// not used.
+	// Withdraw removes a request that is still queued, or whose grant was not used.
 	Withdraw struct{ Request string }
 
 	// Report is a load report of an engine.
 	Report struct{ Load board.LoadReport }
 
-	// Rest tells that an engine takes nothing new for a span.
+	// Rest reports that an engine accepts no new work for some time.
 	Rest struct {
 		Server string
 		For    clock.Millis
 	}
 
-	// Servers sets the engines of the cell.
+	// Servers sets the list of the cell's engines.
 	Servers struct{ Servers []board.BackendServer }
 
-	// Orphan tells that the VM of a granted request is gone; the request
-	// holds its place until Progress says that the engines are free of it.
+	// Orphan reports that the VM of a granted request has failed. The request keeps its
+	// slot until Progress shows that the engines have released it.
 	Orphan struct{ Request string }
 
-	// Tick passes the time.
+	// Tick advances the time.
 	Tick struct{}
 
-	// Grant places a request: its prefill may be sent now. Decode is the
-	// engine that would be taken at this moment; the binding choice comes
-	// with Transfer once Progress says Prefilled. A runner that hears no
-	// Transfer for a quarter of the time that the KV cache is kept goes on
-	// with Decode by itself. SkipPrefill says that the held KV cache is used.
+	// Grant places a request: its prefill may be sent now. Decode is the engine that
+	// would be chosen at this moment; the binding choice comes with the Transfer that
+	// follows Progress with stage Prefilled. A runner that receives no Transfer within
+	// a quarter of the KV cache's TTL continues with Decode on its own. SkipPrefill
+	// means that the retained KV cache is used.
 	Grant struct {
 		Request     string
-		Attempt     int // first that of the RequestSpec, one more with every further Grant
+		Attempt     int // starts with that of the RequestSpec and grows by one with each further Grant
 		Prefill     string
 		Decode      string
 		SkipPrefill bool
 	}
 
-	// Transfer orders the import of the KV cache into the decode engine,
-	// whose place is reserved. A second Transfer for the same request
-	// replaces the first, which stalled or was rejected.
+	// Transfer orders the import of the KV cache into the decode engine, where a slot
+	// is reserved. A second Transfer for the same request replaces the first, which
+	// stalled or was rejected.
 	Transfer struct {
 		Request   string
 		Attempt   int
 		Prefill   string
 		Decode    string
-		Waited    clock.Millis // span since the KV cache was ready or the transfer before was rejected
-		WaitedFor WaitReason   // what it waited for last; empty if it began at once
-		Stalled   string       // decode engine of the transfer that this one replaces since it stalled
-		Elapsed   clock.Millis // span since that one began
-		Expected  clock.Millis // what that one was expected to take
+		Waited    clock.Millis // time since the KV cache was ready or the previous transfer was rejected
+		WaitedFor WaitReason   // last reason for waiting; empty if the transfer started at once
+		Stalled   string       // decode engine of the stalled transfer that this one replaces; empty if none
+		Elapsed   clock.Millis // time since the stalled transfer began
+		Expected  clock.Millis // expected duration of the stalled transfer
 	}
 
-	// Refuse ends a waiting request.
+	// Refuse ends a queued request.
 	Refuse struct {
 		Request string
 		Refusal refusal.Refusal // MayHaveRun if the request was granted before
 	}
 
-	// Preempt takes a grant back, before costly work began or after the KV
-	// cache lapsed. The runner cancels what it sent; the request waits on in
-	// the cell and gets another Grant or a Refuse.
+	// Preempt revokes a grant before costly work has begun or after the KV cache
+	// expired. The runner cancels what it sent. The request stays queued in the cell
+	// and gets another Grant or a Refuse.
 	Preempt struct {
 		Request string
 		Attempt int
 		Reason  refusal.Reason
 	}
 
-	// Closed tells that an engine gets nothing new for a span. It is for logs.
+	// Closed reports, for logs only, that an engine gets no new work for some time.
 	Closed struct {
 		Server  string
 		Role    board.Role
 		For     clock.Millis
-		Lost    int    // requests lost on it in a row; zero if it asked for rest
-		Request string // the last of these
+		Lost    int    // consecutive losses on the engine; zero if it asked for a rest
+		Request string // last request that was lost
 	}
 
-	// Wake asks for a Tick at the given point, at the latest.
+	// Wake requests a Tick no later than the given time.
 	Wake struct{ At clock.Millis }
 )
 
--- a/internal/sched/transfer.go
+++ b/internal/sched/transfer.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// forecastInterval is how often a waiting queue looks again at a forecast
-	// that grows with time.
+	// forecastInterval is how often the queue is checked against a forecast that
+	// improves over time.
 	forecastInterval = 25 * clock.Millis(1)
 
-	maxLinkWindowShare = 0.25  // part of the keep that the transfers on a link may take side by side
+	maxLinkWindowShare = 0.25  // share of the KV cache's TTL that concurrent transfers on a link may take
 	maxExpirations     = 3     // KV caches that one request may lose
-	quickLeadMS        = 200.0 // milliseconds that quick transfers count as sooner
-	expiryLeadMS       = 300.0 // the same for patient ones, at a weight of 1
-	expiryNearMS       = 100.0 // milliseconds before the lapse of a KV cache that nothing weighs on
+	quickLeadMS        = 200.0 // milliseconds by which quick transfers are advanced in the order
+	expiryLeadMS       = 300.0 // the same for patient transfers at a weight of 1
+	expiryNearMS       = 100.0 // milliseconds before its expiry at which a KV cache of weight 0 no longer yields
 )
 
-// handlePrefilled notes that a KV cache is ready and queues its transfer.
+// handlePrefilled records that a KV cache is ready and queues its transfer.
 func (ce *Cell) handlePrefilled(now clock.Millis, jb *job, took clock.Millis) {
 	if jb.stage != Prefilling {
 		return
@@ -38,8 +38,8 @@
 	ce.readyJobs = append(ce.readyJobs, jb)
 }
 
-// startTransfers orders the imports that have a link and a place, the one that
-// must begin soonest first.
+// startTransfers orders the imports whose link and decode slot are available, earliest
+// required start first.
 func (ce *Cell) startTransfers(now clock.Millis) {
 	if len(ce.readyJobs) == 0 {
 		return
@@ -69,9 +69,9 @@
 	ce.readyJobs = rest
 }
 
-// startBy is the point by which a transfer should begin: a quick one's first
-// token is due, a patient one's KV cache lapses, which counts as sooner the
-// more its loss weighs.
+// startBy returns when a transfer should start. For a quick request that follows from
+// its due time; for a patient one from the expiry of its KV cache, which counts as
+// earlier the more its loss weighs.
 func (jb *job) startBy() float64 {
 	if jb.spec.Quick {
 		return float64(jb.due) - jb.linkMS - quickLeadMS
@@ -79,8 +79,8 @@
 	return float64(jb.expires) - jb.linkMS - expiryLeadMS*jb.grp.weight
 }
 
-// blockedBy is what a transfer has to wait for beside a free place; empty if it
-// may begin.
+// blockedBy returns what a transfer has to wait for other than a free slot, or "" if it
+// may start.
 func (ce *Cell) blockedBy(now clock.Millis, jb *job) WaitReason {
 	switch {
 	case !ce.linkFree(now, jb):
@@ -92,18 +92,18 @@
 	}
 }
 
-// yieldsToQuick tells whether a patient transfer leaves the last places to
-// the quick requests whose prefills are under way. It does not once its KV
-// cache is about to lapse.
+// yieldsToQuick reports whether a patient transfer leaves the last slots to quick
+// requests whose prefills are running. It does not once its KV cache is about to
+// expire.
 func (ce *Cell) yieldsToQuick(now clock.Millis, jb *job) bool {
 	return !jb.spec.Quick && ce.free <= ce.reserved[1] &&
 		float64(jb.expires-now)-jb.linkMS > expiryNearMS+expiryLeadMS*jb.grp.weight
 }
 
-// linkFree tells whether a transfer may go on its prefill engine's link.
-// Quick requests always may; patient ones go one after another unless the KV
-// cache would lapse meanwhile. Transfers whose work on the link is less than
-// their delay beside it go side by side, as the link is idle otherwise.
+// linkFree reports whether a transfer may use its prefill engine's link. Quick requests
+// always may. Patient ones go one after another unless the KV cache would expire
+// meanwhile. Transfers whose time on the link is shorter than their delay outside the
+// link run concurrently, because the link would otherwise be idle.
 func (ce *Cell) linkFree(now clock.Millis, jb *job) bool {
 	if jb.spec.Quick || jb.prefill.activeTransfers < maxLinkTransfers {
 		return true
@@ -115,8 +115,8 @@
 	return float64(jb.expires-now) < 2*jb.linkMS+float64(forecastInterval)+ce.transferDelay.mean
 }
 
-// startTransfer takes a place for a transfer and orders it. The order comes with
-// what it waited for or what it replaces.
+// startTransfer reserves a slot for a transfer and orders it. The order states what the
+// transfer waited for or which transfer it replaces.
 func (ce *Cell) startTransfer(now clock.Millis, jb *job, dec *engine, order Transfer) {
 	ce.reserved[classIndex(jb)]--
 	jb.stage, jb.since, jb.decode, jb.waitReason = Transferring, now, dec, ""
@@ -132,7 +132,7 @@
 	ce.emit(order)
 }
 
-// handleDecoding notes that the KV cache has arrived.
+// handleDecoding records that the KV cache has arrived at the decode engine.
 func (ce *Cell) handleDecoding(now clock.Millis, jb *job, took clock.Millis) {
 	if jb.stage != Transferring {
 		return
@@ -150,15 +150,15 @@
 	ce.endRates[classIndex(jb)] += jb.endRate
 }
 
-// handleRejected notes that a decode engine was full after all: others use it.
-// It gets nothing more before its next report, and the transfer goes to
-// another engine.
+// handleRejected records that a decode engine is full after all because others use it.
+// The engine gets nothing more before its next report, and the transfer goes to another
+// engine.
 func (ce *Cell) handleRejected(now clock.Millis, jb *job) {
 	if jb.stage != Transferring {
 		return
 	}
 	if jb.orphan {
-		ce.drop(now, jb) // nobody is left to order another import
+		ce.drop(now, jb) // no runner is left to order another import
 		return
 	}
 	dec := jb.decode
@@ -168,8 +168,8 @@
 	ce.readyJobs = append(ce.readyJobs, jb)
 }
 
-// handleLapsed takes a request back whose KV cache was lost before its decode engine
-// had fetched it. That engine is as good as it was.
+// handleLapsed requeues a request whose KV cache was lost before its decode engine had
+// fetched it. The loss does not count against that decode engine.
 func (ce *Cell) handleLapsed(now clock.Millis, jb *job) {
 	switch {
 	case jb.stage != Transferring:
@@ -180,7 +180,7 @@
 	}
 }
 
-// releaseDecode gives the place of a transfer back without dropping the request.
+// releaseDecode releases the slot of a transfer and keeps the request.
 func (ce *Cell) releaseDecode(jb *job) {
 	ce.endTransfer(jb)
 	ce.transferring = removeJob(ce.transferring, jb)
@@ -191,8 +191,8 @@
 	ce.reserved[classIndex(jb)]++
 }
 
-// expireKVCaches takes back requests whose KV cache can't reach a decode engine any
-// more, and sends stalled transfers another way while theirs still can.
+// expireKVCaches requeues requests whose KV cache can no longer reach a decode engine,
+// and redirects stalled transfers whose KV cache still can.
 func (ce *Cell) expireKVCaches(now clock.Millis) {
 	for _, jb := range slices.Clone(ce.readyJobs) {
 		ce.steps++
@@ -208,8 +208,8 @@
 	}
 }
 
-// requeueExpired takes a request back whose KV cache is lost. After a few times it is
-// refused: its KV cache may be larger than the links carry.
+// requeueExpired requeues a request whose KV cache is lost. After a few losses it
+// refuses the request, as its KV cache may be too large for the links.
 func (ce *Cell) requeueExpired(now clock.Millis, jb *job) {
 	jb.expirations++
 	ce.requeue(now, jb, refusal.TargetUnreachable)
@@ -218,10 +218,9 @@
 	}
 }
 
-// stalled tells whether a transfer takes so much longer than expected that
-// another decode engine is worth a try. It is not when, at the pace that the
-// link and the messages have shown, another would not arrive before the KV cache
-// lapses.
+// stalled reports whether a transfer takes so much longer than expected that another
+// decode engine is worth trying. It is not if, at the measured speed of the link and
+// the messages, another transfer would not arrive before the KV cache expires.
 func (ce *Cell) stalled(now clock.Millis, jb *job) bool {
 	if jb.redirected || jb.orphan || now < ce.stallsAt(jb) {
 		return false
@@ -230,13 +229,13 @@
 	return float64(jb.expires-now) > float64(jb.spec.PromptTokens)/jb.prefill.linkRate+ce.transferDelay.timeout(ce.KVCacheTTL/2)
 }
 
-// stallsAt is the point from which a transfer counts as stalled.
+// stallsAt returns the time from which a transfer counts as stalled.
 func (ce *Cell) stallsAt(jb *job) clock.Millis {
 	return jb.since + clock.Millis(stallFactor*jb.linkMS+ce.transferDelay.timeout(ce.KVCacheTTL/2)) + 1
 }
 
-// redirect sends a stalled transfer to another decode engine. The place at
-// the first one counts as taken until that engine's next report.
+// redirect sends a stalled transfer to another decode engine. The slot at the first
+// engine counts as taken until that engine's next report.
 func (ce *Cell) redirect(now clock.Millis, jb *job) {
 	first := jb.decode
 	ce.decodes.remove(first)
@@ -254,7 +253,7 @@
 	ce.startTransfer(now, jb, dec, order)
 }
 
-// adopt takes over a grant that the accounting VM before this one made.
+// adopt takes over a grant that the previous accounting VM made.
 func (ce *Cell) adopt(now clock.Millis, ad Adopt) {
 	if old, ok := ce.jobs[ad.Spec.Request]; ok {
 		ce.drop(now, old)
@@ -298,8 +297,8 @@
 	ce.endRates[classIndex(jb)] += jb.endRate
 }
 
-// engineOrUnlisted finds an engine, or makes an entry for one that is no longer listed
-// but still used.
+// engineOrUnlisted returns the engine with the ID, or adds an entry for one that is no
+// longer listed but still in use.
 func (ce *Cell) engineOrUnlisted(now clock.Millis, id string, role board.Role) *engine {
 	if eng, ok := ce.engines[id]; ok {
 		return eng
