--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -15,10 +15,11 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds of the random test. They are the aim: once the servers have ended that it
-// takes, a request is sent on three times at most, by tries that were under way;
-// and no innocent is refused. It takes three where the servers had not begun to
-// answer, and else five, for such a request looks like all that ran there.
+// Bounds of the random test. After the number of crashes that identify it, a request
+// may be sent on at most three times, by attempts that were already running, and no
+// harmless request may be refused. A request is identified after three crashes if the
+// servers had not begun to answer it, and otherwise after five, because it then looks
+// like every other request at those servers.
 const (
 	maxLost     = 3 + 3
 	maxLostLate = 5 + 3
@@ -27,23 +28,23 @@
 	simSeeds    = 60
 	simSpan     = 60 * clock.Second
 	simVMs      = 7
-	// learnTime is how long the VMs have to learn of a third server that ended.
+	// learnTime is the time in which the VMs learn of a third server that crashed.
 	learnTime = 3 * clock.Second
 )
 
 type (
-	// variant is what a mutation changes of the search.
+	// variant is a mutation of the detection.
 	variant struct {
 		refuse         float64
 		crashes        int
-		noSharing      bool // VMs do not take each other's words
-		ignoreAnswered bool // it is not seen whether a server had begun to answer
-		spreadCrashes  bool // ends of servers that end together are taken for several
-		markPerTry     bool // each try is another request
+		noSharing      bool // VMs do not share crashes
+		ignoreAnswered bool // whether the server had begun to answer is not recorded
+		spreadCrashes  bool // crashes at the same moment are recorded at different times
+		markPerTry     bool // each attempt has its own mark
 	}
 
-	// sim is a fleet in virtual time, its engines, and requests of which a few
-	// end the engine that runs them.
+	// sim is a fleet in virtual time with its engines and requests, a few of which
+	// crash the engine that runs them.
 	sim struct {
 		variant
 		rnd              *rand.Rand
@@ -52,13 +53,13 @@
 		seq              int
 		vms              []*suspect.Tracker
 		engines          []*simEngine
-		serversLost      map[int]int          // servers that ended, by the killer that did it
-		thirdCrashAt     map[int]clock.Millis // when a killer ended its third
-		sentAfterThird   map[int]int          // how often a killer was sent to a server longer than contact after that
-		innocentsRefused int                  // innocents
+		serversLost      map[int]int          // servers that crashed, by the killer that crashed them
+		thirdCrashAt     map[int]clock.Millis // when a killer crashed its third server
+		sentAfterThird   map[int]int          // how often a killer was sent to a server more than learnTime after that
+		innocentsRefused int                  // harmless requests that were refused
 		completed        int
 		crashCount       int
-		lastTry          int // of the last try
+		lastTry          int // number of the last attempt
 	}
 
 	simEngine struct {
@@ -71,16 +72,16 @@
 	simRequest struct {
 		id     int
 		killer bool
-		late   bool // a killer that ends its engine after its first event
+		late   bool // a killer that crashes its engine after its first event
 	}
 
 	simRun struct {
-		tryNumber int // names the try, the same at each play of a seed
-		req       simRequest
-		vm        int
-		try       int
-		tries     int // engines that it may still be sent to
-		began     clock.Millis
+		tryNumber    int // identifies the attempt; the same in each run of a seed
+		req          simRequest
+		vm           int
+		try          int
+		attemptsLeft int // number of engines that it may still be sent to
+		began        clock.Millis
 	}
 
 	simEvent struct {
@@ -113,8 +114,8 @@
 	return least + clock.Millis(sm.rnd.Int64N(int64(most-least)))
 }
 
-// run plays a seed. Ten requests a second are each sent to one of eight to
-// eighteen engines; engines crash alone, and by failure domain.
+// run runs the simulation with a seed. Ten requests a second are each sent to one of
+// eight to eighteen engines; engines crash alone and by failure domain.
 func (ru variant) run(seed uint64) *sim {
 	sm := &sim{variant: ru, rnd: rand.New(rand.NewPCG(seed, 3)), serversLost: make(map[int]int), thirdCrashAt: make(map[int]clock.Millis), sentAfterThird: make(map[int]int)}
 	for range simVMs {
@@ -148,7 +149,7 @@
 	next()
 }
 
-// killers has callers come with one request now and then, sometimes two at once.
+// killers has callers send one crashing request at intervals, sometimes two at once.
 func (sm *sim) killers(id int, every clock.Millis) {
 	var next func()
 	next = func() {
@@ -181,10 +182,10 @@
 	sm.after(every, next)
 }
 
-// arrive sends one try of a caller to a VM.
+// arrive sends one attempt of a caller to a VM.
 func (sm *sim) arrive(req simRequest, try int) {
 	sm.lastTry++
-	rn := &simRun{tryNumber: sm.lastTry, req: req, vm: sm.rnd.IntN(simVMs), try: try, tries: 2}
+	rn := &simRun{tryNumber: sm.lastTry, req: req, vm: sm.rnd.IntN(simVMs), try: try, attemptsLeft: 2}
 	sm.start(rn)
 }
 
@@ -196,7 +197,7 @@
 	return suspect.MarkOf([]byte("key"), []byte(name))
 }
 
-// start runs a request at the engine with the fewest runs.
+// start runs a request at the engine with the fewest running requests.
 func (sm *sim) start(rn *simRun) {
 	if vd, _ := sm.vms[rn.vm].Check(sm.now, sm.mark(rn)); vd == suspect.Refused {
 		if !rn.req.killer {
@@ -205,13 +206,13 @@
 		return
 	}
 	at := sm.least()
-	if at == nil || rn.tries == 0 {
+	if at == nil || rn.attemptsLeft == 0 {
 		if rn.try == 0 {
 			sm.after(500, func() { sm.arrive(rn.req, 1) })
 		}
 		return
 	}
-	rn.tries--
+	rn.attemptsLeft--
 	rn.began = sm.now
 	if third := sm.thirdCrashAt[rn.req.id]; third > 0 && sm.now > third+learnTime {
 		sm.sentAfterThird[rn.req.id]++
@@ -253,7 +254,7 @@
 	return least
 }
 
-// crash ends an engine for three seconds, and begins its runs elsewhere.
+// crash takes an engine down for three seconds and restarts its requests elsewhere.
 func (sm *sim) crash(en *simEngine) {
 	if en.isDown {
 		return
@@ -263,7 +264,7 @@
 	runs := en.runs
 	en.life++
 	en.runs = make(map[*simRun]bool)
-	// The map's order would not repeat with the seed.
+	// The map's iteration order would differ between runs of a seed.
 	order := slices.SortedFunc(maps.Keys(runs), func(ra, rb *simRun) int {
 		return cmp.Or(cmp.Compare(ra.req.id, rb.req.id), cmp.Compare(ra.began, rb.began))
 	})
@@ -273,7 +274,8 @@
 	sm.after(3000, func() { en.isDown = false })
 }
 
-// recordCrash has the run's VM see an end, and tell the others, some of whom do not hear.
+// recordCrash records a crash at the run's VM and broadcasts it to the others, some of
+// which do not receive it.
 func (sm *sim) recordCrash(rn *simRun, en suspect.Crash) {
 	sm.crashCount++
 	skew := clock.Millis(0)
@@ -314,10 +316,10 @@
 	}
 }
 
-// result is what became of all seeds.
+// result sums up the runs of all seeds.
 type result struct{ mostLost, mostLostLate, refused, whole, ends int }
 
-// exceedsBounds tells whether a bound is broken.
+// exceedsBounds reports whether a bound is exceeded.
 func (rs result) exceedsBounds() bool {
 	return rs.mostLost > maxLost || rs.mostLostLate > maxLostLate || rs.refused > maxInnocent
 }
@@ -334,24 +336,25 @@
 	return rs
 }
 
-// Killers among others, on fleets whose engines crash alone and by failure domain:
-// each ends a few servers and no more, and no innocent is refused.
+// Killers run among harmless requests, on fleets whose engines crash alone and by
+// failure domain: each killer crashes only a few servers, and no harmless request is
+// refused.
 func TestKillersAreFoundAndInnocentsAreNot(t *testing.T) {
 	rs := variant{}.runSeeds()
 	t.Logf("%+v", rs)
 	assert.Assert(t, !rs.exceedsBounds(), "%+v", rs)
-	assert.Assert(t, rs.whole > 10000 && rs.ends > 1000, "%+v: too little happened", rs)
+	assert.Assert(t, rs.whole > 10000 && rs.ends > 1000, "%+v: too few requests or crashes", rs)
 }
 
-// A search without one of its parts is caught by the test above.
+// The test above fails if a part of the detection is removed.
 func TestMutationsOfTheSearchAreCaught(t *testing.T) {
 	for name, ru := range map[string]variant{
-		"too patient":             {refuse: 6, crashes: 12},
-		"too quick":               {refuse: 1},
-		"each VM for itself":      {noSharing: true},
-		"each try for itself":     {markPerTry: true},
-		"answers are not seen":    {ignoreAnswered: true},
-		"ends together are apart": {spreadCrashes: true, ignoreAnswered: true},
+		"refuses too late":        {refuse: 6, crashes: 12},
+		"refuses too early":       {refuse: 1},
+		"crashes are not shared":  {noSharing: true},
+		"one mark per attempt":    {markPerTry: true},
+		"answers are ignored":     {ignoreAnswered: true},
+		"coincidences are missed": {spreadCrashes: true, ignoreAnswered: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rs := ru.runSeeds()
@@ -361,12 +364,13 @@
 	}
 }
 
-// A request that ends its servers was sent to servers nine times more after it had
-// ended three of them. Three more are what the time to learn of it excuses. On these
-// seeds its ends weigh little: failure domains end in the same moments (2812), or a
-// second such request was at the same servers, and was found first. A VM to which the
-// words came in that order took all ends of the first for the second's, had
-// "Ends:5 Weight:1.33" of it and sent it on until "Ends:8 Weight:3.83" (3760).
+// After its third crash, a killer may be sent to at most three more servers, in the
+// time that the VMs take to learn of the crashes. On these seeds its crashes weigh
+// little: failure domains fail at the same moments (2812), or a second killer ran at
+// the same servers and was identified first. A VM that received the messages in that
+// order attributed all crashes of the first killer to the second and sent the first on
+// nine more times (3760: five crashes with a weight of 1.33 were not enough, eight with
+// 3.83 were).
 func TestKillerIsNotSentOnAfterItsThirdServer(t *testing.T) {
 	const most = 3
 	sentOn := func(ru variant, seed uint64) int {
@@ -374,7 +378,7 @@
 		return max(sm.sentAfterThird[lateKiller], sm.sentAfterThird[lateKiller+1])
 	}
 	for _, seed := range []uint64{2812, 3760, 5497, 5880} {
-		assert.Assert(t, sentOn(variant{}, seed) <= most, "seed %d: sent on %d times", seed, sentOn(variant{}, seed))
-		assert.Assert(t, sentOn(variant{crashes: 12}, seed) > most, "seed %d shows nothing any more", seed)
+		assert.Assert(t, sentOn(variant{}, seed) <= most, "seed %d: sent to %d servers after the third", seed, sentOn(variant{}, seed))
+		assert.Assert(t, sentOn(variant{crashes: 12}, seed) > most, "seed %d no longer shows the fault", seed)
 	}
 }
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -1,27 +1,27 @@
-// Package suspect finds requests that end the backend servers that run them.
+// Package suspect finds requests that crash the backend servers that run them.
 //
-// Such a request comes again and again: its callers try again, each try under a
-// new name and at any VM, and each begins and resumes it at servers that are
-// still there. A request is therefore known by a [Mark], a keyed hash of what is
-// the same at each try, and VMs tell each other at which server's end a request
-// was there.
+// Such a request is repeated: its callers retry it, each time under a new ID and at any
+// VM, and each VM starts or resumes it at servers that are still alive. A request is
+// therefore identified by a [Mark], a keyed hash of what all its attempts have in
+// common, and VMs share at which server's crash a request was running.
 //
-// A [Crash] is evidence. It is strong where nothing else was at the server, weaker
-// where the server had begun to answer the request, and next to none where many
-// servers ended at once, as when a failure domain loses its power. A request whose
-// ends come to [Settings.RefuseWeight], or are as many as [Settings.RefuseCrashes], is refused until
-// the oldest of them is forgotten; one that ends well loses its newest.
+// A [Crash] is evidence against a request. It is strong if the server ran nothing else,
+// weaker if the server had begun to answer the request, and negligible if many servers
+// crashed at the same time, as in a power failure of a failure domain. A request is
+// refused when the weight of its crashes reaches [Settings.RefuseWeight] or their
+// number reaches [Settings.RefuseCrashes], until the oldest of them expires. A request
+// that completes has its latest crash retracted.
 //
 // # Usage
 //
 //	tr := &suspect.Tracker{}
-//	if tr.HasSuspects() { mk := suspect.MarkOf(key, parts...); vd := tr.Check(now, mk) }
-//	change := tr.Record(now, suspect.Crash{Mark: mk, Server: life, Concurrent: 7})
-//	send(crash)                // the other VMs, who Record it too
-//	send(tr.Strongest(now, 12)...) // now and then, for those that have started since
+//	if tr.HasSuspects() { mk := suspect.MarkOf(key, parts...); vd, span := tr.Check(now, mk) }
+//	change := tr.Record(now, suspect.Crash{Mark: mk, Server: instance, Concurrent: 7})
+//	broadcast(crash)                    // the other VMs Record it too
+//	broadcast(tr.Strongest(now, 12)...) // at intervals, for VMs that missed earlier messages
 //
-// A Tracker does no I/O and is not safe for concurrent use. The zero value is
-// ready.
+// A Tracker does no I/O and is not safe for concurrent use. The zero value is ready to
+// use.
 package suspect
 
 import (
@@ -38,85 +38,86 @@
 	"alderdyke/pkg/clock"
 )
 
-// What the zero value of a field of [Settings] stands for.
+// Defaults of the fields of [Settings].
 const (
-	// DefaultRefuseWeight is the ends after which a request is refused: three that are
-	// like any other.
+	// DefaultRefuseWeight is the weight of crashes at which a request is refused: that
+	// of three ordinary crashes.
 	DefaultRefuseWeight = 3.0
-	// DefaultRefuseCrashes is the number after which it is refused whatever they weigh: one that
-	// ends servers in the moments in which a failure domain is lost would be sent on
-	// for as long as domains are lost, and chance does not find one request that often.
+	// DefaultRefuseCrashes is the number of crashes at which a request is refused
+	// whatever their weight. Without it, a request that crashes servers while failure
+	// domains are being lost would be sent on as long as domains are lost. A harmless
+	// request is not hit by chance that often.
 	DefaultRefuseCrashes = 5
-	// DefaultTTL is how long an end counts. A request that ends all its servers
-	// then ends three in that span, and one of each ten more where the first is
-	// forgotten.
+	// DefaultTTL is how long a crash counts. A request that crashes all its servers
+	// then crashes three within that time, and one more each time its oldest crash
+	// expires.
 	DefaultTTL = 5 * clock.Minute
-	// DefaultMaxRequests bounds the requests that are kept: each takes about 300 bytes.
+	// DefaultMaxRequests bounds the tracked requests; each takes about 300 bytes.
 	DefaultMaxRequests = 1024
 )
 
 const (
-	// Weights of an end. A request that its server had begun to answer was there
-	// by chance more likely; one that was alone there has nobody beside it to be
-	// blamed.
+	// Weights of a crash. If the server had begun to answer the request, the request is
+	// more likely there by chance. If the request was alone, nothing else can be to
+	// blame.
 	weightPlain    = 1.0
 	weightAnswered = 0.65
 	weightAlone    = 1.5
-	// coincidenceWindow is the span in which ends of several servers have one cause. A
-	// domain's servers end within the time of one crossing; a request needs 50 ms
-	// and more to come to its next server.
+	// coincidenceWindow is the time within which crashes of several servers are taken
+	// to have one cause. The servers of a failure domain crash within one network delay
+	// between domains, while a request needs at least 50 ms to reach its next server.
 	coincidenceWindow = 25 * clock.Millis(1)
-	// maxServers bounds the ends of servers that are kept for that.
+	// maxServers bounds the server crashes that are kept to detect coincidences.
 	maxServers = 256
 )
 
 // Verdicts on a request.
 const (
-	Clear     Verdict = iota // nothing speaks against it
-	Suspected                // some servers ended while it was there
-	Refused                  // it is not run
+	Clear     Verdict = iota // no evidence against the request
+	Suspected                // some servers crashed while they ran it
+	Refused                  // it must not run
 )
 
 type (
-	// Mark names a request at each of its tries.
+	// Mark identifies a request across its attempts.
 	Mark [16]byte
 
-	// Verdict on a request.
+	// Verdict is the assessment of a request.
 	Verdict int
 
-	// Crash is the end of a server while a request was there.
+	// Crash is the crash of a server while it ran a request.
 	Crash struct {
 		Mark       Mark
-		Server     string       // one life of it
+		Server     string       // ID of the server's instance
 		Answered   bool         // the server had begun to answer the request
-		Concurrent int          // other requests there
-		Age        clock.Millis // how long ago it was
-		Retracted  bool         // the request ended well since, and the end does not count
+		Concurrent int          // other requests at the server
+		Age        clock.Millis // time since the crash
+		Retracted  bool         // the request has completed since or the crash proved false; it no longer counts
 	}
 
-	// Settings of a Tracker. A zero field stands for its default.
+	// Settings of a Tracker. The zero value of a field means its default.
 	Settings struct {
-		RefuseWeight  float64      // weight of ends from which a request is refused
-		RefuseCrashes int          // number of ends from which it is
-		TTL           clock.Millis // for which an end counts
-		MaxRequests   int          // requests that are kept
+		RefuseWeight  float64      // weight of crashes at which a request is refused
+		RefuseCrashes int          // number of crashes at which a request is refused
+		TTL           clock.Millis // how long a crash counts
+		MaxRequests   int          // maximum number of tracked requests
 	}
 
-	// Change is what came of an end or of an answer.
+	// Change is the effect of a crash or of a completed request.
 	Change struct {
 		Before, After Verdict
-		Weight        float64 // of all ends that count
+		Weight        float64 // of all crashes that count
 		Crashes       int
 	}
 
-	// Tracker knows the requests under suspicion as one VM does.
+	// Tracker holds one VM's evidence against requests.
 	Tracker struct {
 		Settings Settings
 
-		crashes       map[Mark][]crashRecord // the oldest first
-		recentServers []serverCrash          // lately, in the order in which they were heard of
-		released      []Mark                 // were refused until an end was forgotten
-		blamed        map[string]Mark        // requests that are refused, by the servers at whose ends they were
+		crashes       map[Mark][]crashRecord // oldest first
+		recentServers []serverCrash          // recent crashes, in the order in which they were reported
+		released      []Mark                 // no longer refused because a crash expired
+		blamed        map[string]Mark        // refused requests, by the servers that crashed while they ran there
 	}
 
 	crashRecord struct {
@@ -130,28 +131,28 @@
 	}
 )
 
-// MarkOf is the mark of a request by what is the same at each of its tries. The
-// key is the VMs' own, so that nobody can make up a request that has the mark of
-// another's.
+// MarkOf returns the mark of a request from the parts that all its attempts have in
+// common. The key is secret to the VMs, so that nobody can construct a request with the
+// mark of another.
 func MarkOf(key []byte, parts ...[]byte) Mark {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range parts {
-		// The length keeps parts apart that join to the same bytes.
+		// The length distinguishes parts whose concatenations are equal.
 		_, _ = mac.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part)))) // never fails
 		_, _ = mac.Write(part)
 	}
 	return Mark(mac.Sum(nil)[:len(Mark{})])
 }
 
-// String is enough of a mark to find it in the logs.
+// String returns a prefix of the mark that is long enough to find it in the logs.
 func (mk Mark) String() string { return hex.EncodeToString(mk[:6]) }
 
-// HasSuspects tells whether there is any request under suspicion. While there is none, no
-// request needs a mark.
+// HasSuspects reports whether there is evidence against any request. While there is
+// none, requests need no mark.
 func (tr *Tracker) HasSuspects() bool { return len(tr.crashes) > 0 }
 
-// Check is the verdict on a request. If it is refused, the span tells when it may
-// be tried once more.
+// Check returns the verdict on a request. For a refused request, the span is the time
+// until it may be tried again.
 func (tr *Tracker) Check(now clock.Millis, mk Mark) (Verdict, clock.Millis) {
 	tr.expire(now, mk)
 	vd := tr.verdict(mk)
@@ -161,8 +162,8 @@
 	return vd, max(1, tr.crashes[mk][0].at+tr.ttl()-now)
 }
 
-// Record takes an end into account. Each server's end counts once for a request,
-// however many VMs tell of it.
+// Record adds a crash. Each server's crash counts once for a request, however many VMs
+// report it.
 func (tr *Tracker) Record(now clock.Millis, en Crash) Change {
 	tr.expire(now, en.Mark)
 	tr.recordServer(now-en.Age, en.Server)
@@ -177,8 +178,8 @@
 	return tr.complete(ch, en.Mark)
 }
 
-// assignBlame has the ends of the servers of a request that is refused speak against no
-// other: who was there too was there by chance.
+// assignBlame attributes the server crashes of a refused request to it. They no longer
+// count against other requests, which were there by chance.
 func (tr *Tracker) assignBlame(mk Mark) {
 	if tr.verdict(mk) != Refused {
 		return
@@ -193,13 +194,13 @@
 	}
 }
 
-// counted tells whether an end speaks against its request.
+// counted reports whether a crash counts against its request.
 func (tr *Tracker) counted(no crashRecord) bool {
 	mk, found := tr.blamed[no.Server]
 	return !no.Retracted && (!found || mk == no.Mark)
 }
 
-// insert enters an end among those of its request, the oldest first.
+// insert adds a crash to those of its request, oldest first.
 func (tr *Tracker) insert(now clock.Millis, en Crash) {
 	tr.evict(now)
 	no := crashRecord{en, now - en.Age}
@@ -211,9 +212,9 @@
 	tr.crashes[en.Mark] = slices.Insert(list, at, no)
 }
 
-// RecordSuccess notes that a request came to its end without its server's. Its newest end
-// that counts is forgiven, and returned for the other VMs; without one the end has
-// no server.
+// RecordSuccess records that a request completed without a crash. It retracts the
+// latest crash that counts and returns it for the other VMs; if there is none, the
+// returned crash has no server.
 func (tr *Tracker) RecordSuccess(now clock.Millis, mk Mark) (Change, Crash) {
 	tr.expire(now, mk)
 	ch := Change{Before: tr.verdict(mk)}
@@ -227,16 +228,16 @@
 	return tr.complete(ch, mk), Crash{}
 }
 
-// Strongest lists the ends of the requests of which most is known, at most so many:
-// VMs that were cut off do not know them.
+// Strongest returns at most the given number of crashes, for VMs that missed earlier
+// messages. It lists requests with more evidence than a single crash, strongest first.
 func (tr *Tracker) Strongest(now clock.Millis, most int) []Crash {
 	return tr.list(now, most, func(mk Mark) bool {
-		return tr.weight(mk) > weightAlone || tr.verdict(mk) == Refused // more than any one end weighs
+		return tr.weight(mk) > weightAlone || tr.verdict(mk) == Refused // more than any single crash weighs
 	})
 }
 
-// Snapshot is [Tracker.Strongest] for a VM that has just started and knows nothing: it lists
-// requests of which little is known too.
+// Snapshot is like [Tracker.Strongest] for a VM that has just started and has no
+// evidence: it includes requests with little evidence.
 func (tr *Tracker) Snapshot(now clock.Millis, most int) []Crash {
 	return tr.list(now, most, func(Mark) bool { return true })
 }
@@ -261,7 +262,7 @@
 	return out[:min(len(out), most)]
 }
 
-// aged is the end as it is aged to others now.
+// aged returns the crash with its current age.
 func (no crashRecord) aged(now clock.Millis) Crash {
 	en := no.Crash
 	en.Age = now - no.at
@@ -284,7 +285,7 @@
 	}
 }
 
-// weight is the sum of what a request's ends weigh.
+// weight returns the total weight of a request's crashes.
 func (tr *Tracker) weight(mk Mark) float64 {
 	sum := 0.0
 	list := tr.crashes[mk]
@@ -297,9 +298,10 @@
 	return sum
 }
 
-// distinctCrashes is the number of a request's ends that were not forgiven, also of those for
-// which another request is to blame: two that end their servers may meet there. Ends
-// in one moment are one: what many callers ask at once is at many servers.
+// distinctCrashes returns the number of a request's crashes that were not retracted. It
+// includes those blamed on another request, because two crashing requests may meet at a
+// server. Crashes at the same moment count once, because a request that many callers
+// send at once runs at many servers.
 func (tr *Tracker) distinctCrashes(mk Mark) int {
 	count := 0
 	last := clock.Millis(math.MinInt64 / 2)
@@ -323,8 +325,8 @@
 	return weight
 }
 
-// coincidingServers counts the servers that ended together with one and at which the request
-// was not.
+// coincidingServers counts the servers that crashed at the same time as the given one
+// and did not run the request.
 func (tr *Tracker) coincidingServers(no crashRecord, list []crashRecord) int {
 	count := 0
 	for _, se := range tr.recentServers {
@@ -336,7 +338,7 @@
 	return count
 }
 
-// recordServer remembers when a server ended, once.
+// recordServer stores the time of a server's crash, once per server.
 func (tr *Tracker) recordServer(now clock.Millis, server string) {
 	if slices.ContainsFunc(tr.recentServers, func(se serverCrash) bool { return se.server == server }) {
 		return
@@ -347,7 +349,7 @@
 	tr.recentServers = append(tr.recentServers, serverCrash{server, now})
 }
 
-// expire drops the ends of a request that count no more.
+// expire drops a request's expired crashes.
 func (tr *Tracker) expire(now clock.Millis, mk Mark) {
 	list := tr.crashes[mk]
 	if len(list) == 0 || now < list[0].at+tr.ttl() {
@@ -366,8 +368,8 @@
 	maps.DeleteFunc(tr.blamed, func(_ string, one Mark) bool { return one == mk && len(tr.crashes[mk]) == 0 })
 }
 
-// Expire drops what counts no more, and lists the requests that are not refused any
-// more since.
+// Expire drops all expired crashes and returns the requests that are no longer refused
+// since the last call.
 func (tr *Tracker) Expire(now clock.Millis) []Mark {
 	for mk := range tr.crashes {
 		tr.expire(now, mk)
@@ -377,8 +379,8 @@
 	return out
 }
 
-// evict drops what counts no more, or else the request of which least is known,
-// if as many are kept as may be.
+// evict makes room for a request: it drops expired crashes and then, if the limit is
+// still reached, the requests with the least evidence.
 func (tr *Tracker) evict(now clock.Millis) {
 	if tr.crashes == nil {
 		tr.crashes = make(map[Mark][]crashRecord)
@@ -394,7 +396,8 @@
 	}
 }
 
-// weakest is the request with the fewest ends, and the oldest of those alike.
+// weakest returns the request with the fewest crashes, the oldest if several have as
+// few.
 func (tr *Tracker) weakest() Mark {
 	var least Mark
 	first := true
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -12,12 +12,12 @@
 
 func markOf(name string) suspect.Mark { return suspect.MarkOf([]byte("key"), []byte(name)) }
 
-// crash is an crash with others beside, before the server answered.
+// crash returns a crash with other requests at the server, before the server answered.
 func crash(name, server string) suspect.Crash {
 	return suspect.Crash{Mark: markOf(name), Server: server, Concurrent: 7}
 }
 
-func TestMarkIsOfKeyAndParts(t *testing.T) {
+func TestMarkDependsOnKeyAndParts(t *testing.T) {
 	parts := func(parts ...string) (out [][]byte) {
 		for _, part := range parts {
 			out = append(out, []byte(part))
@@ -35,8 +35,8 @@
 	}
 }
 
-// fiveCrashes is five ends of a request, so far from each other, each with one of another
-// request at another server.
+// fiveCrashes returns five crashes of a request, the given time apart, each together
+// with a crash of another request at another server.
 func fiveCrashes(other, name string, apart clock.Millis) (out []suspect.Crash) {
 	for ix := range 5 {
 		age := clock.Millis(4-ix) * apart
@@ -47,30 +47,30 @@
 	return out
 }
 
-// What ends come to, and what is made of it.
+// Verdicts that follow from combinations of crashes.
 func TestEvidence(t *testing.T) {
 	const moment, apart = clock.Millis(1), clock.Second
 	answered := func(en suspect.Crash) suspect.Crash { en.Answered = true; return en }
 	alone := func(en suspect.Crash) suspect.Crash { en.Concurrent = 0; return en }
 	for _, tc := range []struct {
 		name     string
-		interval clock.Millis // between two ends
+		interval clock.Millis // between two crashes
 		crashes  []suspect.Crash
 		want     suspect.Verdict
 	}{
 		{"one", apart, []suspect.Crash{crash("a", "1")}, suspect.Suspected},
 		{"two", apart, []suspect.Crash{crash("a", "1"), crash("a", "2")}, suspect.Suspected},
 		{"three", apart, []suspect.Crash{crash("a", "1"), crash("a", "2"), crash("a", "3")}, suspect.Refused},
-		{"one that three VMs tell of", apart, []suspect.Crash{crash("a", "1"), crash("a", "1"), crash("a", "1")}, suspect.Suspected},
+		{"one reported by three VMs", apart, []suspect.Crash{crash("a", "1"), crash("a", "1"), crash("a", "1")}, suspect.Suspected},
 		{"two alone", apart, []suspect.Crash{alone(crash("a", "1")), alone(crash("a", "2"))}, suspect.Refused},
 		{"three answered", apart, []suspect.Crash{answered(crash("a", "1")), answered(crash("a", "2")), answered(crash("a", "3"))}, suspect.Suspected},
-		{"another's", apart, []suspect.Crash{crash("b", "1"), crash("b", "2"), crash("b", "3")}, suspect.Clear},
-		{"with many servers at once", moment, []suspect.Crash{crash("b", "4"), crash("b", "5"), crash("a", "1"), crash("a", "2"), crash("a", "3")}, suspect.Suspected},
+		{"of another request", apart, []suspect.Crash{crash("b", "1"), crash("b", "2"), crash("b", "3")}, suspect.Clear},
+		{"together with many servers", moment, []suspect.Crash{crash("b", "4"), crash("b", "5"), crash("a", "1"), crash("a", "2"), crash("a", "3")}, suspect.Suspected},
 		{"five answered", apart, []suspect.Crash{answered(crash("a", "1")), answered(crash("a", "2")), answered(crash("a", "3")),
 			answered(crash("a", "4")), answered(crash("a", "5"))}, suspect.Refused},
-		{"five times with a server beside", 0, fiveCrashes("b", "a", 2*apart), suspect.Refused},
-		{"five at once, with five beside", 0, fiveCrashes("b", "a", moment), suspect.Suspected},
-		{"beside one that is refused", apart, []suspect.Crash{crash("b", "1"), crash("b", "2"), crash("b", "3"), crash("a", "1"), crash("a", "2"), crash("a", "3")}, suspect.Clear},
+		{"five, each with another server", 0, fiveCrashes("b", "a", 2*apart), suspect.Refused},
+		{"five at once with five other servers", 0, fiveCrashes("b", "a", moment), suspect.Suspected},
+		{"at the same servers as a refused request", apart, []suspect.Crash{crash("b", "1"), crash("b", "2"), crash("b", "3"), crash("a", "1"), crash("a", "2"), crash("a", "3")}, suspect.Clear},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tr := &suspect.Tracker{}
@@ -85,7 +85,7 @@
 	}
 }
 
-// A refusal says when it ends, and ends then.
+// A refusal reports when it ends, and ends then.
 func TestRefusalEnds(t *testing.T) {
 	tr := &suspect.Tracker{}
 	for ix := range 3 {
@@ -102,8 +102,9 @@
 	assert.Assert(t, !tr.HasSuspects())
 }
 
-// A whole answer takes the newest end back, and nobody's later word brings it back.
-func TestWholeAnswerForgives(t *testing.T) {
+// A completed request retracts its latest crash, and a later report of that crash does
+// not restore it.
+func TestRecordSuccessRetractsLatestCrash(t *testing.T) {
 	tr, other := &suspect.Tracker{}, &suspect.Tracker{}
 	for _, en := range []suspect.Crash{crash("a", "1"), crash("a", "2")} {
 		tr.Record(0, en)
@@ -122,8 +123,8 @@
 	assert.Equal(t, none.Server, "")
 }
 
-// A VM that started late learns what the others know, with its age.
-func TestRetell(t *testing.T) {
+// A VM that started late learns the crashes that others recorded, with their age.
+func TestStrongest(t *testing.T) {
 	tr, late := &suspect.Tracker{}, &suspect.Tracker{}
 	tr.Record(0, crash("once", "9"))
 	for ix := range 3 {
@@ -142,8 +143,8 @@
 	assert.Equal(t, late.Record(clock.Hour, suspect.Crash{Mark: markOf("b"), Server: "1", Age: suspect.DefaultTTL}).After, suspect.Clear)
 }
 
-// A VM that has just started learns of requests with one end too.
-func TestKnown(t *testing.T) {
+// A VM that has just started also learns of requests with a single crash.
+func TestSnapshot(t *testing.T) {
 	tr, started := &suspect.Tracker{}, &suspect.Tracker{}
 	tr.Record(10*clock.Second, crash("once", "9"))
 	for ix := range 2 {
@@ -158,10 +159,10 @@
 	}
 	assert.Equal(t, started.Record(clock.Hour, crash("a", "3")).After, suspect.Refused)
 	assert.Equal(t, len(tr.Snapshot(clock.Minute, 2)), 2)
-	assert.Equal(t, tr.Snapshot(clock.Minute, 2)[0].Mark, markOf("a"), "of which most is known")
+	assert.Equal(t, tr.Snapshot(clock.Minute, 2)[0].Mark, markOf("a"), "the request with the most evidence comes first")
 }
 
-// However many requests come under suspicion, those of which most is known stay.
+// However many requests have crashes, those with the most evidence are kept.
 func TestMemoryIsBounded(t *testing.T) {
 	tr := &suspect.Tracker{Settings: suspect.Settings{MaxRequests: 20}}
 	for ix := range 3 {
@@ -175,7 +176,8 @@
 	assert.Assert(t, len(tr.Strongest(clock.Minute, 10000)) <= 3*20)
 }
 
-// What a request costs while some other is under suspicion: its mark.
+// BenchmarkMarkOf measures the cost that each request has while any request is under
+// suspicion.
 func BenchmarkMarkOf(b *testing.B) {
 	body := make([]byte, 5000)
 	for b.Loop() {
