--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -1,11 +1,11 @@
-// Package poison keeps requests that end their backend servers away from
-// further ones: queries of death, which a caller sends again and again.
+// Package poison stops requests that crash backend servers, known as queries of death,
+// from reaching further servers when a caller retries them.
 //
-// A [Guard] is asked before each call that carries a request to a backend server,
-// and told how the call ended. Where a call broke off it finds out whether the
-// server has ended, tells the other VMs, and hears them. What that says of the
-// request is decided by package suspect; what a server is asked, and how VMs reach
-// each other, is given to the Guard by whoever uses it.
+// A [Guard] is consulted before each call that carries a request to a backend server,
+// and records how the call ended. When a call breaks, it probes whether the server has
+// crashed, broadcasts the crash to the other VMs, and records the crashes that they
+// report. Package suspect decides what the crashes mean for the request. How a server
+// is probed and how VMs reach each other is passed to the Guard by its user.
 //
 // # Usage
 //
@@ -37,71 +37,70 @@
 )
 
 const (
-	// UnknownConcurrent is said of servers whose other requests this VM does not
-	// know: they were not alone.
+	// UnknownConcurrent stands for the other requests at a server about which this VM
+	// has no information: the request was not alone there.
 	UnknownConcurrent = 1
 
-	// keyBytes is the length of a key of this VM's own.
+	// keyBytes is the length of this VM's own key.
 	keyBytes = 32
 )
 
-// What a probe finds of one instance of a server.
+// Results of probing an instance of a server.
 const (
-	// Alive is said of a server that answered, and of one that can't be told from it:
-	// one that answers late may be alive.
+	// Alive means that the server answered, or might still be alive and answer late.
 	Alive Finding = iota
-	// Crashed is said of a server that is not there any more: nobody listens at its
-	// address, or another instance does.
+	// Crashed means that the instance no longer exists: nothing listens at its address,
+	// or another instance does.
 	Crashed
-	// Unanswered is said of a server that can't be reached or answers nothing, and whose
-	// instances can be told apart. It counts as ended until the same instance answers.
+	// Unanswered means that a server whose instances can be told apart is unreachable
+	// or does not answer. It counts as crashed until the same instance answers.
 	Unanswered
 )
 
 type (
-	// Finding is what a probe found.
+	// Finding is the result of a probe.
 	Finding int
 
-	// Guard is one VM's search. Set the exported fields before use; its methods may be
-	// called at the same time.
+	// Guard detects crashing requests for one VM. Set the exported fields before use;
+	// its methods may be called concurrently.
 	Guard struct {
 		Clock clock.Source
 		Log   event.Logger
 		Scope tally.Scope
-		// Key is what all VMs of the fleet know requests by again; nil, or empty: a key
-		// of this VM's own, so that it knows them for itself alone.
+		// Key returns the key with which all VMs of the fleet mark requests. If it is
+		// nil or returns no key, the VM uses its own key, and its marks mean nothing to
+		// the other VMs.
 		Key func() []byte
-		// Probe asks a server whether the instance of a call is there; nil: ends are
-		// only heard of.
+		// Probe checks whether the instance of a call is alive; if nil, only crashes
+		// that other VMs report are recorded.
 		Probe func(ctx context.Context, cl Call) Finding
-		// Backends is the backend servers that are listed.
+		// Backends returns the listed backend servers.
 		Backends func() *board.Backends
-		// Broadcast tells the other VMs at which server's end a request was there; nil:
-		// they are not told.
+		// Broadcast sends a crash to the other VMs; if nil, none are sent.
 		Broadcast func(en suspect.Crash)
-		// VMs is how many VMs live, this one among them; nil: one.
+		// VMs returns the number of live VMs, including this one; nil means one.
 		VMs func() int
 
 		once           sync.Once
 		broadcastLimit *rate.Limiter
 		ownKey         []byte
-		mu             sync.Mutex // guards all below
+		mu             sync.Mutex // guards the fields below
 		suspects       suspect.Tracker
 		probes         map[string]*probe // by instance
 	}
 
-	// Call is a call at a server that broke off.
+	// Call is a call to a server that broke.
 	Call struct {
 		Request  string // for the log
 		Mark     suspect.Mark
 		Server   board.BackendServer
-		Instance string // of the server, as all VMs name it
-		// InstanceConfirmed tells that the server named Instance while the call ran, or just
-		// before: another one that answers has taken its place since.
+		Instance string // the server's instance, named alike by all VMs
+		// InstanceConfirmed means that the server reported Instance during the call or
+		// shortly before, so that any other instance that answers now has replaced it.
 		InstanceConfirmed bool
-		SentAt            clock.Millis // point at which the server was sent the request; zero: not known
+		SentAt            clock.Millis // when the request was sent to the server; zero if unknown
 		Answered          bool         // the server had begun to answer
-		Concurrent        int          // other requests there
+		Concurrent        int          // other requests at the server
 	}
 )
 
@@ -116,15 +115,16 @@
 
 func (gd *Guard) now() clock.Millis { return clock.Or(gd.Clock).Now() }
 
-// HasSuspects tells whether any request is under suspicion. While none is, no request needs
-// a mark.
+// HasSuspects reports whether there is evidence against any request. While there is
+// none, requests need no mark.
 func (gd *Guard) HasSuspects() bool {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
 	return gd.suspects.HasSuspects()
 }
 
-// Mark names a request by what is the same at each of its tries.
+// Mark returns the mark of a request from the parts that all its attempts have in
+// common.
 func (gd *Guard) Mark(parts ...[]byte) suspect.Mark {
 	gd.init()
 	key := gd.ownKey
@@ -136,8 +136,8 @@
 	return suspect.MarkOf(key, parts...)
 }
 
-// Check tells whether a request may be sent to a server: zero, or the span after which
-// it may be tried once more.
+// Check returns zero if a request may be sent to a server, or else the time until it
+// may be tried again.
 func (gd *Guard) Check(mk suspect.Mark) clock.Millis {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
@@ -145,7 +145,7 @@
 	return span
 }
 
-// Suspected reports whether servers ended while a request was there.
+// Suspected reports whether servers crashed while they ran the request.
 func (gd *Guard) Suspected(mk suspect.Mark) bool {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
@@ -153,7 +153,7 @@
 	return vd != suspect.Clear
 }
 
-// RecordSuccess notes that a request had its whole answer.
+// RecordSuccess records that a request received its complete answer.
 func (gd *Guard) RecordSuccess(request string, mk suspect.Mark) {
 	gd.init()
 	gd.mu.Lock()
@@ -167,8 +167,8 @@
 	gd.broadcast(en)
 }
 
-// RecordBrokenCall notes that a call at a server broke off, and returns when it is
-// known whether the server has ended, or soon after.
+// RecordBrokenCall records that a call to a server broke. It returns when the probe has
+// shown whether the server crashed, or after a short wait.
 func (gd *Guard) RecordBrokenCall(ctx context.Context, cl Call) {
 	if gd.Probe == nil {
 		return
@@ -191,19 +191,19 @@
 	}
 }
 
-// MayHaveCrashed tells whether a call may have ended with its server.
+// MayHaveCrashed reports whether a call may have failed because its server crashed.
 func MayHaveCrashed(ctx context.Context, err error) bool {
 	oc, _ := backend.OutcomeOf(err)
 	return err != nil && ctx.Err() == nil && oc == backend.InDoubt && !errors.Is(err, context.DeadlineExceeded)
 }
 
-// record takes an end that this VM saw at a point in time, and tells the others.
+// record records a crash that this VM observed at the given time, and broadcasts it.
 func (gd *Guard) record(pr *probe, cl Call, at clock.Millis) {
 	en := suspect.Crash{Mark: cl.Mark, Server: cl.Instance, Answered: cl.Answered, Concurrent: cl.Concurrent, Age: gd.now() - at}
 	gd.mu.Lock()
 	if pr.finding == Unanswered && gd.probes[cl.Instance] != pr {
 		gd.mu.Unlock()
-		return // it answered meanwhile
+		return // the server answered meanwhile
 	}
 	ch := gd.suspects.Record(gd.now(), en)
 	pr.marks = append(pr.marks, cl.Mark)
@@ -212,7 +212,7 @@
 	gd.broadcast(en)
 }
 
-// RecordRemote takes an end that another VM saw.
+// RecordRemote records a crash that another VM observed.
 func (gd *Guard) RecordRemote(en suspect.Crash) {
 	gd.mu.Lock()
 	ch := gd.suspects.Record(gd.now(), en)
@@ -222,8 +222,8 @@
 	}
 }
 
-// log writes to the log, and counts, what came of an end, or of a whole answer if it
-// names no server. The request is one of this VM, or empty.
+// log logs and counts the effect of a crash, or of a completed request if no server is
+// named. The request is empty if it is not one of this VM.
 func (gd *Guard) log(en suspect.Crash, request string, ch suspect.Change) {
 	ev := event.RelaySuspect
 	switch {
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testGuard is a Guard whose servers are found as a test says.
+// testGuard is a Guard whose probes return the finding that a test sets.
 type testGuard struct {
 	*poison.Guard
 	finding atomic.Int32
@@ -53,7 +53,7 @@
 	return rg
 }
 
-// broadcasts is what was told so far.
+// broadcasts returns the crashes that were broadcast so far.
 func (rg *testGuard) broadcasts() []suspect.Crash {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
@@ -62,12 +62,12 @@
 
 func (rg *testGuard) setFinding(finding poison.Finding) { rg.finding.Store(int32(finding)) }
 
-// breakCalls has a call of a request break off at each of the servers.
+// breakCalls breaks a call of the request at each of the servers.
 func (rg *testGuard) breakCalls(t *testing.T, mk suspect.Mark, servers ...string) {
 	t.Helper()
 	for _, id := range servers {
 		rg.RecordBrokenCall(t.Context(), poison.Call{Mark: mk, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent})
-		time.Sleep(100 * time.Millisecond) // to the next server
+		time.Sleep(100 * time.Millisecond) // time to reach the next server
 	}
 }
 
@@ -77,13 +77,13 @@
 		servers []string
 		refused bool
 	}{
-		"two ends":             {poison.Crashed, []string{"a", "b"}, false},
-		"three ends":           {poison.Crashed, []string{"a", "b", "c"}, true},
-		"one end, seen thrice": {poison.Crashed, []string{"a", "a", "a"}, false},
-		"broken connections":   {poison.Alive, []string{"a", "b", "c", "d", "e"}, false},
-		"no answers":           {poison.Unanswered, []string{"a", "b", "c"}, true},
-		"servers that leave":   {poison.Crashed, []string{"a", "b", "leaves"}, false},
-		"servers not listed":   {poison.Crashed, []string{"a", "b", "gone"}, false},
+		"two crashes":                     {poison.Crashed, []string{"a", "b"}, false},
+		"three crashes":                   {poison.Crashed, []string{"a", "b", "c"}, true},
+		"one crash, reported three times": {poison.Crashed, []string{"a", "a", "a"}, false},
+		"broken connections":              {poison.Alive, []string{"a", "b", "c", "d", "e"}, false},
+		"no answers":                      {poison.Unanswered, []string{"a", "b", "c"}, true},
+		"servers that leave":              {poison.Crashed, []string{"a", "b", "leaves"}, false},
+		"servers not listed":              {poison.Crashed, []string{"a", "b", "gone"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// What one VM saw is enough for another that heard of it.
-func TestHeard(t *testing.T) {
+// The crashes that one VM observed are enough for another VM to refuse the request.
+func TestRecordRemote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		seen, hears := newRig(t), newRig(t)
 		key := func() []byte { return []byte("of the fleet") }
@@ -107,7 +107,7 @@
 		mk := seen.Mark([]byte("prompt"))
 		seen.breakCalls(t, mk, "a", "b", "c")
 		time.Sleep(time.Second)
-		assert.Equal(t, len(seen.broadcasts()), 6, "each end is told twice")
+		assert.Equal(t, len(seen.broadcasts()), 6, "each crash is broadcast twice")
 		for _, en := range seen.broadcasts() {
 			hears.RecordRemote(en)
 		}
@@ -115,8 +115,8 @@
 	})
 }
 
-// A server that cut all connections, and is there after all, has not ended: the request
-// that met three such is sent on again, and other VMs are told.
+// A server that cut all connections but is still alive has not crashed: a request that
+// was at three such servers is no longer refused, also by other VMs.
 func TestUnansweredIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg, hears := newRig(t), newRig(t)
@@ -138,8 +138,8 @@
 	})
 }
 
-// A server that takes its time before it cuts the connection ended under all that broke off
-// there meanwhile, the first of them too.
+// A server that takes a while to cut its connections counts as crashed for all calls
+// that broke there meanwhile, including the first.
 func TestUnansweredAfterAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
@@ -148,7 +148,7 @@
 			return poison.Unanswered
 		}
 		first, beside := rg.Mark([]byte("first")), rg.Mark([]byte("beside"))
-		for _, id := range []string{"a", "b", "c", "d", "e"} { // five, for the first is blamed after three
+		for _, id := range []string{"a", "b", "c", "d", "e"} { // five, because the first request is blamed after three
 			call := poison.Call{Mark: first, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent}
 			rg.RecordBrokenCall(t.Context(), call)
 			time.Sleep(220 * time.Millisecond)
@@ -161,8 +161,8 @@
 	})
 }
 
-// A server that ended, and started again, is not asked any more, and its end counts.
-func TestUnansweredHasEnded(t *testing.T) {
+// A server that crashed and restarted is no longer probed, and its crash counts.
+func TestUnansweredHasCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -180,8 +180,8 @@
 	})
 }
 
-// An instance ends once: what was sent there later is not to blame.
-func TestCallAfterTheEnd(t *testing.T) {
+// An instance crashes only once: requests that were sent there later are not to blame.
+func TestCallAfterTheCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t)
 		rg.setFinding(poison.Unanswered)
@@ -205,13 +205,13 @@
 		rg.breakCalls(t, mk, "a", "b")
 		rg.RecordSuccess("r", mk)
 		rg.breakCalls(t, mk, "c")
-		assert.Equal(t, rg.Check(mk), clock.Millis(0), "a whole answer takes the newest end back")
+		assert.Equal(t, rg.Check(mk), clock.Millis(0), "a complete answer retracts the latest crash")
 		rg.breakCalls(t, mk, "d")
 		assert.Assert(t, rg.Check(mk) > 0)
 	})
 }
 
-func TestBroke(t *testing.T) {
+func TestMayHaveCrashed(t *testing.T) {
 	ended, stop := context.WithCancel(t.Context())
 	stop()
 	for name, tt := range map[string]struct {
@@ -219,12 +219,12 @@
 		err  error
 		want bool
 	}{
-		"no error":       {t.Context(), nil, false},
-		"in doubt":       {t.Context(), backend.InDoubtError{Err: errors.New("reset")}, true},
-		"late":           {t.Context(), backend.InDoubtError{Err: context.DeadlineExceeded}, false},
-		"not sent":       {t.Context(), backend.NotSentError{}, false},
-		"declined":       {t.Context(), backend.DeclinedError{}, false},
-		"caller is gone": {ended, backend.InDoubtError{}, false},
+		"no error":        {t.Context(), nil, false},
+		"in doubt":        {t.Context(), backend.InDoubtError{Err: errors.New("reset")}, true},
+		"late":            {t.Context(), backend.InDoubtError{Err: context.DeadlineExceeded}, false},
+		"not sent":        {t.Context(), backend.NotSentError{}, false},
+		"declined":        {t.Context(), backend.DeclinedError{}, false},
+		"caller has left": {ended, backend.InDoubtError{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, poison.MayHaveCrashed(tt.ctx, tt.err), tt.want)
--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// probeWait is how long a request whose answer broke off waits to learn whether its
-	// server has ended: a connection is refused within two crossings of a failure
-	// domain, 3 ms. What is learned later counts all the same.
+	// probeWait is how long a request whose answer broke off waits for the probe of its
+	// server. A refused connection shows within two network delays between failure
+	// domains, 3 ms. A later result is still recorded.
 	probeWait = 30 * clock.Millis(1)
-	// probeTimeout bounds the question itself.
+	// probeTimeout bounds a single probe.
 	probeTimeout = clock.Second
-	// probeTTL is how long a finding holds for all calls that broke off there.
+	// probeTTL is how long a finding applies to all calls to the instance that break.
 	probeTTL = 200 * clock.Millis(1)
-	// unansweredTTL is for how long a server that answers nothing is asked again.
+	// unansweredTTL is how long a server that does not answer is probed again.
 	unansweredTTL = clock.Minute
 )
 
-// probe is the question whether one instance of a server is there.
+// probe checks whether an instance of a server is alive.
 type probe struct {
-	call       Call // the first that broke off
+	call       Call // the first call that broke
 	startedAt  clock.Millis
-	done       chan struct{} // closed once it is answered
-	finished   bool          // it is answered; guarded by the Guard
+	done       chan struct{} // closed when the probe has finished
+	finished   bool          // guarded by Guard.mu
 	finding    Finding
-	finishedAt clock.Millis   // point at which it was answered
-	marks      []suspect.Mark // requests that it speaks against; guarded by the Guard
+	finishedAt clock.Millis   // when the probe finished
+	marks      []suspect.Mark // requests against which it counts; guarded by Guard.mu
 }
 
-// implicates tells whether a finding speaks implicates the request of a call: an instance
-// ends once, so that a call which began later was not at its end.
+// implicates reports whether a finding counts against the request of a call. An
+// instance crashes only once, so a call that was sent after the crash is not to blame.
 func (pr *probe) implicates(cl Call) bool {
 	return pr.finding != Alive && (cl.SentAt == 0 || cl.SentAt <= pr.finishedAt)
 }
 
-// probeInstance finds out whether a server that was not about to leave has probeInstance. Calls that
-// break off at it in the same moment share one probe.
+// probeInstance probes whether a server that was not about to leave has crashed. Calls
+// to it that break at the same moment share one probe.
 func (gd *Guard) probeInstance(cl Call) *probe {
 	bk := gd.Backends()
 	if bk.Reborn(cl.Server) {
@@ -61,8 +61,8 @@
 	return pr
 }
 
-// stale tells whether a finding has to be made anew. That a server answers nothing is
-// asked by [Guard.Share] until it does.
+// stale reports whether the instance must be probed again. Servers that did not answer
+// are probed by [Guard.Share] until they do.
 func (pr *probe) stale(now clock.Millis) bool {
 	return pr.finished && pr.finding != Unanswered && now >= pr.startedAt+probeTTL
 }
@@ -84,7 +84,7 @@
 	return gd.Probe(ctx, pr.call)
 }
 
-// drop forgets a finding, and returns the requests that it spoke against.
+// drop removes a finding and returns the requests against which it counted.
 func (gd *Guard) drop(pr *probe) []suspect.Mark {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
@@ -95,14 +95,14 @@
 	return pr.marks
 }
 
-// reprobe asks the servers that answered nothing once more. Where the same instance
-// answers, it has not ended, and its ends are withdrawn.
+// reprobe probes the servers that did not answer again. If the same instance answers,
+// it has not crashed, and its crashes are retracted.
 func (gd *Guard) reprobe(ctx context.Context) {
 	var asked sync.WaitGroup
 	for _, pr := range gd.unanswered() {
 		asked.Go(func() {
 			again := *pr
-			again.call.InstanceConfirmed = true // what takes its place now came after the call
+			again.call.InstanceConfirmed = true // an instance that replaces it now started after the call
 			finding := gd.callProbe(ctx, &again)
 			if ctx.Err() != nil || finding == Unanswered && gd.now() < pr.finishedAt+unansweredTTL {
 				return
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// repeatDelay is after which the other VMs are told once more: a datagram may be
-	// lost, and the caller comes back half a second later.
+	// repeatDelay is the time after which a crash is broadcast once more, because a
+	// datagram may be lost and the caller retries half a second later.
 	repeatDelay = 100 * clock.Millis(1)
-	// shareInterval is how often the fleet is told again of what is known, and maxShared
-	// how many ends at once: four requests that end their servers.
+	// shareInterval is how often known crashes are broadcast again, and maxShared the
+	// maximum number at a time: the crashes of four crashing requests.
 	shareInterval = 500 * clock.Millis(1)
 	maxShared     = 12
-	// maxSnapshot bounds the ends that a VM is told when it starts.
+	// maxSnapshot bounds the crashes that a starting VM receives.
 	maxSnapshot = 64
-	// broadcastRate a second, and broadcastBurst at once, are what one VM tells of ends, so that
-	// the loss of a failure domain does not fill the links between VMs with evidence
-	// of little weight.
+	// broadcastRate, per second, and broadcastBurst limit the crashes that one VM
+	// broadcasts, so that the loss of a failure domain does not fill the links between
+	// VMs with evidence of little weight.
 	broadcastRate  = 20
 	broadcastBurst = 64
 )
 
-// broadcast tells the other VMs of an end, as often as this VM may, and that one is withdrawn.
+// broadcast sends a crash to the other VMs, within the rate limit unless it is a
+// retraction.
 func (gd *Guard) broadcast(en suspect.Crash) {
 	if gd.Broadcast == nil || en.Server == "" || !en.Retracted && !gd.broadcastLimit.Allow() {
 		return
@@ -39,15 +40,16 @@
 	})
 }
 
-// Snapshot lists ends for a VM that has just started.
+// Snapshot returns the crashes for a VM that has just started.
 func (gd *Guard) Snapshot() []suspect.Crash {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
 	return gd.suspects.Snapshot(gd.now(), maxSnapshot)
 }
 
-// Share tells the other VMs now and then, until the context ends, what is known of
-// requests at which servers ended: VMs that were cut off do not know it. One VM of the fleet does so in each span, by chance.
+// Share broadcasts the known crashes at intervals, until the context ends, because VMs
+// that were cut off have missed them. In each interval, one VM of the fleet on average
+// does so, chosen at random.
 func (gd *Guard) Share(ctx context.Context) {
 	gd.init()
 	for clock.Sleep(ctx, shareInterval) {
@@ -59,7 +61,7 @@
 	}
 }
 
-// expire drops the ends that count no more.
+// expire drops expired crashes and logs the requests that are no longer refused.
 func (gd *Guard) expire() {
 	gd.mu.Lock()
 	released := gd.suspects.Expire(gd.now())
