--- a/internal/claim/asker.go
+++ b/internal/claim/asker.go
@@ -19,26 +19,26 @@
 )
 
 type (
-	// Asker is one request's search for the grants of its key's seats, and
-	// afterwards the runner's link to them. Set the exported fields before
-	// the first Step, and pass ViewChanged for as long as the key runs here.
+	// Asker collects the grants of a key's seats for one request and afterwards sends
+	// the runner's updates to them. Set the exported fields before the first Step, and
+	// pass ViewChanged for as long as the key runs here.
 	Asker struct {
 		Self        board.VMRef
 		Customer    string
 		Key         string
 		Fingerprint []byte // hash of the request, at most 64 bytes
 		Idempotent  bool
-		// Fresh says that this VM made the key for this request, so that
-		// nobody can have asked for it before.
+		// Fresh means that this VM generated the key for this request, so that nobody
+		// can have asked for it before.
 		Fresh bool
-		// LostRunner is a runner that said that it does not know the key.
+		// LostRunner is a runner that reported that it does not have the key.
 		LostRunner board.VMRef
-		Keep       clock.Millis // how long seats keep the key after its end
-		Patience   clock.Millis // span for the search; two seconds by default
-		AskTimeout clock.Millis // span for one ask; 300 ms by default
+		Keep       clock.Millis // how long seats keep the key after it has ended
+		Patience   clock.Millis // limit of the search; two seconds by default
+		AskTimeout clock.Millis // timeout of one ask; 300 ms by default
 		Rand       *rand.Rand   // for claim numbers and jitter
 
-		// StrayReplies counts replies to asks that were given up.
+		// StrayReplies counts replies to abandoned asks.
 		StrayReplies uint64
 
 		seats          *SeatTable
@@ -52,12 +52,12 @@
 		claim          uint64
 		attempt        uint32
 		superseded     *peerpb.ClaimReply // the dead runner's claim to replace
-		supersedeCount int                // how many were replaced so far
+		supersedeCount int                // number of claims replaced so far
 		lastNumber     uint64             // of the last ask
-		disabled       guard              // only tests take guards away
+		disabled       guard              // guards that tests disable
 		asks           []seatAsk          // of this round
-		notified       []board.VMRef      // seats that heard of the claim, in any round
-		lastState      StateChanged       // what the seats were told last
+		notified       []board.VMRef      // seats that were sent the claim, in any round
+		lastState      StateChanged       // last state that was sent to the seats
 	}
 
 	// seatAsk is one ask of a round.
@@ -77,11 +77,11 @@
 	asking
 	backingOff
 	confirming
-	confirmingLater // no round of it told yet whether the claim stands
+	confirmingLater // the last round could not tell whether the claim stands
 	decided
 )
 
-// Step takes one event. After Decided, only StateChanged and Revalidate have an
+// Step processes one event. After Decided, only StateChanged and Revalidate have an
 // effect.
 func (ak *Asker) Step(now clock.Millis, ev AskerEvent) []AskerIntent {
 	switch ev := ev.(type) {
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// revalidate asks anew whether the claim stands. One that is still searched
-// for has nothing to confirm: the search goes on, with a round of its own.
+// revalidate checks again whether the claim stands. If the search has not ended, there
+// is nothing to confirm, and it continues with a new round.
 func (ak *Asker) revalidate(now clock.Millis, ev Revalidate) []AskerIntent {
 	ak.seats, ak.fleet = ev.Seats, ev.Fleet
 	if ak.phase == asking || ak.phase == backingOff {
@@ -129,7 +129,7 @@
 	return ak.askNext(now)
 }
 
-// askNext asks the seat after the last one asked.
+// askNext sends an ask to the seat after the last one asked.
 func (ak *Asker) askNext(now clock.Millis) []AskerIntent {
 	to := ak.group[len(ak.asks)]
 	ak.lastNumber++
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// changed takes in a new table or view. Grants of another group count no
-// more; the claim keeps its number, so seats of both groups grant it again.
+// changed applies a new table or view. Grants of another group no longer count; the
+// claim keeps its number, so seats of both groups grant it again.
 func (ak *Asker) changed(now clock.Millis, ev ViewChanged) []AskerIntent {
 	if ev.Fleet != nil {
 		ak.fleet = ev.Fleet
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// expireAsks gives up the asks whose time is over. It asks for another AskerTick for
-// one that still waits: the Wake that came may have been that of an ask before.
+// expireAsks fails the asks whose timeout has passed. It requests another AskerTick for
+// those still open, because the current one may have been requested by an earlier ask.
 func (ak *Asker) expireAsks(now clock.Millis) []AskerIntent {
 	hit := false
 	var out []AskerIntent
@@ -239,9 +239,9 @@
 	return out
 }
 
-// releaseAll releases the claim at all seats that heard of it, whatever they
-// answered: one that granted it may have handed it on meanwhile to one that
-// did not. The claim's number is never used again.
+// releaseAll releases the claim at all seats that were sent it, whatever they answered,
+// because a seat that granted it may since have handed it over to one that did not. The
+// claim's number is never used again.
 func (ak *Asker) releaseAll() []AskerIntent {
 	var out []AskerIntent
 	for _, to := range ak.notified {
@@ -258,13 +258,13 @@
 	}
 }
 
-// announceState sends the seats the state of the claim that runs.
+// announceState sends the state of the running claim to the seats.
 func (ak *Asker) announceState(bc StateChanged) []AskerIntent {
 	if ak.phase != decided || ak.claim == 0 {
 		return nil
 	}
 	if ak.superseded != nil && !ak.Idempotent && bc.State.freesKey() {
-		return nil // the runner before may have run it
+		return nil // the previous runner may have run the request
 	}
 	ak.lastState = bc
 	var out []AskerIntent
@@ -274,8 +274,8 @@
 	return out
 }
 
-// announceLate tells a seat whose reply comes while the claim runs already what
-// became of it meanwhile: word that came before the record had no effect.
+// announceLate sends the current state to a seat whose reply arrives while the claim is
+// already running: an update that arrived before the seat's record had no effect.
 func (ak *Asker) announceLate(to board.VMRef, rp *peerpb.ClaimReply) []AskerIntent {
 	if Answer(rp.GetVerdict()) != Granted || ak.lastState.State == "" {
 		return nil
@@ -283,7 +283,7 @@
 	return []AskerIntent{ak.stateUpdate(to)}
 }
 
-// stateUpdate is what a seat is told of the claim that runs.
+// stateUpdate returns the update that sends the running claim's state to a seat.
 func (ak *Asker) stateUpdate(to board.VMRef) SendUpdate {
 	up := ak.newUpdate(ak.lastState.State)
 	up.DecodeServer, up.DecodeIncarnation, up.EngineRequest = ak.lastState.DecodeServer, ak.lastState.DecodeIncarnation, ak.lastState.EngineRequest
--- a/internal/claim/asker_test.go
+++ b/internal/claim/asker_test.go
@@ -14,8 +14,7 @@
 )
 
 type (
-	// seatScript is what each seat of the group answers, in order; nil means
-	// that it does not.
+	// seatScript is the reply of each seat of the group, in order; nil means no reply.
 	seatScript []*peerpb.ClaimReply
 
 	askerCase struct {
@@ -25,7 +24,7 @@
 		script     seatScript
 		want       Verdict
 		ran        refusal.Ran
-		asks       int // SendAsk intents up to the verdict; 0 for any
+		asks       int // SendAsk intents until the verdict; 0 for any number
 	}
 )
 
@@ -44,7 +43,7 @@
 	return st
 }
 
-// play answers the asker by the script until it decides.
+// play answers the asker according to the script until it decides.
 func play(ak *Asker, begin AskerEvent, script seatScript) (dc Decided, asks, releases int) {
 	now := clock.Millis(0)
 	todo := ak.Step(now, begin)
@@ -74,7 +73,7 @@
 			dc = in
 		}
 	}
-	panic("asker does not come to an end")
+	panic("asker does not terminate")
 }
 
 func indexOf(gr Group, ref board.VMRef) int {
@@ -101,7 +100,7 @@
 	return &peerpb.ClaimReply{Verdict: string(ans), Attempt: 1}
 }
 
-// TestAskerVerdicts knows vmB as alive and vmD as dead.
+// In TestAskerVerdicts, vmB is alive and vmD is dead.
 func TestAskerVerdicts(t *testing.T) {
 	ok, full, settling := replyWith(Granted), replyWith(Full), replyWith(Settling)
 	tests := []askerCase{
@@ -142,7 +141,7 @@
 	}
 }
 
-// A runner that was paused goes on only if the seats still have its claim.
+// A runner that was paused may go on only if the seats still have its claim.
 func TestRevalidate(t *testing.T) {
 	fl := &board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, vmC}}
 	ok, absent := replyWith(Granted), replyWith(Absent)
@@ -172,8 +171,8 @@
 	}
 }
 
-// Seats of real books: a dead runner's decode goes on at another VM, and the
-// dead runner that wakes is told that it lost the key.
+// With the seats of real books, the decode of a dead runner continues at another VM,
+// and the first runner learns on return that it lost the key.
 func TestTakeOver(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		books := map[board.VMRef]*Book{}
@@ -221,7 +220,7 @@
 	return dc
 }
 
-// A reply to an ask of an earlier round changes nothing and is counted.
+// A reply to an ask of an earlier round is counted and otherwise ignored.
 func TestStrayReply(t *testing.T) {
 	ak := testAsker()
 	fl := &board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, vmC}}
@@ -231,15 +230,11 @@
 	assert.Equal(t, ak.StrayReplies, uint64(1))
 }
 
-// The second record of an idempotent key is asked for while the request runs
-// already. Where the ask has to wait, as for a connection, the word of the
-// decode comes to the seat together with it, and has no effect if it is read
-// first. The seat is told again once it granted: with the runner and the first
-// seat lost, nobody else knows which engine decodes.
-//
-//	01:28:27.477 vm-2 replies to claim=9623: Granted state=Claimed decode=
-//	01:28:27.477 vm-2 update claim=9623 state=Decoding decode=rapportmodel-decode-1
-//	01:28:28.153 vm-2 replies to claim=8875: Held state=Claimed decode=
+// The second record of an idempotent key is requested while the request is already
+// running. If that ask is delayed, for example by a connection attempt, the decode's
+// update arrives with it and has no effect when it is processed first. The update must
+// be sent again once the seat has granted: if the runner and the first seat are lost,
+// no other record names the engine that decodes.
 func TestLateRecordNamesTheDecode(t *testing.T) {
 	ak := testAsker()
 	ak.Idempotent = true
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -12,7 +12,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// benchVMs makes a fleet of the given size in 8 failure domains, or 4 if it
+// benchVMs returns a fleet of the given size in 8 failure domains, or in 4 if the fleet
 // is small.
 func benchVMs(size int) []board.VM {
 	domains := 8
@@ -37,8 +37,8 @@
 	return books
 }
 
-// BenchmarkClaim measures a whole claim without its network: the asker, the
-// seats, and the messages that cross it.
+// BenchmarkClaim measures a whole claim without the network: the asker, the seats, and
+// the messages between them.
 func BenchmarkClaim(b *testing.B) {
 	for _, size := range []int{7, 48, 380} {
 		for _, idempotent := range []bool{false, true} {
@@ -109,8 +109,8 @@
 	return int64(ms.HeapAlloc)
 }
 
-// BenchmarkTableChange measures what one seat with 1,000 records sends when
-// one VM of the fleet is replaced.
+// BenchmarkTableChange measures what one seat with 1,000 records sends when one VM of
+// the fleet is replaced.
 func BenchmarkTableChange(b *testing.B) {
 	for _, size := range []int{7, 48, 380} {
 		b.Run(fmt.Sprintf("VMs=%d", size), func(b *testing.B) { benchmarkTableChange(b, size) })
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -19,44 +19,43 @@
 )
 
 type (
-	// Settings of a Book. Each zero field stands for its default.
+	// Settings of a Book. The zero value of a field means its default.
 	Settings struct {
-		// MaxRecords bounds the number of records that asks leave; 100,000 by
-		// default. Records handed over may be as many again.
+		// MaxRecords limits the records created by asks; 100,000 by default. As many
+		// records again may be received in handoffs.
 		MaxRecords int
-		// ClaimTTL is how long a claim without an end is kept after it was last
-		// heard of; 30 minutes by default. It must exceed the longest
-		// request and the longest Keep together.
+		// ClaimTTL is how long a claim that has not ended is kept after its last
+		// update; 30 minutes by default. It must exceed the sum of the longest request
+		// and the longest Keep.
 		ClaimTTL clock.Millis
-		// SettleSpan is how long the fleet must look the same before a table is
-		// proposed; one second by default.
+		// SettleSpan is how long the fleet must be stable before a table is proposed;
+		// one second by default.
 		SettleSpan clock.Millis
-		// DeadSeatTTL is how long a VM that is held dead keeps its seat; 30
-		// seconds by default. Until then its groups work with the two
-		// others.
+		// DeadSeatTTL is how long a VM that is considered dead keeps its seat; 30
+		// seconds by default. Until then its groups work with their two other seats.
 		DeadSeatTTL clock.Millis
 	}
 
-	// Counts of what a Book did.
+	// Counts are statistics of a Book.
 	Counts struct {
-		Records     int // held now
+		Records     int // current number of records
 		Granted     uint64
 		Held        uint64
 		Refused     map[Answer]uint64 // by answer
-		Conflicts   uint64            // records handed over that did not agree
+		Conflicts   uint64            // records from handoffs that conflicted with a record here
 		HandoffsIn  uint64            // parts
 		HandoffsOut uint64            // parts
 		BadMessages uint64
 	}
 
-	// Book is the memory of one VM as a seat. Set the exported fields before
-	// the first Step. The zero Settings are usable.
+	// Book holds the claim records of one VM in its role as a seat. Set the exported
+	// fields before the first Step. The zero Settings are usable.
 	Book struct {
 		Self     board.VMRef
 		Settings Settings
-		// FromLogStart says that the log stream of seat tables is read from its
-		// very first record. A book without it waits for HistoryReceived, so that
-		// it never mistakes a later table for the first.
+		// FromLogStart means that the log stream of seat tables is read from its first
+		// record. Without it, the Book waits for HistoryReceived, so that it never
+		// mistakes a later table for the first.
 		FromLogStart bool
 
 		recs            records
@@ -64,21 +63,21 @@
 		learnedAt       map[uint64]clock.Millis // when each table was learned
 		received        map[uint64]map[board.VMRef]bool
 		partialHandoffs map[handoffSource]*partialHandoff
-		handedOff       map[uint64]bool // tables whose records were handed on
+		handedOff       map[uint64]bool // tables whose records were handed off
 		pendingResends  []pendingResend
 		lastSending     uint64
 		fleet           fleetWatch
 		counts          Counts
-		disabled        guard // only tests take guards away
+		disabled        guard // guards that tests disable
 	}
 
-	// handoffSource is one seat's records for one table.
+	// handoffSource identifies one seat's records for one table.
 	handoffSource struct {
 		from  board.VMRef
 		epoch uint64
 	}
 
-	// partialHandoff is a sending of which parts are missing.
+	// partialHandoff is a handoff of which parts are missing.
 	partialHandoff struct {
 		sending uint64
 		parts   map[uint32]bool
@@ -91,11 +90,11 @@
 	}
 )
 
-// Seats returns the seat table in force with those before it; nil before the
-// first one.
+// Seats returns the current seat table and its predecessors, or nil before the first
+// table.
 func (bk *Book) Seats() *SeatTable { return bk.seats }
 
-// Counts returns what the book did so far.
+// Counts returns the statistics so far.
 func (bk *Book) Counts() Counts {
 	out := bk.counts
 	out.Records = len(bk.recs.byName)
@@ -103,7 +102,7 @@
 	return out
 }
 
-// Step takes one event. Times must not go back.
+// Step processes one event. The time must not go back between steps.
 func (bk *Book) Step(now clock.Millis, ev Event) []Intent {
 	bk.recs.sweep(now)
 	switch ev := ev.(type) {
@@ -130,7 +129,8 @@
 	return nil
 }
 
-// answerAsk answers one answerAsk. What a grant records is what later askers are told.
+// answerAsk answers one ask. A grant is recorded, and the record is what later asks are
+// answered with.
 func (bk *Book) answerAsk(now clock.Millis, ask *peerpb.ClaimAsk) *peerpb.ClaimReply {
 	nm := name{ask.GetCustomer(), ask.GetKey()}
 	rc := bk.recs.find(nm, now)
@@ -175,7 +175,7 @@
 	return Granted
 }
 
-// evaluateHeld judges an ask for a key that is on record.
+// evaluateHeld answers an ask for a key that is on record.
 func (bk *Book) evaluateHeld(now clock.Millis, nm name, rc *record, ask *peerpb.ClaimAsk) Answer {
 	switch {
 	case rc.fingerprint != hashFingerprint(ask.GetFingerprint()):
@@ -194,7 +194,7 @@
 	return Held
 }
 
-// resumable tells whether a dead runner's decode can be read on.
+// resumable reports whether the decode of a dead runner can be resumed.
 func (rc *record) resumable() bool { return rc.state == Decoding && rc.decode != nil }
 
 func (bk *Book) storeClaim(now clock.Millis, nm name, old *record, ask *peerpb.ClaimAsk) *record {
@@ -222,7 +222,7 @@
 	return rc
 }
 
-// update takes in what a runner says of its claim.
+// update applies a runner's update of its claim.
 func (bk *Book) update(now clock.Millis, up *peerpb.ClaimUpdate) {
 	nm := name{up.GetCustomer(), up.GetKey()}
 	state := State(up.GetState())
@@ -262,8 +262,8 @@
 	}
 }
 
-// release takes back a claim that its runner never used. Without a record it
-// leaves one, so that an ask which comes late is not granted.
+// release releases a claim that its runner never used. If there is no record, it
+// creates a released one, so that a late ask of the same claim is not granted.
 func (bk *Book) release(now clock.Millis, nm name, rc *record, up *peerpb.ClaimUpdate) {
 	switch {
 	case rc == nil:
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// A claim that superseded another and is given back leaves the other one on
-// record, so that the key is not free.
+// If a claim that superseded another is released, the other one is on record again, so
+// the key is not free.
 func TestReleaseRestoresSuperseded(t *testing.T) {
 	bk := seatedBook(vmA, Settings{})
 	first := askFor(bk, "key", 1, vmB)
@@ -103,13 +103,13 @@
 		assert.Equal(t, reply(bk, 0, askFor(bk, fmt.Sprint(ix), 1, vmB)).GetVerdict(), string(Granted))
 	}
 	assert.Equal(t, reply(bk, 0, askFor(bk, "more", 1, vmB)).GetVerdict(), string(Full))
-	assert.Equal(t, reply(bk, clock.Minute, askFor(bk, "more", 1, vmB)).GetVerdict(), string(Full), "kept for its life")
+	assert.Equal(t, reply(bk, clock.Minute, askFor(bk, "more", 1, vmB)).GetVerdict(), string(Full), "records are kept for ClaimTTL")
 	later := clock.Minute + 2*expiryBucket
 	assert.Equal(t, reply(bk, later, askFor(bk, "more", 1, vmB)).GetVerdict(), string(Granted))
 	assert.Equal(t, bk.Counts().Records, 1)
 }
 
-// The end moves the expiry forward to the span that the template keeps it.
+// When a request ends, its expiry moves forward to the template's retention time.
 func TestEndedRecordIsKeptForItsSpan(t *testing.T) {
 	bk := seatedBook(vmA, Settings{})
 	ask := askFor(bk, "key", 1, vmB)
@@ -155,8 +155,8 @@
 	})
 }
 
-// Records of a changed table reach a seat that is new to the keys, in parts,
-// and only all parts count.
+// After a table change, records reach a seat that is new to the keys in parts, and they
+// only count once all parts have arrived.
 func TestHandoffInParts(t *testing.T) {
 	old := seatedBook(vmA, Settings{})
 	for ix := range 3 * maxBatchRecords {
@@ -202,7 +202,7 @@
 		{1, table(0, vmA, vmB), true},
 		{2, table(0, vmA, vmC), false}, // lost a race for the first table
 		{3, table(1, vmA, vmB, vmC), true},
-		{4, table(1, vmA), false}, // made from a table that is not in force
+		{4, table(1, vmA), false}, // based on a table that is not the current one
 		{5, table(3), false},
 		{6, table(3, vmB, vmA), false}, // out of order
 		{7, table(3, vmA, vmB, vmC2), true},
@@ -219,8 +219,8 @@
 	assert.Equal(t, again.Group("cust", "key").digest(), st.Group("cust", "key").digest())
 }
 
-// The group is the greedy choice of VMs of other failure domains, in the order
-// of preference, whatever the size of the fleet.
+// The group is the greedy choice of VMs in distinct failure domains, in the order of
+// preference, for any size of the fleet.
 func TestGroupIsSpread(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 7, 48, 380} {
 		st, err := (*SeatTable)(nil).With(1, table(0, benchVMs(size)...))
@@ -241,14 +241,14 @@
 		}
 		if size == 7 {
 			for id, count := range share {
-				assert.Assert(t, count > 100 && count < 600, "%s has %d of 1800 seats", id, count)
+				assert.Assert(t, count > 100 && count < 600, "VM %s has %d of 1800 seats", id, count)
 			}
 		}
 	}
 }
 
-// greedy orders ranked VMs so that the first of each failure domain come
-// before the others.
+// greedy orders ranked VMs so that the first of each failure domain come before the
+// rest.
 func greedy(ranked []board.VM) Group {
 	var first, rest Group
 	seen := map[string]bool{}
@@ -263,8 +263,8 @@
 	return append(first, rest...)
 }
 
-// A book that can't read the log from its start takes no table for the first
-// one, and learns the tables from a peer.
+// A book that can't read the log from its start must not take a later table for the
+// first one; it gets the tables from a peer.
 func TestLateReaderWaitsForHistory(t *testing.T) {
 	bk := &Book{Self: vmD.VMRef}
 	bk.Step(0, TableAppended{Epoch: 5, Table: table(0, vmA, vmB, vmC)})
@@ -294,12 +294,12 @@
 	assert.Equal(t, len(early), 1, "%v", early)
 }
 
-// A dead VM keeps its seat for a while; one that leaves gives it up at once.
+// A dead VM keeps its seat for a while; a leaving VM loses it at once.
 func TestSeatsOutliveShortDeaths(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(*board.VM)
-		from   clock.Millis // when its seat is given up
+		from   clock.Millis // when it loses its seat
 	}{
 		{"Dead", func(vm *board.VM) { vm.Health = board.Dead }, defaultDeadSeatTTL},
 		{"Leaving", func(vm *board.VM) { vm.Leaving = true }, 0},
@@ -369,12 +369,12 @@
 		for nm, rc := range bk.recs.byName {
 			assert.Assert(t, validNames(nm, rc.runner.ID) && rc.state.rank() > 0)
 		}
-		assert.Equal(t, reply(bk, 0, askFor(bk, "unseen", 1, vmB)).GetVerdict(), string(Settling), "one seat is no majority")
+		assert.Equal(t, reply(bk, 0, askFor(bk, "unseen", 1, vmB)).GetVerdict(), string(Settling), "records of one seat are not a majority")
 	})
 }
 
-// What is read from a peer's history is whole: written again it is the same,
-// each table comes after the one before it, and its groups name VMs once.
+// A decoded history is consistent: encoding it again gives the same result, each table
+// comes after its predecessor, and no group names a VM twice.
 func FuzzHistory(f *testing.F) {
 	st, err := (*SeatTable)(nil).With(1, table(0, vmA, vmB, vmC))
 	assert.NilError(f, err)
@@ -398,7 +398,7 @@
 		for at := st; at != nil; at = at.prev {
 			assert.Assert(t, at.prev == nil || at.prev.Epoch < at.Epoch)
 			gr := at.Group("customer", "key")
-			assert.Assert(t, len(gr) == min(groupSize, len(at.VMs)), "%d of %d", len(gr), len(at.VMs))
+			assert.Assert(t, len(gr) == min(groupSize, len(at.VMs)), "group of %d seats from %d VMs", len(gr), len(at.VMs))
 			for ix, ref := range gr {
 				assert.Assert(t, at.hasSeat(ref) && !slices.Contains(gr[:ix], ref))
 			}
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,18 +1,18 @@
-// Package claim decides which VM runs a request key, so that a request that
-// is not idempotent runs at most once although VMs see the fleet differently,
+// Package claim decides which VM runs a request key, so that a request that is not
+// idempotent runs at most once even though VMs have different views of the fleet,
 // pause, restart with empty memory and lose messages.
 //
-// Each key has a [Group] of three seats in different failure domains. A VM
-// runs a key only with the grants of two of them, so any two VMs that run the
-// same key would need the same seat's grant. A group does not depend on who
-// seems alive. It follows from the seat table, which changes only when VMs are
-// replaced, and whose changes are ordered by the platform's log. A seat that
-// is new to a key grants nothing until a majority of the seats before it have
-// handed over their records and ceased to grant under the table before.
+// Each key has a [Group] of three seats in different failure domains. A VM runs a key
+// only with the grants of two of them, so any two VMs that run the same key would need
+// a grant of the same seat. A group does not depend on which VMs seem alive. It follows
+// from the seat table, which changes only when VMs are replaced, and whose changes are
+// ordered by the platform's log. A seat that is new to a key grants nothing until a
+// majority of the key's previous seats have handed over their records and stopped
+// granting under the previous table.
 //
-// A [Book] is the memory of one VM as a seat. An [Asker] is one request's
-// search for grants. Both are pure: they are given events and the time, and
-// return intents.
+// A [Book] holds the records of one VM in its role as a seat. An [Asker] collects the
+// grants for one request; an ask is its message to a seat. Both are pure: they take
+// events and the time, and return intents.
 //
 // # Usage
 //
@@ -48,51 +48,51 @@
 
 // States of a record.
 const (
-	Claimed       State = "Claimed"       // granted; may have run once a majority granted
+	Claimed       State = "Claimed"       // granted; the request may have run once a majority granted
 	Dispatched    State = "Dispatched"    // sent to a backend server
-	Decoding      State = "Decoding"      // a decode runs, which can be resumed
-	Released      State = "Released"      // its runner gave it back and never sent it
-	RefusedNotRun State = "RefusedNotRun" // ended; no backend server began it
+	Decoding      State = "Decoding"      // a decode is running and can be resumed
+	Released      State = "Released"      // released by its runner, which never sent the request
+	RefusedNotRun State = "RefusedNotRun" // ended; no backend server started the request
 	Complete      State = "Complete"      // ended; its runner may still hold the answer
-	Doubtful      State = "Doubtful"      // seats handed over different claims
+	Doubtful      State = "Doubtful"      // seats handed over conflicting claims
 )
 
-// What a seat answers to an ask.
+// A seat's answers to an ask.
 const (
 	Granted    Answer = "Granted"    // the claim is on record
 	Held       Answer = "Held"       // another claim is on record
-	OtherPrint Answer = "OtherPrint" // the key is on record for another request
-	Absent     Answer = "Absent"     // asked to confirm, but the claim is not on record
-	Full       Answer = "Full"       // no record of the key and no room for one
-	Settling   Answer = "Settling"   // the seat has not got all records before it yet
-	Minority   Answer = "Minority"   // the seat has long been in a minority of the fleet
-	OtherGroup Answer = "OtherGroup" // by the seat's table the key has other seats
-	Malformed  Answer = "Malformed"  // the ask can't be read
+	OtherPrint Answer = "OtherPrint" // the key is on record with another request's fingerprint
+	Absent     Answer = "Absent"     // asked to confirm a claim that is not on record
+	Full       Answer = "Full"       // the key is not on record and there is no capacity for it
+	Settling   Answer = "Settling"   // the seat has not yet received all earlier records
+	Minority   Answer = "Minority"   // the seat has been in a minority of the fleet for too long
+	OtherGroup Answer = "OtherGroup" // the key has other seats in the seat's table
+	Malformed  Answer = "Malformed"  // the ask is invalid
 )
 
 // Verdicts of an Asker.
 const (
-	// Run: run the key as the given attempt, and send nothing to a backend
+	// Run means to run the key as the given attempt, and to send nothing to a backend
 	// server after Decided.Until without a new Revalidate.
 	Run Verdict = "Run"
-	// Follow: the key runs or ran at Runner, which holds the answer. A
-	// runner that does not know the key has given it up: begin again. One
-	// that can't be reached may have a decode that can be read on: it is
-	// EngineRequest at DecodeServer, and must not be cancelled.
+	// Follow means that the key runs or ran at Runner, which holds the answer. If the
+	// runner does not have the key, it has given the key up, and the search must start
+	// again. If the runner is unreachable, a decode may still be running as
+	// EngineRequest at DecodeServer; it can be resumed and must not be cancelled.
 	Follow Verdict = "Follow"
-	// TakeOver: as Run, after a runner that died. A request that is not
+	// TakeOver is like Run, but replaces a dead runner. A request that is not
 	// idempotent may only resume EngineRequest at DecodeServer.
 	TakeOver Verdict = "TakeOver"
-	// InDoubt: a runner that died may have run the key.
+	// InDoubt means that a dead runner may have run the key.
 	InDoubt Verdict = "InDoubt"
-	// Ended: the key was complete, and its answer died with its runner.
+	// Ended means that the key was complete, and its answer was lost with its runner.
 	Ended Verdict = "Ended"
-	// Reused: the key names another request.
+	// Reused means that the key belongs to another request.
 	Reused Verdict = "Reused"
-	// Unavailable: too few seats could be asked within Patience.
+	// Unavailable means that too few seats replied within Patience.
 	Unavailable Verdict = "Unavailable"
-	// Lost: after a Revalidate, the key is no longer this runner's. Send
-	// nothing more and end nothing.
+	// Lost means, after a Revalidate, that the key no longer belongs to this runner,
+	// which must send nothing more and end nothing.
 	Lost Verdict = "Lost"
 )
 
@@ -105,15 +105,15 @@
 	maxBatchRecords = 256
 )
 
-// Guards that hold at most once up, each of which a test takes away to show
-// that its absence is noticed.
+// Guards that ensure at-most-once execution. Tests disable each of them to show that a
+// violation is then detected.
 const (
-	guardMajority guard = 1 << iota // a majority of the group grants
-	guardGroup                      // a seat grants only for its own table's group
-	guardCovers                     // a new seat waits for the records before it
-	guardHandoffs                   // it waits for a majority's records, not for one seat's
-	guardWhole                      // a seat hands on only what is complete
-	guardDoubt                      // claims that do not agree are not granted
+	guardMajority  guard = 1 << iota // a majority of the group must grant
+	guardGroup                       // a seat grants only for the group of its own table
+	guardCovers                      // a new seat waits for the earlier records
+	guardHandoffs                    // a new seat waits for a majority's records, not for those of one seat
+	guardCoversAll                   // a seat hands on only complete records
+	guardDoubt                       // conflicting claims are not granted
 )
 
 var statesByRank = []State{Claimed, Released, Doubtful, Dispatched, Decoding, RefusedNotRun, Complete}
@@ -121,58 +121,57 @@
 type (
 	guard uint
 
-	// State of a claim on record.
+	// State is the state of a claim on record.
 	State string
 
-	// Answer of a seat.
+	// Answer is a seat's answer to an ask.
 	Answer string
 
-	// Verdict of an Asker.
+	// Verdict is the result of an Asker.
 	Verdict string
 
-	// Event is what a Book is told: Asked, Updated, HandedOff,
-	// HandoffFailed, TableAppended, HistoryReceived, FleetChanged or Tick.
+	// Event is an input to a Book: Asked, Updated, HandedOff, HandoffFailed,
+	// TableAppended, HistoryReceived, FleetChanged or Tick.
 	Event interface{ event() }
 
-	// Intent is what a Book wants done: Reply, SendHandoff, Propose or Wake.
+	// Intent is an action that a Book requests: Reply, SendHandoff, Propose or Wake.
 	Intent interface{ intent() }
 
-	// Asked passes an ask of a VM, this one included. Token comes back in
-	// the Reply.
+	// Asked passes an ask of a VM, including this one. Token is returned in the Reply.
 	Asked struct {
 		Token uint64
 		Ask   *peerpb.ClaimAsk
 	}
 
-	// Updated passes what a runner says of its claim.
+	// Updated passes a runner's update of its claim.
 	Updated struct{ Update *peerpb.ClaimUpdate }
 
-	// HandedOff passes a part of another seat's records.
+	// HandedOff passes one part of another seat's records.
 	HandedOff struct{ Handoff *peerpb.ClaimHandoff }
 
-	// HandoffFailed tells that no acknowledgement came for a SendHandoff.
+	// HandoffFailed reports that a SendHandoff was not acknowledged.
 	HandoffFailed struct {
 		To    board.VMRef
 		Epoch uint64
 	}
 
-	// TableAppended passes a record of the log stream of seat tables, in the order
-	// of the log. Epoch grows along the log and is never zero: the offset
-	// plus one.
+	// TableAppended passes a record of the log stream of seat tables, in log order.
+	// Epoch is the record's offset plus one, so it grows along the log and is never
+	// zero.
 	TableAppended struct {
 		Epoch uint64
 		Table *peerpb.SeatTable
 	}
 
-	// HistoryReceived passes the tables that a peer knows. It has an effect only
-	// before the first table.
+	// HistoryReceived passes the tables of a peer. It has an effect only before the
+	// first table.
 	HistoryReceived struct{ Seats *SeatTable }
 
-	// FleetChanged passes how this VM sees the fleet. It decides what table to
-	// propose, and nothing else.
+	// FleetChanged passes this VM's view of the fleet. It only determines which table
+	// to propose.
 	FleetChanged struct{ Fleet *board.Fleet }
 
-	// Tick passes the time.
+	// Tick advances the time.
 	Tick struct{}
 
 	// Reply answers the ask with the same Token.
@@ -181,8 +180,8 @@
 		Reply *peerpb.ClaimReply
 	}
 
-	// SendHandoff sends a part to another seat. It wants an acknowledgement;
-	// without one, pass HandoffFailed.
+	// SendHandoff sends one part of the records to another seat. If it is not
+	// acknowledged, pass HandoffFailed.
 	SendHandoff struct {
 		To      board.VMRef
 		Handoff *peerpb.ClaimHandoff
@@ -191,15 +190,15 @@
 	// Propose appends a table to the log stream of seat tables.
 	Propose struct{ Table *peerpb.SeatTable }
 
-	// Wake asks for a Tick, or for an AskerTick, at the given point.
+	// Wake requests a Tick, or an AskerTick, at the given time.
 	Wake struct{ At clock.Millis }
 
-	// AskerEvent is what an Asker is told: Begin, Replied, AskFailed, ViewChanged,
+	// AskerEvent is an input to an Asker: Begin, Replied, AskFailed, ViewChanged,
 	// AskerTick, StateChanged or Revalidate.
 	AskerEvent interface{ askerEvent() }
 
-	// AskerIntent is what an Asker wants done: SendAsk, SendUpdate, Decided
-	// or Wake.
+	// AskerIntent is an action that an Asker requests: SendAsk, SendUpdate, Decided or
+	// Wake.
 	AskerIntent interface{ askerIntent() }
 
 	// Begin starts the search.
@@ -214,7 +213,7 @@
 		Reply  *peerpb.ClaimReply
 	}
 
-	// AskFailed tells that no reply will come to an ask.
+	// AskFailed reports that an ask will not be replied to.
 	AskFailed struct{ Number uint64 }
 
 	// ViewChanged passes a new seat table, a new view of the fleet, or both.
@@ -223,47 +222,47 @@
 		Fleet *board.Fleet
 	}
 
-	// AskerTick passes the time.
+	// AskerTick advances the time.
 	AskerTick struct{}
 
-	// StateChanged tells what became of the key after a Run or a TakeOver, for the
-	// seats to know. It needs no reply and none is waited for.
+	// StateChanged reports the state of the key after a Run or a TakeOver, to be sent
+	// to the seats. No reply is expected.
 	StateChanged struct {
 		State             State // Dispatched, Decoding, RefusedNotRun or Complete
 		DecodeServer      string
-		DecodeIncarnation uint64 // of DecodeServer; zero if it does not tell
+		DecodeIncarnation uint64 // of DecodeServer; zero if it reports none
 		EngineRequest     string
 	}
 
-	// Revalidate asks anew whether a runner may go on: after a pause, after
-	// it was held dead, and after Decided.Until. Decided follows with Run or
+	// Revalidate requests a check whether a runner may go on: after a pause, after it
+	// was considered dead, and after Decided.Until. It results in Decided with Run or
 	// Lost.
 	Revalidate struct {
 		Seats *SeatTable
 		Fleet *board.Fleet
 	}
 
-	// SendAsk asks a seat, which may be this VM itself.
+	// SendAsk sends an ask to a seat, which may be this VM itself.
 	SendAsk struct {
 		Number uint64
 		To     board.VMRef
 		Ask    *peerpb.ClaimAsk
 	}
 
-	// SendUpdate tells a seat of the claim's state; no reply is needed.
+	// SendUpdate sends the claim's state to a seat; no reply is needed.
 	SendUpdate struct {
 		To     board.VMRef
 		Update *peerpb.ClaimUpdate
 	}
 
-	// Decided is the verdict. Ran, Reason and RetryAfter are set for the
-	// verdicts that end in a refusal.
+	// Decided is the verdict. Ran and Reason are set for verdicts that end in a
+	// refusal.
 	Decided struct {
 		Verdict      Verdict
 		Runner       board.VMRef
 		Attempt      uint32
 		DecodeServer string
-		// DecodeIncarnation is of DecodeServer; zero: it did not tell.
+		// DecodeIncarnation is of DecodeServer; zero if it reports none.
 		DecodeIncarnation uint64
 		EngineRequest     string
 		Until             clock.Millis
@@ -299,11 +298,11 @@
 func (Decided) askerIntent()    {}
 func (Wake) askerIntent()       {}
 
-// dispatched tells whether the state proves that the claim had a majority.
+// dispatched reports whether the state proves that the claim had a majority.
 func (st State) dispatched() bool { return st == Dispatched || st == Decoding || st == Complete }
 
-// freesKey tells whether the key is free for another claim.
+// freesKey reports whether the key is free for another claim.
 func (st State) freesKey() bool { return st == Released || st == RefusedNotRun }
 
-// rank orders what is known of one claim.
+// rank orders the states of one claim by how much is known of it.
 func (st State) rank() int { return slices.Index(statesByRank, st) + 1 }
--- a/internal/claim/example_test.go
+++ b/internal/claim/example_test.go
@@ -10,7 +10,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Two VMs ask for one key; the second is told whom to follow.
+// Two VMs ask for one key; the second is told to follow the first.
 func Example() {
 	tb := &peerpb.SeatTable{Seats: []*peerpb.ClaimSeat{
 		{ID: "cantho-a-1", Incarnation: 1, FailureDomain: "cantho-a"},
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	maxStates = flag.Int("claim.states", 20_000, "bound on the states explored in each scenario; 0 for all")
+	maxStates = flag.Int("claim.states", 20_000, "maximum number of states explored per scenario; 0 for all")
 
-	hunting = flag.Bool("claim.hunt", false, "hunt for orders in which a guard is missed")
+	huntOrders = flag.Bool("claim.hunt", false, "search at random for orders in which a disabled guard leads to a violation")
 
 	vmA  = vm("a", "A", 1)
 	vmA2 = vm("a", "A", 2)
@@ -30,18 +30,18 @@
 )
 
 type (
-	// explorer walks all states that a scenario can reach.
+	// explorer visits all states that a scenario can reach.
 	explorer struct {
 		seen        map[[2]uint64]bool
 		limit       int
 		path        []move
-		violation   string // the first violation with its path
+		violation   string // the first violation, with its path
 		finalStates int
 	}
 )
 
-// explore visits every state once and returns the number of states and the
-// first violation.
+// explore visits every state once and returns the explorer, with the first violation,
+// and the number of states.
 func explore(sc *scenario, limit int) (*explorer, int) {
 	ex := &explorer{seen: map[[2]uint64]bool{}, limit: limit}
 	ex.visit(newWorld(sc))
@@ -77,12 +77,12 @@
 	}
 }
 
-// isDuplicate tells whether an equal message is delivered by another move.
+// isDuplicate reports whether an earlier move delivers an equal message.
 func isDuplicate(wd *world, index int) bool {
 	return slices.ContainsFunc(wd.packets[:index], func(pk packet) bool { return pk.digestLine == wd.packets[index].digestLine })
 }
 
-// hunt walks at random until it finds a violation.
+// hunt takes random walks until one finds a violation.
 func hunt(sc *scenario, walks int) (int, string) {
 	for ix := range walks {
 		rnd := rand.New(rand.NewPCG(uint64(ix), 11))
@@ -109,8 +109,8 @@
 	}
 }
 
-// replay takes the moves of an order, as far as they can be taken, and
-// returns the first violation.
+// replay takes the moves of an order as far as they are possible, and returns the first
+// violation.
 func replay(wd *world, order string) string {
 	words := strings.Fields(order)
 	for ix := 0; ix < len(words); ix += 2 {
@@ -130,7 +130,7 @@
 	return ""
 }
 
-// violation names the invariant that the state breaks.
+// violation returns the invariant that the state violates, or "".
 func violation(wd *world, end bool) string {
 	switch {
 	case wd.runs > 1 && !wd.sc.idempotent:
@@ -143,7 +143,7 @@
 	return ""
 }
 
-// keyWith finds a key whose seats have the wanted order.
+// keyWith returns a key whose seats are in the wanted order.
 func keyWith(tb *peerpb.SeatTable, want ...string) string {
 	st, err := (*SeatTable)(nil).With(1, tb)
 	if err != nil {
@@ -233,20 +233,20 @@
 	}
 }
 
-// Each guard, taken away, is missed in some order of some scenario. The
-// orders were found by hunting; after a change of the protocol that makes an
-// order mean something else, run with -claim.hunt and keep the new ones.
+// Each guard is needed: without it, some order of events in some scenario leads to a
+// violation. The orders were found with -claim.hunt. If a change of the protocol alters
+// the meaning of an order, run with that flag again and store the orders that it finds.
 func TestEveryGuardIsNeeded(t *testing.T) {
 	for _, kp := range keptOrders {
 		t.Run(kp.name, func(t *testing.T) {
 			sc := *scenarios()[kp.scenario]
-			assert.Equal(t, replay(newWorld(&sc), kp.order), "", "with its guard")
+			assert.Equal(t, replay(newWorld(&sc), kp.order), "", "violation with the guard enabled")
 			sc.disabled = kp.disabled
-			if *hunting {
+			if *huntOrders {
 				walks, found := hunt(&sc, 300_000)
 				t.Logf("walk %d: %s", walks, found)
 			}
-			assert.Assert(t, replay(newWorld(&sc), kp.order) != "", "not missed")
+			assert.Assert(t, replay(newWorld(&sc), kp.order) != "", "no violation with the guard disabled")
 		})
 	}
 }
--- a/internal/claim/giveback_test.go
+++ b/internal/claim/giveback_test.go
@@ -12,7 +12,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// search is an Asker on VM a before three seats.
+// search is an Asker on VM a with three seats.
 type search struct {
 	ak *claim.Asker
 	bk *claim.Book
@@ -30,7 +30,7 @@
 	}}
 }
 
-// run carries asks out with the given answers and returns the rest.
+// run delivers asks with the given answers and returns the other intents.
 func (se search) run(out []claim.AskerIntent, answer func(ask claim.SendAsk) *peerpb.ClaimReply) []claim.AskerIntent {
 	var rest []claim.AskerIntent
 	for len(out) > 0 {
@@ -60,22 +60,23 @@
 	return list
 }
 
-// A VM that was held dead asks anew while it still searches: the search goes
-// on and ends with the grants, not with a claim lost that it never had.
+// A VM that was considered dead revalidates while it is still searching: the search
+// continues and ends with the grants, instead of reporting the loss of a claim that it
+// never had.
 func TestRevalidateWhileSearching(t *testing.T) {
 	se := newSearch()
 	se.begin()
 	out := se.ak.Step(1, claim.Revalidate{Seats: se.bk.Seats(), Fleet: &board.Fleet{}})
 	out = se.run(out, func(in claim.SendAsk) *peerpb.ClaimReply {
-		assert.Assert(t, !in.Ask.GetConfirm(), "confirms what was never granted")
+		assert.Assert(t, !in.Ask.GetConfirm(), "asks to confirm a claim that was never granted")
 		return &peerpb.ClaimReply{Verdict: string(claim.Granted), Claim: in.Ask.GetClaim(), Attempt: 1}
 	})
 	assert.DeepEqual(t, verdicts(out), []claim.Verdict{claim.Run})
 }
 
-// A seat that granted may have handed the claim on to one that did not, so
-// all that heard of it hear that it is given back.
-func TestAClaimIsGivenBackAtAllSeats(t *testing.T) {
+// A seat that granted may have handed the claim over to one that did not, so the claim
+// must be released at all seats that were asked.
+func TestClaimIsReleasedAtAllSeats(t *testing.T) {
 	se := newSearch()
 	asked := make(map[string]uint64)
 	out := se.run(se.begin(), func(in claim.SendAsk) *peerpb.ClaimReply {
@@ -95,8 +96,8 @@
 	assert.DeepEqual(t, released, asked)
 }
 
-// A seat that has not heard yet that this VM gave an earlier claim back is
-// asked again; a VM does not follow itself.
+// A seat that has not yet processed this VM's release of an earlier claim is asked
+// again, because a VM must not follow itself.
 func TestAVMDoesNotFollowItself(t *testing.T) {
 	se := newSearch()
 	out := se.run(se.begin(), func(in claim.SendAsk) *peerpb.ClaimReply {
@@ -113,14 +114,11 @@
 	assert.DeepEqual(t, verdicts(out), []claim.Verdict{claim.Run})
 }
 
-// An ask that follows an answered one ends later than the Wake that the first
-// one asked for. A loop keeps only the earliest Wake, so the AskerTick of the
-// first has to ask for that of the second: nothing else ends it in time, and
-// the search lasted until the connection gave up, a second after it began.
-//
-//	01:29:54.656 vm-1 RequestAccepted: payments
-//	01:29:55.659 vm-1 KeyLost
-func TestTheSecondAskEndsInTime(t *testing.T) {
+// The timeout of a second ask is later than the Wake that the first one requested. An
+// event loop keeps only the earliest Wake, so the AskerTick for the first ask must
+// request one for the second. Otherwise nothing times the second ask out, and the
+// search lasts until the connection fails, a second after it began.
+func TestSecondAskTimesOut(t *testing.T) {
 	se := newSearch()
 	first := wakes(se.begin())
 	assert.Equal(t, len(first), 1)
--- a/internal/claim/handoff.go
+++ b/internal/claim/handoff.go
@@ -9,7 +9,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// tableAppended takes in a record of the log. A table that has no effect is counted.
+// tableAppended applies a record of the log. A table that has no effect is counted.
 func (bk *Book) tableAppended(now clock.Millis, ev TableAppended) []Intent {
 	if bk.seats == nil && !bk.FromLogStart {
 		return nil
@@ -49,7 +49,7 @@
 	bk.prune(now)
 }
 
-// prune forgets the tables before one that is older than any claim.
+// prune drops the tables before the latest one that is older than any claim.
 func (bk *Book) prune(now clock.Millis) {
 	for at := bk.seats; at != nil; at = at.prev {
 		if at == bk.seats || !bk.claimsExpired(now, at) || at.prev == nil {
@@ -65,17 +65,17 @@
 	}
 }
 
-// claimsExpired tells whether every claim made under the tables before this one has
-// been forgotten anyway.
+// claimsExpired reports whether every claim made under the tables before this one has
+// expired.
 func (bk *Book) claimsExpired(now clock.Millis, st *SeatTable) bool {
 	return now-bk.learnedAt[st.Epoch] > bk.claimTTL()
 }
 
-// covers tells whether this seat, together with any other covering seat of
-// the key's group, knows every grant that was made under earlier tables. That
-// holds if the group did not change and the seat covered the key before; or
-// if a majority of the group before, each covering the key, has handed over
-// its records and grants nothing under the table before any more.
+// covers reports whether this seat, together with any other covering seat of the key's
+// group, has every grant that was made under earlier tables. That holds if the group
+// did not change and the seat covered the key before, or if a majority of the previous
+// group, each covering the key, has handed over its records and no longer grants under
+// the previous table.
 func (bk *Book) covers(now clock.Millis, nm name, st *SeatTable) bool {
 	switch {
 	case st == nil:
@@ -103,7 +103,7 @@
 	return count >= before.Majority()
 }
 
-// coversAll tells whether this seat covers every key that it had under the table.
+// coversAll reports whether this seat covers every key that it has under the table.
 func (bk *Book) coversAll(now clock.Millis, st *SeatTable) bool {
 	switch {
 	case st == nil:
@@ -120,8 +120,8 @@
 	})
 }
 
-// handOff hands this VM's records to the seats of each later table, once it
-// covers all keys that it had under the table before.
+// handOff hands this VM's records to the seats of each later table, once it covers all
+// keys that it had under the previous table.
 func (bk *Book) handOff(now clock.Millis) []Intent {
 	var pending []*SeatTable
 	for st := bk.seats; st != nil && st.prev != nil; st = st.prev {
@@ -131,7 +131,7 @@
 	}
 	var out []Intent
 	for _, st := range slices.Backward(pending) {
-		if !bk.coversAll(now, st.prev) && bk.disabled&guardWhole == 0 {
+		if !bk.coversAll(now, st.prev) && bk.disabled&guardCoversAll == 0 {
 			break
 		}
 		bk.handedOff[st.Epoch] = true
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// handOffTable sends the records that the table gives new seats to, to all of its
-// VMs or to one.
+// handOffTable sends the records for which the table has new seats to all of its VMs,
+// or to one of them.
 func (bk *Book) handOffTable(now clock.Millis, st *SeatTable, only *board.VMRef) []Intent {
 	batches := bk.movedRecords(now, st)
 	var out []Intent
@@ -179,8 +179,8 @@
 	return out
 }
 
-// movedRecords sorts the records of keys whose group the table changed by the seats
-// of their new group. The order is the same at every run.
+// movedRecords returns the records of keys whose group the table changed, by the seats
+// of their new group, in a deterministic order.
 func (bk *Book) movedRecords(now clock.Millis, st *SeatTable) map[board.VMRef][]*peerpb.ClaimRecord {
 	out := map[board.VMRef][]*peerpb.ClaimRecord{}
 	names := slices.SortedFunc(maps.Keys(bk.recs.byName), compareNames)
@@ -218,7 +218,7 @@
 	return out
 }
 
-// receive takes in one part of another seat's records.
+// receive applies one part of another seat's records.
 func (bk *Book) receive(now clock.Millis, ho *peerpb.ClaimHandoff) {
 	if ho.GetPart() >= ho.GetParts() || ho.GetFromID() == "" || len(ho.GetRecords()) > maxBatchRecords {
 		bk.counts.BadMessages++
@@ -232,15 +232,15 @@
 		}
 		if !bk.mergeRecord(now, nm, rc) {
 			bk.countRefused(Full)
-			return // the sending never counts as whole
+			return // this handoff then never counts as complete
 		}
 	}
 	bk.counts.HandoffsIn++
 	bk.recordPart(ho)
 }
 
-// mergeRecord stores a record that another seat holds. Those records have as much
-// room as the grants of this seat.
+// mergeRecord stores a record that another seat holds. The capacity for such records is
+// as large as that for the grants of this seat.
 func (bk *Book) mergeRecord(now clock.Millis, nm name, rc record) bool {
 	old := bk.recs.find(nm, now)
 	if old == nil {
@@ -261,7 +261,7 @@
 	return true
 }
 
-// recordPart marks a sending as complete once all its parts came.
+// recordPart marks a handoff as complete once all its parts have arrived.
 func (bk *Book) recordPart(ho *peerpb.ClaimHandoff) {
 	from := board.VMRef{ID: ho.GetFromID(), Incarnation: ho.GetFromIncarnation()}
 	src := handoffSource{from, ho.GetEpoch()}
--- a/internal/claim/main_test.go
+++ b/internal/claim/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain makes the random schedules the same at every run, unless a seed or
-// a number of checks is given.
+// TestMain makes the random schedules deterministic, unless a seed or a number of
+// checks is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
--- a/internal/claim/propose.go
+++ b/internal/claim/propose.go
@@ -10,17 +10,17 @@
 	"alderdyke/pkg/clock"
 )
 
-// fleetWatch waits until the fleet has looked the same for some time.
+// fleetWatch detects when the fleet has been stable for some time.
 type fleetWatch struct {
 	last          *board.Fleet
 	deadSince     map[board.VMRef]clock.Millis
-	minoritySince clock.Millis // since when in a minority, if it is
+	minoritySince clock.Millis // when the minority began, if this VM is in one
 	desired       []board.VM
 	desiredSince  clock.Millis
 	proposedAt    clock.Millis // when the last table was proposed
 }
 
-// observe notes what the fleet looks like.
+// observe records a view of the fleet.
 func (fw *fleetWatch) observe(now clock.Millis, fl *board.Fleet) {
 	if fw.last == nil || fw.last.Quorate {
 		fw.minoritySince = now
@@ -39,14 +39,14 @@
 	fw.deadSince = dead
 }
 
-// inMinorityFor tells whether this VM has been in a minority for longer than the
-// span. The majority may by then have stopped to wait for its records.
+// inMinorityFor reports whether this VM has been in a minority for longer than the
+// span. By then the majority may no longer be waiting for its records.
 func (fw *fleetWatch) inMinorityFor(now, span clock.Millis) bool {
 	return fw.last != nil && !fw.last.Quorate && now-fw.minoritySince > span
 }
 
-// desiredSeats is the VMs that should have seats: those that serve and do not leave,
-// and those that are held dead but keep their seat for a while yet.
+// desiredSeats returns the VMs that should have seats: those that serve and are not
+// leaving, and those that are considered dead but still keep their seat.
 func (fw *fleetWatch) desiredSeats(now, keepDead clock.Millis, st *SeatTable) []board.VM {
 	var out []board.VM
 	for _, vm := range fw.last.VMs {
@@ -60,9 +60,9 @@
 	return out
 }
 
-// propose proposes a table once the fleet has looked different from the one
-// in force for the settle span. VMs do so one after the other, in an order
-// that all know, so that as a rule one of them proposes.
+// propose proposes a table once the fleet has differed from the current table for the
+// settle span. The VMs are due one after another, in an order that all of them derive
+// from the fleet, so that usually only one of them proposes.
 func (bk *Book) propose(now clock.Millis) []Intent {
 	fw := &bk.fleet
 	if fw.last == nil || !fw.last.Quorate || (bk.seats == nil && !bk.FromLogStart) {
@@ -95,7 +95,7 @@
 	return []Intent{Propose{tb}, Wake{now + settle*9}}
 }
 
-// wakeForExpiredSeat wakes when the next VM held dead loses its seat.
+// wakeForExpiredSeat requests a wake when the next VM considered dead loses its seat.
 func (bk *Book) wakeForExpiredSeat(now clock.Millis) []Intent {
 	next := clock.Millis(0)
 	for _, vm := range bk.fleet.last.VMs {
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// expiryBucket is the width of the spans in which records expire together.
+	// expiryBucket is the granularity at which records expire.
 	expiryBucket = 4 * clock.Second
-	// maxRecheckDelay bounds how long a record outstays an end that was moved
+	// maxRecheckDelay bounds how long a record outlives an expiry that was moved
 	// forward.
 	maxRecheckDelay = clock.Minute
 	maxInterned     = 8192
@@ -23,13 +23,13 @@
 	// name is a request key within its customer.
 	name struct{ customer, key string }
 
-	// record is one claim as a seat holds it.
+	// record is one claim as stored by a seat.
 	record struct {
 		claim       uint64
 		fingerprint uint64
 		runner      board.VMRef
-		decode      *resumableDecode // where it may still run; nil if that is not known
-		superseded  *record          // what this claim superseded here
+		decode      *resumableDecode // where the request may still run; nil if unknown
+		superseded  *record          // the claim that this one replaced here
 		expires     clock.Millis
 		keep        clock.Millis
 		attempt     uint32
@@ -37,7 +37,7 @@
 		idempotent  bool
 	}
 
-	// resumableDecode is where a decode may still run.
+	// resumableDecode is a decode that may still be running.
 	resumableDecode struct {
 		server      string
 		incarnation uint64
@@ -51,12 +51,12 @@
 		GetEngineRequest() string
 	}
 
-	// records holds a bounded number of records and forgets them in time.
+	// records is a store of records that expire.
 	records struct {
 		byName     map[name]*record
 		buckets    map[clock.Millis][]name
-		interned   map[string]string // customers and VMs, each kept once
-		nextBucket clock.Millis      // buckets below were emptied
+		interned   map[string]string // customer names and VM IDs, each stored once
+		nextBucket clock.Millis      // earlier buckets are empty
 	}
 )
 
@@ -68,7 +68,7 @@
 	return rc
 }
 
-// put stores the record and plans its end.
+// put stores the record and schedules its expiry.
 func (rs *records) put(now clock.Millis, nm name, rc *record) {
 	if rs.byName == nil {
 		rs.byName = map[name]*record{}
@@ -82,8 +82,8 @@
 	}
 }
 
-// intern returns one copy of a string that many records hold. It starts anew
-// when it has grown beyond what a fleet and its customers need.
+// intern returns a shared copy of a string that many records hold. The table is reset
+// when it exceeds what a fleet and its customers need.
 func (rs *records) intern(word string) string {
 	if one, ok := rs.interned[word]; ok {
 		return one
@@ -100,8 +100,8 @@
 	rs.buckets[bucket] = append(rs.buckets[bucket], nm)
 }
 
-// sweep forgets what has expired. Each record is planned once at a time and
-// looked at about once a minute.
+// sweep deletes expired records. Each record is in one bucket at a time and is checked
+// about once a minute.
 func (rs *records) sweep(now clock.Millis) {
 	due := now / expiryBucket
 	if rs.nextBucket == 0 {
@@ -126,7 +126,7 @@
 
 func hashFingerprint(fingerprint []byte) uint64 { return xxhash.Sum64(fingerprint) }
 
-// merge combines two records of one key. The order does not matter.
+// merge combines two records of one key. It is commutative.
 func merge(ra, rb record) record {
 	if ra.claim == rb.claim {
 		return mergeSameClaim(ra, rb)
@@ -154,8 +154,8 @@
 	return ra
 }
 
-// outranksRecord orders the records of different claims: what is known to have had a
-// majority, then what may have, then the later attempt.
+// outranksRecord orders the records of different claims: first those known to have had
+// a majority, then those that may have had one, then those of later attempts.
 func outranksRecord(ra, rb record) bool {
 	weight := func(rc record) int {
 		switch {
@@ -188,7 +188,7 @@
 	return out
 }
 
-// recordFromMessage reads a record off the wire; false if it can't be one.
+// recordFromMessage decodes a record and reports whether it is valid.
 func recordFromMessage(cr *peerpb.ClaimRecord, now, life clock.Millis) (name, record, bool) {
 	nm := name{cr.GetCustomer(), cr.GetKey()}
 	rc := record{
--- a/internal/claim/schedule_test.go
+++ b/internal/claim/schedule_test.go
@@ -12,7 +12,7 @@
 	"alderdyke/internal/peer/peerpb"
 )
 
-// deliverAll delivers the messages of a kind to the VM, those to come too.
+// deliverAll delivers all messages of a kind to the VM, including those sent meanwhile.
 func (wd *world) deliverAll(to board.VM, kind string) {
 	for {
 		ix := slices.IndexFunc(wd.packets, func(pk packet) bool {
@@ -38,8 +38,8 @@
 	}
 }
 
-// lateGrant is a schedule in which a seat that has handed over its records is
-// asked by a VM that has not learned the new table.
+// lateGrant is a schedule in which a seat that has handed over its records is asked by
+// a VM that has not yet learned the new table.
 func lateGrant(without guard) *world {
 	sc := *scenarios()["Joined"]
 	sc.disabled = without
@@ -48,7 +48,7 @@
 	first := slices.IndexFunc(wd.packets, func(pk packet) bool { return pk.asker == 0 })
 	wd.take(move{"deliver", first}) // the ask of a to itself
 	wd.deliverAll(vmA, "reply")
-	wd.take(move{"timeout", 0}) // the ask to b stays on its way
+	wd.take(move{"timeout", 0}) // the ask to b stays in transit
 	for _, ix := range []int{ib, ic, id} {
 		wd.take(move{"table", ix})
 	}
@@ -70,15 +70,15 @@
 	return wd
 }
 
-// A seat that has handed over its records grants nothing under the table
-// before any more.
+// A seat that has handed over its records grants nothing more under the previous table.
 func TestLateGrant(t *testing.T) {
 	assert.Equal(t, lateGrant(0).runs, 1)
 	assert.Equal(t, lateGrant(guardGroup).runs, 2)
 }
 
-// Larger worlds than can be explored whole: 7 VMs in 4 failure domains, up to
-// three tables, deaths, false deaths and asks given up, in random orders.
+// Random orders of events in worlds that are too large for exhaustive exploration: 7
+// VMs in 4 failure domains, up to three tables, crashes, false death verdicts and
+// abandoned asks.
 func TestRandomSchedules(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/claim/seats.go
+++ b/internal/claim/seats.go
@@ -14,53 +14,53 @@
 )
 
 type (
-	// SeatTable is a seat table with those before it. It is an immutable value;
-	// the nil SeatTable is the state before the first table.
+	// SeatTable is a seat table with its predecessors. It is immutable; the nil
+	// SeatTable is the state before the first table.
 	SeatTable struct {
 		Epoch uint64
 		VMs   []board.VM // ID, incarnation and failure domain; sorted by ID
 		base  uint64
-		prev  *SeatTable // nil if unknown or of no more use
+		prev  *SeatTable // nil if unknown or no longer needed
 	}
 
-	// Group is the seats of one key, most preferred first.
+	// Group is the list of a key's seats, most preferred first.
 	Group []board.VMRef
 
-	// TableError tells why a seat table has no effect.
+	// TableError reports why a seat table has no effect.
 	TableError struct {
 		Epoch  uint64
 		Detail string
 	}
 )
 
-// Error says what is wrong with the table.
+// Error returns the message with the table's epoch.
 func (te TableError) Error() string {
 	return fmt.Sprintf("seat table %d has no effect: %s", te.Epoch, te.Detail)
 }
 
-// With returns the state after one more record of the log. All VMs come to
-// the same verdict from the log alone: a table that was not made from the one
-// in force has no effect. A VM that can't read the log from its beginning
-// starts from a peer's [SeatTable.History].
+// With returns the state after one more record of the log. The result depends on the
+// log alone, so all VMs agree: a table that was not derived from the current one has no
+// effect. A VM that can't read the log from its beginning starts from a peer's
+// [SeatTable.History].
 func (st *SeatTable) With(epoch uint64, tb *peerpb.SeatTable) (*SeatTable, error) {
 	if tb.GetBase() != st.epoch() {
-		return st, TableError{epoch, fmt.Sprintf("made from table %d", tb.GetBase())}
+		return st, TableError{epoch, fmt.Sprintf("based on table %d, which is not the current one", tb.GetBase())}
 	}
 	return st.extend(epoch, tb)
 }
 
 func (st *SeatTable) extend(epoch uint64, tb *peerpb.SeatTable) (*SeatTable, error) {
 	if epoch <= tb.GetBase() {
-		return st, TableError{epoch, "not after its base"}
+		return st, TableError{epoch, "epoch is not greater than its base"}
 	}
 	seats := tb.GetSeats()
 	if len(seats) == 0 || len(seats) > maxSeats {
-		return st, TableError{epoch, fmt.Sprintf("%d seats", len(seats))}
+		return st, TableError{epoch, fmt.Sprintf("invalid number of seats: %d", len(seats))}
 	}
 	next := &SeatTable{Epoch: epoch, base: tb.GetBase(), prev: st}
 	for ix, seat := range seats {
 		if seat.GetID() == "" || len(seat.GetID()) > maxNameBytes || seat.GetFailureDomain() == "" {
-			return st, TableError{epoch, fmt.Sprintf("seat %d lacks its ID or failure domain", ix)}
+			return st, TableError{epoch, fmt.Sprintf("seat %d has an invalid ID or no failure domain", ix)}
 		}
 		if ix > 0 && seats[ix-1].GetID() >= seat.GetID() {
 			return st, TableError{epoch, fmt.Sprintf("seat %d is out of order", ix)}
@@ -73,8 +73,7 @@
 	return next, nil
 }
 
-// History returns the tables for a VM that can't read the log from its
-// beginning.
+// History returns the tables, for a VM that can't read the log from its beginning.
 func (st *SeatTable) History() *peerpb.SeatHistory {
 	var hist peerpb.SeatHistory
 	for at := st; at != nil; at = at.prev {
@@ -90,12 +89,12 @@
 	return &hist
 }
 
-// FromHistory reads what History wrote.
+// FromHistory decodes the result of History.
 func FromHistory(hist *peerpb.SeatHistory) (*SeatTable, error) {
 	var st *SeatTable
 	for _, te := range hist.GetTables() {
 		if st != nil && te.GetTable().GetBase() != st.Epoch {
-			return nil, TableError{te.GetEpoch(), "gap in the history"}
+			return nil, TableError{te.GetEpoch(), "does not follow the previous table of the history"}
 		}
 		next, err := st.extend(te.GetEpoch(), te.GetTable())
 		if err != nil {
@@ -123,8 +122,8 @@
 	return st.Epoch
 }
 
-// Group returns the key's seats: the most preferred VMs of three failure
-// domains, or three VMs if there are fewer domains.
+// Group returns the key's seats: the most preferred VMs of three failure domains, or
+// three VMs if there are fewer domains.
 func (st *SeatTable) Group(customer, key string) Group {
 	if st == nil {
 		return nil
@@ -136,10 +135,11 @@
 	return gr
 }
 
-// Majority is the number of seats of which any two sets have one in common.
+// Majority returns the smallest size at which any two subsets of the group share a
+// seat.
 func (gr Group) Majority() int { return len(gr)/2 + 1 }
 
-// digest names the set of seats, whatever the table.
+// digest identifies the set of seats, independent of the table.
 func (gr Group) digest() uint64 {
 	sorted := slices.Clone(gr)
 	slices.SortFunc(sorted, compareRefs)
@@ -163,8 +163,8 @@
 	return slices.ContainsFunc(st.VMs, func(vm board.VM) bool { return vm.VMRef == ref })
 }
 
-// toleratesAbsent tells whether the absent VMs leave every possible group of the
-// table a majority of others.
+// toleratesAbsent reports whether every possible group of the table keeps a majority
+// without the absent VMs.
 func (st *SeatTable) toleratesAbsent(absent func(board.VMRef) bool) bool {
 	domains, missing := map[string]bool{}, map[string]bool{}
 	count := 0
--- a/internal/claim/tally.go
+++ b/internal/claim/tally.go
@@ -6,18 +6,18 @@
 	"alderdyke/internal/peer/peerpb"
 )
 
-// tally is what the replies of a round amount to.
+// tally sums up the replies of a round.
 type tally struct {
 	granted, noClaim, held, unknown, waiting int
-	absent                                   int // of unknown: the claim is not on record
+	absent                                   int // part of unknown: the claim is not on record
 	otherPrint                               bool
 	attempt                                  uint32
 	resume                                   *peerpb.ClaimReply // names a decode that may be resumed
-	bestHeld                                 *peerpb.ClaimReply // of the Held replies
-	bestHeldCount                            int                // seats that hold the claim of best
+	bestHeld                                 *peerpb.ClaimReply // the Held reply with the highest rank
+	bestHeldCount                            int                // seats that hold the claim of bestHeld
 }
 
-// tallyReplies sums the replies of the round up.
+// tallyReplies counts the replies of the round.
 func (ak *Asker) tallyReplies() tally {
 	var ta tally
 	for _, sa := range ak.asks {
@@ -67,7 +67,7 @@
 	}
 }
 
-// outranks tells which of two claims on record says more about the key.
+// outranks reports whether the first of two claims on record says more about the key.
 func outranks(ra, rb *peerpb.ClaimReply) bool {
 	sa, sb := State(ra.GetState()), State(rb.GetState())
 	if sa.dispatched() != sb.dispatched() {
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -9,7 +9,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// evaluate decides what the replies so far mean.
+// evaluate decides on the replies received so far.
 func (ak *Asker) evaluate(now clock.Millis) []AskerIntent {
 	ta := ak.tallyReplies()
 	if ak.phase == confirming {
@@ -35,8 +35,7 @@
 	return ak.endRound(now, ta)
 }
 
-// evaluateHeld decides what can be decided as soon as a seat holds another
-// claim.
+// evaluateHeld decides what can be decided as soon as a seat holds another claim.
 func (ak *Asker) evaluateHeld(now clock.Millis, ta tally) ([]AskerIntent, bool) {
 	if ta.bestHeld == nil {
 		return nil, false
@@ -45,7 +44,7 @@
 	alive := ak.runnerAlive(ta.bestHeld)
 	switch {
 	case alive && state == Claimed && ak.isOwn(ta.bestHeld):
-		return nil, false // given back by this VM; the word of it is on its way
+		return nil, false // released by this VM; the update is still on its way
 	case alive && state != Doubtful && (ta.granted == 0 || state.dispatched() || ta.bestHeldCount >= ak.majority()):
 		return ak.decideFollow(ta), true
 	case alive:
@@ -72,7 +71,7 @@
 	return ak.group.Majority()
 }
 
-// runnerAlive tells whether the runner of a claim may still know the key.
+// runnerAlive reports whether the runner of a claim may still have the key.
 func (ak *Asker) runnerAlive(rp *peerpb.ClaimReply) bool {
 	ref := board.VMRef{ID: rp.GetRunnerID(), Incarnation: rp.GetRunnerIncarnation()}
 	if ref == ak.LostRunner {
@@ -85,13 +84,13 @@
 	return ok && vm.VMRef == ref && (vm.Health == board.Alive || vm.Health == board.Suspect)
 }
 
-// isOwn tells whether a claim is of this run of this VM.
+// isOwn reports whether a claim was made by this VM in its current incarnation.
 func (ak *Asker) isOwn(rp *peerpb.ClaimReply) bool {
 	return board.VMRef{ID: rp.GetRunnerID(), Incarnation: rp.GetRunnerIncarnation()} == ak.Self
 }
 
-// endRound ends a round in which all seats were asked without a decision:
-// the grants are given back, and after a pause the seats are asked again.
+// endRound ends a round in which all seats were asked without a decision: it releases
+// the claim and asks the seats again after a backoff.
 func (ak *Asker) endRound(now clock.Millis, ta tally) []AskerIntent {
 	if !ak.scheduleRetry(now) {
 		return ak.timedOut(now, ta)
@@ -101,7 +100,8 @@
 	return append(out, Wake{ak.retryAt})
 }
 
-// scheduleRetry sets when the next round begins, and tells whether there is time for it.
+// scheduleRetry sets the start of the next round and reports whether there is time for
+// it.
 func (ak *Asker) scheduleRetry(now clock.Millis) bool {
 	backoff := minBackoff << min(ak.round, 5)
 	backoff += clock.Millis(ak.Rand.Int64N(int64(backoff)))
@@ -128,7 +128,7 @@
 	return ak.decideRefusal(Unavailable, ran, refusal.HomeUnreachable, ta)
 }
 
-// decideRun ends the search with the key as this VM's.
+// decideRun ends the search; this VM runs the key.
 func (ak *Asker) decideRun(now clock.Millis, ta tally) []AskerIntent {
 	ak.phase = decided
 	ak.attempt = max(ta.attempt, ak.superseded.GetAttempt()+1)
@@ -142,7 +142,7 @@
 	}
 	out := []AskerIntent{dc}
 	if ak.Idempotent && len(ak.asks) < min(2, len(ak.group)) {
-		out = append(out, ak.askNext(now)...) // a second record, for which nothing waits
+		out = append(out, ak.askNext(now)...) // a second record, which the request does not wait for
 	}
 	return out
 }
@@ -166,15 +166,15 @@
 	return append(out, dc)
 }
 
-// cannotConfirm tells whether the claim can't be confirmed any more: another one is on
-// record, or too few seats have it.
+// cannotConfirm reports whether the claim can no longer be confirmed: another claim is
+// on record, or too few seats have it.
 func (ak *Asker) cannotConfirm(ta tally, need int) bool {
 	return ak.Idempotent && ta.held > 0 || ta.held+ta.absent > len(ak.group)-need
 }
 
-// evaluateConfirm decides whether a runner may go on. Seats that stand still, or
-// settle after a change of their table, say neither that the claim stands nor that
-// it does not: they are asked again, and the claim stays as it is.
+// evaluateConfirm decides whether a runner may go on. Seats that do not reply, or are
+// settling after a change of their table, neither confirm nor deny the claim: they are
+// asked again, and the claim stays unchanged.
 func (ak *Asker) evaluateConfirm(now clock.Millis, ta tally) []AskerIntent {
 	need := ak.majority()
 	if ak.Idempotent {
@@ -198,7 +198,7 @@
 	return []AskerIntent{Decided{Verdict: Lost, Runner: ak.Self, Attempt: ak.attempt}}
 }
 
-// withDecode returns the verdict with where the decode may run.
+// withDecode adds the decode named by a message to the verdict.
 func (dc Decided) withDecode(msg decodeMessage) Decided {
 	dc.DecodeServer, dc.DecodeIncarnation, dc.EngineRequest = msg.GetDecodeServer(), msg.GetDecodeIncarnation(), msg.GetEngineRequest()
 	return dc
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -19,24 +19,24 @@
 const testCustomer = "kedelsyn"
 
 type (
-	// scenario is what may happen in a world.
+	// scenario describes the events that may happen in a world.
 	scenario struct {
 		key         string
 		start       []board.VM          // VMs of the first table
-		joiners     []board.VM          // VMs that run from the start without a seat
+		joiners     []board.VM          // VMs that run from the start but have no seat in the first table
 		tables      []*peerpb.SeatTable // records of the log after the first
 		askers      []string            // IDs of the VMs that ask for the key
-		idempotent  bool                // the request
-		reports     bool                // runners tell the seats that they dispatched and completed
-		timeouts    int                 // asks that are given up while their messages are still on the way
-		crashes     int                 // VMs that die
-		confirms    bool                // runners have their claim confirmed before they dispatch
-		falseDeaths int                 // times that an asker holds a runner dead that may live
-		victims     []string            // who may crash; all if empty
-		dead        []board.VMRef       // who is dead from the start
-		stale       []board.VMRef       // who never learns a later table
+		idempotent  bool                // whether the request is idempotent
+		reports     bool                // runners report to the seats that they dispatched and completed
+		timeouts    int                 // number of asks that may be abandoned while their messages are in transit
+		crashes     int                 // number of VMs that may crash
+		confirms    bool                // runners confirm their claim before they dispatch
+		falseDeaths int                 // number of times that an asker may consider live runners dead
+		victims     []string            // VMs that may crash; all if empty
+		dead        []board.VMRef       // VMs that are dead from the start
+		stale       []board.VMRef       // VMs that never learn a later table
 		patience    clock.Millis        // of the askers
-		disabled    guard               // guards that are taken away
+		disabled    guard               // guards that are disabled
 	}
 
 	// member is one VM of a world.
@@ -44,29 +44,29 @@
 		vm         board.VM
 		bk         *Book
 		dead       bool
-		tablesRead int    // tables read
-		digestLine string // what the digest holds of bk
+		tablesRead int    // number of tables read
+		digestLine string // the part of the digest that describes bk
 	}
 
-	// search is one asker with the clock that only it sees.
+	// search is one asker with its own clock.
 	search struct {
 		ak         *Asker
 		rnd        *rand.PCG
 		at         int // index of its member
 		now        clock.Millis
-		othersDead bool // holds all other runners dead
-		hasClaim   bool // has the claim, and is to have it confirmed
+		othersDead bool // considers all other runners dead
+		hasClaim   bool // has the claim and must still confirm it
 		verdicts   []Decided
-		digestLine string // what the digest holds
+		digestLine string // the part of the digest that describes ak
 	}
 
-	// packet is one message on the way.
+	// packet is one message in transit.
 	packet struct {
 		to         board.VMRef
 		asker      int // of an ask or a reply
 		number     uint64
 		body       proto.Message
-		digestLine string // what the digest holds
+		digestLine string // the part of the digest that describes the message
 	}
 
 	// world is one state of a scenario.
@@ -82,7 +82,7 @@
 		falseDeaths int
 	}
 
-	// move is one step that a world may take.
+	// move is one step that a world can take.
 	move struct {
 		kind  string
 		index int
@@ -124,7 +124,7 @@
 	return wd
 }
 
-// fleet is what a VM sees: everyone alive, or all others dead.
+// fleet returns a VM's view: all VMs alive, or all others dead.
 func (wd *world) fleet(doubted bool, at int) *board.Fleet {
 	fl := &board.Fleet{Quorate: true}
 	for ix, mb := range wd.members {
@@ -209,7 +209,7 @@
 	return slices.IndexFunc(wd.members, func(mb member) bool { return mb.vm.VMRef == ref && !mb.dead })
 }
 
-// moves lists all that may happen next.
+// moves returns all possible next steps.
 func (wd *world) moves() []move {
 	var out []move
 	for ix := range wd.packets {
@@ -313,7 +313,7 @@
 	}
 }
 
-// undecided counts the askers at live VMs without a verdict.
+// undecided counts the askers at live VMs that have no verdict.
 func (wd *world) undecided() int {
 	count := 0
 	for _, sr := range wd.searches {
@@ -324,7 +324,7 @@
 	return count
 }
 
-// clone copies the world. Books and askers are copied when they step.
+// clone copies the world. Books and askers are copied only when they step.
 func (wd *world) clone() *world {
 	out := *wd
 	out.members = slices.Clone(wd.members)
@@ -368,7 +368,7 @@
 	return &out
 }
 
-// updateDigest writes down what tells this book's state from others.
+// updateDigest encodes what distinguishes this book's state from other states.
 func (mb *member) updateDigest() {
 	var buf []byte
 	for _, nm := range slices.SortedFunc(maps.Keys(mb.bk.recs.byName), compareNames) {
@@ -384,7 +384,7 @@
 	mb.digestLine = string(buf)
 }
 
-// updateDigest writes down what tells this asker's state from others.
+// updateDigest encodes what distinguishes this asker's state from other states.
 func (sr *search) updateDigest() {
 	ak := sr.ak
 	buf := []byte{boolByte(sr.othersDead), boolByte(sr.hasClaim)}
@@ -402,7 +402,7 @@
 	sr.digestLine = string(buf)
 }
 
-// digest names the state. Messages on the way are a set without an order.
+// digest identifies the state. Messages in transit are an unordered set.
 func (wd *world) digest() [2]uint64 {
 	buf := []byte{byte(wd.runs), byte(wd.timeouts), byte(wd.crashes), byte(wd.falseDeaths)}
 	for _, mb := range wd.members {
@@ -445,7 +445,8 @@
 	return appendNumbers(buf, ref.Incarnation)
 }
 
-// appendNumbers keeps numbers apart whatever their length.
+// appendNumbers appends numbers with delimiters, so that different lists never encode
+// alike.
 func appendNumbers(buf []byte, numbers ...uint64) []byte {
 	for _, num := range numbers {
 		buf = append(strconv.AppendUint(buf, num, 36), ' ')
