--- a/internal/orders/cell.go
+++ b/internal/orders/cell.go
@@ -11,32 +11,32 @@
 )
 
 type (
-	// Cell decides for one cell. Set the exported fields before the first
-	// Step. It has a single owner.
+	// Cell decides on the orders of one cell. Set the exported fields before the first
+	// Step. A Cell is not safe for concurrent use.
 	Cell struct {
 		Settings Settings
 
 		started       bool
 		observed      Observed
 		trend         trend
-		lastChangeAt  clock.Millis // when the last change of role ended, or this VM began
-		token         uint64       // of the lease; zero if it is not held
-		heldAt        clock.Millis // when it was first held without a gap
+		lastChangeAt  clock.Millis // when the last change of role ended, or the first step took place
+		token         uint64       // of the lease; zero if the lease is not held
+		heldAt        clock.Millis // start of the current uninterrupted hold of the lease
 		operatorQueue []OperatorOrder
-		current       *activeOrder // under way; nil if none is
+		current       *activeOrder // the order in progress; nil if none
 		intents       []Intent
 
-		disabled guards // removed by tests, to see that they are missed
+		disabled guards // guards that tests disable to show that they are needed
 	}
 
-	// guards that tests remove. The zero value removes none.
+	// guards are the protections that tests can disable. The zero value disables none.
 	guards struct {
 		noDwell, noWindow, noMemory, noLeast, noSettle, noFence, noDrain, noDoubt bool
 	}
 )
 
-// Step takes one event and returns what is to be done, in order. Points of
-// successive steps never go back.
+// Step processes one event and returns the resulting intents, in order. The time must
+// not go back between steps.
 func (ce *Cell) Step(now clock.Millis, ev Event) []Intent {
 	if !ce.started {
 		ce.started = true
@@ -92,8 +92,8 @@
 	ce.operatorQueue = append(ce.operatorQueue, gv)
 }
 
-// beginNext starts the next order: one of an operator, or a change of role that
-// the load calls for.
+// beginNext starts the next order: an operator's, or a change of role that the load
+// requires.
 func (ce *Cell) beginNext(now clock.Millis) {
 	if len(ce.operatorQueue) > 0 {
 		gv := ce.operatorQueue[0]
@@ -116,8 +116,8 @@
 	ce.emit(WantLease{Hold: true})
 }
 
-// pickEngine chooses the engine that changes to a role: the fit one of the other
-// role with the least work. It must leave enough behind.
+// pickEngine chooses the engine that changes to a role: the usable engine of the other
+// role with the least work. The other role must keep enough engines.
 func (ce *Cell) pickEngine(toward board.Role) (Engine, bool) {
 	from := otherRole(toward)
 	if !ce.maySpare(from) {
@@ -137,7 +137,7 @@
 	}), true
 }
 
-// maySpare tells whether a role keeps enough fit engines when one leaves it.
+// maySpare reports whether a role keeps enough usable engines when one leaves it.
 func (ce *Cell) maySpare(role board.Role) bool {
 	return poolsOf(ce.observed.Engines).count(role) > ce.Settings.MinEngines || ce.disabled.noLeast
 }
@@ -151,8 +151,8 @@
 	return Engine{}, false
 }
 
-// settledFrom is the point from which on no order of another holder can
-// change an engine.
+// settledFrom returns the time from which no order of another holder can change an
+// engine.
 func (ce *Cell) settledFrom() clock.Millis {
 	for _, eng := range ce.observed.Engines {
 		if !eng.ChecksFencing {
@@ -162,7 +162,7 @@
 	return ce.heldAt
 }
 
-// settled tells whether every fit engine has said its role late enough.
+// settled reports whether every usable engine has reported its role late enough.
 func (ce *Cell) settled() bool {
 	if ce.disabled.noSettle {
 		return true
--- a/internal/orders/cell_test.go
+++ b/internal/orders/cell_test.go
@@ -17,18 +17,18 @@
 	step  = 500 * clock.Millis(1)
 )
 
-// harness drives one cell with engines that do as they are told.
+// harness drives one cell with simulated engines that carry out its orders.
 type harness struct {
 	cell         *Cell
 	now          clock.Millis
 	engines      []Engine
-	demand       func(now clock.Millis) (prefill, decode float64) // engines' worth of work
-	runs         map[string]int                                   // that never end by themselves
-	outcome      func(sd Send) Outcome                            // nil: carried out
+	demand       func(now clock.Millis) (prefill, decode float64) // work, in units of engines
+	runs         map[string]int                                   // requests that never complete on their own
+	outcome      func(sd Send) Outcome                            // nil: orders are carried out
 	noLease      bool
-	neverIdle    bool // an engine that is drained turns out to run something that does not end
-	alwaysQueued bool // quick requests wait whatever the load is
-	heldCaches   int  // KV caches that each prefill engine keeps, unless it is drained
+	neverIdle    bool // a drained engine turns out to run a request that never completes
+	alwaysQueued bool // quick requests are queued whatever the load is
+	heldCaches   int  // KV caches that each prefill engine keeps unless it is drained
 
 	changes []clock.Millis
 	fewest  map[board.Role]int
@@ -54,7 +54,7 @@
 	return bn
 }
 
-// run passes time, with an observation each step.
+// run advances the time, with an observation in each step.
 func (bn *harness) run(span clock.Millis) {
 	for end := bn.now + span; bn.now < end; bn.now += step {
 		bn.step(bn.observe())
@@ -142,7 +142,7 @@
 	panic("no engine " + id)
 }
 
-// swing is a load that is all prefill for half a period and all decode for
+// swing returns a load that is all prefill for half of the period and all decode for
 // the other half.
 func swing(period clock.Millis, size float64) func(clock.Millis) (float64, float64) {
 	return func(now clock.Millis) (float64, float64) {
@@ -163,8 +163,8 @@
 	assert.Assert(t, len(bn.changes) <= 3, "%d changes", len(bn.changes))
 }
 
-// A cell that is short of decode places has KV caches wait at its prefill
-// engines. These are idle all the same, and one of them can be spared.
+// If a cell is short of decode slots, KV caches wait at its prefill engines. These
+// engines are idle all the same, and one of them can be spared.
 func TestRolesFollowALoadWhoseKVCachesWait(t *testing.T) {
 	bn := newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
 	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
@@ -175,8 +175,8 @@
 	assert.Assert(t, len(bn.changes) <= 3, "%d changes", len(bn.changes))
 }
 
-// dippingLoad runs a cell close to the bound until it wants the lease, and takes the
-// load away for a span at the moment at which the engine is chosen.
+// dippingLoad runs a cell close to the threshold until it wants the lease, and removes
+// the load for a span at the moment at which the engine is chosen.
 func dippingLoad(span clock.Millis) (bn *harness, wanted clock.Millis) {
 	bn = newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
 	bn.alwaysQueued = true
@@ -193,8 +193,8 @@
 	return bn, wanted
 }
 
-// A load that is below its bound for a moment, just when the engine is chosen,
-// has the change made a moment later and not given up.
+// If the load is below its threshold only briefly while the engine is chosen, the
+// change is made a little later rather than abandoned.
 func TestLoadThatDipsKeepsItsChange(t *testing.T) {
 	bn, wanted := dippingLoad(clock.Second)
 	bn.run(20 * clock.Second)
@@ -202,17 +202,17 @@
 	assert.Assert(t, bn.changes[0]-wanted < 20*clock.Second, "%v", bn.changes[0]-wanted)
 }
 
-// One that stays away ends the change, and gives the lease back.
+// If the load does not return, the change is abandoned and the lease is released.
 func TestLoadThatIsGoneEndsItsChange(t *testing.T) {
 	bn, wanted := dippingLoad(21 * clock.Second)
 	assert.Equal(t, len(bn.changes), 0)
 	assert.Assert(t, bn.cell.current == nil && !bn.held)
 	bn.run(wanted + 2*clock.Minute - bn.now)
-	assert.Equal(t, len(bn.changes), 0, "before another dwell is over")
+	assert.Equal(t, len(bn.changes), 0, "a change before the next dwell is over")
 }
 
-// hourly runs a swinging load for some hours and returns the most changes in
-// any one hour.
+// hourly runs a swinging load for some hours and returns the maximum number of changes
+// in any hour.
 func hourly(bn *harness, hours int) int {
 	bn.run(clock.Millis(hours) * clock.Hour)
 	most := 0
@@ -230,9 +230,9 @@
 
 func TestNoThrashUnderASwingingLoad(t *testing.T) {
 	dwell := 2 * clock.Minute
-	// Between two changes that undo each other lies the memory at least, and
-	// one that goes on with the last waits for the dwell: with four engines
-	// of each role no more than three follow each other.
+	// Two changes that undo each other are at least SpareFor apart, and a change in the
+	// same direction as the last one waits for the dwell: with four engines of each
+	// role at most three follow one another.
 	bound := 3*int(clock.Hour/(3*dwell+2*dwell)) + 3
 	for _, period := range []clock.Millis{5 * clock.Second, 20 * clock.Second, clock.Minute, 2 * clock.Minute, 4 * clock.Minute, 10 * clock.Minute, clock.Hour} {
 		bn := newBench(Settings{Dwell: dwell}, 4, 4)
@@ -257,7 +257,7 @@
 			assert.Assert(t, hourly(bn, 1) > 0, "%s is not caught", name)
 			continue
 		}
-		assert.Equal(t, hourly(bn, 1), 0, "the window alone holds this swing")
+		assert.Equal(t, hourly(bn, 1), 0, "the window alone must prevent changes under this swing")
 		bn = newBench(Settings{Dwell: dwell}, 4, 4)
 		bn.cell.disabled = broken
 		bn.demand = swing(10*clock.Minute, 7)
@@ -276,12 +276,12 @@
 			assert.Assert(t, most <= int(clock.Hour/dwell)+1)
 			continue
 		}
-		assert.Assert(t, most > int(clock.Hour/dwell)+1, "without the dwell %d changes, with it %d", most, few)
+		assert.Assert(t, most > int(clock.Hour/dwell)+1, "%d changes in an hour without the dwell, %d with it", most, few)
 	}
 }
 
-// Whatever the load, each role keeps its least, no engine changes while it
-// runs something, and one order of the cell is under way at a time.
+// Under any load, each role keeps its minimum of engines, no engine changes while it
+// runs something, and one order of the cell is in progress at a time.
 func TestBoundsUnderAnyLoad(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		least := rapid.IntRange(1, 3).Draw(rt, "Least")
@@ -292,7 +292,7 @@
 		bn.demand = func(clock.Millis) (float64, float64) { return load[0], load[1] }
 		bn.outcome = func(sd Send) Outcome {
 			if eng := bn.engine(sd.Server); eng.Role != sd.Order.Role && bn.runs[sd.Server] > 0 {
-				rt.Fatalf("%s changes with %d runs", sd.Server, bn.runs[sd.Server])
+				rt.Fatalf("engine %s changes its role with %d running requests", sd.Server, bn.runs[sd.Server])
 			}
 			return Outcome{}
 		}
@@ -304,17 +304,17 @@
 			bn.run(clock.Millis(rapid.IntRange(1, 6).Draw(rt, "Minutes")) * clock.Minute)
 		}
 		if bn.fewest[board.Prefill] < least || bn.fewest[board.Decode] < least {
-			rt.Fatalf("fewest %v", bn.fewest)
+			rt.Fatalf("fewest engines by role: %v", bn.fewest)
 		}
 		for ix := 1; ix < len(bn.changes); ix++ {
 			if bn.changes[ix]-bn.changes[ix-1] < 2*clock.Minute {
-				rt.Fatalf("changes at %v", bn.changes)
+				rt.Fatalf("changes less than a dwell apart: %v", bn.changes)
 			}
 		}
 	})
 }
 
-// shortDecode is a bench whose load calls for decode engines.
+// shortDecode returns a harness whose load requires decode engines.
 func shortDecode(prefill, decode int) *harness {
 	bn := newBench(Settings{Dwell: 2 * clock.Minute, SpareFor: 1}, prefill, decode)
 	bn.demand = func(clock.Millis) (float64, float64) { return 0, 99 }
@@ -334,7 +334,7 @@
 	assert.Assert(t, !ok)
 	bn.step(bn.observe())
 	_, ok = bn.cell.pickEngine(board.Decode)
-	assert.Assert(t, ok, "the guard is not what keeps the last engine")
+	assert.Assert(t, ok, "the last engine is kept even without the guard")
 	bn.cell.disabled.noLeast = false
 	_, ok = bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
@@ -364,7 +364,7 @@
 			}
 		}
 		assert.Assert(t, stops > 0)
-		assert.Equal(t, stops, goes, "an engine is left without new work")
+		assert.Equal(t, stops, goes, "not every drained engine gets new work again")
 	}
 }
 
@@ -373,7 +373,7 @@
 	for _, tc := range []struct {
 		name    string
 		first   []Outcome
-		effect  bool // of the first, though its reply says otherwise
+		effect  bool // of the first order, although its reply says otherwise
 		changes int
 		sends   int
 	}{
@@ -408,15 +408,15 @@
 			assert.Equal(t, len(bn.changes), tc.changes)
 			assert.Equal(t, len(fences), tc.sends)
 			for _, fence := range fences {
-				assert.Equal(t, fence, fences[0], "a repeat has another token")
+				assert.Equal(t, fence, fences[0], "a repeat must have the first token")
 			}
-			assert.Assert(t, !bn.held, "the lease is kept")
+			assert.Assert(t, !bn.held, "the lease was not released")
 			assert.Assert(t, bn.cell.current == nil)
 		})
 	}
 }
 
-// While it is in doubt what an order did, no other is given.
+// While the effect of an order is in doubt, no other order is given.
 func TestNoOtherOrderInDoubt(t *testing.T) {
 	for _, noDoubt := range []bool{false, true} {
 		bn := shortDecode(5, 1)
@@ -432,7 +432,7 @@
 		for len(doubtful) == 0 {
 			bn.run(step)
 		}
-		// The engine says nothing of itself any more.
+		// The engine no longer reports anything.
 		for id := range doubtful {
 			bn.engine(id).Role, bn.engine(id).Usable = "", false
 		}
@@ -448,7 +448,7 @@
 	for _, in := range bn.intents {
 		switch in.(type) {
 		case Send, Drain:
-			t.Fatalf("%#v without the lease", in)
+			t.Fatalf("intent %#v without the lease", in)
 		}
 	}
 }
@@ -471,8 +471,8 @@
 	assert.Assert(t, !bn.held)
 }
 
-// A lease that lapses ends whatever was not sent under it, and what is in
-// doubt is not sent again under another one.
+// When a lease lapses, every order that was not sent under it ends, and an order in
+// doubt is not sent again under another lease.
 func TestALapsedLeaseEndsWhatItBegan(t *testing.T) {
 	bn := shortDecode(3, 1)
 	bn.neverIdle = true
@@ -480,7 +480,7 @@
 		bn.run(step)
 	}
 	bn.step(LeaseLapsed{})
-	assert.Assert(t, bn.cell.current == nil && len(bn.runs) == 0, "the drain goes on")
+	assert.Assert(t, bn.cell.current == nil && len(bn.runs) == 0, "the drain continues")
 	bn.step(LeaseHeld{Token: 1 << 40})
 	bn.run(10 * clock.Second)
 	assert.Equal(t, len(bn.changes), 0)
@@ -502,5 +502,5 @@
 	}
 	bn.run(30 * clock.Second)
 	assert.Equal(t, sends, 1)
-	assert.Assert(t, bn.cell.current == nil, "the doubt is not settled by the engine's report")
+	assert.Assert(t, bn.cell.current == nil, "the engine's report did not resolve the doubt")
 }
--- a/internal/orders/change.go
+++ b/internal/orders/change.go
@@ -7,7 +7,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Phases of an order, as the package comment tells them.
+// Phases of an order, as described in the package comment.
 const (
 	awaitingLease phase = iota
 	settling
@@ -21,17 +21,17 @@
 type (
 	phase int
 
-	// activeOrder is the order that is under way.
+	// activeOrder is the order in progress.
 	activeOrder struct {
 		id     string // of an operator's order; empty for a change of role
-		server string // empty until it is chosen
+		server string // empty until the engine is chosen
 		order  engine.Order
 		phase  phase
 		since  clock.Millis // when the phase began
 
 		drained    bool            // the engine gets no new work
-		leaseSince clock.Millis    // since when the lease is held that the order is given under
-		unfenced   map[string]bool // engines that do not know the token yet
+		leaseSince clock.Millis    // start of the hold of the lease under which the order is given
+		unfenced   map[string]bool // engines that have not confirmed the token yet
 		idleSince  clock.Millis
 		inspectAt  clock.Millis // of the next Inspect
 		sentAt     clock.Millis
@@ -43,7 +43,7 @@
 	ce.current.phase, ce.current.since = ph, now
 }
 
-// advance goes on with the order under way as far as it can.
+// advance moves the order in progress through its phases as far as possible.
 func (ce *Cell) advance(now clock.Millis) {
 	for ce.current != nil {
 		ch, ph := ce.current, ce.current.phase
@@ -71,7 +71,7 @@
 		}
 	case settling:
 		ce.settle(now)
-	case fencing, sending: // until Sent
+	case fencing, sending: // wait for Sent
 	case choosing:
 		ce.choose(now)
 	case draining:
@@ -81,8 +81,8 @@
 	}
 }
 
-// sameLease tells whether the lease has been held since the order was begun.
-// Renewals change its token and leave it the same lease.
+// sameLease reports whether the lease has been held without interruption since the
+// order was started. A renewal changes the token but not the lease.
 func (ce *Cell) sameLease(ch *activeOrder) bool { return ce.token != 0 && ce.heldAt == ch.leaseSince }
 
 // settle waits until the roles of all engines are certain.
@@ -98,9 +98,9 @@
 	}
 }
 
-// distributeToken tells the token to all engines that check it: an order of the holder
-// before to another engine than the one that is changed now must be refused
-// too, or the old role could lose both.
+// distributeToken sends the token to all engines that check it. An order of the
+// previous holder to another engine than the one that is about to change must be
+// refused too, or else the old role could lose both engines.
 func (ce *Cell) distributeToken(now clock.Millis) {
 	ch := ce.current
 	ch.order.Fence = ce.token
@@ -133,9 +133,9 @@
 	}
 }
 
-// choose picks the engine with what is known now: the load may have turned,
-// or the holder before may have changed a role already. A load close to its
-// bound is let come back, since a change that is given up costs a dwell.
+// choose picks the engine by the current state: the load may have changed, or the
+// previous holder may already have changed a role. A load close to its threshold gets
+// time to recover, because an abandoned change costs a dwell.
 func (ce *Cell) choose(now clock.Millis) {
 	ch := ce.current
 	if ce.trend.shortRole != ch.order.Role {
@@ -157,7 +157,7 @@
 	ce.logEvent(event.RoleChangeBegun, event.F("Server", eng.ID), event.F("To", ch.order.Role), event.F("Work", eng.Granted))
 }
 
-// drain waits until the engine has ended its work.
+// drain waits until the engine has completed its work.
 func (ce *Cell) drain(now clock.Millis) {
 	ch := ce.current
 	eng, ok := ce.engineByID(ch.server)
@@ -187,7 +187,7 @@
 	}
 }
 
-// handleInspected takes an engine's own word on what it runs and on its role.
+// handleInspected processes the engine's own report of what it runs and of its role.
 func (ce *Cell) handleInspected(now clock.Millis, ev Inspected) {
 	ch := ce.current
 	if ch == nil || ch.server != ev.Server || ev.Failed {
@@ -205,7 +205,7 @@
 	}
 }
 
-// send gives the order with the token of the lease that is held now.
+// send sends the order with the token of the current lease.
 func (ce *Cell) send(now clock.Millis) {
 	ch := ce.current
 	eng, ok := ce.engineByID(ch.server)
@@ -213,7 +213,7 @@
 		ce.finish(now, UnknownEngine, Outcome{})
 		return
 	}
-	// A repeat carries the fencing token that the order first had.
+	// A repeat carries the fencing token of the first attempt.
 	if ch.order.Fence == 0 {
 		ch.order.Fence = ce.token
 	}
@@ -227,7 +227,7 @@
 	ce.emit(sd)
 }
 
-// handleSent takes the outcome of an order.
+// handleSent processes the outcome of an order.
 func (ce *Cell) handleSent(now clock.Millis, ev Sent) {
 	ch := ce.current
 	switch {
@@ -258,15 +258,15 @@
 		ce.endUnsent(now, Fenced, ev.Outcome)
 	default:
 		if ce.mayRetry() && ev.Outcome.Decline == "" {
-			ce.send(now) // not sent at all
+			ce.send(now) // the order was not sent at all
 			return
 		}
 		ce.endUnsent(now, Declined, ev.Outcome)
 	}
 }
 
-// endUnsent ends an order whose last sending had no effect. If an earlier one
-// is in doubt still, so is the order.
+// endUnsent ends an order whose last attempt had no effect. If an earlier attempt is in
+// doubt, so is the order.
 func (ce *Cell) endUnsent(now clock.Millis, reason Reason, oc Outcome) {
 	if ce.current.tries > 1 && !ce.disabled.noDoubt {
 		ce.enterPhase(now, verifying)
@@ -276,18 +276,17 @@
 	ce.finish(now, reason, oc)
 }
 
-// mayRetry tells whether the same order may go out once more: under the lease
-// that it was given with, whose token it carries.
+// mayRetry reports whether the same order may be sent again: only under the lease with
+// which it was first sent, whose token it carries.
 func (ce *Cell) mayRetry() bool {
 	return ce.current.tries < maxSendTries && ce.sameLease(ce.current)
 }
 
-// verify asks the engine until its report settles the matter.
+// verify queries the engine until its report shows whether the order took effect.
 func (ce *Cell) verify(now clock.Millis) {
 	ch := ce.current
 	if ch.order.Kind != engine.ChangeRole {
-		// Reports do not name what is loaded; the reply to the same order
-		// does.
+		// Reports do not name what is loaded, but the reply to a repeated order does.
 		if ce.mayRetry() {
 			ce.send(now)
 		} else {
@@ -296,14 +295,14 @@
 		return
 	}
 	if eng, ok := ce.engineByID(ch.server); !ok {
-		ce.finish(now, InDoubt, Outcome{Role: eng.Role}) // the engine is gone, and with it the doubt
+		ce.finish(now, InDoubt, Outcome{Role: eng.Role}) // the engine no longer exists, so its state no longer matters
 		return
 	}
 	ce.inspect(now)
 }
 
-// resolveDoubt compares the engine's role, as it was after the order was sent,
-// with the one that it was ordered to take.
+// resolveDoubt compares the engine's role after the order was sent with the role in the
+// order.
 func (ce *Cell) resolveDoubt(now clock.Millis, ev Inspected) {
 	ch := ce.current
 	switch {
@@ -313,12 +312,12 @@
 	case ce.mayRetry():
 		ce.send(now)
 	case ev.RoleAt >= ch.sentAt+ce.Settings.MaxOrderDelay:
-		// Whatever was under way has arrived or never will.
+		// Any order in transit has either arrived by now or never will.
 		ce.finish(now, Declined, Outcome{Role: ev.Role})
 	}
 }
 
-// finish closes the order and gives the lease back.
+// finish ends the order and releases the lease.
 func (ce *Cell) finish(now clock.Millis, reason Reason, oc Outcome) {
 	ch := ce.current
 	ce.current = nil
@@ -326,13 +325,13 @@
 		ce.emit(Drain{Server: ch.server, Stop: false})
 	}
 	ce.emit(WantLease{Hold: false})
-	ce.token = 0 // whatever comes next waits to be told of a lease again
+	ce.token = 0 // the next order must wait for a new LeaseHeld
 	if ch.id != "" {
 		ce.finishOperatorOrder(ch, reason, oc)
 		return
 	}
-	// A change that was given up counts like one that was made: the load
-	// that called for it is waited for anew.
+	// An abandoned change counts like a completed one: the load must require a change
+	// for the whole time again.
 	ce.lastChangeAt = now
 	ce.trend.since = now
 	if reason == CarriedOut {
@@ -357,7 +356,7 @@
 
 func declineOf(oc Outcome) backend.Reason { return oc.Decline }
 
-// recordRole notes the role that the engine's reply tells, ahead of its report.
+// recordRole stores the role from the engine's reply before its next report arrives.
 func (ce *Cell) recordRole(now clock.Millis, server string, oc Outcome) {
 	for ix := range ce.observed.Engines {
 		if eng := &ce.observed.Engines[ix]; eng.ID == server && oc.Role != "" {
--- a/internal/orders/explore_test.go
+++ b/internal/orders/explore_test.go
@@ -16,31 +16,31 @@
 const (
 	resource     = "cell/m/0"
 	tickInterval = 1 * clock.Second // of the worlds' time
-	replyTimeout = 5 * clock.Second // then a sender stops to wait
-	minEngines   = 2                // engines of each role; one of three prefill engines may change
+	replyTimeout = 5 * clock.Second // a sender then stops waiting for a reply
+	minEngines   = 2                // engines of each role; one of the three prefill engines may change
 )
 
 type (
-	// schedule is one history: what goes wrong, and when.
+	// schedule is one history of faults and their times.
 	schedule struct {
-		checks       int          // engines of four that check fencing tokens
-		pauseAt      clock.Millis // of the first VM; nothing happens in it for a span
+		checks       int          // how many of the four engines check fencing tokens
+		pauseAt      clock.Millis // when the first VM pauses
 		pauseFor     clock.Millis
-		delayedOrder int          // which order that is sent is under way for long
-		delayAll     bool         // all are
-		orderDelay   clock.Millis // for how long, after its lease was checked
-		replyLost    bool         // also of that order
-		senderPaused bool         // its sender is paused for that long, too
+		delayedOrder int          // number of the sent order that is delayed in transit
+		delayAll     bool         // all orders are delayed
+		orderDelay   clock.Millis // how long they are in transit after the check of the lease
+		replyLost    bool         // the reply to the delayed order is lost as well
+		senderPaused bool         // the sender is paused for the same time
 	}
 
-	// mutation removes guards.
+	// mutation disables guards.
 	mutation struct {
 		guards
-		noLeaseCheck bool // orders are sent without a look at the lease
+		noLeaseCheck bool // orders are sent without a check of the lease
 	}
 
-	// world is two VMs that both hold themselves for the cell's accountant,
-	// a log, and four engines of which one may change its role.
+	// world is two VMs that both consider themselves the cell's accounting VM, a log,
+	// and four engines of which one may change its role.
 	world struct {
 		schedule
 		mutation
@@ -52,8 +52,8 @@
 		orders  []*order
 		sends   int
 
-		stale int  // orders that took effect though another VM had the lease since
-		below bool // prefill was left with too few engines
+		stale int  // orders that took effect although another VM had acquired the lease since
+		below bool // prefill was left with too few engines at some time
 	}
 
 	holder struct {
@@ -61,8 +61,8 @@
 		lease       register.Holder
 		state       register.State
 		cell        Cell
-		since       uint64       // first token of the lease that is held
-		pausedUntil clock.Millis // until then
+		since       uint64       // first token of the current lease
+		pausedUntil clock.Millis // end of the VM's pause
 		inbox       []func()
 	}
 
@@ -91,7 +91,7 @@
 	return wo
 }
 
-// run plays the history for some minutes.
+// run plays the history for two minutes.
 func (wo *world) run() {
 	for end := wo.now + 2*clock.Minute; wo.now < end; wo.now += tickInterval {
 		wo.arrive()
@@ -106,7 +106,7 @@
 	}
 }
 
-// arrive brings orders to engines and replies to their senders.
+// arrive delivers orders to engines and replies to their senders.
 func (wo *world) arrive() {
 	var later []*order
 	for _, od := range wo.orders {
@@ -147,8 +147,8 @@
 	return Outcome{Reason: Declined}
 }
 
-// process lets a VM do all that it can at this moment: first what came in while
-// it was away, then the log and the engines' reports.
+// process lets a VM do everything that it can at this moment: first what arrived during
+// its pause, then the log and the engines' reports.
 func (ho *holder) process() {
 	in := ho.inbox
 	ho.inbox = nil
@@ -162,7 +162,7 @@
 	ob := Observed{Quick: 1}
 	for _, eng := range wo.engines {
 		eng.RoleAt = wo.now
-		// Each VM has placed work of its own, so each chooses another engine.
+		// Each VM has placed work of its own, so the two choose different engines.
 		if ho == wo.vms[0] && eng.ID == "e0" {
 			eng.Queued = 1
 		}
@@ -217,7 +217,7 @@
 	}
 }
 
-// send is the last look at the lease, and what happens after it.
+// send checks the lease a last time and then sends the order.
 func (ho *holder) send(sd Send) {
 	wo := ho.world
 	token, may := ho.lease.MayOrder(wo.now + sd.LeaseMargin)
@@ -232,7 +232,7 @@
 		if wo.senderPaused {
 			ho.pausedUntil = od.arrives
 		}
-		if od.lost { // its sender stops to wait
+		if od.lost { // the sender stops waiting
 			ho.inbox = append(ho.inbox, func() { ho.step(Sent{Server: sd.Server, Outcome: Outcome{Reason: InDoubt}}) })
 		}
 	}
@@ -253,7 +253,7 @@
 			for _, flight := range []clock.Millis{0, 8 * clock.Second, 12 * clock.Second, 25 * clock.Second, 40 * clock.Second} {
 				for flags := range 4 {
 					if flags&1 != 0 && flight > replyTimeout {
-						continue // its reply is lost in any case
+						continue // the reply is lost in any case
 					}
 					play(schedule{pauseAt: ps.at, pauseFor: ps.span, delayedOrder: nth, orderDelay: flight, replyLost: flags&1 != 0, senderPaused: flags&2 != 0})
 				}
@@ -262,11 +262,11 @@
 	}
 }
 
-// tally is what a sweep over all histories found.
+// tally sums up the results of all histories.
 type tally struct {
 	histories, changed, stale, below, unrepaired int
-	shortestDelay                                clock.Millis // the shortest flight with which prefill was left with too few engines
-	unrepairedSchedules                          []schedule   // that it ended in, unrepaired
+	shortestDelay                                clock.Millis // shortest delay of an order with which prefill was left with too few engines
+	unrepairedSchedules                          []schedule   // histories that ended with too few prefill engines
 }
 
 func sweep(checks int, mt mutation) tally {
@@ -293,18 +293,17 @@
 	return ta
 }
 
-// Two VMs that both give orders, with a pause of one of them at each moment,
-// a pause between the last look at the lease and the sending, and a lost
-// reply. With engines that check fencing tokens no role is ever left without
-// an engine. With engines that ignore them, that takes an order which is
-// under way for longer than the margin and the flight that is waited out, and
-// the roles are mended afterwards.
+// Two VMs both give orders, with a pause of one of them at each moment, a pause between
+// the last check of the lease and the sending, and a lost reply. If all engines check
+// fencing tokens, no role is ever left without an engine. If engines ignore them, that
+// can happen only with an order that is in transit for longer than the lease margin and
+// the order delay that the cell waits out, and the roles are corrected afterwards.
 func TestTwoHolders(t *testing.T) {
 	shown := 0
 	for _, checks := range []int{0, 1, 4} {
 		ta := sweep(checks, mutation{})
 		shown += ta.below
-		t.Logf("%d of 4 engines check: %d histories, %d end with the change made, %d orders of an old holder took effect, %d left prefill with too few engines (shortest flight %v), %d at the end",
+		t.Logf("%d of 4 engines check: %d histories, %d end with the change made, %d orders of an old holder took effect, %d left prefill with too few engines (shortest order delay %v), %d at the end",
 			checks, ta.histories, ta.changed, ta.stale, ta.below, ta.shortestDelay, ta.unrepaired)
 		assert.Assert(t, ta.changed > ta.histories*9/10)
 		assert.Equal(t, ta.unrepaired, 0, "%+v", ta.unrepairedSchedules)
@@ -312,9 +311,9 @@
 			assert.Equal(t, ta.below, 0)
 			continue
 		}
-		assert.Assert(t, ta.below == 0 || ta.shortestDelay > 12*clock.Second, "flight of %v", ta.shortestDelay)
+		assert.Assert(t, ta.below == 0 || ta.shortestDelay > 12*clock.Second, "order delay of %v", ta.shortestDelay)
 	}
-	assert.Assert(t, shown > 0, "the risk that is left does not show: the scope is too small")
+	assert.Assert(t, shown > 0, "no history shows the remaining risk: the scope is too small")
 }
 
 func TestGuardsOfTheLeaseAreNeeded(t *testing.T) {
@@ -328,15 +327,15 @@
 		{"NoLastLook", 0, mutation{noLeaseCheck: true}},
 	} {
 		ta := sweep(tc.checks, tc.mutation)
-		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest flight %v)", tc.name, ta.below, ta.histories, ta.shortestDelay)
+		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest order delay %v)", tc.name, ta.below, ta.histories, ta.shortestDelay)
 		caught := ta.below > 0 && (tc.checks == 4 || ta.shortestDelay <= 12*clock.Second)
 		assert.Check(t, caught, tc.name)
 	}
 }
 
-// The holder stands still after each order that it sends, before it can hear of
-// the reply. With engines that ignore fencing tokens, whose change is one order,
-// the change is made all the same.
+// The holder pauses after each order that it sends, before it can receive the reply.
+// With engines that ignore fencing tokens, where a change is a single order, the change
+// is still made.
 func TestHolderThatStandsStillAfterEachOrder(t *testing.T) {
 	for _, pause := range []clock.Millis{2 * clock.Second, 4 * clock.Second, 6 * clock.Second, 12 * clock.Second} {
 		for _, lost := range []bool{false, true} {
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,38 +1,37 @@
-// Package orders decides, for one cell of model engines, which orders its
-// engines are given: changes of role that follow the load, and what operators
-// ask for.
+// Package orders decides, for one cell of model engines, which orders its engines are
+// given: changes of role that follow the load, and the orders of operators.
 //
-// One order of a cell is under way at a time, and only while this VM holds
+// At most one order of a cell is in progress at a time, and only while this VM holds
 // the cell's lease. A change of role goes through these phases:
 //
-//	Asking    the lease is wanted
-//	Settling  it is held; every engine must say its role anew, late enough
-//	          that no order of the holder before can still change it
-//	Fencing   engines that check fencing tokens are told the new one, by an
-//	          order to stay what they are; older orders are refused from then on
-//	Choosing  the load must still call for the change; the engine is chosen
-//	Draining  the engine gets no new work and ends what it runs
-//	Sending   the order is under way with the lease's fencing token
-//	Doubting  its reply was lost; the engine's own report tells what it did
+//	AwaitingLease  the lease is requested
+//	Settling       the lease is held; every engine must report its role again,
+//	               late enough that no order of the previous holder can still
+//	               change it
+//	Fencing        engines that check fencing tokens get the new token, with an
+//	               order to keep their role; they refuse older orders from then on
+//	Choosing       the load must still require the change; the engine is chosen
+//	Draining       the engine gets no new work and completes what it runs
+//	Sending        the order is sent with the lease's fencing token
+//	Verifying      the reply was lost; the engine's own report shows the effect
 //
-// After Doubting the same order goes out again with the same token, which
-// harms nothing since orders are idempotent. Whatever fails before Sending
-// leaves the engine in the role that it had.
+// After Verifying the same order may be sent again with the same token, which is safe
+// because orders are idempotent. A failure before Sending leaves the engine in its
+// previous role.
 //
-// A [Cell] does no I/O: it is given events and the time, and returns intents.
-// The roles that it works with are those that the engines report, never those
-// of the VM list.
+// A [Cell] does no I/O: it takes events and the time, and returns intents. It relies on
+// the roles that the engines report, never on those in the VM list.
 //
 // # Usage
 //
 //	ce := &orders.Cell{Settings: orders.Settings{Dwell: 5 * clock.Minute}}
 //	for _, in := range ce.Step(now, orders.Observed{Engines: engines}) {
 //		switch in := in.(type) {
-//		case orders.WantLease: ...    // the lease; answer with LeaseHeld and LeaseLapsed
-//		case orders.Drain: ...   // give the engine no new work, or new work again
-//		case orders.Inspect: ... // answer with Inspected
-//		case orders.Send: ...    // answer with Sent
-//		case orders.OperatorReply: ...  // to an operator
+//		case orders.WantLease: ...     // acquire or release the lease; reply with LeaseHeld and LeaseLapsed
+//		case orders.Drain: ...         // stop or resume new work for the engine
+//		case orders.Inspect: ...       // reply with Inspected
+//		case orders.Send: ...          // reply with Sent
+//		case orders.OperatorReply: ... // forward to the operator
 //		case orders.LogEvent: ...
 //		}
 //	}
@@ -46,96 +45,96 @@
 	"alderdyke/pkg/clock"
 )
 
-// Why an order was not carried out, or is not known to have been.
+// Reasons why an order was not carried out, or is not known to have been.
 const (
-	NoLease         Reason = "NoLease"    // the lease could not be had in time
+	NoLease         Reason = "NoLease"    // the lease was not acquired in time
 	LeaseLost       Reason = "LeaseLost"  // the lease ended before the order was sent
-	NotSettled      Reason = "NotSettled" // an engine did not say its role in time
+	NotSettled      Reason = "NotSettled" // an engine did not report its role in time
 	NotNeeded       Reason = "NotNeeded"  // the roles or the load have changed meanwhile
-	TooFew          Reason = "TooFew"     // the old role would be left with too few engines
-	NotDrained      Reason = "NotDrained" // the engine did not end its work in time
-	Fenced          Reason = "Fenced"     // the engine knows a newer fencing token
-	Declined        Reason = "Declined"   // the engine did not take the order
-	InDoubt         Reason = "InDoubt"    // the engine may have carried the order out
+	TooFew          Reason = "TooFew"     // the previous role would be left with too few engines
+	NotDrained      Reason = "NotDrained" // the engine did not complete its work in time
+	Fenced          Reason = "Fenced"     // the engine has a newer fencing token
+	Declined        Reason = "Declined"   // the engine declined the order
+	InDoubt         Reason = "InDoubt"    // the engine may have carried out the order
 	UnknownEngine   Reason = "Unknown"    // the engine is not in the cell
-	TooMany         Reason = "TooMany"    // too many orders wait
+	TooMany         Reason = "TooMany"    // too many orders are queued
 	CellMoved       Reason = "CellMoved"  // another VM accounts for the cell now
 	CarriedOut      Reason = ""           // it was carried out
-	maxWaiting             = 16           // orders of operators that may wait
-	maxSendTries           = 4            // of one order
-	inspectInterval        = clock.Second // while draining or in doubt
+	maxWaiting             = 16           // queued orders of operators
+	maxSendTries           = 4            // per order
+	inspectInterval        = clock.Second // while draining or verifying
 )
 
 type (
 	// Settings of a Cell. The zero value of a field means its default.
 	Settings struct {
-		NoRoleChanges bool         // decides no change of role; operators' orders are still given
-		Dwell         clock.Millis // least span between two changes of role in the cell; 5 min
-		Window        clock.Millis // for how long the load must call for a change; half of Dwell
-		SpareFor      clock.Millis // for how long a role must have been able to spare the engine; three times Dwell
-		DrainTimeout  clock.Millis // until a change is given up; 1 min
-		LeaseTimeout  clock.Millis // until the lease must be held, and roles known; 1 min
-		NeedTimeout   clock.Millis // until a load that does not call for the change any more must do so again; 10 s
-		// MaxOrderDelay is how long an order of the lease's holder before this one
-		// may be under way after its lease has ended; 10 s. It is waited out
-		// if an engine of the cell ignores fencing tokens.
+		NoRoleChanges bool         // disables changes of role; operators' orders are still carried out
+		Dwell         clock.Millis // minimum time between two changes of role in the cell; default 5 min
+		Window        clock.Millis // how long the load must require a change; default half of Dwell
+		SpareFor      clock.Millis // how long the other role must have been able to spare the engine; default three times Dwell
+		DrainTimeout  clock.Millis // limit for draining the engine; default 1 min
+		LeaseTimeout  clock.Millis // limit for acquiring the lease, and for learning the roles; default 1 min
+		NeedTimeout   clock.Millis // limit for the load to require the change again after it has stopped doing so; default 10 s
+		// MaxOrderDelay is how long an order of the lease's previous holder may be in
+		// transit after its lease has ended; default 10 s. The Cell waits that long if
+		// an engine of the cell ignores fencing tokens.
 		MaxOrderDelay clock.Millis
-		// LeaseMargin is what must be left of the lease when an order to an engine
-		// that ignores fencing tokens is sent; 2 s.
+		// LeaseMargin is the minimum remaining time of the lease when an order is sent
+		// to an engine that ignores fencing tokens; default 2 s.
 		LeaseMargin clock.Millis
-		MinEngines  int     // engines that each role keeps; 1
-		High        float64 // part of a role in use from which it is short; 0.9
-		Low         float64 // part in use that the other role may come to; 0.7
+		MinEngines  int     // engines that each role keeps; default 1
+		High        float64 // utilization at which a role is short of engines; default 0.9
+		Low         float64 // maximum utilization of the other role after it has given up an engine; default 0.7
 	}
 
-	// Engine is what is known of one engine.
+	// Engine is the state of one engine.
 	Engine struct {
 		ID             string
-		Role           board.Role   // that it reports; empty if it says none
-		RoleAt         clock.Millis // a point at which the report was true, rather too early
+		Role           board.Role   // as reported; empty if the engine reports none
+		RoleAt         clock.Millis // a time at which the report was true; may be earlier than the actual time
 		ChecksFencing  bool
 		Usable         bool // reports its load and is not leaving
-		Granted        int  // granted requests that the cell counts on it
-		PendingPrompts int  // of these, the ones whose prompts it has yet to compute
-		Running        int  // by its report
+		Granted        int  // granted requests that the cell counts on the engine
+		PendingPrompts int  // those of Granted whose prompts are not computed yet
+		Running        int  // as reported
 		Slots          int
 		Queued         int
 	}
 
-	// Outcome of a Send.
+	// Outcome is the result of a Send.
 	Outcome struct {
-		Reason   Reason // Carried out, LeaseLost, Fenced, Declined or InDoubt
+		Reason   Reason // CarriedOut, LeaseLost, Fenced, Declined or InDoubt
 		Decline  backend.Reason
-		Role     board.Role // of the engine after an order that was carried out
+		Role     board.Role // the engine's role after an order that was carried out
 		Repeated bool       // the order had been carried out before
 	}
 
-	// Reason why an order was not carried out.
+	// Reason is the reason why an order was not carried out.
 	Reason string
 
-	// Event is what a Cell is told: Observed, LeaseHeld, LeaseLapsed, Inspected, Sent,
+	// Event is an input to a Cell: Observed, LeaseHeld, LeaseLapsed, Inspected, Sent,
 	// OperatorOrder or Tick.
 	Event interface{ orderEvent() }
 
-	// Intent is what a Cell wants done: WantLease, Drain, Inspect, Send, OperatorReply
-	// or LogEvent.
+	// Intent is an action that a Cell requests: WantLease, Drain, Inspect, Send,
+	// OperatorReply or LogEvent.
 	Intent interface{ orderIntent() }
 
-	// Observed tells the state of the cell, about twice a second.
+	// Observed reports the state of the cell, about twice a second.
 	Observed struct {
 		Engines []Engine
-		Quick   int // quick requests that wait for a place
-		Patient int // patient ones
+		Quick   int // queued quick requests
+		Patient int // queued patient requests
 	}
 
-	// LeaseHeld tells that the lease is held, or was renewed, with a token.
+	// LeaseHeld reports that the lease was acquired or renewed, with its token.
 	LeaseHeld struct{ Token uint64 }
 
-	// LeaseLapsed tells that the lease is not held any more.
+	// LeaseLapsed reports that the lease is no longer held.
 	LeaseLapsed struct{ Token uint64 }
 
-	// Inspected answers an Inspect. Asked is a point on this VM's clock
-	// before the engine was asked.
+	// Inspected is the reply to an Inspect. Asked is a time on this VM's clock before
+	// the engine was queried.
 	Inspected struct {
 		Server string
 		Asked  clock.Millis
@@ -145,51 +144,52 @@
 		RoleAt clock.Millis
 	}
 
-	// Sent answers a Send.
+	// Sent is the reply to a Send.
 	Sent struct {
 		Server  string
 		Outcome Outcome
 	}
 
-	// OperatorOrder asks for an operator's order to an engine. It gets one OperatorReply.
+	// OperatorOrder submits an operator's order to an engine. It gets one
+	// OperatorReply.
 	OperatorOrder struct {
 		ID     string
 		Server string
-		Order  engine.Order // a LoadModel, LoadAdapter or LoadVersion without a token
+		Order  engine.Order // a LoadModel, LoadAdapter or LoadVersion order without a token
 	}
 
-	// Tick passes the time.
+	// Tick advances the time.
 	Tick struct{}
 
-	// WantLease tells whether the lease is wanted.
+	// WantLease requests the lease to be acquired and held, or to be released.
 	WantLease struct{ Hold bool }
 
-	// Drain tells that an engine is to get no new work, or work again.
+	// Drain stops new work for an engine, or resumes it.
 	Drain struct {
 		Server string
 		Stop   bool
 	}
 
-	// Inspect asks what an engine runs, and its role.
+	// Inspect queries what an engine runs, and its role.
 	Inspect struct{ Server string }
 
-	// Send gives an order. It must not leave this VM unless, when all else
-	// is ready, the lease's token is still that of the order and at least
-	// LeaseMargin of the lease is left.
+	// Send sends an order. When everything else is ready, it must only be sent if the
+	// lease's token is still that of the order and at least LeaseMargin of the lease
+	// remains.
 	Send struct {
 		Server      string
 		Order       engine.Order
 		LeaseMargin clock.Millis
 	}
 
-	// OperatorReply ends an OperatorOrder.
+	// OperatorReply is the result of an OperatorOrder.
 	OperatorReply struct {
 		ID      string
 		Reason  Reason
 		Outcome Outcome
 	}
 
-	// LogEvent asks for a log line.
+	// LogEvent requests a log entry.
 	LogEvent struct {
 		Event  event.Event
 		Fields []event.Field
--- a/internal/orders/trend.go
+++ b/internal/orders/trend.go
@@ -9,23 +9,23 @@
 )
 
 type (
-	// trend is the load of a cell over the last while, and for how long it
-	// has called for a change of role.
+	// trend is the recent load of a cell, and how long the load has required a change
+	// of role.
 	trend struct {
 		at       clock.Millis // of the last observation; zero before the first
-		busy     float64      // part of the prefill engines that have prompts to compute
-		occupied float64      // part of the decode engines' memory slots in use
-		quick    float64      // requests that wait
+		busy     float64      // share of the prefill engines that have prompts to compute
+		occupied float64      // share of the decode engines' memory slots in use
+		quick    float64      // queued requests
 		patient  float64
 
-		// Since when each role could spare an engine; zero if it can't.
+		// Times since which each role could spare an engine; zero if it can't.
 		prefillSpare, decodeSpare clock.Millis
 
-		shortRole board.Role // the role that is short; empty if none is
+		shortRole board.Role // the role that is short of engines; empty if none is
 		since     clock.Millis
 	}
 
-	// pools counts the engines of a cell that may be counted on.
+	// pools counts the usable engines of a cell by role.
 	pools struct {
 		prefill, decode int
 	}
@@ -45,7 +45,7 @@
 	return board.Prefill
 }
 
-// poolsOf counts the fit engines by the role that they report.
+// poolsOf counts the usable engines by the role that they report.
 func poolsOf(engines []Engine) pools {
 	var po pools
 	for _, eng := range engines {
@@ -60,8 +60,8 @@
 	return po
 }
 
-// observe adds an observation. Averages forget with a time constant of a quarter
-// of the window, so that a load which swings faster calls for nothing.
+// observe adds an observation. The averages decay with a time constant of a quarter of
+// the window, so that faster swings of the load require no change.
 func (tr *trend) observe(now clock.Millis, se Settings, ob Observed) {
 	busy, occupied := currentLoad(ob.Engines)
 	weight := 1.0
@@ -86,7 +86,7 @@
 	}
 }
 
-// currentLoad is the part of each role in use at this moment.
+// currentLoad returns the share of each role that is in use at this moment.
 func currentLoad(engines []Engine) (busy, occupied float64) {
 	var po pools
 	working, running, slots := 0, 0, 0
@@ -95,7 +95,8 @@
 		case !eng.Usable:
 		case eng.Role == board.Prefill:
 			po.prefill++
-			// A KV cache that waits for a decode engine is no work for this one.
+			// A KV cache that waits for a decode engine is no work for its prefill
+			// engine.
 			if eng.PendingPrompts+eng.Running+eng.Queued > 0 {
 				working++
 			}
@@ -108,8 +109,8 @@
 	return float64(working) / float64(max(1, po.prefill)), float64(running) / float64(max(1, slots))
 }
 
-// spareSince notes since when a role could do with one engine less and stay
-// clear of being short itself.
+// spareSince returns the time since which a role could give up one engine without
+// becoming short itself, or zero if it can't.
 func spareSince(since, now clock.Millis, part float64, engines int, se Settings) clock.Millis {
 	switch {
 	case engines <= se.MinEngines || part*float64(engines)/float64(engines-1) > se.Low:
@@ -121,9 +122,9 @@
 	}
 }
 
-// findShortRole names the role that needs an engine of the other one. That one must
-// have been able to spare it for a long while: a load that swings between the
-// roles is not followed, since each change would soon be taken back.
+// findShortRole returns the role that needs an engine of the other role. The other role
+// must have been able to spare it for a long time: a load that swings between the roles
+// is not followed, because each change would soon be reverted.
 func (tr *trend) findShortRole(now clock.Millis, se Settings, po pools) board.Role {
 	for _, role := range []board.Role{board.Prefill, board.Decode} {
 		if po.count(role) < se.MinEngines && po.count(otherRole(role)) > se.MinEngines {
@@ -143,8 +144,8 @@
 	return ""
 }
 
-// roleDue names the role that has been short for long enough: the window, or
-// twice as long while only requests wait that may.
+// roleDue returns the role that has been short for long enough: for the window, or for
+// twice the window while only patient requests are queued.
 func (tr *trend) roleDue(now clock.Millis, se Settings) board.Role {
 	need := se.Window
 	if tr.quick < 0.5 {
@@ -156,7 +157,7 @@
 	return tr.shortRole
 }
 
-// fields are what the choice of a role rests on, for a log line.
+// fields returns, for a log entry, the values on which the choice of a role is based.
 func (tr *trend) fields(now clock.Millis) []event.Field {
 	spanSince := func(since clock.Millis) clock.Millis {
 		if since == 0 {
