--- a/internal/orders/cell.go
+++ b/internal/orders/cell.go
@@ -31,7 +31,7 @@
 
 	// guards are the protections that tests can disable. The zero value disables none.
 	guards struct {
-		noDwell, noWindow, noMemory, noLeast, noSettle, noFence, noDrain, noDoubt bool
+		noDwell, noWindow, noSpareFor, noMinimum, noSettle, noFence, noDrain, noDoubt bool
 	}
 )
 
@@ -41,7 +41,7 @@
 	if !ce.started {
 		ce.started = true
 		ce.Settings = ce.Settings.withDefaults()
-		if ce.disabled.noMemory {
+		if ce.disabled.noSpareFor {
 			ce.Settings.SpareFor = 0
 		}
 		ce.lastChangeAt = now
@@ -139,7 +139,7 @@
 
 // maySpare reports whether a role keeps enough usable engines when one leaves it.
 func (ce *Cell) maySpare(role board.Role) bool {
-	return poolsOf(ce.observed.Engines).count(role) > ce.Settings.MinEngines || ce.disabled.noLeast
+	return poolsOf(ce.observed.Engines).count(role) > ce.Settings.MinEngines || ce.disabled.noMinimum
 }
 
 func (ce *Cell) engineByID(id string) (Engine, bool) {
--- a/internal/orders/cell_test.go
+++ b/internal/orders/cell_test.go
@@ -37,7 +37,7 @@
 	drained map[string]bool
 }
 
-func newBench(se Settings, prefill, decode int) *harness {
+func newHarness(se Settings, prefill, decode int) *harness {
 	bn := &harness{
 		cell: &Cell{Settings: se}, now: 1000, runs: map[string]int{},
 		fewest:  map[board.Role]int{board.Prefill: prefill, board.Decode: decode},
@@ -154,7 +154,7 @@
 }
 
 func TestRolesFollowALastingLoad(t *testing.T) {
-	bn := newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
+	bn := newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
 	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
 	bn.run(clock.Hour)
 	po := poolsOf(bn.engines)
@@ -166,7 +166,7 @@
 // If a cell is short of decode slots, KV caches wait at its prefill engines. These
 // engines are idle all the same, and one of them can be spared.
 func TestRolesFollowALoadWhoseKVCachesWait(t *testing.T) {
-	bn := newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
+	bn := newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
 	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
 	bn.heldCaches = 2
 	bn.run(clock.Hour)
@@ -178,7 +178,7 @@
 // dippingLoad runs a cell close to the threshold until it wants the lease, and removes
 // the load for a span at the moment at which the engine is chosen.
 func dippingLoad(span clock.Millis) (bn *harness, wanted clock.Millis) {
-	bn = newBench(Settings{Dwell: 2 * clock.Minute}, 6, 2)
+	bn = newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
 	bn.alwaysQueued = true
 	load := func(clock.Millis) (float64, float64) { return 1.5, 1.9 }
 	bn.demand = load
@@ -235,7 +235,7 @@
 	// role at most three follow one another.
 	bound := 3*int(clock.Hour/(3*dwell+2*dwell)) + 3
 	for _, period := range []clock.Millis{5 * clock.Second, 20 * clock.Second, clock.Minute, 2 * clock.Minute, 4 * clock.Minute, 10 * clock.Minute, clock.Hour} {
-		bn := newBench(Settings{Dwell: dwell}, 4, 4)
+		bn := newHarness(Settings{Dwell: dwell}, 4, 4)
 		bn.demand = swing(period, 7)
 		most := hourly(bn, 4)
 		t.Logf("period %v: %d changes in 4 h, at most %d in an hour, fewest %v", period, len(bn.changes), most, bn.fewest)
@@ -249,8 +249,8 @@
 
 func TestGuardsAgainstThrashAreNeeded(t *testing.T) {
 	dwell := 2 * clock.Minute
-	for name, broken := range map[string]guards{"NoWindow": {noWindow: true, noMemory: true}, "NoMemory": {noMemory: true}} {
-		bn := newBench(Settings{Dwell: dwell}, 4, 4)
+	for name, broken := range map[string]guards{"NoWindow": {noWindow: true, noSpareFor: true}, "NoSpareFor": {noSpareFor: true}} {
+		bn := newHarness(Settings{Dwell: dwell}, 4, 4)
 		bn.cell.disabled = broken
 		bn.demand = swing(2*clock.Minute, 7)
 		if broken.noWindow {
@@ -258,7 +258,7 @@
 			continue
 		}
 		assert.Equal(t, hourly(bn, 1), 0, "the window alone must prevent changes under this swing")
-		bn = newBench(Settings{Dwell: dwell}, 4, 4)
+		bn = newHarness(Settings{Dwell: dwell}, 4, 4)
 		bn.cell.disabled = broken
 		bn.demand = swing(10*clock.Minute, 7)
 		most := hourly(bn, 4)
@@ -267,7 +267,7 @@
 	}
 	few := 0
 	for _, noDwell := range []bool{false, true} {
-		bn := newBench(Settings{Dwell: dwell, Window: 5 * clock.Second, SpareFor: 1}, 8, 8)
+		bn := newHarness(Settings{Dwell: dwell, Window: 5 * clock.Second, SpareFor: 1}, 8, 8)
 		bn.cell.disabled = guards{noDwell: noDwell}
 		bn.demand = swing(2*clock.Minute, 14)
 		most := hourly(bn, 1)
@@ -287,7 +287,7 @@
 		least := rapid.IntRange(1, 3).Draw(rt, "Least")
 		prefill := rapid.IntRange(least, 8).Draw(rt, "Prefill")
 		decode := rapid.IntRange(least, 8).Draw(rt, "Decode")
-		bn := newBench(Settings{Dwell: 2 * clock.Minute, MinEngines: least}, prefill, decode)
+		bn := newHarness(Settings{Dwell: 2 * clock.Minute, MinEngines: least}, prefill, decode)
 		load := [2]float64{}
 		bn.demand = func(clock.Millis) (float64, float64) { return load[0], load[1] }
 		bn.outcome = func(sd Send) Outcome {
@@ -316,32 +316,32 @@
 
 // shortDecode returns a harness whose load requires decode engines.
 func shortDecode(prefill, decode int) *harness {
-	bn := newBench(Settings{Dwell: 2 * clock.Minute, SpareFor: 1}, prefill, decode)
+	bn := newHarness(Settings{Dwell: 2 * clock.Minute, SpareFor: 1}, prefill, decode)
 	bn.demand = func(clock.Millis) (float64, float64) { return 0, 99 }
 	return bn
 }
 
-func TestLeastIsKept(t *testing.T) {
+func TestMinimumIsKept(t *testing.T) {
 	bn := shortDecode(3, 1)
 	bn.run(4 * clock.Hour)
 	assert.Equal(t, bn.fewest[board.Prefill], 1)
 	assert.Equal(t, len(bn.changes), 2)
 
 	bn = shortDecode(1, 1)
-	bn.cell.disabled.noLeast = true
+	bn.cell.disabled.noMinimum = true
 	bn.cell.trend.shortRole = board.Decode
 	_, ok := bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
 	bn.step(bn.observe())
 	_, ok = bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, ok, "the last engine is kept even without the guard")
-	bn.cell.disabled.noLeast = false
+	bn.cell.disabled.noMinimum = false
 	_, ok = bn.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
 }
 
 func TestARoleThatLostItsEnginesGetsOne(t *testing.T) {
-	bn := newBench(Settings{Dwell: 2 * clock.Minute}, 3, 1)
+	bn := newHarness(Settings{Dwell: 2 * clock.Minute}, 3, 1)
 	bn.engine("e03").Usable = false
 	bn.run(30 * clock.Minute)
 	assert.Equal(t, poolsOf(bn.engines).decode, 1)
@@ -454,7 +454,7 @@
 }
 
 func TestOrdersOfOperators(t *testing.T) {
-	bn := newBench(Settings{NoRoleChanges: true}, 1, 1)
+	bn := newHarness(Settings{NoRoleChanges: true}, 1, 1)
 	bn.step(bn.observe())
 	for ix, kind := range []engine.OrderKind{engine.LoadModel, engine.LoadAdapter, engine.LoadVersion} {
 		bn.step(OperatorOrder{ID: fmt.Sprint(ix), Server: "e00", Order: engine.Order{Kind: kind, Name: "m"}})
--- a/internal/orders/explore_test.go
+++ b/internal/orders/explore_test.go
@@ -336,7 +336,7 @@
 // The holder pauses after each order that it sends, before it can receive the reply.
 // With engines that ignore fencing tokens, where a change is a single order, the change
 // is still made.
-func TestHolderThatStandsStillAfterEachOrder(t *testing.T) {
+func TestHolderThatPausesAfterEachOrder(t *testing.T) {
 	for _, pause := range []clock.Millis{2 * clock.Second, 4 * clock.Second, 6 * clock.Second, 12 * clock.Second} {
 		for _, lost := range []bool{false, true} {
 			wo := newWorld(schedule{delayAll: true, orderDelay: pause, senderPaused: true, replyLost: lost}, mutation{})
--- a/internal/sched/cell_test.go
+++ b/internal/sched/cell_test.go
@@ -108,7 +108,7 @@
 	assert.Equal(t, len(fx.ce.jobs), 0)
 }
 
-func TestNoPrefillWithoutPlaceInSight(t *testing.T) {
+func TestNoPrefillWithoutExpectedSlot(t *testing.T) {
 	fx := newFixture(4, 1, 2)
 	for ix := range 6 {
 		id := fmt.Sprint("r", ix)
@@ -222,7 +222,7 @@
 	assert.Equal(t, fx.ce.engines[first].free(), 2, "one of the three may be of this cell in a late report")
 }
 
-func TestLapsedKVCacheIsTakenBack(t *testing.T) {
+func TestExpiredKVCacheIsPreempted(t *testing.T) {
 	fx := newFixture(1, 1, 1)
 	fx.step(Submit{Spec: patient("ra")})
 	fx.step(Adopt{Spec: quick("qa"), Stage: Decoding, Prefill: "p0", Decode: "d0"})
@@ -237,9 +237,9 @@
 	assert.Equal(t, fx.refusals["ra"].Refusal.Ran, refusal.MayHaveRun)
 }
 
-// TestKVCacheThatNeverArrivesIsGivenUp guards against endless retries of a request
+// TestRepeatedlyLostKVCacheIsRefused guards against endless retries of a request
 // whose KV cache is lost each time.
-func TestKVCacheThatNeverArrivesIsGivenUp(t *testing.T) {
+func TestRepeatedlyLostKVCacheIsRefused(t *testing.T) {
 	fx := newFixture(1, 1, 1)
 	fx.step(Submit{Spec: patient("ra")})
 	for range maxExpirations {
@@ -255,7 +255,7 @@
 	assert.Equal(t, len(fx.ce.jobs), 0)
 }
 
-func TestGrantNotBegunIsTakenBackFromLeavingEngine(t *testing.T) {
+func TestGrantNotBegunIsPreemptedAtLeavingEngine(t *testing.T) {
 	fx := newFixture(2, 2, 8)
 	first := patient("r0")
 	first.PrefixHash, first.PrefixTokens = 42, 3900
@@ -322,7 +322,7 @@
 	}
 }
 
-func TestStalledTransferGoesAnotherWay(t *testing.T) {
+func TestStalledTransferIsRedirected(t *testing.T) {
 	fx := newFixture(1, 2, 4)
 	ask := patient("ra")
 	ask.PromptTokens = 1000
@@ -355,7 +355,7 @@
 	assert.Equal(t, fx.ce.engines["d0"].held, 0)
 }
 
-func TestForeignWorkTakesPlaces(t *testing.T) {
+func TestLoadOfOthersTakesSlots(t *testing.T) {
 	fx := newFixture(1, 1, 4)
 	fx.step(Report{Load: board.LoadReport{Server: "d0", Slots: 4, Running: 3}})
 	assert.Equal(t, fx.ce.engines["d0"].free(), 1)
@@ -363,7 +363,7 @@
 	assert.Equal(t, fx.ce.engines["d0"].free(), 1, "an adopted request is not counted twice")
 }
 
-func TestRestartedAccountantWaitsForReports(t *testing.T) {
+func TestNewAccountingVMWaitsForReports(t *testing.T) {
 	fx := &fixture{ce: &Cell{}, grants: map[string]Grant{}, transfers: map[string]Transfer{}, refusals: map[string]Refuse{}, preempts: map[string]int{}}
 	fx.step(Servers{Servers: engines(1, 1)})
 	fx.step(Submit{Spec: quick("q")})
@@ -455,10 +455,10 @@
 	assert.Equal(t, fx.grants["rc"].Prefill, first)
 }
 
-// TestLentPlacesComeBack fills the cell with one customer's work and then submits
+// TestOtherCustomerGetsFreedSlots fills the cell with one customer's work and then submits
 // another customer's: every slot that is freed goes to the second customer until it has
 // its share.
-func TestLentPlacesComeBack(t *testing.T) {
+func TestOtherCustomerGetsFreedSlots(t *testing.T) {
 	fx := newFixture(8, 2, 10)
 	for ix := range 40 {
 		id := fmt.Sprint("a", ix)
@@ -488,7 +488,7 @@
 	}
 }
 
-func TestPrefillWeightDecidesHowSureAPlaceMustBe(t *testing.T) {
+func TestPrefillWeightSetsForecastMargin(t *testing.T) {
 	starts := func(weight float64) int {
 		fx := newFixture(6, 2, 10)
 		for ix := range 20 {
--- a/internal/sched/delay_test.go
+++ b/internal/sched/delay_test.go
@@ -104,7 +104,7 @@
 
 // A fixed stall timeout of 100 ms discards every transfer once when messages take
 // longer than that. The timeout has to adapt to the measured delay.
-func TestSlowMessagesAreNoStall(t *testing.T) {
+func TestSlowMessagesDoNotCountAsStall(t *testing.T) {
 	for _, takes := range []clock.Millis{90, 150, 300} {
 		t.Run(takes.String(), func(t *testing.T) {
 			sm := newSlowMessages(takes)
@@ -118,7 +118,7 @@
 }
 
 // A transfer that does stall is redirected in time even when messages are slow.
-func TestStallIsFoundBesideSlowMessages(t *testing.T) {
+func TestStallIsDetectedDespiteSlowMessages(t *testing.T) {
 	sm := newSlowMessages(60)
 	for ix := range 10 {
 		sm.submit(fmt.Sprint("r", ix), 100)
@@ -133,7 +133,7 @@
 
 // A KV cache that the prefill engine no longer keeps does not count against the decode
 // engine that could not fetch it, and the request is requeued at once.
-func TestLostKVCacheIsTakenBackAtOnce(t *testing.T) {
+func TestLostKVCacheIsPreemptedAtOnce(t *testing.T) {
 	fx := newFixture(1, 1, 4)
 	fx.step(Submit{Spec: quick("q")})
 	fx.progress("q", Prefilled, 10)
--- a/internal/sched/fallback_test.go
+++ b/internal/sched/fallback_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestFallbackNeverPassesItsPart draws random views: a VM never exceeds its share of an
+// TestFallbackNeverExceedsItsShare draws random views: a VM never exceeds its share of an
 // engine's slots, nor uses an engine that is leaving or full.
-func TestFallbackNeverPassesItsPart(t *testing.T) {
+func TestFallbackNeverExceedsItsShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		servers := engines(rapid.IntRange(0, 5).Draw(rt, "prefills"), rapid.IntRange(0, 5).Draw(rt, "decodes"))
 		vw := viewOf(servers, 0, 20)
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -43,7 +43,7 @@
 
 	// rate is an exponentially decaying sum, in events per millisecond.
 	rate struct {
-		timeConstant clock.Millis // time constant
+		timeConstant clock.Millis
 		value        float64
 		at           clock.Millis
 	}
--- a/internal/sched/reopening_test.go
+++ b/internal/sched/reopening_test.go
@@ -10,9 +10,9 @@
 	"alderdyke/pkg/refusal"
 )
 
-// closures are the ways in which the only engine of a role stops taking work for a
+// closedCases are the ways in which the only engine of a role stops taking work for a
 // while although it is listed, fit and reporting.
-var closures = []struct {
+var closedCases = []struct {
 	name         string
 	server       string
 	reopensAfter clock.Millis // when a report reopens it, if it is alive
@@ -54,8 +54,8 @@
 
 // A request that can wait isn't refused because the only engine of a role takes nothing
 // for a second, whether the request is new or the next attempt of one that was lost.
-func TestOnlyEngineThatComesBackIsWaitedFor(t *testing.T) {
-	for _, tc := range closures {
+func TestRequestWaitsForOnlyEngineToReopen(t *testing.T) {
+	for _, tc := range closedCases {
 		for _, attempt := range []int{0, 2} {
 			t.Run(tc.name, func(t *testing.T) {
 				fx := newFixture(1, 1, 4)
@@ -84,7 +84,7 @@
 // A request whose target passes before the engine reopens is refused at once, with the
 // time until then as RetryAfter.
 func TestRequestThatCannotWaitForTheOnlyEngineIsRefused(t *testing.T) {
-	for _, tc := range closures {
+	for _, tc := range closedCases {
 		if tc.reopensAfter == 0 {
 			continue
 		}
@@ -119,8 +119,8 @@
 
 // An engine that is expected to reopen but doesn't keeps no quick request queued beyond
 // its target.
-func TestOnlyEngineThatStaysAwayHoldsNobodyBeyondTheTarget(t *testing.T) {
-	for _, tc := range closures {
+func TestNoRequestWaitsBeyondItsTargetForOnlyEngine(t *testing.T) {
+	for _, tc := range closedCases {
 		if tc.reopensAfter == 0 {
 			continue
 		}
--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -205,7 +205,7 @@
 		}
 		return
 	}
-	at := sm.least()
+	at := sm.leastLoaded()
 	if at == nil || rn.attemptsLeft == 0 {
 		if rn.try == 0 {
 			sm.after(500, func() { sm.arrive(rn.req, 1) })
@@ -244,7 +244,7 @@
 	})
 }
 
-func (sm *sim) least() *simEngine {
+func (sm *sim) leastLoaded() *simEngine {
 	var least *simEngine
 	for _, en := range sm.engines {
 		if !en.isDown && (least == nil || len(en.runs) < len(least.runs)) {
@@ -347,7 +347,7 @@
 }
 
 // The test above fails if a part of the detection is removed.
-func TestMutationsOfTheSearchAreCaught(t *testing.T) {
+func TestMutationsOfDetectionAreCaught(t *testing.T) {
 	for name, ru := range map[string]variant{
 		"refuses too late":        {refuse: 6, crashes: 12},
 		"refuses too early":       {refuse: 1},
