--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,10 +1,10 @@
-// Package answer holds the answer of one request while it is made and for as
-// long as its caller may come back for it.
+// Package answer holds the answer of one request while it is produced and for as long
+// as its caller may come back to read it.
 //
-// A [Stream] is a list of events that only grows and ends with exactly one
-// final event: the end of a whole answer or one refusal. Any number of
-// readers follow it from any point, so a caller who lost the connection goes
-// on where the stream broke, and the same key asked twice gets one answer.
+// A [Stream] is an append-only list of events that ends with exactly one final event:
+// the end of a complete answer, or one refusal. Any number of readers can follow it
+// from any event, so a caller that lost its connection resumes where the stream
+// broke, and repeating a key returns the same answer.
 //
 // # Usage
 //
@@ -31,26 +31,25 @@
 	"alderdyke/pkg/refusal"
 )
 
-// tokenEndBytes is the size of a token's end in memory.
+// tokenEndBytes is the memory that the end offset of one token takes.
 const tokenEndBytes = 8
 
 // Kinds of events.
 const (
 	Token   Kind = "Token"   // a piece of a model's answer
-	Whole   Kind = "Whole"   // final: a plain service's answer, whole
+	Whole   Kind = "Whole"   // final: the complete answer of a plain service
 	End     Kind = "End"     // final: a model's answer is complete
-	Refused Kind = "Refused" // final: there is no answer
+	Refused Kind = "Refused" // final: the request has no answer
 )
 
-// ErrPastEnd tells that the answer has its end before the event that a reader
-// waits for.
-var ErrPastEnd = errors.New("the answer has its end already")
+// ErrPastEnd reports that the answer ended before the event that a reader waits for.
+var ErrPastEnd = errors.New("the answer has already ended")
 
 type (
 	// Kind of an event.
 	Kind string
 
-	// Event is one step of an answer. IDs count from 0 without gaps.
+	// Event is one event of an answer. IDs count up from 0 without gaps.
 	Event struct {
 		ID      int
 		Kind    Kind
@@ -58,14 +57,14 @@
 		Refusal refusal.Refusal // of a Refused event
 	}
 
-	// Stream is the answer of one request. Make it with NewStream.
+	// Stream is the answer of one request. Create it with NewStream.
 	//
-	// Tokens lie one behind the other in text, and are not kept as events:
-	// an event takes some hundred bytes beside the few that it carries.
+	// Tokens are stored back to back in text rather than as events, because an event
+	// takes some hundred bytes on top of the few bytes that it carries.
 	Stream struct {
 		mu         sync.Mutex
-		text       []byte // grows only; what was written is never changed
-		ends       []int  // of each token in text
+		text       []byte // append-only; bytes that were written are never changed
+		ends       []int  // end offset in text of each token
 		last       Event  // the final event
 		final      bool
 		watchers   int
@@ -80,53 +79,54 @@
 		once sync.Once
 	}
 
-	// FinishedError tells that a second final event, or an event after the
-	// final one, was dropped.
+	// FinishedError reports that an event after the final one was dropped. That
+	// includes a second final event.
 	FinishedError struct {
 		Kind Kind
 	}
 
-	// OtherAnswerError tells that an event is of another answer than the stream's.
+	// OtherAnswerError reports that an event belongs to another answer than the
+	// stream's.
 	OtherAnswerError struct {
 		ID int // of the event
 	}
 )
 
-// Error says where the answers differ.
+// Error names the first event that differs.
 func (oe OtherAnswerError) Error() string {
-	return fmt.Sprintf("event %d is of another answer", oe.ID)
+	return fmt.Sprintf("event %d belongs to another answer", oe.ID)
 }
 
-// Error says what was dropped.
+// Error names the kind of the dropped event.
 func (fe FinishedError) Error() string {
-	return fmt.Sprintf("answer already has its end; %s event dropped", fe.Kind)
+	return fmt.Sprintf("the answer has already ended: %s event dropped", fe.Kind)
 }
 
-// Final tells whether no event follows one of this kind.
+// Final reports whether an event of this kind ends an answer.
 func (kd Kind) Final() bool { return kd == Whole || kd == End || kd == Refused }
 
 // NewStream makes an empty stream.
 func NewStream() *Stream { return &Stream{changed: make(chan struct{})} }
 
-// OnWatchers sets a function that is called, without locks held, whenever
-// the number of attached readers changed. Set it before the stream is shared.
+// OnWatchers sets a function that is called, with no lock held, whenever the number
+// of attached readers changes. It must be set before the stream is shared.
 func (st *Stream) OnWatchers(fn func(watchers int)) { st.onWatchers = fn }
 
-// Token adds a piece of the answer.
+// Token appends a token of a model's answer.
 func (st *Stream) Token(data []byte) error { return st.add(Event{Kind: Token, Data: data}) }
 
-// End adds the final event of a whole model answer.
+// End appends the final event of a complete model answer.
 func (st *Stream) End(data []byte) error { return st.add(Event{Kind: End, Data: data}) }
 
-// Whole adds a plain service's whole answer.
+// Whole appends the complete answer of a plain service, which is final.
 func (st *Stream) Whole(data []byte) error { return st.add(Event{Kind: Whole, Data: data}) }
 
-// Refuse adds the final event of a request without an answer.
+// Refuse appends the final event of a request that has no answer.
 func (st *Stream) Refuse(rf refusal.Refusal) error {
 	return st.add(Event{Kind: Refused, Refusal: rf})
 }
 
-// Add appends an event that another VM made; its ID must be the next one.
+// Add appends an event that another VM produced. Its ID must be the next one.
 func (st *Stream) Add(ev Event) error {
 	st.mu.Lock()
 	want := st.count()
@@ -140,9 +140,9 @@
 	return st.add(ev)
 }
 
-// AddOrVerify takes an event from one who tells the answer from its start. An event
-// that the stream has already must be the same, else the error is an
-// OtherAnswerError; the next one is added.
+// AddOrVerify takes an event from a source that replays the answer from its start. An
+// event that the stream already has must be identical, otherwise the error is an
+// OtherAnswerError. The next event is appended.
 func (st *Stream) AddOrVerify(ev Event) error {
 	if ev.ID < 0 {
 		return st.Add(ev)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// count is the number of events.
+// count returns the number of events. The lock is held.
 func (st *Stream) count() int {
 	if st.final {
 		return len(st.ends) + 1
@@ -183,7 +183,7 @@
 	return len(st.ends)
 }
 
-// token returns one token's bytes.
+// token returns the bytes of one token. The lock is held.
 func (st *Stream) token(ix int) []byte {
 	begin := 0
 	if ix > 0 {
@@ -197,7 +197,7 @@
 	st.changed = make(chan struct{})
 }
 
-// Len tells how many events the stream holds, and whether the last is final.
+// Len returns the number of events and whether the last one is final.
 func (st *Stream) Len() (events int, final bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -214,7 +214,7 @@
 	return st.last, true
 }
 
-// Tokens returns the pieces of a model's answer so far.
+// Tokens returns the tokens that the stream holds so far.
 func (st *Stream) Tokens() []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -225,15 +225,15 @@
 	return out
 }
 
-// Size returns about how many bytes of memory the events take.
+// Size returns the approximate memory that the events take, in bytes.
 func (st *Stream) Size() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return cap(st.text) + cap(st.ends)*tokenEndBytes + len(st.last.Data)
 }
 
-// Attach starts to follow the stream at the event with the given ID. Every
-// reader must be detached.
+// Attach returns a reader that starts at the event with the given ID. Every reader
+// must be detached.
 func (st *Stream) Attach(from int) *Reader {
 	st.addWatchers(1)
 	return &Reader{st: st, next: from}
@@ -249,11 +249,11 @@
 	}
 }
 
-// Detach ends the reader. More than one call does no harm.
+// Detach ends the reader. Further calls have no effect.
 func (rd *Reader) Detach() { rd.once.Do(func() { rd.st.addWatchers(-1) }) }
 
-// Next waits for the next event. It returns the context's error if that ends
-// first, and ErrPastEnd if the answer has ended without such an event.
+// Next waits for the next event. It returns the context's error if the context ends
+// first, and ErrPastEnd if the answer has ended before that event.
 func (rd *Reader) Next(ctx context.Context) (Event, error) {
 	for {
 		ev, ok, changed := rd.st.eventAt(rd.next)
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -59,7 +59,7 @@
 	assert.NilError(t, st.Add(Event{ID: 1, Kind: End}))
 }
 
-// A token stays as it was while later ones are added.
+// A token must not change while later ones are appended.
 func TestReadersSeeWholeTokensWhileTheStreamGrows(t *testing.T) {
 	const tokens = 2000
 	st := NewStream()
@@ -78,7 +78,7 @@
 	wg.Wait()
 }
 
-// An answer of 278 tokens takes a few objects and not some for each token.
+// An answer of 278 tokens must take a few objects, not some objects for each token.
 func TestAnswerIsSmall(t *testing.T) {
 	st := NewStream()
 	for range 278 {
@@ -102,8 +102,8 @@
 	assert.DeepEqual(t, st.Tokens(), []string{"a", "b", "c"})
 }
 
-// A reader that asked for an event behind the end of an answer waited for as
-// long as its context lasted, because nothing wakes it any more.
+// Guards against a reader that waits until its context ends because it asked for an
+// event past the end of the answer: nothing wakes it after the final event.
 func TestReaderPastTheEndGetsAnError(t *testing.T) {
 	st := NewStream()
 	rd := st.Attach(2)
