--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,13 +1,13 @@
-// Package backend carries one HTTP call to a backend server and says
-// truthfully how it ended.
+// Package backend sends one HTTP call to a backend server and classifies how it
+// ended.
 //
-// A call ends in one of four ways: the server answered; [NotSentError], no
-// byte left this VM; [DeclinedError], the server said that it did not begin;
-// [InDoubtError], everything else. The first two errors are promises that
-// the call did not run. To keep them, a call is never repeated behind its
-// caller's back: its body can't be rewound, redirects are not followed, and
-// calls with an effect get a connection of their own, so that a server which
-// closes an idle connection can't leave a call in doubt.
+// A call ends in one of four ways: the server answered; [NotSentError], no byte left
+// this VM; [DeclinedError], the server reported that it did not begin;
+// [InDoubtError], everything else. The first two errors guarantee that the call did
+// not run. To uphold that guarantee, a call is never repeated without its caller's
+// knowledge: its body can't be rewound, redirects are not followed, and calls with an
+// effect use a fresh connection, so that a server which closes an idle connection
+// can't leave a call in doubt.
 //
 // # Usage
 //
@@ -31,7 +31,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Limits that hold where a field of Limits is zero.
+// Defaults for fields of Limits that are zero, and fixed limits.
 const (
 	DefaultConnections = 256
 	DefaultDialTimeout = 2 * clock.Second
@@ -40,46 +40,46 @@
 	headerBytes        = 64 << 10
 )
 
-// Causes of the errors of a call.
+// Causes of call errors.
 var (
-	// ErrTooLarge tells that a response is larger than its bound.
+	// ErrTooLarge reports that a response exceeds its size limit.
 	ErrTooLarge = errors.New("response is larger than its bound")
-	// ErrBadCall tells that a call can't be sent as it is written.
+	// ErrBadCall reports that a call can't be sent as it is written.
 	ErrBadCall = errors.New("call can't be sent as it is written")
-	// ErrWithheld tells that Allowed of a call said no.
+	// ErrWithheld reports that Allowed of a call returned false.
 	ErrWithheld = errors.New("call may not be sent any more")
-	// ErrBadAnswer tells that what came back can't be read.
+	// ErrBadAnswer reports that a response can't be parsed.
 	ErrBadAnswer = errors.New("answer can't be read")
 )
 
 type (
-	// Limits bounds what the calls of one client may use.
+	// Limits bounds the resources that the calls of one client may use.
 	Limits struct {
-		Connections int          // to one backend server at a time, for each kind of call
-		DialTimeout clock.Millis // until a connection stands
-		// Dial replaces the dialer of TCP connections, such as in a test
-		// with connections in memory.
+		Connections int          // at the same time to one backend server, for each kind of call
+		DialTimeout clock.Millis // until a connection is established
+		// Dial replaces the TCP dialer, for example in a test with in-memory
+		// connections.
 		Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	}
 
 	// Call is one call to a backend server.
 	Call struct {
-		Server  string // ID for errors
-		Name    string // for errors
+		Server  string // server ID for error messages
+		Name    string // call name for error messages
 		Request *http.Request
-		// FreshConnection asks for a connection of its own. It is set on every call
-		// that has an effect.
+		// FreshConnection makes the call use a connection of its own. It is set on
+		// every call that has an effect.
 		FreshConnection bool
-		// Allowed is asked as the last thing before the first byte is written,
-		// when the connection stands. If it says no, the call ends in a
-		// NotSentError that unwraps to ErrWithheld. Nil always says yes.
+		// Allowed is called last, when the connection is established and before the
+		// first byte is written. If it returns false, the call ends in a NotSentError
+		// that unwraps to ErrWithheld. Nil allows every call.
 		Allowed func() bool
-		// Incarnations takes note of the server's; nil does not.
+		// Incarnations records the server's incarnation; nil records nothing.
 		Incarnations *Incarnations
 	}
 
-	// HTTP makes the client of an adapter when it is first needed. The zero
-	// HTTP is ready to use.
+	// HTTP creates the HTTP client of an adapter on first use. The zero value is
+	// ready to use.
 	HTTP struct {
 		once sync.Once
 		hc   *http.Client
@@ -87,15 +87,15 @@
 
 	freshConnectionKey struct{}
 
-	// transport sends calls with an effect on fresh connections and all
-	// others on kept ones.
+	// transport sends calls with an effect on fresh connections and all other calls
+	// on kept ones.
 	transport struct {
 		fresh *http.Transport
 		kept  *http.Transport
 	}
 
-	// gatedConn counts the writes of a connection and can be sealed against
-	// further ones.
+	// gatedConn counts the writes of a connection and can be sealed against further
+	// writes.
 	gatedConn struct {
 		net.Conn
 		mu     sync.Mutex
@@ -103,23 +103,23 @@
 		sealed bool
 	}
 
-	// connTracker remembers the connections that a call was given.
+	// connTracker records the connections that a call was given.
 	connTracker struct {
 		mu     sync.Mutex
-		marks  map[*gatedConn]uint64 // writes before the call
-		opaque bool                  // a connection that can't be asked
+		marks  map[*gatedConn]uint64 // write counts before the call
+		opaque bool                  // some connection does not support sealing
 
-		allowed  func() bool // nil: always
+		allowed  func() bool // nil: always allowed
 		withheld bool
 	}
 
-	// oneShotBody hides everything of a body but its reading, so that
-	// net/http can't rewind it.
+	// oneShotBody exposes only the Read method of a body, so that net/http can't
+	// rewind it.
 	oneShotBody struct{ io.Reader }
 )
 
-// NewHTTP makes a client for [Send]. It uses no proxy, follows no redirect
-// and speaks HTTP/1.1 only.
+// NewHTTP creates a client for [Send]. It uses no proxy, follows no redirects and
+// speaks HTTP/1.1 only.
 func NewHTTP(lm Limits) *http.Client {
 	if lm.Connections == 0 {
 		lm.Connections = DefaultConnections
@@ -136,8 +136,8 @@
 	}
 }
 
-// Client returns the client that was given with the first call, or one with the
-// default limits in place of nil. It always returns the same one.
+// Client returns the client that was given in the first call, or one with the default
+// limits if that was nil. It always returns the same client.
 func (ht *HTTP) Client(given *http.Client) *http.Client {
 	ht.once.Do(func() {
 		ht.hc = given
@@ -182,7 +182,7 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Write hands bytes to the connection unless it is sealed.
+// Write writes to the connection unless it is sealed.
 func (gc *gatedConn) Write(data []byte) (int, error) {
 	gc.mu.Lock()
 	if gc.sealed {
@@ -200,8 +200,8 @@
 	return gc.writes
 }
 
-// seal forbids all further writes if there was none since the mark, and
-// tells whether it did.
+// seal forbids all further writes if there was none since the mark, and reports
+// whether it did.
 func (gc *gatedConn) seal(mark uint64) bool {
 	gc.mu.Lock()
 	defer gc.mu.Unlock()
@@ -232,7 +232,7 @@
 	_ = info.Conn.Close() // so that nothing can be written to it
 }
 
-// notSentCause is why a call that was not sent failed.
+// notSentCause returns why a call that was not sent failed.
 func (cr *connTracker) notSentCause(err error) error {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -242,8 +242,8 @@
 	return redact(err, ErrBadCall)
 }
 
-// sealUnwritten seals every connection of the call and tells whether none of
-// them was ever written to for it.
+// sealUnwritten seals every connection of the call and reports whether none of them
+// was written to for this call.
 func (cr *connTracker) sealUnwritten() bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -257,9 +257,9 @@
 	return clean
 }
 
-// Send carries the call and returns the response, whose body the caller must
-// close. A response that declines the call is returned as an error. The
-// context bounds the call and the reading of the body.
+// Send sends the call and returns the response, whose body the caller must close. A
+// response that declines the call is returned as an error. The context bounds the
+// call and the reading of the body.
 //
 // Errors are NotSentError, DeclinedError and InDoubtError.
 func Send(ctx context.Context, hc *http.Client, cl Call) (*http.Response, error) {
@@ -279,13 +279,13 @@
 	}
 	cl.Incarnations.record(cl.Server, rsp.Header)
 	if err := DeclinedBy(cl.Server, cl.Name, rsp); err != nil {
-		_ = rsp.Body.Close() // the headers say all
+		_ = rsp.Body.Close() // the headers hold everything that is needed
 		return nil, err
 	}
 	return rsp, nil
 }
 
-// ReadAll reads a body up to a bound in bytes.
+// ReadAll reads a body of at most bound bytes. A larger one is ErrTooLarge.
 func ReadAll(body io.Reader, bound int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, bound+1))
 	if err != nil {
@@ -300,8 +300,8 @@
 // Close implements [io.Closer].
 func (oneShotBody) Close() error { return nil }
 
-// withoutReplay makes net/http unable to send the request a second time: it repeats
-// only requests without a body, or with one that it can rewind.
+// withoutReplay prevents net/http from sending the request a second time: net/http
+// repeats only requests without a body, or with a body that it can rewind.
 func withoutReplay(req *http.Request) *http.Request {
 	req.GetBody = nil
 	if req.Body == nil || req.Body == http.NoBody {
@@ -311,9 +311,8 @@
 	return req
 }
 
-// redact drops everything of an error that could quote the request's path or
-// the answer, which must not be logged. What is left of an error that it does
-// not know is the fallback.
+// redact removes everything from an error that could quote the request's path or the
+// answer, which must not be logged. An error of an unknown kind becomes the fallback.
 func redact(err, fallback error) error {
 	if ue, ok := errors.AsType[*url.Error](err); ok {
 		err = ue.Err
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -20,7 +20,7 @@
 
 const secret = "prompt-and-answer"
 
-// rawServer hands each connection to fn with its number, counting from 1.
+// rawServer passes each connection, with its number counted from 1, to fn.
 func rawServer(t *testing.T, fn func(num int, cn net.Conn)) string {
 	t.Helper()
 	ls, err := net.Listen("tcp", "127.0.0.1:0")
@@ -133,7 +133,7 @@
 	slow := rawServer(t, func(_ int, cn net.Conn) {
 		_, _ = readRequest(cn)
 		cancel()
-		_, _ = cn.Read(make([]byte, 1)) // until the client hangs up
+		_, _ = cn.Read(make([]byte, 1)) // until the client closes the connection
 	})
 	_, err = Send(ctx, NewHTTP(Limits{}), Call{Request: post(t, slow), FreshConnection: true})
 	oc, _ := OutcomeOf(err)
@@ -141,7 +141,7 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// A connection that was given but never written to carried nothing.
+// A call that was given a connection but wrote nothing to it counts as not sent.
 func TestNothingWrittenIsNotSent(t *testing.T) {
 	got := make(chan int64, 1)
 	addr := rawServer(t, func(_ int, cn net.Conn) {
@@ -149,7 +149,7 @@
 		got <- count
 	})
 	req := post(t, addr)
-	req.ContentLength-- // net/http notices before it flushes
+	req.ContentLength-- // net/http detects the mismatch before it flushes
 	_, err := Send(t.Context(), NewHTTP(Limits{}), Call{Request: req, FreshConnection: true})
 	oc, _ := OutcomeOf(err)
 	assert.Equal(t, oc, NotSent, "%v", err)
@@ -171,8 +171,8 @@
 }
 
 // cutSecondRequest answers the first request of its first connection and cuts that
-// connection on the second, which is what makes net/http repeat requests. It
-// answers everything on later connections.
+// connection on the second request, which makes net/http repeat requests. It answers
+// everything on later connections.
 func cutSecondRequest(t *testing.T, orders *atomic.Int64) string {
 	t.Helper()
 	return rawServer(t, func(num int, cn net.Conn) {
@@ -198,12 +198,12 @@
 			t.Run(fmt.Sprintf("%s with %d bytes", method, len(body)), func(t *testing.T) {
 				var orders atomic.Int64
 				addr := cutSecondRequest(t, &orders)
-				hc := &http.Client{Transport: &http.Transport{}} // keeps connections
+				hc := &http.Client{Transport: &http.Transport{}} // keeps connections alive
 				defer hc.CloseIdleConnections()
 				warm(t, hc, addr)
 				req, err := http.NewRequest(method, "http://"+addr+"/order", strings.NewReader(body))
 				assert.NilError(t, err)
-				req.Header.Set("Idempotency-Key", "k1") // asks net/http to repeat
+				req.Header.Set("Idempotency-Key", "k1") // lets net/http repeat the request
 				_, err = Send(t.Context(), hc, Call{Request: req})
 				oc, _ := OutcomeOf(err)
 				assert.Equal(t, oc, InDoubt, "%v", err)
@@ -213,8 +213,8 @@
 	}
 }
 
-// A connection of its own keeps a call out of the doubt that a kept one can
-// leave it in.
+// A fresh connection avoids the doubt that a server leaves a call in when it closes a
+// kept connection.
 func TestFreshConnectionIsNotLeftInDoubt(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		var orders atomic.Int64
@@ -234,8 +234,8 @@
 	}
 }
 
-// The server above does make net/http repeat a request that Send did not
-// shape, so that the test before it can fail.
+// Control for the test above: the same server does make net/http repeat a request
+// that Send did not modify.
 func TestServerProvokesRepetition(t *testing.T) {
 	var orders atomic.Int64
 	addr := cutSecondRequest(t, &orders)
@@ -334,7 +334,7 @@
 	}
 }
 
-// A redirect would carry an order to a server that nobody chose.
+// Following a redirect would send an order to a server that nobody chose.
 func TestRedirectIsNotFollowedWithAnyClient(t *testing.T) {
 	var asked atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
@@ -350,8 +350,8 @@
 	assert.Equal(t, asked.Load(), int64(0))
 }
 
-// A call whose Allowed says no reaches no server, whatever the client is made of;
-// only connections of our own let it say so.
+// A call whose Allowed returns false reaches no server, whatever the client. Only
+// connections of NewHTTP allow reporting it as not sent.
 func TestWithheldCallIsNotSent(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -376,7 +376,7 @@
 	}
 }
 
-// A rest that is garbled does not take a server out for good.
+// A garbled retry-after must not exclude a server indefinitely.
 func TestRetryAfterOf(t *testing.T) {
 	for _, tc := range []struct {
 		err    error
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -6,13 +6,14 @@
 	"sync"
 )
 
-// ServerIncarnationHeader is set by a backend server on each of its responses: a decimal
-// number above zero, higher at each start of the server. It is optional; without it,
-// lives of a server are told apart only by when its address refuses connections.
+// ServerIncarnationHeader is set by a backend server on each of its responses: a
+// positive decimal number that is higher at each start of the server. It is optional;
+// without it, incarnations of a server are told apart only when its address refuses
+// connections.
 const ServerIncarnationHeader = "Alderdyke-Server-Incarnation"
 
-// Incarnations is the latest incarnations that backend servers told. The zero value
-// knows none; its methods may be called at the same time.
+// Incarnations holds the latest incarnation that each backend server reported. The
+// zero value is empty and ready to use; its methods are safe for concurrent use.
 type Incarnations struct {
 	mu       sync.Mutex
 	byServer map[string]reported
@@ -20,25 +21,26 @@
 
 // reported is what a server reported.
 type reported struct {
-	incarnation uint64 // the latest
-	times       uint64
+	incarnation uint64 // the highest
+	times       uint64 // number of reports
 }
 
-// Latest is the incarnation of a server; zero: it told none.
+// Latest returns the latest incarnation of a server, or zero if it reported none.
 func (in *Incarnations) Latest(server string) uint64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.byServer[server].incarnation
 }
 
-// Reports is how often a server told its incarnation.
+// Reports returns how often a server reported its incarnation.
 func (in *Incarnations) Reports(server string) uint64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.byServer[server].times
 }
 
-// FirstMissing tells, once for each server, that nothing is known of it.
+// FirstMissing reports whether nothing is known of a server, and true only once for
+// each server.
 func (in *Incarnations) FirstMissing(server string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -49,7 +51,7 @@
 	return true
 }
 
-// Retain forgets all servers but those that are listed.
+// Retain drops all servers that are not listed.
 func (in *Incarnations) Retain(listed func(server string) bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -60,7 +62,8 @@
 	}
 }
 
-// record reads what a response tells. A late one of an earlier life changes nothing.
+// record stores the incarnation of a response. A late response of an earlier
+// incarnation does not lower the stored one.
 func (in *Incarnations) record(server string, hd http.Header) {
 	incarnation, err := strconv.ParseUint(hd.Get(ServerIncarnationHeader), 10, 64)
 	if in == nil || err != nil || incarnation == 0 {
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -8,8 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// What a server tells of itself with any response is known, also with one that
-// declines the call.
+// The incarnation of any response is recorded, including one that declines the call.
 func TestIncarnations(t *testing.T) {
 	var told string
 	srv := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
@@ -22,7 +21,7 @@
 	defer srv.Close()
 	in := &Incarnations{}
 	assert.Assert(t, in.FirstMissing("e1"))
-	assert.Assert(t, !in.FirstMissing("e1"), "told once")
+	assert.Assert(t, !in.FirstMissing("e1"), "reported once")
 	for _, tt := range []struct {
 		told, path string
 		want       uint64
@@ -32,7 +31,7 @@
 		{"-3", "/", 0},
 		{"7", "/", 7},
 		{"", "/", 7},
-		{"6", "/", 7}, // a late response of an earlier life
+		{"6", "/", 7}, // a late response of an earlier incarnation
 		{"8", "/declined", 8},
 		{"0", "/", 8},
 	} {
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -10,47 +10,46 @@
 	"alderdyke/pkg/clock"
 )
 
-// Headers in which a backend server says that it did not begin a call.
+// Headers with which a backend server reports that it did not begin a call.
 const (
-	// DeclinedHeader holds the Reason. It counts only beside a status of 400
-	// or more.
+	// DeclinedHeader holds the Reason. It counts only with a status of 400 or higher.
 	DeclinedHeader = "Alderdyke-Declined"
-	// RetryAfterHeader holds a span such as "250ms" after which the call may
-	// be tried again.
+	// RetryAfterHeader holds a duration such as "250ms" after which the call may be
+	// retried.
 	RetryAfterHeader = "Alderdyke-Retry-After"
 )
 
 // Reasons for which a backend server declines a call.
 const (
-	Full           Reason = "Full"           // no memory slot or no room in the queue
-	Leaving        Reason = "Leaving"        // takes no new work
-	StaleFence     Reason = "StaleFence"     // carries an old fencing number
-	NoKV           Reason = "NoKV"           // the KV cache is not kept, or not kept any more
-	TransferFailed Reason = "TransferFailed" // the KV cache did not arrive whole; nothing is held
-	Cancelled      Reason = "Cancelled"      // the request was cancelled before
+	Full           Reason = "Full"           // no memory slot, or no room in the queue
+	Leaving        Reason = "Leaving"        // accepts no new work
+	StaleFence     Reason = "StaleFence"     // the call has an outdated fencing token
+	NoKV           Reason = "NoKV"           // the KV cache is not kept, or no longer kept
+	TransferFailed Reason = "TransferFailed" // the KV cache did not arrive complete; nothing is held
+	Cancelled      Reason = "Cancelled"      // the request was cancelled earlier
 	WrongRole      Reason = "WrongRole"      // the engine has the other role
 	Unknown        Reason = "Unknown"        // the server does not know the request
-	Unauthorized   Reason = "Unauthorized"   // the token is wrong
-	BadOrder       Reason = "BadOrder"       // the call can't be read
-	Refused        Reason = "Refused"        // the server takes no call at present
-	// Duplicate tells that an earlier call with the same request and attempt
-	// was taken. What became of it is not said, so it is reported as an
+	Unauthorized   Reason = "Unauthorized"   // the token is invalid
+	BadOrder       Reason = "BadOrder"       // the call can't be parsed
+	Refused        Reason = "Refused"        // the server accepts no calls at present
+	// Duplicate reports that an earlier call with the same request and attempt was
+	// accepted. The outcome of that call is not known, so it is reported as an
 	// InDoubtError.
 	Duplicate Reason = "Duplicate"
 	// Other stands for every reason that is not in this list.
 	Other Reason = "Other"
 )
 
-// Kinds of outcome, which are also the values of the Outcome tag of counters.
+// Kinds of outcome. They are also the values of the Outcome tag of counters.
 const (
 	Done     Outcome = "Done"     // the server answered
 	NotSent  Outcome = "NotSent"  // no byte of the call left this VM
-	Declined Outcome = "Declined" // the server said that it did not begin
-	InDoubt  Outcome = "InDoubt"  // whether the call had its effect can't be known
+	Declined Outcome = "Declined" // the server reported that it did not begin
+	InDoubt  Outcome = "InDoubt"  // whether the call had its effect is unknown
 )
 
-// maxRetryAfter bounds the rest that a server is given: a word that was garbled must not
-// take it out for good.
+// maxRetryAfter limits how long a server is left without calls: a garbled value must
+// not exclude it indefinitely.
 const maxRetryAfter = 5 * clock.Minute
 
 var knownReasons = map[Reason]bool{
@@ -60,22 +59,22 @@
 }
 
 type (
-	// Reason tells why a backend server declined a call.
+	// Reason is why a backend server declined a call.
 	Reason string
 
-	// Outcome is one of the ways in which a call can end.
+	// Outcome is how a call ended.
 	Outcome string
 
-	// NotSentError tells that no byte of the call was handed to a
-	// connection: it did not run.
+	// NotSentError reports that no byte of the call was written to a connection: it
+	// did not run.
 	NotSentError struct {
 		Server string
 		Call   string
 		Err    error
 	}
 
-	// DeclinedError tells that the server itself said that it did not begin
-	// the call: it did not run, and the server holds nothing for it.
+	// DeclinedError reports that the server answered that it did not begin the call:
+	// it did not run, and the server holds nothing for it.
 	DeclinedError struct {
 		Server     string
 		Call       string
@@ -83,13 +82,13 @@
 		RetryAfter clock.Millis // zero if the server named none
 	}
 
-	// InDoubtError tells that the call may have had its effect: bytes may
-	// have left, and no whole answer came back.
+	// InDoubtError reports that the call may have had its effect: bytes may have been
+	// sent, and no complete answer came back.
 	InDoubtError struct {
 		Server string
 		Call   string
-		Status int    // HTTP status, if one came
-		Reason Reason // what the server said, if it said something
+		Status int    // zero if there was none
+		Reason Reason // empty if the server gave none
 		Err    error
 	}
 )
@@ -125,8 +124,8 @@
 // Unwrap returns the cause, if there is one.
 func (ie InDoubtError) Unwrap() error { return ie.Err }
 
-// OutcomeOf tells the outcome that an error stands for. An error of another
-// kind counts as in doubt.
+// OutcomeOf returns the outcome and the reason that an error stands for. An error of
+// an unknown kind counts as in doubt.
 func OutcomeOf(err error) (Outcome, Reason) {
 	if err == nil {
 		return Done, ""
@@ -141,8 +140,8 @@
 	return InDoubt, ie.Reason
 }
 
-// Count counts the outcome of a call by its reason and returns it. A nil
-// scope counts nothing.
+// Count counts the outcome of a call by its reason and returns it. A nil scope counts
+// nothing.
 func Count(scope tally.Scope, counter, call string, err error) Outcome {
 	oc, rs := OutcomeOf(err)
 	if scope != nil {
@@ -152,21 +151,21 @@
 	return oc
 }
 
-// NotRun tells whether an error promises that the call did not run.
+// NotRun reports whether an error guarantees that the call did not run.
 func NotRun(err error) bool {
 	oc, _ := OutcomeOf(err)
 	return oc == NotSent || oc == Declined
 }
 
-// RetryAfterOf is the server that declined a call and how long it wants to get nothing more
-// from this VM; zero: it asked for no rest.
+// RetryAfterOf returns the server that declined a call and how long this VM is to
+// send it nothing; zero if the server asked for no pause.
 func RetryAfterOf(err error) (server string, span clock.Millis) {
 	de, _ := errors.AsType[DeclinedError](err)
 	return de.Server, min(de.RetryAfter, maxRetryAfter)
 }
 
-// DeclinedBy reads whether a response declines the call. It returns nil if
-// the response does not say so, and an InDoubtError for a duplicate.
+// DeclinedBy returns the error of a response that declines the call, nil if it does
+// not decline it, and an InDoubtError for a duplicate.
 func DeclinedBy(server, call string, rsp *http.Response) error {
 	said := Reason(rsp.Header.Get(DeclinedHeader))
 	if said == "" || rsp.StatusCode < http.StatusBadRequest {
