--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,11 +1,11 @@
-// Package engine speaks to model engines over HTTP.
+// Package engine is the HTTP client of model engines.
 //
-// Orders and answers are JSON documents, token streams are one JSON document
-// a line. Each call ends in one of the outcomes of package backend: done,
-// [NotSentError], [DeclinedError] or [InDoubtError]; only the last leaves
-// open whether the engine did something. An order is never sent twice by the
-// client. The engine knows a run by its request and attempt, so that after an
-// InDoubtError a cancel order, or [Client.Running], settles the matter.
+// Orders and answers are JSON documents; token streams are one JSON document per
+// line. Each call ends in one of the outcomes of package backend: done,
+// [NotSentError], [DeclinedError] or [InDoubtError]. Only the last leaves open
+// whether the engine did something. The client never sends an order twice. The engine
+// identifies a run by its request and attempt, so after an InDoubtError a cancel
+// order, or [Client.Running], resolves the doubt.
 //
 // # Usage
 //
@@ -39,56 +39,56 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds of what is read from an engine, in bytes.
+// Size limits of what is read from an engine, in bytes.
 const (
 	documentBytes = 64 << 10
 	listBytes     = 4 << 20
 	lineBytes     = 64 << 10
 )
 
-// ErrStatus tells that an engine answered with a status that is neither
-// success nor a decline.
+// ErrStatus reports that an engine answered with a status that is neither success nor
+// a decline.
 var ErrStatus = errors.New("unexpected HTTP status")
 
 type (
-	// NotSentError tells that no byte of the call left this VM.
+	// NotSentError reports that no byte of the call left this VM.
 	NotSentError = backend.NotSentError
-	// DeclinedError tells that the engine said that it did not begin.
+	// DeclinedError reports that the engine answered that it did not begin.
 	DeclinedError = backend.DeclinedError
-	// InDoubtError tells that the call may have had its effect.
+	// InDoubtError reports that the call may have had its effect.
 	InDoubtError = backend.InDoubtError
 
-	// Client speaks to all model engines. Set the fields before the first
-	// call; its methods may be called at the same time.
+	// Client calls all model engines. Set the fields before the first call; its
+	// methods are safe for concurrent use.
 	Client struct {
-		HTTP  *http.Client // made by backend.NewHTTP; nil makes one
-		Self  board.VMRef  // on whose behalf orders are given
+		HTTP  *http.Client // from backend.NewHTTP; nil creates one
+		Self  board.VMRef  // the VM that orders are sent for
 		Token string       // bearer token; empty sends none
 		Scope tally.Scope  // nil counts nothing
 		Log   event.Logger
 		Clock clock.Source // nil is the boot clock
-		// Incarnations takes note of the engines'; nil does not.
+		// Incarnations records the engines' incarnations; nil records nothing.
 		Incarnations *backend.Incarnations
 
 		httpClient backend.HTTP
 	}
 
-	// call is one exchange with an engine.
+	// call is one request to an engine and its response.
 	call struct {
 		srv             board.BackendServer
 		name            string
-		request         string // that it is about; empty: none
+		request         string // the request that the call concerns; empty: none
 		method          string
 		path            string
 		query           url.Values
 		body            any  // nil for reads
-		freshConnection bool // on a connection of its own, as all that is no read
+		freshConnection bool // use a connection of its own, as every call that is not a read does
 		allowed         func() bool
 	}
 )
 
-// Prefill has a prompt computed and waits for it. When the context ends
-// first, the engine goes on until it is cancelled.
+// Prefill has an engine compute a prompt and waits until it has. If the context ends
+// first, the engine continues until it is cancelled.
 func (ec *Client) Prefill(ctx context.Context, srv board.BackendServer, od PrefillOrder) (PrefillResult, error) {
 	var out PrefillResult
 	cl := call{srv: srv, name: "Prefill", request: od.Request, method: http.MethodPost, path: PrefillPath, body: od}
@@ -98,9 +98,9 @@
 	return out, nil
 }
 
-// Import has a decode engine fetch a KV cache and waits until it is there.
-// When the context ends first, the engine goes on, and holds the memory slot
-// until it is cancelled. After a DeclinedError it holds nothing.
+// Import has a decode engine fetch a KV cache and waits until it has arrived. If the
+// context ends first, the engine continues, and holds the memory slot until it is
+// cancelled. After a DeclinedError it holds nothing.
 func (ec *Client) Import(ctx context.Context, srv board.BackendServer, od ImportOrder) error {
 	cl := call{srv: srv, name: "Import", request: od.Request, method: http.MethodPost, path: ImportPath, body: od}
 	if err := ec.exchangeDocument(ctx, cl, documentBytes, nil); err != nil {
@@ -109,32 +109,31 @@
 	return nil
 }
 
-// Decode starts the generation of tokens and returns their stream, which must
-// be closed. The context bounds the opening only. Closing the stream does not
-// end the decode: it goes on, and can be resumed, until it is complete or
-// cancelled.
+// Decode starts the generation of tokens and returns their stream, which must be
+// closed. The context bounds only the opening. Closing the stream does not end the
+// decode: it continues, and can be resumed, until it is complete or cancelled.
 func (ec *Client) Decode(ctx context.Context, srv board.BackendServer, od DecodeOrder) (*Stream, error) {
 	cl := call{srv: srv, name: "Decode", request: od.Request, method: http.MethodPost, path: DecodePath, body: od}
 	st, err := ec.openStream(ctx, cl, od.From)
 	if err != nil {
 		return nil, fmt.Errorf("decode request %s: %w", od.Request, err)
 	}
-	if st.Attempt != od.Attempt { // tokens of another run are no answer to this order
+	if st.Attempt != od.Attempt { // tokens of another run do not answer this order
 		st.Close()
 		return nil, fmt.Errorf("decode request %s: %w", od.Request, cl.inDoubt(backend.ErrBadAnswer))
 	}
 	return st, nil
 }
 
-// Resume opens the stream of a request's newest attempt at the token with
-// the given index. It starts nothing; from then on the decode runs for this
-// VM. The context bounds the opening only.
+// Resume opens the stream of a request's newest attempt at the token with the given
+// index. It starts nothing; from then on the decode runs on behalf of this VM. The
+// context bounds only the opening.
 func (ec *Client) Resume(ctx context.Context, srv board.BackendServer, request string, from int) (*Stream, error) {
 	return ec.resume(ctx, srv, request, from, true)
 }
 
-// Follow is [Client.Resume] for a VM that only reads: the decode goes on for
-// the VM that it ran for.
+// Follow is [Client.Resume] for a VM that only reads: the decode keeps running on
+// behalf of the VM that it ran for.
 func (ec *Client) Follow(ctx context.Context, srv board.BackendServer, request string, from int) (*Stream, error) {
 	return ec.resume(ctx, srv, request, from, false)
 }
@@ -149,15 +148,15 @@
 	return st, nil
 }
 
-// Cancel ends a request for good at one engine: it frees whatever the engine
-// holds of any attempt, and has every later order of the request declined.
-// It is idempotent.
+// Cancel ends a request permanently at one engine: it frees whatever the engine holds
+// of any attempt, and makes the engine decline every later order of the request. It
+// is idempotent.
 func (ec *Client) Cancel(ctx context.Context, srv board.BackendServer, request string) error {
 	return ec.CancelAttempt(ctx, srv, request, AllAttempts)
 }
 
-// CancelAttempt is [Client.Cancel] for the attempts up to the given one, so
-// that a later attempt can still use the engine.
+// CancelAttempt is [Client.Cancel] for the attempts up to the given one, so that a
+// later attempt can still use the engine.
 func (ec *Client) CancelAttempt(ctx context.Context, srv board.BackendServer, request string, attempt int) error {
 	od := CancelOrder{Request: request, Attempt: attempt}
 	cl := call{srv: srv, name: "Cancel", request: od.Request, method: http.MethodPost, path: CancelPath, body: od}
@@ -168,7 +167,7 @@
 	return nil
 }
 
-// Load returns the engine's last report of itself.
+// Load returns the engine's last load report.
 func (ec *Client) Load(ctx context.Context, srv board.BackendServer) (board.LoadReport, error) {
 	var doc LoadDoc
 	cl := call{srv: srv, name: "Load", method: http.MethodGet, path: LoadPath}
@@ -182,7 +181,7 @@
 	}, nil
 }
 
-// Ping asks the engine whether it is there, on a connection of its own.
+// Ping checks that the engine answers, on a connection of its own.
 func (ec *Client) Ping(ctx context.Context, srv board.BackendServer) error {
 	cl := call{srv: srv, name: "Ping", method: http.MethodGet, path: LoadPath, freshConnection: true}
 	if err := ec.exchangeDocument(ctx, cl, documentBytes, nil); err != nil {
@@ -191,7 +190,7 @@
 	return nil
 }
 
-// Running lists what the engine holds, and for whom.
+// Running lists the runs that the engine holds, and the VM of each.
 func (ec *Client) Running(ctx context.Context, srv board.BackendServer) ([]Running, error) {
 	var doc RunningReport
 	cl := call{srv: srv, name: "Running", method: http.MethodGet, path: RunningPath}
@@ -201,8 +200,8 @@
 	return doc.Runs, nil
 }
 
-// CacheEvents returns the cache events from the given number on, and where
-// to go on.
+// CacheEvents returns the cache events from the given number on, and the number to
+// continue at.
 func (ec *Client) CacheEvents(ctx context.Context, srv board.BackendServer, from uint64) (CacheEvents, error) {
 	var doc CacheEvents
 	qy := url.Values{"From": {strconv.FormatUint(from, 10)}}
@@ -213,16 +212,16 @@
 	return doc, nil
 }
 
-// Order changes the engine itself. Orders are idempotent, so that one in
-// doubt can be given again with the same fencing number.
+// Order changes the engine itself. Orders are idempotent, so an order in doubt can be
+// sent again with the same fencing token.
 func (ec *Client) Order(ctx context.Context, srv board.BackendServer, od Order) (OrderResult, error) {
 	return ec.OrderIf(ctx, srv, od, nil)
 }
 
-// OrderIf is [Client.Order] for one who must still hold a lease: may is asked
-// as the last thing before the first byte leaves, when the order is ready and
-// the connection stands. If it says no, the error is a NotSentError that
-// unwraps to backend.ErrWithheld.
+// OrderIf is [Client.Order] for a sender that must still hold a lease: may is called
+// last, when the order is ready and the connection is established, before the first
+// byte is sent. If it returns false, the error is a NotSentError that unwraps to
+// backend.ErrWithheld.
 func (ec *Client) OrderIf(ctx context.Context, srv board.BackendServer, od Order, may func() bool) (OrderResult, error) {
 	var out OrderResult
 	cl := call{srv: srv, name: "Order", method: http.MethodPost, path: OrderPath, body: od, allowed: may}
@@ -234,7 +233,7 @@
 	return out, nil
 }
 
-// exchangeDocument exchanges one JSON exchangeDocument and counts the outcome.
+// exchangeDocument sends a call, reads one JSON document and counts the outcome.
 func (ec *Client) exchangeDocument(ctx context.Context, cl call, bound int64, out any) error {
 	err := ec.sendAndDecode(ctx, cl, bound, out)
 	ec.count(cl, err)
@@ -260,7 +259,7 @@
 	return nil
 }
 
-// send carries a call and accepts only status 200.
+// send sends a call and accepts only status 200.
 func (ec *Client) send(ctx context.Context, cl call) (*http.Response, error) {
 	req, err := ec.request(ctx, cl)
 	if err != nil {
@@ -274,7 +273,7 @@
 		return nil, err
 	}
 	if rsp.StatusCode != http.StatusOK {
-		_ = rsp.Body.Close() // the status says all
+		_ = rsp.Body.Close() // the status is sufficient
 		return nil, InDoubtError{Server: cl.srv.ID, Call: cl.name, Status: rsp.StatusCode, Err: ErrStatus}
 	}
 	return rsp, nil
@@ -307,8 +306,8 @@
 
 func (ec *Client) now() clock.Millis { return clock.Or(ec.Clock).Now() }
 
-// count counts the outcome of a call by its reason, and logs an order that is
-// in doubt.
+// count counts the outcome of a call by its reason, and logs an order that is in
+// doubt.
 func (ec *Client) count(cl call, err error) {
 	oc := backend.Count(ec.Scope, "EngineCalls", cl.name, err)
 	if oc == backend.InDoubt && cl.body != nil {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -24,7 +24,7 @@
 
 const prompt = "field notes"
 
-// enginePair is a prefill engine p1 and a decode engine d1 in memory.
+// enginePair is an in-memory prefill engine p1 and decode engine d1.
 type enginePair struct {
 	ec       *engine.Client
 	pre, dec *standinengine.Engine
@@ -66,7 +66,7 @@
 	})
 }
 
-// order is one call with an effect, and how to see that effect.
+// order is one call that has an effect, and how to observe the effect.
 type order struct {
 	name    string
 	server  string
@@ -119,7 +119,7 @@
 	}
 }
 
-// Every kind of error is held against the engine's own record of what it did.
+// Checks every kind of error against the engine's own record of what it did.
 func TestOutcomesAgainstHistory(t *testing.T) {
 	faults := []struct {
 		name   string
@@ -163,8 +163,8 @@
 	}
 }
 
-// An order that its sender gave up is still carried out once the engine gets
-// to it, unless a cancel order was handled first.
+// An order whose sender gave up is still executed once the engine reaches it, unless
+// a cancel order was processed first.
 func TestOrderGivenUpIsCarriedOutLater(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		run(t, func(t *testing.T, bn enginePair) {
@@ -207,7 +207,7 @@
 		defer st.Close()
 		soon, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
-		_, err = st.Next(soon) // the first token is 10 ms away
+		_, err = st.Next(soon) // the first token comes after 10 ms
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		var got []string
 		for err = nil; err == nil; {
@@ -283,7 +283,8 @@
 	}
 }
 
-// What an engine answers is bounded, and nothing of it reaches an error.
+// Responses of an engine are limited in size, and none of their text appears in an
+// error.
 func TestBadAnswers(t *testing.T) {
 	for _, text := range []string{"secret", `{"KV":3}`, strings.Repeat(" ", 70_000)} {
 		srv := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
@@ -358,16 +359,16 @@
 	})
 }
 
-// An engine answered an order to decode with the tokens of another attempt of
-// the request. The attempt was read, but held against nothing, so these tokens
-// became the answer.
+// Guards against taking the tokens of another attempt of the request for the answer:
+// the engine may answer a decode order with them, and the attempt must be compared
+// with the order's.
 func TestDecodeTakesOnlyTokensOfItsAttempt(t *testing.T) {
 	for _, tc := range []struct {
 		name, attempt string
 		ok            bool
 	}{
-		{"its own", "2", true},
-		{"an earlier one", "1", false},
+		{"own attempt", "2", true},
+		{"earlier attempt", "1", false},
 		{"none", "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/engine/order_test.go
+++ b/internal/engine/order_test.go
@@ -16,8 +16,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// A holder whose lease ends while the connection is made, as in a pause, is
-// asked after that, and nothing of its order leaves.
+// A lease holder whose lease expires while the connection is being made, for example
+// in a pause, is checked after that, and no byte of its order is sent.
 func TestOrderIfChecksOnceConnected(t *testing.T) {
 	const lease, connects = 5 * clock.Second, 6 * clock.Second
 	for _, tc := range []struct {
@@ -47,7 +47,7 @@
 	}
 }
 
-// slowDial is a client whose connections take longer.
+// slowDial returns a client whose connections take longer to establish.
 func slowDial(nw *standin.Network, pause clock.Millis) *http.Client {
 	return backend.NewHTTP(backend.Limits{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 		time.Sleep(pause.Std())
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -15,25 +15,25 @@
 	"alderdyke/internal/event"
 )
 
-// readAheadTokens is how many tokens a stream reads before they are asked for.
+// readAheadTokens is how many tokens a stream buffers ahead of its reader.
 const readAheadTokens = 16
 
-// Errors of a token stream, found with errors.Is inside an InDoubtError.
+// Errors of a token stream. They are wrapped in an InDoubtError.
 var (
-	// ErrTorn tells that a token is missing, doubled or not a token.
+	// ErrTorn reports that a token is missing, duplicated or malformed.
 	ErrTorn = errors.New("token stream is torn")
-	// ErrEnded tells that the engine ended the stream early, such as after a
+	// ErrEnded reports that the engine ended the stream early, for example after a
 	// cancel order.
 	ErrEnded = errors.New("engine ended the stream early")
-	// ErrStreamClosed tells that Close was called.
+	// ErrStreamClosed reports that Close was called.
 	ErrStreamClosed = errors.New("token stream is closed")
 )
 
 type (
-	// Stream is the token stream of one decode. Next is called by one
-	// goroutine at a time; Close may be called from any.
+	// Stream is the token stream of one decode. Next must not be called concurrently;
+	// Close may be called from any goroutine.
 	Stream struct {
-		Attempt int // whose tokens these are
+		Attempt int // that the tokens belong to
 
 		cl     call
 		log    event.Logger
@@ -50,8 +50,8 @@
 	}
 )
 
-// openStream opens a token stream. The context bounds only the time until the
-// engine has answered.
+// openStream opens a token stream. The context bounds only the time until the engine
+// has answered.
 func (ec *Client) openStream(ctx context.Context, cl call, from int) (*Stream, error) {
 	st, err := ec.connectStream(ctx, cl, from)
 	ec.count(cl, err)
@@ -66,7 +66,7 @@
 		cancel()
 		return nil, err
 	}
-	if !stop() { // the context ended just now, so the body is lost
+	if !stop() { // the context has just ended, so the body is lost
 		_ = rsp.Body.Close()
 		return nil, cl.inDoubt(ctx.Err())
 	}
@@ -84,10 +84,10 @@
 	return st, nil
 }
 
-// Next waits for the next token. When the context ends first, its error is
-// returned and the stream stays usable. After the last token Next returns
-// io.EOF, and after Close it may return ErrStreamClosed. Any other error is an
-// InDoubtError and ends the stream; [Client.Resume] may go on from there.
+// Next waits for the next token. If the context ends first, its error is returned and
+// the stream stays usable. After the last token Next returns io.EOF, and after Close
+// it may return ErrStreamClosed. Any other error is an InDoubtError and ends the
+// stream; [Client.Resume] can continue from there.
 func (st *Stream) Next(ctx context.Context) (Token, error) {
 	if st.endErr != nil {
 		return Token{}, st.endErr
@@ -107,7 +107,7 @@
 	}
 }
 
-// Close drops the connection. The decode goes on at the engine.
+// Close closes the connection. The decode continues at the engine.
 func (st *Stream) Close() {
 	st.once.Do(func() {
 		close(st.closed)
@@ -115,7 +115,7 @@
 	})
 }
 
-// read parses lines into items until the answer is complete or broken.
+// read parses lines into items until the answer is complete or the stream breaks.
 func (st *Stream) read(rsp *http.Response, from int) {
 	defer st.cancel()
 	defer rsp.Body.Close()
@@ -150,12 +150,12 @@
 	return ParseToken(sc.Bytes(), want)
 }
 
-// ParseToken reads one line of a token stream and holds its index against
-// the one that is due.
+// ParseToken parses one line of a token stream and checks its index against the
+// expected one.
 func ParseToken(line []byte, want int) (Token, error) {
 	var tok Token
 	if err := json.Unmarshal(line, &tok); err != nil {
-		// The cause would quote the answer.
+		// The cause is left out because it would quote the answer.
 		return Token{}, fmt.Errorf("token %d is no JSON document: %w", want, ErrTorn)
 	}
 	if tok.Ended != "" {
@@ -167,7 +167,7 @@
 	return tok, nil
 }
 
-// knownReason keeps free text of an engine out of errors.
+// knownReason keeps free text from an engine out of errors.
 func knownReason(said string) backend.Reason {
 	switch rs := backend.Reason(said); rs {
 	case backend.Cancelled, backend.Leaving:
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -6,7 +6,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Paths of an engine's calls.
+// Paths of the calls to an engine.
 const (
 	PrefillPath     = "/prefill"
 	ImportPath      = "/import"
@@ -20,20 +20,20 @@
 	KVPath          = "/kv" // between engines
 )
 
-// Headers of every call.
+// Headers of the calls.
 const (
-	VMHeader          = "Alderdyke-VM"          // ID of the VM that gives the order
+	VMHeader          = "Alderdyke-VM"          // ID of the VM that sends the order
 	IncarnationHeader = "Alderdyke-Incarnation" // of that VM, a decimal number
-	AttemptHeader     = "Alderdyke-Attempt"     // in answers that are streams: whose tokens follow
+	AttemptHeader     = "Alderdyke-Attempt"     // in responses that are streams: the attempt of the tokens that follow
 )
 
-// Stages of a run that scheduling does not tell apart.
+// Stages of a run that scheduling does not distinguish.
 const (
 	Queued   sched.Stage = "Queued"   // waits for its prefill; holds nothing but its prompt
 	Imported sched.Stage = "Imported" // the KV cache is in memory and its decode has not begun
 )
 
-// Kinds of orders to an engine itself.
+// Kinds of orders that change an engine.
 const (
 	LoadModel   OrderKind = "LoadModel"
 	LoadAdapter OrderKind = "LoadAdapter"
@@ -47,75 +47,74 @@
 	Evicted CacheKind = "Evicted"
 )
 
-// AllAttempts in a cancel order ends a request for good: no attempt of it is
-// taken any more.
+// AllAttempts in a cancel order ends a request permanently: no attempt of it is
+// accepted any more.
 const AllAttempts = 1<<31 - 1
 
 type (
-	// OrderKind tells what an Order changes.
+	// OrderKind is what an Order changes.
 	OrderKind string
 
-	// CacheKind tells what became of a cached prefix.
+	// CacheKind is what happened to a cached prefix.
 	CacheKind string
 
-	// PrefillOrder asks a prefill engine to compute a prompt.
+	// PrefillOrder orders a prefill engine to compute a prompt.
 	PrefillOrder struct {
 		Request      string
 		Customer     string
 		Attempt      int
-		Quick        bool // passes patient work in the queue
+		Quick        bool // overtakes patient work in the queue
 		Prompt       string
 		PromptTokens int
-		// Answered is the output tokens that an attempt before made. They
-		// are part of the context, and the decode goes on after them.
+		// Answered holds the output tokens of an earlier attempt. They are part of
+		// the context, and the decode continues after them.
 		Answered []string `json:",omitempty"`
-		Fence    uint64   // fencing number; zero if the sender holds no lease
+		Fence    uint64   // fencing token; zero if the sender holds no lease
 	}
 
-	// PrefillResult tells what was computed.
+	// PrefillResult describes a computed prompt.
 	PrefillResult struct {
-		KV           string // names the KV cache at this engine
+		KV           string // identifies the KV cache at this engine
 		Tokens       int    // of the prompt
 		CachedTokens int    // of these, found in the prefix cache
 		KVBytes      int64
-		KeptFor      clock.Millis // from the answer on, how long the KV cache is kept
+		KeptFor      clock.Millis // how long the KV cache is kept, counted from the response
 	}
 
-	// ImportOrder asks a decode engine to fetch a KV cache. From the order
-	// on the request holds one memory slot, until its decode ends or it is
-	// cancelled.
+	// ImportOrder orders a decode engine to fetch a KV cache. From the order on the
+	// request holds one memory slot, until its decode ends or it is cancelled.
 	ImportOrder struct {
 		Request  string
 		Customer string
 		Attempt  int
-		Quick    bool   // passes patient transfers on the links
-		KV       string // as PrefillResult names it
+		Quick    bool   // overtakes patient transfers on the links
+		KV       string // the KV of PrefillResult
 		From     string // "IP:port" of the prefill engine
 	}
 
-	// DecodeOrder asks a decode engine to generate tokens from an imported
-	// KV cache.
+	// DecodeOrder orders a decode engine to generate tokens from an imported KV
+	// cache.
 	DecodeOrder struct {
 		Request   string
 		Attempt   int
 		MaxTokens int // of the whole answer
-		From      int // index of the first token: how many were Answered
+		From      int // index of the first token: the number of tokens in Answered
 	}
 
-	// CancelOrder frees whatever an engine holds of a request, in any stage,
-	// for all attempts up to the given one, and has later orders of these
-	// attempts declined.
+	// CancelOrder frees whatever an engine holds of a request, in any stage, for all
+	// attempts up to the given one, and makes the engine decline later orders of
+	// these attempts.
 	CancelOrder struct {
 		Request string
 		Attempt int
 	}
 
-	// CancelResult tells how many runs the cancel order ended.
+	// CancelResult holds the number of runs that the cancel order ended.
 	CancelResult struct {
 		Ended int
 	}
 
-	// Token is one piece of an answer. Indexes count from 0 without gaps.
+	// Token is one token of an answer. Indexes count up from 0 without gaps.
 	Token struct {
 		Index int
 		Text  string
@@ -128,9 +127,9 @@
 		Request  string
 		Customer string
 		Attempt  int
-		VM       board.VMRef // for whom
+		VM       board.VMRef // the VM that the run is for
 		Stage    sched.Stage
-		Since    clock.Millis // for how long the engine has held it
+		Since    clock.Millis // how long the engine has held it
 		Slot     bool         // holds a memory slot
 		Tokens   int          // output tokens so far
 	}
@@ -140,34 +139,34 @@
 		Runs []Running
 	}
 
-	// LoadDoc is what an engine reports of itself. It lags.
+	// LoadDoc is an engine's load report. It lags behind.
 	LoadDoc struct {
-		Role      board.Role // at present; empty if the engine does not say
+		Role      board.Role // current role; empty if the engine does not report it
 		Running   int
 		Slots     int
 		Queued    int
 		LinkBytes int64
 		Leaving   bool
-		Age       clock.Millis // how long ago this was true
+		Age       clock.Millis // age of the report
 	}
 
-	// CacheEvent tells of a cached prompt prefix. Events come late and some
-	// never come: a jump in Number shows how many are missing.
+	// CacheEvent reports a change of a cached prompt prefix. Events come late and
+	// some are lost: a gap in Number shows how many are missing.
 	CacheEvent struct {
 		Number uint64
 		Kind   CacheKind
-		Prefix uint64 // hash as Prefixes makes it
-		Tokens int    // that the prefix saves
+		Prefix uint64 // hash as computed by Prefixes
+		Tokens int    // number that the prefix saves
 	}
 
 	// CacheEvents is a page of cache events.
 	CacheEvents struct {
 		Events []CacheEvent
-		Next   uint64 // where the next page starts
+		Next   uint64 // where the next page begins
 	}
 
-	// Order changes the engine itself. It carries a fencing number; engines
-	// that check it decline one lower than the highest they have seen.
+	// Order changes the engine itself. It carries a fencing token; engines that check
+	// it decline one that is lower than the highest they have seen.
 	Order struct {
 		Kind  OrderKind
 		Name  string     // of the model, adapter or version
@@ -175,12 +174,12 @@
 		Fence uint64
 	}
 
-	// OrderResult tells the engine's state after an order.
+	// OrderResult is the engine's state after an order.
 	OrderResult struct {
 		Role     board.Role
 		Model    string
 		Version  string
 		Adapters []string
-		Repeated bool // the order changed nothing: this was the state before
+		Repeated bool // the order changed nothing: the engine was in this state already
 	}
 )
