--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -12,25 +12,25 @@
 	"alderdyke/pkg/clock"
 )
 
-// Ranks of an address; a lower one is better.
+// Ranks of an address; a lower rank is better.
 const (
 	rankNear = iota
 	rankFar
 	rankSuspect
 )
 
-// addressesBody is the answer to a caller that asks which VMs to use.
+// addressesBody is the response to a caller that requests the addresses of VMs.
 type addressesBody struct {
 	Addresses []Address
 	KeepFor   clock.Millis
-	Key       string // a fresh request key, for a caller that has none of its own
+	Key       string // a new request key, for a caller that has none of its own
 }
 
-// Candidates lists the VMs of a fleet that callers may be sent to; none that
-// leaves. Those that are alive in this VM's own region rank best, then the
-// other regions', then those in doubt. A VM that reaches only a minority of
-// the fleet can't tell dead VMs from those beyond a partition, where the
-// majority may be: it ranks those that it can't reach best.
+// Candidates lists the VMs of a fleet that callers may be sent to, without those that
+// leave. VMs that are alive in this VM's own region rank best, then those of other
+// regions, then suspected ones. A VM that reaches only a minority of the fleet can't
+// distinguish dead VMs from those beyond a partition, where the majority may be: it
+// ranks those that it can't reach best.
 func Candidates(fl *board.Fleet) []Address {
 	self, _ := fl.VM(fl.Self.ID)
 	var list []Address
@@ -58,7 +58,7 @@
 	}
 }
 
-// addresses answers which VMs to use.
+// addresses serves the list of VMs that the caller should use.
 func (srv *Server) addresses(wr http.ResponseWriter, req *http.Request) {
 	if _, err := srv.authenticate(req); err != nil {
 		srv.refuse(wr, "", err)
@@ -79,10 +79,10 @@
 	srv.writeWhole(wr, http.StatusOK, body)
 }
 
-// pickAddresses picks up to most addresses for the caller with the given key. Within
-// a rank they are ordered by a hash, so that callers pickAddresses evenly, and the
-// failure domains take turns, so that one that is lost does not take all of
-// a caller's addresses.
+// pickAddresses picks at most the given number of addresses for the caller with the
+// given key. Within a rank they are ordered by a hash, so that callers spread evenly,
+// and failure domains alternate, so that the loss of one does not take all of a
+// caller's addresses.
 func pickAddresses(list []Address, key string, most int) []Address {
 	type place struct {
 		addr Address
--- a/internal/caller/auth.go
+++ b/internal/caller/auth.go
@@ -13,8 +13,8 @@
 
 const maxKeyBytes = 128 // bytes of a request key
 
-// authenticate finds the customer that the API key speaks for. Only hashes of
-// keys are known here; they are compared in constant time.
+// authenticate finds the customer of the API key. Only hashes of keys are stored
+// here; they are compared in constant time.
 func (srv *Server) authenticate(req *http.Request) (template.Template, error) {
 	tps := srv.Board.Templates()
 	if !tps.Ready {
@@ -39,7 +39,7 @@
 	}
 }
 
-// requestKey returns the caller's own key, or makes one.
+// requestKey returns the caller's own key, or generates one.
 func requestKey(hd http.Header) (key string, given bool, err error) {
 	switch keys := hd.Values(headerKey); {
 	case len(keys) == 0:
@@ -51,7 +51,7 @@
 	}
 }
 
-// newKey makes a key of 128 random bits or more.
+// newKey generates a key of at least 128 random bits.
 func newKey() string { return rand.Text() }
 
 func checkKey(key string) error {
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -21,17 +21,17 @@
 const (
 	prefixBytes   = 1 << 10 // of a prompt without system messages, for its PrefixHash
 	maxMessages   = 4096
-	messageTokens = 4 // estimated cost of a message's frame
+	messageTokens = 4 // estimated tokens that frame one message
 )
 
 type (
-	// chatBody is the body of a chat completion request. Fields that are not
-	// named here are ignored, as usual in this protocol.
+	// chatBody is the body of a chat completion request. Other fields are ignored, as
+	// is usual in this protocol.
 	chatBody struct {
 		Model               string        `json:"model"`
 		Messages            []chatMessage `json:"messages"`
 		MaxTokens           *int          `json:"max_tokens"`
-		MaxCompletionTokens *int          `json:"max_completion_tokens"` // the newer name; wins
+		MaxCompletionTokens *int          `json:"max_completion_tokens"` // the newer name; takes precedence
 		Stream              bool          `json:"stream"`
 		Choices             *int          `json:"n"`
 	}
@@ -50,8 +50,8 @@
 	}
 )
 
-// UnmarshalJSON reads both forms of a message's content. A part that is not
-// text is refused rather than dropped.
+// UnmarshalJSON parses both forms of a message's content. A part that is not text is
+// an error instead of being dropped.
 func (cc *chatContent) UnmarshalJSON(data []byte) error {
 	if bytes.Equal(data, []byte("null")) {
 		*cc = ""
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// parseChat reads and checks the body of a chat completion request. Its
-// errors never hold a piece of the body.
+// parseChat parses and validates the body of a chat completion request. Its errors
+// never contain any part of the body.
 func parseChat(data []byte) (chatBody, error) {
 	var cb chatBody
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -119,7 +119,7 @@
 	return cb.MaxTokens
 }
 
-// chat makes the request for a class from the body.
+// chat creates the request for a class from the body.
 func (cb chatBody) chat(cls template.Class) (*Chat, error) {
 	prompt, err := render(cb.Messages)
 	if err != nil {
@@ -142,7 +142,7 @@
 	}, nil
 }
 
-// render writes messages in their canonical form.
+// render returns the messages in their canonical form.
 func render(msgs []chatMessage) (string, error) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
@@ -172,8 +172,8 @@
 	}
 }
 
-// estimateTokens guesses the tokens of a text: four ASCII bytes or four
-// thirds of another character for each.
+// estimateTokens estimates the number of tokens of a text: one token per four ASCII
+// bytes, or per four thirds of any other character.
 func estimateTokens(text string) int {
 	quarters := 0
 	for _, rn := range text {
@@ -186,8 +186,8 @@
 	return (quarters + 3) / 4
 }
 
-// chatClass finds the class of a request to a model service: the one that the
-// header names, or the first of the service.
+// chatClass finds the class of a request to a model service: the one that the header
+// names, or the first class of the service.
 func chatClass(tpl template.Template, service, named string) (template.Class, error) {
 	known := false
 	for _, cls := range tpl.Classes {
@@ -211,7 +211,7 @@
 	}
 }
 
-// deadline returns the class's deadline, or the caller's own if it is shorter.
+// deadline returns the class's deadline, or the caller's own if that is shorter.
 func deadline(hd http.Header, cls template.Class) (clock.Millis, error) {
 	text := hd.Get(headerDeadline)
 	if text == "" {
@@ -231,7 +231,7 @@
 	return digest("chat", class, ch.Model, ch.Prompt, fmt.Sprint(ch.MaxTokens))
 }
 
-// digest hashes parts so that no two different lists of parts collide.
+// digest hashes parts so that different lists of parts have different hash inputs.
 func digest(parts ...string) []byte {
 	sum := sha256.New()
 	for _, part := range parts {
@@ -241,7 +241,7 @@
 	return sum.Sum(nil)
 }
 
-// describeJSONError says what is wrong with a JSON text without quoting it.
+// describeJSONError describes a JSON error without quoting the text.
 func describeJSONError(err error) string {
 	var (
 		syn *json.SyntaxError
@@ -259,7 +259,7 @@
 	}
 }
 
-// chatRequest is the parser of chat completions.
+// chatRequest is the parser of chat completion requests.
 func chatRequest(tpl template.Template, req *http.Request, body []byte) (run Request, streamed bool, err error) {
 	cb, err := parseChat(body)
 	if err != nil {
--- a/internal/caller/client_test.go
+++ b/internal/caller/client_test.go
@@ -12,8 +12,8 @@
 	"alderdyke/pkg/client"
 )
 
-// TestClientResumesThroughTwoServers breaks the client's connection at one VM
-// in the middle of an answer; it goes on at the other one.
+// Breaks the client's connection to one VM in the middle of an answer; the client
+// must continue at the other VM.
 func TestClientResumesThroughTwoServers(t *testing.T) {
 	one := serve(t, nil)
 	two := serve(t, func(rg *rig) {
@@ -26,7 +26,7 @@
 	one.rn.begin = func(_ Request, st *answer.Stream) error { return st.Token([]byte("half ")) }
 	one.rn.mu.Unlock()
 
-	var conn net.Conn // the last that the client opened
+	var conn net.Conn // the latest that the client opened
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		cn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		conn = cn
--- a/internal/caller/handlers.go
+++ b/internal/caller/handlers.go
@@ -16,13 +16,13 @@
 	"alderdyke/pkg/template"
 )
 
-// parser reads a request of a customer. Beside an error it returns what is
-// known so far, of which the class names the refusal.
+// parser parses a request of a customer. Along with an error it returns what it has
+// parsed so far; the class of that labels the refusal.
 type parser func(tpl template.Template, req *http.Request, body []byte) (run Request, streamed bool, err error)
 
-// wrap hands the standard library's response writer to a handler and keeps
-// iris from writing a status after it. The deadline is for what net/http
-// writes by itself, such as "100 Continue"; every other write sets its own.
+// wrap passes the standard library's response writer to a handler and keeps iris from
+// writing a status after it. The deadline covers what net/http writes by itself, such
+// as "100 Continue"; every other write sets its own.
 func (srv *Server) wrap(fn http.HandlerFunc) iris.Handler {
 	return func(ctx iris.Context) {
 		iw := ctx.ResponseWriter()
@@ -33,7 +33,7 @@
 	}
 }
 
-// notFound answers a request that no route takes.
+// notFound answers a request that matches no route.
 func (srv *Server) notFound(wr http.ResponseWriter, _ *http.Request) {
 	srv.refuse(wr, "", refusal.Refusal{
 		Ran: refusal.NotRun, Reason: refusal.UnknownService, Detail: "no such path or method",
@@ -45,12 +45,12 @@
 	srv.serve(wr, req, chatRequest)
 }
 
-// service serves a call of a plain service.
+// service serves a call to a plain service.
 func (srv *Server) service(wr http.ResponseWriter, req *http.Request) {
 	srv.serve(wr, req, serviceRequest)
 }
 
-// serve lets a caller in, reads the request and runs it.
+// serve admits a caller, reads the request and runs it.
 func (srv *Server) serve(wr http.ResponseWriter, req *http.Request, parse parser) {
 	vs, err := srv.admit(req)
 	if err != nil {
@@ -71,7 +71,8 @@
 	srv.run(wr, req, run, streamed)
 }
 
-// run starts a request, or finds the answer that its key has, and delivers it.
+// run starts a request, or finds the answer that its key already has, and delivers
+// it.
 func (srv *Server) run(wr http.ResponseWriter, req *http.Request, run Request, streamed bool) {
 	dl, err := srv.prepare(wr, req, &run)
 	if err != nil {
@@ -91,7 +92,7 @@
 	dl.deliver(st, streamed)
 }
 
-// prepare fills what the headers say into the request.
+// prepare sets the fields of the request that its headers determine.
 func (srv *Server) prepare(wr http.ResponseWriter, req *http.Request, run *Request) (*delivery, error) {
 	after, err := lastEventID(req.Header)
 	if err != nil {
@@ -146,7 +147,8 @@
 	srv.delivery(wr, req, "", key, after).deliver(st, streamed)
 }
 
-// lookUp finds the answer of a key, or the refusal that says it is not kept.
+// lookUp finds the answer of a key. If none is kept, the error is a refusal that says
+// so.
 func (srv *Server) lookUp(ctx context.Context, customer, key string) (*answer.Stream, error) {
 	st, err := srv.Runner.Find(ctx, customer, key)
 	if err != nil {
--- a/internal/caller/limits.go
+++ b/internal/caller/limits.go
@@ -12,53 +12,53 @@
 	"alderdyke/pkg/refusal"
 )
 
-// smallBody is the size up to which a body is let in whatever is held.
+// smallBody is the size up to which a body is accepted regardless of the total held.
 const smallBody = 64 << 10
 
 type (
-	// Limits bounds what callers may hold of this VM. A field that is zero
-	// or below stands for its default, which is given in parentheses.
+	// Limits bounds what callers may use of this VM. A field that is not positive
+	// stands for its default, which is given in parentheses.
 	Limits struct {
 		MaxBody     int64 // bytes of a request body (8 MiB)
-		BodiesHeld  int64 // bytes of all bodies of open requests; small bodies are exempt (64 MiB)
+		BodiesHeld  int64 // bytes of the bodies of all open requests; small bodies are exempt (64 MiB)
 		HeaderBytes int   // bytes of a request's headers (16 KiB)
 
-		HeaderTimeout clock.Millis // from connecting to the last header (10s)
-		BodyGrace     clock.Millis // head start before BodyRate counts (10s)
-		BodyRate      int64        // least bytes a second of a body, on average (1 KiB)
+		HeaderTimeout clock.Millis // from the connection to the last header (10s)
+		BodyGrace     clock.Millis // time before BodyRate is enforced (10s)
+		BodyRate      int64        // minimum average rate of a body, in bytes per second (1 KiB)
 		IdleTimeout   clock.Millis // of a connection between requests (60s)
 
-		// WriteTimeout is how long one event, or 16 KiB of a whole answer,
-		// may take to reach the caller's connection (20s). Sent data may
-		// stay unacknowledged for twice as long; a connection that ends
-		// for that counts as one that its caller left.
+		// WriteTimeout is how long one event, or 16 KiB of a complete answer, may
+		// take to reach the caller's connection (20s). Sent data may stay
+		// unacknowledged for twice as long; a connection that is closed for that
+		// counts as closed by its caller.
 		WriteTimeout clock.Millis
 
-		// HeaderWait is how long the status of a streamed answer is held
-		// back for the first event, so that a refusal has a status of its
-		// own (15s). After that the stream begins with status 200.
+		// HeaderWait is how long the status of a streamed answer is withheld to wait
+		// for the first event, so that a refusal can have a status of its own (15s).
+		// After that the stream begins with status 200.
 		HeaderWait clock.Millis
 
-		// KeepAlive is the time between comments on a silent stream, and
-		// before the first TCP probe of a silent connection (10s).
+		// KeepAlive is the interval of comments on an idle stream, and the idle time
+		// before the first TCP probe of a connection (10s).
 		KeepAlive clock.Millis
 
 		Connections        int // open connections (4096)
-		ConnectionsPerIP   int // of them from one IP address (512)
-		StreamsPerCustomer int // requests of one customer open at this VM (1024)
-		Addresses          int // entries in one answer about addresses (4)
+		ConnectionsPerIP   int // of these, from one IP address (512)
+		StreamsPerCustomer int // open requests of one customer at this VM (1024)
+		Addresses          int // addresses in one response (4)
 
-		// ListLag is how long, in a planned stop, other VMs may still name
-		// this one to callers (5s).
+		// ListLag is how long, during a planned stop, other VMs may still list this
+		// VM to callers (5s).
 		ListLag clock.Millis
 
-		// StopWait bounds how long a planned stop waits for open streams
-		// after the address was let go (15m).
+		// StopWait limits how long a planned stop waits for open streams after the
+		// listener was closed (15m).
 		StopWait clock.Millis
 	}
 
-	// pacedBody reads a body under a deadline that moves with every byte, so
-	// that a body slower than the least rate fails and a steady one never.
+	// pacedBody reads a body under a deadline that every received byte extends, so
+	// that a body below the minimum rate fails and a steady one never does.
 	pacedBody struct {
 		src      io.Reader
 		vs       *visit
@@ -96,8 +96,8 @@
 	}
 }
 
-// readBody reads the whole body, within MaxBody and not slower than BodyRate.
-// Its errors are refusals; nothing of the request has run.
+// readBody reads the whole body, up to MaxBody and at BodyRate or faster. Its errors
+// are refusals; no part of the request has run.
 func (vs *visit) readBody(wr http.ResponseWriter, req *http.Request) ([]byte, error) {
 	lm := vs.srv.limits
 	if req.ContentLength > lm.MaxBody {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Read fails with os.ErrDeadlineExceeded once the body is behind its rate.
+// Read fails with os.ErrDeadlineExceeded once the body falls behind its rate.
 func (pb *pacedBody) Read(buf []byte) (int, error) {
 	earned := time.Duration(float64(pb.received) / float64(pb.rate) * float64(time.Second))
 	if err := pb.rc.SetReadDeadline(pb.start.Add(pb.grace + earned)); err != nil {
@@ -149,17 +149,17 @@
 	return got, err
 }
 
-// slowBodyError tells that a body came below the least rate.
+// slowBodyError reports that a body came below the minimum rate.
 type slowBodyError struct {
-	minRate int64 // bytes a second
+	minRate int64 // bytes per second
 }
 
-// Error says which rate was missed.
+// Error names the rate that was missed.
 func (se slowBodyError) Error() string {
 	return fmt.Sprintf("body slower than %d bytes a second", se.minRate)
 }
 
-// Unwrap returns the refusal that the caller is told.
+// Unwrap returns the refusal that is sent to the caller.
 func (se slowBodyError) Unwrap() error {
 	return badRequest(se.Error()).WithRetryAfter(clock.Second)
 }
--- a/internal/caller/limits_test.go
+++ b/internal/caller/limits_test.go
@@ -116,7 +116,7 @@
 	assert.Assert(t, ln.acquire(one) && !ln.acquire(two))
 }
 
-// halfPipe is a pipe end that passes for a connection with two directions.
+// halfPipe is a pipe end that acts as a connection with two directions.
 type halfPipe struct{ net.Conn }
 
 func (halfPipe) CloseWrite() error { return nil }
@@ -128,21 +128,22 @@
 	got := make([]byte, len(rejectionResponse))
 	_, err := io.ReadFull(here, got)
 	assert.NilError(t, err)
-	_, err = here.Write([]byte("late")) // succeeds only if it is read
+	_, err = here.Write([]byte("late")) // succeeds only if the server reads it
 	assert.NilError(t, err)
 
 	above, other := net.Pipe()
-	ln.reject(halfPipe{above}) // one more than may be told at once
+	ln.reject(halfPipe{above}) // one more than may be rejected at the same time
 	_, err = other.Read(got)
 	assert.ErrorIs(t, err, io.EOF)
 	assert.NilError(t, here.Close())
-	ln.rejecting <- struct{}{} // the first has ended
+	ln.rejecting <- struct{}{} // the first rejection has ended
 }
 
 func TestDisconnectedAndStalledCallersAreDetached(t *testing.T) {
 	rg := serve(t, func(rg *rig) {
-		// Data may stay unacknowledged for twice as long, after which the kernel ends the
-		// connection: the test's machine must not take that long between two events.
+		// Data may stay unacknowledged for twice as long, after which the kernel
+		// closes the connection: the machine that runs the test must not take that
+		// long between two events.
 		rg.Limits = Limits{WriteTimeout: 3 * clock.Second}
 		rg.rn.watcherCounts = make(chan int, 16)
 	})
@@ -156,7 +157,7 @@
 	dialRaw(t, rg, strings.Replace(request, "%", "stalled", 1))
 	assert.Equal(t, <-rg.rn.watcherCounts, 1)
 	piece := []byte(strings.Repeat("x", 1<<20))
-	for range 64 { // far above what the buffers of a socket take
+	for range 64 { // far more than socket buffers hold
 		assert.NilError(t, rg.rn.streams["stalled"].Token(piece))
 	}
 	assert.Equal(t, <-rg.rn.watcherCounts, 0)
--- a/internal/caller/listen.go
+++ b/internal/caller/listen.go
@@ -12,34 +12,34 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds on telling callers above a limit why.
+// Limits of the responses to connections above a limit.
 const (
 	maxRejecting    = 64
 	rejectTimeout   = time.Second
 	rejectReadBytes = 64 << 10
 )
 
-// rejectionBody is the refusal on a connection above a limit.
+// rejectionBody is the refusal that a connection above a limit gets.
 const rejectionBody = `{"error":{"Ran":"NotRun","Reason":"TooManyConnections","RetryAfter":"1s",` +
 	`"Detail":"connection limit of this VM"}}`
 
-// rejectionResponse is the whole response on such a connection.
+// rejectionResponse is the complete response to such a connection.
 var rejectionResponse = []byte("HTTP/1.1 503 Service Unavailable\r\n" +
 	"Alderdyke-Refusal: TooManyConnections\r\n" +
 	"Retry-After: 1\r\nConnection: close\r\nContent-Type: application/json\r\n" +
 	"Content-Length: " + strconv.Itoa(len(rejectionBody)) + "\r\n\r\n" + rejectionBody)
 
 type (
-	// listener accepts no more connections than its limits, in all and from
-	// one IP address; those above are told so and closed. The zero limits
-	// accept nothing.
+	// listener accepts connections up to its limits, in total and from one IP
+	// address. Connections above a limit get a refusal and are closed. The zero
+	// limits accept nothing.
 	listener struct {
 		net.Listener
 		maxOpen    int
 		maxPerIP   int
 		unacked    clock.Millis // how long sent data may stay unacknowledged
 		onRejected func(remote string)
-		rejecting  chan struct{} // one entry for each caller that is being turned away
+		rejecting  chan struct{} // holds one entry for each connection that is being rejected
 		closed     sync.Once
 
 		mu   sync.Mutex
@@ -47,11 +47,11 @@
 		byIP map[netip.Addr]int
 	}
 
-	// halfCloser is a connection whose two directions close apart, such as
-	// *net.TCPConn.
+	// halfCloser is a connection whose two directions can be closed separately, such
+	// as *net.TCPConn.
 	halfCloser interface{ CloseWrite() error }
 
-	// countedConn gives its place back when it is closed.
+	// countedConn releases its place in the limits when it is closed.
 	countedConn struct {
 		net.Conn
 		once    sync.Once
@@ -59,7 +59,7 @@
 	}
 )
 
-// Accept returns the next connection that is within the limits.
+// Accept returns the next connection within the limits.
 func (ln *listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := ln.Listener.Accept()
@@ -105,15 +105,16 @@
 	}
 }
 
-// Close closes the connection and gives its place back once.
+// Close closes the connection and releases its place once.
 func (cc *countedConn) Close() error {
 	err := cc.Conn.Close()
 	cc.once.Do(cc.release)
 	return err
 }
 
-// reject tells the caller why and closes. It reads what the caller sends
-// meanwhile, since a close with unread data would take the answer back.
+// reject sends the refusal and closes the connection. It reads what the caller sends
+// meanwhile, because closing a connection with unread data would discard the
+// response.
 func (ln *listener) reject(conn net.Conn) {
 	select {
 	case ln.rejecting <- struct{}{}:
@@ -134,8 +135,8 @@
 	}()
 }
 
-// Close closes the listener and waits for the callers that are being turned
-// away, for about a second at most.
+// Close closes the listener and waits about a second at most for the connections that
+// are being rejected.
 func (ln *listener) Close() error {
 	err := ln.Listener.Close()
 	ln.closed.Do(func() {
@@ -146,7 +147,7 @@
 	return err
 }
 
-// addrOf is the IP address of the other side, without its port.
+// addrOf returns the remote IP address, without its port.
 func addrOf(conn net.Conn) netip.Addr {
 	ap, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	if err != nil {
--- a/internal/caller/plain.go
+++ b/internal/caller/plain.go
@@ -16,15 +16,15 @@
 const servicesRoot = "/services/"
 
 var (
-	// droppedHeaders headers of a request or an answer: those for one hop, and
-	// those that speak to this VM.
+	// droppedHeaders are not forwarded with a request or an answer: hop-by-hop
+	// headers and those meant for this VM.
 	droppedHeaders = []string{
 		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 		"Authorization", headerKey, textproto.CanonicalMIMEHeaderKey(headerLastID),
 	}
 
-	// volatileHeaders headers may differ between two sendings of one request.
+	// volatileHeaders may differ between two transmissions of one request.
 	volatileHeaders = []string{
 		"User-Agent", "Accept-Encoding", "Date", "Traceparent", "Tracestate", "X-Request-Id",
 	}
@@ -36,15 +36,15 @@
 	}
 )
 
-// PlainAnswer is a plain service's whole answer, as the data of an
-// answer.Whole event.
+// PlainAnswer is the complete answer of a plain service: the data of an answer.Whole
+// event.
 type PlainAnswer struct {
-	Status int // of HTTP
+	Status int // HTTP status
 	Header http.Header
 	Body   []byte
 }
 
-// Encode writes the answer as the data of an answer.Whole event.
+// Encode returns the answer as the data of an answer.Whole event.
 func (pa PlainAnswer) Encode() ([]byte, error) {
 	data, err := json.Marshal(pa)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return data, nil
 }
 
-// DecodePlain reads what Encode wrote. A status that HTTP does not allow for
-// a whole answer is an error.
+// DecodePlain parses the result of Encode. A status that HTTP does not allow for a
+// complete answer is an error.
 func DecodePlain(data []byte) (PlainAnswer, error) {
 	var pa PlainAnswer
 	if err := json.Unmarshal(data, &pa); err != nil {
@@ -66,7 +66,8 @@
 	return pa, nil
 }
 
-// plainRequest makes the request to a plain service from its parts.
+// plainRequest creates the request to a plain service, and returns its unescaped
+// path.
 func plainRequest(req *http.Request, body []byte) (*Plain, string, error) {
 	service, path, err := splitPath(req.URL)
 	if err != nil {
@@ -82,7 +83,7 @@
 	}, clean, nil
 }
 
-// splitPath takes the service and the escaped path after it from the URL.
+// splitPath returns the service and the escaped path after it from the URL.
 func splitPath(at *url.URL) (service, path string, err error) {
 	rest, ok := strings.CutPrefix(at.EscapedPath(), servicesRoot)
 	if !ok {
@@ -95,9 +96,9 @@
 	return service, "/" + path, nil
 }
 
-// checkPath returns the unescaped path. A path that a service could take for
-// another one is refused, because the class, and with it whether the request
-// may be repeated, hangs on the path.
+// checkPath returns the unescaped path. A path that a service could take for another
+// path is refused, because the path determines the class, and so whether the request
+// may be repeated.
 func checkPath(escaped string) (string, error) {
 	path, err := url.PathUnescape(escaped)
 	if err != nil {
@@ -115,8 +116,8 @@
 	return path, nil
 }
 
-// plainClass finds the class of a path: that with the longest prefix. A
-// header that names another class is refused.
+// plainClass finds the class of a path: the one with the longest prefix. A header
+// that names another class is refused.
 func plainClass(tpl template.Template, service, path, named string) (template.Class, error) {
 	var (
 		best   template.Class
@@ -149,14 +150,14 @@
 	return best, nil
 }
 
-// underPrefix tells whether the path is the prefix or lies under it; prefixes
-// end at a slash.
+// underPrefix reports whether the path is the prefix or lies under it. Prefixes match
+// up to a slash.
 func underPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
 
-// forwardedHeaders copies the headers that are meant for the other end.
+// forwardedHeaders copies the headers that are forwarded end to end.
 func forwardedHeaders(hd http.Header) http.Header {
 	out := make(http.Header, len(hd))
 	for name, values := range hd {
@@ -189,8 +190,8 @@
 	return digest(parts...)
 }
 
-// serviceRequest is the parser of calls of plain services, whose answers are
-// never streamed.
+// serviceRequest is the parser of calls to plain services, whose answers are never
+// streamed.
 func serviceRequest(tpl template.Template, req *http.Request, body []byte) (run Request, streamed bool, err error) {
 	pl, path, err := plainRequest(req, body)
 	if err != nil {
--- a/internal/caller/plain_test.go
+++ b/internal/caller/plain_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, resp.StatusCode, http.StatusTeapot)
 	assert.Equal(t, text(t, resp), "full")
 	assert.Equal(t, resp.Header.Get("X-Plant"), "7")
-	assert.Equal(t, resp.Header.Get(headerRefusal), "", "a service can't pretend a refusal")
+	assert.Equal(t, resp.Header.Get(headerRefusal), "", "a service can't fake a refusal")
 	got := rg.rn.started[0]
 	assert.Equal(t, got.Class.Name, "lookup")
 	assert.Equal(t, got.Plain.Path+"?"+got.Plain.Query, "/records/a%20b?q=1")
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -11,10 +11,10 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Headers of this protocol's own.
+// Headers of this protocol.
 const (
 	headerClass    = "Alderdyke-Class"    // request: class by name
-	headerDeadline = "Alderdyke-Deadline" // request: span such as "2s"
+	headerDeadline = "Alderdyke-Deadline" // request: duration such as "2s"
 	headerRefusal  = "Alderdyke-Refusal"  // response: reason; set on every refusal and on nothing else
 	headerKey      = "Idempotency-Key"
 	headerLastID   = "Last-Event-ID"
@@ -48,13 +48,13 @@
 	refusal.TooManyConnections: http.StatusServiceUnavailable,
 }
 
-// errorBody is the JSON of a refusal that has a status of its own.
+// errorBody is the JSON body of a refusal that has its own HTTP status.
 type errorBody struct {
 	Error refusal.Refusal `json:"error"`
 }
 
-// refusalOf finds the refusal that an error wraps. An error that wraps none
-// says nothing about whether the request ran.
+// refusalOf returns the refusal that an error wraps. An error that wraps none leaves
+// open whether the request ran.
 func refusalOf(err error) refusal.Refusal {
 	var rf refusal.Refusal
 	if errors.As(err, &rf) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Status is the HTTP status of a refusal.
+// Status returns the HTTP status of a refusal.
 func Status(rf refusal.Refusal) int {
 	if code, ok := statusOf[rf.Reason]; ok {
 		return code
@@ -74,7 +74,7 @@
 	return http.StatusInternalServerError
 }
 
-// refuse answers with a refusal as the whole response.
+// refuse sends a refusal as the whole response.
 func (srv *Server) refuse(wr http.ResponseWriter, class string, err error) {
 	rf := refusalOf(err)
 	srv.countRefusal(rf, class)
@@ -100,8 +100,8 @@
 	if rf.Reason == refusal.TooLarge || code == http.StatusRequestTimeout {
 		hd.Set("Connection", "close")
 	}
-	// What is left of the body is read by net/http, before or after the
-	// response; that must end, too.
+	// net/http reads the rest of the body, before or after the response. The deadline
+	// bounds that, too.
 	_ = http.NewResponseController(wr).SetReadDeadline(time.Now().Add(srv.limits.BodyGrace.Std()))
 	srv.writeWhole(wr, code, body)
 }
--- a/internal/caller/rig_test.go
+++ b/internal/caller/rig_test.go
@@ -120,7 +120,7 @@
 	return bd
 }
 
-// serve runs a server on loopback until the test ends.
+// serve runs a server on the loopback address until the test ends.
 func serve(t *testing.T, change func(rg *rig)) *rig {
 	t.Helper()
 	rn := &fakeRunner{streams: map[string]*answer.Stream{}}
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -25,40 +25,40 @@
 
 const (
 	answersRoot     = "/v1/answers/"
-	keepAliveProbes = 3 // unanswered TCP keep-alive probes after which a connection is broken
+	keepAliveProbes = 3 // unanswered TCP keep-alive probes after which a connection counts as broken
 )
 
 type (
-	// Server is the callers' side of one VM. Set the exported fields before
-	// Run and leave them alone afterwards.
+	// Server serves the callers of one VM. Set the exported fields before Run and do
+	// not change them afterwards.
 	Server struct {
-		Listen string // "IP:port"; port 0 takes a free one
+		Listen string // "IP:port"; port 0 selects a free one
 		Runner Runner
 		Board  *board.Board
 		Limits Limits
-		Scope  tally.Scope // nil counts nothing
+		Scope  tally.Scope // nil records no metrics
 		Logger event.Logger
 
-		// Linger makes the channel that ends the wait for callers to let go
-		// of the address, in a planned stop. Nil waits for the given span.
+		// Linger returns the channel that ends the wait, during a planned stop, until
+		// no caller uses the address any more. Nil waits for the given duration.
 		Linger func(span clock.Millis) <-chan time.Time
 
 		limits           Limits
 		scope            tally.Scope
-		unknownKeyEvents *rate.Limiter // of events about unknown API keys
-		rejectedEvents   *rate.Limiter // of events about connections turned away
+		unknownKeyEvents *rate.Limiter // limits the events about unknown API keys
+		rejectedEvents   *rate.Limiter // limits the events about rejected connections
 
-		bodyBytes atomic.Int64 // bytes of request bodies held
+		bodyBytes atomic.Int64 // bytes of the request bodies in memory
 
 		mu      sync.Mutex
 		addr    net.Addr
 		ready   chan struct{}
-		streams map[string]int // requests open, by customer
+		streams map[string]int // open requests, by customer
 		open    int
 	}
 )
 
-// Ready is closed once the address is open.
+// Ready is closed once the listener is open.
 func (srv *Server) Ready() <-chan struct{} {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -72,17 +72,17 @@
 	return srv.ready
 }
 
-// Addr is the address that callers connect to; nil before Ready.
+// Addr returns the address that callers connect to, or nil before Ready.
 func (srv *Server) Addr() net.Addr {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return srv.addr
 }
 
-// Run serves callers until the context ends and then stops as planned: the
-// address stays open, and new requests get the Runner's refusal, until no
-// caller can still be holding it; then every open stream goes on to its end,
-// for at most Limits.StopWait. The error tells what broke before that.
+// Run serves callers until the context ends and then performs a planned stop: the
+// listener stays open, and new requests get the Runner's refusal, until no caller can
+// still have the address; then every open stream continues to its end, for at most
+// Limits.StopWait. The error reports a failure before that.
 func (srv *Server) Run(ctx context.Context) error {
 	handler, err := srv.handler()
 	if err != nil {
@@ -131,7 +131,7 @@
 	}, nil
 }
 
-// stop ends a planned stop; see Run.
+// stop performs a planned stop; see Run.
 func (srv *Server) stop(hs *http.Server, served <-chan error) error {
 	hs.SetKeepAlivesEnabled(false)
 	_, keepFor := srv.Runner.Addresses()
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// handler builds the routes. Iris only routes: every handler writes to the
-// standard library's own response writer.
+// handler builds the routes. Iris only routes: every handler writes to the standard
+// library's own response writer.
 func (srv *Server) handler() (http.Handler, error) {
 	srv.limits = srv.Limits.withDefaults()
 	srv.unknownKeyEvents = rate.NewLimiter(rate.Every(time.Second), 1)
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -44,11 +44,11 @@
 		want   refusal.Reason
 	}{
 		"no JSON":         {"{", nil, refusal.BadRequest},
-		"more behind":     {good + "{}", nil, refusal.BadRequest},
+		"trailing data":   {good + "{}", nil, refusal.BadRequest},
 		"no messages":     {`{"model":"rapportmodel"}`, nil, refusal.BadRequest},
 		"two answers":     {strings.Replace(good, "{", `{"n":2,`, 1), nil, refusal.BadRequest},
 		"no tokens":       {strings.Replace(good, "{", `{"max_tokens":0,`, 1), nil, refusal.BadRequest},
-		"picture":         {`{"model":"rapportmodel","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil, refusal.BadRequest},
+		"image part":      {`{"model":"rapportmodel","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil, refusal.BadRequest},
 		"unknown model":   {strings.Replace(good, "rapport", "other", 1), nil, refusal.UnknownService},
 		"plain as model":  {strings.Replace(good, "rapportmodel", "feltapp", 1), nil, refusal.UnknownService},
 		"unknown class":   {good, []string{headerClass, "lookup"}, refusal.UnknownClass},
@@ -88,7 +88,7 @@
 	assert.Assert(t, resp.Close, "connections are not kept")
 	again := rg.chat(t, headerKey, "long")
 	close(linger)
-	for dialable(rg.Addr().String()) { // until the address is let go
+	for dialable(rg.Addr().String()) { // until the listener is closed
 		continue
 	}
 	st := rg.rn.streams["long"]
@@ -130,7 +130,7 @@
 	for ix := range 200 {
 		got := pickAddresses(Candidates(fl), strconv.Itoa(ix), 4)
 		assert.Equal(t, len(got), 3)
-		assert.Equal(t, got[2].Address, "b1", "one in doubt comes last")
+		assert.Equal(t, got[2].Address, "b1", "a suspected VM comes last")
 		first[got[0].Address]++
 	}
 	assert.Assert(t, first["a2"] > 50 && first["c1"] > 50, "%v", first)
@@ -146,7 +146,7 @@
 	assert.ErrorIs(t, <-rg.done, context.DeadlineExceeded)
 	_, err := io.ReadAll(open.Body)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF, "what is cut off must not look whole")
-	rg.done <- nil // taken by halt
+	rg.done <- nil // for halt
 }
 
 func TestAddressInUse(t *testing.T) {
--- a/internal/caller/stream.go
+++ b/internal/caller/stream.go
@@ -21,20 +21,20 @@
 	kindChunk  = "chat.completion.chunk"
 	kindWhole  = "chat.completion"
 	finishStop = "stop"
-	fromStart  = -1       // last event ID of a caller that has seen none
-	writePiece = 16 << 10 // bytes of a whole answer for each write timeout
+	fromStart  = -1       // last event ID of a caller that has received none
+	writePiece = 16 << 10 // bytes of a complete answer that get one write timeout
 )
 
 type (
-	// ChatEnd is the data of an answer.End event. The zero value is an end
-	// with the finish reason "stop" and an unknown count of tokens.
+	// ChatEnd is the data of an answer.End event. The zero value means the finish
+	// reason "stop" and an unknown number of tokens.
 	ChatEnd struct {
 		Tokens       int    // output tokens
 		PromptTokens int    // as the engine counted them
 		FinishReason string // "stop" or "length"
 	}
 
-	// delivery is one caller following one answer.
+	// delivery is one caller that follows one answer.
 	delivery struct {
 		srv         *Server
 		wr          http.ResponseWriter
@@ -45,7 +45,7 @@
 		model       string
 		lastSeen    int    // ID of the last event that the caller has
 		headerSent  bool   // the status was sent
-		partialChar []byte // bytes of a character that is not complete yet
+		partialChar []byte // bytes of an incomplete character
 		text        strings.Builder
 		tokens      int
 	}
@@ -53,7 +53,7 @@
 	chatAnswer struct {
 		ID      string       `json:"id"`
 		Object  string       `json:"object"`
-		Created int64        `json:"created"` // seconds since 1970, when it was sent
+		Created int64        `json:"created"` // time of sending, in seconds since 1970
 		Model   string       `json:"model"`
 		Choices []chatChoice `json:"choices"`
 		Usage   *chatUsage   `json:"usage,omitempty"`
@@ -78,7 +78,7 @@
 	}
 )
 
-// lastEventID reads the header of a caller that comes back.
+// lastEventID parses the header of a caller that reconnects.
 func lastEventID(hd http.Header) (int, error) {
 	text := hd.Get(headerLastID)
 	if text == "" {
@@ -91,14 +91,14 @@
 	return id, nil
 }
 
-// abort breaks the connection, so that the caller can't take what it has for
-// a whole answer.
+// abort breaks the connection, so that the caller can't take what it has for a
+// complete answer.
 func abort() { panic(http.ErrAbortHandler) }
 
-// stream sends the answer as server-sent events, from the event after the
-// last one that the caller has. It reads the answer from its start, because
-// a character may be spread over events and because the final event is sent
-// again to a caller that has it already.
+// stream sends the answer as server-sent events, starting after the last event that
+// the caller has. It reads the answer from its start, because a character may span
+// several events, and because the final event is sent again to a caller that already
+// has it.
 func (dl *delivery) stream(st *answer.Stream) {
 	rd := st.Attach(0)
 	defer rd.Detach()
@@ -131,7 +131,7 @@
 	}
 }
 
-// sendAnswerEvent sends one sendAnswerEvent and tells whether it was the caller's last.
+// sendAnswerEvent sends one event and reports whether it was the caller's last.
 func (dl *delivery) sendAnswerEvent(ev answer.Event) bool {
 	switch ev.Kind {
 	case answer.Token:
@@ -182,8 +182,8 @@
 	dl.srv.count("AnswersDelivered")
 }
 
-// sendWhole sends a plain service's answer: as the response itself, unless the
-// status of a stream went out already.
+// sendWhole sends the answer of a plain service: as the response itself, unless the
+// status of a stream was already sent.
 func (dl *delivery) sendWhole(ev answer.Event) {
 	pa, err := DecodePlain(ev.Data)
 	switch {
@@ -206,8 +206,8 @@
 	dl.sendEvent(id, "refusal", rf)
 }
 
-// completeText returns the text so far that is made of whole characters and
-// holds back the rest.
+// completeText returns the text so far up to the last complete character and keeps
+// the remaining bytes.
 func (dl *delivery) completeText(data []byte) string {
 	all := append(dl.partialChar, data...)
 	cut := len(all)
@@ -259,7 +259,8 @@
 	dl.send(text + "data: " + string(data) + "\n\n")
 }
 
-// send writes and flushes within the write timeout, or detaches the caller.
+// send writes and flushes within the write timeout. If that fails, it breaks the
+// connection.
 func (dl *delivery) send(text string) {
 	if !dl.headerSent {
 		dl.beginStream()
@@ -293,7 +294,7 @@
 	return nil
 }
 
-// recordBrokenWrite counts a caller's connection that failed under a write.
+// recordBrokenWrite counts a caller's connection that failed during a write.
 func (srv *Server) recordBrokenWrite(err error, key string) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		srv.count("BrokenConnections")
--- a/internal/caller/stream_test.go
+++ b/internal/caller/stream_test.go
@@ -46,7 +46,7 @@
 
 func TestResumeContinuesWhereItBroke(t *testing.T) {
 	rg := serve(t, func(rg *rig) {
-		rg.rn.begin = answerWith("a", "\xc3", "\xa5", "b") // one character over two events
+		rg.rn.begin = answerWith("a", "\xc3", "\xa5", "b") // one character spans two events
 	})
 	first, _ := pieces(t, text(t, rg.chat(t, headerKey, "k1")))
 	assert.Equal(t, first, "aåb")
@@ -63,7 +63,7 @@
 	resp = rg.do(t, http.MethodGet, "/v1/answers/none", "")
 	assert.Equal(t, refusalIn(t, resp).Ran, refusal.MayHaveRun)
 
-	assert.Assert(t, rg.rn.started[len(rg.rn.started)-1].Resumed, "the runner must know that the caller has a part")
+	assert.Assert(t, rg.rn.started[len(rg.rn.started)-1].Resumed, "the runner is informed that the caller has a part")
 	runs := len(rg.rn.streams)
 	resp = rg.chat(t, headerKey, "forgotten", headerLastID, "2")
 	assert.Equal(t, refusalIn(t, resp).Reason, refusal.AnswerExpired)
@@ -112,7 +112,7 @@
 	rg := serve(t, func(rg *rig) {
 		rg.Limits = Limits{HeaderWait: 1, KeepAlive: 1}
 	})
-	resp := rg.chat(t, headerKey, "quiet") // returns once the status was sent without any event
+	resp := rg.chat(t, headerKey, "quiet") // returns once the status was sent, before any event
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	assert.NilError(t, rg.rn.streams["quiet"].Refuse(refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull}))
 	body := text(t, resp)
@@ -147,9 +147,9 @@
 	assert.NilError(b, st.End(nil))
 }
 
-// The key of a caller with a part of an answer ran again from its start, and
-// that answer was shorter than the part. Its end came to the caller behind the
-// part as if it were the part's own, so pieces of one run ended with another.
+// Guards against mixing two runs in one answer: if the key of a caller with a part of
+// an answer runs again from its start, and the new answer is shorter than that part,
+// its end must not reach the caller as the end of the part.
 func TestEndOfAShorterAnswerIsRefused(t *testing.T) {
 	rg := serve(t, func(rg *rig) { rg.rn.begin = answerWith("a", "b") })
 	text(t, rg.chat(t, headerKey, "k1"))
--- a/internal/caller/visit.go
+++ b/internal/caller/visit.go
@@ -8,15 +8,16 @@
 	"alderdyke/pkg/template"
 )
 
-// visit is one authenticated request and what it holds of this VM until it
-// leaves.
+// visit is one authenticated request and the resources of this VM that it holds until
+// it ends.
 type visit struct {
 	srv  *Server
 	tpl  template.Template
-	body int64 // bytes counted into Server.bodyBytes
+	body int64 // bytes counted in Server.bodyBytes
 }
 
-// admit authenticates a request and takes its customer's place at this VM.
+// admit authenticates a request and counts it against its customer's limit at this
+// VM.
 func (srv *Server) admit(req *http.Request) (*visit, error) {
 	tpl, err := srv.authenticate(req)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return &visit{srv: srv, tpl: tpl}, nil
 }
 
-// release gives back all that the visit holds.
+// release releases everything that the visit holds.
 func (vs *visit) release() {
 	vs.srv.bodyBytes.Add(-vs.body)
 	vs.srv.mu.Lock()
@@ -45,8 +46,8 @@
 	vs.srv.addOpenLocked(vs.tpl.Customer, -1)
 }
 
-// countBody counts bytes of the body. A small body is always let in, so that long
-// documents can't keep quick requests out.
+// countBody counts bytes of the body. A small body is always accepted, so that long
+// documents can't block quick requests.
 func (vs *visit) countBody(bytes int64) error {
 	vs.body += bytes
 	if vs.srv.bodyBytes.Add(bytes) <= vs.srv.limits.BodiesHeld || vs.body <= smallBody {
--- a/internal/caller/whole.go
+++ b/internal/caller/whole.go
@@ -11,7 +11,7 @@
 	"alderdyke/internal/answer"
 )
 
-// collect waits for the end and sends the whole answer at once.
+// collect waits for the end and sends the complete answer at once.
 func (dl *delivery) collect(st *answer.Stream) {
 	rd := st.Attach(0)
 	defer rd.Detach()
@@ -26,7 +26,7 @@
 	}
 }
 
-// collectEvent takes one event in and tells whether it was the last.
+// collectEvent adds one event and reports whether it was the last.
 func (dl *delivery) collectEvent(ev answer.Event) bool {
 	switch ev.Kind {
 	case answer.Token:
@@ -74,8 +74,7 @@
 	dl.srv.count("AnswersDelivered")
 }
 
-// writeWhole writes a response that is complete. Each piece of it has the
-// write timeout.
+// writeWhole writes a complete response. Each piece of it has its own write timeout.
 func (srv *Server) writeWhole(wr http.ResponseWriter, code int, body []byte) {
 	if len(body) == 0 {
 		wr.WriteHeader(code)
