--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxBufferedBytes is the largest answer that is read whole before its first
-	// byte goes to the caller, so that another attempt can still follow. The
-	// answers of plain services are about a hundredth of it.
+	// maxBufferedBytes is the largest answer that is read completely before its first
+	// byte is sent to the caller, so that another attempt can still follow. Answers
+	// of plain services are about a hundredth of it.
 	maxBufferedBytes = 256 << 10
-	// copyBufferBytes is the buffer of an answer that is passed on as it comes.
+	// copyBufferBytes is the buffer size for answers that are streamed through.
 	copyBufferBytes = 16 << 10
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopHeaders apply to a single connection (RFC 9110, section 7.6.1).
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// bufferedAnswer is an answer that is in memory.
+// bufferedAnswer is an answer held in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// statusOf is the status of a response for a log line; zero if none came.
+// statusOf returns the status of a response for a log line, or zero if there is none.
 func statusOf(rsp *http.Response) int {
 	if rsp == nil {
 		return 0
@@ -36,7 +36,7 @@
 	return rsp.StatusCode
 }
 
-// EndToEnd copies a header without the fields that concern one connection.
+// EndToEnd copies a header without its hop-by-hop fields.
 func EndToEnd(hd http.Header) http.Header {
 	out := maps.Clone(hd)
 	for _, line := range hd["Connection"] {
@@ -50,8 +50,8 @@
 	return out
 }
 
-// bufferAnswer reads an answer up to its end. One that is larger than the bound
-// comes back with what was read, and the rest to read.
+// bufferAnswer reads an answer to its end. If it exceeds the limit, the part that was
+// read is returned together with a reader for the rest.
 func bufferAnswer(rsp *http.Response) (wh bufferedAnswer, rest io.Reader, err error) {
 	wh = bufferedAnswer{status: rsp.StatusCode, header: rsp.Header}
 	wh.body, err = io.ReadAll(io.LimitReader(rsp.Body, maxBufferedBytes+1))
@@ -64,15 +64,15 @@
 	return wh, nil, nil
 }
 
-// writeHeader passes on the status and the header of an answer. Without a
-// length the body goes out in chunks, whose last one marks its end.
+// writeHeader writes the status and the header of an answer. Without a length the
+// body is sent in chunks, and the last chunk marks its end.
 func writeHeader(wr http.ResponseWriter, status int, header http.Header) {
 	to := wr.Header()
 	for name, values := range EndToEnd(header) {
 		to[name] = slices.Clone(values)
 	}
 	if to["Content-Type"] == nil {
-		to["Content-Type"] = nil // or net/http would guess one
+		to["Content-Type"] = nil // otherwise net/http would guess one
 	}
 	if to["Date"] == nil {
 		to["Date"] = nil
@@ -80,7 +80,7 @@
 	wr.WriteHeader(status)
 }
 
-// writeBuffered passes on an answer that is in memory.
+// writeBuffered writes an answer held in memory, and the rest that was not read.
 func writeBuffered(wr http.ResponseWriter, wh bufferedAnswer, rest io.Reader) error {
 	writeHeader(wr, wh.status, wh.header)
 	if _, err := wr.Write(wh.body); err != nil {
--- a/internal/relay/arrivals.go
+++ b/internal/relay/arrivals.go
@@ -7,11 +7,10 @@
 	"alderdyke/internal/event"
 )
 
-// Ways in which an arrival at a backend server is accounted for; values of a
-// counter's tag.
+// How an arrival at a backend server is paid for; values of a counter's tag.
 const (
 	arrivalFree = "Free" // the request's first, or its first prefill
-	arrivalPaid = "Paid" // from the budget of retries
+	arrivalPaid = "Paid" // from the retry budget
 )
 
 // Calls that carry a request to a server; values of a counter's tag.
@@ -22,19 +21,19 @@
 	callMoved   = "Moved"
 )
 
-// errBudget tells that a request may not be sent to one more server.
+// errBudget reports that a request may not be sent to another server.
 var errBudget = errors.New("the budget for retries is used up")
 
-// arrivals is what a request has cost the backend servers of its service. Each
-// arrival beyond the first is a repeat, but for the first prefill that a server
-// accepts. The relay's lock guards it.
+// arrivals counts how often a request arrived at backend servers of its service. Each
+// arrival after the first is a retry, except for the first prefill that a server
+// accepts. Guarded by the relay's lock.
 type arrivals struct {
-	counted         int     // all but that prefill
+	counted         int     // all except that prefill
 	prefillAccepted bool    // that prefill was accepted
-	credit          float64 // paid for and not used
+	credit          float64 // paid for and not yet used
 }
 
-// price is what the next call costs.
+// price returns the cost of the next call.
 func (ar *arrivals) price(call string) float64 {
 	if ar.counted == 0 && !(ar.prefillAccepted && call == callPrefill) {
 		return 0
@@ -42,8 +41,8 @@
 	return 1
 }
 
-// record takes the end of a call that was paid for into account, and returns what is
-// to be given back of its price: nothing arrived, or it was the first prefill.
+// record takes the end of a paid call into account and returns how much of its price
+// is refunded: all of it if nothing arrived, or if it was the first prefill.
 func (ar *arrivals) record(call string, price float64, err error) (back float64) {
 	switch {
 	case notSent(err):
@@ -56,10 +55,10 @@
 	return 0
 }
 
-// callWithinBudget makes a call that carries the request to a server, if its arrival there is
-// free or the budget pays for it. Every way to one more server leads through here,
-// or the servers would get more of a failing fleet's repeats than was agreed. The
-// fields are for the call's log line.
+// callWithinBudget makes a call that carries the request to a server, if its arrival
+// is free or the budget pays for it. Every call to a further server must go through
+// here, otherwise the servers would get more retries during a failure than the budget
+// allows. The fields are for the call's log line.
 func (rl *Relay) callWithinBudget(ex *exchange, call, server string, do func() error) ([]event.Field, error) {
 	price, ok := rl.payForCall(ex, call)
 	if !ok {
@@ -89,8 +88,8 @@
 	return arrivalFree
 }
 
-// payForCall takes the price of the next call from what was paid before, or else from the
-// budget.
+// payForCall takes the price of the next call from earlier payments, or otherwise
+// from the budget.
 func (rl *Relay) payForCall(ex *exchange, call string) (price float64, ok bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -103,8 +102,9 @@
 	return price, rl.budget.Take(rl.now(), "", ex.svc.Name, price)
 }
 
-// reserveArrival pays for one more arrival before the run that it follows is stopped: a run
-// that could not go on elsewhere would be cut for nothing.
+// reserveArrival pays for one more arrival before the run that it continues is
+// stopped, because stopping a run that can't continue elsewhere would cut it for
+// nothing.
 func (rl *Relay) reserveArrival(rn *run) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -116,15 +116,15 @@
 	return true
 }
 
-// canPayPrefillAndDecode tells whether a prefill apart and the decode behind it could both be
-// paid for. The lock is held.
+// canPayPrefillAndDecode reports whether a separate prefill and the decode that
+// follows it could both be paid for. The lock is held.
 func (rl *Relay) canPayPrefillAndDecode(ex *exchange) bool {
 	ar := &ex.arrivals
 	price := ar.price(callPrefill) + ar.price(callDecode)
 	return ar.credit+rl.budget.Left(rl.now(), "", ex.svc.Name) >= price
 }
 
-// refundArrivals gives back what was paid for and not used.
+// refundArrivals returns payments that were not used to the budget.
 func (rl *Relay) refundArrivals(ex *exchange) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
--- a/internal/relay/arrivals_test.go
+++ b/internal/relay/arrivals_test.go
@@ -19,8 +19,8 @@
 	"alderdyke/internal/retry"
 )
 
-// extraArrivals counts the arrivals extraArrivals the first of one request: all calls that
-// carried it to a server, but for the first prefill, if that was accepted.
+// extraArrivals counts the arrivals of one request after its first: all calls that
+// carried it to a server, except the first prefill if that was accepted.
 func (sv *servers) extraArrivals(serve func()) int {
 	sent, prefills, _ := sv.counts()
 	serve()
@@ -38,8 +38,8 @@
 	return len(sv.sent), len(sv.prefills), sv.accepted
 }
 
-// withMoreEngines is the rig's servers with so many more engines of each role, so that
-// one that failed is not missed.
+// withMoreEngines returns the rig's servers with more engines of each role, so that a
+// failed engine is not missed.
 func withMoreEngines(more int) []board.BackendServer {
 	out := slices.Clone(allServers)
 	for ix := range more {
@@ -50,13 +50,11 @@
 	return out
 }
 
-// Callers hardly saw it, but the engines did: within ten seconds they got 126
-// arrivals beyond the first of their requests, for 120 requests, where 78 were
-// agreed, while the VMs' lines told of 30 retries in half a minute. The budget was
-// asked where an attempt follows a failed one, and charged a fixed cost. Nothing asked
-// it when a stream was first gone on with, or when a decode engine computed a prompt
-// that was given up elsewhere: 158 of the 189 arrivals of that day were these, by the
-// count that stands in the calls' lines since ("Arrivals":3,"Unpaid":2).
+// Guards against calls that bypass the retry budget: servers got 126 extra arrivals
+// for 120 requests, where 78 are allowed, when only attempts after a failed attempt
+// were charged, at a fixed cost. The first resumption of a stream, and a decode
+// engine that computes a prompt whose prefill was given up elsewhere, must be charged
+// too.
 func TestRepeatedArrivalsAreBudgeted(t *testing.T) {
 	const requests = 20
 	broken := func(_ context.Context, _ int, se sent) (*http.Response, error) {
@@ -70,12 +68,12 @@
 		name, route string
 		prepare     func(sv *servers)
 	}{
-		{"streams that break off", "resumable", func(sv *servers) { sv.onSend = broken }},
-		{"prompts that are given up", "draft", func(sv *servers) { sv.onPrefill = givenUp }},
-		{"prompts that are declined", "draft", func(sv *servers) {
+		{"broken streams", "resumable", func(sv *servers) { sv.onSend = broken }},
+		{"abandoned prefills", "draft", func(sv *servers) { sv.onPrefill = givenUp }},
+		{"declined prefills", "draft", func(sv *servers) {
 			sv.onPrefill = func(int, board.BackendServer) error { return errFull }
 		}},
-		{"prompts that have lapsed", "draft", func(sv *servers) {
+		{"expired prompts", "draft", func(sv *servers) {
 			sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
 				if se.op.Source.ID != "" {
 					return nil, errFull
@@ -83,10 +81,10 @@
 				return answer(http.StatusOK, eventOne, nil), nil
 			}
 		}},
-		{"streams that break off, and prompts that are given up", "thrice", func(sv *servers) {
+		{"broken streams and abandoned prefills", "thrice", func(sv *servers) {
 			sv.onSend, sv.onPrefill = broken, givenUp
 		}},
-		{"servers that fail", "again", func(sv *servers) {
+		{"failing servers", "again", func(sv *servers) {
 			sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 				return answer(http.StatusInternalServerError, "", nil), nil
 			}
@@ -108,10 +106,8 @@
 	}
 }
 
-// Engines that leave hand their runs to others, at each of which the request
-// arrives once more: 20 runs that moved were 20 arrivals that nobody had paid for.
-// They had the same cause as the streams that break off: what led a request to one
-// more server was no retry to the budget.
+// Guards against moves that bypass the retry budget: a run that moves from a leaving
+// engine arrives at another engine, so 20 moved runs are 20 further arrivals.
 func TestMovedRunsAreBudgeted(t *testing.T) {
 	const runs = 20
 	synctest.Test(t, func(t *testing.T) {
@@ -143,8 +139,8 @@
 	})
 }
 
-// extraArrivalsOfFailing counts the arrivals beyond the first of requests that all servers fail, at
-// one VM.
+// extraArrivalsOfFailing counts the arrivals after the first of requests at one VM
+// that all servers fail.
 func extraArrivalsOfFailing(t *testing.T, rl *relay.Relay, sv *servers, requests int) int {
 	sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 		return answer(http.StatusInternalServerError, "", nil), nil
@@ -156,17 +152,15 @@
 	return beyond
 }
 
-// newFleetRig is a VM of a fleet that may repeat so many attempts, beside a small part
-// of its requests, in ten seconds.
+// newFleetRig creates a VM of a fleet that may make the given number of retries in
+// ten seconds, in addition to a small fraction of its requests.
 func newFleetRig(t *testing.T, slack float64) (*relay.Relay, *servers) {
 	return newRigWith(t, 2, relay.Settings{RetrySlack: slack, Budget: retry.Settings{Ratio: rigRatio, Floor: 0.001, Base: 1}})
 }
 
-// A VM that started again had its whole part of what the fleet may repeat, as if its
-// earlier life had spent nothing: a new budget was a full one. Seven VMs that start
-// four times within ten seconds repeated 140 attempts where 82 were agreed. None of
-// the days that were looked at showed it, for few of them have VMs start so often
-// while servers fail.
+// Guards against a VM that starts with a full budget: VMs that restart several times
+// within a retry window would spend the fleet's allowance again at each start. Seven
+// VMs that start four times within ten seconds made 140 retries where 82 are allowed.
 func TestRetryBudgetOfRestartedVMs(t *testing.T) {
 	const slack, vms, lives, requests = 54, 7, 4, 10
 	synctest.Test(t, func(t *testing.T) {
@@ -180,9 +174,9 @@
 	})
 }
 
-// VMs that lost sight of each other each took the part of the fleet's smallest size,
-// and all of them together many times what the fleet may repeat: 82 VMs 1,640 attempts
-// where 532 were agreed. Who is out of sight may live, and spends its own part.
+// Guards against partitioned VMs that each take the share of the smallest fleet: 82
+// of them together would make 1,640 retries where 532 are allowed. VMs that can't be
+// seen may be alive and spend their own share.
 func TestRetryBudgetOfPartitionedVMs(t *testing.T) {
 	const slack, vms, requests = 204, 82, 40
 	synctest.Test(t, func(t *testing.T) {
@@ -198,7 +192,8 @@
 	})
 }
 
-// A fleet that has shrunk for good divides by what is left of it after a while.
+// A fleet that has shrunk permanently divides the allowance by its new size after a
+// while.
 func TestRetryBudgetOfAShrunkFleet(t *testing.T) {
 	const slack, vms, left = 204, 82, 10
 	synctest.Test(t, func(t *testing.T) {
@@ -208,7 +203,7 @@
 		rl.SetFleetSize(left)
 		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 10) <= 2)
 		time.Sleep(2 * time.Minute)
-		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 10) <= 2, "the first of them brings the new part into force")
+		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 10) <= 2, "the first of them applies the new share")
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, extraArrivalsOfFailing(t, rl, sv, 40) >= slack/left/2)
 	})
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -14,12 +14,12 @@
 	"alderdyke/internal/usage"
 )
 
-// BenchmarkAnswerPlace is what an ask takes a scheduler of 295 VMs before 48 decode
-// engines: with room, and at the end of a burst in which 100 requests wait.
+// BenchmarkAnswerPlace measures a place request at a scheduler of 295 VMs with 48
+// decode engines: with room, and at the end of a burst in which 100 requests wait.
 func BenchmarkAnswerPlace(bb *testing.B) {
 	for _, tc := range []struct {
 		name          string
-		runs, waiting int // of an engine, of the fleet
+		runs, waiting int // per engine; in the fleet
 	}{{"room", 4, 0}, {"nearly full", 9, 100}, {"full", 12, 100}} {
 		bb.Run(tc.name, func(bb *testing.B) {
 			rl := newScheduler(bb, tc.runs, tc.waiting)
@@ -33,7 +33,7 @@
 	}
 }
 
-// newScheduler is the relay of a VM that hears all others.
+// newScheduler returns the relay of a VM that has reports from all others.
 func newScheduler(tb testing.TB, runs, waiting int) *relay.Relay {
 	const vms, engines = 295, 48
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2)), Clock: bubbleClock{time.Now()}}
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -16,18 +16,18 @@
 	"alderdyke/pkg/clock"
 )
 
-// withOneOther lets a relay hear one other VM.
+// withOneOther makes one other VM known to a relay.
 func withOneOther(rl *relay.Relay) {
 	rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
 }
 
-// In a burst some VM always says that places are wanting. A request that came
-// back takes its place all the same where there is room for more than itself,
-// and leaves what is last to new ones.
+// During a burst some VM always reports a shortage of places. A request that was
+// refused before still takes a place where there is room for more than itself, and
+// leaves the last room to new requests.
 func TestReturningRequestInABurst(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		tokens int // that others have at each engine of 10,000
+		tokens int // used by other VMs at each engine of 10,000
 		places bool
 	}{
 		{"room for more", 0, true},
@@ -46,7 +46,7 @@
 				}
 				tell()
 				_, err := sendGeneration(t, rl, 14*clock.Second, 2000)
-				assert.NilError(t, err, "a new one")
+				assert.NilError(t, err, "a new request")
 				ticker := time.NewTicker(200 * time.Millisecond)
 				defer ticker.Stop()
 				ended := make(chan struct{})
@@ -70,15 +70,15 @@
 	}
 }
 
-// sendGeneration carries a generation with a prompt of a size.
+// sendGeneration serves a generation with a prompt of the given size.
 func sendGeneration(t *testing.T, rl *relay.Relay, left clock.Millis, tokens int) (int, error) {
 	t.Helper()
 	rec, req := newGeneration(rl, left, tokens)
 	return rec.Code, rl.Serve(t.Context(), rec, req)
 }
 
-// An engine died and looks empty. One VM found out; the next asks it last, and
-// so does not lose the time that its request may wait for a place.
+// An engine died and looks empty. After one VM has found out, the next VM asks that
+// engine last and so does not lose its request's waiting time for a place.
 func TestEngineThatFailedAnotherVMIsAskedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -97,8 +97,8 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, asked, []string{"d2"})
 
-		// The word is of a VM that may be cut off itself: without another
-		// engine the one that it names is asked.
+		// The report may come from a VM that is itself partitioned: without another
+		// engine, the reported engine is asked.
 		asked = nil
 		rl.ReceiveUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d2", Tokens: 9500}}, Failing: []string{"d1"}})
 		_, err = sendGeneration(t, rl, 14*clock.Second, 2000)
@@ -107,7 +107,7 @@
 	})
 }
 
-// A VM tells the others which engine failed it, and that it works again.
+// A VM reports which engine failed it, and that the engine works again.
 func TestFailedEngineIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -125,15 +125,15 @@
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
 		assert.DeepEqual(t, told.Load().Failing, sv.prefills[:1])
-		time.Sleep(3 * time.Second) // its time, and the next regular word
+		time.Sleep(3 * time.Second) // until the failure expires and the next regular report
 		synctest.Wait()
 		assert.Equal(t, len(told.Load().Failing), 0)
 	})
 }
 
-// An engine that failed another VM and looks empty may be gone: it is asked to
-// compute the prompt itself, so that none is computed elsewhere in vain. One that
-// has runs is sound.
+// An engine that failed another VM and looks empty may be down: it is asked to
+// compute the prompt itself, so that no prefill elsewhere is wasted. An engine that
+// has runs is up.
 func TestDoubtfulEngineComputesThePrompt(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/relay/continue.go
+++ b/internal/relay/continue.go
@@ -10,33 +10,33 @@
 	"alderdyke/pkg/refusal"
 )
 
-// errNotContinuation tells that an engine answered with something else than the rest of
-// an answer, such as a failure of its own.
+// errNotContinuation reports that an engine's response does not continue the answer,
+// for example because the engine failed.
 var errNotContinuation = errors.New("the response does not go on with the answer")
 
-// succeeded tells whether a response is an answer to its request, and not the
-// server's word that it failed.
+// succeeded reports whether a response is an answer to its request, and not the
+// server's failure.
 func succeeded(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// checkContinuation tells whether a response may go on with the answer of a run. A call
-// that ended without an error says only that some response came: joined to the
-// events before, another engine's failure would end the answer as a whole one.
+// checkContinuation returns an error if a response can't continue the answer of a
+// run. A call without an error means only that some response came: another engine's
+// failure, appended to the earlier events, would make the answer look complete.
 func (rn *run) checkContinuation(server string, rsp *http.Response) error {
 	if !rn.headerSent || rsp.StatusCode == rn.status {
-		return nil // where nothing went out, the response is an answer of its own
+		return nil // nothing was sent yet, so the response is an answer of its own
 	}
 	return backend.InDoubtError{Server: server, Call: "Send", Status: rsp.StatusCode, Err: errNotContinuation}
 }
 
-// attachResponse begins to read a response. Where the caller has a part of the answer, the
-// first event must follow the last one of that part.
+// attachResponse prepares to read a response. If the caller already has a part of the
+// answer, the first event must follow the last event of that part.
 func (rn *run) attachResponse(rsp *http.Response) {
 	rn.sp.sourceChanged = (rn.headerSent || rn.ex.req.LastEventID != "") && succeeded(statusOf(rsp))
 }
 
-// resumable tells whether a new run may go on with what the caller has.
+// resumable reports whether a new run may continue what the caller has.
 func (rn *run) resumable() bool {
 	ex := rn.ex
 	if !ex.rt.Resumable || ex.possibleRuns >= ex.rt.Attempts {
@@ -46,14 +46,14 @@
 	return !rn.headerSent || succeeded(rn.status) && numbered
 }
 
-// resumeStream continues a run whose stream broke: from its memory if that was moved,
-// or by a new run where the route allows one.
+// resumeStream continues a run whose stream broke: from its memory if the run was
+// moved, or by a new run if the route allows one.
 func (rl *Relay) resumeStream(ctx context.Context, rn *run, broke error) error {
 	switch {
 	case rn.pl.server.ID == "":
-		return errors.Join(errStreamBroken, broke) // a plain service's, which has no place
+		return errors.Join(errStreamBroken, broke) // a stream of a plain service, which has no place
 	case errors.Is(broke, errOutOfSequence) && !rn.headerSent:
-		return broke // it is the caller's word that does not fit, not this engine's
+		return broke // the caller's last event ID does not fit; the engine is not at fault
 	}
 	rl.mu.Lock()
 	rn.broken = true
@@ -70,7 +70,7 @@
 	return rl.resumeElsewhere(ctx, rn, broke)
 }
 
-// followMove goes on where a run was moved to.
+// followMove continues a run at the engine that it was moved to.
 func (rl *Relay) followMove(ctx context.Context, rn *run) error {
 	mv, err := rn.awaitMove(ctx)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return rl.continueAt(ctx, rn, mv)
 }
 
-// continueAt reads a moved run on at its new engine.
+// continueAt continues reading a moved run at its new engine.
 func (rl *Relay) continueAt(ctx context.Context, rn *run, mv movedRun) error {
 	var rsp *http.Response
 	end := func() {}
@@ -100,14 +100,14 @@
 		rl.forget(rn.ex, mv.src)
 		return err
 	}
-	// The copy has its room already, so this place needed no reservation.
+	// The copy already has its memory, so this place needed no reservation.
 	pl := place{server: mv.target, service: rn.pl.service}
 	rl.switchPlace(rn, rl.takePlace(pl, rn.pl.entry.Run()), decoding{rsp: rsp, promptDone: func() {}, end: end})
 	return nil
 }
 
-// openMovedRun asks the new engine of a moved run for the rest of its answer. After
-// an error there is nothing to be read; the call is to be ended in any case.
+// openMovedRun requests the rest of a moved run's answer from its new engine. After
+// an error there is no response to read, but end must be called in any case.
 func (rl *Relay) openMovedRun(ctx context.Context, rn *run, mv movedRun) (rsp *http.Response, end func(), err error) {
 	within, end := rl.beginCall(ctx, mv.target)
 	if bk := rl.Backends(); bk.Reborn(mv.target) || bk.Reborn(mv.src.Server) {
@@ -118,16 +118,16 @@
 		return nil, end, err
 	}
 	if err = rn.checkContinuation(mv.target.ID, rsp); err != nil {
-		_ = rsp.Body.Close() // nothing of it is used
+		_ = rsp.Body.Close() // none of it is used
 		rl.recordFault(ctx, rn.ex, mv.target.ID, err)
 	}
 	return rsp, end, err
 }
 
-// resumeElsewhere goes on behind the last event that the caller has with a new run, and
-// with another one where that fails, for as long as the route and the budget allow:
-// an engine that ends breaks off all its runs at once, and each of them that goes on
-// is one more arrival at those that are left.
+// resumeElsewhere continues after the last event that the caller has with a new run,
+// and with further ones if that fails, for as long as the route and the budget allow.
+// An engine that ends breaks all its runs at once, and each run that continues is one
+// more arrival at the remaining engines.
 func (rl *Relay) resumeElsewhere(ctx context.Context, rn *run, broke error) error {
 	for rn.resumable() {
 		if err := rl.awaitRetry(ctx, rn.ex, max(1, rn.resumeAttempts), generationRetryCost, broke, minGenerationRetryTime); err != nil {
@@ -144,7 +144,7 @@
 	return errors.Join(errStreamBroken, broke)
 }
 
-// resumeOnce begins one new run. The error is a refusal if no engine has room.
+// resumeOnce starts one new run. The error is a refusal if no engine has room.
 func (rl *Relay) resumeOnce(ctx context.Context, rn *run) error {
 	if err := rl.checkPoison(ctx, rn.ex); err != nil {
 		return err
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// switchPlace lets the run be at another place from now on.
+// switchPlace moves a run to another place and response.
 func (rl *Relay) switchPlace(rn *run, pl place, dec decoding) {
 	rn.close()
 	rl.leavePlace(rn.pl)
--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -20,25 +20,16 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Model engines crashed while some of those that were left failed half of what
-// they were asked. A VM went on with the streams elsewhere, and the next engine
-// answered with a failure of its own: a status of 500 and an empty body. The
-// call had ended without an error, so the VM took the response for the rest of
-// the stream. Its orderly end became the end of the answer: the caller got a
-// status of 200 and half an answer, with a last chunk that said that it was
-// whole. A run that was moved away from a leaving engine ended in the same way.
-// These lines settled it, by Status, and by Events and Last, which stayed where
-// the first engine had broken off:
-//
-//	RelayDecode After=61 Status=500 Error=
-//	RelayResumed Last=61 Status=500 Error=
-//	RelayAnswered Events=61 Last=61
-//
-//	RelayMoved Last=57 Status=500 Error=
-//	RelayAnswered Events=57 Last=57
+// These tests guard against two runs of different engines in one answer, and against
+// a partial answer that looks complete. When a stream breaks, or a run is moved away
+// from a leaving engine, the next engine may answer with a failure of its own, for
+// example status 500 with an empty body. Its call ends without an error, so the
+// response must be checked: otherwise its orderly end would become the end of the
+// answer, and the caller would get status 200 and half an answer that is marked as
+// complete.
 
-// unrelatedResponses are responses that do not go on with an answer of which the caller has
-// the first event.
+// unrelatedResponses do not continue an answer of which the caller has the first
+// event.
 var unrelatedResponses = []struct {
 	name   string
 	status int
@@ -46,7 +37,7 @@
 }{
 	{"a failure without a body", http.StatusInternalServerError, ""},
 	{"a failure with a body", http.StatusInternalServerError, "out of memory\n"},
-	{"a failure that reads like events", http.StatusInternalServerError, eventTwo + eventThree},
+	{"a failure that looks like events", http.StatusInternalServerError, eventTwo + eventThree},
 	{"another success", http.StatusNoContent, ""},
 	{"the stream from its start", http.StatusOK, eventOne + eventTwo + eventThree},
 	{"a stream without the next event", http.StatusOK, eventThree},
@@ -54,8 +45,8 @@
 	{"text", http.StatusOK, "out of memory\n"},
 }
 
-// moveAfterFirstEvent has the run of a request moved away once its first event is out. Its
-// stream ends with the error when the run is stopped; nil is an orderly end.
+// moveAfterFirstEvent makes the run of a request move once its first event is out.
+// Its stream ends with the error when the run is stopped; nil is an orderly end.
 func moveAfterFirstEvent(rl *relay.Relay, sv *servers, end error, next func() *http.Response) {
 	stopped := make(chan struct{})
 	sv.onMove = func(_ int, _ board.BackendServer, stop bool) error {
@@ -73,7 +64,7 @@
 	leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 }
 
-// leaveAfter has the first engine that was sent a run leave after a span.
+// leaveAfter makes the first engine that was sent a run leave after a delay.
 func leaveAfter(rl *relay.Relay, sv *servers, all []board.BackendServer, span time.Duration) {
 	time.AfterFunc(span, func() {
 		leaving := slices.Clone(all)
@@ -95,8 +86,8 @@
 	return more
 }
 
-// An answer goes on only with events of its own. What else an engine answers is
-// neither joined to it nor taken for its end.
+// An answer continues only with its own events. Any other response of an engine is
+// neither appended to it nor taken for its end.
 func TestContinuationTakesOnlyFollowingEvents(t *testing.T) {
 	for _, tc := range unrelatedResponses {
 		t.Run("resumed, "+tc.name, func(t *testing.T) {
@@ -127,9 +118,9 @@
 	}
 }
 
-// An answer that ends with its connection ends in order also where this VM had
-// its run stopped to move it. Then it is not whole: the rest is read where the
-// run went.
+// If an answer is delimited by the end of its connection, it also ends in order when
+// this VM stopped its run to move it. The answer is not complete then: the rest is
+// read from the engine that the run moved to.
 func TestStoppedRunIsNotAWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -140,12 +131,12 @@
 	})
 }
 
-// A caller who comes back with the last event that it has gets what follows it,
-// or nothing of this engine's.
+// A caller that reconnects with its last event gets the events that follow, or
+// nothing from this engine.
 func TestReturningCallerGetsFollowingEvents(t *testing.T) {
 	for _, tc := range []struct {
 		name, body string
-		want       string // empty: it is refused
+		want       string // "refused": the request is refused
 	}{
 		{"the next event", eventTwo + eventThree, eventTwo + eventThree},
 		{"nothing is left", "", ""},
@@ -173,8 +164,8 @@
 	}
 }
 
-// An engine that fails, or declines, what it was to go on with is passed over:
-// the next one goes on, for as long as the route allows.
+// An engine that fails or declines the continuation is skipped: the next engine
+// continues, for as long as the route allows.
 func TestNextEngineContinuesTheStream(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -182,11 +173,12 @@
 	}{
 		{"failed", func() (*http.Response, error) { return answer(http.StatusInternalServerError, "", nil), nil }},
 		{"declined", func() (*http.Response, error) { return nil, errFull }},
-		{"not its rest", func() (*http.Response, error) { return answer(http.StatusOK, eventOne, nil), nil }},
+		{"another answer", func() (*http.Response, error) { return answer(http.StatusOK, eventOne, nil), nil }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				// An engine that declines costs three arrivals, the one that goes on two.
+				// An engine that declines costs three arrivals, the one that
+				// continues costs two.
 				rl, sv := newRigWith(t, 2, relay.Settings{Budget: retry.Settings{Burst: 5, Floor: 0.001, Ratio: rigRatio, Base: 1}})
 				withDecoders(rl, "d3", "d4")
 				second := ""
@@ -212,8 +204,8 @@
 	}
 }
 
-// A stream of a plain service has no place that a new run could take: it is cut
-// where it breaks off.
+// A stream of a plain service has no place that a new run could take: it is cut where
+// it breaks.
 func TestStreamWithoutAPlaceIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -226,9 +218,9 @@
 	})
 }
 
-// An engine that fails what it is given does so at once and then looks empty. A
-// stream that may be resumed is begun anew at another engine, and the one that
-// failed it is passed over; any other one ends with the engine's own failure.
+// An engine that fails its requests does so at once and then looks empty. A stream
+// that may be resumed is started again at another engine, and the engine that failed
+// is skipped; any other stream ends with the engine's own failure.
 func TestEngineThatFailsAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		route  string
@@ -258,15 +250,15 @@
 	}
 }
 
-// Where nothing went out yet, the next engine's response is an answer of its own,
+// If nothing was sent yet, the next engine's response is an answer of its own,
 // whatever it is.
 func TestNextEngineBeginsTheAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		name, body string
 		status     int
 	}{
-		{"its own failure", "out of memory\n", http.StatusInternalServerError},
-		{"what it can not read", "bad prompt\n", http.StatusBadRequest},
+		{"a failure", "out of memory\n", http.StatusInternalServerError},
+		{"a bad request", "bad prompt\n", http.StatusBadRequest},
 		{"events without numbers", "data: a\n\n", http.StatusOK},
 		{"a document", `{"text":"a"}`, http.StatusOK},
 	} {
@@ -288,11 +280,11 @@
 	}
 }
 
-// All new runs but the first are paid from the budget of retries, also where each
-// engine answers with events that do not follow.
+// All new runs after the first are paid from the retry budget, also if each engine
+// answers with events that do not follow.
 func TestResumedRunsAreBudgeted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const requests, paid = 12, 3 // the rig's budget pays for one further run of each two calls
+		const requests, paid = 12, 3 // the rig's budget pays for one further run per two calls
 		rl, sv := newRig(t)
 		withDecoders(rl, "d3", "d4", "d5", "d6")
 		for range requests {
@@ -311,8 +303,8 @@
 	})
 }
 
-// A prompt that was computed by an engine that has started again since is not
-// gone on from: its ID may name another prompt there.
+// A prompt that was computed by an engine that has since restarted is not used: its
+// ID may identify another prompt there.
 func TestResumeIgnoresPromptOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -347,8 +339,8 @@
 	})
 }
 
-// A caller that names an event which its answer never had is refused, and no
-// engine is passed over for that.
+// A caller that names an event which its answer does not have is refused, and no
+// engine is skipped for that.
 func TestUnknownLastEventIDIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -13,16 +13,16 @@
 	"alderdyke/pkg/refusal"
 )
 
-// answerWithLoad answers as a server that tells how many wait at it.
+// answerWithLoad returns the answer of a server that reports its load.
 func answerWithLoad(status int, load string) *http.Response {
 	rsp := answer(status, "a", nil)
 	rsp.Header.Set("X-Load", load)
 	return rsp
 }
 
-// While the servers tell of a long line an idempotent request that one of them failed
-// is not sent again, and others are refused at once with a time to come back; when the
-// line is gone both are as before.
+// While the servers report a long queue, an idempotent request that one of them
+// failed is not sent again, and other requests are refused at once with a
+// retry-after. When the queue is gone, both are as before.
 func TestLongQueueRefusesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -62,7 +62,7 @@
 	})
 }
 
-// A route without an objective waits for as long as it has to.
+// A route without an objective waits as long as necessary.
 func TestLongQueueWithoutObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/customer.go
+++ b/internal/relay/customer.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// unknownKeyLogInterval is the least span between two log lines on unknown keys.
+	// unknownKeyLogInterval is the minimum time between two log lines about unknown
+	// keys.
 	unknownKeyLogInterval = 10 * clock.Second
-	// maxCountedCustomers is how many customers have counters by name, so that those of a
-	// configuration that changes do not fill the memory.
+	// maxCountedCustomers limits the customers that have counters by name, so that
+	// the customers of a changing configuration do not fill the memory.
 	maxCountedCustomers = 256
-	// otherCustomers stands for those beyond.
+	// otherCustomers is the tag of all further customers.
 	otherCustomers = "(others)"
 )
 
@@ -26,7 +27,7 @@
 	Charger interface {
 		// Charge takes a request's tokens. The error is a refusal.Refusal.
 		Charge(ctx context.Context, or charge.Order) error
-		// GiveBack gives back what was taken for a request that did not run.
+		// GiveBack returns the tokens of a request that did not run.
 		GiveBack(or charge.Order)
 	}
 
@@ -37,15 +38,15 @@
 	}
 )
 
-// authenticate finds the customer of a request: whom its key speaks for by the
-// configuration that applies to it. A request that was let in goes on if the key is
-// taken away then. A public route needs no key, and heeds one that it gets.
+// authenticate finds the customer of a request: the one to which the configuration in
+// force assigns its key. A request that was admitted continues if the key is removed
+// later. A public route needs no key, but uses one that it gets.
 func (rl *Relay) authenticate(tb *route.Table, ex *exchange, rt route.Route) error {
 	ex.req.Keyed = tb.Keyed()
 	if !ex.req.Keyed {
 		return nil
 	}
-	ex.req.Customer = "" // whatever the caller says of itself
+	ex.req.Customer = "" // ignores what the caller claims
 	cu, ok := tb.CustomerOf(ex.req.KeyHash)
 	switch {
 	case ok:
@@ -66,8 +67,9 @@
 	return refuse(refusal.UnknownCustomer, 0, detail)
 }
 
-// chargeOrder is what a request takes of its customer's quota; nil: there is no limit.
-// Where no keeper of quotas answers, it waits for as long as for a place.
+// chargeOrder returns what a request takes of its customer's quota; nil if there is
+// no limit. If no quota keeper answers, the request waits as long as it would for a
+// place.
 func (rl *Relay) chargeOrder(req *Request, rt route.Route, cu route.Customer) *charge.Order {
 	if !cu.Limit.Limited() {
 		return nil
@@ -87,7 +89,7 @@
 	return rl.Charger.Charge(ctx, *ex.order)
 }
 
-// refundQuota gives back what was taken for a request that did not run.
+// refundQuota returns the tokens of a request that did not run.
 func (rl *Relay) refundQuota(ex *exchange, err error) {
 	rf, ok := errors.AsType[refusal.Refusal](err)
 	if ex.order == nil || rl.Charger == nil || !ok || rf.Ran != refusal.NotRun || errors.Is(err, ErrCut) {
@@ -96,7 +98,8 @@
 	rl.Charger.GiveBack(*ex.order)
 }
 
-// configuredCustomer is the customer that the configuration names for a request; empty: none.
+// configuredCustomer returns the customer that the configuration assigns to a
+// request; empty if there is none.
 func (ex *exchange) configuredCustomer() string {
 	if !ex.req.Keyed {
 		return ""
@@ -104,7 +107,8 @@
 	return ex.req.Customer
 }
 
-// countCustomer counts how a request of a customer that the configuration names ended.
+// countCustomer counts the outcome of a request whose customer the configuration
+// names.
 func (rl *Relay) countCustomer(ex *exchange, outcome string) {
 	if rl.Scope == nil || ex.configuredCustomer() == "" {
 		return
@@ -117,7 +121,7 @@
 	rl.count("Customers", map[string]string{"Customer": rl.customerTag(ex.req.Customer), "Outcome": outcome})
 }
 
-// customerTag is the name under which a customer is customerTag.
+// customerTag returns the tag under which a customer is counted.
 func (rl *Relay) customerTag(name string) string {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -131,8 +135,8 @@
 	return name
 }
 
-// recordUnknownKey tells of requests with unknown keys, now and then: whoever sends them
-// may send many.
+// recordUnknownKey logs requests with unknown keys, at a limited rate because their
+// senders may send many.
 func (rl *Relay) recordUnknownKey(version uint64) {
 	rl.count("UnknownKeys", nil)
 	rl.mu.Lock()
--- a/internal/relay/customer_test.go
+++ b/internal/relay/customer_test.go
@@ -16,8 +16,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// Requests are counted by the customer that the configuration names, whatever a caller
-// says of itself, and no more customers by name than there is room for.
+// Requests are counted by the customer that the configuration names, regardless of
+// what a caller claims, and the number of customers with counters of their own is
+// limited.
 func TestRequestsAreCountedByCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,50 +6,50 @@
 	"strconv"
 )
 
-// maxEventBytes bounds the bytes of one event that are held back until it is
-// complete. Events here are a few hundred bytes.
+// maxEventBytes limits the bytes of one event that are withheld until it is complete.
+// Events are usually a few hundred bytes.
 const maxEventBytes = 256 << 10
 
-// errOutOfSequence tells that the events of another engine do not follow the last one
-// that the caller has.
+// errOutOfSequence reports that the events of another engine do not follow the last
+// event that the caller has.
 var errOutOfSequence = errors.New("the events do not follow those that the caller has")
 
-// splitter holds back the part of a stream of events that is not complete,
-// so that a stream that breaks in the middle of an event can go on with the
-// whole event. The zero value is ready to use.
+// splitter withholds the incomplete end of a stream of events, so that a stream that
+// breaks in the middle of an event can continue with the whole event. The zero value
+// is ready to use.
 type splitter struct {
 	pending       []byte
 	last          string // ID of the last complete event
-	sourceChanged bool   // the next event comes from another engine than last
-	sequential    bool   // IDs counted up by one so far
-	hasGaps       bool   // they did not
-	unnumbered    bool   // an event without an ID went out behind last
+	sourceChanged bool   // the next event comes from another engine than the last
+	sequential    bool   // IDs counted up by one, unless hasGaps
+	hasGaps       bool   // an ID was not one more than the one before
+	unnumbered    bool   // an event without an ID was sent after last
 }
 
-// add takes bytes and returns the complete events among all that it holds.
-// The result is valid until the next call. The error is errOutOfSequence.
+// add appends bytes and returns the complete events of everything that it holds. The
+// result is valid until the next call. The error is errOutOfSequence.
 func (sp *splitter) add(data []byte) ([]byte, error) {
 	sp.pending = append(sp.pending, data...)
 	end := lastEventEnd(sp.pending)
 	if end == 0 && len(sp.pending) > maxEventBytes {
-		end = len(sp.pending) // no stream of events; pass it on as it is
+		end = len(sp.pending) // not a stream of events; passed on unchanged
 	}
 	out := sp.pending[:end]
 	sp.pending = append([]byte(nil), sp.pending[end:]...)
 	return out, sp.checkEvents(out)
 }
 
-// flush returns what is left when the stream has ended well.
+// flush returns the remaining bytes when the stream has ended in order.
 func (sp *splitter) flush() ([]byte, error) {
 	out := sp.pending
 	sp.pending = nil
 	return out, sp.checkEvents(out)
 }
 
-// discard forgets the event that was broken off.
+// discard drops an incomplete event.
 func (sp *splitter) discard() { sp.pending = nil }
 
-// lastEventEnd is the offset after the last blank line.
+// lastEventEnd returns the offset after the last blank line.
 func lastEventEnd(data []byte) int {
 	end := 0
 	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
@@ -60,8 +60,8 @@
 	return end
 }
 
-// checkEvents remembers the ID of the last event, and holds the first one of another
-// engine against it.
+// checkEvents records the ID of the last event, and checks that the first event of
+// another engine follows it.
 func (sp *splitter) checkEvents(events []byte) error {
 	var id []byte
 	numbered, filled := false, false
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// isControlLine tells whether a line is no part of an answer: a comment, or a word to
-// the reader of the stream.
+// isControlLine reports whether a line is not a part of the answer: a comment, or an
+// instruction to the reader of the stream.
 func isControlLine(line []byte) bool {
 	return line[0] == ':' || bytes.HasPrefix(line, []byte("retry:")) || bytes.HasPrefix(line, []byte("event:"))
 }
 
-// checkEvent notes one event. One that is neither numbered nor filled holds no
+// checkEvent records one event. An event that is neither numbered nor filled holds no
 // part of an answer.
 func (sp *splitter) checkEvent(id string, numbered, filled bool) error {
 	if !numbered && !filled {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// recordID takes the next ID.
+// recordID records the next ID.
 func (sp *splitter) recordID(id string) {
 	first := sp.last == "" && (id == "0" || id == "1")
 	if first || isNext(sp.last, id) {
@@ -118,9 +118,9 @@
 	sp.last = id
 }
 
-// follows tells whether an event may be the next one behind the last. Where IDs
-// counted up by one so far, none may be missing; others must grow, or differ if
-// they are no numbers.
+// follows reports whether an event may be the next after the last one. If IDs counted
+// up by one so far, none may be missing; otherwise numbers must grow, and IDs that
+// are not numbers must differ.
 func (sp *splitter) follows(id string) bool {
 	if sp.sequential && !sp.hasGaps {
 		return isNext(sp.last, id)
@@ -133,7 +133,7 @@
 	return is > was
 }
 
-// isNext tells whether an ID is one more than another.
+// isNext reports whether an ID is one more than another.
 func isNext(last, id string) bool {
 	was, errWas := strconv.ParseUint(last, 10, 64)
 	is, errIs := strconv.ParseUint(id, 10, 64)
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// mustAdd adds bytes to a splitter that is at no joint.
+// mustAdd adds bytes to a splitter whose source did not change.
 func mustAdd(t assert.TestingT, sp *splitter, data string) string {
 	out, err := sp.add([]byte(data))
 	assert.NilError(t, err)
@@ -31,7 +31,7 @@
 	assert.Equal(t, sp.last, "7")
 }
 
-// However a stream is cut into reads, what goes out is the stream itself.
+// However a stream is split into reads, the output is the stream itself.
 func TestSplitterKeepsTheStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOfN(rapid.SampledFrom([]string{"id: 1\n", "data: a\n", "\n", "\r\n", ": c\n", "id:22\n"}), 0, 40).Draw(t, "parts")
@@ -58,22 +58,22 @@
 	})
 }
 
-// What another engine adds has to follow what went out before.
+// Events of another engine must follow the events that were sent before.
 func TestSplitterWhenTheSourceChanges(t *testing.T) {
 	for _, tc := range []struct {
 		name, before, after string
 		fits                bool
 	}{
-		{"the next of all numbers", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 3\ndata: c\n\n", true},
-		{"one is missing", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 4\ndata: d\n\n", false},
-		{"one comes again", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 2\ndata: b\n\n", false},
+		{"consecutive numbers", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 3\ndata: c\n\n", true},
+		{"a missing number", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 4\ndata: d\n\n", false},
+		{"a repeated number", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 2\ndata: b\n\n", false},
 		{"growing numbers", "id: 10\ndata: a\n\nid: 30\ndata: b\n\n", "id: 45\ndata: c\n\n", true},
 		{"falling numbers", "id: 10\ndata: a\n\nid: 30\ndata: b\n\n", "id: 20\ndata: c\n\n", false},
-		{"other names", "id: a\ndata: a\n\n", "id: b\ndata: b\n\n", true},
+		{"different names", "id: a\ndata: a\n\n", "id: b\ndata: b\n\n", true},
 		{"the same name", "id: a\ndata: a\n\n", "id: a\ndata: b\n\n", false},
 		{"no number", "id: 1\ndata: a\n\n", "data: b\n\n", false},
 		{"a comment before the next", "id: 1\ndata: a\n\n", ": here\n\nid: 2\ndata: b\n\n", true},
-		{"a line for the reader before the next", "retry: 100\n\nid: 1\ndata: a\n\n", "retry: 100\n\nid: 2\ndata: b\n\n", true},
+		{"a retry line before the next", "retry: 100\n\nid: 1\ndata: a\n\n", "retry: 100\n\nid: 2\ndata: b\n\n", true},
 		{"another first line", "id: 1\ndata: a\n\n", "version: 4\nid: 2\ndata: b\n\n", true},
 		{"lines that end in CR LF", "id: 1\r\ndata: a\r\n\r\n", "id: 2\r\ndata: b\r\n\r\n", true},
 		{"nothing", "id: 1\ndata: a\n\n", "", true},
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -1,6 +1,6 @@
 package relay
 
-// PlacesForTest counts the places that this VM has at each engine.
+// PlacesForTest counts the places that this VM uses at each engine.
 func (rl *Relay) PlacesForTest() map[string]int {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
--- a/internal/relay/first_test.go
+++ b/internal/relay/first_test.go
@@ -13,10 +13,9 @@
 	"alderdyke/pkg/refusal"
 )
 
-// The first caller of a process was told to come back at once, or in two seconds, as it
-// happened: a soak's race detector saw its request read the settings while another
-// goroutine of the start filled in their defaults ("Write ... prepare ... ShareUsage,
-// previous read ... begin ... Serve").
+// Guards against a data race at the start: the first request read the settings while
+// another goroutine of the start filled in their defaults, so its caller could be
+// told to come back immediately instead of after the default time.
 func TestFirstRequestGetsRetryAfter(t *testing.T) {
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2))}
 	req := &relay.Request{ID: "r-1", Method: http.MethodGet, Host: "h", URI: "/x", Path: "/x", Header: http.Header{}, Arrived: clock.Or(nil).Now()}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// prefillTimeout bounds one prefill. One that is given up is wasted work,
-	// so the bound is for engines that are gone.
+	// prefillTimeout bounds one prefill. The work of a prefill that times out is
+	// wasted, so the timeout is meant for engines that no longer answer.
 	prefillTimeout = 1200 * clock.Millis(1)
-	// replacedAvoidTime outlasts the registry entry of an engine whose address was reused.
-	// The engine there takes reservations for the earlier one, so that each VM
-	// that finds out by itself pays for a prefill.
+	// replacedAvoidTime outlasts the registry entry of an engine whose address was
+	// reused. The engine at that address accepts reservations for the earlier engine,
+	// so each VM that has to find out by itself pays for a prefill.
 	replacedAvoidTime = 4 * clock.Second
-	// generationRetryCost is what another attempt at a generation costs the budget at least:
-	// one more decode arrives. A prefill before it is paid for when it is sent.
+	// generationRetryCost is the minimum that another attempt at a generation costs
+	// the budget: one more decode arrives. A prefill before it is paid for when it is
+	// sent.
 	generationRetryCost = 1
-	// minGenerationRetryTime is the least time in which another attempt at a generation
-	// is of use: a place, a prefill and the first event.
+	// minGenerationRetryTime is the least time in which another attempt at a
+	// generation is useful: for a place, a prefill and the first event.
 	minGenerationRetryTime = 300 * clock.Millis(1)
 )
 
-// decoding is a decode that an engine was ordered.
+// decoding is a decode that was sent to an engine.
 type decoding struct {
 	rsp            *http.Response
-	orderedAt      clock.Millis // when
+	orderedAt      clock.Millis // when the decode was sent
 	computesPrompt bool         // the engine computes the prompt too
-	tokensAhead    int          // tokens of prompts that it had to compute before
-	events         int          // that came from it
-	promptDone     func()       // is called when the first event came, or the decode failed
+	tokensAhead    int          // tokens of prompts queued at the engine before this one
+	events         int          // received from the decode
+	promptDone     func()       // called when the first event came, or the decode failed
 	end            func()       // ends the call at the engine
 }
 
-// close ends what is left of the decode.
+// close releases what is left of the decode.
 func (dec decoding) close() {
-	_ = dec.rsp.Body.Close() // it was read, broke, or is given up
+	_ = dec.rsp.Body.Close() // it was read to its end, broke, or is abandoned
 	dec.promptDone()
 	dec.end()
 }
@@ -59,8 +60,8 @@
 	return dec
 }
 
-// serveGeneration carries a generation: a place first, so that the prompt is not
-// computed for nothing; then the prefill; then the decode.
+// serveGeneration serves a generation: first a place, so that no prompt is computed
+// in vain; then the prefill; then the decode.
 func (rl *Relay) serveGeneration(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
 	defer rl.dropPrompt(ex)
 	for number := 1; ; number++ {
@@ -86,8 +87,9 @@
 	}
 }
 
-// awaitRerun tells whether a generation that its engine failed by its own word is
-// begun once more: one that may be resumed may also run again.
+// awaitRerun reports whether a generation that its engine answered with a failure is
+// started again, and waits for the backoff if so. A generation that may be resumed
+// may also run again.
 func (rl *Relay) awaitRerun(ctx context.Context, ex *exchange, number int, rn *run) bool {
 	if rn.rsp.StatusCode < http.StatusInternalServerError || !ex.rt.Resumable {
 		return false
@@ -96,8 +98,8 @@
 	return rl.awaitRetry(ctx, ex, number, generationRetryCost, failed, minGenerationRetryTime) == nil
 }
 
-// startRun has the prompt computed and the decode begun. After an error nothing
-// is left at the engines, and the place is the caller's to leave.
+// startRun has the prompt computed and starts the decode. After an error the engines
+// hold nothing for the request, and the caller must leave the place.
 func (rl *Relay) startRun(ctx context.Context, ex *exchange, pl place) (*run, error) {
 	_, dec, err := rl.startDecode(ctx, ex, pl, ex.req.LastEventID)
 	if err != nil {
@@ -106,15 +108,15 @@
 	return rl.newRun(ex, pl, dec), nil
 }
 
-// startDecode has the prompt computed and the decode begun behind an event. After
-// an error nothing is left at the engines.
+// startDecode has the prompt computed and starts the decode after an event. After an
+// error the engines hold nothing for the request.
 func (rl *Relay) startDecode(ctx context.Context, ex *exchange, pl place, after string) (Handle, decoding, error) {
 	pr, kept := rl.takePrompt(ex)
 	if !kept {
 		pr = computedPrompt{handle: rl.prefill(ctx, ex, pl), at: rl.now()}
 	}
 	if rl.Backends().Reborn(pr.handle.Server) {
-		pr = computedPrompt{} // another life of the engine may have given the same ID to another prompt
+		pr = computedPrompt{} // another incarnation of the engine may have given the same ID to another prompt
 	}
 	if err := rl.checkDecode(ctx, ex, pl); err != nil {
 		err = backend.NotSentError{Server: pl.server.ID, Call: "Decode", Err: err}
@@ -126,7 +128,7 @@
 	return pr.handle, dec, err
 }
 
-// checkDecode tells why a decode at a place is of no use any more; nil if it is.
+// checkDecode returns why a decode at a place is no longer useful, or nil if it is.
 func (rl *Relay) checkDecode(ctx context.Context, ex *exchange, pl place) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -142,10 +144,9 @@
 	return nil
 }
 
-// decode begins a decode at a place. If the engine declines a computed prompt
-// it is asked once to compute the prompt itself: the prompt may have lapsed,
-// which says nothing of this engine. After an error nothing is left at the
-// engines.
+// decode starts a decode at a place. If the engine declines a computed prompt, it is
+// asked once to compute the prompt itself: the prompt may have expired, which is no
+// fault of this engine. After an error the engines hold nothing for the request.
 func (rl *Relay) decode(ctx context.Context, ex *exchange, pl place, pr computedPrompt, after string) (decoding, error) {
 	hd := pr.handle
 	op := Options{TimeLeft: rl.timeLeft(ex), Source: hd, Reservation: pl.reservation, LastEventID: after}
@@ -165,7 +166,8 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	if po := rl.poolOf(ex.svc.Name); dec.rsp.StatusCode >= http.StatusInternalServerError {
-		// One that fails at once looks empty, so that more would go there.
+		// An engine that fails at once looks empty, which would attract more
+		// requests.
 		rl.recordFailure(po, pl.server.ID)
 	} else {
 		rl.recordRecovery(po, pl.server.ID)
@@ -173,7 +175,7 @@
 	return dec, nil
 }
 
-// sendDecode orders a decode. After an error there is none to be closed.
+// sendDecode sends a decode. After an error there is nothing to close.
 func (rl *Relay) sendDecode(ctx context.Context, ex *exchange, pl place, op Options) (decoding, error) {
 	dec := rl.newDecoding(ex, pl, op.Source.ID == "")
 	ctx, dec.end = rl.beginCall(ctx, pl.server)
@@ -197,7 +199,7 @@
 
 var errEngineLeaving = errors.New("the engine has begun to leave, or rests")
 
-// cleanUpDecode cleans up after a decode that did not begin.
+// cleanUpDecode cleans up after a decode that did not start.
 func (rl *Relay) cleanUpDecode(ctx context.Context, ex *exchange, pl place, pr computedPrompt, err error) {
 	if !backend.NotRun(err) {
 		ex.possibleRuns++
@@ -211,9 +213,9 @@
 	rl.recordFault(ctx, ex, pl.server.ID, err)
 }
 
-// recordFault notes what a failed call says of an engine. An engine that declines
-// what it reserved a place for is about to change its role, or is another engine
-// by now, which the other VMs are told.
+// recordFault records what a failed call shows about an engine. An engine that
+// declines a call for which it reserved a place is about to change its role, or was
+// replaced by another engine; the other VMs are informed of that.
 func (rl *Relay) recordFault(ctx context.Context, ex *exchange, server string, err error) {
 	if ctx.Err() != nil || errors.Is(err, errBudget) {
 		return
@@ -233,20 +235,20 @@
 	}
 }
 
-// recordFailure has this VM pass an engine over, and the others ask it last. The lock is
-// held.
+// recordFailure makes this VM skip an engine for a while, and the other VMs ask it
+// last. The lock is held.
 func (rl *Relay) recordFailure(po *pool.Pool, server string) {
 	rl.ledger.Failed(server, po.Failed(rl.now(), server))
 	rl.notifyUsageChanged()
 }
 
-// recordRecovery ends that. The lock is held.
+// recordRecovery ends the effect of recordFailure. The lock is held.
 func (rl *Relay) recordRecovery(po *pool.Pool, server string) {
 	po.Worked(server)
 	rl.ledger.Worked(server)
 }
 
-// prefill has the prompt computed for a decode at a place. Without a handle the
+// prefill has the prompt computed for a decode at a place. Without a handle, the
 // decode engine computes it.
 func (rl *Relay) prefill(ctx context.Context, ex *exchange, pl place) Handle {
 	for {
@@ -261,12 +263,12 @@
 		if !notSent(err) || ctx.Err() != nil || errors.Is(err, errBudget) {
 			return Handle{}
 		}
-		// Nothing reached the engine, which is passed over from now on.
+		// Nothing reached the engine, which is skipped from now on.
 	}
 }
 
-// choosePrefill chooses the engine that computes a prompt and counts it there;
-// none if the decode engine is to do it.
+// choosePrefill chooses the engine that computes a prompt and counts the prompt
+// there. It returns false if the decode engine is to compute it.
 func (rl *Relay) choosePrefill(ex *exchange, pl place) (pool.Prefill, bool) {
 	st := pool.Start{Spent: rl.now() - ex.req.Arrived, Objective: ex.rt.Objective}
 	pf, itself := rl.assignPrefill(ex, pl, st)
@@ -278,7 +280,7 @@
 	return pf, !itself
 }
 
-// assignPrefill chooses the engine and counts the prompt there, or tells that the
+// assignPrefill chooses the engine and counts the prompt there, or reports that the
 // decode engine computes it itself.
 func (rl *Relay) assignPrefill(ex *exchange, pl place, st pool.Start) (pf pool.Prefill, itself bool) {
 	rl.mu.Lock()
@@ -286,9 +288,9 @@
 	now, tokens := rl.now(), ex.req.Prompt.Tokens
 	po := rl.poolOf(ex.svc.Name)
 	pf, ok := rl.prefillForPlace(now, po, pl, tokens)
-	// An engine that may be gone first shows that it is there: reservations are
-	// taken also when another one answers in its place. Where the budget pays for
-	// one more arrival only, that is the decode's.
+	// An engine that may be down must first show that it is up, because reservations
+	// are also accepted by an engine that replaced it. If the budget pays for only
+	// one more arrival, that one is for the decode.
 	if !ok || pl.doubtful || !rl.canPayPrefillAndDecode(ex) || po.Itself(pf, tokens, rl.ledger.Prompts(now, pl.server.ID), st) {
 		return pf, true
 	}
@@ -297,8 +299,8 @@
 	return pf, false
 }
 
-// prefillForPlace is the engine that was chosen with a place, if it still computes
-// prompts, or one that is chosen now. The lock is held.
+// prefillForPlace returns the engine that was chosen together with a place, if it
+// still computes prompts, or otherwise chooses one. The lock is held.
 func (rl *Relay) prefillForPlace(now clock.Millis, po *pool.Pool, pl place, tokens int) (pool.Prefill, bool) {
 	if pl.prefill != nil && po.Computes(now, pl.prefill.Server.ID) {
 		return *pl.prefill, true
@@ -313,7 +315,7 @@
 		Last: func(id string) bool { return rl.ledger.Failing(now, id) }})
 }
 
-// prefillAt has the prompt computed at an engine.
+// prefillAt has the prompt computed by an engine.
 func (rl *Relay) prefillAt(ctx context.Context, ex *exchange, pf pool.Prefill) (Handle, error) {
 	began := rl.now()
 	within, end := rl.beginCall(ctx, pf.Server)
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// A request without a place is refused at once, before its prompt is
-// computed, and told when to come back; one that came back waits longer.
+// A request without a place is refused immediately, before its prompt is computed,
+// and gets a retry-after; a request that was refused before waits longer.
 func TestNoPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -60,7 +60,7 @@
 		began = time.Now()
 		_, err = serveLeft(t.Context(), rl, "draft", 11*clock.Second)
 		refusalOf(t, err)
-		assert.Equal(t, time.Since(began), 2*time.Second-relay.DefaultStartTime.Std(), "the callers' patience, less a start")
+		assert.Equal(t, time.Since(began), 2*time.Second-relay.DefaultStartTime.Std(), "the callers' patience, minus the start time")
 	})
 }
 
@@ -84,7 +84,7 @@
 	})
 }
 
-// Reservations are sized by the hint, within what the request allows.
+// Reservations are sized by the hint, within the limit of the request.
 func TestReservationFollowsTheHint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -99,21 +99,21 @@
 	})
 }
 
-// A VM that knows what all others have reserves little more than the prompt,
-// and leaves out engines whose runs will need their memory. One that is cut
-// off, or does not hear another, must not take the engines for empty.
+// A VM that knows the usage of all others reserves little more than the prompt, and
+// leaves out engines whose runs will need their memory. A VM that is partitioned, or
+// has no recent report from another VM, must not assume that the engines are empty.
 func TestReservationWithoutTheOthers(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		others []string
 		whole  bool
-		told   int // tokens that vm-2 has at each decode engine
+		told   int // tokens that vm-2 uses at each decode engine
 		want   int // reserved; zero: no engine is asked
 	}{
-		{"all are heard", []string{"vm-2"}, true, 100, 5000 + relay.DefaultReserveTokens},
+		{"all VMs reported", []string{"vm-2"}, true, 100, 5000 + relay.DefaultReserveTokens},
 		{"the engines are full", []string{"vm-2"}, true, 9000, 0},
-		{"one is silent", []string{"vm-2", "vm-3"}, true, 9000, 7000},
-		{"cut off", nil, false, 100, 7000},
+		{"one VM is silent", []string{"vm-2", "vm-3"}, true, 9000, 7000},
+		{"partitioned", nil, false, 100, 7000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// Whatever fails on the way, nothing stays held at an engine.
+// No failure on the way may leave anything held at an engine.
 func TestNothingStaysHeld(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -160,8 +160,8 @@
 	}
 }
 
-// A prefill that fails has run nothing: the decode engine computes the prompt
-// at the place that was taken, and no second prefill is paid for.
+// A prefill that fails has run nothing: the decode engine computes the prompt at the
+// reserved place, and no second prefill is paid for.
 func TestFailedPrefillIsComputedByTheDecodeEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -175,8 +175,8 @@
 	})
 }
 
-// A computed prompt that has lapsed is declined: the same engine computes it
-// at the place that is kept, and the prefill engine is passed over.
+// An expired prompt is declined: the same engine computes it at the place that is
+// still reserved, and the prefill engine is skipped.
 func TestLapsedPromptIsComputedByTheDecodeEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -198,9 +198,9 @@
 	})
 }
 
-// A decode engine that is gone, or has another role by now, has taken nothing of a
-// computed prompt: the decode at the next place goes on from it, and no engine computes
-// it again, which the budget would pay for.
+// A decode engine that is gone, or has changed its role, has taken nothing of a
+// computed prompt: the decode at the next place uses it, and no engine computes it
+// again, which the budget would have to pay for.
 func TestPromptOutlivesADecodeThatWasDeclined(t *testing.T) {
 	for _, err := range []error{errUnknownRun, errWrongRole, errRefused} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -225,7 +225,7 @@
 	}
 }
 
-// Where no decode follows, the computed prompt is given back.
+// If no decode follows, the computed prompt is freed.
 func TestPromptOfARefusedRequestIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -237,8 +237,8 @@
 	})
 }
 
-// A stream that breaks and may not be resumed is cut; it must not be told as
-// a refusal, which would frame the part that went out as a whole answer.
+// A stream that breaks and may not be resumed is cut; it must not end in a refusal,
+// which would make the part that was sent look like a complete answer.
 func TestBrokenStreamIsCut(t *testing.T) {
 	for _, name := range []string{"draft", "resumable"} {
 		t.Run(name, func(t *testing.T) {
@@ -250,7 +250,7 @@
 				}
 				rec, err := serve(t.Context(), rl, name)
 				assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
-				assert.Equal(t, rec.Body.String(), eventOne, "only whole events go out")
+				assert.Equal(t, rec.Body.String(), eventOne, "only whole events are sent")
 			})
 		})
 	}
@@ -269,12 +269,12 @@
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo+eventThree)
 		assert.Equal(t, sv.sent[1].op.LastEventID, "1")
-		assert.Equal(t, distinct(sv.sentTo()), 2, "the engine that broke off is passed over")
+		assert.Equal(t, distinct(sv.sentTo()), 2, "the engine whose stream broke is skipped")
 		assert.Equal(t, sv.held(), 0)
 	})
 }
 
-// A run at an engine that leaves goes on at another one with its memory.
+// A run at a leaving engine continues at another engine with its memory.
 func TestRunMovesFromALeavingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -308,7 +308,7 @@
 	})
 }
 
-// A run that ends while it is moved leaves no copy behind.
+// A run that ends while it is being moved leaves no copy behind.
 func TestCopyOfARunThatEndedIsFreed(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -349,10 +349,10 @@
 	}
 }
 
-// synctestPause lets everything else that can go on do so.
+// synctestPause lets everything else run that can.
 func synctestPause() { time.Sleep(time.Millisecond) }
 
-// A run that is not to be moved, for no engine has room, ends where it is.
+// A run that can't be moved because no engine has room ends where it is.
 func TestRunThatCanNotMoveEndsWhereItIs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -1,7 +1,7 @@
 package relay
 
-// recordAnswerLength notes how long a whole answer came out. One of which the caller had a
-// part already tells nothing of that.
+// recordAnswerLength records the length of a complete answer. It skips an answer of
+// which the caller already had a part, because its length is not known.
 func (rl *Relay) recordAnswerLength(rn *run) {
 	pr := rn.ex.req.Prompt
 	if pr == nil || rn.ex.req.LastEventID != "" || !succeeded(rn.status) {
@@ -12,7 +12,7 @@
 	rl.ledger.Learn(rn.ex.rt.Name, pr.Hint, rn.tokens)
 }
 
-// recordFirstEventTime notes how long a decode took to its first event.
+// recordFirstEventTime records how long a decode took until its first event.
 func (rl *Relay) recordFirstEventTime(rn *run) {
 	if rn.ex.svc.Engines == nil || rn.ex.req.Prompt == nil || !succeeded(rn.rsp.StatusCode) {
 		return
--- a/internal/relay/leaving.go
+++ b/internal/relay/leaving.go
@@ -9,14 +9,14 @@
 	"alderdyke/pkg/clock"
 )
 
-// drainingTTL is how long a server's own word that it leaves counts while its entry
-// does not say so: it is gone within a minute, and its entry may stand for as long as
-// the store is away.
+// drainingTTL is how long a server's own announcement that it leaves counts while its
+// entry does not say so: the server exits within a minute, and its entry may remain
+// for as long as the store is unavailable.
 const drainingTTL = 10 * clock.Minute
 
-// MarkDraining notes that a server said with one of its answers that it leaves. From
-// now on nothing new goes there, whatever its entry says: the store may be away when
-// servers go, and would tell of it too late.
+// MarkDraining records that a server announced with one of its answers that it
+// leaves. From now on it gets nothing new, whatever its entry says: the store may be
+// unavailable when servers leave, and would report it too late.
 func (rl *Relay) MarkDraining(id string) {
 	if at, listed := rl.Backends().Server(id); !listed || at.Leaving {
 		return
@@ -34,7 +34,7 @@
 	rl.recordRestarts(ended)
 }
 
-// withDraining returns the list with the servers marked that said themselves that they
+// withDraining returns the list with the servers marked that announced that they
 // leave. The lock is held.
 func (rl *Relay) withDraining(now clock.Millis, list []board.BackendServer) []board.BackendServer {
 	maps.DeleteFunc(rl.draining, func(_ string, said clock.Millis) bool { return now >= said+drainingTTL })
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -11,8 +11,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// A server's own word that it leaves does what its entry's does: nothing new goes
-// there, its runs move, and no later list takes the word back.
+// A server's own announcement that it leaves has the same effect as its entry: it
+// gets nothing new, its runs move, and no later list revokes the announcement.
 func TestServerThatAnnouncesItLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -31,8 +31,8 @@
 	})
 }
 
-// Only the life that said so leaves, and a word is forgotten in the end: an entry that
-// stands for ten minutes more is that of a server that stays.
+// Only the incarnation that announced it leaves, and the announcement expires: an
+// entry that remains for more than ten minutes belongs to a server that stays.
 func TestDrainingMarkIsOfOneIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
--- a/internal/relay/lives.go
+++ b/internal/relay/lives.go
@@ -8,19 +8,20 @@
 	"alderdyke/internal/event"
 )
 
-// errServerRestarted ends the calls at a server that has started again since.
+// errServerRestarted ends the calls to a server that has since restarted.
 var errServerRestarted = errors.New("the server has started again and knows nothing of the call")
 
-// call is one call at a backend server that may last: a run, an attempt at a
-// plain service, a prefill.
+// call is a call to a backend server that may take long: a run, an attempt at a plain
+// service, a prefill.
 type call struct {
 	server board.BackendServer
 	cancel context.CancelCauseFunc
 }
 
-// beginCall makes a context for a call at a server, which ends when another life
-// of the server is listed: the server then works on nothing of before, and its
-// connection may stay silent for good. The function ends the call.
+// beginCall creates a context for a call to a server. The context ends when another
+// incarnation of the server is listed, because a restarted server has dropped the
+// call and its connection may stay silent indefinitely. The returned function ends
+// the call.
 func (rl *Relay) beginCall(ctx context.Context, bs board.BackendServer) (context.Context, context.CancelFunc) {
 	within, cancel := context.WithCancelCause(ctx)
 	cl := &call{server: bs, cancel: cancel}
@@ -35,8 +36,8 @@
 	}
 }
 
-// dropPreviousInstances ends the calls at servers that started again, and counts them by
-// server. The lock is held.
+// dropPreviousInstances ends the calls to servers that have restarted, and counts
+// them by server. The lock is held.
 func (rl *Relay) dropPreviousInstances(bk *board.Backends) map[string]int {
 	ended := make(map[string]int)
 	for cl := range rl.calls {
@@ -48,7 +49,7 @@
 	return ended
 }
 
-// recordRestarts tells how many calls ended with the lives of their servers.
+// recordRestarts logs how many calls ended because their servers restarted.
 func (rl *Relay) recordRestarts(ended map[string]int) {
 	for server, calls := range ended {
 		rl.count("Reborn", nil)
--- a/internal/relay/lives_test.go
+++ b/internal/relay/lives_test.go
@@ -19,8 +19,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// silentBody is a body that brings its text and then nothing until its call ends,
-// as a connection does whose server lost its power.
+// silentBody is a body that returns its text and then blocks until its call ends,
+// like a connection to a server that lost power.
 type silentBody struct {
 	io.Reader
 	ctx context.Context
@@ -36,7 +36,8 @@
 
 func (si *silentBody) Close() error { return nil }
 
-// restarted is the list in which the servers started again under their names.
+// restarted returns the list in which the named servers have restarted under their
+// names.
 func restarted(names ...string) []board.BackendServer {
 	out := slices.Clone(allServers)
 	for ix, bs := range out {
@@ -48,26 +49,26 @@
 	return out
 }
 
-// A server that starts again works on nothing of before, and its connections
-// may stay silent for good: what was asked of its earlier life ends at once.
+// A restarted server has dropped its earlier work, and its old connections may stay
+// silent indefinitely: calls to its earlier incarnation end at once.
 func TestCallsToARestartedServer(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		route string
 		wants func(t *testing.T, body string, err error)
 	}{
-		{"a stream that may be resumed goes on elsewhere", "resumable", func(t *testing.T, body string, err error) {
+		{"a resumable stream continues elsewhere", "resumable", func(t *testing.T, body string, err error) {
 			assert.NilError(t, err)
 			assert.Equal(t, body, eventOne+eventTwo)
 		}},
-		{"one that may not is cut", "draft", func(t *testing.T, body string, err error) {
+		{"another stream is cut", "draft", func(t *testing.T, body string, err error) {
 			assert.ErrorIs(t, err, relay.ErrCut)
 			assert.Equal(t, body, eventOne)
 		}},
-		{"a request that runs once may have run", "once", func(t *testing.T, _ string, err error) {
+		{"a non-idempotent request may have run", "once", func(t *testing.T, _ string, err error) {
 			assert.Equal(t, refusalOf(t, err).Ran, refusal.MayHaveRun)
 		}},
-		{"one that may be repeated is", "again", func(t *testing.T, _ string, err error) { assert.NilError(t, err) }},
+		{"an idempotent request is repeated", "again", func(t *testing.T, _ string, err error) { assert.NilError(t, err) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -96,9 +97,9 @@
 	}
 }
 
-// A prompt that was computed by an earlier life is not decoded from: the new
-// one may give the same handle to another prompt, and must not be told to free
-// it either.
+// A prompt that an earlier incarnation computed must not be decoded from: the new one
+// may give the same handle to another prompt, and so must not be told to free it
+// either.
 func TestHandlesOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -113,11 +114,11 @@
 		assert.NilError(t, err)
 		assert.Equal(t, sv.sent[0].op.Source.ID, "")
 		synctest.Wait()
-		assert.Equal(t, sv.held(), 1, "the handle of the earlier life is no longer ours to free")
+		assert.Equal(t, sv.held(), 1, "the handle of the earlier incarnation must not be freed")
 	})
 }
 
-// slowPrefill answers a prefill a moment after it is done.
+// slowPrefill delays the response of a prefill.
 type slowPrefill struct{ *servers }
 
 func (sp *slowPrefill) Prefill(ctx context.Context, bs board.BackendServer, req *relay.Request, left clock.Millis) (relay.Handle, error) {
@@ -126,8 +127,8 @@
 	return hd, err
 }
 
-// What other VMs, and this one, told of an earlier life does not count for the
-// new one: it is empty and has failed nobody.
+// Reports of this and other VMs about an earlier incarnation do not count for the new
+// one: it is empty and has failed nobody.
 func TestRestartedServerHasNoHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -149,9 +150,9 @@
 	})
 }
 
-// In the place of an engine that crashed another one answers, which takes
-// reservations for the earlier one. The VM that finds out tells the others, and
-// they don't pay for a prefill each.
+// An engine that replaced a crashed one at its address accepts reservations for the
+// earlier engine. The VM that finds out informs the others, so that they don't pay
+// for a prefill each.
 func TestEngineReplacedAtItsAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// moveTimeout bounds a move: an engine is gone about two seconds after notice.
+	// moveTimeout bounds a move: an engine exits about two seconds after its notice.
 	moveTimeout = 3 * clock.Second
-	// stayTimeout is how long after the notice a run that could not be moved goes
-	// on where it was: engines may be sent nothing new after two seconds.
+	// stayTimeout is how long after the notice a run that could not be moved may
+	// still continue where it was: engines may be sent nothing new after two seconds.
 	stayTimeout = 1500 * clock.Millis(1)
 )
 
-// Causes for which a run does not go on where it is.
+// Causes for which a run does not continue where it is.
 var (
 	errNoTarget       = errors.New("no engine has room for the run")
 	errStoppedForMove = errors.New("the run was stopped to be moved")
 )
 
-// movedRun is where a run can be gone on with.
+// movedRun is where a run can be continued.
 type movedRun struct {
 	target  board.BackendServer
 	src     Handle
@@ -37,7 +37,7 @@
 func (rl *Relay) moveFromLeavingEngines(bk *board.Backends) {
 	for rn := range rl.runs {
 		at, listed := bk.Server(rn.pl.server.ID)
-		stays := listed && !at.Leaving || bk.Reborn(rn.pl.server) // of an earlier life there is nothing to move
+		stays := listed && !at.Leaving || bk.Reborn(rn.pl.server) // an earlier incarnation has nothing left to move
 		if rn.moving || rn.broken || stays || rn.ex.svc.Engines == nil || !rn.ex.svc.Engines.Moves {
 			continue
 		}
@@ -46,8 +46,8 @@
 	}
 }
 
-// move takes a run away from an engine that leaves. The copy is made while
-// the run goes on; only what is new since then is copied after it stopped.
+// move moves a run away from an engine that leaves. The first copy is made while the
+// run continues; only what is new since then is copied after the run was stopped.
 func (rl *Relay) move(rn *run, from place, result chan<- movedRun) {
 	stays := rl.now() + stayTimeout
 	ctx, stop := context.WithTimeout(context.Background(), moveTimeout.Std())
@@ -67,21 +67,21 @@
 	result <- mv
 }
 
-// moveAway moves a run to the first engine that takes it.
+// moveAway moves a run to the first engine that accepts it.
 func (rl *Relay) moveAway(ctx context.Context, rn *run, from place, stays clock.Millis) movedRun {
 	mv := movedRun{err: errNoTarget}
 	for _, to := range rl.moveTargets(from) {
 		mv = rl.moveTo(ctx, rn, from.server, to, stays)
 		if _, why := backend.OutcomeOf(mv.err); mv.stopped || !backend.NotRun(mv.err) || why == backend.Unknown {
-			break // it was moved, may have been stopped, or is over
+			break // it was moved, may have been stopped, or has ended
 		}
 	}
 	return mv
 }
 
-// moveTo copies a run to another engine while it goes on, and stops it to copy
-// the rest. What was copied for nothing is freed. A run that was stopped for
-// nothing goes on where it was, until the point.
+// moveTo copies a run to another engine while it continues, and stops it to copy the
+// rest. An unused copy is freed. A run that was stopped but not moved continues where
+// it was, until the given time.
 func (rl *Relay) moveTo(ctx context.Context, rn *run, from, to board.BackendServer, stays clock.Millis) movedRun {
 	first, err := rl.Servers.Move(ctx, from, to, rn.ex.req.ID, false)
 	if err != nil {
@@ -96,14 +96,15 @@
 		return movedRun{target: to, src: last}
 	}
 	if last.ID != "" && rl.now() < stays {
-		// The first copy lapses: to free it might free the memory behind it too.
+		// The first copy expires by itself: freeing it might also free the memory
+		// that the run continues with.
 		return movedRun{target: from, src: last}
 	}
 	rl.forget(rn.ex, first)
 	return movedRun{stopped: mayHaveStopped(err), err: err}
 }
 
-// markStopping notes that a run is about to be stopped, unless it has ended.
+// markStopping records that a run is about to be stopped, unless it has ended.
 func (rl *Relay) markStopping(rn *run) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -116,7 +117,7 @@
 func (rl *Relay) freeUnusedCopy(rn *run) {
 	mv := rn.moveResult
 	if mv == nil {
-		got := <-rn.moved // a move always comes to something, within moveTimeout
+		got := <-rn.moved // a move always ends within moveTimeout
 		mv = &got
 	}
 	if mv.err == nil {
@@ -124,15 +125,15 @@
 	}
 }
 
-// mayHaveStopped tells whether a run may have been stopped by a call to stop and
-// copy it that failed. An engine stops a run first, and then may find no room for
-// the copy; one that does not know the run has ended it.
+// mayHaveStopped reports whether a failed call to stop and copy a run may have
+// stopped it. An engine stops a run first, and may then find no room for the copy; an
+// engine that does not know the run has already ended it.
 func mayHaveStopped(err error) bool {
 	oc, why := backend.OutcomeOf(err)
 	return oc != backend.NotSent && why != backend.Unknown
 }
 
-// awaitMove waits for what the move of a run came to.
+// awaitMove waits for the result of moving a run.
 func (rn *run) awaitMove(ctx context.Context) (movedRun, error) {
 	if rn.moveResult != nil {
 		return *rn.moveResult, nil
@@ -146,10 +147,10 @@
 	}
 }
 
-// wasStopped tells whether an answer that ended in order may have ended because
-// its run was stopped to be moved. Where the answer has a length, or comes in
-// chunks, its end is the engine's word that it is whole; one that ends with its
-// connection ends alike in both cases.
+// wasStopped reports whether an answer that ended in order may have ended because its
+// run was stopped to be moved. If the answer has a length, or is sent in chunks, its
+// end means that it is complete; an answer that is delimited by the end of its
+// connection ends in the same way in both cases.
 func (rl *Relay) wasStopped(ctx context.Context, rn *run) bool {
 	if rn.rsp.ContentLength >= 0 || len(rn.rsp.TransferEncoding) > 0 {
 		return false
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -19,9 +19,9 @@
 
 var errRunOver = backend.DeclinedError{Server: "x", Call: "Move", Reason: backend.Unknown}
 
-// streamUntil is a response without a length, whose body holds the text and, once the
-// channel is closed, what follows. Then it ends with the error; nil is an orderly
-// end of its connection.
+// streamUntil returns a response without a length, whose body holds the text and,
+// once the channel is closed, the rest. It ends with the error; nil is an orderly end
+// of its connection.
 func streamUntil(text string, until <-chan struct{}, rest string, end error) *http.Response {
 	rd, wr := io.Pipe()
 	go func() {
@@ -36,8 +36,8 @@
 }
 
 // An engine stops a run before it finds that there is no room for the copy. No
-// further engine is asked then, whose word that the run is over would make the
-// stopped answer a whole one.
+// further engine may be asked then: if that one answered that the run has ended, the
+// stopped answer would look complete.
 func TestRunThatStoppedWithoutRoomIsNotWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -65,10 +65,10 @@
 	})
 }
 
-// An accepted answer was cut off by the VM itself: the engine that leaves had
-// stopped the run for a copy, had found no room at the other one ("RelayNotMoved
-// Stopped=true"), and kept the memory, with which nobody went on. It goes on where
-// it was, also where its route may not be resumed.
+// Guards against cutting an accepted answer because its run could not be moved: the
+// leaving engine stopped the run for a copy, the other engine had no room, and
+// nothing continued with the memory that the first engine kept. The run must continue
+// where it was, even if its route may not be resumed.
 func TestRunThatStoppedWithoutRoomGoesOnWhereItWas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -98,8 +98,8 @@
 	})
 }
 
-// moveOnce has the first run give a text and end without a length when its move stops
-// it, and all others give the rest.
+// moveOnce makes the first run return a text and end without a length when its move
+// stops it, and makes all other runs return the rest.
 func moveOnce(sv *servers, text, rest string) {
 	stopped := make(chan struct{})
 	sv.onMove = func(_ int, _ board.BackendServer, stop bool) error {
@@ -117,7 +117,7 @@
 }
 
 // A run that is moved before its first event begins its answer at the new engine,
-// be it a stream of events or not.
+// whether or not the answer is a stream of events.
 func TestRunMovesBeforeItsFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -129,7 +129,7 @@
 	})
 }
 
-// An answer that ends while its move has stopped nothing yet ends at once.
+// An answer that ends before its move has stopped anything ends immediately.
 func TestMoveDoesNotHoldUpTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -149,7 +149,7 @@
 	})
 }
 
-// The copy of a run whose caller left before it was read on is freed.
+// The copy of a run is freed if the caller disconnects before the copy was used.
 func TestCopyIsFreedWhenTheCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/need.go
+++ b/internal/relay/need.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// blockTokens is the unit in which engines give out memory.
+	// blockTokens is the unit in which engines allocate memory.
 	blockTokens = 16
-	// silentDivisor of the other VMs may be silent: what a twentieth has at the
-	// engines is within the margin that Fill leaves.
+	// silentDivisor limits the other VMs that may be silent to one in twenty: the
+	// usage of a twentieth is within the margin that MemoryFill leaves.
 	silentDivisor = 20
-	// noLimit leaves out no engine but those that have no room at all.
+	// noLimit excludes only engines without any room.
 	noLimit = math.MaxInt - 1
 )
 
-// memoryNeed is the memory that a generation asks for.
+// memoryNeed is the memory that a generation needs.
 type memoryNeed struct {
 	run     usage.Run // without its engine
-	reserve int       // to reserve at the engine
-	limit   int       // what all runs of the engine may come to need
+	reserve int       // tokens to reserve at the engine
+	limit   int       // tokens that all runs of the engine may come to need
 }
 
-// needOf sizes a generation. Where it is known what all VMs have at the engines,
-// what each will need is foretold, and little more than the prompt is reserved.
-// Otherwise it is what the run may come to.
+// needOf sizes a generation. If the usage of all VMs at the engines is known, the
+// need of each run is predicted, and little more than the prompt is reserved.
+// Otherwise the reservation covers the largest size that the run may reach.
 func (rl *Relay) needOf(ex *exchange, known bool) memoryNeed {
 	pr := ex.req.Prompt
 	most, guess := pr.MaxOutput, pr.MaxOutput
@@ -43,16 +43,17 @@
 	return nd
 }
 
-// memoryLimit is what all runs of an engine of the service may come to need.
+// memoryLimit returns the tokens that all runs of an engine of the service may come
+// to need.
 func (rl *Relay) memoryLimit(svc route.Service) int {
 	return int(rl.Settings.MemoryFill * float64(svc.Engines.Memory))
 }
 
-// roundToBlocks rounds up to what engines give out.
+// roundToBlocks rounds up to the allocation unit of engines.
 func roundToBlocks(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
-// inSync tells whether the VMs that live told lately what they have at the
-// engines; of a large fleet a few may be silent. The lock is held.
+// inSync reports whether the living VMs recently reported their usage of the engines;
+// in a large fleet a few may be silent. The lock is held.
 func (rl *Relay) inSync() bool {
 	if rl.OtherVMs == nil {
 		return false
@@ -70,8 +71,8 @@
 	return hears
 }
 
-// setInSync tells that this VM begins, or ceases, to know what the others have
-// at the engines. The lock is held.
+// setInSync records, and logs a change of, whether this VM knows the usage of the
+// others. The lock is held.
 func (rl *Relay) setInSync(hears bool, others, silent int, whole bool) {
 	if hears == rl.synced {
 		return
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	// minRetryAfterPart is the least part of Settings.RetryAfter that a refused caller is
-	// told; the most is as much above the whole.
+	// minRetryAfterPart is the smallest fraction of Settings.RetryAfter that a
+	// refused caller is given; the largest fraction is as far above 1 as this is
+	// below it.
 	minRetryAfterPart = 0.75
-	// spareWhileShort is the further requests that an engine must have room for
-	// when it takes one that came back while places are wanting.
+	// spareWhileShort is the number of further requests that an engine must have room
+	// for when it accepts a returning request during a shortage of places.
 	spareWhileShort = 1
-	// cleanupTimeout bounds a call that gives something back.
+	// cleanupTimeout bounds a call that frees something at a server.
 	cleanupTimeout = clock.Second
-	// reserveTimeout bounds the ask for a place; a sound engine answers
-	// within two crossings of a failure domain.
+	// reserveTimeout bounds a reservation; a healthy engine answers within two
+	// crossings of a failure domain.
 	reserveTimeout = 150 * clock.Millis(1)
 )
 
 type (
-	// place is a confirmed reservation on a decode engine.
+	// place is a confirmed reservation at a decode engine.
 	place struct {
 		server      board.BackendServer
 		reservation string
 		service     string
-		prefill     *pool.Prefill // chosen with the place; nil: none was
-		doubtful    bool          // the engine may be gone
+		prefill     *pool.Prefill // chosen together with the place; nil: none was
+		doubtful    bool          // the engine may be down
 		chosenBy    string        // the VM that chose it; empty: this one
 		entry       *usage.Entry
 	}
 
-	// placeAttempt is one look for a place.
+	// placeAttempt is the result of one attempt to find a place.
 	placeAttempt struct {
-		place  place // the zero value: none was found
-		before int   // requests at other VMs that take their places first
-		asked  int   // engines that were asked
-		short  bool  // places were wanting somewhere in the fleet
+		place  place // zero value: none was found
+		before int   // requests at other VMs that get a place before this one
+		asked  int   // number of engines that were asked
+		short  bool  // the fleet has a shortage of places
 	}
 )
 
-// isReturning tells whether the caller was refused before: it brings less time
-// than callers of the route bring at first, by no less than what it was told to
-// wait. No VM needs to remember whom it refused. Callers that bring up to two
-// seconds less than others at first still count as new.
+// isReturning reports whether the caller was refused before: it allows less time than
+// callers of the route do initially, and the difference is at least what a refused
+// caller is told to wait. So no VM needs to remember whom it refused. Callers that
+// initially allow up to two seconds less than others still count as new.
 func (rl *Relay) isReturning(ex *exchange) bool {
 	longest := rl.longestWait[ex.rt.Name]
 	if ex.req.WaitLimit > longest {
@@ -64,7 +65,7 @@
 	return ex.req.WaitLimit > 0 && ex.req.WaitLimit < longest-rl.minRetryAfter()
 }
 
-// findPlace waits for a place on a decode engine. The error is a refusal.
+// findPlace waits for a place at a decode engine. The error is a refusal.
 func (rl *Relay) findPlace(ctx context.Context, ex *exchange) (place, error) {
 	rl.mu.Lock()
 	back := rl.isReturning(ex)
@@ -104,7 +105,7 @@
 	}
 }
 
-// logNoPlace tells that a request found no place, and what room there was.
+// logNoPlace logs that a request found no place, and how much room there was.
 func (rl *Relay) logNoPlace(ex *exchange, po *pool.Pool, fields ...event.Field) {
 	rl.mu.Lock()
 	now, nd := rl.now(), rl.needOf(ex, rl.synced)
@@ -115,9 +116,9 @@
 		event.F("Left", ex.req.WaitLimit.String()), event.F("Engines", engines), event.F("Least", least), event.F("Limit", nd.limit))...)
 }
 
-// placeWait is how long a request of the route waits for a place. A new one is
-// refused while a refusal is of use; one that came back waits for as long as
-// its caller does for a first event.
+// placeWait returns how long a request of the route waits for a place. A new request
+// is refused early enough that the refusal is useful; a returning request waits as
+// long as its caller waits for a first event.
 func (rl *Relay) placeWait(rt route.Route, back bool) clock.Millis {
 	switch {
 	case back:
@@ -129,7 +130,7 @@
 	}
 }
 
-// awaitPlace waits until a place may have become free, or for the end.
+// awaitPlace waits until a place may have become free, or until the deadline.
 func (rl *Relay) awaitPlace(ctx context.Context, until clock.Millis, back bool) error {
 	left := until - rl.now()
 	if left <= 0 {
@@ -150,7 +151,7 @@
 	}
 }
 
-// minRetryAfter is the least time after which a refused caller is told to come back.
+// minRetryAfter returns the shortest retry-after of a refused caller.
 func (rl *Relay) minRetryAfter() clock.Millis {
 	return clock.Millis(minRetryAfterPart * float64(rl.Settings.RetryAfter))
 }
@@ -194,8 +195,8 @@
 
 // reserveAt reserves a place at an engine.
 func (rl *Relay) reserveAt(ctx context.Context, ex *exchange, bs board.BackendServer, nd memoryNeed) (place, bool) {
-	// The others are told before the engine has answered, or some of them would
-	// choose the same engine in between.
+	// The other VMs are informed before the engine has answered, otherwise some of
+	// them would choose the same engine in the meantime.
 	pl := rl.takePlace(place{server: bs, service: ex.svc.Name}, nd.run)
 	id, err := rl.reserve(ctx, ex, bs, nd.reserve)
 	if err == nil {
@@ -214,10 +215,10 @@
 	return place{}, false
 }
 
-// spare is how many further requests a place must leave room for. One that came
-// back takes no room that new ones are about to want; but where there is more
-// than that it need not wait for the end of all want: of 400 requests that were
-// refused twice on one day, 150 were while an engine stood half empty.
+// spare returns how many further requests a place must leave room for. A returning
+// request takes no room that new requests are about to need; but if there is more
+// room than that, it need not wait until the shortage ends: of 400 requests that were
+// refused twice, 150 were refused while an engine was half empty.
 func spare(returning, short bool) int {
 	if short && returning {
 		return spareWhileShort
@@ -225,10 +226,10 @@
 	return 0
 }
 
-// askedLast tells which engines are asked after all others: those that compute a
-// prompt themselves, which holds up what begins there, and those that failed
-// another VM just now. An engine that died looks empty, so that all VMs would
-// choose it, and each would have to find out for itself. The lock is held.
+// askedLast reports which engines are asked after all others: those that compute a
+// prompt themselves, which delays what starts there, and those that just failed
+// another VM. A dead engine looks empty, so all VMs would choose it and each would
+// have to find out by itself. The lock is held.
 func (rl *Relay) askedLast(now clock.Millis) func(id string) bool {
 	return func(id string) bool { return rl.ledger.Prompts(now, id) > 0 || rl.ledger.Failing(now, id) }
 }
@@ -239,7 +240,7 @@
 	return rl.Servers.Reserve(ctx, bs, tokens, ex.svc.Engines.Hold)
 }
 
-// takePlace counts a run on a place until leavePlace.
+// takePlace counts a run at a place until leavePlace.
 func (rl *Relay) takePlace(pl place, run usage.Run) place {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -250,7 +251,7 @@
 	return pl
 }
 
-// leavePlace ends what this VM counts on the place.
+// leavePlace removes what this VM counts at the place.
 func (rl *Relay) leavePlace(pl place) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -260,8 +261,8 @@
 	rl.wakeWaiters()
 }
 
-// countLocalPrompt counts a prompt on the engine of a place that computes it, until
-// the function that it returns is called.
+// countLocalPrompt counts a prompt at the engine of a place that computes it, until
+// the returned function is called.
 func (rl *Relay) countLocalPrompt(pl place, tokens int) (done func()) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -275,8 +276,8 @@
 	})
 }
 
-// release gives a reservation back that was not used. The request's own
-// context may have ended, so the call has one of its own.
+// release frees an unused reservation. The request's own context may have ended, so
+// the call uses another one.
 func (rl *Relay) release(ex *exchange, pl place) {
 	rl.cleanUp(ex, pl.server, "Release", func(ctx context.Context) error {
 		return rl.Servers.Release(ctx, pl.server, pl.reservation)
@@ -291,8 +292,8 @@
 	rl.cleanUp(ex, hd.Server, "Forget", func(ctx context.Context) error { return rl.Servers.Forget(ctx, hd) })
 }
 
-// cleanUp gives something back to a server, beside the request. The VM does not exit
-// before that, or the engine would hold it until it lapses.
+// cleanUp frees something at a server in the background. The VM does not exit before
+// that is done, otherwise the engine would hold it until it expires.
 func (rl *Relay) cleanUp(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
 	rl.cleanups.Add(1)
 	go func() {
@@ -301,8 +302,8 @@
 	}()
 }
 
-// cleanUpNow makes the call. A server that started again holds nothing of before,
-// and may have given the same ID to something else.
+// cleanUpNow makes the call. A restarted server holds nothing from before, and may
+// have given the same ID to something else.
 func (rl *Relay) cleanUpNow(ex *exchange, bs board.BackendServer, what string, call func(ctx context.Context) error) {
 	if rl.Backends().Reborn(bs) {
 		return
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -20,32 +20,32 @@
 
 const (
 	// minPlainRetryTime is the least time in which another attempt at a plain service
-	// is of use: two crossings of a failure domain and the usual work.
+	// is useful: two crossings of a failure domain and the usual processing time.
 	minPlainRetryTime = 25 * clock.Millis(1)
 	// plainRetryCost is what another attempt at a plain service costs the budget.
 	plainRetryCost = 1
-	// maxDeclinedAttempts bounds the attempts that follow servers that declined.
+	// maxDeclinedAttempts limits the attempts at servers that decline.
 	maxDeclinedAttempts = 3
 )
 
-// attempt is how one attempt at a plain service ended.
+// attempt is the result of one attempt at a plain service.
 type attempt struct {
 	wh   bufferedAnswer
 	rest io.Reader
 	rsp  *http.Response
 	err  error
-	end  context.CancelFunc // frees what the attempt holds
+	end  context.CancelFunc // releases what the attempt holds
 }
 
-// close ends what is left of the attempt.
+// close releases what is left of the attempt.
 func (at attempt) close() {
 	if at.rsp != nil {
-		_ = at.rsp.Body.Close() // it was read or is given up
+		_ = at.rsp.Body.Close() // it was read to its end or is abandoned
 	}
 	at.end()
 }
 
-// servePlain carries a request to a servePlain service.
+// servePlain serves a request to a plain service.
 func (rl *Relay) servePlain(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
 	for number := 1; ; number++ {
 		if err := rl.checkPoison(ctx, ex); err != nil {
@@ -78,7 +78,7 @@
 	return writeBuffered(wr, at.wh, at.rest)
 }
 
-// pick chooses a backend server and counts the request on it.
+// pick chooses a backend server and counts the request there.
 func (rl *Relay) pick(ex *exchange) (board.BackendServer, error) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -105,7 +105,7 @@
 	within, end := rl.beginCall(ctx, bs)
 	at.end = end
 	if span := rl.attemptTimeout(ex); span > 0 {
-		// What is left of a large answer may take longer.
+		// The rest of a large answer may take longer.
 		timer := time.AfterFunc(span.Std(), end)
 		defer timer.Stop()
 	}
@@ -138,7 +138,7 @@
 	return at
 }
 
-// loadOf is what a server told of itself with an answer; nil: nothing.
+// loadOf returns the load that a server reported with an answer; nil: none.
 func (rl *Relay) loadOf(rsp *http.Response) *balance.Load {
 	if rsp == nil {
 		return nil
@@ -150,8 +150,8 @@
 	return &ld
 }
 
-// attemptTimeout bounds one attempt, so that a server that hangs leaves time for
-// another; zero bounds it by the request's end alone.
+// attemptTimeout returns the limit for one attempt, so that a server that hangs
+// leaves time for another attempt; zero: only the request's deadline applies.
 func (rl *Relay) attemptTimeout(ex *exchange) clock.Millis {
 	span := clock.Millis(rl.Settings.AttemptFraction * float64(ex.rt.Objective))
 	if !ex.rt.MayRepeat() || ex.possibleRuns+1 >= ex.rt.Attempts || span >= rl.timeLeft(ex) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// awaitPlainRetry tells whether an idempotent request that the server failed by its
-// own word is sent once more.
+// awaitPlainRetry reports whether an idempotent request that the server answered with
+// a failure is sent again, and waits for the backoff if so.
 func (rl *Relay) awaitPlainRetry(ctx context.Context, ex *exchange, number int, at attempt) bool {
 	if at.wh.status < http.StatusInternalServerError || !ex.rt.MayRepeat() || rl.crowded(ex) {
 		return false
@@ -190,8 +190,8 @@
 	return rl.awaitRetry(ctx, ex, number, plainRetryCost, failed, minPlainRetryTime) == nil
 }
 
-// crowded tells whether requests of the route are being refused for the line before
-// the servers, or since all of them rest.
+// crowded reports whether requests of the route are being refused because of a long
+// queue at the servers, or because all servers are backing off.
 func (rl *Relay) crowded(ex *exchange) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -199,14 +199,14 @@
 	return rl.chooser.Crowded(now, ex.svc.Name, ex.rt.Objective) || rl.chooser.Rests(now, ex.svc.Name) > 0
 }
 
-// awaitRetry decides what follows a failed attempt: nil is another attempt, whose
-// backoff has passed, and an error the end of the request.
+// awaitRetry decides what follows a failed attempt: nil means another attempt, whose
+// backoff has passed; an error ends the request.
 func (rl *Relay) awaitRetry(ctx context.Context, ex *exchange, number int, cost float64, failed error, need clock.Millis) error {
 	if ctx.Err() != nil {
 		return rl.finalRefusal(ctx, ex, failed)
 	}
 	if ex.possibleRuns >= max(1, ex.rt.Attempts) || number >= maxDeclinedAttempts {
-		return rl.finalRefusal(ctx, ex, failed) // before the budget is asked, which pays at its word
+		return rl.finalRefusal(ctx, ex, failed) // checked before the budget, which charges as soon as it permits a retry
 	}
 	ran := refusal.MayHaveRun
 	if backend.NotRun(failed) {
@@ -238,7 +238,7 @@
 	}
 }
 
-// finalRefusal is the refusal that a failure ends a request with.
+// finalRefusal returns the refusal with which a failure ends a request.
 func (rl *Relay) finalRefusal(ctx context.Context, ex *exchange, failed error) error {
 	rf, ok := errors.AsType[refusal.Refusal](failed)
 	if !ok {
--- a/internal/relay/plain_test.go
+++ b/internal/relay/plain_test.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// What must not run twice is not sent again once it may have run, and what
-// did not run may be.
+// A non-idempotent request is not sent again once it may have run; one that did not
+// run may be sent again.
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -41,8 +41,8 @@
 		sends int
 		ran   refusal.Ran
 	}{
-		{"reply lost", errReset, nil, 1, refusal.MayHaveRun},
-		{"answer torn", nil, io.ErrUnexpectedEOF, 1, refusal.MayHaveRun},
+		{"lost response", errReset, nil, 1, refusal.MayHaveRun},
+		{"truncated answer", nil, io.ErrUnexpectedEOF, 1, refusal.MayHaveRun},
 		{"declined", errFull, nil, 2, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 	})
 }
 
-// A server's own failure goes to the caller as it is when no attempt is left.
+// A server's failure is returned unchanged to the caller when no attempt is left.
 func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -104,7 +104,7 @@
 	})
 }
 
-// Retries beyond the budget are not made, however many requests fail.
+// No retries are made beyond the budget, however many requests fail.
 func TestBudgetBoundsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -119,8 +119,7 @@
 	})
 }
 
-// A server that hangs does not use up the time of a request that may be sent
-// again.
+// A server that hangs does not use up the time of an idempotent request.
 func TestIdempotentLeavesAServerThatHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -213,6 +212,6 @@
 		_, err := serve(ctx, rl, "again")
 		assert.Equal(t, refusalOf(t, err).Reason, refusal.CallerGone)
 		assert.Assert(t, cancelled)
-		assert.Equal(t, len(sv.sentTo()), 1, "nothing is sent for a caller who left")
+		assert.Equal(t, len(sv.sentTo()), 1, "nothing is sent for a caller that disconnected")
 	})
 }
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -9,7 +9,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// poisonGuard is the search for requests that end their servers.
+// poisonGuard returns the detector of requests that crash their servers.
 func (rl *Relay) poisonGuard() *poison.Guard {
 	rl.guardOnce.Do(func() {
 		gd := &rl.guard
@@ -35,7 +35,7 @@
 	return 1 + len(others)
 }
 
-// markOf names a request by what is the same at each of its tries.
+// markOf returns the mark that identifies a request across its retries.
 func (rl *Relay) markOf(ex *exchange) suspect.Mark {
 	if ex.mark == nil {
 		req := ex.req
@@ -45,8 +45,9 @@
 	return *ex.mark
 }
 
-// checkPoison refuses a request under which servers ended. While no request is under
-// suspicion it costs nothing, and else a mark, 6 us for 5 KB (BenchmarkMarkOf).
+// checkPoison refuses a request under which servers crashed. It costs nothing while
+// no request is under suspicion, otherwise the computation of a mark: 6 us for 5 KB
+// (BenchmarkMarkOf).
 func (rl *Relay) checkPoison(ctx context.Context, ex *exchange) error {
 	if !rl.poisonGuard().Any() {
 		return nil
@@ -58,28 +59,28 @@
 	return rl.finalRefusal(ctx, ex, refuse(refusal.EndsServers, span, "servers ended when they ran this request"))
 }
 
-// recordSuccess notes that a request had its whole answer.
+// recordSuccess records that a request got its complete answer.
 func (rl *Relay) recordSuccess(ex *exchange) {
 	if rl.poisonGuard().Any() {
 		rl.poisonGuard().RecordSuccess(ex.req.ID, rl.markOf(ex))
 	}
 }
 
-// recordBrokenCall notes that a call at a server broke off, and returns when it is known
-// whether the server has ended, or soon after.
+// recordBrokenCall records that a call to a server broke, and returns when it is
+// known whether the server has crashed, or after a short time.
 func (rl *Relay) recordBrokenCall(ctx context.Context, ex *exchange, bs board.BackendServer, answered bool, beside int) {
 	rl.poisonGuard().RecordBrokenCall(ctx, poison.Call{
 		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Beside: beside})
 }
 
-// ShareServerEnds tells the other VMs now and then, until the context ends, what is known of
-// requests at which servers ended.
+// ShareServerEnds periodically sends the other VMs, until the context ends, what is
+// known of requests at which servers crashed.
 func (rl *Relay) ShareServerEnds(ctx context.Context) { rl.poisonGuard().Share(ctx) }
 
-// ReceiveServerEnd takes an end that another VM saw.
+// ReceiveServerEnd records a server crash that another VM observed.
 func (rl *Relay) ReceiveServerEnd(en suspect.End) { rl.poisonGuard().Heard(en) }
 
-// otherRunsAt is how many other runs an engine has, as far as this VM knows.
+// otherRunsAt returns the number of other runs at an engine, as far as this VM knows.
 func (rl *Relay) otherRunsAt(engine string) int {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -5,19 +5,19 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxPromptAge is how long a computed prompt that no decode has taken is gone on from:
-// engines drop theirs after a while.
+// maxPromptAge limits the age of a computed prompt that is still used: engines drop
+// computed prompts after a while.
 const maxPromptAge = clock.Second
 
-// computedPrompt is a prompt that an engine has computedPrompt and still keeps for this request.
-// The zero value is none.
+// computedPrompt is a prompt that an engine has computed and still keeps for this
+// request. The zero value is none.
 type computedPrompt struct {
 	handle Handle
 	at     clock.Millis // when it was computed
 }
 
-// keepPrompt keeps a computed prompt for the request's next decode if the one before
-// has taken nothing of it, or else gives it back.
+// keepPrompt keeps a computed prompt for the request's next decode if the previous
+// decode took nothing of it, and otherwise frees it.
 func (rl *Relay) keepPrompt(ex *exchange, pr computedPrompt, err error) {
 	if pr.handle.ID != "" && leavesPrompt(err) {
 		ex.prompt = pr
@@ -26,14 +26,14 @@
 	rl.forget(ex, pr.handle)
 }
 
-// leavesPrompt tells whether a decode that failed left its computed prompt where it was:
-// an engine fetches it once it takes the decode.
+// leavesPrompt reports whether a failed decode left its computed prompt in place: an
+// engine fetches it only when it accepts the decode.
 func leavesPrompt(err error) bool {
 	oc, why := backend.OutcomeOf(err)
 	return oc == backend.NotSent || oc == backend.Declined && (why == backend.Unknown || why == backend.WrongRole)
 }
 
-// takePrompt is the computed prompt that was kept, unless it may have lapsed.
+// takePrompt returns the computed prompt that was kept, unless it may have expired.
 func (rl *Relay) takePrompt(ex *exchange) (computedPrompt, bool) {
 	pr := ex.prompt
 	ex.prompt = computedPrompt{}
@@ -47,7 +47,7 @@
 	return pr, true
 }
 
-// dropPrompt gives a computed prompt back that no decode will take.
+// dropPrompt frees a computed prompt that no decode will use.
 func (rl *Relay) dropPrompt(ex *exchange) {
 	rl.forget(ex, ex.prompt.handle)
 	ex.prompt = computedPrompt{}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,15 +1,15 @@
-// Package relay carries requests that are passed on as they came: to one
-// backend server of a plain service, or to a prefill and a decode engine of a
-// model service, and the answer back, byte for byte.
+// Package relay forwards requests unchanged, to one backend server of a plain service
+// or to a prefill and a decode engine of a model service, and returns the answer byte
+// for byte.
 //
-// It decides which backend server gets a request, when another attempt
-// follows, when a request is refused and when its caller is to come back. The
-// ways of speaking to callers and backend servers are given to it: [Servers]
-// is the backend servers' side, and the caller's side hands a [Request] to
-// [Relay.Serve].
+// It decides which backend server gets a request, when a retry follows, when a
+// request is refused and when its caller may retry. The protocols to callers and
+// backend servers are pluggable: [Servers] is the backend servers' side, and the
+// caller's side passes a [Request] to [Relay.Serve].
 //
-// Each request ends in one whole answer, one truthful refusal, or a broken
-// connection that no caller takes for a whole answer ([ErrCut]).
+// Each request ends in one complete answer, one refusal that states truthfully
+// whether it ran, or a broken connection that no caller can take for a complete
+// answer ([ErrCut]).
 //
 // # Usage
 //
@@ -19,7 +19,7 @@
 //	err := rl.Serve(ctx, wr, req)
 //	switch {
 //	case errors.Is(err, relay.ErrCut): ... // break the connection
-//	case errors.As(err, &rf): ...          // nothing was written; tell the refusal
+//	case errors.As(err, &rf): ...          // nothing was written; send the refusal
 //	}
 package relay
 
@@ -48,39 +48,40 @@
 	"alderdyke/pkg/refusal"
 )
 
-// How a request ended, where it was not refused; else the reason says it.
+// Outcomes of a request that was not refused; the outcome of a refused one is its
+// reason.
 const (
 	outcomeAnswered = "Answered"
 	outcomeCut      = "Cut"
 )
 
-// ErrCut tells that an answer began and can't be completed: the connection to
-// the caller must break, so that nobody takes it for a whole one.
+// ErrCut reports that an answer began and can't be completed: the connection to the
+// caller must break, so that nobody takes it for a complete answer.
 var ErrCut = errors.New("the answer was cut off")
 
 type (
-	// Request is a caller's request as it came.
+	// Request is a caller's request as it was received.
 	Request struct {
-		ID     string // the caller's name for this attempt; unique
+		ID     string // the caller's ID of this attempt; unique
 		Method string
 		Host   string
-		URI    string // path and query as they came
-		Path   string // decoded, for the choice of a route
+		URI    string // path and query as received
+		Path   string // decoded, to match routes
 		Header http.Header
 		Body   []byte
-		// Content is what else belongs to what is asked, beside method, host, URI
-		// and body, and is the same when a caller tries again.
+		// Content is any other part of the request's meaning, in addition to method,
+		// host, URI and body. It is the same when a caller retries.
 		Content     string
-		WaitLimit   clock.Millis // how long the caller waits from Arrived; zero if it did not say
-		Arrived     clock.Millis // point
-		LastEventID string       // ID of the last event that the caller has of a stream
-		Prompt      *Prompt      // nil if the request does not describe a generation
-		// KeyHash is the hash of the caller's API key; empty: there is none, for
-		// which KeyFault is the reason.
+		WaitLimit   clock.Millis // how long the caller waits from Arrived; zero if unknown
+		Arrived     clock.Millis // point in time
+		LastEventID string       // ID of the last event of a stream that the caller has
+		Prompt      *Prompt      // nil if the request is not a generation
+		// KeyHash is the hash of the caller's API key; empty if there is none, and
+		// then KeyFault is the reason.
 		KeyHash  string
 		KeyFault error
-		// Keyed and Customer are told by the relay: whether callers have keys, which
-		// are not passed on, and whose key this one is; empty: nobody's.
+		// Keyed and Customer are set by the relay: whether callers have keys, which
+		// are not forwarded, and whose key this one is; empty: nobody's.
 		Keyed    bool
 		Customer string
 	}
@@ -88,54 +89,53 @@
 	// Prompt is the size of a generation.
 	Prompt struct {
 		Tokens    int // of the prompt
-		MaxOutput int // that may be generated
-		Hint      int // the caller's guess of how many will be; zero if there is none
+		MaxOutput int // maximum number of output tokens
+		Hint      int // the caller's estimate of the output tokens; zero if there is none
 	}
 
-	// Handle names a computed prompt, or the memory of a run, at an engine.
+	// Handle identifies a computed prompt, or the memory of a run, at an engine.
 	Handle struct {
 		Server board.BackendServer
 		ID     string
 	}
 
-	// Options of one attempt.
+	// Options are the parameters of one attempt.
 	Options struct {
-		TimeLeft    clock.Millis // to the end of the answer
-		Source      Handle       // memory to go on from; the zero value is none
+		TimeLeft    clock.Millis // until the end of the answer
+		Source      Handle       // memory to continue from; the zero value is none
 		Reservation string       // empty: none
-		LastEventID string       // ID of the last event that the answer already has
+		LastEventID string       // ID of the last event that the caller already has
 	}
 
-	// Servers speaks to backend servers. Every call names the incarnation
-	// that it means; another one at the same address declines it. Errors are
-	// those of package backend, and a nil error is an answer to this request.
+	// Servers calls backend servers. Every call is addressed to an incarnation;
+	// another incarnation at the same address declines it. Errors are those of
+	// package backend, and a nil error means an answer to this request.
 	Servers interface {
-		// Send sends the request. The response's body is the caller's to
-		// close.
+		// Send sends the request. The caller must close the response's body.
 		Send(ctx context.Context, bs board.BackendServer, req *Request, op Options) (*http.Response, error)
 		// Prefill has the prompt computed, without running the request.
 		Prefill(ctx context.Context, bs board.BackendServer, req *Request, left clock.Millis) (Handle, error)
-		// Reserve takes a slot and memory for a request that follows within
-		// the span.
+		// Reserve reserves a slot and memory for a request that follows within the
+		// given time.
 		Reserve(ctx context.Context, bs board.BackendServer, tokens int, life clock.Millis) (string, error)
-		// Release gives a reservation back that was not used.
+		// Release frees a reservation that was not used.
 		Release(ctx context.Context, bs board.BackendServer, reservation string) error
 		// Forget frees the memory behind a handle.
 		Forget(ctx context.Context, hd Handle) error
-		// Move copies the memory of a run to another engine. With stop, the
-		// run ends at the first one and its stream is cut, also where no copy
-		// can be made; only backend.Unknown says that the run was over before.
-		// A handle beside such an error names the memory that the first engine
-		// keeps, with which the run can go on there.
+		// Move copies the memory of a run to another engine. With stop, the run ends
+		// at the first engine and its stream is cut, even if no copy can be made;
+		// only backend.Unknown means that the run had ended before. A handle returned
+		// with another error identifies the memory that the first engine keeps, with
+		// which the run can continue there.
 		Move(ctx context.Context, from, to board.BackendServer, id string, stop bool) (Handle, error)
-		// Load reads what a server told of itself with an answer.
+		// Load parses the load that a server reported with an answer.
 		Load(rsp *http.Response) (balance.Load, bool)
-		// Ended tells whether nobody listens at the server's address any more.
-		// What does not answer in time may be there.
+		// Ended reports whether nothing listens at the server's address any more. A
+		// server that does not answer in time may still be there.
 		Ended(ctx context.Context, bs board.BackendServer) bool
 	}
 
-	// Relay is the decisions of one VM. Set the exported fields before use.
+	// Relay makes the decisions of one VM. Set the exported fields before use.
 	Relay struct {
 		Servers  Servers
 		Rand     *rand.Rand // must be set; guarded by the relay
@@ -143,83 +143,84 @@
 		Log      event.Logger
 		Scope    tally.Scope
 		Settings Settings
-		// OtherVMs lists the VMs that live besides this one; whole tells whether
-		// there may be no further ones. Nil, a fleet that is not whole, or
-		// VMs that did not tell their usage lately make the relay reserve
-		// more.
+		// OtherVMs lists the living VMs besides this one; whole reports whether the
+		// list is complete. If OtherVMs is nil, the list is incomplete, or some VMs
+		// have not reported their usage recently, the relay reserves more.
 		OtherVMs func() (ids []string, whole bool)
-		// Schedulers asks the VMs that choose engines for all of a large fleet;
-		// nil: each VM chooses by itself.
+		// Schedulers queries the VMs that choose engines for the whole of a large
+		// fleet; nil: each VM chooses by itself.
 		Schedulers Schedulers
-		// MarkKey is what all VMs of the fleet know requests by again; nil, or empty:
-		// a key of this VM's own, so that it knows them for itself alone.
+		// MarkKey returns the key with which all VMs of the fleet compute the marks
+		// of requests; nil, or an empty key: a key of this VM's own, so that only
+		// this VM recognizes its marks.
 		MarkKey func() []byte
-		// Charger charges requests to their customers' quotas; nil: they have none.
+		// Charger charges requests to their customers' quotas; nil: there are no
+		// quotas.
 		Charger Charger
-		// AwaitNewerConfig waits a little for a configuration that is newer than a version, and
-		// tells whether there is one; nil: there is none. It is asked on behalf of
-		// callers whose keys are unknown, which may be many.
+		// AwaitNewerConfig waits a short time for a configuration that is newer than
+		// a version, and reports whether there is one; nil: there is none. It is
+		// called for callers with unknown keys, of which there may be many.
 		AwaitNewerConfig func(ctx context.Context, version uint64) bool
-		// SendServerEnd tells the other VMs at which server's end a request was there;
-		// nil: they are not told.
+		// SendServerEnd sends the other VMs the crash of a server that was running a
+		// request; nil sends nothing.
 		SendServerEnd func(en suspect.End)
 
-		guard     poison.Guard // used through poisonGuard
+		guard     poison.Guard // access through poisonGuard
 		guardOnce sync.Once
 
 		table        atomic.Pointer[route.Table]
 		backends     atomic.Pointer[board.Backends]
 		openRequests atomic.Int64
-		cleanups     atomic.Int64 // calls under way that give something back to a server
+		cleanups     atomic.Int64 // calls in progress that free something at a server
 
-		mu               sync.Mutex // guards all below and Rand
+		mu               sync.Mutex // guards everything below and Rand
 		initialized      bool
 		chooser          *balance.Chooser
 		budget           *retry.Policy
 		fleet            fleetSize
 		pools            map[string]*pool.Pool
-		longestWait      map[string]clock.Millis // by route: longest time that a caller brought
+		longestWait      map[string]clock.Millis // by route: longest wait limit of a caller
 		runs             map[*run]struct{}
 		calls            map[*call]struct{}
 		ledger           usage.Ledger
-		synced           bool         // what the others have at the engines is known
-		syncedUntil      clock.Millis // until when a scheduler goes by hears
+		synced           bool         // the usage of the other VMs is known
+		syncedUntil      clock.Millis // until when a scheduler relies on synced
 		unknown          unknownKeys
-		customers        map[string]struct{}     // that are counted by name
-		noRoom           map[roomKey]noRoom      // sizes that found no room just now
-		draining         map[string]clock.Millis // servers that said themselves that they leave, and when
-		silentSchedulers map[string]clock.Millis // schedulers that did not answer, until when they are not asked
-		stopping         bool                    // a planned stop began
+		customers        map[string]struct{}     // that have counters of their own
+		noRoom           map[roomKey]noRoom      // sizes for which there was no room recently
+		draining         map[string]clock.Millis // servers that announced that they leave, and when
+		silentSchedulers map[string]clock.Millis // schedulers that did not answer, and until when they are skipped
+		stopping         bool                    // a planned stop has begun
 		stopAt           clock.Millis            // when
 		placeFreed       chan struct{}           // closed when a place may have become free
 
-		usageChanged chan struct{} // holds a word when runs came or went
+		usageChanged chan struct{} // has an element when runs began or ended
 	}
 
-	// exchange is one request on its way.
+	// exchange is one request in progress.
 	exchange struct {
 		req   *Request
 		rt    route.Route
 		svc   route.Service
 		order *charge.Order // what the request takes of its customer's quota; nil: nothing
-		// priority of the customer, or else of the route; the lowest goes first
+		// priority of the customer, or otherwise of the route; the lowest goes first
 		priority        int
-		table           uint64         // version of the configuration that applies
-		deadline        clock.Millis   // point at which the request ends, whatever happens
+		table           uint64         // version of the configuration in force for it
+		deadline        clock.Millis   // when the request ends in any case
 		possibleRuns    int            // backend servers that may have run it
 		arrivals        arrivals       // at backend servers, and what was paid for them
-		prompt          computedPrompt // that an engine keeps for the next decode
+		prompt          computedPrompt // kept by an engine for the next decode
 		tried           []string       // backend servers that were tried
-		mark            *suspect.Mark  // nil until it is needed
-		firstEventAfter clock.Millis   // from the request to its answer's first event; zero: none came
+		mark            *suspect.Mark  // nil until first used
+		firstEventAfter clock.Millis   // from the request to the first event of its answer; zero: none came
 		lastEventAt     clock.Millis   // when the last event came
 		longestPause    clock.Millis   // longest between two events
-		lastEventID     string         // ID of the last event that the caller was sent
-		eventsSent      int            // events that the caller was sent
+		lastEventID     string         // ID of the last event sent to the caller
+		eventsSent      int            // number of events sent to the caller
 	}
 )
 
-// recordEvents notes that events came, up to the one with the ID.
+// recordEvents records that events came, and the ID of the last one.
 func (ex *exchange) recordEvents(now clock.Millis, events int, last string) {
 	ex.eventsSent += events
 	ex.lastEventID = last
@@ -229,8 +230,8 @@
 	ex.lastEventAt = now
 }
 
-// Configure puts a configuration in force unless a newer one is, and tells
-// whether it did.
+// Configure puts a configuration in force unless the current one is the same or
+// newer, and reports whether it did.
 func (rl *Relay) Configure(tb *route.Table) bool {
 	for {
 		old := rl.table.Load()
@@ -243,10 +244,10 @@
 	}
 }
 
-// Table is the configuration in force; nil if none is known.
+// Table returns the configuration in force, or nil if none is known.
 func (rl *Relay) Table() *route.Table { return rl.table.Load() }
 
-// Backends is the backend servers as this VM knows them.
+// Backends returns the backend servers known to this VM.
 func (rl *Relay) Backends() *board.Backends {
 	if bk := rl.backends.Load(); bk != nil {
 		return bk
@@ -254,29 +255,29 @@
 	return &board.Backends{}
 }
 
-// OpenRequests is the number of requests in progress.
+// OpenRequests returns the number of requests in progress.
 func (rl *Relay) OpenRequests() int { return int(rl.openRequests.Load()) }
 
-// SetBackends takes the list of backend servers, sorted by ID.
+// SetBackends replaces the list of backend servers, which must be sorted by ID.
 func (rl *Relay) SetBackends(now clock.Millis, list []board.BackendServer) {
 	rl.recordRestarts(rl.setBackends(now, list))
 }
 
-// setBackends returns how many calls ended because their servers started again.
+// setBackends returns how many calls ended because their servers restarted.
 func (rl *Relay) setBackends(now clock.Millis, list []board.BackendServer) (ended map[string]int) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	return rl.setBackendsLocked(now, list)
 }
 
-// setBackendsLocked is setBackends while the lock is held.
+// setBackendsLocked is setBackends with the lock held.
 func (rl *Relay) setBackendsLocked(now clock.Millis, list []board.BackendServer) (ended map[string]int) {
 	rl.initialize()
 	list = rl.withDraining(now, list)
 	rl.readmitChangedRoles(rl.Backends(), list)
 	bk := rl.Backends().WithServers(list)
 	rl.backends.Store(bk)
-	// The fleet's size only divides shares of customers, which have none here.
+	// The fleet size only divides shares of customers, and there are none here.
 	rl.chooser.Update(now, bk, 1)
 	byService := make(map[string][]board.BackendServer)
 	for _, bs := range list {
@@ -298,8 +299,8 @@
 	return ended
 }
 
-// Serve carries a request to its end. A [refusal.Refusal] means that nothing
-// was written; ErrCut that the connection must break.
+// Serve serves a request to its end. A [refusal.Refusal] means that nothing was
+// written; ErrCut means that the connection must break.
 func (rl *Relay) Serve(ctx context.Context, wr http.ResponseWriter, req *Request) error {
 	rl.openRequests.Add(1)
 	defer rl.openRequests.Add(-1)
@@ -312,7 +313,7 @@
 	return err
 }
 
-// execute charges a request to its customer and carries it to its end.
+// execute charges a request to its customer and serves it to its end.
 func (rl *Relay) execute(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
 	ctx, stop := clock.WithDeadline(ctx, clock.Or(rl.Clock), ex.deadline)
 	defer stop()
@@ -332,7 +333,7 @@
 	return err
 }
 
-// resolve finds the route of a request, its customer, its service and its end.
+// resolve finds the route of a request, its customer, its service and its deadline.
 func (rl *Relay) resolve(ctx context.Context, req *Request) (*exchange, error) {
 	tb := rl.table.Load()
 	ex := &exchange{req: req, table: tb.Version()}
@@ -352,7 +353,7 @@
 	ex.priority = rt.Priority
 	if err := rl.authenticate(tb, ex, rt); err != nil {
 		if req.KeyHash != "" && rl.AwaitNewerConfig != nil && rl.AwaitNewerConfig(ctx, tb.Version()) {
-			return rl.resolve(ctx, req) // is not asked again for long
+			return rl.resolve(ctx, req) // AwaitNewerConfig does not wait again for a long time
 		}
 		return ex, err
 	}
@@ -378,7 +379,7 @@
 
 func (rl *Relay) now() clock.Millis { return clock.Or(rl.Clock).Now() }
 
-// timeLeft is what remains of the request's time.
+// timeLeft returns the time until the request's deadline.
 func (rl *Relay) timeLeft(ex *exchange) clock.Millis { return max(0, ex.deadline-rl.now()) }
 
 func (rl *Relay) initialize() {
@@ -414,7 +415,7 @@
 	rl.placeFreed = make(chan struct{})
 }
 
-// recordEnd writes the end of a request to the log and the counters.
+// recordEnd records the end of a request in the log and the counters.
 func (rl *Relay) recordEnd(ex *exchange, err error) {
 	took := rl.now() - ex.req.Arrived
 	fields := []event.Field{event.F("Request", ex.req.ID), event.F("Route", ex.rt.Name), event.F("Customer", ex.req.Customer),
@@ -444,12 +445,12 @@
 	rl.countCustomer(ex, outcome)
 }
 
-// count counts a decision by what decided it.
+// count increments a counter with the given tags.
 func (rl *Relay) count(name string, tags map[string]string) {
 	if rl.Scope != nil {
 		rl.Scope.Tagged(tags).Counter(name).Inc(1)
 	}
 }
 
-// wrapCut wraps the cause of an answer that broke off.
+// wrapCut wraps the cause of an answer that was cut.
 func wrapCut(err error) error { return fmt.Errorf("%w: %w", ErrCut, err) }
--- a/internal/relay/rest.go
+++ b/internal/relay/rest.go
@@ -10,9 +10,9 @@
 	"alderdyke/pkg/refusal"
 )
 
-// applyRetryAfter gives a server the rest that it asked for when it declined a call. It is
-// asked for nothing meanwhile: what it would decline costs the caller an attempt, the
-// fleet a repeat, and the server the time in which it was to recover.
+// applyRetryAfter stops calls to a server for as long as it asked for when it
+// declined a call. A call that it would decline costs the caller an attempt, the
+// fleet a retry, and the server time to recover.
 func (rl *Relay) applyRetryAfter(err error) {
 	server, span := backend.RetryAfterOf(err)
 	if span <= 0 {
@@ -29,8 +29,8 @@
 	rl.Log.Log(event.ServerAsksForRest, event.F("Server", server), event.F("For", span.String()), event.F("Error", err.Error()))
 }
 
-// refuseIfAllRest refuses a request at once that could wait for a place only until a point at
-// which all decode engines still rest.
+// refuseIfAllRest refuses a request immediately if all decode engines are backing off
+// until after the request could stop waiting for a place.
 func (rl *Relay) refuseIfAllRest(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
 	rl.mu.Lock()
 	now := rl.now()
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -26,26 +26,26 @@
 	"alderdyke/pkg/refusal"
 )
 
-// What a rig's budget of retries holds at most, and what a request earns it.
+// The limit of a rig's retry budget, and what a request adds to it.
 const (
 	rigBurst = 3
 	rigRatio = 0.1
 )
 
 type (
-	// servers is the backend servers' side in memory. A test sets what
-	// becomes of a call; without a word, calls succeed.
+	// servers is an in-memory implementation of the backend servers' side. A test
+	// sets the result of a call; by default calls succeed.
 	servers struct {
 		mu       sync.Mutex
 		sent     []sent
-		taken    map[string]string // reservations that are held, with their servers
+		taken    map[string]string // reservations that are held, and their servers
 		handles  map[string]bool   // computed prompts that are kept
 		number   int
 		prefills []string
 		accepted []bool // of the prefills
 		moves    int
-		ended    map[string]bool // servers at whose address nobody answers
-		kept     string          // what an engine keeps of a run that it stopped for nothing; empty: nothing
+		ended    map[string]bool // servers at whose address nothing answers
+		kept     string          // what an engine keeps of a run that it stopped but could not move; empty: nothing
 
 		onSend    func(ctx context.Context, nth int, se sent) (*http.Response, error)
 		onReserve func(bs board.BackendServer, tokens int) error
@@ -62,10 +62,10 @@
 	// bubbleClock counts from the start of a synctest bubble.
 	bubbleClock struct{ start time.Time }
 
-	// body is an answer's body that ends as a test says.
+	// body is an answer's body with a configurable end.
 	body struct {
 		io.Reader
-		end    error // after the reader's end; nil is a whole answer
+		end    error // after the reader's end; nil: a complete answer
 		closed chan struct{}
 		once   sync.Once
 	}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// answer makes a response whose body ends well, or with the error.
+// answer creates a response whose body ends in order, or with the error.
 func answer(status int, text string, end error) *http.Response {
 	return &http.Response{StatusCode: status, Header: http.Header{"X-Seal": {"s"}},
 		Body: &body{Reader: strings.NewReader(text), end: end, closed: make(chan struct{})}}
@@ -154,14 +154,14 @@
 	return nil
 }
 
-// Load reads what a test's answer tells.
+// Load parses the load in a test's answer.
 func (sv *servers) Load(rsp *http.Response) (balance.Load, bool) {
 	var ld balance.Load
 	_, err := fmt.Sscanf(rsp.Header.Get("X-Load"), "%d,%d,%d", &ld.Running, &ld.Waiting, &ld.Slots)
 	return ld, err == nil
 }
 
-// Ended tells whether nobody answers at a server's address.
+// Ended reports whether nothing answers at a server's address.
 func (sv *servers) Ended(_ context.Context, bs board.BackendServer) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -180,7 +180,8 @@
 	return relay.Handle{Server: from, ID: "copy"}, nil
 }
 
-// held tells what is still held at the engines.
+// held returns the number of reservations and prompts that are still held at the
+// engines.
 func (sv *servers) held() int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -208,13 +209,13 @@
 	return newRigOf(t, 2)
 }
 
-// newRigOf makes a relay whose chance begins with the seed.
+// newRigOf creates a relay with the given random seed.
 func newRigOf(t *testing.T, seed uint64) (*relay.Relay, *servers) {
 	t.Helper()
 	return newRigWith(t, seed, relay.Settings{Budget: retry.Settings{Burst: rigBurst, Floor: 0.001, Ratio: rigRatio, Base: 1}})
 }
 
-// newRigWith makes one with settings.
+// newRigWith creates a relay with settings.
 func newRigWith(t *testing.T, seed uint64, set relay.Settings) (*relay.Relay, *servers) {
 	t.Helper()
 	sv := &servers{taken: make(map[string]string), handles: make(map[string]bool)}
@@ -237,7 +238,7 @@
 	return rl, sv
 }
 
-// serve carries one request and returns its refusal, if it ended in one.
+// serve serves one request and returns its refusal, if it ended in one.
 func serve(ctx context.Context, rl *relay.Relay, name string) (*httptest.ResponseRecorder, error) {
 	return serveLeft(ctx, rl, name, 0)
 }
@@ -252,8 +253,8 @@
 	return rec, rl.Serve(ctx, rec, req)
 }
 
-// newGeneration is a request with a prompt of a size, whose caller brings so
-// much time.
+// newGeneration returns a generation with a prompt of a size and the wait limit of
+// its caller.
 func newGeneration(rl *relay.Relay, left clock.Millis, tokens int) (*httptest.ResponseRecorder, *relay.Request) {
 	return httptest.NewRecorder(), &relay.Request{ID: "r-generation", Method: http.MethodPost, Host: "h", URI: "/draft/x", Path: "/draft/x",
 		Header: http.Header{}, Arrived: rl.Clock.Now(), WaitLimit: left, Prompt: &relay.Prompt{Tokens: tokens, MaxOutput: 800, Hint: 100}}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -12,10 +12,10 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Causes for which the answer of a run breaks off.
+// Causes for which the answer of a run breaks.
 var (
 	errStreamBroken = errors.New("the stream broke off")
-	errCallerWrite  = errors.New("the caller does not read on")
+	errCallerWrite  = errors.New("writing to the caller failed")
 )
 
 // run is a generation at its decode engine.
@@ -24,18 +24,18 @@
 	pl place
 	decoding
 	sp             splitter
-	resumeAttempts int          // new runs that were to go on with it
-	moveResult     *movedRun    // what the move came to, if that was asked for
-	headerSent     bool         // the head of the answer went to the caller
-	status         int          // of that head
-	lastRead       clock.Millis // when the engine was last heard of
-	tokens         int          // tokens that came
+	resumeAttempts int          // new runs that were started to continue it
+	moveResult     *movedRun    // the result of the move, if it was awaited
+	headerSent     bool         // the header of the answer was sent to the caller
+	status         int          // that was sent with the header
+	lastRead       clock.Millis // when the engine last sent something
+	tokens         int          // received so far
 
 	// Guarded by Relay.mu.
-	broken   bool          // its stream broke off; it is not moved any more
-	moving   bool          // a move was begun, and what it came to was not used
+	broken   bool          // its stream broke; it is not moved any more
+	moving   bool          // a move has begun, and its result was not used
 	stopping bool          // the move may have stopped it
-	moved    chan movedRun // holds what a move came to, if moving
+	moved    chan movedRun // receives the result of the move, if moving
 }
 
 func (rl *Relay) newRun(ex *exchange, pl place, dec decoding) *run {
@@ -48,7 +48,7 @@
 	return rn
 }
 
-// endRun ends what is left of a run.
+// endRun releases what is left of a run.
 func (rl *Relay) endRun(rn *run) {
 	rn.close()
 	rl.mu.Lock()
@@ -61,8 +61,8 @@
 	}
 }
 
-// deliver sends the answer of a run to the caller, event by event, and goes on
-// with it elsewhere when its engine breaks off or leaves.
+// deliver sends the answer of a run to the caller, event by event, and continues it
+// elsewhere when its stream breaks or its engine leaves.
 func (rl *Relay) deliver(ctx context.Context, wr http.ResponseWriter, ex *exchange, rn *run) error {
 	defer rl.endRun(rn)
 	for {
@@ -86,8 +86,8 @@
 	}
 }
 
-// recordBrokenRun notes that the stream of a run broke off, unless it was stopped to
-// be moved or the engine sent something else.
+// recordBrokenRun records that the stream of a run broke, unless the run was stopped
+// to be moved or the engine sent something else.
 func (rl *Relay) recordBrokenRun(ctx context.Context, rn *run, err error) {
 	rl.mu.Lock()
 	stopping := rn.stopping
@@ -98,8 +98,8 @@
 	rl.recordBrokenCall(ctx, rn.ex, rn.pl.server, rn.events > 0, rl.otherRunsAt(rn.pl.server.ID))
 }
 
-// copyEvents passes events on until the stream ends. Only whole events go
-// out, and the head goes out with the first of them.
+// copyEvents forwards events until the stream ends. Only whole events are sent, and
+// the header is sent with the first of them.
 func (rl *Relay) copyEvents(ctx context.Context, wr http.ResponseWriter, rn *run) error {
 	buf := make([]byte, copyBufferBytes)
 	for {
@@ -125,7 +125,7 @@
 	}
 }
 
-// sendEvents sends what came, if anything did.
+// sendEvents sends the received events, if there are any.
 func (rl *Relay) sendEvents(wr http.ResponseWriter, rn *run, out []byte) error {
 	if len(out) == 0 {
 		return nil
@@ -157,12 +157,12 @@
 	return rn.write(wr, nil) // an answer without a body
 }
 
-// write sends bytes to the caller, behind the head if that did not go out.
+// write sends bytes to the caller, after the header if that was not sent.
 func (rn *run) write(wr http.ResponseWriter, out []byte) error {
 	if !rn.headerSent {
 		rn.headerSent, rn.status = true, rn.rsp.StatusCode
 		header := rn.rsp.Header.Clone()
-		header.Del("Content-Length") // the answer may be finished by another engine
+		header.Del("Content-Length") // another engine may finish the answer
 		writeHeader(wr, rn.rsp.StatusCode, header)
 	}
 	if _, err := wr.Write(out); err != nil {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// runError is the end of a generation whose answer broke off.
+// runError returns the error that ends a generation whose answer broke.
 func (rl *Relay) runError(ctx context.Context, began bool, err error) error {
 	if began {
 		return wrapCut(err)
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -17,62 +17,64 @@
 	// askTimeout bounds one request to a scheduler. Two without an answer take a
 	// third of the time that a new request waits.
 	askTimeout = 30 * clock.Millis(1)
-	// unresponsiveFor is how long a VM that did not answer is not asked again. One
-	// that is dead is known to be after a second.
+	// unresponsiveFor is how long a VM that did not answer is not asked again. A dead
+	// VM is detected within a second.
 	unresponsiveFor = 500 * clock.Millis(1)
-	// noRoomTTL is how long no engine has room for a request as large as one that
-	// found none, so that a scheduler on a small VM answers in time in a burst
+	// noRoomTTL is how long a request of a size for which no engine had room is taken
+	// to find none, so that a scheduler on a small VM answers in time during a burst
 	// (BenchmarkAnswerPlace).
 	noRoomTTL = 15 * clock.Millis(1)
-	// syncCacheTime is how long a scheduler goes by having heard all others: their words
-	// count for fifty times that.
+	// syncCacheTime is how long a scheduler relies on having recent reports from all
+	// others; the reports are valid for fifty times that.
 	syncCacheTime = 50 * clock.Millis(1)
-	// maxChoices is how many engines one answer names: an engine that declines
-	// is rare, and each further one is known less well.
+	// maxChoices is the number of engines in one answer: engines rarely decline, and
+	// the choice of each further one is less reliable.
 	maxChoices = 3
-	// maxExcluded bounds the engines that an ask excludes, to fit a datagram.
+	// maxExcluded limits the engines that a request excludes, so that it fits into a
+	// datagram.
 	maxExcluded = 12
 )
 
 type (
-	// Schedulers is the other VMs that choose engines for all. In a fleet of
-	// hundreds each VM places a request every few seconds, and hearing of all
-	// others' was most of what VMs did. A few hear of all instead, and the others
-	// ask them. Nothing that callers are promised rests on that: an engine confirms
-	// each place itself, and who gets no answer reserves what a run may come to.
+	// Schedulers is the other VMs that choose engines for the whole fleet. In a fleet
+	// of hundreds each VM places a request every few seconds, and processing the
+	// reports of all others would be most of the work of a VM. Instead a few VMs
+	// receive all reports, and the others ask them. No guarantee to callers depends
+	// on that: an engine confirms each place itself, and a VM without an answer
+	// reserves the largest size that a run may reach.
 	Schedulers interface {
-		// Before lists the VMs that are asked before this one chooses by
-		// itself, and tells whether it may.
+		// Before lists the VMs to ask before this VM chooses by itself, and reports
+		// whether it may.
 		Before() (vms []string, here bool)
-		// Ask asks one of them.
+		// Ask asks one of them for a place.
 		Ask(ctx context.Context, vm string, ask usage.PlaceAsk) (usage.PlaceAnswer, error)
 	}
 
-	// roomKey is a service and how many further requests must have room.
+	// roomKey is a service and the number of further requests that must have room.
 	roomKey struct {
 		service string
 		spare   int
 	}
 
-	// noRoom is a size for which no engine had room, and until when that counts.
+	// noRoom is a size for which no engine had room, and how long that holds.
 	noRoom struct {
 		until  clock.Millis
 		tokens int
 	}
 
-	// choice is where a generation may find its place.
+	// choice is where a generation may find a place.
 	choice struct {
 		chosenBy string // the VM that chose; empty: this one
 		need     memoryNeed
-		list     []board.BackendServer // to be asked, in this order
-		before   int                   // requests at other VMs that take their places first
-		short    bool                  // places are wanting somewhere in the fleet
-		prefill  *pool.Prefill         // with the first of the list; nil: not chosen yet
-		doubtful bool                  // the first of the list may be gone
+		list     []board.BackendServer // to be asked in this order
+		before   int                   // requests at other VMs that get a place before this one
+		short    bool                  // the fleet has a shortage of places
+		prefill  *pool.Prefill         // for the first engine of the list; nil: not chosen yet
+		doubtful bool                  // the first engine of the list may be down
 	}
 )
 
-// choose chooses engines for a request, if it is its turn among those of this VM.
+// choose chooses engines for a request, if it is next in turn at this VM.
 func (rl *Relay) choose(ctx context.Context, ex *exchange, po *pool.Pool, tk *pool.Ticket) choice {
 	vms, here := rl.schedulers()
 	rl.mu.Lock()
@@ -101,7 +103,7 @@
 	}
 }
 
-// schedulers lists the VMs to ask, without those that did not answer just now.
+// schedulers lists the VMs to ask, without those that recently did not answer.
 func (rl *Relay) schedulers() (vms []string, here bool) {
 	if rl.Schedulers == nil {
 		return nil, true
@@ -113,7 +115,7 @@
 	return slices.DeleteFunc(vms, func(vm string) bool { return now < rl.silentSchedulers[vm] }), here
 }
 
-// chooseHere chooses by what this VM knows of all. The lock is held.
+// chooseHere chooses by the usage of all VMs. The lock is held.
 func (rl *Relay) chooseHere(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) choice {
 	ch := choice{need: rl.needOf(ex, rl.inSync()), short: rl.ledger.Short(now)}
 	if ch.need.limit != noLimit {
@@ -132,12 +134,12 @@
 	return ch
 }
 
-// decodeWant is what a request wants of the decode engines. The lock is held.
+// decodeWant returns what a request needs of the decode engines. The lock is held.
 func (rl *Relay) decodeWant(now clock.Millis, nd memoryNeed, before, spare int) pool.Want {
 	return pool.Want{Tokens: nd.reserve, Limit: nd.limit, Before: before, Spare: spare, Need: rl.peakAt(now, nd.run), Last: rl.askedLast(now)}
 }
 
-// placeAsk is what the scheduler is asked. The lock is held.
+// placeAsk returns the request to a scheduler. The lock is held.
 func (rl *Relay) placeAsk(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) usage.PlaceAsk {
 	nd := rl.needOf(ex, true)
 	skip := po.Passed(now)
@@ -145,7 +147,7 @@
 		MayWait: rl.placeWait(ex.rt, false), MayWaitBack: rl.placeWait(ex.rt, true), Skip: skip[:min(len(skip), maxExcluded)]}
 }
 
-// askPlace asks the VMs in turn until one knows.
+// askPlace asks the VMs in turn until one has an answer.
 func (rl *Relay) askPlace(ctx context.Context, vms []string, ask usage.PlaceAsk) (ans usage.PlaceAnswer, by string, ok bool) {
 	for _, vm := range vms {
 		within, stop := context.WithTimeout(ctx, askTimeout.Std())
@@ -163,8 +165,8 @@
 	return usage.PlaceAnswer{}, "", false
 }
 
-// recordSilentScheduler has a VM that did not answer, or does not know, not asked for a
-// while.
+// recordSilentScheduler makes this VM skip a scheduler for a while that did not
+// answer or has no full view of the usage.
 func (rl *Relay) recordSilentScheduler(vm string, err error) {
 	outcome := "Unknown"
 	if err != nil {
@@ -180,7 +182,7 @@
 	rl.silentSchedulers[vm] = rl.now() + unresponsiveFor
 }
 
-// acceptAnswer takes another VM's answer. The lock is held.
+// acceptAnswer applies the answer of a scheduler. The lock is held.
 func (rl *Relay) acceptAnswer(ex *exchange, po *pool.Pool, by string, ans usage.PlaceAnswer) choice {
 	now := rl.now()
 	rl.setInSync(true, 0, 0, true)
@@ -194,8 +196,8 @@
 	return ch
 }
 
-// availableEngines lists the engines by their IDs that take new work as this VM knows.
-// The lock is held.
+// availableEngines returns the engines with the given IDs that accept new work as far
+// as this VM knows. The lock is held.
 func (rl *Relay) availableEngines(po *pool.Pool, ids []string) []board.BackendServer {
 	var out []board.BackendServer
 	for _, id := range ids {
@@ -206,8 +208,8 @@
 	return out
 }
 
-// AnswerPlace chooses engines for a request of another VM, and counts the first
-// as taken.
+// AnswerPlace chooses engines for a request of another VM, and counts a place at the
+// first as taken.
 func (rl *Relay) AnswerPlace(vm string, ask usage.PlaceAsk) usage.PlaceAnswer {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -243,9 +245,9 @@
 	return ans
 }
 
-// hasRoom tells whether any engine has room for a request. At the end of a burst
-// hundreds ask in vain each second, and no request finds room that is as large as
-// one that found none just now. The lock is held.
+// hasRoom reports whether any engine has room for a request. At the end of a burst
+// hundreds of requests per second find none, and a request finds no room if an
+// equally large one just found none. The lock is held.
 func (rl *Relay) hasRoom(now clock.Millis, po *pool.Pool, svc route.Service, ask usage.PlaceAsk) bool {
 	key := roomKey{svc.Name, spare(ask.Ask.Returning, rl.ledger.Short(now))}
 	none := rl.noRoom[key]
@@ -262,8 +264,7 @@
 	return false
 }
 
-// recentlyInSync is inSync of a moment ago, which looks at each VM. The lock is
-// held.
+// recentlyInSync caches the result of inSync, which checks each VM. The lock is held.
 func (rl *Relay) recentlyInSync(now clock.Millis) bool {
 	if rl.synced && now < rl.syncedUntil {
 		return true
@@ -313,10 +314,10 @@
 	return rl.poolOf(service)
 }
 
-// turnPollInterval is how long a request that found no place waits before it asks
-// again, if nothing is known to have become free. Who asks a scheduler does not
-// hear of places: a new request asks twice as often as one that would. One that
-// came back waits for seconds.
+// turnPollInterval returns how long a request that found no place waits before it
+// asks again, if no place is known to have become free. A VM that asks a scheduler is
+// not notified of free places, so a new request asks twice as often as it otherwise
+// would. A returning request waits for seconds.
 func (rl *Relay) turnPollInterval(back bool) time.Duration {
 	_, here := rl.schedulers()
 	switch {
--- a/internal/relay/schedule_test.go
+++ b/internal/relay/schedule_test.go
@@ -18,7 +18,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// schedulers are the VMs that choose for all as a test has them.
+// schedulers is the set of scheduler VMs of a test.
 type schedulers struct {
 	mu     sync.Mutex
 	vms    []string
@@ -42,14 +42,14 @@
 	return usage.PlaceAnswer{}, ctx.Err()
 }
 
-// A VM of a large fleet takes the place, and the prefill, that the first VM
-// that knows names; it reserves as one that knows what all have.
+// A VM of a large fleet takes the place and the prefill of the first scheduler that
+// knows the usage; it reserves as little as a VM that knows the usage itself.
 func TestPlaceByAScheduler(t *testing.T) {
 	known := usage.PlaceAnswer{Known: true, Engines: []string{"gone", "d2"}, Prefill: "f2", Ahead: 5}
 	for _, tc := range []struct {
 		name    string
-		answers map[string]usage.PlaceAnswer // VMs without one hang
-		asked   []string                     // by two requests
+		answers map[string]usage.PlaceAnswer // VMs that are not listed hang
+		asked   []string                     // in two requests
 		reserve int
 	}{
 		{"the first knows", map[string]usage.PlaceAnswer{"a": known}, []string{"a", "a"}, 5000 + relay.DefaultReserveTokens},
@@ -90,8 +90,8 @@
 	}
 }
 
-// A silent VM is asked again after a while, and a scheduler goes on without the
-// one before it.
+// A silent scheduler is asked again after a while, and a scheduler VM continues
+// without the one before it.
 func TestSilentScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
@@ -108,13 +108,14 @@
 	})
 }
 
-// Who does not hear the others, or knows no configuration, says so.
+// A scheduler without reports from the others, or without a configuration, answers
+// that it does not know.
 func TestSchedulerWithoutFullView(t *testing.T) {
 	ask := usage.PlaceAsk{Ask: usage.Ask{Service: "model"}, Run: usage.Run{Tokens: 100}, Reserve: 100, Prompt: true}
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
 		rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
-		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Known, "vm-2 told nothing")
+		assert.Assert(t, !rl.AnswerPlace("vm-2", ask).Known, "vm-2 has not reported")
 		rl.ReceiveUsage("vm-2", usage.Report{})
 		ans := rl.AnswerPlace("vm-2", ask)
 		assert.Assert(t, ans.Known && len(ans.Engines) == 2 && ans.Prefill != "", "%+v", ans)
@@ -124,11 +125,11 @@
 	})
 }
 
-// The worst load: all VMs of a large fleet get a request within a few
-// milliseconds, more than the engines have room for. No engine is promised more
-// than it holds, all room is used, and who finds none is told within its wait.
+// Worst case: all VMs of a large fleet get a request within a few milliseconds, more
+// than the engines have room for. No engine is promised more than it holds, all room
+// is used, and a request that finds none is refused within its waiting time.
 func TestBurstAtAScheduler(t *testing.T) {
-	const vms, each, fits = 60, 2500, 3 // an engine of 10,000 holds three of 2,500 and what they grow by
+	const vms, each, fits = 60, 2500, 3 // an engine of 10,000 holds three of 2,500 and their growth
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -153,7 +154,7 @@
 			rls = append(rls, rl)
 		}
 		first.OtherVMs = func() ([]string, bool) { return others, true }
-		time.Sleep(20 * time.Millisecond) // until all have told
+		time.Sleep(20 * time.Millisecond) // until all have reported
 		var mu sync.Mutex
 		var waits []time.Duration
 		for ix, rl := range rls {
@@ -175,7 +176,7 @@
 		assert.DeepEqual(t, runs.most, map[string]int{"d1": fits, "d2": fits})
 		assert.Equal(t, len(waits), vms-2*fits)
 		for _, wait := range waits {
-			assert.Assert(t, wait <= relay.DefaultPlaceWait.Std()+2*time.Millisecond, "%v, with the last ask", wait)
+			assert.Assert(t, wait <= relay.DefaultPlaceWait.Std()+2*time.Millisecond, "%v, including the last place request", wait)
 		}
 	})
 }
@@ -195,9 +196,9 @@
 	return nil, errors.New("the test has ended")
 }
 
-// At the end of a burst hundreds ask in vain. The scheduler looks through the
-// engines once for all asks of a moment, and again when the moment is over or a
-// smaller request asks.
+// At the end of a burst hundreds of requests find no place. The scheduler checks the
+// engines once for all requests of a moment, and again after that or when a smaller
+// request comes.
 func TestSchedulerWithoutRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
@@ -211,7 +212,7 @@
 		}
 		tell(8000)
 		assert.Equal(t, engines(5000), 0)
-		assert.Equal(t, engines(1000), 2, "a smaller one")
+		assert.Equal(t, engines(1000), 2, "a smaller request")
 		tell(1000)
 		assert.Equal(t, engines(5000), 0, "the same moment")
 		time.Sleep(20 * time.Millisecond)
--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -9,96 +9,96 @@
 	"alderdyke/pkg/clock"
 )
 
-// What the zero value of a field of [Settings] stands for.
+// Defaults of the fields of [Settings].
 const (
-	// DefaultWaitFraction of its route's objective is how long a new request waits
-	// for a place: a refusal is of most use to its caller within a quarter of
-	// it, and the rest is for the way.
+	// DefaultWaitFraction is the fraction of its route's objective that a new request
+	// waits for a place: a refusal is most useful to its caller within a quarter of
+	// the objective, and the rest is for the network.
 	DefaultWaitFraction = 0.2
-	// DefaultPlaceWait is how long it waits where the route names no objective.
+	// DefaultPlaceWait is how long it waits if the route has no objective.
 	DefaultPlaceWait = 180 * clock.Millis(1)
-	// DefaultStartTime is left of the callers' patience to a request that was
-	// refused before and gets a place at the last moment: a prefill takes up
-	// to half a second.
+	// DefaultStartTime is the part of the callers' patience that remains for a
+	// request that was refused before and gets a place at the last moment: a prefill
+	// takes up to half a second.
 	DefaultStartTime = 800 * clock.Millis(1)
-	// DefaultAttemptFraction of its route's objective is how long one attempt of
-	// an idempotent request may take while another may follow: a server that
-	// hangs must not use up the request's time, and the slowest of sound ones
-	// are done in three quarters of it.
+	// DefaultAttemptFraction is the multiple of its route's objective that one
+	// attempt of an idempotent request may take while another attempt may follow: a
+	// server that hangs must not use up the request's time, and the slowest attempts
+	// at healthy servers take three quarters of it.
 	DefaultAttemptFraction = 2.5
-	// DefaultRetryAfter is when a refused caller is to come back: bursts last 4 to
-	// 5 s.
+	// DefaultRetryAfter is when a refused caller may retry: bursts last 4 to 5 s.
 	DefaultRetryAfter = 3 * clock.Second
 	// DefaultPollInterval is how often a waiting request asks for a place although
-	// nothing is known to have become free: other VMs' runs end unseen.
+	// none is known to have become free: other VMs' runs end unobserved.
 	DefaultPollInterval = 80 * clock.Millis(1)
-	// DefaultStartRetryAfter is when to come back to a VM that still learns its
-	// configuration: it asks the store each second, and callers come back once.
+	// DefaultStartRetryAfter is when a caller may retry at a VM that is still loading
+	// its configuration: the VM polls the store every second, and callers retry once.
 	DefaultStartRetryAfter = 2 * clock.Second
-	// DefaultPlainRetryAfter is when to come back after a plain service had no room.
+	// DefaultPlainRetryAfter is when a caller may retry after a plain service had no
+	// room.
 	DefaultPlainRetryAfter = 50 * clock.Millis(1)
-	// DefaultStopGenerate is how long after a planned stop began generations
-	// are still taken: they run for 4 s in the mean and up to 8 s, and the
-	// process has 8 s.
+	// DefaultStopGenerate is how long after the start of a planned stop generations
+	// are still accepted: they run for 4 s on average and up to 8 s, and the process
+	// has 8 s.
 	DefaultStopGenerate = 1500 * clock.Millis(1)
-	// DefaultStopAccept is the same for other requests: callers keep an
-	// address for 4.5 s at most.
+	// DefaultStopAccept is the same for other requests: callers keep an address for
+	// 4.5 s at most.
 	DefaultStopAccept = 4600 * clock.Millis(1)
-	// DefaultStopRetryAfter is when a caller may come back who was turned away by a
-	// VM that leaves: at once, for it then picks another.
+	// DefaultStopRetryAfter is when a caller that a leaving VM refused may retry:
+	// immediately, because it then picks another VM.
 	DefaultStopRetryAfter = 10 * clock.Millis(1)
-	// DefaultHintFactor sizes a reservation where the other VMs' runs are not
-	// known: twice the hint covers nine in ten generations where the hint's
-	// spread is a half.
+	// DefaultHintFactor sizes a reservation if the other VMs' runs are not known:
+	// twice the hint covers nine in ten generations if the hint's spread is one half.
 	DefaultHintFactor = 2.0
-	// DefaultReserveTokens is what a reservation holds beyond the prompt: the
-	// tokens of the run's first 200 ms, within which the other VMs' choices
-	// are known.
+	// DefaultReserveTokens is what a reservation holds beyond the prompt: the tokens
+	// of the run's first 200 ms, within which the other VMs' choices become known.
 	DefaultReserveTokens = 300
-	// DefaultMemoryFill is the part of an engine's memory that its runs may come to
-	// need. The ledger has a margin on their growth; the rest is for what is
-	// counted late: two prompts at most that VMs placed in the same moment.
+	// DefaultMemoryFill is the fraction of an engine's memory that its runs may come
+	// to need. The ledger has a margin for their growth; the rest is for what is
+	// counted late: at most two prompts that VMs placed at the same moment.
 	DefaultMemoryFill = 0.97
-	// DefaultMoveAfter is how long after the notice a run stays at an engine
-	// that leaves: two seconds pass until it may go, and most runs end first.
+	// DefaultMoveAfter is how long after its notice a run stays at a leaving engine:
+	// the engine exits after two seconds at the earliest, and most runs end before
+	// that.
 	DefaultMoveAfter = 500 * clock.Millis(1)
-	// DefaultFailures ejects a backend server of a plain service.
+	// DefaultFailures is the number of consecutive failures that eject a backend
+	// server of a plain service.
 	DefaultFailures = 3
-	// DefaultEject is the first ejection.
+	// DefaultEject is the duration of the first ejection.
 	DefaultEject = 2 * clock.Second
-	// DefaultRetryWindow is the span for which the fleet's slack of retries is given.
+	// DefaultRetryWindow is the period for which the fleet's retry allowance is
+	// defined.
 	DefaultRetryWindow = 10 * clock.Second
-	// DefaultSlowStart is short: plain services here run at a tenth of their
-	// room.
+	// DefaultSlowStart is short because plain services use a tenth of their capacity.
 	DefaultSlowStart = 2 * clock.Second
 )
 
-// latencies are the buckets of the time that requests took.
+// latencies are the histogram buckets of request durations.
 var latencies = tally.MustMakeExponentialDurationBuckets(2*time.Millisecond, 2, 14)
 
 // Settings of a Relay. A zero field stands for its default.
 type Settings struct {
-	WaitFraction    float64      // of the objective that a new request waits for a place
-	PlaceWait       clock.Millis // the same where the route names no objective
-	StartTime       clock.Millis // left of the callers' patience when a returning request stops to wait
+	WaitFraction    float64      // of the objective, for which a new request waits for a place
+	PlaceWait       clock.Millis // the same if the route has no objective
+	StartTime       clock.Millis // left of the callers' patience when a returning request stops waiting
 	AttemptFraction float64      // of the objective that one attempt of an idempotent request may take
-	RetryAfter      clock.Millis // told to a refused caller; a quarter more or less by chance
-	PollInterval    clock.Millis // between two asks for a place
-	StartRetryAfter clock.Millis // told while no configuration is known
-	StopGenerate    clock.Millis // from the begin of a planned stop, until generations are turned away
+	RetryAfter      clock.Millis // sent to a refused caller; randomized by a quarter
+	PollInterval    clock.Millis // between two place requests of a waiting request
+	StartRetryAfter clock.Millis // sent while no configuration is known
+	StopGenerate    clock.Millis // from the start of a planned stop until generations are refused
 	StopAccept      clock.Millis // the same for all requests
-	StopRetryAfter  clock.Millis // told to who is turned away
-	PlainRetryAfter clock.Millis // told by a plain service without room
-	HintFactor      float64      // of the hint that is reserved while other VMs' runs are not known
-	ReserveTokens   int          // tokens reserved beyond the prompt while they are
-	MemoryFill      float64      // of an engine's memory that its runs may come to need
+	StopRetryAfter  clock.Millis // sent to callers that are refused during a planned stop
+	PlainRetryAfter clock.Millis // sent if a plain service has no room
+	HintFactor      float64      // multiple of the hint that is reserved while other VMs' runs are not known
+	ReserveTokens   int          // reserved beyond the prompt while they are known
+	MemoryFill      float64      // fraction of an engine's memory that its runs may come to need
 	MoveAfter       clock.Millis // from an engine's notice to the move of its runs
-	Failures        int          // in a row that eject a backend server
-	Eject           clock.Millis // first ejection
-	SlowStart       clock.Millis // of a backend server that returned
+	Failures        int          // consecutive failures that eject a backend server
+	Eject           clock.Millis // duration of the first ejection
+	SlowStart       clock.Millis // of a backend server that was readmitted
 	Budget          retry.Settings
 	RetrySlack      float64      // retries of the whole fleet in a RetryWindow beyond the budget's ratio; zero: the budget's own burst
-	RetryWindow     clock.Millis // in which the RetrySlack may be spent
+	RetryWindow     clock.Millis // period in which the RetrySlack may be spent
 }
 
 func (st Settings) withDefaults() Settings {
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -3,21 +3,22 @@
 import "alderdyke/pkg/clock"
 
 const (
-	// minVMs divides the fleet's slack of retries where a VM knows of fewer: one
-	// that has just started, or was always cut off, knows of none.
+	// minVMs divides the fleet's retry allowance if a VM knows of fewer VMs: one that
+	// has just started, or was always partitioned, knows of none.
 	minVMs = 6
-	// minBurst lets each VM repeat one request.
+	// minBurst lets each VM make one retry.
 	minBurst = 1
-	// burstFraction of the fleet's slack of retries may be spent at once, and rateFraction is
-	// earned anew in each window. Together they are what a window may see.
+	// burstFraction of the fleet's retry allowance may be spent at once, and
+	// rateFraction is earned again in each window. Together they are the most that
+	// can be spent in one window.
 	burstFraction = 0.5
 	rateFraction  = 1 - burstFraction
-	// fleetSizeTTL is how long the slack is divided by the most VMs that were seen: those
-	// that are out of sight may live, and spend their own parts.
+	// fleetSizeTTL is how long the allowance is divided by the largest number of VMs
+	// seen: VMs that can't be seen may be alive and spend their own shares.
 	fleetSizeTTL = clock.Minute
 )
 
-// SetFleetSize tells how many VMs share what the fleet may retry.
+// SetFleetSize sets how many VMs share the fleet's retry allowance.
 func (rl *Relay) SetFleetSize(vms int) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -26,8 +27,9 @@
 	rl.applyRetryShare()
 }
 
-// applyRetryShare takes this VM's part of the fleet's slack of retries. Nothing is known of what
-// an earlier life of this VM has spent, so it begins with nothing. The lock is held.
+// applyRetryShare applies this VM's share of the fleet's retry allowance. An earlier
+// incarnation of this VM may have spent any part of it, so the budget begins empty.
+// The lock is held.
 func (rl *Relay) applyRetryShare() {
 	set := &rl.budget.Settings
 	if rl.Settings.RetrySlack <= 0 {
@@ -39,13 +41,13 @@
 	set.BeginEmpty = true
 }
 
-// fleetSize is how many VMs are seen, and the most that were lately.
+// fleetSize is the number of VMs that are seen, and the largest number seen recently.
 type fleetSize struct {
 	last, largest int
-	until         clock.Millis // when the last is believed
+	until         clock.Millis // until when the largest number counts
 }
 
-// withSeen takes a number of VMs that are withSeen now.
+// withSeen returns the size after the given number of VMs was seen.
 func (fs fleetSize) withSeen(now clock.Millis, vms int) fleetSize {
 	if vms < fs.size(now) {
 		return fleetSize{vms, fs.size(now), now + fleetSizeTTL}
@@ -53,7 +55,7 @@
 	return fleetSize{last: vms}
 }
 
-// size is how many VMs share what the fleet may do.
+// size returns how many VMs share the fleet's allowance.
 func (fs fleetSize) size(now clock.Millis) int {
 	if now < fs.until {
 		return max(fs.last, fs.largest)
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -6,10 +6,10 @@
 	"alderdyke/pkg/refusal"
 )
 
-// BeginStop begins a planned stop. Requests in progress go on. New ones are
-// still served for a while, since callers keep an address for some time:
-// generations for as long as they can end within the stop, others for longer.
-// Then they are told to go elsewhere at once.
+// BeginStop begins a planned stop. Requests in progress continue. New ones are still
+// served for a while, because callers keep an address for some time: generations as
+// long as they can end within the stop, other requests for longer. After that,
+// callers are told immediately to use another VM.
 func (rl *Relay) BeginStop() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -19,15 +19,15 @@
 	}
 }
 
-// MayExit tells whether no caller holds the address any more, nothing is in
-// progress, and the servers have back what was taken there. Answers whose request
-// is over may still be on their way out of the process.
+// MayExit reports whether no caller uses the address any more, no request is in
+// progress, and everything held at servers was freed. Answers of finished requests
+// may still be on their way out of the process.
 func (rl *Relay) MayExit() bool {
 	since, stopping := rl.stoppingFor()
 	return stopping && since >= rl.Settings.StopAccept && rl.OpenRequests() == 0 && rl.cleanups.Load() == 0
 }
 
-// Stopping tells whether a planned stop has begun.
+// Stopping reports whether a planned stop has begun.
 func (rl *Relay) Stopping() bool {
 	_, stopping := rl.stoppingFor()
 	return stopping
@@ -36,11 +36,11 @@
 func (rl *Relay) stoppingFor() (since clock.Millis, stopping bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	rl.initialize() // whoever comes first: what follows reads the settings without the lock
+	rl.initialize() // in any case, because the callers read the settings without the lock
 	return rl.now() - rl.stopAt, rl.stopping
 }
 
-// admit refuses a new request that this VM can't end before it exits.
+// admit refuses a new request that this VM can't finish before it exits.
 func (rl *Relay) admit() error {
 	if since, stopping := rl.stoppingFor(); stopping && since >= rl.Settings.StopAccept {
 		return rl.refuseDraining()
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// admitLong does so with a request that lasts: a generation or another stream.
+// admitLong does the same for a request that takes long: a generation or another
+// stream.
 func (rl *Relay) admitLong(req *Request, rt route.Route) error {
 	since, stopping := rl.stoppingFor()
 	long := req.Prompt != nil || rt.Kind == route.Stream
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -15,8 +15,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// A planned stop cuts nothing off, takes what can still end, and turns the
-// rest away before it runs.
+// A planned stop cuts nothing, accepts what can still end in time, and refuses the
+// rest before it runs.
 func TestPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -33,7 +33,7 @@
 		}()
 		synctest.Wait()
 		rl.BeginStop()
-		rl.BeginStop() // a second word changes nothing
+		rl.BeginStop() // a second call has no effect
 		assert.Assert(t, rl.Stopping())
 		time.Sleep(relay.DefaultStopGenerate.Std())
 		_, err := serve(t.Context(), rl, "draft")
@@ -58,12 +58,12 @@
 		time.Sleep(relay.DefaultStopGenerate.Std())
 		_, err := serve(t.Context(), rl, "once")
 		assert.NilError(t, err)
-		assert.Assert(t, !rl.MayExit(), "callers may still hold the address")
+		assert.Assert(t, !rl.MayExit(), "callers may still use the address")
 	})
 }
 
-// A stream of a plain service may last as long as a generation, and was cut off at
-// the end of the stop where it was taken late.
+// A stream of a plain service may last as long as a generation: if it were accepted
+// late, the end of the stop would cut it.
 func TestStreamsAreTurnedAwayWithGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -75,7 +75,7 @@
 	})
 }
 
-// What was taken at an engine is given back before the process ends.
+// Everything held at an engine is freed before the process exits.
 func TestExitWaitsForCleanUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -12,7 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// endServersOnSend has each server end that runs the request, before its first event.
+// endServersOnSend makes each server crash that runs the request, before its first
+// event.
 func endServersOnSend(sv *servers) {
 	sv.ended = make(map[string]bool)
 	sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
@@ -24,9 +25,9 @@
 	}
 }
 
-// One request ended ten engines: each attempt of its callers was a new request to
-// each VM, and each was begun and resumed at engines that were still there. What
-// was the same at each of them is all but the attempt's own name.
+// Guards against one request that crashes ten engines: each attempt of its callers is
+// a new request to each VM, and each was started and resumed at the remaining
+// engines. The attempts have everything in common except the ID of the attempt.
 func TestRequestThatEndsItsServersIsNotSentOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/suspended_test.go
+++ b/internal/relay/suspended_test.go
@@ -14,8 +14,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// suspendableClock is the clock of a machine that may be suspended: the time of that counts,
-// and no timer does.
+// suspendableClock is the clock of a VM that may be suspended: the suspended time
+// counts for it, but not for timers.
 type suspendableClock struct {
 	bubbleClock
 	suspended atomic.Int64 // milliseconds
@@ -25,9 +25,9 @@
 	return sc.bubbleClock.Now() + clock.Millis(sc.suspended.Load())
 }
 
-// A machine that was suspended for 20 s woke with requests whose callers had long
-// gone: the timers of their ends still had as long to run as before ("14s" on timers,
-// 34 s after the request came), since timers stand while the machine does.
+// Guards against requests that outlive their deadline after the VM was suspended:
+// timers stand still meanwhile, so after 20 s of suspension a timer of 14 s fires 34
+// s after the request came, when its caller has long disconnected.
 func TestRequestsEndWhenTheirVMResumes(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -35,8 +35,8 @@
 		atLeast time.Duration // the end of the request, on timers
 		atMost  time.Duration
 	}{
-		{"its time is over", 20 * clock.Second, time.Second, 1500 * time.Millisecond},
-		{"some of it is left", 5 * clock.Second, 9 * time.Second, 9500 * time.Millisecond},
+		{"the deadline has passed", 20 * clock.Second, time.Second, 1500 * time.Millisecond},
+		{"some time is left", 5 * clock.Second, 9 * time.Second, 9500 * time.Millisecond},
 		{"never", 0, 14 * time.Second, 14 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -17,16 +17,16 @@
 	"alderdyke/pkg/clock"
 )
 
-// fleetOf joins relays of one configuration: each hears after two milliseconds
-// what the others tell, and an engine answers after three.
+// fleetOf connects relays with one configuration: reports of the others arrive after
+// two milliseconds, and an engine answers after three.
 func fleetOf(ctx context.Context, t *testing.T, count int) []*relay.Relay {
 	t.Helper()
 	var rls []*relay.Relay
 	var names []string
 	for ix := range count {
-		rl, sv := newRigOf(t, uint64(ix)) // each VM draws turns of its own
+		rl, sv := newRigOf(t, uint64(ix)) // each VM draws its own turns
 		sv.onSend = func(ctx context.Context, _ int, _ sent) (*http.Response, error) {
-			<-ctx.Done() // the run holds its memory to the end
+			<-ctx.Done() // the run holds its memory until the end
 			return nil, ctx.Err()
 		}
 		sv.onReserve = func(board.BackendServer, int) error {
@@ -55,11 +55,11 @@
 			}
 		})
 	}
-	time.Sleep(10 * time.Millisecond) // until all have heard of all
+	time.Sleep(10 * time.Millisecond) // until all have reports of all others
 	return rls
 }
 
-// placed counts the reservations of each engine's room that are taken.
+// placed counts the reserved places of each engine.
 func placed(rls []*relay.Relay) map[string]int {
 	out := make(map[string]int)
 	for _, rl := range rls {
@@ -70,8 +70,8 @@
 	return out
 }
 
-// Many VMs wait for a place. When one becomes free, and all hear of it at the
-// same moment, one request takes it.
+// Many VMs wait for a place. When one becomes free and all are informed at the same
+// moment, exactly one request takes it.
 func TestOneRequestTakesAPlaceThatBecomesFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -91,12 +91,12 @@
 		}
 		tell(full("d1", "d2"))
 		for ix, rl := range rls {
-			time.Sleep(time.Millisecond) // they wait for different times
+			time.Sleep(time.Millisecond) // so that they wait for different times
 			go func() { _, _ = serveLeft(ctx, rl, "draft", 14*clock.Second+clock.Millis(ix)) }()
 		}
 		time.Sleep(20 * time.Millisecond)
 		assert.Equal(t, len(placed(rls)), 0)
-		tell(full("d1")) // d2 has room for one
+		tell(full("d1")) // d2 has room for one request
 		time.Sleep(20 * time.Millisecond)
 		got := placed(rls)
 		assert.Equal(t, got["d2"], 1)
@@ -104,19 +104,19 @@
 	})
 }
 
-// A request that comes while another VM's reservation is under way knows of
-// it.
+// A request that comes while another VM's reservation is in progress takes it into
+// account.
 func TestPlaceIsReportedBeforeItIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		var told atomic.Int64 // runs in the last word
+		var told atomic.Int64 // runs in the latest report
 		go rl.ShareUsage(t.Context(), func(rp usage.Report) { told.Store(int64(len(rp.Runs))) })
 		synctest.Wait()
 		sv.onReserve = func(board.BackendServer, int) error {
 			sv.mu.Unlock()
 			defer sv.mu.Lock()
 			time.Sleep(50 * time.Millisecond)
-			assert.Check(t, told.Load() == 1, "the run is told while the engine is asked")
+			assert.Check(t, told.Load() == 1, "the run is reported while the engine is asked")
 			return nil
 		}
 		_, err := serve(t.Context(), rl, "draft")
@@ -124,8 +124,8 @@
 	})
 }
 
-// Callers bring different times at first. Only who brings less by what a
-// refused caller is told to wait counts as one that came back.
+// Callers initially allow different times. Only a caller that allows less by at least
+// what a refused caller is told to wait counts as returning.
 func TestWhoCountsAsReturning(t *testing.T) {
 	for _, tc := range []struct {
 		left clock.Millis
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -12,28 +12,27 @@
 )
 
 const (
-	// reportInterval is how often this VM tells the others what it has at the
-	// engines, and minReportInterval the least span between two words: a burst of
-	// changes makes one word, and one of them is known elsewhere before an
-	// engine is chosen for the next request of 30 a second.
+	// reportInterval is how often this VM reports its usage of the engines to the
+	// others, and minReportInterval the shortest time between two reports: a burst of
+	// changes makes one report, and at 30 requests per second a report arrives before
+	// an engine is chosen for the next request.
 	reportInterval    = 400 * clock.Millis(1)
 	minReportInterval = 4 * clock.Millis(1)
-	// declinedAvoidTime is how long an engine is avoided that declined what it had a
-	// place for. Where computed prompts lapse, they do for 4 to 5 s; each try
-	// costs a prefill.
+	// declinedAvoidTime is how long an engine is avoided that declined a call for
+	// which it had a reserved place. If computed prompts expire, they do so for 4 to
+	// 5 s, and each attempt costs a prefill.
 	declinedAvoidTime = 2500 * clock.Millis(1)
-	// reportIntervalPerVM is the least span for each VM that is told, so that a VM of a
-	// large fleet sends no more than about 70 words a second to keep them
-	// fresh.
+	// reportIntervalPerVM is the minimum interval per receiving VM, so that a VM of a
+	// large fleet sends at most about 70 reports per second to refresh its usage.
 	reportIntervalPerVM = 14 * clock.Millis(1)
 	maxReportInterval   = usage.Stale * 2 / 5
-	// maxWaitingReported bounds the waiting requests that one word names: it keeps
-	// the word within a datagram.
+	// maxWaitingReported limits the waiting requests in one report, so that the
+	// report fits into a datagram.
 	maxWaitingReported = 16
 )
 
-// ShareUsage tells what this VM has at the engines until the context ends:
-// when it changes, and regularly.
+// ShareUsage reports this VM's usage of the engines until the context ends: on each
+// change, and periodically.
 func (rl *Relay) ShareUsage(ctx context.Context, tell func(rp usage.Report)) {
 	for {
 		rl.mu.Lock()
@@ -54,7 +53,7 @@
 	}
 }
 
-// report is what the others are told. The lock is held.
+// report returns the report for the other VMs. The lock is held.
 func (rl *Relay) report(now clock.Millis) usage.Report {
 	rp := rl.ledger.Report(now)
 	for name, po := range rl.pools {
@@ -67,12 +66,12 @@
 	return rp
 }
 
-// askOf is what a ticket is to all VMs.
+// askOf returns a waiting request as other VMs see it.
 func askOf(now clock.Millis, service string, tk *pool.Ticket) usage.Ask {
 	return usage.Ask{Service: service, Returning: tk.Ask().Returning, Turn: tk.Turn(), Age: tk.Waited(now)}
 }
 
-// reportPeriod is how often the others are told without a change.
+// reportPeriod returns how often the others get a report without a change.
 func (rl *Relay) reportPeriod() clock.Millis {
 	if rl.OtherVMs == nil {
 		return reportInterval
@@ -81,7 +80,7 @@
 	return min(maxReportInterval, max(reportInterval, clock.Millis(len(others))*reportIntervalPerVM))
 }
 
-// ReceiveUsage takes what another VM has at the engines.
+// ReceiveUsage records the usage report of another VM.
 func (rl *Relay) ReceiveUsage(vm string, rp usage.Report) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -90,8 +89,8 @@
 	rl.wakeWaiters()
 }
 
-// MarkRoleChanging notes that this VM ordered an engine to change its role, and until
-// when that may be under way. The other VMs are told.
+// MarkRoleChanging records that this VM ordered an engine to change its role, and
+// until when the change may be in progress. The other VMs are informed.
 func (rl *Relay) MarkRoleChanging(engine string, until clock.Millis) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -100,8 +99,8 @@
 	rl.notifyUsageChanged()
 }
 
-// avoidDeclined has all VMs avoid an engine that avoidDeclined, by its own word, what it
-// had a place for or had computed.
+// avoidDeclined makes all VMs avoid an engine that itself declined a call for which
+// it had a reserved place or a computed prompt.
 func (rl *Relay) avoidDeclined(engine string) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -109,7 +108,7 @@
 	rl.notifyUsageChanged()
 }
 
-// reportShortage has all VMs know that a new request was refused for want of a
+// reportShortage informs all VMs that a new request was refused because there was no
 // place.
 func (rl *Relay) reportShortage() {
 	rl.mu.Lock()
@@ -118,7 +117,8 @@
 	rl.notifyUsageChanged()
 }
 
-// readmitChangedRoles notes engines whose role is another than before. The lock is held.
+// readmitChangedRoles ends the avoidance of engines whose role has changed. The lock
+// is held.
 func (rl *Relay) readmitChangedRoles(old *board.Backends, list []board.BackendServer) {
 	for _, bs := range list {
 		if was, ok := old.Server(bs.ID); ok && was.Role != bs.Role {
@@ -127,8 +127,9 @@
 	}
 }
 
-// peakAt is what an engine will need with so many more runs of a size; an
-// engine that is avoided has no room. The lock is held.
+// peakAt returns a function for the memory that an engine will need with the given
+// number of additional runs of a size; an engine that is avoided has no room. The
+// lock is held.
 func (rl *Relay) peakAt(now clock.Millis, run usage.Run) func(id string, more int) int {
 	return func(id string, more int) int {
 		if rl.ledger.Avoided(now, id) {
@@ -138,7 +139,7 @@
 	}
 }
 
-// promptsAt is how many tokens of prompts are before one more at an engine.
+// promptsAt returns a function for the number of prompt tokens queued at an engine.
 // The lock is held.
 func (rl *Relay) promptsAt(now clock.Millis) func(id string) int {
 	return func(id string) int {
@@ -149,7 +150,7 @@
 	}
 }
 
-// TriggerUsageReport has the other VMs told, whatever they know.
+// TriggerUsageReport sends the other VMs a report, whatever they already know.
 func (rl *Relay) TriggerUsageReport() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -157,15 +158,15 @@
 	rl.notifyUsageChanged()
 }
 
-// notifyUsageChanged has the other VMs told. The lock is held.
+// notifyUsageChanged makes ShareUsage send a report. The lock is held.
 func (rl *Relay) notifyUsageChanged() {
 	select {
 	case rl.usageChanged <- struct{}{}:
-	default: // they will be told of this change too
+	default: // a report is already due and will include this change
 	}
 }
 
-// recordGrowth notes what a run has generated.
+// recordGrowth records the tokens that a run has generated.
 func (rl *Relay) recordGrowth(rn *run, events int) {
 	if events == 0 || rn.ex.svc.Engines == nil {
 		return
