--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -119,8 +119,8 @@
 	return cb.MaxTokens
 }
 
-// chat creates the request for a class from the body.
-func (cb chatBody) chat(cls template.Class) (*Chat, error) {
+// newChat creates the request for a class from the body.
+func (cb chatBody) newChat(cls template.Class) (*Chat, error) {
 	prompt, err := render(cb.Messages)
 	if err != nil {
 		return nil, err
@@ -270,7 +270,7 @@
 		return Request{}, false, err
 	}
 	run = Request{Customer: tpl.Customer, Template: tpl, Class: cls}
-	if run.Chat, err = cb.chat(cls); err != nil {
+	if run.Chat, err = cb.newChat(cls); err != nil {
 		return run, false, err
 	}
 	run.Fingerprint = run.Chat.fingerprint(cls.Name)
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -27,14 +27,14 @@
 			assert.Equal(t, refusalOf(err).Ran, refusal.NotRun)
 			return
 		}
-		ch, err := cb.chat(template.Class{MaxTokens: 5})
+		ch, err := cb.newChat(template.Class{MaxTokens: 5})
 		assert.NilError(t, err)
 		assert.Assert(t, ch.MaxTokens > 0 && ch.MaxTokens <= 5 && ch.PromptTokens > 0)
 		model, err := json.Marshal(cb.Model)
 		assert.NilError(t, err)
 		again, err := parseChat([]byte(`{"model":` + string(model) + `,"messages":` + ch.Prompt + `}`))
 		assert.NilError(t, err)
-		same, err := again.chat(template.Class{MaxTokens: ch.MaxTokens})
+		same, err := again.newChat(template.Class{MaxTokens: ch.MaxTokens})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, same, ch)
 	})
--- a/internal/caller/plain_test.go
+++ b/internal/caller/plain_test.go
@@ -57,7 +57,7 @@
 	mark := func(body string) string {
 		cb, err := parseChat([]byte(body))
 		assert.NilError(t, err)
-		ch, err := cb.chat(template.Class{MaxTokens: 5})
+		ch, err := cb.newChat(template.Class{MaxTokens: 5})
 		assert.NilError(t, err)
 		return hex.EncodeToString(ch.fingerprint("findings"))
 	}
--- a/internal/caller/rig_test.go
+++ b/internal/caller/rig_test.go
@@ -190,8 +190,8 @@
 	return string(data)
 }
 
-// pieces joins the content of all chunks and lists the event IDs.
-func pieces(t *testing.T, stream string) (content string, ids []string) {
+// joinChunks joins the content of all chunks and lists the event IDs.
+func joinChunks(t *testing.T, stream string) (content string, ids []string) {
 	t.Helper()
 	sc := bufio.NewScanner(strings.NewReader(stream))
 	for sc.Scan() {
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -95,7 +95,7 @@
 	assert.NilError(t, st.Token([]byte("whole")))
 	assert.NilError(t, st.End(nil))
 	for _, resp := range []*http.Response{open, again} {
-		content, _ := pieces(t, text(t, resp))
+		content, _ := joinChunks(t, text(t, resp))
 		assert.Equal(t, content, "whole")
 	}
 }
--- a/internal/caller/stream_test.go
+++ b/internal/caller/stream_test.go
@@ -20,7 +20,7 @@
 	resp := rg.chat(t, headerDeadline, "2s")
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	body := text(t, resp)
-	content, ids := pieces(t, body)
+	content, ids := joinChunks(t, body)
 	assert.Equal(t, content, "pitting found")
 	assert.DeepEqual(t, ids, []string{"0", "1", "2", "3"})
 	assert.Assert(t, strings.HasSuffix(body, "data: [DONE]\n\n"))
@@ -48,17 +48,17 @@
 	rg := serve(t, func(rg *rig) {
 		rg.rn.begin = answerWith("a", "\xc3", "\xa5", "b") // one character spans two events
 	})
-	first, _ := pieces(t, text(t, rg.chat(t, headerKey, "k1")))
+	first, _ := joinChunks(t, text(t, rg.chat(t, headerKey, "k1")))
 	assert.Equal(t, first, "aåb")
 	want := []string{"åb", "åb", "b", "", ""} // after events 0 to 4
 	for last, rest := range want {
 		resp := rg.chat(t, headerKey, "k1", headerLastID, string(rune('0'+last)))
-		content, ids := pieces(t, text(t, resp))
+		content, ids := joinChunks(t, text(t, resp))
 		assert.Equal(t, content, rest, "after %d", last)
 		assert.Equal(t, ids[len(ids)-1], "4", "the final event comes to every caller")
 	}
 	resp := rg.do(t, http.MethodGet, "/v1/answers/k1", "", headerLastID, "2", "Accept", "text/event-stream")
-	content, _ := pieces(t, text(t, resp))
+	content, _ := joinChunks(t, text(t, resp))
 	assert.Equal(t, content, "b")
 	resp = rg.do(t, http.MethodGet, "/v1/answers/none", "")
 	assert.Equal(t, refusalIn(t, resp).Ran, refusal.MayHaveRun)
--- a/internal/relay/arrivals_test.go
+++ b/internal/relay/arrivals_test.go
@@ -59,9 +59,9 @@
 	const requests = 20
 	broken := func(_ context.Context, _ int, se sent) (*http.Response, error) {
 		if se.op.LastEventID == "" {
-			return answer(http.StatusOK, eventOne, io.ErrUnexpectedEOF), nil
+			return newResponse(http.StatusOK, eventOne, io.ErrUnexpectedEOF), nil
 		}
-		return answer(http.StatusOK, eventTwo, nil), nil
+		return newResponse(http.StatusOK, eventTwo, nil), nil
 	}
 	givenUp := func(int, board.BackendServer) error { return errReset }
 	for _, tc := range []struct {
@@ -78,7 +78,7 @@
 				if se.op.Source.ID != "" {
 					return nil, errFull
 				}
-				return answer(http.StatusOK, eventOne, nil), nil
+				return newResponse(http.StatusOK, eventOne, nil), nil
 			}
 		}},
 		{"broken streams and abandoned prefills", "thrice", func(sv *servers) {
@@ -86,7 +86,7 @@
 		}},
 		{"failing servers", "again", func(sv *servers) {
 			sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-				return answer(http.StatusInternalServerError, "", nil), nil
+				return newResponse(http.StatusInternalServerError, "", nil), nil
 			}
 		}},
 	} {
@@ -116,7 +116,7 @@
 		ended := make(chan struct{})
 		sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
 			if se.op.LastEventID != "" {
-				return answer(http.StatusOK, eventTwo, nil), nil
+				return newResponse(http.StatusOK, eventTwo, nil), nil
 			}
 			return streamUntil(eventOne, ended, "", io.ErrUnexpectedEOF), nil
 		}
@@ -143,7 +143,7 @@
 // that all servers fail.
 func extraArrivalsOfFailing(t *testing.T, rl *relay.Relay, sv *servers, requests int) int {
 	sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-		return answer(http.StatusInternalServerError, "", nil), nil
+		return newResponse(http.StatusInternalServerError, "", nil), nil
 	}
 	beyond := 0
 	for range requests {
--- a/internal/relay/continue.go
+++ b/internal/relay/continue.go
@@ -97,7 +97,7 @@
 		event.F("To", mv.target.ID), event.F("Last", rn.sp.last), event.F("Status", statusOf(rsp)), event.F("Error", errorText(err)))...)
 	if err != nil {
 		end()
-		rl.forget(rn.ex, mv.src)
+		rl.forget(rn.ex, mv.source)
 		return err
 	}
 	// The copy already has its memory, so this place needed no reservation.
@@ -110,10 +110,10 @@
 // an error there is no response to read, but end must be called in any case.
 func (rl *Relay) openMovedRun(ctx context.Context, rn *run, mv movedRun) (rsp *http.Response, end func(), err error) {
 	within, end := rl.beginCall(ctx, mv.target)
-	if bk := rl.Backends(); bk.Reborn(mv.target) || bk.Reborn(mv.src.Server) {
+	if bk := rl.Backends(); bk.Reborn(mv.target) || bk.Reborn(mv.source.Server) {
 		return nil, end, backend.NotSentError{Server: mv.target.ID, Call: "Send", Err: errServerRestarted}
 	}
-	rsp, err = rl.Servers.Send(within, mv.target, rn.ex.req, Options{TimeLeft: rl.timeLeft(rn.ex), Source: mv.src, LastEventID: rn.sp.last})
+	rsp, err = rl.Servers.Send(within, mv.target, rn.ex.req, Options{TimeLeft: rl.timeLeft(rn.ex), Source: mv.source, LastEventID: rn.sp.last})
 	if err != nil {
 		return nil, end, err
 	}
--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -95,9 +95,9 @@
 				rl, sv := newRig(t)
 				sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 					if nth == 1 {
-						return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+						return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 					}
-					return answer(tc.status, tc.body, nil), nil
+					return newResponse(tc.status, tc.body, nil), nil
 				}
 				rec, err := serve(t.Context(), rl, "resumable")
 				assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
@@ -109,7 +109,7 @@
 		t.Run("moved, "+tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				moveAfterFirstEvent(rl, sv, io.ErrUnexpectedEOF, func() *http.Response { return answer(tc.status, tc.body, nil) })
+				moveAfterFirstEvent(rl, sv, io.ErrUnexpectedEOF, func() *http.Response { return newResponse(tc.status, tc.body, nil) })
 				rec, err := serve(t.Context(), rl, "draft")
 				assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
 				assert.Equal(t, rec.Body.String(), eventOne)
@@ -124,7 +124,7 @@
 func TestStoppedRunIsNotAWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		moveAfterFirstEvent(rl, sv, nil, func() *http.Response { return answer(http.StatusOK, eventTwo+eventThree, nil) })
+		moveAfterFirstEvent(rl, sv, nil, func() *http.Response { return newResponse(http.StatusOK, eventTwo+eventThree, nil) })
 		rec, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
 		assert.Equal(t, rec.Body.String(), eventOne+eventTwo+eventThree)
@@ -147,7 +147,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
 				sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-					return answer(http.StatusOK, tc.body, nil), nil
+					return newResponse(http.StatusOK, tc.body, nil), nil
 				}
 				rec, req := newGeneration(rl, 14*clock.Second, 5000)
 				req.LastEventID = "1"
@@ -171,9 +171,9 @@
 		name   string
 		second func() (*http.Response, error)
 	}{
-		{"failed", func() (*http.Response, error) { return answer(http.StatusInternalServerError, "", nil), nil }},
+		{"failed", func() (*http.Response, error) { return newResponse(http.StatusInternalServerError, "", nil), nil }},
 		{"declined", func() (*http.Response, error) { return nil, errFull }},
-		{"another answer", func() (*http.Response, error) { return answer(http.StatusOK, eventOne, nil), nil }},
+		{"another answer", func() (*http.Response, error) { return newResponse(http.StatusOK, eventOne, nil), nil }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -185,14 +185,14 @@
 				sv.onSend = func(_ context.Context, nth int, se sent) (*http.Response, error) {
 					switch {
 					case nth == 1:
-						return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+						return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 					case second == "":
 						second = se.server
 					}
 					if se.server == second {
 						return tc.second()
 					}
-					return answer(http.StatusOK, eventTwo+eventThree, nil), nil
+					return newResponse(http.StatusOK, eventTwo+eventThree, nil), nil
 				}
 				rec, err := serve(t.Context(), rl, "thrice")
 				assert.NilError(t, err)
@@ -210,7 +210,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-			return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+			return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 		}
 		rec, err := serve(t.Context(), rl, "told")
 		assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
@@ -232,9 +232,9 @@
 				rl, sv := newRig(t)
 				sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 					if nth == 1 {
-						return answer(http.StatusInternalServerError, "", nil), nil
+						return newResponse(http.StatusInternalServerError, "", nil), nil
 					}
-					return answer(http.StatusOK, eventOne, nil), nil
+					return newResponse(http.StatusOK, eventOne, nil), nil
 				}
 				rec, err := serve(t.Context(), rl, tc.route)
 				assert.NilError(t, err)
@@ -267,9 +267,9 @@
 				rl, sv := newRig(t)
 				sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 					if nth == 1 {
-						return answer(http.StatusOK, "id: 1\nda", io.ErrUnexpectedEOF), nil
+						return newResponse(http.StatusOK, "id: 1\nda", io.ErrUnexpectedEOF), nil
 					}
-					return answer(tc.status, tc.body, nil), nil
+					return newResponse(tc.status, tc.body, nil), nil
 				}
 				rec, err := serve(t.Context(), rl, "resumable")
 				assert.NilError(t, err)
@@ -291,9 +291,9 @@
 			runs := 0
 			sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 				if runs++; runs == 1 {
-					return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+					return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 				}
-				return answer(http.StatusOK, eventOne, nil), nil
+				return newResponse(http.StatusOK, eventOne, nil), nil
 			}
 			_, err := serve(t.Context(), rl, "thrice")
 			assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
@@ -328,9 +328,9 @@
 		}
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 			if nth == 1 {
-				return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+				return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 			}
-			return answer(http.StatusOK, eventTwo, nil), nil
+			return newResponse(http.StatusOK, eventTwo, nil), nil
 		}
 		rec, err := serve(t.Context(), rl, "resumable")
 		assert.NilError(t, err)
@@ -345,7 +345,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-			return answer(http.StatusOK, eventOne+eventTwo, nil), nil
+			return newResponse(http.StatusOK, eventOne+eventTwo, nil), nil
 		}
 		rec, req := newGeneration(rl, 14*clock.Second, 5000)
 		req.LastEventID, req.URI, req.Path = "900", "/thrice/x", "/thrice/x"
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -15,7 +15,7 @@
 
 // answerWithLoad returns the answer of a server that reports its load.
 func answerWithLoad(status int, load string) *http.Response {
-	rsp := answer(status, "a", nil)
+	rsp := newResponse(status, "a", nil)
 	rsp.Header.Set("X-Load", load)
 	return rsp
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -48,7 +48,7 @@
 		rl, sv := newRig(t)
 		sv.onReserve = func(board.BackendServer, int) error { return errFull }
 		began := time.Now()
-		_, err := serveLeft(t.Context(), rl, "draft", 14*clock.Second)
+		_, err := serveWithLimit(t.Context(), rl, "draft", 14*clock.Second)
 		rf := refusalOf(t, err)
 		assert.Equal(t, rf.Ran, refusal.NotRun)
 		assert.Equal(t, rf.Reason, refusal.QueueFull)
@@ -58,7 +58,7 @@
 		assert.Equal(t, len(sv.prefills), 0)
 
 		began = time.Now()
-		_, err = serveLeft(t.Context(), rl, "draft", 11*clock.Second)
+		_, err = serveWithLimit(t.Context(), rl, "draft", 11*clock.Second)
 		refusalOf(t, err)
 		assert.Equal(t, time.Since(began), 2*time.Second-relay.DefaultStartTime.Std(), "the callers' patience, minus the start time")
 	})
@@ -184,7 +184,7 @@
 			if strings.HasPrefix(se.op.Source.Server.ID, "f") {
 				return nil, errFull
 			}
-			return answer(http.StatusOK, eventOne, nil), nil
+			return newResponse(http.StatusOK, eventOne, nil), nil
 		}
 		_, err := serve(t.Context(), rl, "draft")
 		assert.NilError(t, err)
@@ -210,7 +210,7 @@
 					if nth == 1 {
 						return nil, err
 					}
-					return answer(http.StatusOK, eventOne, nil), nil
+					return newResponse(http.StatusOK, eventOne, nil), nil
 				}
 				_, err := serve(t.Context(), rl, "resumable")
 				assert.NilError(t, err)
@@ -246,7 +246,7 @@
 				rl, sv := newRig(t)
 				sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 					sv.onReserve = func(board.BackendServer, int) error { return errFull }
-					return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+					return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 				}
 				rec, err := serve(t.Context(), rl, name)
 				assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
@@ -261,9 +261,9 @@
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 			if nth == 1 {
-				return answer(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
+				return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 			}
-			return answer(http.StatusOK, eventTwo+eventThree, nil), nil
+			return newResponse(http.StatusOK, eventTwo+eventThree, nil), nil
 		}
 		rec, err := serve(t.Context(), rl, "resumable")
 		assert.NilError(t, err)
@@ -288,7 +288,7 @@
 		}
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 			if nth > 1 {
-				return answer(http.StatusOK, eventTwo+eventThree, nil), nil
+				return newResponse(http.StatusOK, eventTwo+eventThree, nil), nil
 			}
 			rd, wr := io.Pipe()
 			go func() {
--- a/internal/relay/lives_test.go
+++ b/internal/relay/lives_test.go
@@ -77,7 +77,7 @@
 				sv.onSend = func(ctx context.Context, nth int, _ sent) (*http.Response, error) {
 					switch {
 					case nth > 1:
-						return answer(http.StatusOK, eventTwo, nil), nil
+						return newResponse(http.StatusOK, eventTwo, nil), nil
 					case tc.route == "draft" || tc.route == "resumable":
 						return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: &silentBody{strings.NewReader(eventOne), ctx}}, nil
 					default:
@@ -165,7 +165,7 @@
 				if se.server == "d1" {
 					return nil, backend.DeclinedError{Server: "d1", Call: "Send", Reason: backend.Unknown}
 				}
-				return answer(http.StatusOK, eventOne, nil), nil
+				return newResponse(http.StatusOK, eventOne, nil), nil
 			}
 			sv.onPrefill = func(int, board.BackendServer) error {
 				prefills++
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -27,7 +27,7 @@
 // movedRun is where a run can be continued.
 type movedRun struct {
 	target  board.BackendServer
-	src     Handle
+	source  Handle
 	stopped bool // the run was stopped, or may have been
 	err     error
 }
@@ -93,12 +93,12 @@
 	}
 	last, err := rl.Servers.Move(ctx, from, to, rn.ex.req.ID, true)
 	if err == nil {
-		return movedRun{target: to, src: last}
+		return movedRun{target: to, source: last}
 	}
 	if last.ID != "" && rl.now() < stays {
 		// The first copy expires by itself: freeing it might also free the memory
 		// that the run continues with.
-		return movedRun{target: from, src: last}
+		return movedRun{target: from, source: last}
 	}
 	rl.forget(rn.ex, first)
 	return movedRun{stopped: mayHaveStopped(err), err: err}
@@ -121,7 +121,7 @@
 		mv = &got
 	}
 	if mv.err == nil {
-		rl.forget(rn.ex, mv.src)
+		rl.forget(rn.ex, mv.source)
 	}
 }
 
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -30,7 +30,7 @@
 		_, _ = io.WriteString(wr, rest)
 		_ = wr.CloseWithError(end)
 	}()
-	rsp := answer(http.StatusOK, "", nil)
+	rsp := newResponse(http.StatusOK, "", nil)
 	rsp.Body, rsp.ContentLength = rd, -1
 	return rsp
 }
@@ -85,7 +85,7 @@
 			if nth == 1 {
 				return streamUntil(eventOne, stopped, "", io.ErrUnexpectedEOF), nil
 			}
-			return answer(http.StatusOK, eventTwo, nil), nil
+			return newResponse(http.StatusOK, eventTwo, nil), nil
 		}
 		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		rec, err := serve(t.Context(), rl, "draft")
@@ -112,7 +112,7 @@
 		if nth == 1 {
 			return streamUntil(text, stopped, "", nil), nil
 		}
-		return answer(http.StatusOK, rest, nil), nil
+		return newResponse(http.StatusOK, rest, nil), nil
 	}
 }
 
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -91,7 +91,7 @@
 				event.F("Waited", (rl.now()-ex.req.Arrived).String()))
 			return pl, nil
 		}
-		if err := rl.refuseIfAllRest(ctx, ex, po, until); err != nil {
+		if err := rl.refuseIfAllBackOff(ctx, ex, po, until); err != nil {
 			return place{}, err
 		}
 		if err := rl.awaitPlace(ctx, until, back); err != nil {
@@ -215,11 +215,11 @@
 	return place{}, false
 }
 
-// spare returns how many further requests a place must leave room for. A returning
+// spareRequests returns how many further requests a place must leave room for. A returning
 // request takes no room that new requests are about to need; but if there is more
 // room than that, it need not wait until the shortage ends: of 400 requests that were
 // refused twice, 150 were refused while an engine was half empty.
-func spare(returning, short bool) int {
+func spareRequests(returning, short bool) int {
 	if short && returning {
 		return spareWhileShort
 	}
--- a/internal/relay/plain_test.go
+++ b/internal/relay/plain_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-			return answer(http.StatusTeapot, "body", nil), nil
+			return newResponse(http.StatusTeapot, "body", nil), nil
 		}
 		rec, err := serve(t.Context(), rl, "once")
 		assert.NilError(t, err)
@@ -50,12 +50,12 @@
 				rl, sv := newRig(t)
 				sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 					if nth > 1 {
-						return answer(http.StatusOK, "whole", nil), nil
+						return newResponse(http.StatusOK, "whole", nil), nil
 					}
 					if tc.first != nil {
 						return nil, tc.first
 					}
-					return answer(http.StatusOK, "torn", tc.end), nil
+					return newResponse(http.StatusOK, "torn", tc.end), nil
 				}
 				rec, err := serve(t.Context(), rl, "once")
 				assert.Equal(t, len(sv.sentTo()), tc.sends)
@@ -79,9 +79,9 @@
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
 			if nth == 1 {
-				return answer(http.StatusInternalServerError, "failed", nil), nil
+				return newResponse(http.StatusInternalServerError, "failed", nil), nil
 			}
-			return answer(http.StatusOK, "whole", nil), nil
+			return newResponse(http.StatusOK, "whole", nil), nil
 		}
 		rec, err := serve(t.Context(), rl, "again")
 		assert.NilError(t, err)
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
-			return answer(http.StatusInternalServerError, "failed", nil), nil
+			return newResponse(http.StatusInternalServerError, "failed", nil), nil
 		}
 		rec, err := serve(t.Context(), rl, "again")
 		assert.NilError(t, err)
@@ -128,7 +128,7 @@
 				<-ctx.Done()
 				return nil, errReset
 			}
-			return answer(http.StatusOK, "whole", nil), nil
+			return newResponse(http.StatusOK, "whole", nil), nil
 		}
 		began := time.Now()
 		rec, err := serve(t.Context(), rl, "again")
@@ -156,7 +156,7 @@
 func TestCallerDeadlineIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		_, err := serveLeft(t.Context(), rl, "once", 300)
+		_, err := serveWithLimit(t.Context(), rl, "once", 300)
 		assert.NilError(t, err)
 		assert.Equal(t, sv.sent[0].op.TimeLeft, clock.Millis(300))
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -205,7 +205,7 @@
 		order *charge.Order // what the request takes of its customer's quota; nil: nothing
 		// priority of the customer, or otherwise of the route; the lowest goes first
 		priority        int
-		table           uint64         // version of the configuration in force for it
+		tableVersion    uint64         // version of the configuration in force for it
 		deadline        clock.Millis   // when the request ends in any case
 		possibleRuns    int            // backend servers that may have run it
 		arrivals        arrivals       // at backend servers, and what was paid for them
@@ -336,7 +336,7 @@
 // resolve finds the route of a request, its customer, its service and its deadline.
 func (rl *Relay) resolve(ctx context.Context, req *Request) (*exchange, error) {
 	tb := rl.table.Load()
-	ex := &exchange{req: req, table: tb.Version()}
+	ex := &exchange{req: req, tableVersion: tb.Version()}
 	if err := rl.admit(); err != nil {
 		return ex, err
 	}
@@ -347,7 +347,7 @@
 	if !ok {
 		return ex, refuse(refusal.UnknownService, 0, "no route matches the host and path")
 	}
-	if err := rl.admitLong(req, rt); err != nil {
+	if err := rl.admitLongRequest(req, rt); err != nil {
 		return ex, err
 	}
 	ex.priority = rt.Priority
@@ -419,7 +419,7 @@
 func (rl *Relay) recordEnd(ex *exchange, err error) {
 	took := rl.now() - ex.req.Arrived
 	fields := []event.Field{event.F("Request", ex.req.ID), event.F("Route", ex.rt.Name), event.F("Customer", ex.req.Customer),
-		event.F("Configuration", ex.table), event.F("Took", took.String())}
+		event.F("Configuration", ex.tableVersion), event.F("Took", took.String())}
 	if ex.firstEventAfter > 0 {
 		fields = append(fields, event.F("First", ex.firstEventAfter.String()), event.F("Objective", ex.rt.Objective.String()),
 			event.F("Pause", ex.longestPause.String()),
--- a/internal/relay/rest.go
+++ b/internal/relay/rest.go
@@ -29,9 +29,9 @@
 	rl.Log.Log(event.ServerAsksForRest, event.F("Server", server), event.F("For", span.String()), event.F("Error", err.Error()))
 }
 
-// refuseIfAllRest refuses a request immediately if all decode engines are backing off
+// refuseIfAllBackOff refuses a request immediately if all decode engines are backing off
 // until after the request could stop waiting for a place.
-func (rl *Relay) refuseIfAllRest(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
+func (rl *Relay) refuseIfAllBackOff(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
 	rl.mu.Lock()
 	now := rl.now()
 	rests := po.Rests(now)
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// answer creates a response whose body ends in order, or with the error.
-func answer(status int, text string, end error) *http.Response {
+// newResponse creates a response whose body ends in order, or with the error.
+func newResponse(status int, text string, end error) *http.Response {
 	return &http.Response{StatusCode: status, Header: http.Header{"X-Seal": {"s"}},
 		Body: &body{Reader: strings.NewReader(text), end: end, closed: make(chan struct{})}}
 }
@@ -104,7 +104,7 @@
 	if on != nil {
 		return on(ctx, nth, se)
 	}
-	return answer(http.StatusOK, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", nil), nil
+	return newResponse(http.StatusOK, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", nil), nil
 }
 
 func (sv *servers) Prefill(_ context.Context, bs board.BackendServer, _ *relay.Request, _ clock.Millis) (relay.Handle, error) {
@@ -240,10 +240,10 @@
 
 // serve serves one request and returns its refusal, if it ended in one.
 func serve(ctx context.Context, rl *relay.Relay, name string) (*httptest.ResponseRecorder, error) {
-	return serveLeft(ctx, rl, name, 0)
+	return serveWithLimit(ctx, rl, name, 0)
 }
 
-func serveLeft(ctx context.Context, rl *relay.Relay, name string, left clock.Millis) (*httptest.ResponseRecorder, error) {
+func serveWithLimit(ctx context.Context, rl *relay.Relay, name string, left clock.Millis) (*httptest.ResponseRecorder, error) {
 	rec := httptest.NewRecorder()
 	req := &relay.Request{ID: "r-" + name, Method: http.MethodPost, Host: "h", URI: "/" + name + "/x", Path: "/" + name + "/x",
 		Header: http.Header{}, Arrived: rl.Clock.Now(), WaitLimit: left}
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -121,7 +121,7 @@
 	if ch.need.limit != noLimit {
 		ch.before = rl.ledger.Before(now, askOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
 	}
-	ch.list = po.Decoders(now, rl.decodeWant(now, ch.need, ch.before, spare(tk.Ask().Returning, ch.short)))
+	ch.list = po.Decoders(now, rl.decodeWant(now, ch.need, ch.before, spareRequests(tk.Ask().Returning, ch.short)))
 	ch.doubtful = len(ch.list) > 0 && rl.ledger.Doubtful(now, ch.list[0].ID)
 	return ch
 }
@@ -234,7 +234,7 @@
 		return ask.MayWait
 	})
 	nd := memoryNeed{run: ask.Run, reserve: ask.Reserve, limit: rl.memoryLimit(svc)}
-	list := po.Decoders(now, rl.decodeWant(now, nd, ans.Before, spare(ask.Ask.Returning, ans.Short)))
+	list := po.Decoders(now, rl.decodeWant(now, nd, ans.Before, spareRequests(ask.Ask.Returning, ans.Short)))
 	list = slices.DeleteFunc(list, func(bs board.BackendServer) bool { return slices.Contains(ask.Skip, bs.ID) })
 	for _, bs := range list[:min(len(list), maxChoices)] {
 		ans.Engines = append(ans.Engines, bs.ID)
@@ -249,7 +249,7 @@
 // hundreds of requests per second find none, and a request finds no room if an
 // equally large one just found none. The lock is held.
 func (rl *Relay) hasRoom(now clock.Millis, po *pool.Pool, svc route.Service, ask usage.PlaceAsk) bool {
-	key := roomKey{svc.Name, spare(ask.Ask.Returning, rl.ledger.Short(now))}
+	key := roomKey{svc.Name, spareRequests(ask.Ask.Returning, rl.ledger.Short(now))}
 	none := rl.noRoom[key]
 	if now < none.until && ask.Run.Tokens >= none.tokens {
 		return false
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// admitLong does the same for a request that takes long: a generation or another
+// admitLongRequest does the same for a request that takes long: a generation or another
 // stream.
-func (rl *Relay) admitLong(req *Request, rt route.Route) error {
+func (rl *Relay) admitLongRequest(req *Request, rt route.Route) error {
 	since, stopping := rl.stoppingFor()
 	long := req.Prompt != nil || rt.Kind == route.Stream
 	if stopping && long && since >= rl.Settings.StopGenerate {
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -24,7 +24,7 @@
 		release := make(chan struct{})
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 			<-release
-			return answer(http.StatusOK, eventOne, nil), nil
+			return newResponse(http.StatusOK, eventOne, nil), nil
 		}
 		done := make(chan error, 1)
 		go func() {
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -21,7 +21,7 @@
 		sv.mu.Lock()
 		sv.ended[se.server] = true
 		sv.mu.Unlock()
-		return answer(http.StatusOK, "", io.ErrUnexpectedEOF), nil
+		return newResponse(http.StatusOK, "", io.ErrUnexpectedEOF), nil
 	}
 }
 
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -59,8 +59,8 @@
 	return rls
 }
 
-// placed counts the reserved places of each engine.
-func placed(rls []*relay.Relay) map[string]int {
+// placeCounts counts the reserved places of each engine.
+func placeCounts(rls []*relay.Relay) map[string]int {
 	out := make(map[string]int)
 	for _, rl := range rls {
 		for engine, count := range rl.PlacesForTest() {
@@ -92,13 +92,13 @@
 		tell(full("d1", "d2"))
 		for ix, rl := range rls {
 			time.Sleep(time.Millisecond) // so that they wait for different times
-			go func() { _, _ = serveLeft(ctx, rl, "draft", 14*clock.Second+clock.Millis(ix)) }()
+			go func() { _, _ = serveWithLimit(ctx, rl, "draft", 14*clock.Second+clock.Millis(ix)) }()
 		}
 		time.Sleep(20 * time.Millisecond)
-		assert.Equal(t, len(placed(rls)), 0)
+		assert.Equal(t, len(placeCounts(rls)), 0)
 		tell(full("d1")) // d2 has room for one request
 		time.Sleep(20 * time.Millisecond)
-		got := placed(rls)
+		got := placeCounts(rls)
 		assert.Equal(t, got["d2"], 1)
 		assert.Equal(t, got["d1"], 0)
 	})
@@ -138,11 +138,11 @@
 		t.Run(tc.left.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
-				_, err := serveLeft(t.Context(), rl, "draft", 14*clock.Second)
+				_, err := serveWithLimit(t.Context(), rl, "draft", 14*clock.Second)
 				assert.NilError(t, err)
 				sv.onReserve = func(board.BackendServer, int) error { return errFull }
 				began := time.Now()
-				_, err = serveLeft(t.Context(), rl, "draft", tc.left)
+				_, err = serveWithLimit(t.Context(), rl, "draft", tc.left)
 				refusalOf(t, err)
 				assert.Equal(t, time.Since(began) > relay.DefaultPlaceWait.Std(), tc.back)
 			})
