--- a/internal/relay/need.go
+++ b/internal/relay/need.go
@@ -27,7 +27,7 @@
 
 // needOf sizes a generation. If the usage of all VMs at the engines is known, the
 // need of each run is predicted, and little more than the prompt is reserved.
-// Otherwise the reservation covers the largest size that the run may reach.
+// Otherwise the reservation covers the size that the run may reach.
 func (rl *Relay) needOf(ex *exchange, known bool) memoryNeed {
 	pr := ex.req.Prompt
 	most, guess := pr.MaxOutput, pr.MaxOutput
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -41,7 +41,7 @@
 	// reports of all others would be most of the work of a VM. Instead a few VMs
 	// receive all reports, and the others ask them. No guarantee to callers depends
 	// on that: an engine confirms each place itself, and a VM without an answer
-	// reserves the largest size that a run may reach.
+	// reserves the size that a run may reach.
 	Schedulers interface {
 		// Before lists the VMs to ask before this VM chooses by itself, and reports
 		// whether it may.
@@ -246,8 +246,8 @@
 }
 
 // hasRoom reports whether any engine has room for a request. At the end of a burst
-// hundreds of requests per second find none, and a request finds no room if an
-// equally large one just found none. The lock is held.
+// hundreds of requests per second find none, so a request is taken to find no room if
+// one of the same or a smaller size just found none. The lock is held.
 func (rl *Relay) hasRoom(now clock.Millis, po *pool.Pool, svc route.Service, ask usage.PlaceAsk) bool {
 	key := roomKey{svc.Name, spareRequests(ask.Ask.Returning, rl.ledger.Short(now))}
 	none := rl.noRoom[key]
