--- a/internal/caller/plain_test.go
+++ b/internal/caller/plain_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, resp.StatusCode, http.StatusTeapot)
 	assert.Equal(t, text(t, resp), "full")
 	assert.Equal(t, resp.Header.Get("X-Plant"), "7")
-	assert.Equal(t, resp.Header.Get(headerRefusal), "", "a service can't pretend a refusal")
+	assert.Equal(t, resp.Header.Get(headerRefusal), "", "a service can't fake a refusal")
 	got := rg.rn.started[0]
 	assert.Equal(t, got.Class.Name, "lookup")
 	assert.Equal(t, got.Plain.Path+"?"+got.Plain.Query, "/records/a%20b?q=1")
@@ -57,7 +57,7 @@
 	mark := func(body string) string {
 		cb, err := parseChat([]byte(body))
 		assert.NilError(t, err)
-		ch, err := cb.chat(template.Class{MaxTokens: 5})
+		ch, err := cb.newChat(template.Class{MaxTokens: 5})
 		assert.NilError(t, err)
 		return hex.EncodeToString(ch.fingerprint("findings"))
 	}
--- a/internal/caller/rig_test.go
+++ b/internal/caller/rig_test.go
@@ -120,7 +120,7 @@
 	return bd
 }
 
-// serve runs a server on loopback until the test ends.
+// serve runs a server on the loopback address until the test ends.
 func serve(t *testing.T, change func(rg *rig)) *rig {
 	t.Helper()
 	rn := &fakeRunner{streams: map[string]*answer.Stream{}}
@@ -190,8 +190,8 @@
 	return string(data)
 }
 
-// pieces joins the content of all chunks and lists the event IDs.
-func pieces(t *testing.T, stream string) (content string, ids []string) {
+// joinChunks joins the content of all chunks and lists the event IDs.
+func joinChunks(t *testing.T, stream string) (content string, ids []string) {
 	t.Helper()
 	sc := bufio.NewScanner(strings.NewReader(stream))
 	for sc.Scan() {
--- a/internal/caller/stream_test.go
+++ b/internal/caller/stream_test.go
@@ -20,7 +20,7 @@
 	resp := rg.chat(t, headerDeadline, "2s")
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	body := text(t, resp)
-	content, ids := pieces(t, body)
+	content, ids := joinChunks(t, body)
 	assert.Equal(t, content, "pitting found")
 	assert.DeepEqual(t, ids, []string{"0", "1", "2", "3"})
 	assert.Assert(t, strings.HasSuffix(body, "data: [DONE]\n\n"))
@@ -46,24 +46,24 @@
 
 func TestResumeContinuesWhereItBroke(t *testing.T) {
 	rg := serve(t, func(rg *rig) {
-		rg.rn.begin = answerWith("a", "\xc3", "\xa5", "b") // one character over two events
+		rg.rn.begin = answerWith("a", "\xc3", "\xa5", "b") // one character spans two events
 	})
-	first, _ := pieces(t, text(t, rg.chat(t, headerKey, "k1")))
+	first, _ := joinChunks(t, text(t, rg.chat(t, headerKey, "k1")))
 	assert.Equal(t, first, "aåb")
 	want := []string{"åb", "åb", "b", "", ""} // after events 0 to 4
 	for last, rest := range want {
 		resp := rg.chat(t, headerKey, "k1", headerLastID, string(rune('0'+last)))
-		content, ids := pieces(t, text(t, resp))
+		content, ids := joinChunks(t, text(t, resp))
 		assert.Equal(t, content, rest, "after %d", last)
 		assert.Equal(t, ids[len(ids)-1], "4", "the final event comes to every caller")
 	}
 	resp := rg.do(t, http.MethodGet, "/v1/answers/k1", "", headerLastID, "2", "Accept", "text/event-stream")
-	content, _ := pieces(t, text(t, resp))
+	content, _ := joinChunks(t, text(t, resp))
 	assert.Equal(t, content, "b")
 	resp = rg.do(t, http.MethodGet, "/v1/answers/none", "")
 	assert.Equal(t, refusalIn(t, resp).Ran, refusal.MayHaveRun)
 
-	assert.Assert(t, rg.rn.started[len(rg.rn.started)-1].Resumed, "the runner must know that the caller has a part")
+	assert.Assert(t, rg.rn.started[len(rg.rn.started)-1].Resumed, "the runner is informed that the caller has a part")
 	runs := len(rg.rn.streams)
 	resp = rg.chat(t, headerKey, "forgotten", headerLastID, "2")
 	assert.Equal(t, refusalIn(t, resp).Reason, refusal.AnswerExpired)
@@ -112,7 +112,7 @@
 	rg := serve(t, func(rg *rig) {
 		rg.Limits = Limits{HeaderWait: 1, KeepAlive: 1}
 	})
-	resp := rg.chat(t, headerKey, "quiet") // returns once the status was sent without any event
+	resp := rg.chat(t, headerKey, "quiet") // returns once the status was sent, before any event
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	assert.NilError(t, rg.rn.streams["quiet"].Refuse(refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull}))
 	body := text(t, resp)
@@ -147,9 +147,9 @@
 	assert.NilError(b, st.End(nil))
 }
 
-// The key of a caller with a part of an answer ran again from its start, and
-// that answer was shorter than the part. Its end came to the caller behind the
-// part as if it were the part's own, so pieces of one run ended with another.
+// Guards against mixing two runs in one answer: if the key of a caller with a part of
+// an answer runs again from its start, and the new answer is shorter than that part,
+// its end must not reach the caller as the end of the part.
 func TestEndOfAShorterAnswerIsRefused(t *testing.T) {
 	rg := serve(t, func(rg *rig) { rg.rn.begin = answerWith("a", "b") })
 	text(t, rg.chat(t, headerKey, "k1"))
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -19,9 +19,9 @@
 
 var errRunOver = backend.DeclinedError{Server: "x", Call: "Move", Reason: backend.Unknown}
 
-// streamUntil is a response without a length, whose body holds the text and, once the
-// channel is closed, what follows. Then it ends with the error; nil is an orderly
-// end of its connection.
+// streamUntil returns a response without a length, whose body holds the text and,
+// once the channel is closed, the rest. It ends with the error; nil is an orderly end
+// of its connection.
 func streamUntil(text string, until <-chan struct{}, rest string, end error) *http.Response {
 	rd, wr := io.Pipe()
 	go func() {
@@ -30,14 +30,14 @@
 		_, _ = io.WriteString(wr, rest)
 		_ = wr.CloseWithError(end)
 	}()
-	rsp := answer(http.StatusOK, "", nil)
+	rsp := newResponse(http.StatusOK, "", nil)
 	rsp.Body, rsp.ContentLength = rd, -1
 	return rsp
 }
 
 // An engine stops a run before it finds that there is no room for the copy. No
-// further engine is asked then, whose word that the run is over would make the
-// stopped answer a whole one.
+// further engine may be asked then: if that one answered that the run has ended, the
+// stopped answer would look complete.
 func TestRunThatStoppedWithoutRoomIsNotWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -65,10 +65,10 @@
 	})
 }
 
-// An accepted answer was cut off by the VM itself: the engine that leaves had
-// stopped the run for a copy, had found no room at the other one ("RelayNotMoved
-// Stopped=true"), and kept the memory, with which nobody went on. It goes on where
-// it was, also where its route may not be resumed.
+// Guards against cutting an accepted answer because its run could not be moved: the
+// leaving engine stopped the run for a copy, the other engine had no room, and
+// nothing continued with the memory that the first engine kept. The run must continue
+// where it was, even if its route may not be resumed.
 func TestRunThatStoppedWithoutRoomGoesOnWhereItWas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -85,7 +85,7 @@
 			if nth == 1 {
 				return streamUntil(eventOne, stopped, "", io.ErrUnexpectedEOF), nil
 			}
-			return answer(http.StatusOK, eventTwo, nil), nil
+			return newResponse(http.StatusOK, eventTwo, nil), nil
 		}
 		leaveAfter(rl, sv, allServers, 200*time.Millisecond)
 		rec, err := serve(t.Context(), rl, "draft")
@@ -98,8 +98,8 @@
 	})
 }
 
-// moveOnce has the first run give a text and end without a length when its move stops
-// it, and all others give the rest.
+// moveOnce makes the first run return a text and end without a length when its move
+// stops it, and makes all other runs return the rest.
 func moveOnce(sv *servers, text, rest string) {
 	stopped := make(chan struct{})
 	sv.onMove = func(_ int, _ board.BackendServer, stop bool) error {
@@ -112,12 +112,12 @@
 		if nth == 1 {
 			return streamUntil(text, stopped, "", nil), nil
 		}
-		return answer(http.StatusOK, rest, nil), nil
+		return newResponse(http.StatusOK, rest, nil), nil
 	}
 }
 
 // A run that is moved before its first event begins its answer at the new engine,
-// be it a stream of events or not.
+// whether or not the answer is a stream of events.
 func TestRunMovesBeforeItsFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -129,7 +129,7 @@
 	})
 }
 
-// An answer that ends while its move has stopped nothing yet ends at once.
+// An answer that ends before its move has stopped anything ends immediately.
 func TestMoveDoesNotHoldUpTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -149,7 +149,7 @@
 	})
 }
 
-// The copy of a run whose caller left before it was read on is freed.
+// The copy of a run is freed if the caller disconnects before the copy was used.
 func TestCopyIsFreedWhenTheCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
