--- a/internal/entry/absence_test.go
+++ b/internal/entry/absence_test.go
@@ -21,26 +21,26 @@
 
 // However long a VM stood still, and whenever, it waits for its callers anew when it
 // goes on: none could be heard in between.
-func TestAbsenceBeginsAnewAfterAStandstill(t *testing.T) {
+func TestAbsenceTimerRestartsAfterPause(t *testing.T) {
 	const wait = 3 * clock.Second
 	for _, row := range []struct {
 		name          string
-		before, pause clock.Millis // the wait goes on for so long, and then stands still
+		active, pause clock.Millis // the wait goes on for so long, and then stands still
 		least, most   clock.Millis // of the wait after it
 	}{
 		{"no pause", 0, 0, wait, wait},
 		{"a short one", clock.Second, 100, wait - clock.Second - 100, wait - clock.Second},
-		{"longer than the wait", clock.Second, 4 * clock.Second, wait, wait + wait/absenceLooks},
-		{"right at its beginning", 0, clock.Minute, wait, wait + wait/absenceLooks},
-		{"shortly before its end", wait - 1, clock.Minute, wait, wait + wait/absenceLooks},
+		{"longer than the wait", clock.Second, 4 * clock.Second, wait, wait + wait/absenceChecks},
+		{"right at its beginning", 0, clock.Minute, wait, wait + wait/absenceChecks},
+		{"shortly before its end", wait - 1, clock.Minute, wait, wait + wait/absenceChecks},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clk := &pausedClock{}
 				gone := make(chan time.Time, 1)
-				ab := &absence{wait: wait, clk: clk, gone: func() { gone <- time.Now() }}
+				ab := &absenceTimer{timeout: wait, clk: clk, onExpire: func() { gone <- time.Now() }}
 				ab.Start()
-				time.Sleep(row.before.Std())
+				time.Sleep(row.active.Std())
 				clk.paused.Add(int64(row.pause))
 				woke := time.Now()
 				after := clock.Of((<-gone).Sub(woke))
@@ -51,10 +51,10 @@
 }
 
 // A caller who is back is not waited for, and one who leaves again is waited for anew.
-func TestAbsenceEndsWithTheCallersReturn(t *testing.T) {
+func TestAbsenceTimerStopsWhenCallerReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var gone atomic.Int64
-		ab := &absence{wait: clock.Second, clk: clock.Monotonic{}, gone: func() { gone.Add(1) }}
+		ab := &absenceTimer{timeout: clock.Second, clk: clock.Monotonic{}, onExpire: func() { gone.Add(1) }}
 		ab.Start()
 		time.Sleep(900 * time.Millisecond)
 		ab.Stop()
--- a/internal/entry/accountant.go
+++ b/internal/entry/accountant.go
@@ -15,16 +15,16 @@
 
 // Spans of accounting.
 const (
-	cellTick     = 50 * clock.Millis(1)
-	reportEvery  = 500 * clock.Millis(1)
-	reportWithin = 1 * clock.Second
-	outboxDepth  = 16
-	transferLate = 400 * clock.Millis(1) // wait of a KV cache that is worth a line in the log
+	cellTick         = 50 * clock.Millis(1)
+	reportInterval   = 500 * clock.Millis(1)
+	reportTimeout    = 1 * clock.Second
+	outboxDepth      = 16
+	lateTransferWait = 400 * clock.Millis(1) // wait of a KV cache that is worth a line in the log
 )
 
 type (
-	// accountant accounts for the cells that fall to this VM.
-	accountant struct {
+	// scheduler accounts for the cells that fall to this VM.
+	scheduler struct {
 		vm *VM
 
 		mu    sync.Mutex
@@ -47,27 +47,27 @@
 
 	// heldRequest is a request that waits or was granted.
 	heldRequest struct {
-		runner  board.VMRef
-		out     chan *peerpb.Frame // closed by nobody; the writer ends with done
-		done    chan struct{}
-		granted bool
-		orphan  bool
-		quick   bool
-		stage   sched.Stage // as last heard
-		taken   bool        // its grant was taken back; it waits again
-		attempt int         // of the grant
-		prefill string
-		decode  string
+		runner    board.VMRef
+		outbox    chan *peerpb.Frame // closed by nobody; the writer ends with done
+		done      chan struct{}
+		granted   bool
+		orphan    bool
+		quick     bool
+		stage     sched.Stage // as last heard
+		preempted bool        // its grant was taken back; it waits again
+		attempt   int         // of the grant
+		prefill   string
+		decode    string
 	}
 )
 
-// follow takes over the cells that now fall to this VM and gives up the
+// updateCells takes over the cells that now fall to this VM and gives up the
 // others.
-func (ac *accountant) follow(ctx context.Context) {
+func (ac *scheduler) updateCells(ctx context.Context) {
 	fl := ac.vm.Board.Fleet()
 	mine := make(map[string]cell)
 	for _, ce := range ac.vm.cellList().cells {
-		if vm, ok := accountantOf(ce.Name, fl); ok && vm.ID == fl.Self.ID {
+		if vm, ok := schedulerOf(ce.Name, fl); ok && vm.ID == fl.Self.ID {
 			mine[ce.Name] = ce
 		}
 	}
@@ -83,18 +83,18 @@
 	for name, ce := range mine {
 		hc, ok := ac.cells[name]
 		if !ok {
-			hc = ac.take(ctx, ce)
+			hc = ac.addCell(ctx, ce)
 		}
-		hc.set(ctx, ce)
+		hc.setCell(ctx, ce)
 	}
 }
 
-func (ac *accountant) take(ctx context.Context, ce cell) *heldCell {
+func (ac *scheduler) addCell(ctx context.Context, ce cell) *heldCell {
 	ctx, stop := context.WithCancel(ctx)
 	hc := &heldCell{vm: ac.vm, ctx: ctx, stop: stop, held: make(map[string]*heldRequest)}
 	hc.rec = newReconciler(hc)
 	hc.ord = hc.newOrderer(ctx, ce.Name)
-	hc.ac = hc.newDecider(ce.Name)
+	hc.ac = hc.newDecisionLoop(ce.Name)
 	ac.vm.wg.Go(func() { hc.ac.Run(ctx) })
 	ac.vm.wg.Go(func() { hc.rec.run(ctx) })
 	hc.ord.start()
@@ -106,18 +106,18 @@
 	return hc
 }
 
-// newDecider makes the loop that decides for the cell.
-func (hc *heldCell) newDecider(name string) *actor.Actor[sched.Event, sched.Intent] {
+// newDecisionLoop makes the loop that decides for the cell.
+func (hc *heldCell) newDecisionLoop(name string) *actor.Actor[sched.Event, sched.Intent] {
 	dc := &sched.Cell{Name: name}
 	ac := actor.New[sched.Event, sched.Intent](hc.vm.Clock, sched.Tick{}, cellTick)
 	ac.Step = dc.Step
-	ac.Do = hc.carryOut
+	ac.Do = hc.handleIntent
 	ac.WakeAt = actor.WakeOf[sched.Intent](func(wk sched.Wake) clock.Millis { return wk.At })
 	return ac
 }
 
 // find returns a cell that this VM accounts for.
-func (ac *accountant) find(name string) (*heldCell, bool) {
+func (ac *scheduler) find(name string) (*heldCell, bool) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	hc, ok := ac.cells[name]
@@ -125,7 +125,7 @@
 }
 
 // serve answers one reservation for as long as its stream lives.
-func (ac *accountant) serve(ctx context.Context, from board.VMRef, ask *peerpb.ReserveAsk, cn frames) {
+func (ac *scheduler) serve(ctx context.Context, from board.VMRef, ask *peerpb.ReserveAsk, cn frameStream) {
 	defer cn.Close()
 	hc, ok := ac.find(ask.GetCell())
 	if !ok {
@@ -140,13 +140,13 @@
 	hc.serve(ctx, from, ask, cn)
 }
 
-// set gives the cell its engines; engines that say of themselves that they
+// setCell gives the cell its engines; engines that say of themselves that they
 // leave, or that do not answer, take no new work.
-func (hc *heldCell) set(ctx context.Context, ce cell) {
+func (hc *heldCell) setCell(ctx context.Context, ce cell) {
 	hc.mu.Lock()
 	hc.cell = ce
 	hc.mu.Unlock()
-	hc.ac.Tell(ctx, sched.Servers{Servers: hc.rec.fit(ce.Servers)})
+	hc.ac.Tell(ctx, sched.Servers{Servers: hc.rec.markUnfit(ce.Servers)})
 }
 
 func (hc *heldCell) servers() []board.BackendServer {
@@ -155,14 +155,14 @@
 	return hc.cell.Servers
 }
 
-func (hc *heldCell) serve(ctx context.Context, from board.VMRef, ask *peerpb.ReserveAsk, cn frames) {
-	hr := hc.hold(from, ask)
+func (hc *heldCell) serve(ctx context.Context, from board.VMRef, ask *peerpb.ReserveAsk, cn frameStream) {
+	hr := hc.addRequest(from, ask)
 	go hr.write(cn)
 	defer close(hr.done)
 	stop := context.AfterFunc(hc.ctx, func() { cn.Close() })
 	defer stop()
 	hr.send(doneFrame())
-	if !hc.ac.Tell(ctx, hc.opening(from, ask)) {
+	if !hc.ac.Tell(ctx, hc.openingEvent(from, ask)) {
 		return
 	}
 	for {
@@ -176,21 +176,21 @@
 			continue
 		}
 		stage := sched.Stage(pg.GetStage())
-		if stage == withdrawn {
-			hc.forget(ask.GetRequest(), hr)
+		if stage == stageWithdrawn {
+			hc.removeRequest(ask.GetRequest(), hr)
 			hc.ac.Tell(ctx, sched.Withdraw{Request: ask.GetRequest()})
 			return
 		}
-		if stage == wrongRole {
-			hc.rec.askRole(ctx, pg.GetServer())
+		if stage == stageWrongRole {
+			hc.rec.refreshRole(ctx, pg.GetServer())
 			continue
 		}
-		if stage == resting {
+		if stage == stageResting {
 			hc.ac.Tell(ctx, sched.Rest{Server: pg.GetServer(), For: clock.Millis(pg.GetTook())})
 			continue
 		}
 		if pg.GetServer() != "" {
-			hc.moved(hr, stage, pg.GetServer())
+			hc.recordStage(hr, stage, pg.GetServer())
 		}
 		hc.ac.Tell(ctx, sched.Progress{
 			Request: ask.GetRequest(),
@@ -200,7 +200,7 @@
 			Took:    clock.Millis(pg.GetTook()),
 		})
 		if stage == sched.Ended || stage == sched.Cancelled {
-			hc.forget(ask.GetRequest(), hr)
+			hc.removeRequest(ask.GetRequest(), hr)
 			// The runner may have left before it heard of a later grant.
 			hc.ac.Tell(ctx, sched.Withdraw{Request: ask.GetRequest()})
 			return
@@ -208,9 +208,9 @@
 	}
 }
 
-// opening is the event that the first frame of a reservation stands for.
-func (hc *heldCell) opening(from board.VMRef, ask *peerpb.ReserveAsk) sched.Event {
-	as := askOf(from, ask, hc.vm.Clock.Now())
+// openingEvent is the event that the first frame of a reservation stands for.
+func (hc *heldCell) openingEvent(from board.VMRef, ask *peerpb.ReserveAsk) sched.Event {
+	as := askFromWire(from, ask, hc.vm.Clock.Now())
 	if ask.GetStage() == "" {
 		return sched.Submit{Ask: as}
 	}
@@ -224,10 +224,10 @@
 	}
 }
 
-func (hc *heldCell) hold(from board.VMRef, ask *peerpb.ReserveAsk) *heldRequest {
+func (hc *heldCell) addRequest(from board.VMRef, ask *peerpb.ReserveAsk) *heldRequest {
 	hr := &heldRequest{
 		runner:  from,
-		out:     make(chan *peerpb.Frame, outboxDepth),
+		outbox:  make(chan *peerpb.Frame, outboxDepth),
 		done:    make(chan struct{}),
 		granted: ask.GetStage() != "",
 		stage:   sched.Stage(ask.GetStage()),
@@ -265,7 +265,7 @@
 	hc.ac.Tell(ctx, sched.Withdraw{Request: request})
 }
 
-func (hc *heldCell) forget(request string, hr *heldRequest) {
+func (hc *heldCell) removeRequest(request string, hr *heldRequest) {
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
 	if hc.held[request] == hr {
@@ -273,7 +273,7 @@
 	}
 }
 
-func (hc *heldCell) moved(hr *heldRequest, stage sched.Stage, server string) {
+func (hc *heldCell) recordStage(hr *heldRequest, stage sched.Stage, server string) {
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
 	hr.stage = stage
@@ -284,30 +284,30 @@
 	hr.decode = server
 }
 
-// carryOut sends a decision to the VM that runs the request.
-func (hc *heldCell) carryOut(in sched.Intent) {
+// handleIntent sends a decision to the VM that runs the request.
+func (hc *heldCell) handleIntent(in sched.Intent) {
 	switch in := in.(type) {
 	case sched.Grant:
-		hc.tellRunner(in.Request, &peerpb.Frame{Body: &peerpb.Frame_Grant{Grant: &peerpb.Grant{
+		hc.sendToRunner(in.Request, &peerpb.Frame{Body: &peerpb.Frame_Grant{Grant: &peerpb.Grant{
 			PrefillServer: in.Prefill, DecodeServer: in.Decode, SkipPrefill: in.SkipPrefill, Attempt: uint32(in.Attempt),
 		}}}, func(hr *heldRequest) {
 			hr.granted, hr.attempt, hr.prefill, hr.decode = true, in.Attempt, in.Prefill, in.Decode
-			hr.stage, hr.taken = sched.Prefilling, false
+			hr.stage, hr.preempted = sched.Prefilling, false
 		})
 	case sched.Transfer:
 		hc.logTransfer(in)
-		hc.tellRunner(in.Request, &peerpb.Frame{Body: &peerpb.Frame_Transfer{Transfer: &peerpb.Transfer{
+		hc.sendToRunner(in.Request, &peerpb.Frame{Body: &peerpb.Frame_Transfer{Transfer: &peerpb.Transfer{
 			PrefillServer: in.Prefill, DecodeServer: in.Decode, Attempt: uint32(in.Attempt),
 		}}}, func(hr *heldRequest) { hr.decode = in.Decode })
 	case sched.Preempt:
-		hc.tellRunner(in.Request, &peerpb.Frame{Body: &peerpb.Frame_Preempt{Preempt: &peerpb.Preempt{
+		hc.sendToRunner(in.Request, &peerpb.Frame{Body: &peerpb.Frame_Preempt{Preempt: &peerpb.Preempt{
 			Reason: string(in.Reason), Attempt: uint32(in.Attempt),
-		}}}, func(hr *heldRequest) { hr.taken = true })
+		}}}, func(hr *heldRequest) { hr.preempted = true })
 	case sched.Closed:
 		hc.vm.Log.Log(event.EngineClosed, event.F("Server", in.Server), event.F("Role", in.Role), event.F("For", in.For),
 			event.F("Lost", in.Lost), event.F("Request", in.Request))
 	case sched.Refuse:
-		hc.tellRunner(in.Request, refusalFrame(in.Refusal), func(*heldRequest) {})
+		hc.sendToRunner(in.Request, refusalFrame(in.Refusal), func(*heldRequest) {})
 		hc.mu.Lock()
 		delete(hc.held, in.Request)
 		hc.mu.Unlock()
@@ -320,13 +320,13 @@
 	case in.Stalled != "":
 		hc.vm.Log.Log(event.TransferMoved, event.F("Request", in.Request), event.F("From", in.Stalled),
 			event.F("To", in.Decode), event.F("Spent", in.Spent), event.F("Expected", in.Expected))
-	case in.Waited >= transferLate:
+	case in.Waited >= lateTransferWait:
 		hc.vm.Log.Log(event.TransferWaited, event.F("Request", in.Request), event.F("Server", in.Prefill),
 			event.F("For", in.For), event.F("Waited", in.Waited))
 	}
 }
 
-func (hc *heldCell) tellRunner(request string, fr *peerpb.Frame, note func(*heldRequest)) {
+func (hc *heldCell) sendToRunner(request string, fr *peerpb.Frame, note func(*heldRequest)) {
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
 	hr, ok := hc.held[request]
@@ -341,15 +341,15 @@
 // which is the same as a lost stream to it.
 func (hr *heldRequest) send(fr *peerpb.Frame) {
 	select {
-	case hr.out <- fr:
+	case hr.outbox <- fr:
 	default:
 	}
 }
 
-func (hr *heldRequest) write(cn frames) {
+func (hr *heldRequest) write(cn frameStream) {
 	for {
 		select {
-		case fr := <-hr.out:
+		case fr := <-hr.outbox:
 			if cn.Send(fr) != nil {
 				return
 			}
@@ -359,8 +359,8 @@
 	}
 }
 
-// free tells the decisions that the engines hold nothing of an orphan.
-func (hc *heldCell) free(ctx context.Context, request string) {
+// releaseOrphan tells the decisions that the engines hold nothing of an orphan.
+func (hc *heldCell) releaseOrphan(ctx context.Context, request string) {
 	hc.mu.Lock()
 	hr, ok := hc.held[request]
 	delete(hc.held, request)
@@ -384,9 +384,9 @@
 	return out
 }
 
-// askOf reads a reservation from the wire; spans become points on this VM's
+// askFromWire reads a reservation from the wire; spans become points on this VM's
 // clock.
-func askOf(from board.VMRef, ask *peerpb.ReserveAsk, now clock.Millis) sched.Ask {
+func askFromWire(from board.VMRef, ask *peerpb.ReserveAsk, now clock.Millis) sched.Ask {
 	return sched.Ask{
 		Request:       ask.GetRequest(),
 		Customer:      ask.GetCustomer(),
--- a/internal/entry/accountant_test.go
+++ b/internal/entry/accountant_test.go
@@ -14,17 +14,17 @@
 	"alderdyke/pkg/clock"
 )
 
-// cellRig is a cell of one prefill and one decode engine, accounted for by a
+// testCell is a cell of one prefill and one decode engine, accounted for by a
 // VM in memory, and the runners that ask it for places.
-type cellRig struct {
+type testCell struct {
 	t  *testing.T
 	hc *heldCell
 }
 
-// rigRunner is the runner's end of a reservation.
-type rigRunner struct {
+// testRunner is the runner's end of a reservation.
+type testRunner struct {
 	t  *testing.T
-	cn frames
+	cn frameStream
 }
 
 // sinceStart is a clock that starts with the rig, in the time of its bubble.
@@ -32,10 +32,10 @@
 
 func (ss sinceStart) Now() clock.Millis { return clock.Of(time.Since(ss.start)) }
 
-func newCellRig(t *testing.T) *cellRig {
+func newTestCell(t *testing.T) *testCell {
 	t.Helper()
 	hc := &heldCell{vm: &VM{Clock: sinceStart{time.Now()}}, ctx: t.Context(), held: make(map[string]*heldRequest)}
-	hc.ac = hc.newDecider("m/0")
+	hc.ac = hc.newDecisionLoop("m/0")
 	go hc.ac.Run(t.Context())
 	hc.ac.Tell(t.Context(), sched.Servers{Servers: []board.BackendServer{
 		{ID: "p0", Role: board.Prefill},
@@ -43,11 +43,11 @@
 	}})
 	hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "p0"}})
 	hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20}})
-	return &cellRig{t: t, hc: hc}
+	return &testCell{t: t, hc: hc}
 }
 
-// ask opens a reservation for a patient request.
-func (cr *cellRig) ask(request string) *rigRunner {
+// reserve opens a reservation for a patient request.
+func (cr *testCell) reserve(request string) *testRunner {
 	cr.t.Helper()
 	near, far := newPipe()
 	ask := &peerpb.ReserveAsk{
@@ -56,13 +56,13 @@
 		TTFT: int64(clock.Minute), TPOT: 45, Deadline: int64(5 * clock.Minute),
 	}
 	go cr.hc.serve(cr.t.Context(), board.VMRef{ID: "vm-2", Incarnation: 1}, ask, far)
-	rr := &rigRunner{t: cr.t, cn: near}
-	assert.Assert(cr.t, rr.next().GetDone() != nil)
+	rr := &testRunner{t: cr.t, cn: near}
+	assert.Assert(cr.t, rr.receive().GetDone() != nil)
 	return rr
 }
 
-// next is the accountant's next frame, or nil if none comes for a long time.
-func (rr *rigRunner) next() *peerpb.Frame {
+// receive is the accountant's receive frame, or nil if none comes for a long time.
+func (rr *testRunner) receive() *peerpb.Frame {
 	rr.t.Helper()
 	got := make(chan *peerpb.Frame, 1)
 	go func() {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (rr *rigRunner) tell(attempt uint32, stage sched.Stage, server string) {
+func (rr *testRunner) sendProgress(attempt uint32, stage sched.Stage, server string) {
 	rr.t.Helper()
 	assert.NilError(rr.t, rr.cn.Send(progressFrame(attempt, stage, server, 0, 0)))
 }
@@ -93,22 +93,22 @@
 //	vm-4  863ms AttemptFailed: wait for the transfer: no decode engine had a place while the KV cache was kept
 //	vm-4 1.851s GrantWaits
 //	vm-4 9.999s CallerLeft
-func TestLastWordOfARunnerEndsItsLaterGrantToo(t *testing.T) {
+func TestFinalFrameEndsLaterGrant(t *testing.T) {
 	for _, last := range []sched.Stage{sched.Cancelled, sched.Ended, sched.Lost} {
 		t.Run(string(last), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cr := newCellRig(t)
+				cr := newTestCell(t)
 				for _, request := range []string{"r1", "r2", "r3"} {
-					rr := cr.ask(request)
-					fr := rr.next()
+					rr := cr.reserve(request)
+					fr := rr.receive()
 					gr := fr.GetGrant()
 					assert.Assert(t, gr != nil, "%s is granted: %v", request, fr)
 					cr.hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20, Running: 20}})
-					rr.tell(gr.GetAttempt(), sched.Prefilled, "p0")
-					assert.Assert(t, rr.next().GetPreempt() != nil, "%s lapses", request)
+					rr.sendProgress(gr.GetAttempt(), sched.Prefilled, "p0")
+					assert.Assert(t, rr.receive().GetPreempt() != nil, "%s lapses", request)
 					cr.hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20}})
-					assert.Assert(t, rr.next().GetGrant() != nil, "%s is granted again", request)
-					rr.tell(gr.GetAttempt(), last, "")
+					assert.Assert(t, rr.receive().GetGrant() != nil, "%s is granted again", request)
+					rr.sendProgress(gr.GetAttempt(), last, "")
 					assert.NilError(t, rr.cn.Close())
 					synctest.Wait()
 				}
@@ -120,28 +120,28 @@
 // A VM that stood still loses its requests to others, which read on what the
 // engines go on with. Its last word on each was that the engine had lost it:
 // two in a row closed a sound engine for a second, and a VM's whole load for eight.
-func TestRequestsThatAreTakenOverCloseNoEngine(t *testing.T) {
+func TestTakenOverRequestsCloseNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := newCellRig(t)
+		cr := newTestCell(t)
 		lost, lose := context.WithCancelCause(t.Context())
-		lose(errLost)
+		lose(errKeyLost)
 		for _, request := range []string{"r1", "r2"} {
-			rr := cr.ask(request)
-			gr := rr.next().GetGrant()
-			rr.tell(gr.GetAttempt(), sched.Prefilled, "p0")
-			assert.Assert(t, rr.next().GetTransfer() != nil)
-			rr.tell(gr.GetAttempt(), sched.Decoding, "d0")
+			rr := cr.reserve(request)
+			gr := rr.receive().GetGrant()
+			rr.sendProgress(gr.GetAttempt(), sched.Prefilled, "p0")
+			assert.Assert(t, rr.receive().GetTransfer() != nil)
+			rr.sendProgress(gr.GetAttempt(), sched.Decoding, "d0")
 			ma := &modelAttempt{
 				rn: &run{vm: cr.hc.vm},
 				rs: &reservation{vm: cr.hc.vm, cn: rr.cn, granted: true, attempt: gr.GetAttempt(), stop: func() {}},
 			}
-			ma.leave(lost, errLost)
+			ma.release(lost, errKeyLost)
 			synctest.Wait()
 		}
 		assert.Equal(t, len(cr.hc.orphans()), 2, "their places are taken until the engines are free of them")
 		began := time.Now()
-		rr := cr.ask("r3")
-		assert.Assert(t, rr.next().GetGrant() != nil)
+		rr := cr.reserve("r3")
+		assert.Assert(t, rr.receive().GetGrant() != nil)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
 }
--- a/internal/entry/again.go
+++ b/internal/entry/again.go
@@ -11,10 +11,10 @@
 	"alderdyke/pkg/refusal"
 )
 
-// again asks the retry policy about a failed attempt, the first being number
+// awaitRetry asks the retry policy about a failed attempt, the first being number
 // zero, and waits for as long as the policy says. It returns nil if another
 // attempt may follow, and otherwise why the request ends.
-func (rn *run) again(ctx context.Context, number int, err error) error {
+func (rn *run) awaitRetry(ctx context.Context, number int, err error) error {
 	var rf refusal.Refusal
 	if errors.As(err, &rf) {
 		return err // decided where the request waited for its place
@@ -24,8 +24,8 @@
 		Service:           rn.req.Class.Service,
 		Idempotent:        rn.req.Class.Idempotent,
 		Number:            number + 1,
-		Last:              rn.failed(err),
-		EarlierMayHaveRun: rn.sent.Load(),
+		Last:              rn.attemptRefusal(err),
+		EarlierMayHaveRun: rn.mayHaveBeenSent.Load(),
 		Deadline:          rn.deadline,
 	}
 	switch vd := rn.vm.decideRetry(at).(type) {
@@ -42,27 +42,27 @@
 	}
 }
 
-// failed is the refusal that an attempt would end in.
-func (rn *run) failed(err error) refusal.Refusal {
+// attemptRefusal is the refusal that an attempt would end in.
+func (rn *run) attemptRefusal(err error) refusal.Refusal {
 	rf := refusal.Refusal{
 		Ran:    refusal.NotRun,
 		Reason: refusal.BackendFailed,
 		Detail: "a backend server failed",
 	}
 	var declined backend.DeclinedError
-	if errors.As(err, &declined) && !rn.placedElsewhere(err) {
+	if errors.As(err, &declined) && !rn.avoidsPausedEngine(err) {
 		rf.RetryAfter = declined.RetryAfter
 	}
-	if rn.sent.Load() {
+	if rn.mayHaveBeenSent.Load() {
 		rf.Ran = refusal.MayHaveRun
 	}
 	return rf
 }
 
-// placedElsewhere tells whether the next attempt keeps away from an engine that asked
+// avoidsPausedEngine tells whether the next attempt keeps away from an engine that asked
 // for rest: the accountant, which places it, was told.
-func (rn *run) placedElsewhere(err error) bool {
-	_, rest := restOf(err)
+func (rn *run) avoidsPausedEngine(err error) bool {
+	_, rest := requestedPause(err)
 	return rn.req.Chat != nil && rest > 0
 }
 
@@ -80,13 +80,13 @@
 	return vd
 }
 
-// earnRetry notes a new request, which earns a part of a retry.
-func (vm *VM) earnRetry(customer, service string) {
+// earnRetryBudget notes a new request, which earns a part of a retry.
+func (vm *VM) earnRetryBudget(customer, service string) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
 	vm.retries.Request(vm.Clock.Now(), customer, service)
 }
 
-// quickAccountantTimeout is how long a quick request looks for its accountant: a part
+// quickSchedulerTimeout is how long a quick request looks for its accountant: a part
 // of the time to its first token.
-func quickAccountantTimeout(ttft clock.Millis) clock.Millis { return ttft / 4 }
+func quickSchedulerTimeout(ttft clock.Millis) clock.Millis { return ttft / 4 }
--- a/internal/entry/alone.go
+++ b/internal/entry/alone.go
@@ -13,24 +13,24 @@
 	"alderdyke/pkg/refusal"
 )
 
-// alone chooses engines by load reports, for the time that no accountant can
+// fallbackPlacer chooses engines by load reports, for the time that no accountant can
 // be asked. The reports are asked for when they are needed, and only of a few
 // engines, so that it costs nothing while all is well.
-type alone struct {
+type fallbackPlacer struct {
 	vm *VM
 
-	mu  sync.Mutex
-	fb  sched.Fallback
-	own map[string]int // requests that this VM placed by itself, by engine
+	mu     sync.Mutex
+	fb     sched.Fallback
+	placed map[string]int // requests that this VM placed by itself, by engine
 }
 
-// chooseAlone places a request without its accountant.
-func (vm *VM) chooseAlone(ctx context.Context, ask *peerpb.ReserveAsk) (*peerpb.Grant, error) {
-	vw := vm.alone.look(ctx, ask.GetCell())
-	vm.alone.mu.Lock()
-	defer vm.alone.mu.Unlock()
-	vw.Own = vm.alone.own
-	gr, ok := vm.alone.fb.Decide(askOf(vm.Self, ask, vm.Clock.Now()), vw)
+// placeByReports places a request without its accountant.
+func (vm *VM) placeByReports(ctx context.Context, ask *peerpb.ReserveAsk) (*peerpb.Grant, error) {
+	vw := vm.fallback.collectReports(ctx, ask.GetCell())
+	vm.fallback.mu.Lock()
+	defer vm.fallback.mu.Unlock()
+	vw.Own = vm.fallback.placed
+	gr, ok := vm.fallback.fb.Decide(askFromWire(vm.Self, ask, vm.Clock.Now()), vw)
 	if !ok {
 		return nil, refusal.Refusal{
 			Ran:        refusal.NotRun,
@@ -39,34 +39,34 @@
 			Detail:     "the VM that accounts for the model engines is away, and none has room by its report",
 		}
 	}
-	vm.alone.own[gr.Prefill]++
-	vm.alone.own[gr.Decode]++
+	vm.fallback.placed[gr.Prefill]++
+	vm.fallback.placed[gr.Decode]++
 	return &peerpb.Grant{PrefillServer: gr.Prefill, DecodeServer: gr.Decode}, nil
 }
 
-// redirectAlone names another decode engine after one refused, or none.
-func (vm *VM) redirectAlone(ctx context.Context, ask *peerpb.ReserveAsk, refused string) string {
-	vw := vm.alone.look(ctx, ask.GetCell())
+// redirectByReports names another decode engine after one refused, or none.
+func (vm *VM) redirectByReports(ctx context.Context, ask *peerpb.ReserveAsk, refused string) string {
+	vw := vm.fallback.collectReports(ctx, ask.GetCell())
 	delete(vw.Reports, refused) // an engine without a report is not chosen
-	vm.alone.mu.Lock()
-	defer vm.alone.mu.Unlock()
-	vw.Own = vm.alone.own
-	id, _ := vm.alone.fb.Redirect(askOf(vm.Self, ask, vm.Clock.Now()), vw)
+	vm.fallback.mu.Lock()
+	defer vm.fallback.mu.Unlock()
+	vw.Own = vm.fallback.placed
+	id, _ := vm.fallback.fb.Redirect(askFromWire(vm.Self, ask, vm.Clock.Now()), vw)
 	return id
 }
 
-// ended takes back a placement of chooseAlone.
-func (al *alone) ended(gr *peerpb.Grant) {
-	al.mu.Lock()
-	defer al.mu.Unlock()
-	al.own[gr.GetPrefillServer()]--
-	al.own[gr.GetDecodeServer()]--
+// release takes back a placement of placeByReports.
+func (fp *fallbackPlacer) release(gr *peerpb.Grant) {
+	fp.mu.Lock()
+	defer fp.mu.Unlock()
+	fp.placed[gr.GetPrefillServer()]--
+	fp.placed[gr.GetDecodeServer()]--
 }
 
-// look asks the engines of a cell for their load.
-func (al *alone) look(ctx context.Context, cellName string) sched.View {
+// collectReports asks the engines of a cell for their load.
+func (fp *fallbackPlacer) collectReports(ctx context.Context, cellName string) sched.View {
 	vw := sched.View{Reports: make(map[string]board.LoadReport)}
-	for _, ce := range al.vm.cellList().cells {
+	for _, ce := range fp.vm.cellList().cells {
 		if ce.Name == cellName {
 			vw.Servers = ce.Servers
 		}
@@ -75,13 +75,13 @@
 	var gr errgroup.Group
 	for _, srv := range vw.Servers {
 		gr.Go(func() error {
-			within, stop := context.WithTimeout(ctx, aloneWithin.Std())
+			within, stop := context.WithTimeout(ctx, fallbackReportTimeout.Std())
 			defer stop()
-			rp, err := al.vm.Engines.Load(within, srv)
+			rp, err := fp.vm.Engines.Load(within, srv)
 			if err != nil {
 				return nil // an engine without a report is not chosen
 			}
-			rp.Server, rp.At = srv.ID, al.vm.Clock.Now()
+			rp.Server, rp.At = srv.ID, fp.vm.Clock.Now()
 			mu.Lock()
 			defer mu.Unlock()
 			vw.Reports[srv.ID] = rp
@@ -92,5 +92,5 @@
 	return vw
 }
 
-// aloneWithin bounds the wait for load reports.
-const aloneWithin = 100 * clock.Millis(1)
+// fallbackReportTimeout bounds the wait for load reports.
+const fallbackReportTimeout = 100 * clock.Millis(1)
--- a/internal/entry/cells.go
+++ b/internal/entry/cells.go
@@ -8,10 +8,10 @@
 	"alderdyke/internal/rendezvous"
 )
 
-// cellServers is the number of model engines that one cell holds at most.
+// maxCellServers is the number of model engines that one cell holds at most.
 // One VM can account for that many with a few messages per request, and the
 // cost of a cell does not grow with the fleet.
-const cellServers = 16
+const maxCellServers = 16
 
 type (
 	// cell is a group of model engines of one service that one VM accounts
@@ -30,8 +30,8 @@
 	}
 )
 
-// of tells whether the cells were made of this very list.
-func (cl *cellList) of(servers []board.BackendServer) bool {
+// builtFrom tells whether the cells were made builtFrom this very list.
+func (cl *cellList) builtFrom(servers []board.BackendServer) bool {
 	if cl == nil || len(cl.servers) != len(servers) {
 		return false
 	}
@@ -43,10 +43,10 @@
 // are never written to.
 func (vm *VM) cellList() *cellList {
 	bk := vm.Board.Backends()
-	if cl := vm.cells.Load(); cl.of(bk.Servers) {
+	if cl := vm.cells.Load(); cl.builtFrom(bk.Servers) {
 		return cl
 	}
-	cl := &cellList{servers: bk.Servers, cells: cellsOf(bk), byService: make(map[string][]string)}
+	cl := &cellList{servers: bk.Servers, cells: divideIntoCells(bk), byService: make(map[string][]string)}
 	for _, ce := range cl.cells {
 		cl.byService[ce.Service] = append(cl.byService[ce.Service], ce.Name)
 	}
@@ -54,10 +54,10 @@
 	return cl
 }
 
-// cellsOf divides the model engines of each service into cells. Engines of
+// divideIntoCells divides the model engines of each service into cells. Engines of
 // each role are dealt in the order of their IDs, so that every cell has both
 // roles and VMs with the same list agree without a message.
-func cellsOf(bk *board.Backends) []cell {
+func divideIntoCells(bk *board.Backends) []cell {
 	byService := make(map[string][]board.BackendServer)
 	var services []string
 	for _, srv := range bk.Servers {
@@ -72,13 +72,13 @@
 	slices.Sort(services)
 	var out []cell
 	for _, service := range services {
-		out = append(out, deal(service, byService[service])...)
+		out = append(out, divideService(service, byService[service])...)
 	}
 	return out
 }
 
-func deal(service string, servers []board.BackendServer) []cell {
-	count := (len(servers) + cellServers - 1) / cellServers
+func divideService(service string, servers []board.BackendServer) []cell {
+	count := (len(servers) + maxCellServers - 1) / maxCellServers
 	cells := make([]cell, count)
 	for ix := range cells {
 		cells[ix] = cell{Name: fmt.Sprintf("%s/%d", service, ix), Service: service}
@@ -92,10 +92,10 @@
 	return cells
 }
 
-// cellFor picks the cell of a model service for a request. Requests with the
+// cellForRequest picks the cell of a model service for a request. Requests with the
 // same prefix go to the same cell, where its KV cache may be kept; the others
 // spread evenly.
-func (vm *VM) cellFor(service string, prefix uint64) string {
+func (vm *VM) cellForRequest(service string, prefix uint64) string {
 	names := vm.cellList().byService[service]
 	if len(names) == 0 {
 		return service + "/0"
@@ -106,8 +106,8 @@
 	return names[prefix%uint64(len(names))]
 }
 
-// cellOf names the cell of a model engine.
-func (vm *VM) cellOf(server string) (string, bool) {
+// cellOfServer names the cell of a model engine.
+func (vm *VM) cellOfServer(server string) (string, bool) {
 	for _, ce := range vm.cellList().cells {
 		for _, srv := range ce.Servers {
 			if srv.ID == server {
@@ -118,11 +118,11 @@
 	return "", false
 }
 
-// accountantOf names the VM that accounts for a cell in this VM's view. A VM
+// schedulerOf names the VM that accounts for a cell in this VM's view. A VM
 // in doubt is passed over at once: two VMs that account for a cell for a while
 // cost some refusals of full engines, while a cell without an accountant costs
 // every request its placement.
-func accountantOf(cellName string, fl *board.Fleet) (board.VM, bool) {
+func schedulerOf(cellName string, fl *board.Fleet) (board.VM, bool) {
 	return rendezvous.First("cell/"+cellName, fl.VMs, func(vm *board.VM) bool {
 		return vm.Health == board.Alive && !vm.Leaving
 	})
--- a/internal/entry/cells_test.go
+++ b/internal/entry/cells_test.go
@@ -9,7 +9,7 @@
 	"alderdyke/internal/board"
 )
 
-func engines(service string, prefill, decode int) []board.BackendServer {
+func modelEngines(service string, prefill, decode int) []board.BackendServer {
 	var out []board.BackendServer
 	for ix := range prefill {
 		out = append(out, board.BackendServer{ID: fmt.Sprintf("%s-p%03d", service, ix), Service: service, Role: board.Prefill})
@@ -33,7 +33,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			cells := cellsOf(&board.Backends{Servers: engines("svc", tc.prefill, tc.decode)})
+			cells := divideIntoCells(&board.Backends{Servers: modelEngines("svc", tc.prefill, tc.decode)})
 			assert.Equal(t, len(cells), tc.wantCells)
 			for _, ce := range cells {
 				roles := make(map[board.Role]int)
@@ -41,18 +41,18 @@
 					roles[srv.Role]++
 				}
 				assert.Assert(t, roles[board.Prefill] > 0 && roles[board.Decode] > 0, "cell %s has %v", ce.Name, roles)
-				assert.Assert(t, len(ce.Servers) <= cellServers+1, "cell %s has %d engines", ce.Name, len(ce.Servers))
+				assert.Assert(t, len(ce.Servers) <= maxCellServers+1, "cell %s has %d engines", ce.Name, len(ce.Servers))
 			}
 		})
 	}
 }
 
 func TestCellsLeavePlainServersOut(t *testing.T) {
-	cells := cellsOf(&board.Backends{Servers: []board.BackendServer{{ID: "kiosk-1", Service: "kiosk-api", Role: board.Plain}}})
+	cells := divideIntoCells(&board.Backends{Servers: []board.BackendServer{{ID: "kiosk-1", Service: "kiosk-api", Role: board.Plain}}})
 	assert.Equal(t, len(cells), 0)
 }
 
-func TestAccountantIsNeverALeavingDoubtedOrDeadVM(t *testing.T) {
+func TestSchedulerIsNeverLeavingSuspectOrDead(t *testing.T) {
 	fleet := &board.Fleet{}
 	for ix := range 7 {
 		vm := board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%d", ix)}}
@@ -67,7 +67,7 @@
 		fleet.VMs = append(fleet.VMs, vm)
 	}
 	for ix := range 50 {
-		vm, ok := accountantOf(fmt.Sprintf("svc/%d", ix), fleet)
+		vm, ok := schedulerOf(fmt.Sprintf("svc/%d", ix), fleet)
 		assert.Assert(t, ok)
 		assert.Assert(t, !vm.Leaving && vm.Health == board.Alive, "cell %d went to %s", ix, vm.ID)
 	}
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -20,14 +20,14 @@
 
 // The log stream of seat tables and how it is read.
 const (
-	seatsWait     = 10 * clock.Second
-	seatsBatch    = 64
-	seatsRetry    = 500 * clock.Millis(1)
-	bookTick      = 1 * clock.Second
-	askerTick     = 1 * clock.Minute
-	handoffWithin = 5 * clock.Second
-	claimKeep     = 10 * clock.Minute
-	claimLinger   = 1 * clock.Second
+	seatsReadWait   = 10 * clock.Second
+	seatsReadBatch  = 64
+	seatsRetryDelay = 500 * clock.Millis(1)
+	bookTick        = 1 * clock.Second
+	askerTick       = 1 * clock.Minute
+	handoffTimeout  = 5 * clock.Second
+	claimRetention  = 10 * clock.Minute
+	claimLinger     = 1 * clock.Second
 )
 
 type (
@@ -57,7 +57,7 @@
 	vm.bookState = bk
 	vm.book = actor.New[claim.Event, claim.Intent](vm.Clock, claim.Tick{}, bookTick)
 	vm.book.Step = vm.stepBook
-	vm.book.Do = vm.carryOutBook
+	vm.book.Do = vm.handleBookIntent
 	vm.book.WakeAt = actor.WakeOf[claim.Intent](func(wk claim.Wake) clock.Millis { return wk.At })
 }
 
@@ -72,7 +72,7 @@
 	switch {
 	case st != vm.seats.Load():
 		vm.seats.Store(st)
-		vm.fleetMove.raise()
+		vm.fleetChanged.raise()
 		vm.Log.Log(event.SeatTableInForce, event.F("Epoch", st.Epoch), event.F("Seats", len(st.VMs)))
 	case seated:
 		vm.Log.Log(event.SeatTableIgnored)
@@ -86,10 +86,10 @@
 	return out
 }
 
-func (vm *VM) carryOutBook(in claim.Intent) {
+func (vm *VM) handleBookIntent(in claim.Intent) {
 	switch in := in.(type) {
 	case claim.Reply:
-		vm.replies.answer(in.Token, in.Reply)
+		vm.replies.resolve(in.Token, in.Reply)
 	case claim.SendHandoff:
 		vm.wg.Go(func() { vm.sendHandoff(in) })
 	case claim.Propose:
@@ -100,9 +100,9 @@
 
 // answerClaim asks this VM's book.
 func (vm *VM) answerClaim(ctx context.Context, ask *peerpb.ClaimAsk) (*peerpb.Frame, error) {
-	ctx, stop := context.WithTimeout(ctx, callWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, callTimeout.Std())
 	defer stop()
-	number := vm.replies.ask()
+	number := vm.replies.open()
 	vm.book.Tell(ctx, claim.Asked{Token: number, Ask: ask})
 	reply, err := vm.replies.wait(ctx, number)
 	if err != nil {
@@ -111,16 +111,16 @@
 	return &peerpb.Frame{Body: &peerpb.Frame_ClaimReply{ClaimReply: reply}}, nil
 }
 
-func (vm *VM) tellBook(ctx context.Context, up *peerpb.ClaimUpdate) {
+func (vm *VM) updateBook(ctx context.Context, up *peerpb.ClaimUpdate) {
 	vm.book.Tell(ctx, claim.Updated{Update: up})
 }
 
-func (vm *VM) takeHandoff(ctx context.Context, ho *peerpb.ClaimHandoff) {
+func (vm *VM) receiveHandoff(ctx context.Context, ho *peerpb.ClaimHandoff) {
 	vm.book.Tell(ctx, claim.HandedOff{Handoff: ho})
 }
 
 func (vm *VM) sendHandoff(in claim.SendHandoff) {
-	ctx, stop := context.WithTimeout(vm.loopCtx, handoffWithin.Std())
+	ctx, stop := context.WithTimeout(vm.loopCtx, handoffTimeout.Std())
 	defer stop()
 	to, ok := vm.Board.Fleet().VM(in.To.ID)
 	if ok {
@@ -140,7 +140,7 @@
 	if err != nil {
 		return
 	}
-	ctx, stop := context.WithTimeout(vm.loopCtx, handoffWithin.Std())
+	ctx, stop := context.WithTimeout(vm.loopCtx, handoffTimeout.Std())
 	defer stop()
 	vm.Logs.Append(ctx, vm.seatsStream(), data)
 }
@@ -148,38 +148,38 @@
 // readSeats runs the book: it waits until the seat tables can be known, from
 // the log's first record or from a peer, and then follows the log.
 func (vm *VM) readSeats(ctx context.Context) {
-	next, ok := vm.learnSeats(ctx)
+	next, ok := vm.findSeatsStart(ctx)
 	if !ok {
 		return
 	}
 	vm.wg.Go(func() { vm.book.Run(ctx) })
-	if st := vm.restored; st != nil {
+	if st := vm.restoredSeats; st != nil {
 		vm.book.Tell(ctx, claim.Restored{Seats: st})
 		next = st.Epoch
 	}
 	for ctx.Err() == nil {
-		ba, err := vm.Logs.Read(ctx, vm.seatsStream(), next, seatsBatch, seatsWait)
+		ba, err := vm.Logs.Read(ctx, vm.seatsStream(), next, seatsReadBatch, seatsReadWait)
 		if err != nil {
-			clock.Sleep(ctx, seatsRetry)
+			clock.Sleep(ctx, seatsRetryDelay)
 			continue
 		}
 		next = vm.applySeats(ctx, ba, next)
 	}
 }
 
-// learnSeats finds out where the seat tables can be read from.
-func (vm *VM) learnSeats(ctx context.Context) (next uint64, ok bool) {
+// findSeatsStart finds out where the seat tables can be read from.
+func (vm *VM) findSeatsStart(ctx context.Context) (next uint64, ok bool) {
 	for ctx.Err() == nil {
 		ba, err := vm.Logs.Read(ctx, vm.seatsStream(), 0, 1, 0)
 		if err == nil && ba.First == 0 {
 			vm.bookState.FromStart = true
 			return 0, true
 		}
-		if st := vm.seatsOfPeers(ctx); st != nil {
-			vm.restored = st
+		if st := vm.fetchPeerSeats(ctx); st != nil {
+			vm.restoredSeats = st
 			return st.Epoch, true
 		}
-		clock.Sleep(ctx, seatsRetry)
+		clock.Sleep(ctx, seatsRetryDelay)
 	}
 	return 0, false
 }
@@ -194,9 +194,9 @@
 	return max(next, ba.Next)
 }
 
-// seatsOfPeers asks the other VMs for the seat tables that they know, until
+// fetchPeerSeats asks the other VMs for the seat tables that they know, until
 // one answers.
-func (vm *VM) seatsOfPeers(ctx context.Context) *claim.Seats {
+func (vm *VM) fetchPeerSeats(ctx context.Context) *claim.Seats {
 	for _, to := range vm.Board.Fleet().Serving() {
 		if to.ID == vm.Self.ID {
 			continue
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// claim starts the search for the seats' grants. The claimant must be ended.
-func (rn *run) claim(givenUp board.VMRef, onLost func()) *claimant {
+// startClaim starts the search for the seats' grants. The claimant must be ended.
+func (rn *run) startClaim(givenUp board.VMRef, onLost func()) *claimant {
 	vm := rn.vm
 	ctx, stop := context.WithCancel(vm.loopCtx)
 	ak := &claim.Asker{
@@ -230,32 +230,32 @@
 		Idempotent:  rn.req.Class.Idempotent,
 		Fresh:       !rn.req.KeyGiven,
 		GivenUp:     givenUp,
-		Keep:        claimKeep,
+		Keep:        claimRetention,
 		Patience:    claimTimeout,
 		Rand:        vm.rand(vm.claimSeed.Add(1)),
 	}
 	cm := &claimant{vm: vm, ctx: ctx, stop: stop, onLost: onLost}
 	cm.ac = actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.Elapsed{}, askerTick)
 	cm.ac.Step = ak.Step
-	cm.ac.Do = cm.carryOut
+	cm.ac.Do = cm.handleIntent
 	cm.ac.WakeAt = actor.WakeOf[claim.AskerIntent](func(wk claim.Wake) clock.Millis { return wk.At })
 	vm.wg.Go(func() { cm.ac.Run(ctx) })
-	vm.wg.Go(cm.watch)
+	vm.wg.Go(cm.watchFleet)
 	cm.ac.Tell(ctx, claim.Begin{Seats: vm.seats.Load(), Fleet: vm.Board.Fleet()})
 	return cm
 }
 
-// noClaim is the link of a run that claimed nothing.
-func (vm *VM) noClaim() *claimant {
+// newUnclaimed is the link of a run that claimed nothing.
+func (vm *VM) newUnclaimed() *claimant {
 	ctx, stop := context.WithCancel(vm.loopCtx)
 	stop()
 	return &claimant{vm: vm, ctx: ctx, ac: actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.Elapsed{}, askerTick)}
 }
 
-// watch passes on changes of the seats and the fleet.
-func (cm *claimant) watch() {
+// watchFleet passes on changes of the seats and the fleet.
+func (cm *claimant) watchFleet() {
 	for {
-		moved := cm.vm.fleetMove.wait()
+		moved := cm.vm.fleetChanged.wait()
 		refuted := cm.vm.refuted.wait()
 		select {
 		case <-cm.ctx.Done():
@@ -272,10 +272,10 @@
 	cm.ac.Tell(cm.ctx, claim.Revalidate{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
 }
 
-func (cm *claimant) carryOut(in claim.AskerIntent) {
+func (cm *claimant) handleIntent(in claim.AskerIntent) {
 	switch in := in.(type) {
 	case claim.SendAsk:
-		cm.vm.wg.Go(func() { cm.ask(in) })
+		cm.vm.wg.Go(func() { cm.sendAsk(in) })
 	case claim.SendUpdate:
 		cm.vm.wg.Go(func() { cm.vm.sendUpdate(in) })
 	case claim.Decided:
@@ -303,7 +303,7 @@
 	}
 }
 
-func (cm *claimant) ask(in claim.SendAsk) {
+func (cm *claimant) sendAsk(in claim.SendAsk) {
 	to, ok := cm.vm.Board.Fleet().VM(in.To.ID)
 	if !ok {
 		cm.ac.Tell(cm.ctx, claim.Failed{Number: in.Number})
@@ -319,22 +319,22 @@
 
 // sendUpdate tells a seat of a claim's state, best effort.
 func (vm *VM) sendUpdate(in claim.SendUpdate) {
-	ctx, stop := context.WithTimeout(vm.loopCtx, callWithin.Std())
+	ctx, stop := context.WithTimeout(vm.loopCtx, callTimeout.Std())
 	defer stop()
 	if to, ok := vm.Board.Fleet().VM(in.To.ID); ok {
 		vm.callPeer(ctx, to, &peerpb.Frame{Body: &peerpb.Frame_ClaimUpdate{ClaimUpdate: in.Update}})
 	}
 }
 
-// decisions counts the decisions so far.
-func (cm *claimant) decisions() int {
+// decisionCount counts the decisionCount so far.
+func (cm *claimant) decisionCount() int {
 	cm.mu.Lock()
 	defer cm.mu.Unlock()
 	return cm.number
 }
 
-// verdict waits for a decision beyond the first so many.
-func (cm *claimant) verdict(ctx context.Context, seen int) (claim.Decided, error) {
+// awaitDecision waits for a decision beyond the first so many.
+func (cm *claimant) awaitDecision(ctx context.Context, seen int) (claim.Decided, error) {
 	for {
 		changed := cm.changed.wait()
 		cm.mu.Lock()
@@ -351,34 +351,34 @@
 	}
 }
 
-// end lets the final updates leave and then ends the link.
-func (cm *claimant) end() { time.AfterFunc(claimLinger.Std(), cm.stop) }
+// stopLater lets the final updates leave and then ends the link.
+func (cm *claimant) stopLater() { time.AfterFunc(claimLinger.Std(), cm.stop) }
 
-// became tells the seats what became of the key.
-func (cm *claimant) became(bc claim.Became) {
+// reportState tells the seats what reportState of the key.
+func (cm *claimant) reportState(bc claim.Became) {
 	cm.ac.Tell(cm.ctx, bc)
 }
 
-// mayDispatch tells, at the last moment, whether a request may still be sent to a
+// checkDispatch tells, at the last moment, whether a request may still be sent to a
 // backend server: none that ends its servers, and one that may run at most once with
 // a grant that is not too old; such a grant is asked for anew.
-func (rn *run) mayDispatch(ctx context.Context) error {
+func (rn *run) checkDispatch(ctx context.Context) error {
 	if rn.req.Class.Idempotent {
 		return rn.checkPoison()
 	}
 	now := rn.vm.Clock.Now()
-	if now < rn.until && int64(now) < rn.vm.fresh.Load() {
+	if now < rn.claimUntil && int64(now) < rn.vm.quorateUntil.Load() {
 		return rn.checkPoison()
 	}
-	seen := rn.claimed.decisions()
+	seen := rn.claimed.decisionCount()
 	rn.claimed.revalidate()
-	dec, err := rn.claimed.verdict(ctx, seen)
+	dec, err := rn.claimed.awaitDecision(ctx, seen)
 	if err != nil {
 		return err
 	}
-	rn.until = dec.Until
+	rn.claimUntil = dec.Until
 	if dec.Verdict == claim.Lost {
-		return errLost
+		return errKeyLost
 	}
 	if dec.Verdict != claim.Run && dec.Verdict != claim.TakeOver || rn.vm.Clock.Now() >= dec.Until {
 		return refusal.Refusal{
--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -18,8 +18,8 @@
 	t.Parallel()
 	fl := startFleetOf(t, 1, 1, true, settings.Roles{Dwell: clock.Minute})
 	fl.dp.Engines[0].Control.Set(standin.Faults{Paths: []string{engine.PrefillPath}, Count: 2, Reset: true})
-	stop := fl.crowd(1)
+	stop := fl.startCallers(1)
 	eventually(t, "the decode engine ran a request", func() bool { return len(fl.dp.Engines[1].History().Runs) > 0 || t.Failed() })
 	assert.Assert(t, stop() >= 1)
-	assert.Assert(t, fl.log.has(event.EngineClosed))
+	assert.Assert(t, fl.log.contains(event.EngineClosed))
 }
--- a/internal/entry/conn.go
+++ b/internal/entry/conn.go
@@ -16,8 +16,8 @@
 var errPipeClosed = errors.New("the other end of the stream is closed")
 
 type (
-	// frames is a stream of messages with another VM, or with this VM itself.
-	frames interface {
+	// frameStream is a stream of messages with another VM, or with this VM itself.
+	frameStream interface {
 		Send(fr *peerpb.Frame) error
 		Recv() (*peerpb.Frame, error)
 		Close() error
@@ -28,8 +28,8 @@
 	pipe struct {
 		out    chan<- *peerpb.Frame
 		in     <-chan *peerpb.Frame
-		mine   *closer
-		theirs *closer
+		local  *closer
+		remote *closer
 	}
 
 	closer struct {
@@ -43,26 +43,26 @@
 	back := make(chan *peerpb.Frame, pipeDepth)
 	cla := &closer{done: make(chan struct{})}
 	clb := &closer{done: make(chan struct{})}
-	near = &pipe{out: there, in: back, mine: cla, theirs: clb}
-	far = &pipe{out: back, in: there, mine: clb, theirs: cla}
+	near = &pipe{out: there, in: back, local: cla, remote: clb}
+	far = &pipe{out: back, in: there, local: clb, remote: cla}
 	return near, far
 }
 
 // Send hands a frame to the other end.
 func (pp *pipe) Send(fr *peerpb.Frame) error {
 	select {
-	case <-pp.theirs.done:
+	case <-pp.remote.done:
 		return errPipeClosed
-	case <-pp.mine.done:
+	case <-pp.local.done:
 		return errPipeClosed
 	default:
 	}
 	select {
 	case pp.out <- fr:
 		return nil
-	case <-pp.theirs.done:
+	case <-pp.remote.done:
 		return errPipeClosed
-	case <-pp.mine.done:
+	case <-pp.local.done:
 		return errPipeClosed
 	}
 }
@@ -73,9 +73,9 @@
 	select {
 	case fr := <-pp.in:
 		return fr, nil
-	case <-pp.mine.done:
+	case <-pp.local.done:
 		return nil, errPipeClosed
-	case <-pp.theirs.done:
+	case <-pp.remote.done:
 	}
 	select {
 	case fr := <-pp.in:
@@ -87,13 +87,13 @@
 
 // Close ends the stream for both ends.
 func (pp *pipe) Close() error {
-	pp.mine.once.Do(func() { close(pp.mine.done) })
+	pp.local.once.Do(func() { close(pp.local.done) })
 	return nil
 }
 
-// recvWithin waits for one frame, and closes the stream if the context ends
+// recvOrClose waits for one frame, and closes the stream if the context ends
 // first.
-func recvWithin(ctx context.Context, cn frames) (*peerpb.Frame, error) {
+func recvOrClose(ctx context.Context, cn frameStream) (*peerpb.Frame, error) {
 	stop := context.AfterFunc(ctx, func() { cn.Close() })
 	defer stop()
 	fr, err := cn.Recv()
--- a/internal/entry/deadly_test.go
+++ b/internal/entry/deadly_test.go
@@ -10,20 +10,20 @@
 
 // A request whose input ends each server that runs it is sent on by retries, by transfers
 // to one more engine and by its callers' tries at any VM, until no server is left.
-func TestDeadlyRequestEndsFiveServersAtMost(t *testing.T) {
+func TestPoisonRequestCrashesFiveServersAtMost(t *testing.T) {
 	var (
-		prompt = deadlyEnd{engine.PrefillPath, 0}
-		fetch  = deadlyEnd{engine.ImportPath, 0}
-		begin  = deadlyEnd{engine.DecodePath, -1}
-		token0 = deadlyEnd{engine.DecodePath, 0}
-		token1 = deadlyEnd{engine.DecodePath, 1}
-		call   = deadlyEnd{deadlyPath, -1}
+		prompt = crashPoint{engine.PrefillPath, 0}
+		fetch  = crashPoint{engine.ImportPath, 0}
+		begin  = crashPoint{engine.DecodePath, -1}
+		token0 = crashPoint{engine.DecodePath, 0}
+		token1 = crashPoint{engine.DecodePath, 1}
+		call   = crashPoint{poisonPath, -1}
 	)
 	const back, pause = 300 * time.Millisecond, 200 * time.Millisecond
-	fleets := map[int]*deadlyRig{1: newDeadlyRig(t, 6), 2: newDeadlyRig(t, 10)} // by cells
+	fleets := map[int]*poisonRig{1: newPoisonRig(t, 6), 2: newPoisonRig(t, 10)} // by cells
 	for ix, tc := range []struct {
 		name        string
-		end         deadlyEnd
+		end         crashPoint
 		back, pause time.Duration // of a server; between tries
 		vms, cells  int           // that get the tries in turn
 		lose, deaf  bool
@@ -49,56 +49,56 @@
 		{"plain, other VMs", call, back, pause, 5, 1, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ask := deadlyAsk{fmt.Sprintf("cu-%d", ix), fmt.Sprintf("%s-%d", deadlyWord, ix), tc.end.path == deadlyPath}
+			ask := poisonRequest{fmt.Sprintf("cu-%d", ix), fmt.Sprintf("%s-%d", poisonMarker, ix), tc.end.path == poisonPath}
 			rg := fleets[tc.cells]
-			rg.set(tc.end, tc.back, tc.lose)
-			rg.deaf.Store(tc.deaf)
-			defer rg.deaf.Store(false)
-			for try := range deadlyTries {
-				rg.insist(t, rg.asked(try%tc.vms), fmt.Sprintf("%s-%d", ask.content, try), ask)
+			rg.setCrash(tc.end, tc.back, tc.lose)
+			rg.rejectReservations.Store(tc.deaf)
+			defer rg.rejectReservations.Store(false)
+			for try := range poisonTries {
+				rg.sendUntilServed(t, rg.targetVM(try%tc.vms), fmt.Sprintf("%s-%d", ask.content, try), ask)
 				ended, _ := rg.counts()
 				t.Logf("%d servers ended after try %d", ended, try+1)
 				time.Sleep(tc.pause)
 			}
-			rg.check(t, rg.asked(deadlyTries%tc.vms), ask)
+			rg.checkRefused(t, rg.targetVM(poisonTries%tc.vms), ask)
 		})
 	}
 }
 
 // The VM that runs a request is lost with its engine and tells nobody. The one that takes
 // the key over sends it to engines as if nothing had happened, and so does the next.
-func TestDeadlyRequestTakenOverEndsFiveServersAtMost(t *testing.T) {
-	rg := newDeadlyRig(t, 6)
-	ask := deadlyAsk{"cu", deadlyWord, false}
+func TestPoisonRequestTakenOverCrashesFiveServersAtMost(t *testing.T) {
+	rg := newPoisonRig(t, 6)
+	ask := poisonRequest{"cu", poisonMarker, false}
 	for round := range 3 {
 		rg.mu.Lock()
-		rg.end, rg.back, rg.onEnd = deadlyEnd{engine.DecodePath, 0}, 300*time.Millisecond, rg.vms[0].kill
+		rg.crashAt, rg.restartAfter, rg.onCrash = crashPoint{engine.DecodePath, 0}, 300*time.Millisecond, rg.vms[0].kill
 		rg.mu.Unlock()
-		key := fmt.Sprintf("%s-%d", deadlyWord, round)
-		rg.try(t, rg.vms[0], key, ask)
+		key := fmt.Sprintf("%s-%d", poisonMarker, round)
+		rg.send(t, rg.vms[0], key, ask)
 		rg.vms[0].kill() // one that refused it is not lost yet
-		rg.try(t, rg.vms[1+round], key, ask)
+		rg.send(t, rg.vms[1+round], key, ask)
 		ended, _ := rg.counts()
 		t.Logf("%d servers ended after key %d", ended, round+1)
-		rg.start(rg.vms[0])
+		rg.startVM(rg.vms[0])
 		rg.awaitServing(rg.vms[0])
 	}
-	rg.check(t, rg.vms[4], ask)
+	rg.checkRefused(t, rg.vms[4], ask)
 }
 
 // A VM that starts after the ends has heard none of them, and gets the next try.
-func TestDeadlyRequestIsRefusedByVMStartedSince(t *testing.T) {
-	rg := newDeadlyRig(t, 6)
-	ask := deadlyAsk{"cu", deadlyWord, false}
-	rg.set(deadlyEnd{engine.DecodePath, 0}, 300*time.Millisecond, false)
+func TestPoisonRequestIsRefusedByVMStartedLater(t *testing.T) {
+	rg := newPoisonRig(t, 6)
+	ask := poisonRequest{"cu", poisonMarker, false}
+	rg.setCrash(crashPoint{engine.DecodePath, 0}, 300*time.Millisecond, false)
 	for try := range 3 {
-		rg.insist(t, rg.vms[try], fmt.Sprintf("%s-%d", deadlyWord, try), ask)
+		rg.sendUntilServed(t, rg.vms[try], fmt.Sprintf("%s-%d", poisonMarker, try), ask)
 	}
 	rg.vms[0].kill()
-	rg.start(rg.vms[0])
-	rg.add()
-	for _, vm := range []*deadlyVM{rg.vms[0], rg.vms[5]} {
+	rg.startVM(rg.vms[0])
+	rg.addVM()
+	for _, vm := range []*testVM{rg.vms[0], rg.vms[5]} {
 		rg.awaitServing(vm)
-		rg.check(t, vm, ask)
+		rg.checkRefused(t, vm, ask)
 	}
 }
--- a/internal/entry/deadlyedges_test.go
+++ b/internal/entry/deadlyedges_test.go
@@ -22,76 +22,76 @@
 
 // VMs that called each engine once hear nothing of its restarts but by their next call. An
 // end of a life that a VM does not know of is one more end.
-func TestDeadlyRequestAmongFewEngines(t *testing.T) {
-	rg := newDeadlyRig(t, 2)
+func TestPoisonRequestAmongFewEngines(t *testing.T) {
+	rg := newPoisonRig(t, 2)
 	for range 4 {
-		rg.add()
+		rg.addVM()
 	}
-	at, _ := accountantOf("model/0", rg.vms[0].Board.Fleet())
+	at, _ := schedulerOf("model/0", rg.vms[0].Board.Fleet())
 	for _, vm := range rg.vms {
 		rg.awaitServing(vm)
 		for _, srv := range vm.Board.Backends().Servers {
 			assert.NilError(t, vm.ping(t.Context(), srv))
 		}
 	}
-	ask := deadlyAsk{"cu", deadlyWord, false}
-	rg.set(deadlyEnd{engine.PrefillPath, 0}, 300*time.Millisecond, false)
+	ask := poisonRequest{"cu", poisonMarker, false}
+	rg.setCrash(crashPoint{engine.PrefillPath, 0}, 300*time.Millisecond, false)
 	for try, vm := range rg.vms {
 		if vm.Self.ID == at.ID { // it knows, from the load reports
 			continue
 		}
-		rg.insist(t, vm, fmt.Sprintf("%s-%d", deadlyWord, try), ask)
+		rg.sendUntilServed(t, vm, fmt.Sprintf("%s-%d", poisonMarker, try), ask)
 		ended, _ := rg.counts()
 		t.Logf("%d servers ended after a try at %s, which knows of %d", ended, vm.Self.ID, len(vm.poison.Known()))
 		time.Sleep(2 * time.Second)
 	}
-	rg.check(t, rg.vms[0], ask)
+	rg.checkRefused(t, rg.vms[0], ask)
 }
 
 // A server that takes the KV cache, says so and ends has met the request.
-func TestDeadlyRequestEndsServersBehindItsImport(t *testing.T) {
-	rg := newDeadlyRig(t, 6)
-	ask := deadlyAsk{"cu", deadlyWord, false}
-	rg.set(deadlyEnd{engine.ImportPath, deadlyAfter}, 0, false)
-	for try := range deadlyTries {
-		rg.insist(t, rg.vms[try%len(rg.vms)], fmt.Sprintf("%s-%d", deadlyWord, try), ask)
+func TestPoisonRequestCrashesServersAfterImport(t *testing.T) {
+	rg := newPoisonRig(t, 6)
+	ask := poisonRequest{"cu", poisonMarker, false}
+	rg.setCrash(crashPoint{engine.ImportPath, crashAfterAnswer}, 0, false)
+	for try := range poisonTries {
+		rg.sendUntilServed(t, rg.vms[try%len(rg.vms)], fmt.Sprintf("%s-%d", poisonMarker, try), ask)
 		ended, _ := rg.counts()
 		t.Logf("%d servers ended after try %d", ended, try+1)
 		time.Sleep(200 * time.Millisecond)
 	}
-	rg.check(t, rg.vms[deadlyTries%len(rg.vms)], ask)
+	rg.checkRefused(t, rg.vms[poisonTries%len(rg.vms)], ask)
 }
 
 // Engines forget a decode some seconds after its last token. Requests with one prompt whose
 // VM is lost, and whose callers come back after that, ended no engine.
-func TestForgottenDecodesAreNoEnds(t *testing.T) {
-	rg := newDeadlyRig(t, 6)
+func TestForgottenDecodesAreNotCrashes(t *testing.T) {
+	rg := newPoisonRig(t, 6)
 	for _, en := range rg.dp.Engines {
 		en.Settings.TPOT = 100
 	}
-	ask := deadlyAsk{"cu", "harmless", false}
+	ask := poisonRequest{"cu", "harmless", false}
 	var wg sync.WaitGroup
 	for ix := range 6 {
-		wg.Go(func() { rg.try(t, rg.vms[0], fmt.Sprintf("key-%d", ix), ask) })
+		wg.Go(func() { rg.send(t, rg.vms[0], fmt.Sprintf("key-%d", ix), ask) })
 	}
 	time.Sleep(time.Second)
 	rg.vms[0].kill()
 	wg.Wait()
 	time.Sleep(14 * time.Second)
 	for ix := range 6 { // who is not refused has the answer computed anew
-		wg.Go(func() { t.Logf("key %d: %+v", ix, rg.try(t, rg.vms[1], fmt.Sprintf("key-%d", ix), ask)) })
+		wg.Go(func() { t.Logf("key %d: %+v", ix, rg.send(t, rg.vms[1], fmt.Sprintf("key-%d", ix), ask)) })
 	}
 	wg.Wait()
-	rf := rg.try(t, rg.vms[2], "another key", ask)
+	rf := rg.send(t, rg.vms[2], "another key", ask)
 	assert.Check(t, rf.Reason != refusal.EndsServers, "no engine ended, and it is refused: %+v", rf)
 }
 
 // Restarts that a VM heard nothing of, and connections that break later, are no ends under
 // the request that was on them.
-func TestRestartsOfBeforeAreNoEnds(t *testing.T) {
-	rg := newDeadlyRig(t, 6)
+func TestEarlierRestartsAreNotCrashes(t *testing.T) {
+	rg := newPoisonRig(t, 6)
 	vm := rg.vms[0]
-	if at, _ := accountantOf("model/0", vm.Board.Fleet()); at.ID == vm.Self.ID {
+	if at, _ := schedulerOf("model/0", vm.Board.Fleet()); at.ID == vm.Self.ID {
 		vm = rg.vms[1]
 	}
 	for _, srv := range vm.Board.Backends().Servers {
@@ -104,11 +104,11 @@
 		en.Control.Set(standin.Faults{Reset: true, Count: 1, Paths: []string{engine.PrefillPath}})
 	}
 	time.Sleep(2 * time.Second)
-	ask := deadlyAsk{"cu", "harmless", false}
+	ask := poisonRequest{"cu", "harmless", false}
 	for ix := range 6 {
-		t.Logf("key %d: %+v", ix, rg.try(t, vm, fmt.Sprintf("key-%d", ix), ask))
+		t.Logf("key %d: %+v", ix, rg.send(t, vm, fmt.Sprintf("key-%d", ix), ask))
 	}
-	rf := rg.try(t, vm, "another key", ask)
+	rf := rg.send(t, vm, "another key", ask)
 	assert.Check(t, rf.Reason != refusal.EndsServers, "no engine ended under it, and it is refused: %+v", rf)
 }
 
@@ -128,7 +128,7 @@
 			time.Sleep(100 * time.Millisecond) // to the next server
 		}
 		assert.Assert(t, gd.Check(rn.mark()) > 0)
-		rn.become(running) // as in rescue
+		rn.setRole(running) // as in rescue
 		assert.NilError(t, rn.st.Refuse(refusal.Refusal{Reason: refusal.EndsServers}))
 		rn.recordSuccess()
 		assert.Assert(t, gd.Check(rn.mark()) > 0)
--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -34,85 +34,85 @@
 )
 
 const (
-	// deadlyMost is how many servers may end under one request whose tries come
-	// one after the other, and deadlyTries how many tries there are.
-	deadlyMost  = 5
-	deadlyTries = 8
-	// deadlyWord marks the content of a request that ends its servers, and its keys.
-	deadlyWord = "deadly"
-	deadlyPath = "/records/deadly"
-	// deadlyAfter is behind all writes: the answer is whole, and then the server ends.
-	deadlyAfter = math.MaxInt
+	// maxCrashes is how many servers may end under one request whose tries come
+	// one after the other, and poisonTries how many tries there are.
+	maxCrashes  = 5
+	poisonTries = 8
+	// poisonMarker marks the content of a request that ends its servers, and its keys.
+	poisonMarker = "deadly"
+	poisonPath   = "/records/deadly"
+	// crashAfterAnswer is behind all writes: the answer is whole, and then the server ends.
+	crashAfterAnswer = math.MaxInt
 )
 
 type (
-	// deadlyEnd is the point of a request at which its server ends: at a call to
+	// crashPoint is the point of a request at which its server ends: at a call to
 	// Path, behind so many writes of the answer; below zero: as the call arrives.
-	deadlyEnd struct {
+	crashPoint struct {
 		path   string
 		writes int
 	}
 
-	// deadlyAsk is what all tries of a request have in common.
-	deadlyAsk struct {
+	// poisonRequest is what all tries of a request have in common.
+	poisonRequest struct {
 		customer, content string
 		plain             bool
 	}
 
-	// deadlyRig is a fleet of whole VMs in this process.
-	deadlyRig struct {
-		t    *testing.T
-		dp   *deployment.Deployment
-		vms  []*deadlyVM
-		deaf atomic.Bool // VMs do not account for others
+	// poisonRig is a fleet of whole VMs in this process.
+	poisonRig struct {
+		t                  *testing.T
+		dp                 *deployment.Deployment
+		vms                []*testVM
+		rejectReservations atomic.Bool // VMs do not account for others
 
-		mu      sync.Mutex
-		end     deadlyEnd
-		back    time.Duration // until a server that ended is up again; zero: before anybody asks
-		onEnd   func()        // called before the call breaks off
-		lose    bool          // the first word of each end is lost on its way to each VM
-		ended   int           // servers
-		arrived int           // calls of deadly requests at servers
+		mu               sync.Mutex
+		crashAt          crashPoint
+		restartAfter     time.Duration // until a server that ended is up again; zero: before anybody asks
+		onCrash          func()        // called before the call breaks off
+		loseFirstNotices bool          // the first word of each end is lost on its way to each VM
+		crashed          int           // servers
+		arrived          int           // calls of deadly requests at servers
 	}
 
-	deadlyVM struct {
+	testVM struct {
 		*VM
 		set  settings.Settings
 		kill func()
 	}
 
-	// deadlyWriter ends the server behind some writes.
-	deadlyWriter struct {
+	// crashingWriter ends the server behind some writes.
+	crashingWriter struct {
 		http.ResponseWriter
 		left     int
 		declined bool
-		end      func()
+		crash    func()
 	}
 
-	// deafHandler hears no requests for places while its rig says so.
-	deafHandler struct {
+	// reservationFilter hears no requests for places while its rig says so.
+	reservationFilter struct {
 		peerHandler
-		deaf *atomic.Bool
+		reject *atomic.Bool
 	}
 )
 
-func (dw *deadlyWriter) Unwrap() http.ResponseWriter { return dw.ResponseWriter }
+func (dw *crashingWriter) Unwrap() http.ResponseWriter { return dw.ResponseWriter }
 
-func (dw *deadlyWriter) WriteHeader(status int) {
+func (dw *crashingWriter) WriteHeader(status int) {
 	dw.declined = status >= http.StatusMultipleChoices
 	dw.ResponseWriter.WriteHeader(status)
 }
 
-func (dw *deadlyWriter) Write(part []byte) (int, error) {
+func (dw *crashingWriter) Write(part []byte) (int, error) {
 	if dw.left--; dw.left < 0 && !dw.declined {
-		dw.end()
+		dw.crash()
 	}
 	return dw.ResponseWriter.Write(part)
 }
 
 // Serve implements peer.Handler.
-func (dh deafHandler) Serve(ctx context.Context, from board.VMRef, cn *peer.Conn) {
-	if !dh.deaf.Load() {
+func (dh reservationFilter) Serve(ctx context.Context, from board.VMRef, cn *peer.Conn) {
+	if !dh.reject.Load() {
 		dh.peerHandler.Serve(ctx, from, cn)
 		return
 	}
@@ -125,21 +125,21 @@
 	}
 }
 
-// newDeadlyRig starts a fleet of five VMs, with so many engines of each role.
-func newDeadlyRig(t *testing.T, engines int) *deadlyRig {
+// newPoisonRig starts a fleet of five VMs, with so many engines of each role.
+func newPoisonRig(t *testing.T, engines int) *poisonRig {
 	t.Helper()
-	rg := &deadlyRig{t: t}
+	rg := &poisonRig{t: t}
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond, set.LinkBytesPerSecond, set.TPOT = 50000, 10*set.LinkBytesPerSecond, 5
 	rg.dp = &deployment.Deployment{
 		Model: "model", Prefill: engines, Decode: engines, PlainService: "records", Plain: 6,
 		FailureDomains: []string{"a", "b", "c"}, Engine: set, Service: servicesim.Settings{Latency: 10, Slots: 8},
 	}
-	rg.dp.Front = rg.front
+	rg.dp.Front = rg.interceptBackend
 	assert.NilError(t, rg.dp.Start())
 	t.Cleanup(func() { assert.Check(t, rg.dp.Close()) })
 	for range 5 {
-		rg.add()
+		rg.addVM()
 	}
 	for _, vm := range rg.vms {
 		rg.awaitServing(vm)
@@ -147,8 +147,8 @@
 	return rg
 }
 
-// front has the calls to a backend server pass deadly.
-func (rg *deadlyRig) front(lk deployment.Link, addr netip.AddrPort) (netip.AddrPort, error) {
+// interceptBackend has the calls to a backend server pass deadly.
+func (rg *poisonRig) interceptBackend(lk deployment.Link, addr netip.AddrPort) (netip.AddrPort, error) {
 	if lk.Kind != deployment.BackendLink {
 		return addr, nil
 	}
@@ -165,24 +165,24 @@
 		return addr, fmt.Errorf("listen: %w", err)
 	}
 	hs := &http.Server{Handler: http.HandlerFunc(func(wr http.ResponseWriter, req *http.Request) {
-		rg.deadly(ct, next, wr, req)
+		rg.handleCall(ct, next, wr, req)
 	})}
 	go func() { _ = hs.Serve(ln) }()
 	rg.t.Cleanup(func() { _ = hs.Close() })
 	return netip.MustParseAddrPort(ln.Addr().String()), nil
 }
 
-// deadly handles a call, under which the server ends if it is one of a deadly request.
-func (rg *deadlyRig) deadly(ct *standin.Control, next http.Handler, wr http.ResponseWriter, req *http.Request) {
+// handleCall handles a call, under which the server ends if it is one of a handleCall request.
+func (rg *poisonRig) handleCall(ct *standin.Control, next http.Handler, wr http.ResponseWriter, req *http.Request) {
 	body, _ := io.ReadAll(req.Body)
 	req.Body = io.NopCloser(bytes.NewReader(body))
-	runs := req.URL.Path == engine.PrefillPath || req.URL.Path == engine.ImportPath || req.URL.Path == engine.DecodePath || strings.HasPrefix(req.URL.Path, deadlyPath)
-	if !runs || ct.Faults().Dead || !strings.Contains(req.URL.Path+string(body), deadlyWord) {
+	runs := req.URL.Path == engine.PrefillPath || req.URL.Path == engine.ImportPath || req.URL.Path == engine.DecodePath || strings.HasPrefix(req.URL.Path, poisonPath)
+	if !runs || ct.Faults().Dead || !strings.Contains(req.URL.Path+string(body), poisonMarker) {
 		next.ServeHTTP(wr, req)
 		return
 	}
 	rg.mu.Lock()
-	end := rg.end
+	end := rg.crashAt
 	rg.arrived++
 	rg.mu.Unlock()
 	if !strings.HasPrefix(req.URL.Path, end.path) {
@@ -190,29 +190,29 @@
 		return
 	}
 	stop := func() {
-		rg.stop(ct)
+		rg.crash(ct)
 		standin.Cut()
 	}
 	if end.writes < 0 {
 		stop()
 	}
-	dw := &deadlyWriter{ResponseWriter: wr, left: end.writes, end: stop}
+	dw := &crashingWriter{ResponseWriter: wr, left: end.writes, crash: stop}
 	next.ServeHTTP(dw, req)
 	switch {
 	case dw.declined:
-	case end.writes == deadlyAfter:
+	case end.writes == crashAfterAnswer:
 		_ = http.NewResponseController(wr).Flush() // the caller may be gone
-		rg.stop(ct)
+		rg.crash(ct)
 	default:
 		stop()
 	}
 }
 
-// stop ends a server with all that it held, and starts it again after a while.
-func (rg *deadlyRig) stop(ct *standin.Control) {
+// crash ends a server with all that it held, and starts it again after a while.
+func (rg *poisonRig) crash(ct *standin.Control) {
 	rg.mu.Lock()
-	rg.ended++
-	back, onEnd := rg.back, rg.onEnd
+	rg.crashed++
+	back, onEnd := rg.restartAfter, rg.onCrash
 	rg.mu.Unlock()
 	ct.Set(standin.Faults{Dead: true})
 	if onEnd != nil {
@@ -226,33 +226,33 @@
 }
 
 // counts tells how many servers have ended, and how many calls came to any.
-func (rg *deadlyRig) counts() (ended, arrived int) {
+func (rg *poisonRig) counts() (ended, arrived int) {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	return rg.ended, rg.arrived
+	return rg.crashed, rg.arrived
 }
 
-// add starts one more VM.
-func (rg *deadlyRig) add() *deadlyVM {
+// addVM starts one more VM.
+func (rg *poisonRig) addVM() *testVM {
 	set, err := rg.dp.VM(fmt.Sprintf("vm-%d", len(rg.vms)+1), string(rune('a'+len(rg.vms)%3)))
 	assert.NilError(rg.t, err)
 	rg.dp.Publish()
-	vm := &deadlyVM{set: set}
+	vm := &testVM{set: set}
 	rg.vms = append(rg.vms, vm)
-	rg.start(vm)
+	rg.startVM(vm)
 	return vm
 }
 
-// start begins a life of a VM as VM.Run does; its kill ends it without a word.
-func (rg *deadlyRig) start(dv *deadlyVM) {
+// startVM begins a life of a VM as VM.Run does; its kill ends it without a word.
+func (rg *poisonRig) startVM(dv *testVM) {
 	vm := &VM{Settings: dv.set, Incarnation: uint64(time.Now().UnixMilli())}
 	assert.NilError(rg.t, vm.init())
-	vm.Peers.Handler = deafHandler{peerHandler{vm}, &rg.deaf}
+	vm.Peers.Handler = reservationFilter{peerHandler{vm}, &rg.rejectReservations}
 	heard, lost := vm.Peers.Datagrams, make(map[string]bool)
 	vm.Peers.Datagrams = func(dg *peerpb.Datagram, from netip.AddrPort) {
 		if re := dg.GetRequestEnd(); re != nil && !lost[re.GetServer()] {
 			rg.mu.Lock()
-			lost[re.GetServer()] = rg.lose
+			lost[re.GetServer()] = rg.loseFirstNotices
 			rg.mu.Unlock()
 			if lost[re.GetServer()] {
 				return
@@ -275,12 +275,12 @@
 }
 
 // awaitServing waits until a VM takes requests and knows the fleet and its seats.
-func (rg *deadlyRig) awaitServing(vm *deadlyVM) {
+func (rg *poisonRig) awaitServing(vm *testVM) {
 	rg.t.Helper()
 	for end := time.Now().Add(time.Minute); ; time.Sleep(20 * time.Millisecond) {
 		st, fl := vm.seats.Load(), vm.Board.Fleet()
 		if vm.Accepting() == nil && st != nil && len(st.VMs) >= 3 && len(fl.Serving()) >= len(rg.vms) &&
-			vm.Clock.Now() < clock.Millis(vm.fresh.Load()) && len(vm.Board.Backends().Reports) > 0 {
+			vm.Clock.Now() < clock.Millis(vm.quorateUntil.Load()) && len(vm.Board.Backends().Reports) > 0 {
 			return
 		}
 		if time.Now().After(end) {
@@ -289,15 +289,15 @@
 	}
 }
 
-// set prepares the end of the next request's servers.
-func (rg *deadlyRig) set(end deadlyEnd, back time.Duration, lose bool) {
+// setCrash prepares the end of the next request's servers.
+func (rg *poisonRig) setCrash(end crashPoint, back time.Duration, lose bool) {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	rg.end, rg.back, rg.lose, rg.ended = end, back, lose, 0
+	rg.crashAt, rg.restartAfter, rg.loseFirstNotices, rg.crashed = end, back, lose, 0
 }
 
-// try sends a request to a VM and returns how it was refused, if it was.
-func (rg *deadlyRig) try(t *testing.T, vm *deadlyVM, key string, ask deadlyAsk) refusal.Refusal {
+// send sends a request to a VM and returns how it was refused, if it was.
+func (rg *poisonRig) send(t *testing.T, vm *testVM, key string, ask poisonRequest) refusal.Refusal {
 	t.Helper()
 	cl := template.Class{
 		Name: "class", Service: "model", Urgency: template.Quick, Idempotent: true, Share: 1, MaxTokens: 20,
@@ -327,13 +327,13 @@
 	}
 }
 
-// insist tries, as callers do who heed a refusal for want of servers, until the request
+// sendUntilServed tries, as callers do who heed a refusal for want of servers, until the request
 // came to a server or is refused for good.
-func (rg *deadlyRig) insist(t *testing.T, vm *deadlyVM, key string, ask deadlyAsk) {
+func (rg *poisonRig) sendUntilServed(t *testing.T, vm *testVM, key string, ask poisonRequest) {
 	t.Helper()
 	for ix := range 100 {
 		_, before := rg.counts()
-		rf := rg.try(t, vm, fmt.Sprintf("%s-%d", key, ix), ask)
+		rf := rg.send(t, vm, fmt.Sprintf("%s-%d", key, ix), ask)
 		_, arrived := rg.counts()
 		if rf.Reason == refusal.EndsServers {
 			sent := arrived > before
@@ -348,19 +348,19 @@
 	t.Fatalf("%s came to no server", key)
 }
 
-// check holds what a request did to servers against the aim: five end at most, the VM
+// checkRefused holds what a request did to servers against the aim: five end at most, the VM
 // refuses it from then on without sending it anywhere, and answers what is beside it.
-func (rg *deadlyRig) check(t *testing.T, vm *deadlyVM, ask deadlyAsk) {
+func (rg *poisonRig) checkRefused(t *testing.T, vm *testVM, ask poisonRequest) {
 	t.Helper()
 	ended, before := rg.counts()
-	assert.Check(t, ended <= deadlyMost, "%d servers ended under it", ended)
-	rf := rg.try(t, vm, fmt.Sprintf("%s-last-%s", ask.content, vm.Self.ID), ask)
+	assert.Check(t, ended <= maxCrashes, "%d servers ended under it", ended)
+	rf := rg.send(t, vm, fmt.Sprintf("%s-last-%s", ask.content, vm.Self.ID), ask)
 	_, arrived := rg.counts()
 	assert.Check(t, arrived == before, "%d more calls of it came to servers", arrived-before)
 	assert.Check(t, rf.Reason == refusal.EndsServers && rf.Ran == refusal.NotRun && rf.RetryAfter > 0, "%+v", rf)
-	ask.content = "not" + strings.TrimPrefix(ask.content, deadlyWord)
+	ask.content = "not" + strings.TrimPrefix(ask.content, poisonMarker)
 	for ix := range 100 { // servers that ended may take nothing for a while
-		rf = rg.try(t, vm, fmt.Sprintf("%s-%s-%d", ask.content, vm.Self.ID, ix), ask)
+		rf = rg.send(t, vm, fmt.Sprintf("%s-%s-%d", ask.content, vm.Self.ID, ix), ask)
 		assert.Assert(t, rf.Reason != refusal.EndsServers, "a request with other content is refused")
 		if rf.Reason == "" {
 			return
@@ -370,10 +370,10 @@
 	t.Fatalf("a request with other content has no answer: %+v", rf)
 }
 
-// asked is the VM that gets a try: with the accountant away, none that accounts for itself.
-func (rg *deadlyRig) asked(ix int) *deadlyVM {
-	at, _ := accountantOf("model/0", rg.vms[0].Board.Fleet())
-	if rg.deaf.Load() && rg.vms[ix].Self.ID == at.ID {
+// targetVM is the VM that gets a try: with the accountant away, none that accounts for itself.
+func (rg *poisonRig) targetVM(ix int) *testVM {
+	at, _ := schedulerOf("model/0", rg.vms[0].Board.Fleet())
+	if rg.rejectReservations.Load() && rg.vms[ix].Self.ID == at.ID {
 		return rg.vms[(ix+1)%len(rg.vms)]
 	}
 	return rg.vms[ix]
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -22,7 +22,7 @@
 	"alderdyke/pkg/template"
 )
 
-func TestActorWakesAtTheEarliestPointAskedFor(t *testing.T) {
+func TestActorWakesAtTheEarliestRequestedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ticks []clock.Millis
 		var src clock.Monotonic
@@ -58,20 +58,20 @@
 				return nil
 			},
 		}
-		settled := ja.free(t.Context(), "e1", "r1")
-		assert.Equal(t, ja.free(t.Context(), "e1", "r1"), settled, "one debt is settled once")
-		assert.Equal(t, ja.owed(), 1)
+		settled := ja.cancelAll(t.Context(), "e1", "r1")
+		assert.Equal(t, ja.cancelAll(t.Context(), "e1", "r1"), settled, "one debt is settled once")
+		assert.Equal(t, ja.pendingCount(), 1)
 		<-settled
 		assert.Equal(t, tries, 4)
-		assert.Equal(t, ja.owed(), 0)
+		assert.Equal(t, ja.pendingCount(), 0)
 	})
 }
 
-func TestJanitorOwesNothingToAServerThatIsGone(t *testing.T) {
+func TestJanitorDropsCancelsForRemovedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ja := &janitor{find: func(string) (board.BackendServer, bool) { return board.BackendServer{}, false }}
-		<-ja.free(t.Context(), "e1", "r1")
-		assert.Equal(t, ja.owed(), 0)
+		<-ja.cancelAll(t.Context(), "e1", "r1")
+		assert.Equal(t, ja.pendingCount(), 0)
 	})
 }
 
@@ -91,40 +91,40 @@
 	clk := &clock.Manual{}
 	ts := &traces{clk: clk}
 	id := requestID{Customer: "kedelsyn", Key: "k"}
-	for ix := range 3 * traceLines {
+	for ix := range 3 * maxTraceLines {
 		clk.Advance(1)
-		ts.of(id).add(event.RequestRetried, fmt.Sprint(ix))
+		ts.getOrAdd(id).add(event.RequestRetried, fmt.Sprint(ix))
 	}
 	lines := ts.find(id)
-	assert.Equal(t, len(lines), traceLines)
+	assert.Equal(t, len(lines), maxTraceLines)
 	assert.Equal(t, lines[0].Text, "0")
-	assert.Equal(t, lines[traceLines-1].Text, fmt.Sprint(3*traceLines-1))
+	assert.Equal(t, lines[maxTraceLines-1].Text, fmt.Sprint(3*maxTraceLines-1))
 }
 
 func TestTracesForgetTheOldest(t *testing.T) {
 	ts := &traces{clk: &clock.Manual{}}
-	for ix := range traceRequests + 1 {
-		ts.of(requestID{Key: fmt.Sprint(ix)}).add(event.RequestAccepted, "")
+	for ix := range maxTraces + 1 {
+		ts.getOrAdd(requestID{Key: fmt.Sprint(ix)}).add(event.RequestAccepted, "")
 	}
 	assert.Equal(t, len(ts.find(requestID{Key: "0"})), 0)
 	assert.Equal(t, len(ts.find(requestID{Key: "1"})), 1)
-	assert.Equal(t, len(ts.byID), traceRequests)
+	assert.Equal(t, len(ts.byID), maxTraces)
 }
 
 // Bounds of the answers that the runs of a test keep.
 const (
-	testKeep  = 2 * clock.Minute
-	testBytes = 16 << 20
+	testRetention = 2 * clock.Minute
+	testMaxBytes  = 16 << 20
 )
 
 // endedRun is a run with the given end, entered into the registry.
 func endedRun(t *testing.T, rs *runs, key string, end func(st *answer.Stream) error) *run {
 	t.Helper()
-	rn, added := rs.enter(requestID{Key: key}, func() *run {
+	rn, added := rs.getOrAdd(requestID{Key: key}, func() *run {
 		return &run{id: requestID{Key: key}, st: answer.NewStream()}
 	})
 	assert.Assert(t, added)
-	rn.become(running)
+	rn.setRole(running)
 	assert.NilError(t, end(rn.st))
 	return rn
 }
@@ -142,13 +142,13 @@
 		{"not run", func(st *answer.Stream) error {
 			return st.Refuse(refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull})
 		}, false},
-		{"part of another answer", func(st *answer.Stream) error { return st.Refuse(errNotKept) }, false},
+		{"part of another answer", func(st *answer.Stream) error { return st.Refuse(errAnswerExpired) }, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			rs := runs{keep: testKeep, most: testBytes}
+			rs := runs{retention: testRetention, maxBytes: testMaxBytes}
 			rn := endedRun(t, &rs, "k", tc.end)
-			rs.end(rn, 0)
+			rs.keepEnded(rn, 0)
 			_, kept := rs.find(rn.id)
 			assert.Equal(t, kept, tc.kept)
 			assert.Equal(t, rs.inProgress(), 0)
@@ -157,20 +157,20 @@
 }
 
 func TestRunsDropAnswersByAgeAndBySize(t *testing.T) {
-	rs := runs{keep: testKeep, most: testBytes}
+	rs := runs{retention: testRetention, maxBytes: testMaxBytes}
 	whole := func(size int) func(st *answer.Stream) error {
 		return func(st *answer.Stream) error { return st.Whole(make([]byte, size)) }
 	}
 	old := endedRun(t, &rs, "old", whole(1))
-	rs.end(old, 0)
-	large := endedRun(t, &rs, "large", whole(testBytes-keptOverhead))
-	rs.end(large, testKeep/2)
+	rs.keepEnded(old, 0)
+	large := endedRun(t, &rs, "large", whole(testMaxBytes-keptOverhead))
+	rs.keepEnded(large, testRetention/2)
 	_, kept := rs.find(old.id)
 	assert.Assert(t, !kept, "the bound of bytes drops the oldest first")
 	_, kept = rs.find(large.id)
 	assert.Assert(t, kept)
 	small := endedRun(t, &rs, "small", whole(1))
-	rs.end(small, testKeep*2)
+	rs.keepEnded(small, testRetention*2)
 	_, kept = rs.find(large.id)
 	assert.Assert(t, !kept, "the bound of age")
 }
@@ -207,8 +207,8 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			rn := &run{}
-			rn.sent.Store(tc.sent)
-			rn.become(tc.role)
+			rn.mayHaveBeenSent.Store(tc.sent)
+			rn.setRole(tc.role)
 			assert.Equal(t, rn.refusalOf(t.Context(), tc.err).Ran, tc.want)
 		})
 	}
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -13,8 +13,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// explainAtOnce bounds how many VMs are asked at the same time.
-const explainAtOnce = 8
+// explainConcurrency bounds how many VMs are asked at the same time.
+const explainConcurrency = 8
 
 // explain asks all VMs what they know about a request. VMs that do not answer
 // are left out.
@@ -25,7 +25,7 @@
 	var mu sync.Mutex
 	var lines []operator.ExplainLine
 	var gr errgroup.Group
-	gr.SetLimit(explainAtOnce)
+	gr.SetLimit(explainConcurrency)
 	for _, to := range vm.Board.Fleet().Serving() {
 		gr.Go(func() error {
 			reply, err := vm.callPeer(ctx, to, ask)
--- a/internal/entry/find.go
+++ b/internal/entry/find.go
@@ -14,14 +14,14 @@
 // finder follows an answer that another VM runs or keeps, for callers who ask
 // for it without sending the request again.
 type finder struct {
-	cn frames
+	cn frameStream
 	st *answer.Stream
 }
 
-// findElsewhere finds the answer of a key at the other VMs, one after the
+// findRemote finds the answer of a key at the other VMs, one after the
 // other. A caller that sends the whole request again is led to it by the
 // seats of the key, at less cost.
-func (vm *VM) findElsewhere(ctx context.Context, id requestID) (*answer.Stream, error) {
+func (vm *VM) findRemote(ctx context.Context, id requestID) (*answer.Stream, error) {
 	for _, to := range vm.Board.Fleet().Serving() {
 		if to.ID == vm.Self.ID {
 			continue
@@ -45,14 +45,14 @@
 		return nil, err
 	}
 	fd := &finder{cn: cn, st: answer.NewStream()}
-	fd.st.OnWatchers(fd.watch)
+	fd.st.OnWatchers(fd.watchersChanged)
 	vm.wg.Go(fd.feed)
 	return fd.st, nil
 }
 
 // openAnswer opens the answer of a key at a VM that runs or keeps it.
-func (vm *VM) openAnswer(ctx context.Context, to board.VM, id requestID) (frames, error) {
-	ctx, stop := context.WithTimeout(ctx, callWithin.Std())
+func (vm *VM) openAnswer(ctx context.Context, to board.VM, id requestID) (frameStream, error) {
+	ctx, stop := context.WithTimeout(ctx, callTimeout.Std())
 	defer stop()
 	cn, err := vm.Peers.Open(context.WithoutCancel(ctx), to)
 	if err != nil {
@@ -63,7 +63,7 @@
 		cn.Close()
 		return nil, fmt.Errorf("ask %s for the answer: %w", to.ID, err)
 	}
-	fr, err := recvWithin(ctx, cn)
+	fr, err := recvOrClose(ctx, cn)
 	if err != nil || fr.GetAttachReply() == nil {
 		cn.Close()
 		return nil, errUnknownKey
@@ -71,7 +71,7 @@
 	return cn, nil
 }
 
-func (fd *finder) watch(watchers int) {
+func (fd *finder) watchersChanged(watchers int) {
 	if watchers == 0 {
 		fd.cn.Close()
 	}
--- a/internal/entry/find_test.go
+++ b/internal/entry/find_test.go
@@ -14,7 +14,7 @@
 // An answer that is read from another VM had an event that does not follow the
 // one before. It was dropped and nothing more was read, but the answer had no
 // end, so its caller waited for as long as its connection lasted.
-func TestFoundAnswerHasAnEndWhateverTheOtherVMSends(t *testing.T) {
+func TestFoundAnswerEndsAfterInvalidEvent(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		ev   *peerpb.AnswerEvent
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -15,10 +15,10 @@
 var errUnknownKey = errors.New("the VM does not know the request")
 
 // follow passes on the answer that another VM makes. It returns nil when the
-// answer has its end, and errNotKept if what this VM has is a part of another
+// answer has its end, and errAnswerExpired if what this VM has is a part of another
 // answer than that VM's.
 func (rn *run) follow(ctx context.Context, runner board.VMRef) error {
-	if rn.vm.self(runner) {
+	if rn.vm.isSelf(runner) {
 		return errUnknownKey // this VM gave the run up; the claim moves on
 	}
 	vm, ok := rn.vm.Board.Fleet().VM(runner.ID)
@@ -45,7 +45,7 @@
 	return rn.copyAnswer(cn, runner)
 }
 
-func (rn *run) copyAnswer(cn frames, runner board.VMRef) error {
+func (rn *run) copyAnswer(cn frameStream, runner board.VMRef) error {
 	for {
 		fr, err := cn.Recv()
 		if err != nil {
@@ -60,7 +60,7 @@
 			return errUnknownKey // the runner gave up on a caller who is here
 		}
 		if err := rn.st.Join(ev); err != nil {
-			return fmt.Errorf("follow %s: %w", runner.ID, notKept(err))
+			return fmt.Errorf("follow %s: %w", runner.ID, joinExpired(err))
 		}
 		if ev.Kind.Final() {
 			return nil
@@ -68,24 +68,24 @@
 	}
 }
 
-// notKept makes an answer.OtherError an errNotKept too.
-func notKept(err error) error {
+// joinExpired makes an answer.OtherError an errAnswerExpired too.
+func joinExpired(err error) error {
 	if _, other := errors.AsType[answer.OtherError](err); other {
-		return errors.Join(errNotKept, err)
+		return errors.Join(errAnswerExpired, err)
 	}
 	return err
 }
 
 // serveAttach sends the answer of a request that this VM runs to another VM,
 // for as long as that VM follows it.
-func (vm *VM) serveAttach(ctx context.Context, ask *peerpb.AttachAsk, cn frames) {
+func (vm *VM) serveAttach(ctx context.Context, ask *peerpb.AttachAsk, cn frameStream) {
 	rn, ok := vm.runs.find(requestID{Customer: ask.GetCustomer(), Key: ask.GetKey()})
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if ok {
 		rn.awaitRole(ctx)
 	}
-	if !ok || !rn.is(running) {
+	if !ok || !rn.hasRole(running) {
 		cn.Send(doneFrame())
 		return
 	}
@@ -118,7 +118,7 @@
 func (rn *run) awaitRole(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, claimTimeout.Std())
 	defer stop()
-	rn.settled(ctx)
+	rn.awaitRoleDecision(ctx)
 }
 
 func eventToWire(ev answer.Event) *peerpb.AnswerEvent {
@@ -137,10 +137,10 @@
 	return ev
 }
 
-// knownAnswer tells whether the end of an answer may be told to those who ask
+// replayableEnd tells whether the end of an answer may be told to those who ask
 // for it again. A refusal that promises NotRun frees the key instead, and so
 // does one that was meant for a caller with a part of another answer.
-func knownAnswer(ev answer.Event) bool {
+func replayableEnd(ev answer.Event) bool {
 	if ev.Kind != answer.Refused {
 		return true
 	}
--- a/internal/entry/follow_test.go
+++ b/internal/entry/follow_test.go
@@ -29,10 +29,10 @@
 	return vm
 }
 
-// newRunWith is a run of a VM whose answer has some tokens.
-func newRunWith(t *testing.T, vm *VM, tokens []string) *run {
+// newRunWithTokens is a run of a VM whose answer has some tokens.
+func newRunWithTokens(t *testing.T, vm *VM, tokens []string) *run {
 	t.Helper()
-	rn, _ := vm.runs.enter(requestID{Customer: "cu", Key: "k"}, func() *run {
+	rn, _ := vm.runs.getOrAdd(requestID{Customer: "cu", Key: "k"}, func() *run {
 		return vm.newRun(caller.Request{
 			Customer: "cu", Key: "k", Deadline: clock.Minute,
 			Class: template.Class{StreamWait: clock.Minute, Idempotent: true},
@@ -55,7 +55,7 @@
 // The follower asked the second VM for the tokens behind its own by the key
 // alone, so tokens of two runs made one answer, which ended as whole. Where the
 // second run was shorter, the follower waited for a token that never came.
-func TestFollowerTakesOnlyTheAnswerItHasAPartOf(t *testing.T) {
+func TestFollowerRejectsAnotherAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		name              string
 		has, before, then []string // of the follower; of the runner before it is asked, and after
@@ -76,8 +76,8 @@
 			near.Board.SetFleet(&board.Fleet{Self: near.Self, VMs: []board.VM{
 				{VMRef: far.Self, Peer: far.Peers.Address().String()},
 			}})
-			runner, rn := newRunWith(t, far, tc.before), newRunWith(t, near, tc.has)
-			runner.become(running)
+			runner, rn := newRunWithTokens(t, far, tc.before), newRunWithTokens(t, near, tc.has)
+			runner.setRole(running)
 			go func() {
 				addTokens(t, runner.st, tc.then)
 				if tc.end {
@@ -88,7 +88,7 @@
 			_, final := rn.st.Len()
 			assert.Equal(t, final, tc.kept)
 			if !tc.kept {
-				assert.Assert(t, errors.Is(err, errNotKept), "%v", err)
+				assert.Assert(t, errors.Is(err, errAnswerExpired), "%v", err)
 				assert.DeepEqual(t, rn.st.Tokens(), tc.has)
 				return
 			}
--- a/internal/entry/follower.go
+++ b/internal/entry/follower.go
@@ -19,26 +19,26 @@
 
 // Spans of following the log.
 const (
-	followerTick  = 250 * clock.Millis(1)
-	appendWithin  = 3 * clock.Second
-	publishWithin = 8 * clock.Second // longer than the follower takes for a verdict
+	followerTick   = 250 * clock.Millis(1)
+	appendTimeout  = 3 * clock.Second
+	publishTimeout = 8 * clock.Second // longer than the follower takes for a verdict
 )
 
 // errNotReady tells a peer that this VM has not learned the configuration.
 var errNotReady = errors.New("the peer has not learned the configuration")
 
 type (
-	// follower runs the decisions on one stream of the log. What other
+	// logFollower runs the decisions on one stream of the log. What other
 	// goroutines want to know of them is asked with look, between two steps.
-	follower struct {
-		vm     *VM
-		stream string
-		fo     *register.Follower
-		ac     *actor.Actor[register.Event, register.Intent]
-		after  func(fo *register.Follower) // each step; nil: nothing
+	logFollower struct {
+		vm        *VM
+		stream    string
+		fo        *register.Follower
+		ac        *actor.Actor[register.Event, register.Intent]
+		afterStep func(fo *register.Follower) // each step; nil: nothing
 
-		readAt    clock.Millis // of the last read that succeeded
-		reachable bool
+		lastReadAt clock.Millis // of the last read that succeeded
+		reachable  bool
 	}
 
 	// verdicts is the operators' calls that wait for what became of their
@@ -48,50 +48,50 @@
 		waiting map[string][]chan register.Verdict
 	}
 
-	// look is a question that is answered between two steps.
-	look struct {
+	// query is a question that is answered between two steps.
+	query struct {
 		register.Event
-		ask  func(fo *register.Follower)
+		run  func(fo *register.Follower)
 		done chan struct{}
 	}
 )
 
-func (vm *VM) newFollower(stream string, content register.Content) *follower {
-	fw := &follower{vm: vm, stream: stream, fo: &register.Follower{
+func (vm *VM) newLogFollower(stream string, content register.Content) *logFollower {
+	fw := &logFollower{vm: vm, stream: stream, fo: &register.Follower{
 		Self:     vm.Self,
 		Rand:     vm.rand(hashID(stream)),
 		Settings: register.Settings{Content: content},
 	}}
 	fw.ac = actor.New[register.Event, register.Intent](vm.Clock, register.Tick{}, followerTick)
 	fw.ac.Step = fw.step
-	fw.ac.Do = fw.carryOut
+	fw.ac.Do = fw.handleIntent
 	fw.ac.WakeAt = actor.WakeOf[register.Intent](func(wk register.Wake) clock.Millis { return wk.At })
 	return fw
 }
 
-func (fw *follower) step(now clock.Millis, ev register.Event) []register.Intent {
+func (fw *logFollower) step(now clock.Millis, ev register.Event) []register.Intent {
 	switch ev := ev.(type) {
-	case look:
-		ev.ask(fw.fo)
+	case query:
+		ev.run(fw.fo)
 		close(ev.done)
 		return nil
 	case register.Read:
 		fw.reachable = ev.Err == nil
 		if fw.reachable {
-			fw.readAt = now
+			fw.lastReadAt = now
 		}
 	}
 	out := fw.fo.Step(now, ev)
-	if fw.after != nil {
-		fw.after(fw.fo)
+	if fw.afterStep != nil {
+		fw.afterStep(fw.fo)
 	}
 	return out
 }
 
-// look has a question answered between two steps. It reports false if the
+// query has a question answered between two steps. It reports false if the
 // context ended first; the question is not asked after that, as it writes what
 // its asker reads.
-func (fw *follower) look(ctx context.Context, ask func(fo *register.Follower)) bool {
+func (fw *logFollower) query(ctx context.Context, ask func(fo *register.Follower)) bool {
 	var (
 		mu    sync.Mutex
 		ended bool
@@ -101,7 +101,7 @@
 		defer mu.Unlock()
 		ended = true
 	}()
-	lk := look{done: make(chan struct{}), ask: func(fo *register.Follower) {
+	lk := query{done: make(chan struct{}), run: func(fo *register.Follower) {
 		mu.Lock()
 		defer mu.Unlock()
 		if !ended {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (fw *follower) carryOut(in register.Intent) {
+func (fw *logFollower) handleIntent(in register.Intent) {
 	vm := fw.vm
 	switch in := in.(type) {
 	case register.ReadLog:
@@ -131,27 +131,27 @@
 	case register.AskSnapshot:
 		vm.wg.Go(func() { fw.askSnapshot(in) })
 	case register.InForce:
-		vm.useTemplates(in.Templates)
+		vm.applyTemplates(in.Templates)
 	case register.Verdict:
-		vm.verdicts.answer(in)
+		vm.verdicts.deliver(in)
 	case register.Note:
 		vm.Log.Log(in.Event, in.Fields...)
 	}
 }
 
-func (fw *follower) read(in register.ReadLog) {
+func (fw *logFollower) read(in register.ReadLog) {
 	ba, err := fw.vm.Logs.Read(fw.vm.loopCtx, fw.stream, in.From, in.Max, in.Wait)
 	fw.ac.Tell(fw.vm.loopCtx, register.Read{Batch: ba, Err: err})
 }
 
-func (fw *follower) append(in register.Append) {
-	ctx, stop := context.WithTimeout(fw.vm.loopCtx, appendWithin.Std())
+func (fw *logFollower) append(in register.Append) {
+	ctx, stop := context.WithTimeout(fw.vm.loopCtx, appendTimeout.Std())
 	defer stop()
 	offset, err := fw.vm.Logs.Append(ctx, fw.stream, in.Data)
 	fw.ac.Tell(fw.vm.loopCtx, register.Appended{ID: in.ID, Offset: offset, Err: err})
 }
 
-func (fw *follower) askPeer(in register.AskPeer) {
+func (fw *logFollower) askPeer(in register.AskPeer) {
 	ctx := fw.vm.loopCtx
 	reply, err := fw.vm.callPeer(ctx, in.VM, &peerpb.Frame{Body: &peerpb.Frame_LogAsk{
 		LogAsk: &peerpb.LogAsk{Stream: fw.stream, From: in.From, Max: int32(in.Max)},
@@ -159,7 +159,7 @@
 	fw.ac.Tell(ctx, register.PeerRecords{VM: in.VM.VMRef, Batch: batchFromWire(reply.GetLogRecords()), Err: err})
 }
 
-func (fw *follower) askSnapshot(in register.AskSnapshot) {
+func (fw *logFollower) askSnapshot(in register.AskSnapshot) {
 	ctx := fw.vm.loopCtx
 	reply, err := fw.vm.callPeer(ctx, in.VM, &peerpb.Frame{Body: &peerpb.Frame_SnapshotAsk{
 		SnapshotAsk: &peerpb.SnapshotAsk{Stream: fw.stream},
@@ -170,8 +170,8 @@
 	fw.ac.Tell(ctx, register.PeerSnapshot{VM: in.VM.VMRef, Data: reply.GetSnapshot().GetData(), Err: err})
 }
 
-// useTemplates puts the configuration in force on this VM.
-func (vm *VM) useTemplates(tp *board.Templates) {
+// applyTemplates puts the configuration in force on this VM.
+func (vm *VM) applyTemplates(tp *board.Templates) {
 	first := !vm.Board.Templates().Ready && tp.Ready
 	vm.Board.SetTemplates(tp)
 	if first {
@@ -181,11 +181,11 @@
 
 // publish puts an operator's template on the log and waits for the verdict.
 func (vm *VM) publish(ctx context.Context, pub operator.Publication) (operator.Verdict, error) {
-	ctx, stop := context.WithTimeout(ctx, publishWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, publishTimeout.Std())
 	defer stop()
 	decided := vm.verdicts.open(pub.ID)
 	tpl := pub.Template
-	vm.follower.ac.Tell(ctx, register.Change{ID: pub.ID, Customer: pub.Customer, Base: pub.Base, Template: &tpl, Again: pub.Again})
+	vm.templateFollower.ac.Tell(ctx, register.Change{ID: pub.ID, Customer: pub.Customer, Base: pub.Base, Template: &tpl, Again: pub.Again})
 	select {
 	case vd := <-decided:
 		return operatorVerdict(vd)
@@ -207,7 +207,7 @@
 	return ch
 }
 
-func (vs *verdicts) answer(vd register.Verdict) {
+func (vs *verdicts) deliver(vd register.Verdict) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	for _, ch := range vs.waiting[vd.ID] {
@@ -216,8 +216,8 @@
 	delete(vs.waiting, vd.ID)
 }
 
-// final are the reasons that publishing the same template again won't change.
-var final = map[register.Reason]bool{
+// finalReasons are the reasons that publishing the same template again won't change.
+var finalReasons = map[register.Reason]bool{
 	register.BaseMismatch: true,
 	register.BadValue:     true,
 	register.NothingThere: true,
@@ -235,7 +235,7 @@
 	case register.Conflict:
 		return out, nil
 	case register.NotPublished:
-		if final[vd.Reason] {
+		if finalReasons[vd.Reason] {
 			return out, nil
 		}
 		return out, refusal.Refusal{
@@ -251,14 +251,14 @@
 
 func (vm *VM) logStatus(now clock.Millis) operator.LogStatus {
 	var st operator.LogStatus
-	ctx, stop := context.WithTimeout(vm.loopCtx, callWithin.Std())
+	ctx, stop := context.WithTimeout(vm.loopCtx, callTimeout.Std())
 	defer stop()
-	vm.follower.look(ctx, func(fo *register.Follower) {
+	vm.templateFollower.query(ctx, func(fo *register.Follower) {
 		st = operator.LogStatus{
 			Position:  fo.Next(),
 			Ready:     fo.Ready(),
-			Reachable: vm.follower.reachable,
-			ReadAge:   now - vm.follower.readAt,
+			Reachable: vm.templateFollower.reachable,
+			ReadAge:   now - vm.templateFollower.lastReadAt,
 		}
 	})
 	return st
@@ -268,14 +268,14 @@
 func (vm *VM) answerLog(ctx context.Context, ask *peerpb.LogAsk) *peerpb.Frame {
 	var ba logsvc.Batch
 	if fw, ok := vm.followerOf(ask.GetStream()); ok {
-		fw.look(ctx, func(fo *register.Follower) { ba = fo.Records(ask.GetFrom(), int(ask.GetMax())) })
+		fw.query(ctx, func(fo *register.Follower) { ba = fo.Records(ask.GetFrom(), int(ask.GetMax())) })
 	}
 	return &peerpb.Frame{Body: &peerpb.Frame_LogRecords{LogRecords: batchToWire(ba)}}
 }
 
 // followerOf finds the follower of a stream of registers.
-func (vm *VM) followerOf(stream string) (*follower, bool) {
-	for _, fw := range []*follower{vm.follower, vm.leases} {
+func (vm *VM) followerOf(stream string) (*logFollower, bool) {
+	for _, fw := range []*logFollower{vm.templateFollower, vm.leaseFollower} {
 		if stream == fw.stream {
 			return fw, true
 		}
--- a/internal/entry/follower_test.go
+++ b/internal/entry/follower_test.go
@@ -12,11 +12,11 @@
 
 // A status call whose time was over read the answer while the follower, which
 // had been busy, wrote it.
-func TestQuestionThatWasGivenUpIsNotAsked(t *testing.T) {
-	fw := (&VM{Clock: clock.Monotonic{}}).newFollower("s", register.Templates)
+func TestCancelledQueryDoesNotRun(t *testing.T) {
+	fw := (&VM{Clock: clock.Monotonic{}}).newLogFollower("s", register.Templates)
 	ctx, stop := context.WithCancel(t.Context())
 	asked, given := false, make(chan bool)
-	go func() { given <- fw.look(ctx, func(*register.Follower) { asked = true }) }()
+	go func() { given <- fw.query(ctx, func(*register.Follower) { asked = true }) }()
 	late := <-fw.ac.Events
 	stop()
 	assert.Assert(t, !<-given)
--- a/internal/entry/hedge_test.go
+++ b/internal/entry/hedge_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	hedgeUsual = 10 * clock.Millis(1) // of an answer
-	hedgeSlow  = 5 * clock.Second     // of the first server that is asked
+	usualLatency = 10 * clock.Millis(1) // of an answer
+	slowLatency  = 5 * clock.Second     // of the first server that is asked
 )
 
 // hedgeRig is a VM with two servers of a plain service in memory.
@@ -47,7 +47,7 @@
 	vm.retries.Policy = &retry.Policy{Rand: vm.rand(2)}
 	bk := &board.Backends{}
 	for ix, addr := range []string{"10.0.0.1:80", "10.0.0.2:80"} {
-		sv := &servicesim.Server{ID: addr, Settings: servicesim.Settings{Latency: hedgeUsual}}
+		sv := &servicesim.Server{ID: addr, Settings: servicesim.Settings{Latency: usualLatency}}
 		hs := &http.Server{Handler: sv.Handler()}
 		ln := nw.Listen(addr)
 		go func() { _ = hs.Serve(ln) }()
@@ -65,23 +65,23 @@
 	vm.Board.SetBackends(bk)
 	vm.chooser.Update(vm.Clock.Now(), bk, 1)
 	for range 200 {
-		vm.earnRetry("hoalua", "kiosk-api")
-		vm.tookPlain("kiosk-api", hedgeUsual)
+		vm.earnRetryBudget("hoalua", "kiosk-api")
+		vm.recordPlainLatency("kiosk-api", usualLatency)
 	}
 	return rg
 }
 
-// slowFirst makes the server that is asked first answer late: the other one
+// slowFirstServer makes the server that is asked first answer late: the other one
 // has a call in flight already.
-func (rg *hedgeRig) slowFirst(t *testing.T) {
+func (rg *hedgeRig) slowFirstServer(t *testing.T) {
 	t.Helper()
-	id, err := rg.vm.pick(balance.Ask{Service: "kiosk-api", Customer: "other", Share: 1})
+	id, err := rg.vm.pickServer(balance.Ask{Service: "kiosk-api", Customer: "other", Share: 1})
 	assert.NilError(t, err)
 	first := 'b' - id[0] // the index of the other one
-	rg.servers[first].Control.Set(standin.Faults{Paths: []string{"/status"}, Slow: hedgeSlow})
+	rg.servers[first].Control.Set(standin.Faults{Paths: []string{"/status"}, Slow: slowLatency})
 }
 
-func (rg *hedgeRig) runs() int {
+func (rg *hedgeRig) totalRuns() int {
 	total := 0
 	for _, sv := range rg.servers {
 		total += len(sv.History().Runs)
@@ -91,7 +91,7 @@
 
 // An attempt that begins when its run has ended and dropped the request once
 // stopped the whole VM.
-func TestSlowerAttemptNeedsNothingOfAnEndedRun(t *testing.T) {
+func TestSlowerAttemptSurvivesTheEndOfItsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newHedgeRig(t)
 		rn := rg.vm.newRun(caller.Request{
@@ -100,10 +100,10 @@
 			Plain: &caller.Plain{Service: "kiosk-api", Method: http.MethodGet, Path: "/status"},
 		})
 		call := rn.plainCall()
-		rn.become(running)
+		rn.setRole(running)
 		assert.NilError(t, rn.st.Whole(nil))
-		rg.vm.runs.end(rn, rg.vm.Clock.Now())
-		at := rn.tryPlain(t.Context(), call, nil, nil)
+		rg.vm.runs.keepEnded(rn, rg.vm.Clock.Now())
+		at := rn.attemptPlain(t.Context(), call, nil, nil)
 		assert.NilError(t, at.err)
 		assert.Equal(t, string(at.rsp.Body), standin.Reply(http.MethodGet, "/status", nil))
 	})
@@ -121,31 +121,31 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rg := newHedgeRig(t)
-				rg.vm.fresh.Store(int64(clock.Hour))
+				rg.vm.quorateUntil.Store(int64(clock.Hour))
 				rn := rg.vm.newRun(caller.Request{
 					Customer: "hoalua", Key: "k", Deadline: clock.Minute,
 					Class: template.Class{Service: "kiosk-api", Urgency: template.Quick, Idempotent: tc.idempotent, Share: 1},
 					Plain: &caller.Plain{Service: "kiosk-api", Method: http.MethodGet, Path: "/status"},
 				})
-				rn.until = rg.vm.Clock.Now() + clock.Hour
-				rg.slowFirst(t)
+				rn.claimUntil = rg.vm.Clock.Now() + clock.Hour
+				rg.slowFirstServer(t)
 				start := rg.vm.Clock.Now()
-				assert.NilError(t, rn.plain(t.Context()))
+				assert.NilError(t, rn.runPlain(t.Context()))
 				took := rg.vm.Clock.Now() - start
 				last, whole := rn.st.Last()
 				assert.Assert(t, whole && last.Kind == answer.Whole)
-				assert.Equal(t, took < hedgeSlow, tc.idempotent, "took %s", took)
-				time.Sleep(2 * hedgeSlow.Std())
+				assert.Equal(t, took < slowLatency, tc.idempotent, "took %s", took)
+				time.Sleep(2 * slowLatency.Std())
 				if !tc.idempotent {
-					assert.Equal(t, rg.runs(), 1)
+					assert.Equal(t, rg.totalRuns(), 1)
 				}
 			})
 		})
 	}
 }
 
-// scripted answers each call of a service, in the order of their coming.
-type scripted struct {
+// scriptedTransport answers each call of a service, in the order of their coming.
+type scriptedTransport struct {
 	mu    sync.Mutex
 	calls []scriptedCall // the last one is for all that follow
 }
@@ -155,7 +155,7 @@
 	status int // 0 breaks off
 }
 
-func (sc *scripted) RoundTrip(req *http.Request) (*http.Response, error) {
+func (sc *scriptedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	sc.mu.Lock()
 	cl := sc.calls[0]
 	if len(sc.calls) > 1 {
@@ -177,7 +177,7 @@
 // A slow call was made a second time beside the first. The second server's word
 // that it failed came first and was taken for the answer, while the first one
 // went on to success.
-func TestFailureIsNoAnswerWhileAnotherAttemptGoesOn(t *testing.T) {
+func TestFailureIsNotFinalWhileAnotherAttemptRuns(t *testing.T) {
 	const slow = 5 * clock.Second
 	for _, tc := range []struct {
 		name   string
@@ -197,15 +197,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rg := newHedgeRig(t)
-				rg.vm.fresh.Store(int64(clock.Hour))
-				rg.vm.Services = &service.Client{HTTP: &http.Client{Transport: &scripted{calls: tc.calls}}}
+				rg.vm.quorateUntil.Store(int64(clock.Hour))
+				rg.vm.Services = &service.Client{HTTP: &http.Client{Transport: &scriptedTransport{calls: tc.calls}}}
 				rn := rg.vm.newRun(caller.Request{
 					Customer: "hoalua", Key: "k", Deadline: clock.Minute,
 					Class: template.Class{Service: "kiosk-api", Urgency: template.Quick, Idempotent: true, Share: 1},
 					Plain: &caller.Plain{Service: "kiosk-api", Method: http.MethodGet, Path: "/status"},
 				})
 				start := rg.vm.Clock.Now()
-				assert.NilError(t, rn.plain(t.Context()))
+				assert.NilError(t, rn.runPlain(t.Context()))
 				last, _ := rn.st.Last()
 				pa, err := caller.DecodePlain(last.Data)
 				assert.NilError(t, err)
--- a/internal/entry/janitor.go
+++ b/internal/entry/janitor.go
@@ -14,14 +14,14 @@
 
 // Spans of the janitor.
 const (
-	cancelTimeout  = 2 * clock.Second
-	cancelFirstTry = 100 * clock.Millis(1)
-	cancelLongest  = 5 * clock.Second
+	cancelTimeout    = 2 * clock.Second
+	cancelMinBackoff = 100 * clock.Millis(1)
+	cancelMaxBackoff = 5 * clock.Second
 )
 
 type (
-	// debt is a request that a backend server may still hold for this VM.
-	debt struct {
+	// pendingCancel is a request that a backend server may still hold for this VM.
+	pendingCancel struct {
 		Server  string
 		Request string
 		Attempt int // up to which all are cancelled
@@ -35,76 +35,76 @@
 		find   func(id string) (board.BackendServer, bool)
 		lg     event.Logger
 
-		mu   sync.Mutex
-		open map[debt]chan struct{} // closed once settled
-		wg   sync.WaitGroup
+		mu      sync.Mutex
+		pending map[pendingCancel]chan struct{} // closed once settled
+		wg      sync.WaitGroup
 	}
 )
 
-// free starts to cancel the request for good at the backend server. Asking
+// cancelAll starts to cancel the request for good at the backend server. Asking
 // twice does no harm. The channel is closed once the server confirmed, or once
 // nothing more can be done.
-func (ja *janitor) free(ctx context.Context, server, request string) <-chan struct{} {
-	return ja.freeAttempt(ctx, server, request, engine.AllAttempts)
+func (ja *janitor) cancelAll(ctx context.Context, server, request string) <-chan struct{} {
+	return ja.cancelAttempts(ctx, server, request, engine.AllAttempts)
 }
 
-// freeAttempt cancels the attempts up to the given one, so that a later one
+// cancelAttempts cancels the attempts up to the given one, so that a later one
 // may use the same backend server.
-func (ja *janitor) freeAttempt(ctx context.Context, server, request string, attempt int) <-chan struct{} {
-	db := debt{Server: server, Request: request, Attempt: attempt}
+func (ja *janitor) cancelAttempts(ctx context.Context, server, request string, attempt int) <-chan struct{} {
+	pc := pendingCancel{Server: server, Request: request, Attempt: attempt}
 	ja.mu.Lock()
 	defer ja.mu.Unlock()
-	if settled, ok := ja.open[db]; ok {
+	if settled, ok := ja.pending[pc]; ok {
 		return settled
 	}
-	if ja.open == nil {
-		ja.open = make(map[debt]chan struct{})
+	if ja.pending == nil {
+		ja.pending = make(map[pendingCancel]chan struct{})
 	}
 	settled := make(chan struct{})
-	ja.open[db] = settled
+	ja.pending[pc] = settled
 	ja.wg.Go(func() {
-		ja.settle(ctx, db)
+		ja.cancelWithRetry(ctx, pc)
 		ja.mu.Lock()
-		delete(ja.open, db)
+		delete(ja.pending, pc)
 		ja.mu.Unlock()
 		close(settled)
 	})
 	return settled
 }
 
-// owed tells how many cancels are not confirmed yet.
-func (ja *janitor) owed() int {
+// pendingCount tells how many cancels are not confirmed yet.
+func (ja *janitor) pendingCount() int {
 	ja.mu.Lock()
 	defer ja.mu.Unlock()
-	return len(ja.open)
+	return len(ja.pending)
 }
 
-func (ja *janitor) settle(ctx context.Context, db debt) {
-	pause := cancelFirstTry
+func (ja *janitor) cancelWithRetry(ctx context.Context, pc pendingCancel) {
+	pause := cancelMinBackoff
 	for {
-		err := ja.try(ctx, db)
+		err := ja.cancelOnce(ctx, pc)
 		if err == nil {
 			return
 		}
-		ja.lg.Log(event.CancelUnconfirmed, event.F("Server", db.Server), event.F("Error", err.Error()))
+		ja.lg.Log(event.CancelUnconfirmed, event.F("Server", pc.Server), event.F("Error", err.Error()))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause.Std()):
 		}
-		pause = min(2*pause, cancelLongest)
+		pause = min(2*pause, cancelMaxBackoff)
 	}
 }
 
-func (ja *janitor) try(ctx context.Context, db debt) error {
-	srv, ok := ja.find(db.Server)
+func (ja *janitor) cancelOnce(ctx context.Context, pc pendingCancel) error {
+	srv, ok := ja.find(pc.Server)
 	if !ok {
 		return nil
 	}
 	ctx, stop := context.WithTimeout(ctx, cancelTimeout.Std())
 	defer stop()
-	if err := ja.cancel(ctx, srv, db.Request, db.Attempt); err != nil {
-		return fmt.Errorf("cancel at %s: %w", db.Server, err)
+	if err := ja.cancel(ctx, srv, pc.Request, pc.Attempt); err != nil {
+		return fmt.Errorf("cancel at %s: %w", pc.Server, err)
 	}
 	return nil
 }
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -17,20 +17,20 @@
 	// given, and renewed each third of it.
 	leaseDuration = 20 * clock.Second
 	leaseTick     = 250 * clock.Millis(1)
-	leasesWait    = 5 * clock.Second // that a read of the leases waits for a record
+	leaseReadWait = 5 * clock.Second // that a read of the leases waits for a record
 )
 
 // lease is this VM's side of one cell's lease. Its Holder is stepped by one
 // loop and asked, at the last moment, by whoever sends an order.
 type lease struct {
-	vm   *VM
-	ctx  context.Context
-	ac   *actor.Actor[register.HolderEvent, register.HolderIntent]
-	tell func(ev orders.Event) // hears of Held and Lapsed
+	vm     *VM
+	ctx    context.Context
+	ac     *actor.Actor[register.HolderEvent, register.HolderIntent]
+	notify func(ev orders.Event) // hears of Held and Lapsed
 
-	mu    sync.Mutex
-	ho    *register.Holder
-	since uint64 // first token of the lease as it is held now; zero if it is not
+	mu         sync.Mutex
+	ho         *register.Holder
+	firstToken uint64 // first token of the lease as it is held now; zero if it is not
 }
 
 func leasesStream(stream string) string { return stream + "Leases" }
@@ -38,7 +38,7 @@
 func (vm *VM) newLease(ctx context.Context, cellName string, tell func(ev orders.Event)) *lease {
 	// Each Holder needs IDs of its own: a repeated ID is a repeated record.
 	number := vm.leaseSeed.Add(1)
-	le := &lease{vm: vm, ctx: ctx, tell: tell, ho: &register.Holder{
+	le := &lease{vm: vm, ctx: ctx, notify: tell, ho: &register.Holder{
 		Resource: "cell/" + cellName,
 		Self:     fmt.Sprintf("%.20s.%x.%d", vm.Self.ID, vm.Self.Incarnation, number),
 		Rand:     vm.rand(hashID(cellName) + number),
@@ -46,7 +46,7 @@
 	}}
 	le.ac = actor.New[register.HolderEvent, register.HolderIntent](vm.Clock, register.LeaseTick{}, leaseTick)
 	le.ac.Step = le.step
-	le.ac.Do = le.carryOut
+	le.ac.Do = le.handleIntent
 	le.ac.WakeAt = actor.WakeOf[register.HolderIntent](func(wk register.Wake) clock.Millis { return wk.At })
 	return le
 }
@@ -58,11 +58,11 @@
 	for _, in := range out {
 		switch in := in.(type) {
 		case register.Held:
-			if le.since == 0 {
-				le.since = in.Token
+			if le.firstToken == 0 {
+				le.firstToken = in.Token
 			}
 		case register.Lapsed:
-			le.since = 0
+			le.firstToken = 0
 		}
 	}
 	return out
@@ -74,33 +74,33 @@
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	newest, may := le.ho.MayOrder(le.vm.Clock.Now() + margin)
-	return may && le.since != 0 && le.since <= token && token <= newest
+	return may && le.firstToken != 0 && le.firstToken <= token && token <= newest
 }
 
-func (le *lease) carryOut(in register.HolderIntent) {
+func (le *lease) handleIntent(in register.HolderIntent) {
 	switch in := in.(type) {
 	case register.LeaseAppend:
 		le.vm.wg.Go(func() { le.append(in) })
 	case register.Held:
-		le.tell(orders.Held{Token: in.Token})
+		le.notify(orders.Held{Token: in.Token})
 	case register.Lapsed:
-		le.tell(orders.Lapsed{Token: in.Token})
+		le.notify(orders.Lapsed{Token: in.Token})
 	case register.Note:
 		le.vm.Log.Log(in.Event, in.Fields...)
 	}
 }
 
 func (le *lease) append(in register.LeaseAppend) {
-	ctx, stop := context.WithTimeout(le.ctx, appendWithin.Std())
+	ctx, stop := context.WithTimeout(le.ctx, appendTimeout.Std())
 	defer stop()
-	_, err := le.vm.Logs.Append(ctx, le.vm.leases.stream, in.Data)
+	_, err := le.vm.Logs.Append(ctx, le.vm.leaseFollower.stream, in.Data)
 	le.ac.Tell(le.ctx, register.LeaseAppended{ID: in.ID, Err: err})
 }
 
 // observeLeases tells the leases of this VM's cells what the log says of
 // them. It is called between two steps of the follower.
 func (vm *VM) observeLeases(fo *register.Follower) {
-	for _, hc := range vm.accountant.all() {
+	for _, hc := range vm.scheduler.allCells() {
 		le := hc.ord.lease
 		en, known := fo.Entry(le.ho.Resource)
 		le.ac.Tell(le.ctx, register.Observed{Entry: en, Known: known && fo.Ready()})
--- a/internal/entry/lease_test.go
+++ b/internal/entry/lease_test.go
@@ -13,8 +13,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// leaseBench is a lease of one VM, and the log that it is on.
-type leaseBench struct {
+// testLease is a lease of one VM, and the log that it is on.
+type testLease struct {
 	t     *testing.T
 	clk   *clock.Manual
 	le    *lease
@@ -22,8 +22,8 @@
 	next  uint64
 }
 
-func newLeaseBench(t *testing.T) *leaseBench {
-	lb := &leaseBench{t: t, clk: &clock.Manual{}, next: 41}
+func newTestLease(t *testing.T) *testLease {
+	lb := &testLease{t: t, clk: &clock.Manual{}, next: 41}
 	lb.clk.Advance(clock.Second)
 	vm := &VM{Clock: lb.clk, Self: board.VMRef{ID: strings.Repeat("v", 63), Incarnation: 1_790_000_000_000}, Settings: settings.Default()}
 	lb.le = vm.newLease(t.Context(), "m/0", nil)
@@ -32,7 +32,7 @@
 }
 
 // step tells the lease something; what it appends is on the log at once.
-func (lb *leaseBench) step(ev register.HolderEvent) {
+func (lb *testLease) step(ev register.HolderEvent) {
 	lb.t.Helper()
 	for _, in := range lb.le.step(lb.clk.Now(), ev) {
 		if la, ok := in.(register.LeaseAppend); ok {
@@ -40,19 +40,19 @@
 			assert.NilError(lb.t, err)
 			pub := rec.(register.Publish)
 			lb.next++
-			lb.taken(pub.ID, pub.Value)
+			lb.publishEntry(pub.ID, pub.Value)
 		}
 	}
 }
 
-func (lb *leaseBench) taken(id string, value json.RawMessage) {
+func (lb *testLease) publishEntry(id string, value json.RawMessage) {
 	lb.entry = register.Entry{Key: lb.le.ho.Resource, Revision: lb.next, ID: id, Value: value}
 	lb.step(register.Observed{Entry: lb.entry, Known: true})
 }
 
-func TestLeaseIsAskedByTheClock(t *testing.T) {
+func TestLeaseExpiresByTheClock(t *testing.T) {
 	const margin = 2 * clock.Second
-	lb := newLeaseBench(t)
+	lb := newTestLease(t)
 	assert.Assert(t, !lb.le.mayOrder(lb.next, 0), "not wanted yet")
 	lb.step(register.Want{Hold: true})
 	token := lb.entry.Revision
@@ -71,7 +71,7 @@
 // A renewal leaves orders of the lease as they are; a lease that lapsed and
 // was taken again doesn't.
 func TestOrdersOutliveRenewalsOnly(t *testing.T) {
-	lb := newLeaseBench(t)
+	lb := newTestLease(t)
 	lb.step(register.Want{Hold: true})
 	first := lb.entry.Revision
 	lb.clk.Advance(leaseDuration / 2)
@@ -80,7 +80,7 @@
 	assert.Assert(t, lb.le.mayOrder(first, 0) && lb.le.mayOrder(lb.entry.Revision, 0))
 
 	lb.next++
-	lb.taken("another-vm", json.RawMessage(`{"Holder":"another","Duration":"20s"}`))
+	lb.publishEntry("another-vm", json.RawMessage(`{"Holder":"another","Duration":"20s"}`))
 	assert.Assert(t, !lb.le.mayOrder(first, 0))
 	lb.clk.Advance(2 * leaseDuration)
 	lb.step(register.LeaseTick{})
@@ -90,8 +90,8 @@
 
 // A VM that accounts for a cell again starts with a new Holder, whose records
 // must not pass for repeats.
-func TestLeasesHaveIDsOfTheirOwn(t *testing.T) {
-	lb := newLeaseBench(t)
+func TestLeasesHaveDistinctIDs(t *testing.T) {
+	lb := newTestLease(t)
 	other := lb.le.vm.newLease(t.Context(), "m/0", nil)
 	lb.step(register.Want{Hold: true})
 	one := lb.entry.ID
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -21,14 +21,14 @@
 
 // Spans of the loops that read the platform.
 const (
-	listEvery = 1 * clock.Second
-	// listPerEntry is added to the span between two fetches for each entry of
-	// the list, up to listMost: a long list that changes often is not
+	listInterval = 1 * clock.Second
+	// listIntervalPerEntry is added to the span between two fetches for each entry of
+	// the list, up to maxListInterval: a long list that changes often is not
 	// read whole each second, and the VMs of a large fleet ask less often.
-	listPerEntry = 5 * clock.Millis(1)
-	listMost     = 5 * clock.Second
-	memberTick   = 100 * clock.Millis(1)
-	listMisses   = 5 // in a row are logged
+	listIntervalPerEntry = 5 * clock.Millis(1)
+	maxListInterval      = 5 * clock.Second
+	memberTick           = 100 * clock.Millis(1)
+	loggedListFailures   = 5 // in a row are logged
 )
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
@@ -54,17 +54,17 @@
 		}
 		return out
 	}
-	vm.members.Do = vm.moveFleet
+	vm.members.Do = vm.handleMembershipIntent
 	vm.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 }
 
-// moveFleet carries out what membership intends.
-func (vm *VM) moveFleet(in membership.Intent) {
+// handleMembershipIntent carries out what membership intends.
+func (vm *VM) handleMembershipIntent(in membership.Intent) {
 	switch in := in.(type) {
 	case membership.Send:
 		vm.Peers.Datagram(in.To, in.Datagram) // lost datagrams are membership's daily bread
 	case membership.Fresh:
-		vm.fresh.Store(int64(in.Until))
+		vm.quorateUntil.Store(int64(in.Until))
 	case membership.Refuted:
 		vm.Log.Log(event.HeldDead)
 		vm.refuted.raise()
@@ -75,16 +75,16 @@
 		old := vm.Board.Fleet()
 		fleet.LogChanges(vm.Log, old, in.Fleet)
 		vm.Board.SetFleet(in.Fleet)
-		vm.tellStarted(old, in.Fleet)
-		vm.fleetMove.raise()
+		vm.sendCatchUp(old, in.Fleet)
+		vm.fleetChanged.raise()
 	}
 }
 
 // startLoops starts the decisions and the loops that feed them.
 func (vm *VM) startLoops(ctx context.Context) {
 	for _, run := range []func(context.Context){
-		vm.members.Run, vm.follower.ac.Run, vm.leases.ac.Run,
-		vm.followFleet, vm.readList, vm.readSeats, vm.watchPlain, vm.poison.Share,
+		vm.members.Run, vm.templateFollower.ac.Run, vm.leaseFollower.ac.Run,
+		vm.forwardFleet, vm.pollList, vm.readSeats, vm.pollPlainLoad, vm.poison.Share,
 	} {
 		vm.wg.Go(func() { run(ctx) })
 	}
@@ -107,15 +107,15 @@
 
 func seedID(addr netip.AddrPort) string { return fmt.Sprintf("seed-%s", addr) }
 
-// followFleet passes each change of the fleet to the decisions that need it.
-func (vm *VM) followFleet(ctx context.Context) {
+// forwardFleet passes each change of the fleet to the decisions that need it.
+func (vm *VM) forwardFleet(ctx context.Context) {
 	for {
-		moved := vm.fleetMove.wait()
+		moved := vm.fleetChanged.wait()
 		fl := vm.Board.Fleet()
-		vm.follower.ac.Tell(ctx, register.Fleet{Fleet: fl})
-		vm.leases.ac.Tell(ctx, register.Fleet{Fleet: fl})
+		vm.templateFollower.ac.Tell(ctx, register.Fleet{Fleet: fl})
+		vm.leaseFollower.ac.Tell(ctx, register.Fleet{Fleet: fl})
 		vm.book.Tell(ctx, claim.Fleet{Fleet: fl})
-		vm.accountant.follow(ctx)
+		vm.scheduler.updateCells(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -124,19 +124,19 @@
 	}
 }
 
-// readList reads the platform's VM list. A list that can't be had changes
+// pollList reads the platform's VM list. A list that can't be had changes
 // nothing: the last one stays in use.
-func (vm *VM) readList(ctx context.Context) {
+func (vm *VM) pollList(ctx context.Context) {
 	misses := 0
 	rnd := vm.rand(5)
-	pause := listEvery
+	pause := listInterval
 	for {
 		list, err := vm.List.Fetch(ctx)
 		if err == nil {
 			misses = 0
-			vm.useList(ctx, list)
-			pause = listPause(len(list.VMs)+len(list.Servers), rnd)
-		} else if misses++; misses == listMisses {
+			vm.applyList(ctx, list)
+			pause = listDelay(len(list.VMs)+len(list.Servers), rnd)
+		} else if misses++; misses == loggedListFailures {
 			vm.Log.Log(event.ListUnreachable, event.F("Error", err.Error()))
 		}
 		if !clock.Sleep(ctx, pause) {
@@ -145,14 +145,14 @@
 	}
 }
 
-// listPause is the span until the next fetch, spread so that the VMs do not
+// listDelay is the span until the next fetch, spread so that the VMs do not
 // all ask at once.
-func listPause(entries int, rnd *rand.Rand) clock.Millis {
-	span := min(listMost, max(listEvery, clock.Millis(entries)*listPerEntry))
+func listDelay(entries int, rnd *rand.Rand) clock.Millis {
+	span := min(maxListInterval, max(listInterval, clock.Millis(entries)*listIntervalPerEntry))
 	return span - clock.Millis(rnd.Int64N(int64(span)/4))
 }
 
-func (vm *VM) useList(ctx context.Context, list vmlist.List) {
+func (vm *VM) applyList(ctx context.Context, list vmlist.List) {
 	vm.members.Tell(ctx, membership.Listed{VMs: list.VMs})
 	vm.backendsMu.Lock()
 	old := vm.Board.Backends()
@@ -163,12 +163,12 @@
 	vm.backendsMu.Unlock()
 	if !same {
 		vm.incarnations.Keep(func(id string) bool { _, listed := vm.Board.Backends().Server(id); return listed })
-		vm.accountant.follow(ctx)
+		vm.scheduler.updateCells(ctx)
 	}
 }
 
-// report puts a load report of an engine on the board.
-func (vm *VM) report(rp board.LoadReport) {
+// recordReport puts a load recordReport of an engine on the board.
+func (vm *VM) recordReport(rp board.LoadReport) {
 	vm.backendsMu.Lock()
 	defer vm.backendsMu.Unlock()
 	vm.Board.SetBackends(vm.Board.Backends().WithReport(rp))
--- a/internal/entry/model_test.go
+++ b/internal/entry/model_test.go
@@ -19,19 +19,19 @@
 	"alderdyke/pkg/clock"
 )
 
-// toldDecode is an engine that holds one decode.
-type toldDecode struct {
-	tokens  []string
-	base    int // tokens that an attempt before made; it has none of them
-	attempt int // 1 if zero
-	whole   bool
-	cut     bool // each stream breaks off after its first token, and the next one is of a later attempt
-	stalls  bool // after its tokens nothing comes
+// fakeDecode is an engine that holds one decode.
+type fakeDecode struct {
+	tokens    []string
+	firstKept int // tokens that an attempt before made; it has none of them
+	attempt   int // 1 if zero
+	complete  bool
+	breaks    bool // each stream breaks off after its first token, and the next one is of a later attempt
+	stalls    bool // after its tokens nothing comes
 }
 
-func (td *toldDecode) ServeHTTP(wr http.ResponseWriter, req *http.Request) {
+func (td *fakeDecode) ServeHTTP(wr http.ResponseWriter, req *http.Request) {
 	from, err := strconv.Atoi(req.URL.Query().Get("From"))
-	if err != nil || from < td.base {
+	if err != nil || from < td.firstKept {
 		wr.Header().Set(backend.DeclinedHeader, string(backend.Unknown))
 		wr.WriteHeader(http.StatusConflict)
 		return
@@ -39,8 +39,8 @@
 	wr.Header().Set(engine.AttemptHeader, strconv.Itoa(max(1, td.attempt)))
 	enc := json.NewEncoder(wr)
 	for ix := from; ix < len(td.tokens); ix++ {
-		_ = enc.Encode(engine.Token{Index: ix, Text: td.tokens[ix], Last: td.whole && ix == len(td.tokens)-1})
-		if td.cut {
+		_ = enc.Encode(engine.Token{Index: ix, Text: td.tokens[ix], Last: td.complete && ix == len(td.tokens)-1})
+		if td.breaks {
 			td.attempt = max(1, td.attempt) + 1
 			return
 		}
@@ -50,20 +50,20 @@
 		<-req.Context().Done()
 		return
 	}
-	if !td.whole {
+	if !td.complete {
 		_ = enc.Encode(engine.Token{Ended: string(backend.Cancelled)})
 	}
 }
 
-// newTold is a run of a VM, with a part of an answer, and the decode that it is
+// newDecodeRun is a run of a VM, with a part of an answer, and the decode that it is
 // to go on with.
-func newTold(t *testing.T, td *toldDecode, has []string) (*run, claim.Decided) {
+func newDecodeRun(t *testing.T, td *fakeDecode, has []string) (*run, claim.Decided) {
 	t.Helper()
-	return newToldBy(t, td, has)
+	return newEngineRun(t, td, has)
 }
 
-// newToldBy is the same for an engine of any kind.
-func newToldBy(t *testing.T, en http.Handler, has []string) (*run, claim.Decided) {
+// newEngineRun is the same for an engine of any kind.
+func newEngineRun(t *testing.T, en http.Handler, has []string) (*run, claim.Decided) {
 	t.Helper()
 	hs := httptest.NewServer(en)
 	t.Cleanup(hs.Close)
@@ -79,8 +79,8 @@
 		find:   func(string) (board.BackendServer, bool) { return board.BackendServer{}, false },
 		cancel: func(context.Context, board.BackendServer, string, int) error { return nil },
 	}
-	rn := newRunWith(t, vm, has)
-	rn.claimed = vm.noClaim()
+	rn := newRunWithTokens(t, vm, has)
+	rn.claimed = vm.newUnclaimed()
 	return rn, claim.Decided{Runner: runner, DecodeServer: "e1", EngineRequest: "cu/k/2.0"}
 }
 
@@ -90,33 +90,33 @@
 // it sent was joined to it. A part that lacked nothing but the end could not be
 // ended at all, since no token follows it, and the model made more tokens
 // behind the last one.
-func TestAnswerGoesOnOnlyWithItsOwnDecode(t *testing.T) {
+func TestAnswerContinuesOnlyFromItsOwnDecode(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		has  []string
-		told toldDecode
+		told fakeDecode
 		kept bool // the answer is whole, of the decode's tokens
 	}{
-		{"its own", []string{"a", "b"}, toldDecode{tokens: []string{"a", "b", "c"}, whole: true}, true},
-		{"its own, nothing is left but the end", []string{"a", "b"}, toldDecode{tokens: []string{"a", "b"}, whole: true}, true},
-		{"no part yet", nil, toldDecode{tokens: []string{"x", "y"}, whole: true}, true},
-		{"another", []string{"a", "b"}, toldDecode{tokens: []string{"x", "y", "z"}, whole: true}, false},
-		{"another that differs late", []string{"a", "b"}, toldDecode{tokens: []string{"a", "y", "z"}, whole: true}, false},
-		{"another that is shorter", []string{"a", "b"}, toldDecode{tokens: []string{"a"}, whole: true}, false},
-		{"one that can't be told from another", []string{"a", "b"}, toldDecode{tokens: []string{"", "", "c"}, base: 2, whole: true}, false},
-		{"cancelled", []string{"a"}, toldDecode{tokens: []string{"a", "b"}}, false},
-		{"another attempt after a break", nil, toldDecode{tokens: []string{"a", "b"}, whole: true, cut: true}, false},
+		{"its own", []string{"a", "b"}, fakeDecode{tokens: []string{"a", "b", "c"}, complete: true}, true},
+		{"its own, nothing is left but the end", []string{"a", "b"}, fakeDecode{tokens: []string{"a", "b"}, complete: true}, true},
+		{"no part yet", nil, fakeDecode{tokens: []string{"x", "y"}, complete: true}, true},
+		{"another", []string{"a", "b"}, fakeDecode{tokens: []string{"x", "y", "z"}, complete: true}, false},
+		{"another that differs late", []string{"a", "b"}, fakeDecode{tokens: []string{"a", "y", "z"}, complete: true}, false},
+		{"another that is shorter", []string{"a", "b"}, fakeDecode{tokens: []string{"a"}, complete: true}, false},
+		{"one that can't be told from another", []string{"a", "b"}, fakeDecode{tokens: []string{"", "", "c"}, firstKept: 2, complete: true}, false},
+		{"cancelled", []string{"a"}, fakeDecode{tokens: []string{"a", "b"}}, false},
+		{"another attempt after a break", nil, fakeDecode{tokens: []string{"a", "b"}, complete: true, breaks: true}, false},
 	} {
 		for _, way := range []struct {
 			name string
 			on   func(rn *run, dec claim.Decided) bool
 		}{
-			{"taken over", func(rn *run, dec claim.Decided) bool { return rn.resume(t.Context(), dec) }},
-			{"read on", func(rn *run, dec claim.Decided) bool { return rn.readOn(t.Context(), dec) }},
+			{"taken over", func(rn *run, dec claim.Decided) bool { return rn.resumeDecode(t.Context(), dec) }},
+			{"read on", func(rn *run, dec claim.Decided) bool { return rn.followDecode(t.Context(), dec) }},
 		} {
 			t.Run(tc.name+", "+way.name, func(t *testing.T) {
 				told := tc.told
-				rn, dec := newTold(t, &told, tc.has)
+				rn, dec := newDecodeRun(t, &told, tc.has)
 				assert.Equal(t, way.on(rn, dec), tc.kept)
 				last, final := rn.st.Last()
 				assert.Equal(t, final, tc.kept)
@@ -139,12 +139,12 @@
 		cause error // that ended the run; nil: only the stream broke
 		freed bool
 	}{
-		{"the key went to another VM", errLost, false},
+		{"the key went to another VM", errKeyLost, false},
 		{"the stream failed", nil, true},
 		{"the run ended otherwise", context.Canceled, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rn, dec := newTold(t, &toldDecode{tokens: []string{"a", "b"}, stalls: tc.cause != nil}, nil)
+			rn, dec := newDecodeRun(t, &fakeDecode{tokens: []string{"a", "b"}, stalls: tc.cause != nil}, nil)
 			freed := make(chan string, 1)
 			rn.vm.janitor.find = func(id string) (board.BackendServer, bool) { return board.BackendServer{ID: id}, true }
 			rn.vm.janitor.cancel = func(_ context.Context, srv board.BackendServer, _ string, _ int) error {
@@ -154,17 +154,17 @@
 			mine, lose := context.WithCancelCause(t.Context())
 			defer lose(nil)
 			if tc.cause != nil {
-				go loseAfterOne(rn, func() { lose(tc.cause) })
+				go loseAfterFirstToken(rn, func() { lose(tc.cause) })
 			}
-			assert.Assert(t, !rn.resume(mine, dec))
+			assert.Assert(t, !rn.resumeDecode(mine, dec))
 			rn.vm.janitor.wg.Wait()
 			assert.Equal(t, len(freed) == 1, tc.freed)
 		})
 	}
 }
 
-// loseAfterOne waits for the answer's first token.
-func loseAfterOne(rn *run, lose func()) {
+// loseAfterFirstToken waits for the answer's first token.
+func loseAfterFirstToken(rn *run, lose func()) {
 	rd := rn.st.Attach(0)
 	defer rd.Detach()
 	_, _ = rd.Next(rn.ctx)
@@ -183,7 +183,7 @@
 			rn := &run{vm: &VM{Self: self}, id: requestID{Customer: "cu", Key: "a/key"}}
 			name := rn.engineName(try)
 			names[name] = true
-			id, ok := keyOf(engine.Running{Customer: "cu", Request: name})
+			id, ok := requestIDOf(engine.Running{Customer: "cu", Request: name})
 			assert.Assert(t, ok && id == rn.id, "%s", name)
 		}
 	}
@@ -195,7 +195,7 @@
 // the last prefill engine of a cell, which then refused all requests:
 //
 //	refused (MayHaveRun): NoBackend: no engine of the cell takes work
-func TestRestIsTheWordOfAnEngineThatTakesNoCalls(t *testing.T) {
+func TestOnlyRefusedCallsRequestAPause(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		err  error
@@ -209,7 +209,7 @@
 		{"did not answer", backend.InDoubtError{Server: "e1"}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			server, rest := restOf(tc.err)
+			server, rest := requestedPause(tc.err)
 			assert.Equal(t, rest, tc.want)
 			assert.Equal(t, server != "", tc.want > 0)
 		})
--- a/internal/entry/operatorside.go
+++ b/internal/entry/operatorside.go
@@ -22,42 +22,42 @@
 	board.Left:    "Left",
 }
 
-// operatorSide is the VM as operators see it.
-type operatorSide struct{ vm *VM }
+// operatorBackend is the VM as operators see it.
+type operatorBackend struct{ vm *VM }
 
 // Templates implements operator.Backend.
-func (os operatorSide) Templates() *board.Templates { return os.vm.Board.Templates() }
+func (os operatorBackend) Templates() *board.Templates { return os.vm.Board.Templates() }
 
 // Drain implements operator.Backend.
-func (os operatorSide) Drain(context.Context) error {
+func (os operatorBackend) Drain(context.Context) error {
 	os.vm.beginStop()
 	return nil
 }
 
 // Publish implements operator.Backend.
-func (os operatorSide) Publish(ctx context.Context, pub operator.Publication) (operator.Verdict, error) {
+func (os operatorBackend) Publish(ctx context.Context, pub operator.Publication) (operator.Verdict, error) {
 	return os.vm.publish(ctx, pub)
 }
 
 // Explain implements operator.Backend: it asks every VM that may know.
-func (os operatorSide) Explain(ctx context.Context, customer, key string) ([]operator.ExplainLine, error) {
+func (os operatorBackend) Explain(ctx context.Context, customer, key string) ([]operator.ExplainLine, error) {
 	return os.vm.explain(ctx, requestID{Customer: customer, Key: key})
 }
 
 // Order implements operator.Backend: the VM that accounts for an engine's
 // cell gives it orders, whoever holds the lease before.
-func (os operatorSide) Order(ctx context.Context, od operator.Order) (operator.OrderReply, error) {
+func (os operatorBackend) Order(ctx context.Context, od operator.Order) (operator.OrderReply, error) {
 	vm := os.vm
-	cellName, ok := vm.cellOf(od.Server)
+	cellName, ok := vm.cellOfServer(od.Server)
 	if !ok {
 		return operator.OrderReply{}, operator.Fault{Reason: operator.UnknownServer, Detail: fmt.Sprintf("%.60q is no model engine of the VM list", od.Server)}
 	}
-	hc, ok := vm.accountant.find(cellName)
+	hc, ok := vm.scheduler.find(cellName)
 	if !ok {
-		at, _ := accountantOf(cellName, vm.Board.Fleet())
+		at, _ := schedulerOf(cellName, vm.Board.Fleet())
 		return operator.OrderReply{}, operator.Fault{Reason: operator.Elsewhere, Detail: fmt.Sprintf("VM %s gives orders to %s; ask that one", at.ID, od.Server)}
 	}
-	an := hc.ord.give(ctx, orders.Give{
+	an := hc.ord.giveOrder(ctx, orders.Give{
 		ID: uuid.NewString(), Server: od.Server, Order: engine.Order{Kind: od.Kind, Name: od.Name},
 	})
 	switch an.Reason {
@@ -74,7 +74,7 @@
 }
 
 // Status implements operator.Backend.
-func (os operatorSide) Status(context.Context) operator.Status {
+func (os operatorBackend) Status(context.Context) operator.Status {
 	vm := os.vm
 	fl := vm.Board.Fleet()
 	now := vm.Clock.Now()
@@ -87,10 +87,10 @@
 		Draining:      vm.draining.Load(),
 		Quorate:       fl.Quorate,
 		InProgress:    vm.runs.inProgress(),
-		Kept:          vm.runs.kept(),
-		Unconfirmed:   vm.janitor.owed(),
+		Kept:          vm.runs.keptCount(),
+		Unconfirmed:   vm.janitor.pendingCount(),
 		Log:           vm.logStatus(now),
-		Cells:         vm.accountant.status(),
+		Cells:         vm.scheduler.status(),
 	}
 	if seats := vm.seats.Load(); seats != nil {
 		st.Seats = len(seats.VMs)
@@ -135,7 +135,7 @@
 }
 
 // status lists the cells that this VM accounts for.
-func (ac *accountant) status() []operator.CellStatus {
+func (ac *scheduler) status() []operator.CellStatus {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	var out []operator.CellStatus
@@ -160,8 +160,8 @@
 	return waiting, granted
 }
 
-// kept counts the answers that are kept for callers who come back.
-func (rs *runs) kept() int {
+// keptCount counts the answers that are keptCount for callers who come back.
+func (rs *runs) keptCount() int {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return len(rs.ended)
--- a/internal/entry/order_test.go
+++ b/internal/entry/order_test.go
@@ -20,7 +20,7 @@
 
 // A holder that was paused and still believes that it holds the lease gives
 // no order; what an engine did with one is told as it was.
-func TestSendLooksAtTheLease(t *testing.T) {
+func TestSendChecksTheLease(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		paused clock.Millis
@@ -39,7 +39,7 @@
 			defer en.Close()
 			defer ts.Close()
 			srv := board.BackendServer{ID: "e0", Role: board.Prefill, Address: strings.TrimPrefix(ts.URL, "http://")}
-			lb := newLeaseBench(t)
+			lb := newTestLease(t)
 			vm := lb.le.vm
 			vm.Engines = &engine.Client{Clock: lb.clk}
 			hc := &heldCell{vm: vm, ctx: t.Context(), cell: cell{Name: "m/0", Servers: []board.BackendServer{srv}}}
@@ -67,19 +67,19 @@
 
 // The role that counts is the engine's newest word, however the VM list and
 // older reports contradict it.
-func TestNewestWordOnARoleCounts(t *testing.T) {
-	lb := newLeaseBench(t)
+func TestNewestReportedRoleWins(t *testing.T) {
+	lb := newTestLease(t)
 	srv := board.BackendServer{ID: "e0", Role: board.Prefill}
 	hc := &heldCell{vm: lb.le.vm, ctx: t.Context(), cell: cell{Name: "m/0", Servers: []board.BackendServer{srv}}}
 	rc := newReconciler(hc)
-	role := func() board.Role { return rc.fit(hc.servers())[0].Role }
+	role := func() board.Role { return rc.markUnfit(hc.servers())[0].Role }
 	assert.Equal(t, role(), board.Prefill, "the list's, as the engine has said nothing")
-	assert.Assert(t, rc.noteRole("e0", knownRole{role: board.Decode, at: 100}))
+	assert.Assert(t, rc.recordRole("e0", reportedRole{role: board.Decode, at: 100}))
 	assert.Equal(t, role(), board.Decode)
-	assert.Assert(t, !rc.noteRole("e0", knownRole{role: board.Prefill, at: 99}), "a report from before")
-	assert.Assert(t, !rc.noteRole("e0", knownRole{at: 200}), "a report without a role")
+	assert.Assert(t, !rc.recordRole("e0", reportedRole{role: board.Prefill, at: 99}), "a report from before")
+	assert.Assert(t, !rc.recordRole("e0", reportedRole{at: 200}), "a report without a role")
 	assert.Equal(t, role(), board.Decode)
-	assert.Assert(t, rc.noteRole("e0", knownRole{role: board.Prefill, at: 101}))
+	assert.Assert(t, rc.recordRole("e0", reportedRole{role: board.Prefill, at: 101}))
 	assert.Equal(t, role(), board.Prefill)
 }
 
@@ -89,7 +89,7 @@
 		"patient":   {},
 		"prefills":  {granted: true, stage: sched.Prefilling, prefill: "p", decode: "d"},
 		"decodes":   {granted: true, stage: sched.Decoding, prefill: "p", decode: "d"},
-		"preempted": {granted: true, taken: true, stage: sched.Prefilling, prefill: "p", decode: "d"},
+		"preempted": {granted: true, preempted: true, stage: sched.Prefilling, prefill: "p", decode: "d"},
 	}}
 	dm := hc.demand()
 	got, err := json.Marshal([]any{dm.quick, dm.patient, dm.work})
@@ -100,7 +100,7 @@
 
 // A prefill engine keeps a KV cache until a decode engine has it, and may not
 // change its role before; it computes nothing for it.
-func TestDemandTellsPromptsFromKVCaches(t *testing.T) {
+func TestDemandSeparatesPromptsFromKVCaches(t *testing.T) {
 	for _, stage := range []sched.Stage{sched.Prefilled, sched.Transferring, sched.Rejected} {
 		hc := &heldCell{held: map[string]*heldRequest{"waits": {granted: true, stage: stage, prefill: "p", decode: "d"}}}
 		dm := hc.demand()
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -18,17 +18,17 @@
 
 // Spans of orders to engines.
 const (
-	ordersTick  = 500 * clock.Millis(1)
-	orderWithin = 5 * clock.Second  // for the reply to a change of role
-	loadWithin  = 60 * clock.Second // for the reply to an order to load something
+	ordersTick       = 500 * clock.Millis(1)
+	roleOrderTimeout = 5 * clock.Second  // for the reply to a change of role
+	loadOrderTimeout = 60 * clock.Second // for the reply to an order to load something
 )
 
-// wrongRole is what a runner says, in place of a stage, of an engine that
+// stageWrongRole is what a runner says, in place of a stage, of an engine that
 // declined for its role.
-const wrongRole sched.Stage = "WrongRole"
+const stageWrongRole sched.Stage = "WrongRole"
 
-// resting is what it says of an engine that asked for rest, with its span.
-const resting sched.Stage = "Resting"
+// stageResting is what it says of an engine that asked for rest, with its span.
+const stageResting sched.Stage = "Resting"
 
 type (
 	// orderer gives orders to the engines of one cell that this VM accounts
@@ -49,8 +49,8 @@
 		prompts        map[string]int // that were granted and whose prompts are not computed yet, by prefill engine
 	}
 
-	// knownRole is the role that an engine was in by its own word.
-	knownRole struct {
+	// reportedRole is the role that an engine was in by its own word.
+	reportedRole struct {
 		role board.Role
 		at   clock.Millis // a point at which that was true
 	}
@@ -62,9 +62,9 @@
 	ce := &orders.Cell{Settings: orders.Settings{Off: !vm.Settings.Roles.Enabled, Dwell: vm.Settings.Roles.Dwell}}
 	or.ac = actor.New[orders.Event, orders.Intent](vm.Clock, orders.Tick{}, ordersTick)
 	or.ac.Step = ce.Step
-	or.ac.Do = or.carryOut
+	or.ac.Do = or.handleIntent
 	or.ac.WakeAt = func(orders.Intent) (clock.Millis, bool) { return 0, false }
-	or.lease = vm.newLease(ctx, name, or.tell)
+	or.lease = vm.newLease(ctx, name, or.post)
 	return or
 }
 
@@ -73,9 +73,9 @@
 	or.hc.vm.wg.Go(func() { or.lease.ac.Run(or.hc.ctx) })
 }
 
-func (or *orderer) tell(ev orders.Event) { or.ac.Tell(or.hc.ctx, ev) }
+func (or *orderer) post(ev orders.Event) { or.ac.Tell(or.hc.ctx, ev) }
 
-func (or *orderer) carryOut(in orders.Intent) {
+func (or *orderer) handleIntent(in orders.Intent) {
 	hc := or.hc
 	switch in := in.(type) {
 	case orders.Want:
@@ -87,7 +87,7 @@
 	case orders.Send:
 		hc.vm.wg.Go(func() { or.send(in) })
 	case orders.Answer:
-		or.answer(in)
+		or.deliver(in)
 	case orders.Note:
 		hc.vm.Log.Log(in.Event, in.Fields...)
 	}
@@ -97,7 +97,7 @@
 func (or *orderer) inspect(in orders.Inspect) {
 	hc := or.hc
 	out := orders.Inspected{Server: in.Server, Asked: hc.vm.Clock.Now(), Failed: true}
-	defer func() { or.tell(out) }()
+	defer func() { or.post(out) }()
 	srv, ok := hc.server(in.Server)
 	if !ok {
 		return
@@ -106,7 +106,7 @@
 	if err != nil {
 		return
 	}
-	ctx, stop := context.WithTimeout(hc.ctx, reportWithin.Std())
+	ctx, stop := context.WithTimeout(hc.ctx, reportTimeout.Std())
 	defer stop()
 	asked := hc.vm.Clock.Now()
 	rp, err := hc.vm.Engines.Load(ctx, srv)
@@ -120,21 +120,21 @@
 func (or *orderer) send(in orders.Send) {
 	hc := or.hc
 	out := orders.Sent{Server: in.Server, Outcome: orders.Outcome{Reason: orders.Declined}}
-	defer func() { or.tell(out) }()
+	defer func() { or.post(out) }()
 	srv, ok := hc.server(in.Server)
 	if !ok {
 		return
 	}
-	within := orderWithin
+	within := roleOrderTimeout
 	if in.Order.Kind != engine.ChangeRole {
-		within = loadWithin
+		within = loadOrderTimeout
 	}
 	ctx, stop := context.WithTimeout(hc.ctx, within.Std())
 	defer stop()
 	res, err := hc.vm.Engines.OrderIf(ctx, srv, in.Order, func() bool { return or.lease.mayOrder(in.Order.Fence, in.Margin) })
 	out.Outcome = outcomeOf(res, err)
 	if err == nil && res.Role != "" {
-		hc.rec.learnRole(hc.ctx, in.Server, knownRole{role: res.Role, at: hc.vm.Clock.Now()})
+		hc.rec.updateRole(hc.ctx, in.Server, reportedRole{role: res.Role, at: hc.vm.Clock.Now()})
 	}
 }
 
@@ -156,8 +156,8 @@
 	}
 }
 
-// give has an operator's order carried out and waits for what became of it.
-func (or *orderer) give(ctx context.Context, gv orders.Give) orders.Answer {
+// giveOrder has an operator's order carried out and waits for what became of it.
+func (or *orderer) giveOrder(ctx context.Context, gv orders.Give) orders.Answer {
 	ch := make(chan orders.Answer, 1)
 	or.mu.Lock()
 	or.answers[gv.ID] = ch
@@ -178,7 +178,7 @@
 	}
 }
 
-func (or *orderer) answer(an orders.Answer) {
+func (or *orderer) deliver(an orders.Answer) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
 	if ch, ok := or.answers[an.ID]; ok {
@@ -187,8 +187,8 @@
 	}
 }
 
-// observe tells the decisions on orders what the cell is like.
-func (rc *reconciler) observe() {
+// observeCell tells the decisions on orders what the cell is like.
+func (rc *reconciler) observeCell() {
 	hc := rc.hc
 	dm := hc.demand()
 	ob := orders.Observed{Quick: dm.quick, Patient: dm.patient}
@@ -201,7 +201,7 @@
 			Role:          kr.role,
 			RoleAt:        kr.at,
 			ChecksFencing: srv.ChecksFencing,
-			Fit:           ok && rc.misses[srv.ID] < reportMisses && !rc.leaves[srv.ID] && !srv.Leaving,
+			Fit:           ok && rc.misses[srv.ID] < maxReportMisses && !rc.leaving[srv.ID] && !srv.Leaving,
 			Work:          dm.work[srv.ID],
 			Prompts:       dm.prompts[srv.ID],
 			Running:       rp.Running,
@@ -210,19 +210,19 @@
 		})
 	}
 	rc.mu.Unlock()
-	hc.ord.tell(ob)
+	hc.ord.post(ob)
 }
 
-// learnRole notes an engine's own word on its role, unless a later one is
+// updateRole notes an engine's own word on its role, unless a later one is
 // known, and makes it count at once.
-func (rc *reconciler) learnRole(ctx context.Context, server string, kr knownRole) {
-	if rc.noteRole(server, kr) {
-		rc.tellServers(ctx)
+func (rc *reconciler) updateRole(ctx context.Context, server string, kr reportedRole) {
+	if rc.recordRole(server, kr) {
+		rc.updateServers(ctx)
 	}
 }
 
-// noteRole tells whether the role that counts has changed.
-func (rc *reconciler) noteRole(server string, kr knownRole) bool {
+// recordRole tells whether the role that counts has changed.
+func (rc *reconciler) recordRole(server string, kr reportedRole) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	old := rc.roles[server]
@@ -239,12 +239,12 @@
 	return true
 }
 
-// askRole asks an engine, which declined an order for its role, for its
+// refreshRole asks an engine, which declined an order for its role, for its
 // report at once.
-func (rc *reconciler) askRole(ctx context.Context, server string) {
+func (rc *reconciler) refreshRole(ctx context.Context, server string) {
 	srv, ok := rc.hc.server(server)
-	if ok && rc.load(ctx, srv) {
-		rc.tellServers(ctx)
+	if ok && rc.pollEngine(ctx, srv) {
+		rc.updateServers(ctx)
 	}
 }
 
@@ -253,11 +253,11 @@
 	rc.mu.Lock()
 	rc.drained[in.Server] = in.Stop
 	rc.mu.Unlock()
-	rc.tellServers(ctx)
+	rc.updateServers(ctx)
 }
 
-func (rc *reconciler) tellServers(ctx context.Context) {
-	rc.hc.ac.Tell(ctx, sched.Servers{Servers: rc.fit(rc.hc.servers())})
+func (rc *reconciler) updateServers(ctx context.Context) {
+	rc.hc.ac.Tell(ctx, sched.Servers{Servers: rc.markUnfit(rc.hc.servers())})
 }
 
 // demand counts the requests that wait, and those that were granted by the
@@ -267,7 +267,7 @@
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
 	for _, hr := range hc.held {
-		waits := !hr.granted || hr.taken
+		waits := !hr.granted || hr.preempted
 		switch {
 		case waits && hr.quick:
 			dm.quick++
@@ -295,8 +295,8 @@
 	return board.BackendServer{}, false
 }
 
-// all lists the cells that this VM accounts for.
-func (ac *accountant) all() []*heldCell {
+// allCells lists the cells that this VM accounts for.
+func (ac *scheduler) allCells() []*heldCell {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	var out []*heldCell
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -34,28 +34,28 @@
 	model  = "rapportmodel"
 )
 
-// fleet is some VMs and their stand-ins in this process.
-type fleet struct {
+// testFleet is some VMs and their stand-ins in this process.
+type testFleet struct {
 	t    *testing.T
 	dp   *deployment.Deployment
 	sets []settings.Settings
-	log  *lines
+	log  *logBuffer
 }
 
-// lines is a log that can be read while it is written.
-type lines struct {
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (ln *lines) Write(text []byte) (int, error) {
+func (ln *logBuffer) Write(text []byte) (int, error) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.buf.Write(text)
 }
 
-// tell logs what the VMs wrote, and what the engines declined.
-func (fl *fleet) tell() {
+// logState logs what the VMs wrote, and what the engines declined.
+func (fl *testFleet) logState() {
 	for _, en := range fl.dp.Engines {
 		fl.t.Logf("%s declined %v", en.ID, en.History().Declined)
 	}
@@ -64,7 +64,7 @@
 	fl.t.Logf("the VMs' log:\n%s", fl.log.buf.String())
 }
 
-func (ln *lines) has(ev event.Event) bool {
+func (ln *logBuffer) contains(ev event.Event) bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return strings.Contains(ln.buf.String(), fmt.Sprintf(`"Name":%q`, ev.Name))
@@ -72,7 +72,7 @@
 
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitMost); !is(); {
+	for end := time.Now().Add(eventuallyTimeout); !is(); {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -80,28 +80,28 @@
 	}
 }
 
-// waitMost bounds every wait for an event. It ends only tests that have
+// eventuallyTimeout bounds every wait for an event. It ends only tests that have
 // failed, which would hang otherwise.
-const waitMost = 2 * time.Minute
+const eventuallyTimeout = 2 * time.Minute
 
-func startFleet(t *testing.T, vms int, checks bool, roles settings.Roles) *fleet {
+func startFleet(t *testing.T, vms int, checks bool, roles settings.Roles) *testFleet {
 	t.Helper()
 	return startFleetOf(t, vms, 3, checks, roles)
 }
 
 // startFleetOf starts a fleet with some prefill engines and one decode engine.
-func startFleetOf(t *testing.T, vms, prefill int, checks bool, roles settings.Roles) *fleet {
+func startFleetOf(t *testing.T, vms, prefill int, checks bool, roles settings.Roles) *testFleet {
 	t.Helper()
 	set := enginesim.DefaultSettings()
 	set.Slots, set.TPOT, set.ChecksFencing = 4, 10, checks
-	fl := &fleet{t: t, log: &lines{}, dp: &deployment.Deployment{
+	fl := &testFleet{t: t, log: &logBuffer{}, dp: &deployment.Deployment{
 		Model: model, Prefill: prefill, Decode: 1, FailureDomains: []string{"a", "b"}, Region: "here", Engine: set,
 	}}
 	assert.NilError(t, fl.dp.Start())
 	t.Cleanup(func() { assert.Check(t, fl.dp.Close()) })
 	t.Cleanup(func() {
 		if t.Failed() {
-			fl.tell()
+			fl.logState()
 		}
 	})
 	for ix := range vms {
@@ -125,30 +125,30 @@
 		stop()
 		running.Wait()
 	})
-	fl.ready()
+	fl.awaitReady()
 	return fl
 }
 
-func (fl *fleet) operator(ix int) operator.Client {
+func (fl *testFleet) operatorClient(ix int) operator.Client {
 	return operator.Client{Address: fl.sets[ix].Operator.Listen.String(), Token: fl.sets[ix].Operator.Token}
 }
 
-// ready waits until all VMs serve and one accounts for the cell.
-func (fl *fleet) ready() {
+// awaitReady waits until all VMs serve and one accounts for the cell.
+func (fl *testFleet) awaitReady() {
 	tpl, err := template.Parse("kedelsyn.toml", examples.Kedelsyn)
 	assert.NilError(fl.t, err)
 	eventually(fl.t, "the template is published", func() bool {
-		rep, err := fl.operator(0).Publish(fl.t.Context(), operator.Publication{ID: "first", Customer: tpl.Customer, Template: tpl})
+		rep, err := fl.operatorClient(0).Publish(fl.t.Context(), operator.Publication{ID: "first", Customer: tpl.Customer, Template: tpl})
 		return err == nil && rep.Accepted
 	})
 	eventually(fl.t, "all VMs serve", func() bool {
 		cells := 0
 		for ix := range fl.sets {
-			st, err := fl.operator(ix).Status(fl.t.Context())
+			st, err := fl.operatorClient(ix).Status(fl.t.Context())
 			if err != nil || st.Seats != len(fl.sets) || len(st.Fleet) != len(fl.sets) {
 				return false
 			}
-			if _, err := fl.operator(ix).Template(fl.t.Context(), tpl.Customer); err != nil {
+			if _, err := fl.operatorClient(ix).Template(fl.t.Context(), tpl.Customer); err != nil {
 				return false
 			}
 			cells += len(st.Cells)
@@ -157,9 +157,9 @@
 	})
 }
 
-// crowd keeps callers with long answers at the fleet until the function that
+// startCallers keeps callers with long answers at the fleet until the function that
 // it returns is called, which returns how many answers came, all of them whole.
-func (fl *fleet) crowd(callers int) (stop func() int) {
+func (fl *testFleet) startCallers(callers int) (stop func() int) {
 	cl := &client.Client{APIKey: apiKey}
 	for _, set := range fl.sets {
 		cl.Bootstrap = append(cl.Bootstrap, set.Caller.Listen.String())
@@ -201,8 +201,8 @@
 	}
 }
 
-// changed lists the engines whose role is another than at their start.
-func (fl *fleet) changed() []*enginesim.Engine {
+// changedEngines lists the engines whose role is another than at their start.
+func (fl *testFleet) changedEngines() []*enginesim.Engine {
 	var out []*enginesim.Engine
 	for _, en := range fl.dp.Engines {
 		if en.History().Role != en.Role {
@@ -212,9 +212,9 @@
 	return out
 }
 
-// decodes tells whether an engine that was to be a prefill engine by the VM
+// hasDecoded tells whether an engine that was to be a prefill engine by the VM
 // list has decoded whole answers.
-func decodes(en *enginesim.Engine) bool {
+func hasDecoded(en *enginesim.Engine) bool {
 	for _, rn := range en.History().Runs {
 		if rn.Role == board.Decode && rn.Outcome == enginesim.Complete {
 			return true
@@ -262,10 +262,10 @@
 			for _, en := range fl.dp.Engines {
 				en.Control.Set(tc.faults)
 			}
-			stop := fl.crowd(10)
+			stop := fl.startCallers(10)
 			eventually(t, "a prefill engine decodes", func() bool {
-				for _, en := range fl.changed() {
-					if decodes(en) {
+				for _, en := range fl.changedEngines() {
+					if hasDecoded(en) {
 						return true
 					}
 				}
@@ -273,7 +273,7 @@
 			})
 			answers := stop()
 			assert.Assert(t, answers >= 10)
-			assert.Assert(t, fl.log.has(event.LeaseTaken) && fl.log.has(event.RoleChanged) && fl.log.has(tc.event))
+			assert.Assert(t, fl.log.contains(event.LeaseTaken) && fl.log.contains(event.RoleChanged) && fl.log.contains(tc.event))
 			roles := map[board.Role]int{}
 			for _, en := range fl.dp.Engines {
 				hist := en.History()
@@ -289,7 +289,7 @@
 			for _, rec := range recs {
 				size += len(rec.Data)
 			}
-			t.Logf("%d answers; %d changes of role; %d records of leases, %d bytes", answers, len(fl.changed()), len(recs), size)
+			t.Logf("%d answers; %d changes of role; %d records of leases, %d bytes", answers, len(fl.changedEngines()), len(recs), size)
 		})
 	}
 }
@@ -297,7 +297,7 @@
 func TestRolesStayWhereTheyAreSwitchedOff(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, 1, true, settings.Roles{Dwell: 100})
-	stop := fl.crowd(8)
+	stop := fl.startCallers(8)
 	eventually(t, "the decode engine is full for many times the dwell", func() bool { return len(fl.dp.Engines[3].History().Runs) > 24 })
 	stop()
 	for _, en := range fl.dp.Engines {
@@ -307,7 +307,7 @@
 
 // An operator's order goes to the VM that accounts for the engine; the other
 // one names it.
-func TestOperatorsHaveEnginesLoad(t *testing.T) {
+func TestOperatorOrdersEngineLoad(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, 2, true, settings.Roles{Dwell: clock.Minute})
 	en := fl.dp.Engines[3]
@@ -315,7 +315,7 @@
 	od := operator.Order{Server: en.ID, Kind: engine.LoadAdapter, Name: "boilers"}
 	done, elsewhere := 0, 0
 	for ix := range fl.sets {
-		rep, err := fl.operator(ix).Order(t.Context(), od)
+		rep, err := fl.operatorClient(ix).Order(t.Context(), od)
 		var fa operator.Fault
 		switch {
 		case err == nil:
@@ -333,7 +333,7 @@
 	assert.Equal(t, len(orders), 2, "the reply was lost once")
 	assert.Equal(t, orders[0].Fence, orders[1].Fence)
 	assert.Equal(t, orders[0].Name, "boilers")
-	_, err := fl.operator(0).Order(t.Context(), operator.Order{Server: "nobody", Kind: engine.LoadModel, Name: "m"})
+	_, err := fl.operatorClient(0).Order(t.Context(), operator.Order{Server: "nobody", Kind: engine.LoadModel, Name: "m"})
 	var fa operator.Fault
 	assert.Assert(t, errors.As(err, &fa) && fa.Reason == operator.UnknownServer, "%v", err)
 }
@@ -341,14 +341,14 @@
 // Engines that change their roles unasked, as by an order of another holder
 // that arrives late, cost attempts but no answer: first a prefill engine, and
 // once that decodes, the decode engine.
-func TestRolesThatChangeUnasked(t *testing.T) {
+func TestUnorderedRoleChanges(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, 1, false, settings.Roles{Dwell: clock.Minute})
-	stop := fl.crowd(3)
+	stop := fl.startCallers(3)
 	eventually(t, "the decode engine works", func() bool { return len(fl.dp.Engines[3].History().Runs) > 3 })
-	fl.turn(fl.dp.Engines[0], board.Decode)
-	eventually(t, "the new decode engine decodes", func() bool { return decodes(fl.dp.Engines[0]) })
-	fl.turn(fl.dp.Engines[3], board.Prefill)
+	fl.changeRole(fl.dp.Engines[0], board.Decode)
+	eventually(t, "the new decode engine decodes", func() bool { return hasDecoded(fl.dp.Engines[0]) })
+	fl.changeRole(fl.dp.Engines[3], board.Prefill)
 	eventually(t, "the new prefill engine prefills", func() bool {
 		for _, rn := range fl.dp.Engines[3].History().Runs {
 			if rn.Role == board.Prefill && rn.Outcome == enginesim.Complete {
@@ -358,7 +358,7 @@
 		return false
 	})
 	stop()
-	assert.Assert(t, fl.log.has(event.RoleDiffers))
+	assert.Assert(t, fl.log.contains(event.RoleDiffers))
 	declined := 0
 	for _, en := range fl.dp.Engines {
 		declined += en.History().Declined[backend.WrongRole]
@@ -366,9 +366,9 @@
 	t.Logf("%d orders were declined for the engine's role", declined)
 }
 
-// turn orders an engine past the VMs.
-func (fl *fleet) turn(en *enginesim.Engine, role board.Role) {
-	st, err := fl.operator(0).Status(fl.t.Context())
+// changeRole orders an engine past the VMs.
+func (fl *testFleet) changeRole(en *enginesim.Engine, role board.Role) {
+	st, err := fl.operatorClient(0).Status(fl.t.Context())
 	assert.NilError(fl.t, err)
 	ec := &engine.Client{Token: deployment.BackendToken}
 	for _, srv := range st.Backends {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,12 +16,12 @@
 
 // Bounds of what is asked of another VM.
 const (
-	callWithin      = 1 * clock.Second
-	dialWithin      = 400 * clock.Millis(1)
-	handshakeWithin = 800 * clock.Millis(1)
-	// peerStreams bounds the streams that one VM may hold open here: mostly
+	callTimeout      = 1 * clock.Second
+	dialTimeout      = 400 * clock.Millis(1)
+	handshakeTimeout = 800 * clock.Millis(1)
+	// maxPeerStreams bounds the streams that one VM may hold open here: mostly
 	// reservations, which live as long as their requests and those that wait.
-	peerStreams = 2048
+	maxPeerStreams = 2048
 )
 
 // peerHandler serves the streams that other VMs open.
@@ -35,7 +35,7 @@
 	}
 	switch body := fr.GetBody().(type) {
 	case *peerpb.Frame_ReserveAsk:
-		ph.vm.accountant.serve(ctx, from, body.ReserveAsk, cn)
+		ph.vm.scheduler.serve(ctx, from, body.ReserveAsk, cn)
 	case *peerpb.Frame_AttachAsk:
 		ph.vm.serveAttach(ctx, body.AttachAsk, cn)
 	default:
@@ -53,10 +53,10 @@
 	case *peerpb.Frame_ClaimAsk:
 		return vm.answerClaim(ctx, body.ClaimAsk)
 	case *peerpb.Frame_ClaimUpdate:
-		vm.tellBook(ctx, body.ClaimUpdate)
+		vm.updateBook(ctx, body.ClaimUpdate)
 		return doneFrame(), nil
 	case *peerpb.Frame_ClaimHandoff:
-		vm.takeHandoff(ctx, body.ClaimHandoff)
+		vm.receiveHandoff(ctx, body.ClaimHandoff)
 		return doneFrame(), nil
 	case *peerpb.Frame_LogAsk:
 		return vm.answerLog(ctx, body.LogAsk), nil
@@ -69,10 +69,10 @@
 	}
 }
 
-// heard passes an authentic datagram to who it is for. A full backlog of membership
+// handleDatagram passes an authentic datagram to who it is for. A full backlog of membership
 // drops it, as the network may.
-func (vm *VM) heard(dg *peerpb.Datagram, _ netip.AddrPort) {
-	vm.spread().PassOn(dg)
+func (vm *VM) handleDatagram(dg *peerpb.Datagram, _ netip.AddrPort) {
+	vm.broadcast().PassOn(dg)
 	if re := dg.GetRequestEnd(); re != nil {
 		if en, ok := fleet.EndFromWire(re); ok {
 			vm.poison.Heard(en)
@@ -91,7 +91,7 @@
 	if to.ID == vm.Self.ID {
 		return vm.answerPeer(ctx, ask)
 	}
-	ctx, stop := context.WithTimeout(ctx, callWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, callTimeout.Std())
 	defer stop()
 	reply, err := vm.Peers.Call(ctx, to, ask)
 	if err != nil {
@@ -100,27 +100,27 @@
 	return reply, nil
 }
 
-// openAccountant opens a stream to the VM that accounts for the cell.
-func (vm *VM) openAccountant(ctx context.Context, cellName string) (frames, error) {
-	to, ok := accountantOf(cellName, vm.Board.Fleet())
+// openScheduler opens a stream to the VM that accounts for the cell.
+func (vm *VM) openScheduler(ctx context.Context, cellName string) (frameStream, error) {
+	to, ok := schedulerOf(cellName, vm.Board.Fleet())
 	if !ok {
-		return nil, errAccountantAway
+		return nil, errSchedulerAway
 	}
 	if to.ID == vm.Self.ID {
 		near, far := newPipe()
 		vm.wg.Go(func() { vm.serveLocal(far) })
 		return near, nil
 	}
-	cn, err := vm.openWithin(ctx, answerWithin, to)
+	cn, err := vm.openWithTimeout(ctx, schedulerAckTimeout, to)
 	if err != nil {
 		return nil, fmt.Errorf("open a stream to the accountant %s: %w", to.ID, err)
 	}
 	return cn, nil
 }
 
-// openWithin opens a stream within a span. The stream lives until the context
+// openWithTimeout opens a stream within a span. The stream lives until the context
 // ends, which bounds it for its whole life; the span bounds the opening alone.
-func (vm *VM) openWithin(ctx context.Context, span clock.Millis, to board.VM) (*peer.Conn, error) {
+func (vm *VM) openWithTimeout(ctx context.Context, span clock.Millis, to board.VM) (*peer.Conn, error) {
 	life, end := context.WithCancelCause(ctx)
 	late := time.AfterFunc(span.Std(), func() { end(context.DeadlineExceeded) })
 	cn, err := vm.Peers.Open(life, to)
@@ -136,11 +136,11 @@
 	return cn, nil
 }
 
-func (vm *VM) serveLocal(cn frames) {
+func (vm *VM) serveLocal(cn frameStream) {
 	fr, err := cn.Recv()
 	if err != nil || fr.GetReserveAsk() == nil {
 		cn.Close()
 		return
 	}
-	vm.accountant.serve(vm.runCtx, vm.Self, fr.GetReserveAsk(), cn)
+	vm.scheduler.serve(vm.runCtx, vm.Self, fr.GetReserveAsk(), cn)
 }
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -58,7 +58,7 @@
 	}})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	cn, err := vm.openAccountant(ctx, "svc/0")
+	cn, err := vm.openScheduler(ctx, "svc/0")
 	assert.NilError(t, err)
 	for range 3 {
 		assert.NilError(t, cn.Send(&peerpb.Frame{Body: &peerpb.Frame_ReserveAsk{ReserveAsk: &peerpb.ReserveAsk{}}}))
--- a/internal/entry/pending.go
+++ b/internal/entry/pending.go
@@ -9,47 +9,47 @@
 // pending matches replies to the questions that wait for them, each named by
 // a number. The zero value is ready to use.
 type pending[Reply any] struct {
-	mu   sync.Mutex
-	last uint64
-	open map[uint64]chan Reply
+	mu      sync.Mutex
+	lastID  uint64
+	waiting map[uint64]chan Reply
 }
 
-// ask opens a question. The caller must wait for its reply or drop it.
-func (pd *pending[Reply]) ask() uint64 {
+// open opens a question. The caller must wait for its reply or drop it.
+func (pd *pending[Reply]) open() uint64 {
 	pd.mu.Lock()
 	defer pd.mu.Unlock()
-	if pd.open == nil {
-		pd.open = make(map[uint64]chan Reply)
+	if pd.waiting == nil {
+		pd.waiting = make(map[uint64]chan Reply)
 	}
-	pd.last++
-	pd.open[pd.last] = make(chan Reply, 1)
-	return pd.last
+	pd.lastID++
+	pd.waiting[pd.lastID] = make(chan Reply, 1)
+	return pd.lastID
 }
 
-// answer passes the reply on. A reply that nobody waits for any more is
+// resolve passes the reply on. A reply that nobody waits for any more is
 // dropped.
-func (pd *pending[Reply]) answer(number uint64, reply Reply) {
+func (pd *pending[Reply]) resolve(number uint64, reply Reply) {
 	pd.mu.Lock()
 	defer pd.mu.Unlock()
-	ch, ok := pd.open[number]
+	ch, ok := pd.waiting[number]
 	if !ok {
 		return
 	}
-	delete(pd.open, number)
+	delete(pd.waiting, number)
 	ch <- reply
 }
 
 // wait returns the reply, or the context's error and drops the question.
 func (pd *pending[Reply]) wait(ctx context.Context, number uint64) (Reply, error) {
 	pd.mu.Lock()
-	ch := pd.open[number]
+	ch := pd.waiting[number]
 	pd.mu.Unlock()
 	select {
 	case reply := <-ch:
 		return reply, nil
 	case <-ctx.Done():
 		pd.mu.Lock()
-		delete(pd.open, number)
+		delete(pd.waiting, number)
 		pd.mu.Unlock()
 		var none Reply
 		return none, fmt.Errorf("wait for reply %d: %w", number, context.Cause(ctx))
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// plainPoll is the least span between two load reports of a server. It
-	// grows by plainPerServer with the servers that are asked, so that a VM
-	// reads four reports a second, but never beyond plainMost: a server that
+	// plainPollInterval is the least span between two load reports of a server. It
+	// grows by plainIntervalPerServer with the servers that are asked, so that a VM
+	// reads four reports a second, but never beyond maxPlainInterval: a server that
 	// leaves has to be known within seconds.
-	plainPoll      = 1 * clock.Second
-	plainPerServer = 250 * clock.Millis(1)
-	plainMost      = 3 * clock.Second
-	// plainSubset bounds how many servers of one plain service this VM uses,
+	plainPollInterval      = 1 * clock.Second
+	plainIntervalPerServer = 250 * clock.Millis(1)
+	maxPlainInterval       = 3 * clock.Second
+	// maxPlainSubset bounds how many servers of one plain service this VM uses,
 	// so that what it asks for does not grow with the fleet.
-	plainSubset = 8
+	maxPlainSubset = 8
 )
 
 // plainAttempt is the end of one attempt, or of two beside each other.
@@ -42,14 +42,14 @@
 	err   error
 }
 
-// plain runs a request at the servers of a plain service, with retries, to
+// runPlain runs a request at the servers of a runPlain service, with retries, to
 // its end.
-func (rn *run) plain(ctx context.Context) error {
+func (rn *run) runPlain(ctx context.Context) error {
 	var tried []string
 	for try := 0; ; try++ {
-		at := rn.hedged(ctx, tried)
+		at := rn.attemptHedged(ctx, tried)
 		if at.err == nil {
-			return rn.wholePlain(at.rsp)
+			return rn.endPlainAnswer(at.rsp)
 		}
 		if ctx.Err() != nil {
 			return at.err
@@ -57,23 +57,23 @@
 		tried = append(tried, at.tried...)
 		err := at.err
 		rn.tr.add(event.AttemptFailed, err.Error())
-		if err := rn.again(ctx, try, err); err != nil {
+		if err := rn.awaitRetry(ctx, try, err); err != nil {
 			return err
 		}
 	}
 }
 
-// hedged makes one attempt, and a second one beside it at another server if
+// attemptHedged makes one attempt, and a second one beside it at another server if
 // the first is slower than usual and the retry policy pays for it. The first
 // whole answer counts; a server's word that it failed does only if the other
 // attempt ends no better.
-func (rn *run) hedged(ctx context.Context, tried []string) plainAttempt {
+func (rn *run) attemptHedged(ctx context.Context, tried []string) plainAttempt {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	call := rn.plainCall() // the run drops its request when it ends, maybe before the slower attempt
 	done := make(chan plainAttempt, 2)
 	began := make(chan string, 1)
-	rn.vm.wg.Go(func() { done <- rn.tryPlain(ctx, call, tried, began) })
+	rn.vm.wg.Go(func() { done <- rn.attemptPlain(ctx, call, tried, began) })
 	ask := retry.HedgeAsk{
 		Customer:   rn.id.Customer,
 		Service:    rn.req.Class.Service,
@@ -82,7 +82,7 @@
 		Deadline:   rn.deadline,
 	}
 	var late <-chan time.Time
-	if after, ok := rn.vm.hedgeAfter(ask); ok {
+	if after, ok := rn.vm.hedgeDelay(ask); ok {
 		late = time.After(after.Std())
 	}
 	all := plainAttempt{}
@@ -90,19 +90,19 @@
 		select {
 		case at := <-done:
 			open--
-			all = all.with(at)
-			if all.answered() {
+			all = all.merge(at)
+			if all.conclusive() {
 				return all
 			}
 		case <-late:
 			late = nil
 			select {
 			case first := <-began:
-				if rn.vm.takeHedge(ask) {
+				if rn.vm.spendHedge(ask) {
 					open++
 					rn.tr.add(event.RequestRetried, string(retry.Hedged))
 					others := append(slices.Clone(tried), first)
-					rn.vm.wg.Go(func() { done <- rn.tryPlain(ctx, call, others, nil) })
+					rn.vm.wg.Go(func() { done <- rn.attemptPlain(ctx, call, others, nil) })
 				}
 			default: // the first attempt has not found a server yet
 			}
@@ -111,12 +111,12 @@
 	return all
 }
 
-// with joins the ends of attempts made beside each other.
-func (at plainAttempt) with(other plainAttempt) plainAttempt {
+// merge joins the ends of attempts made beside each other.
+func (at plainAttempt) merge(other plainAttempt) plainAttempt {
 	tried := append(at.tried, other.tried...)
 	switch {
-	case other.answered():
-	case at.whole(): // came first, and the other is no better
+	case other.conclusive():
+	case at.hasResponse(): // came first, and the other is no better
 		other = at
 	case other.err != nil:
 		other.err = errors.Join(at.err, other.err)
@@ -125,17 +125,17 @@
 	return other
 }
 
-// whole tells whether a server answered, whatever it said.
-func (at plainAttempt) whole() bool { return at.err == nil && at.rsp.Status != 0 }
+// hasResponse tells whether a server answered, whatever it said.
+func (at plainAttempt) hasResponse() bool { return at.err == nil && at.rsp.Status != 0 }
 
-// answered tells whether a server answered with anything but its own failure.
-func (at plainAttempt) answered() bool {
-	return at.whole() && at.rsp.Status < http.StatusInternalServerError
+// conclusive tells whether a server conclusive with anything but its own failure.
+func (at plainAttempt) conclusive() bool {
+	return at.hasResponse() && at.rsp.Status < http.StatusInternalServerError
 }
 
-// tryPlain makes one attempt. It tells on began, if that is not nil, at which
+// attemptPlain makes one attempt. It tells on began, if that is not nil, at which
 // server.
-func (rn *run) tryPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (at plainAttempt) {
+func (rn *run) attemptPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (at plainAttempt) {
 	start := rn.vm.Clock.Now()
 	var id string
 	id, at.rsp, at.err = rn.callPlain(ctx, call, tried, began)
@@ -143,7 +143,7 @@
 		at.tried = []string{id}
 	}
 	if at.err == nil {
-		rn.vm.tookPlain(rn.req.Class.Service, rn.vm.Clock.Now()-start)
+		rn.vm.recordPlainLatency(rn.req.Class.Service, rn.vm.Clock.Now()-start)
 	}
 	return at
 }
@@ -152,7 +152,7 @@
 func (rn *run) callPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (string, service.Response, error) {
 	vm := rn.vm
 	var none service.Response
-	id, err := vm.pick(balance.Ask{
+	id, err := vm.pickServer(balance.Ask{
 		Service:  rn.req.Class.Service,
 		Customer: rn.id.Customer,
 		Share:    rn.req.Class.Share,
@@ -162,12 +162,12 @@
 		return "", none, fmt.Errorf("choose a server: %w", err)
 	}
 	outcome := balance.Failure
-	defer func() { vm.picked(id, rn.id.Customer, outcome) }()
+	defer func() { vm.recordOutcome(id, rn.id.Customer, outcome) }()
 	srv, ok := vm.server(id)
 	if !ok {
-		return id, none, failure{"use the server", errUnknown}
+		return id, none, failure{"use the server", errUnknownServer}
 	}
-	if err := rn.mayDispatch(ctx); err != nil {
+	if err := rn.checkDispatch(ctx); err != nil {
 		outcome = balance.Cancelled
 		return id, none, err
 	}
@@ -179,18 +179,18 @@
 	rsp, err := vm.Services.Call(ctx, srv, call)
 	rn.recordCall(ctx, sc, err)
 	if !backend.NotRun(err) {
-		rn.sent.Store(true)
+		rn.mayHaveBeenSent.Store(true)
 	}
 	outcome = plainOutcome(ctx, err)
-	vm.heedRest(err)
+	vm.recordServerPause(err)
 	if err != nil {
 		return id, none, failure{"call", err}
 	}
 	return id, rsp, nil
 }
 
-// heedRest gives a server the rest that it asked for when it declined a call.
-func (vm *VM) heedRest(err error) {
+// recordServerPause gives a server the rest that it asked for when it declined a call.
+func (vm *VM) recordServerPause(err error) {
 	if server, span := backend.RetryAfterOf(err); span > 0 {
 		vm.chooser.mu.Lock()
 		defer vm.chooser.mu.Unlock()
@@ -198,16 +198,16 @@
 	}
 }
 
-// hedgeAfter asks the retry policy when to hedge a request, if at all.
-func (vm *VM) hedgeAfter(ask retry.HedgeAsk) (clock.Millis, bool) {
+// hedgeDelay asks the retry policy when to hedge a request, if at all.
+func (vm *VM) hedgeDelay(ask retry.HedgeAsk) (clock.Millis, bool) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
 	hd, ok := vm.retries.Hedge(vm.Clock.Now(), ask).(retry.Hedge)
 	return hd.After, ok
 }
 
-// takeHedge pays for a hedge and counts what the policy said.
-func (vm *VM) takeHedge(ask retry.HedgeAsk) bool {
+// spendHedge pays for a hedge and counts what the policy said.
+func (vm *VM) spendHedge(ask retry.HedgeAsk) bool {
 	vm.retries.mu.Lock()
 	reason, ok := vm.retries.TakeHedge(vm.Clock.Now(), ask)
 	vm.retries.mu.Unlock()
@@ -215,8 +215,8 @@
 	return ok
 }
 
-// tookPlain notes how long a whole answer took.
-func (vm *VM) tookPlain(name string, took clock.Millis) {
+// recordPlainLatency notes how long a whole answer took.
+func (vm *VM) recordPlainLatency(name string, took clock.Millis) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
 	vm.retries.Observe(name, took)
@@ -254,7 +254,7 @@
 	}
 }
 
-func (rn *run) wholePlain(rsp service.Response) error {
+func (rn *run) endPlainAnswer(rsp service.Response) error {
 	data, err := caller.PlainAnswer{Status: rsp.Status, Header: rsp.Header, Body: rsp.Body}.Encode()
 	if err != nil {
 		return fmt.Errorf("keep the answer: %w", err)
@@ -262,26 +262,26 @@
 	if err := rn.st.Whole(data); err != nil {
 		return fmt.Errorf("end the answer: %w", err)
 	}
-	rn.first = rn.vm.Clock.Now()
+	rn.firstPieceAt = rn.vm.Clock.Now()
 	return nil
 }
 
-// pick chooses a server of a plain service.
-func (vm *VM) pick(ask balance.Ask) (string, error) {
+// pickServer chooses a server of a plain service.
+func (vm *VM) pickServer(ask balance.Ask) (string, error) {
 	vm.chooser.mu.Lock()
 	defer vm.chooser.mu.Unlock()
 	return vm.chooser.Pick(vm.Clock.Now(), ask)
 }
 
-// picked tells how a choice went.
-func (vm *VM) picked(server, customer string, out balance.Result) {
+// recordOutcome tells how a choice went.
+func (vm *VM) recordOutcome(server, customer string, out balance.Result) {
 	vm.chooser.mu.Lock()
 	defer vm.chooser.mu.Unlock()
 	vm.chooser.Done(vm.Clock.Now(), server, balance.Outcome{Customer: customer, Result: out})
 }
 
-// watchPlain reads the load of the plain servers that this VM uses.
-func (vm *VM) watchPlain(ctx context.Context) {
+// pollPlainLoad reads the load of the plain servers that this VM uses.
+func (vm *VM) pollPlainLoad(ctx context.Context) {
 	for {
 		servers := vm.plainServers()
 		reports := make([]*board.LoadReport, len(servers))
@@ -293,20 +293,20 @@
 			})
 		}
 		gr.Wait()
-		vm.usePlain(servers, reports)
-		if !clock.Sleep(ctx, plainPause(len(servers))) {
+		vm.applyPlainReports(servers, reports)
+		if !clock.Sleep(ctx, plainPollDelay(len(servers))) {
 			return
 		}
 	}
 }
 
-// plainPause is the span until the servers are asked again.
-func plainPause(servers int) clock.Millis {
-	return min(plainMost, max(plainPoll, clock.Millis(servers)*plainPerServer))
+// plainPollDelay is the span until the servers are asked again.
+func plainPollDelay(servers int) clock.Millis {
+	return min(maxPlainInterval, max(plainPollInterval, clock.Millis(servers)*plainIntervalPerServer))
 }
 
 func (vm *VM) plainLoad(ctx context.Context, srv board.BackendServer) *board.LoadReport {
-	ctx, stop := context.WithTimeout(ctx, reportWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, reportTimeout.Std())
 	defer stop()
 	rp, err := vm.Services.Load(ctx, srv)
 	if err != nil {
@@ -316,8 +316,8 @@
 	return &rp
 }
 
-// usePlain puts the reports on the board and tells the chooser.
-func (vm *VM) usePlain(servers []board.BackendServer, reports []*board.LoadReport) {
+// applyPlainReports puts the reports on the board and tells the chooser.
+func (vm *VM) applyPlainReports(servers []board.BackendServer, reports []*board.LoadReport) {
 	vm.backendsMu.Lock()
 	bk := vm.Board.Backends()
 	for _, rp := range reports {
@@ -344,7 +344,7 @@
 		}
 	}
 	for _, servers := range bySvc {
-		out = append(out, rendezvous.Subset(vm.Self.ID, servers, plainSubset)...)
+		out = append(out, rendezvous.Subset(vm.Self.ID, servers, maxPlainSubset)...)
 	}
 	return out
 }
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// pingTries is how often a server that cuts the connection is asked: one connection
+	// pingAttempts is how often a server that cuts the connection is asked: one connection
 	// may break on the way.
-	pingTries = 2
-	// startedTellers is how many VMs tell one that has started what it missed.
-	startedTellers = 2
+	pingAttempts = 2
+	// catchUpSenders is how many VMs tell one that has started what it missed.
+	catchUpSenders = 2
 )
 
 // sentCall is a call that carried a request to a server, or read its answer there.
 type sentCall struct {
-	server   board.BackendServer
-	held     bool         // the server's incarnation is the one that holds the request
-	told     uint64       // how often the server had told its incarnation before the call
-	began    clock.Millis // point at which the server was sent the request; zero: not known
-	answered bool         // tokens came
+	server             board.BackendServer
+	holdsRequest       bool         // the server's incarnation is the one that holds the request
+	incarnationReports uint64       // how often the server had told its incarnation before the call
+	began              clock.Millis // point at which the server was sent the request; zero: not known
+	answered           bool         // tokens came
 }
 
 func (vm *VM) initPoison() {
@@ -43,19 +43,19 @@
 	gd.Key = func() []byte { return []byte(vm.Settings.Peer.Secret.Reveal()) }
 	gd.Probe = vm.probe
 	gd.Backends = vm.Board.Backends
-	gd.Tell = vm.spread().TellEnd
+	gd.Tell = vm.broadcast().TellEnd
 	gd.VMs = func() int { return len(vm.Board.Fleet().Serving()) }
 }
 
-// spread reaches all VMs by datagrams.
-func (vm *VM) spread() fleet.Spread {
+// broadcast reaches all VMs by datagrams.
+func (vm *VM) broadcast() fleet.Spread {
 	return fleet.Spread{Self: vm.Self.ID, View: vm.Board.Fleet, Peers: vm.Peers}
 }
 
 // probe asks a server whether it is there in the incarnation that a call was sent to.
 func (vm *VM) probe(ctx context.Context, cl poison.Call) poison.Finding {
 	var err error
-	for range pingTries {
+	for range pingAttempts {
 		if err = vm.ping(ctx, cl.Server); err == nil || ctx.Err() != nil {
 			break
 		}
@@ -66,7 +66,7 @@
 		return poison.Alive
 	case cl.Confirmed && now != cl.Server.Incarnation:
 		return poison.Ended
-	case cl.Server.Incarnation != 0 && (refused || unanswered(err)):
+	case cl.Server.Incarnation != 0 && (refused || noResponse(err)):
 		return poison.Unanswered
 	case refused:
 		return poison.Ended
@@ -75,8 +75,8 @@
 	}
 }
 
-// unanswered tells whether a server took a connection and answered nothing on it.
-func unanswered(err error) bool {
+// noResponse tells whether a server took a connection and answered nothing on it.
+func noResponse(err error) bool {
 	ie, doubt := errors.AsType[backend.InDoubtError](err)
 	return doubt && ie.Status == 0
 }
@@ -88,36 +88,36 @@
 	return vm.Engines.Ping(ctx, srv)
 }
 
-// askIncarnation asks a server for its incarnation while a call to it is under way.
-func (vm *VM) askIncarnation(srv board.BackendServer) {
+// refreshIncarnation asks a server for its incarnation while a call to it is under way.
+func (vm *VM) refreshIncarnation(srv board.BackendServer) {
 	vm.wg.Go(func() {
-		ctx, stop := context.WithTimeout(vm.runCtx, reportWithin.Std())
+		ctx, stop := context.WithTimeout(vm.runCtx, reportTimeout.Std())
 		defer stop()
 		_ = vm.ping(ctx, srv) // a server that does not answer tells no incarnation
 	})
 }
 
-// tellStarted tells VMs that have started, or were lost and are back, which requests are
+// sendCatchUp tells VMs that have started, or were lost and are back, which requests are
 // under suspicion. Two VMs tell each of them, for one may not know.
-func (vm *VM) tellStarted(old, now *board.Fleet) {
+func (vm *VM) sendCatchUp(old, now *board.Fleet) {
 	if !vm.poison.Any() {
 		return
 	}
 	for _, other := range now.VMs {
 		was, _ := old.VM(other.ID)
 		known := was.Health == board.Alive && was.Incarnation == other.Incarnation
-		if known || other.Health != board.Alive || other.ID == vm.Self.ID || !vm.tellsStarted(now, other) {
+		if known || other.Health != board.Alive || other.ID == vm.Self.ID || !vm.isCatchUpSender(now, other) {
 			continue
 		}
 		for _, en := range vm.poison.Known() {
-			vm.spread().TellEndTo(other, en)
+			vm.broadcast().TellEndTo(other, en)
 		}
 	}
 }
 
-// tellsStarted reports whether this VM is one of those that tell another what it missed.
-func (vm *VM) tellsStarted(fl *board.Fleet, other board.VM) bool {
-	tellers := rendezvous.Top(other.ID, fl.VMs, startedTellers, func(one *board.VM) bool {
+// isCatchUpSender reports whether this VM is one of those that tell another what it missed.
+func (vm *VM) isCatchUpSender(fl *board.Fleet, other board.VM) bool {
+	tellers := rendezvous.Top(other.ID, fl.VMs, catchUpSenders, func(one *board.VM) bool {
 		return one.Health == board.Alive && one.ID != other.ID
 	})
 	return slices.ContainsFunc(tellers, func(one board.VM) bool { return one.ID == vm.Self.ID })
@@ -147,8 +147,8 @@
 // was followed ends without an error too, also in a refusal.
 func (rn *run) recordSuccess() {
 	last, _ := rn.st.Last()
-	if rn.is(running) && last.Kind != answer.Refused && rn.vm.poison.Any() {
-		rn.vm.poison.RecordSuccess(rn.name(), rn.mark())
+	if rn.hasRole(running) && last.Kind != answer.Refused && rn.vm.poison.Any() {
+		rn.vm.poison.RecordSuccess(rn.keyName(), rn.mark())
 	}
 }
 
@@ -157,9 +157,9 @@
 // one that is known may have ended unnoticed.
 func (rn *run) beginCall(srv board.BackendServer) sentCall {
 	vm := rn.vm
-	sc := sentCall{server: srv, began: vm.Clock.Now(), told: vm.incarnations.Times(srv.ID)}
+	sc := sentCall{server: srv, began: vm.Clock.Now(), incarnationReports: vm.incarnations.Times(srv.ID)}
 	if vm.incarnations.Missing(srv.ID) || vm.poison.Any() && vm.poison.Suspected(rn.mark()) {
-		vm.askIncarnation(srv)
+		vm.refreshIncarnation(srv)
 	}
 	return sc
 }
@@ -174,9 +174,9 @@
 	}
 }
 
-// recordHeld notes how a call ended that goes on with what a server held for the request:
+// recordHeldCall notes how a call ended that goes on with what a server held for the request:
 // one that can't be reached, or holds nothing, may have ended before the call.
-func (rn *run) recordHeld(ctx context.Context, sc sentCall, err error) {
+func (rn *run) recordHeldCall(ctx context.Context, sc sentCall, err error) {
 	_, why := backend.OutcomeOf(err)
 	if ctx.Err() == nil && (unreachable(err) || why == backend.Unknown || why == backend.NoKV) {
 		rn.recordBrokenCall(ctx, sc)
@@ -184,24 +184,24 @@
 }
 
 func (rn *run) recordBrokenCall(ctx context.Context, sc sentCall) {
-	if !sc.held {
+	if !sc.holdsRequest {
 		sc.server.Incarnation = rn.vm.incarnations.Of(sc.server.ID)
 	}
 	rn.vm.poison.RecordBrokenCall(ctx, poison.Call{
-		Request:   rn.name(),
+		Request:   rn.keyName(),
 		Mark:      rn.mark(),
 		Server:    sc.server,
 		Instance:  fmt.Sprintf("%s/%d", sc.server.ID, sc.server.Incarnation),
-		Confirmed: sc.server.Incarnation != 0 && (sc.held || rn.vm.incarnations.Times(sc.server.ID) > sc.told),
+		Confirmed: sc.server.Incarnation != 0 && (sc.holdsRequest || rn.vm.incarnations.Times(sc.server.ID) > sc.incarnationReports),
 		Began:     sc.began,
 		Answered:  sc.answered,
 		Beside:    poison.UnknownBeside,
 	})
 }
 
-// decodesAt is what the seats of a key are told of a decode.
-func decodesAt(srv board.BackendServer, name string) claim.Became {
+// decodingState is what the seats of a key are told of a decode.
+func decodingState(srv board.BackendServer, name string) claim.Became {
 	return claim.Became{State: claim.Decoding, DecodeServer: srv.ID, DecodeIncarnation: srv.Incarnation, EngineRequest: name}
 }
 
-func (rn *run) name() string { return rn.id.Customer + "/" + rn.id.Key }
+func (rn *run) keyName() string { return rn.id.Customer + "/" + rn.id.Key }
--- a/internal/entry/poison_test.go
+++ b/internal/entry/poison_test.go
@@ -10,7 +10,7 @@
 )
 
 // A VM that starts is told what it missed by two others, whichever sees it.
-func TestStartedVMIsToldByTwo(t *testing.T) {
+func TestStartedVMIsCaughtUpByTwo(t *testing.T) {
 	for _, size := range []int{2, 3, 7, 69} {
 		fl := &board.Fleet{}
 		for ix := range size {
@@ -20,12 +20,12 @@
 		started, tellers := fl.VMs[0], 0
 		for _, one := range fl.VMs {
 			vm := &VM{Self: one.VMRef}
-			if vm.tellsStarted(fl, started) {
+			if vm.isCatchUpSender(fl, started) {
 				assert.Equal(t, one.Health, board.Alive)
 				assert.Assert(t, one.ID != started.ID)
 				tellers++
 			}
 		}
-		assert.Equal(t, tellers, min(startedTellers, size-1))
+		assert.Equal(t, tellers, min(catchUpSenders, size-1))
 	}
 }
--- a/internal/entry/rescue_test.go
+++ b/internal/entry/rescue_test.go
@@ -28,7 +28,7 @@
 // decode that a caller has a part of. It must be asked anew: taken for one that
 // holds nothing, the caller would be told that its answer is gone, and a second
 // run would begin.
-func TestEngineThatDoesNotAnswerMayHoldTheDecode(t *testing.T) {
+func TestIncompleteDecodeListIsFetchedAgain(t *testing.T) {
 	var asked atomic.Int64
 	holds := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, _ *http.Request) {
 		if asked.Add(1) == 1 {
@@ -51,32 +51,32 @@
 	var bk board.Backends
 	vm.Board.SetBackends(bk.WithServers([]board.BackendServer{at("e1", empty), at("e2", holds)}))
 
-	_, found, sure := vm.decodes.of(vm, requestID{Customer: "cu", Key: "key"})
+	_, found, sure := vm.decodes.find(vm, requestID{Customer: "cu", Key: "key"})
 	assert.Assert(t, !found && !sure, "an engine did not answer")
-	held, found, _ := vm.decodes.of(vm, requestID{Customer: "cu", Key: "key"})
+	held, found, _ := vm.decodes.find(vm, requestID{Customer: "cu", Key: "key"})
 	assert.Assert(t, found, "it is asked anew at once")
 	assert.Equal(t, held.server, "e2")
-	_, found, sure = vm.decodes.of(vm, requestID{Customer: "cu", Key: "other"})
+	_, found, sure = vm.decodes.find(vm, requestID{Customer: "cu", Key: "other"})
 	assert.Assert(t, !found && sure)
 	assert.Equal(t, asked.Load(), int64(2), "a whole list serves further requests")
 }
 
-// rescueRig is a VM with one engine in memory, whose decode of two tokens ran
+// recoveryRig is a VM with one engine in memory, whose decode of two tokens ran
 // for a VM that is lost.
-type rescueRig struct {
-	vm      *VM
-	lost    board.VMRef
-	list    func(asked int) []engine.Running // of the engine; nil: it is too busy to say
-	asked   int
-	busy    int // asks for the decode that are not answered
-	resumed int // asks for the decode
+type recoveryRig struct {
+	vm          *VM
+	lost        board.VMRef
+	list        func(asked int) []engine.Running // of the engine; nil: it is too busy to say
+	asked       int
+	busyResumes int // asks for the decode that are not answered
+	resumes     int // asks for the decode
 }
 
-func newRescueRig(t *testing.T) *rescueRig {
+func newRecoveryRig(t *testing.T) *recoveryRig {
 	t.Helper()
 	nw := &standin.Network{}
 	hc := backend.NewHTTP(backend.Limits{Dial: nw.Dial})
-	rg := &rescueRig{
+	rg := &recoveryRig{
 		vm:   &VM{Clock: clock.Monotonic{}, Board: &board.Board{}, runCtx: t.Context(), loopCtx: t.Context()},
 		lost: board.VMRef{ID: "vm-2", Incarnation: 7},
 	}
@@ -97,7 +97,7 @@
 	return rg
 }
 
-func (rg *rescueRig) serveRunning(wr http.ResponseWriter, _ *http.Request) {
+func (rg *recoveryRig) serveRunning(wr http.ResponseWriter, _ *http.Request) {
 	rg.asked++
 	runs := rg.list(rg.asked)
 	if runs == nil {
@@ -107,8 +107,8 @@
 	standin.WriteJSON(wr, engine.RunningReport{Runs: runs})
 }
 
-func (rg *rescueRig) serveResume(wr http.ResponseWriter, _ *http.Request) {
-	if rg.resumed++; rg.resumed <= rg.busy {
+func (rg *recoveryRig) serveResume(wr http.ResponseWriter, _ *http.Request) {
+	if rg.resumes++; rg.resumes <= rg.busyResumes {
 		http.Error(wr, "busy", http.StatusGatewayTimeout)
 		return
 	}
@@ -117,19 +117,19 @@
 	standin.WriteJSON(wr, engine.Token{Index: 1, Text: "b", Last: true})
 }
 
-// decoding lists the decode while it goes on.
-func (rg *rescueRig) decoding() []engine.Running {
+// decodingRuns lists the decode while it goes on.
+func (rg *recoveryRig) decodingRuns() []engine.Running {
 	return []engine.Running{{Request: "cu/key/1.0", Customer: "cu", Stage: sched.Decoding, VM: rg.lost}}
 }
 
-// comesBack is the run of a caller that has a part of the answer.
-func (rg *rescueRig) comesBack() *run {
+// newResumedRun is the run of a caller that has a part of the answer.
+func (rg *recoveryRig) newResumedRun() *run {
 	rn := rg.vm.newRun(caller.Request{
 		Customer: "cu", Key: "key", Resumed: true,
 		Class: template.Class{Idempotent: true, StreamWait: clock.Minute},
 		Chat:  &caller.Chat{MaxTokens: 2},
 	})
-	rn.claimed = rg.vm.noClaim()
+	rn.claimed = rg.vm.newUnclaimed()
 	return rn
 }
 
@@ -143,15 +143,15 @@
 //	01:21:41.431 RequestRefused VM=vm-3 Reason=AnswerExpired Ran=MayHaveRun
 func TestDecodeThatEndedIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRescueRig(t)
+		rg := newRecoveryRig(t)
 		rg.list = func(int) []engine.Running {
 			return []engine.Running{{Request: "cu/key/1.0", Customer: "cu", Stage: sched.Ended, VM: rg.lost, Tokens: 2}}
 		}
 		rg.vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: rg.lost, Health: board.Dead}}})
-		rn := rg.comesBack()
+		rn := rg.newResumedRun()
 		defer rn.cancel(nil)
-		defer rn.away.Stop()
-		assert.Assert(t, rn.rescue(t.Context()))
+		defer rn.absence.Stop()
+		assert.Assert(t, rn.recoverAnswer(t.Context()))
 		last, _ := rn.st.Last()
 		assert.Equal(t, last.Kind, answer.End)
 		assert.DeepEqual(t, rn.st.Tokens(), []string{"a", "b"})
@@ -161,9 +161,9 @@
 // An engine lists the decode of a runner that can neither be followed nor is
 // held dead yet, and is too busy to answer when it is asked again. What it said
 // before does not use up the tries: it is asked anew, and the answer goes on.
-func TestEngineThatListedTheDecodeIsAskedAnew(t *testing.T) {
+func TestEarlierListingDoesNotUseUpRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRescueRig(t)
+		rg := newRecoveryRig(t)
 		rg.list = func(asked int) []engine.Running {
 			if asked == 2 {
 				return nil // no answer in time
@@ -171,13 +171,13 @@
 			if asked == 3 {
 				rg.vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: rg.lost, Health: board.Dead}}})
 			}
-			return rg.decoding()
+			return rg.decodingRuns()
 		}
 		rg.vm.Board.SetFleet(&board.Fleet{})
-		rn := rg.comesBack()
+		rn := rg.newResumedRun()
 		defer rn.cancel(nil)
-		defer rn.away.Stop()
-		assert.Assert(t, rn.rescue(t.Context()))
+		defer rn.absence.Stop()
+		assert.Assert(t, rn.recoverAnswer(t.Context()))
 		assert.DeepEqual(t, rn.st.Tokens(), []string{"a", "b"})
 	})
 }
@@ -190,15 +190,15 @@
 //	01:25:53.891 engine: Stages=[... Decoding], ended at 01:26:05.908 with Outcome=Complete Tokens=600
 //	01:26:05.306 RequestTakenOver VM=vm-2 Server=
 //	01:26:05.306 RequestRefused VM=vm-2 Reason=VMLost
-func TestTakenOverWithoutTheNameOfTheDecode(t *testing.T) {
+func TestTakeOverFindsUnrecordedDecode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRescueRig(t)
-		rg.list = func(int) []engine.Running { return rg.decoding() }
+		rg := newRecoveryRig(t)
+		rg.list = func(int) []engine.Running { return rg.decodingRuns() }
 		rg.vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: rg.lost, Health: board.Dead}}})
-		rn := rg.comesBack()
+		rn := rg.newResumedRun()
 		defer rn.cancel(nil)
-		defer rn.away.Stop()
-		assert.NilError(t, rn.serve(t.Context(), claim.Decided{Verdict: claim.TakeOver, Runner: rg.lost}))
+		defer rn.absence.Stop()
+		assert.NilError(t, rn.serveClaimed(t.Context(), claim.Decided{Verdict: claim.TakeOver, Runner: rg.lost}))
 		assert.DeepEqual(t, rn.st.Tokens(), []string{"a", "b"})
 	})
 }
@@ -208,15 +208,15 @@
 //
 //	vm-3    9ms Following: vm-1
 //	vm-3 9.992s CallerLeft
-func TestReadOnWithoutTheNameOfTheDecode(t *testing.T) {
-	rg := newRescueRig(t)
-	rg.list = func(int) []engine.Running { return rg.decoding() }
+func TestFollowFindsUnrecordedDecode(t *testing.T) {
+	rg := newRecoveryRig(t)
+	rg.list = func(int) []engine.Running { return rg.decodingRuns() }
 	rg.vm.Peers = &peer.Transport{Self: board.VMRef{ID: "vm-3", Incarnation: 1}, Listen: "127.0.0.1:0", Secret: []byte(testSecret)}
 	runTransport(t, rg.vm.Peers)
 	rg.vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: rg.lost, Health: board.Suspect, Peer: "127.0.0.1:1"}}})
-	rn := rg.comesBack()
+	rn := rg.newResumedRun()
 	defer rn.cancel(nil)
-	defer rn.away.Stop()
+	defer rn.absence.Stop()
 	var givenUp board.VMRef
 	assert.NilError(t, rn.followOnce(t.Context(), claim.Decided{Verdict: claim.Follow, Runner: rg.lost}, &givenUp))
 	assert.DeepEqual(t, rn.st.Tokens(), []string{"a", "b"})
@@ -225,16 +225,16 @@
 // Who takes a request over asks the engine for its decode, and the engine is too busy to
 // say. It may go on with the decode: it is asked anew before another one begins, whose
 // tokens an engine would make a second time.
-func TestEngineThatDoesNotAnswerIsAskedForItsDecodeAnew(t *testing.T) {
+func TestResumeRetriesABusyEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRescueRig(t)
-		rg.busy = resumeTries - 1
-		rn := rg.comesBack()
+		rg := newRecoveryRig(t)
+		rg.busyResumes = maxResumeAttempts - 1
+		rn := rg.newResumedRun()
 		defer rn.cancel(nil)
-		defer rn.away.Stop()
+		defer rn.absence.Stop()
 		dec := claim.Decided{Verdict: claim.TakeOver, Runner: rg.lost, DecodeServer: "e1", EngineRequest: "cu/key/1.0"}
-		assert.Assert(t, rn.resume(t.Context(), dec))
+		assert.Assert(t, rn.resumeDecode(t.Context(), dec))
 		assert.DeepEqual(t, rn.st.Tokens(), []string{"a", "b"})
-		assert.Equal(t, rg.resumed, resumeTries)
+		assert.Equal(t, rg.resumes, maxResumeAttempts)
 	})
 }
--- a/internal/entry/reservation.go
+++ b/internal/entry/reservation.go
@@ -17,15 +17,15 @@
 
 // Spans of reservations.
 const (
-	// answerWithin bounds the wait for the accountant's first sign of life.
-	answerWithin = 400 * clock.Millis(1)
-	// accountantTimeout is how long a request that may wait looks for its
+	// schedulerAckTimeout bounds the wait for the accountant's first sign of life.
+	schedulerAckTimeout = 400 * clock.Millis(1)
+	// schedulerTimeout is how long a request that may wait looks for its
 	// accountant before it chooses by load reports.
-	accountantTimeout = 2 * clock.Second
-	reopenPause       = 50 * clock.Millis(1)
+	schedulerTimeout = 2 * clock.Second
+	reopenDelay      = 50 * clock.Millis(1)
 )
 
-var errAccountantAway = errors.New("the accountant can't be asked")
+var errSchedulerAway = errors.New("the accountant can't be asked")
 
 type (
 	// reservation is the runner's side of a place in a cell. One goroutine
@@ -36,20 +36,20 @@
 		ask *peerpb.ReserveAsk
 		tr  *trace
 
-		ctx  context.Context
-		stop context.CancelFunc
-		said chan *peerpb.Frame // decisions, in order
+		ctx       context.Context
+		stop      context.CancelFunc
+		decisions chan *peerpb.Frame // decisions, in order
 
-		mu      sync.Mutex
-		cn      frames
-		granted bool
-		attempt uint32 // of the newest grant
-		stage   sched.Stage
-		prefill string
-		decode  string
-		tokens  int
-		since   clock.Millis
-		closed  bool
+		mu         sync.Mutex
+		cn         frameStream
+		granted    bool
+		attempt    uint32 // of the newest grant
+		stage      sched.Stage
+		prefill    string
+		decode     string
+		tokens     int
+		stageSince clock.Millis
+		closed     bool
 	}
 )
 
@@ -57,40 +57,40 @@
 func (vm *VM) reserve(ctx context.Context, ask *peerpb.ReserveAsk, tr *trace) *reservation {
 	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	rs := &reservation{
-		vm:   vm,
-		ask:  ask,
-		tr:   tr,
-		ctx:  ctx,
-		stop: stop,
-		said: make(chan *peerpb.Frame, outboxDepth),
+		vm:        vm,
+		ask:       ask,
+		tr:        tr,
+		ctx:       ctx,
+		stop:      stop,
+		decisions: make(chan *peerpb.Frame, outboxDepth),
 	}
-	vm.wg.Go(rs.keep)
+	vm.wg.Go(rs.maintain)
 	return rs
 }
 
-// next waits for the accountant's next decision.
-func (rs *reservation) next(ctx context.Context) (*peerpb.Frame, error) {
+// nextDecision waits for the accountant's nextDecision decision.
+func (rs *reservation) nextDecision(ctx context.Context) (*peerpb.Frame, error) {
 	select {
 	case <-ctx.Done():
 		return nil, fmt.Errorf("wait for the accountant: %w", context.Cause(ctx))
-	case fr, ok := <-rs.said:
+	case fr, ok := <-rs.decisions:
 		if !ok {
-			return nil, errAccountantAway
+			return nil, errSchedulerAway
 		}
 		return fr, nil
 	}
 }
 
-// grant waits for a place. A refusal comes back as an error.
-func (rs *reservation) grant(ctx context.Context) (*peerpb.Grant, error) {
+// awaitGrant waits for a place. A refusal comes back as an error.
+func (rs *reservation) awaitGrant(ctx context.Context) (*peerpb.Grant, error) {
 	for {
-		fr, err := rs.next(ctx)
+		fr, err := rs.nextDecision(ctx)
 		if err != nil {
 			return nil, err
 		}
 		switch body := fr.GetBody().(type) {
 		case *peerpb.Frame_Grant:
-			rs.note(body.Grant)
+			rs.recordGrant(body.Grant)
 			return body.Grant, nil
 		case *peerpb.Frame_Refusal:
 			return nil, refusalFromWire(body.Refusal)
@@ -98,13 +98,13 @@
 	}
 }
 
-// decision waits, up to a point in time, for a Transfer or a Preempt of the
+// awaitDecision waits, up to a point in time, for a Transfer or a Preempt of the
 // newest grant. It returns no frame if none came by then.
-func (rs *reservation) decision(ctx context.Context, until clock.Millis) (*peerpb.Frame, error) {
+func (rs *reservation) awaitDecision(ctx context.Context, until clock.Millis) (*peerpb.Frame, error) {
 	wait, stop := context.WithTimeout(ctx, (until - rs.vm.Clock.Now()).Std())
 	defer stop()
 	for {
-		fr, err := rs.next(wait)
+		fr, err := rs.nextDecision(wait)
 		switch {
 		case ctx.Err() != nil:
 			return nil, err
@@ -125,11 +125,11 @@
 	return rs.cn != nil
 }
 
-// progress tells the accountant how far the request is.
-func (rs *reservation) progress(stage sched.Stage, server string, tokens int, took clock.Millis) {
+// sendProgress tells the accountant how far the request is.
+func (rs *reservation) sendProgress(stage sched.Stage, server string, tokens int, took clock.Millis) {
 	rs.mu.Lock()
 	rs.stage = stage
-	rs.since = rs.vm.Clock.Now()
+	rs.stageSince = rs.vm.Clock.Now()
 	rs.tokens = tokens
 	switch stage {
 	case sched.Prefilling, sched.Prefilled:
@@ -144,9 +144,9 @@
 	}
 }
 
-// tell sends the accountant a word on an engine, with the span that belongs to it. It
+// sendEngineState sends the accountant a word on an engine, with the span that belongs to it. It
 // changes nothing of the reservation.
-func (rs *reservation) tell(stage sched.Stage, server string, span clock.Millis) {
+func (rs *reservation) sendEngineState(stage sched.Stage, server string, span clock.Millis) {
 	rs.mu.Lock()
 	cn, attempt, tokens := rs.cn, rs.attempt, rs.tokens
 	rs.mu.Unlock()
@@ -162,7 +162,7 @@
 	closed := rs.closed
 	attempt, tokens := rs.attempt, rs.tokens
 	if !rs.granted {
-		stage = withdrawn
+		stage = stageWithdrawn
 	}
 	rs.closed = true
 	rs.mu.Unlock()
@@ -176,23 +176,23 @@
 	rs.stop()
 }
 
-func (rs *reservation) note(gr *peerpb.Grant) {
+func (rs *reservation) recordGrant(gr *peerpb.Grant) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.granted = true
 	rs.attempt = gr.GetAttempt()
 	rs.stage, rs.prefill, rs.decode = sched.Prefilling, gr.GetPrefillServer(), gr.GetDecodeServer()
-	rs.since = rs.vm.Clock.Now()
+	rs.stageSince = rs.vm.Clock.Now()
 }
 
-// keep holds a stream to the accountant until the reservation ends, and opens
+// maintain holds a stream to the accountant until the reservation ends, and opens
 // another when it breaks or when another VM accounts for the cell. It gives
 // up, by closing said, if no grant came and no accountant answers.
-func (rs *reservation) keep() {
-	defer close(rs.said)
+func (rs *reservation) maintain() {
+	defer close(rs.decisions)
 	var awaySince clock.Millis
 	for rs.ctx.Err() == nil {
-		err := rs.stream()
+		err := rs.runStream()
 		if rs.ctx.Err() != nil {
 			return
 		}
@@ -205,7 +205,7 @@
 			rs.vm.Log.Log(event.AccountantAway, event.F("Cell", rs.ask.GetCell()), event.F("Error", fmt.Sprint(err)))
 			return
 		}
-		if !clock.Sleep(rs.ctx, reopenPause) {
+		if !clock.Sleep(rs.ctx, reopenDelay) {
 			return
 		}
 	}
@@ -213,9 +213,9 @@
 
 func (rs *reservation) timeout() clock.Millis {
 	if rs.ask.GetQuick() {
-		return quickAccountantTimeout(clock.Millis(rs.ask.GetTTFT()))
+		return quickSchedulerTimeout(clock.Millis(rs.ask.GetTTFT()))
 	}
-	return accountantTimeout
+	return schedulerTimeout
 }
 
 func (rs *reservation) waiting() bool {
@@ -224,10 +224,10 @@
 	return !rs.granted
 }
 
-// stream opens one stream and reads it to its end. It returns an error if the
+// runStream opens one runStream and reads it to its end. It returns an error if the
 // accountant never answered.
-func (rs *reservation) stream() error {
-	cn, err := rs.vm.openAccountant(rs.ctx, rs.ask.GetCell())
+func (rs *reservation) runStream() error {
+	cn, err := rs.vm.openScheduler(rs.ctx, rs.ask.GetCell())
 	if err != nil {
 		return err
 	}
@@ -240,15 +240,15 @@
 	for {
 		fr, err := cn.Recv()
 		if err != nil {
-			rs.drop(cn)
+			rs.dropStream(cn)
 			return nil
 		}
 		if rf := fr.GetRefusal(); rf != nil && refusal.Reason(rf.GetReason()) == refusal.SchedulerAway {
-			rs.drop(cn)
-			return errAccountantAway
+			rs.dropStream(cn)
+			return errSchedulerAway
 		}
 		select {
-		case rs.said <- fr:
+		case rs.decisions <- fr:
 		case <-rs.ctx.Done():
 			return nil
 		}
@@ -256,23 +256,23 @@
 }
 
 // announce sends the first frame and waits for the accountant's sign of life.
-func (rs *reservation) announce(cn frames) error {
-	if err := cn.Send(&peerpb.Frame{Body: &peerpb.Frame_ReserveAsk{ReserveAsk: rs.opening()}}); err != nil {
+func (rs *reservation) announce(cn frameStream) error {
+	if err := cn.Send(&peerpb.Frame{Body: &peerpb.Frame_ReserveAsk{ReserveAsk: rs.openingAsk()}}); err != nil {
 		return fmt.Errorf("ask for a place: %w", err)
 	}
-	ctx, stop := context.WithTimeout(rs.ctx, answerWithin.Std())
+	ctx, stop := context.WithTimeout(rs.ctx, schedulerAckTimeout.Std())
 	defer stop()
-	fr, err := recvWithin(ctx, cn)
+	fr, err := recvOrClose(ctx, cn)
 	if err != nil {
 		return fmt.Errorf("ask for a place: %w", err)
 	}
 	if fr.GetDone() == nil {
-		return errAccountantAway
+		return errSchedulerAway
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	if rs.closed {
-		return errAccountantAway
+		return errSchedulerAway
 	}
 	rs.cn = cn
 	if !rs.granted {
@@ -281,9 +281,9 @@
 	return nil
 }
 
-// opening is the first frame: a question, or the announcement of a grant that
+// openingAsk is the first frame: a question, or the announcement of a grant that
 // is in use.
-func (rs *reservation) opening() *peerpb.ReserveAsk {
+func (rs *reservation) openingAsk() *peerpb.ReserveAsk {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	ask := proto.CloneOf(rs.ask)
@@ -295,11 +295,11 @@
 	ask.PrefillServer = rs.prefill
 	ask.DecodeServer = rs.decode
 	ask.Tokens = int64(rs.tokens)
-	ask.Since = int64(rs.vm.Clock.Now() - rs.since)
+	ask.Since = int64(rs.vm.Clock.Now() - rs.stageSince)
 	return ask
 }
 
-func (rs *reservation) drop(cn frames) {
+func (rs *reservation) dropStream(cn frameStream) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	if rs.cn == cn {
