--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -18,9 +18,9 @@
 const (
 	// claimTimeout bounds the search for the VMs that account for a key.
 	claimTimeout = 3 * clock.Second
-	// followPause is the longest pause before a lost runner is looked for
+	// maxFollowDelay is the longest pause before a lost runner is looked for
 	// again; it may still be held alive.
-	followPause = 800 * clock.Millis(1)
+	maxFollowDelay = 800 * clock.Millis(1)
 )
 
 // Roles.
@@ -31,16 +31,16 @@
 )
 
 var (
-	// errNotKept ends the request of a caller who has a part of an answer
+	// errAnswerExpired ends the request of a caller who has a part of an answer
 	// that nobody has any more. A fresh run could make another answer.
-	errNotKept = refusal.Refusal{
+	errAnswerExpired = refusal.Refusal{
 		Ran:    refusal.MayHaveRun,
 		Reason: refusal.AnswerExpired,
 		Detail: "the answer that the caller has a part of is no longer kept",
 	}
 
-	errAgain = errors.New("the key must be claimed anew")
-	errLost  = errors.New("another VM took the request over")
+	errReclaim = errors.New("the key must be claimed anew")
+	errKeyLost = errors.New("another VM took the request over")
 )
 
 type (
@@ -59,17 +59,17 @@
 		arrived  clock.Millis
 		deadline clock.Millis
 
-		claimed  *claimant    // link to the seats of the key
-		followed board.VMRef  // the runner that was followed last
-		attempt  int          // number of the claim that this VM runs under
-		until    clock.Millis // up to when the claim stands unconfirmed
-		first    clock.Millis // when the first piece of the answer came; zero before it
-		late     bool         // came while this VM was leaving; it may only be followed
-		sent     atomic.Bool  // a backend server may have begun, here or for another VM
-		role     atomic.Int32 // of type role
-		turned   signal       // the role changed, or the answer has its end
-		left     atomic.Bool  // the caller's connection broke
-		away     *absence     // ends the run when no caller came back
+		claimed         *claimant     // link to the seats of the key
+		followed        board.VMRef   // the runner that was followed last
+		attempt         int           // number of the claim that this VM runs under
+		claimUntil      clock.Millis  // up to when the claim stands unconfirmed
+		firstPieceAt    clock.Millis  // when the first piece of the answer came; zero before it
+		arrivedDraining bool          // came while this VM was leaving; it may only be followed
+		mayHaveBeenSent atomic.Bool   // a backend server may have begun, here or for another VM
+		role            atomic.Int32  // of type role
+		roleChanged     signal        // the role changed, or the answer has its end
+		callerLeft      atomic.Bool   // the caller's connection broke
+		absence         *absenceTimer // ends the run when no caller came back
 	}
 
 	// role is what this VM does for a request.
@@ -96,22 +96,22 @@
 		arrived:  now,
 		deadline: now + req.Deadline,
 	}
-	rn.sent.Store(req.Resumed)
-	rn.tr = vm.traces.of(rn.id)
+	rn.mayHaveBeenSent.Store(req.Resumed)
+	rn.tr = vm.traces.getOrAdd(rn.id)
 	ctx, cancel := context.WithCancelCause(vm.runCtx)
 	rn.ctx, rn.cancel = ctx, cancel
-	rn.away = &absence{wait: req.Class.StreamWait, clk: vm.Clock, gone: rn.abandon}
-	rn.away.Start()
-	rn.st.OnWatchers(rn.watch)
+	rn.absence = &absenceTimer{timeout: req.Class.StreamWait, clk: vm.Clock, onExpire: rn.abandon}
+	rn.absence.Start()
+	rn.st.OnWatchers(rn.watchersChanged)
 	return rn
 }
 
-// watch starts to wait for the caller when the last reader left, and stops
+// watchersChanged starts to wait for the caller when the last reader left, and stops
 // waiting when one is back.
-func (rn *run) watch(watchers int) {
+func (rn *run) watchersChanged(watchers int) {
 	if watchers > 0 {
-		rn.away.Stop()
-		if rn.left.Swap(false) {
+		rn.absence.Stop()
+		if rn.callerLeft.Swap(false) {
 			rn.tr.add(event.CallerReturned, "")
 		}
 		return
@@ -119,9 +119,9 @@
 	if _, final := rn.st.Len(); final {
 		return
 	}
-	rn.left.Store(true)
+	rn.callerLeft.Store(true)
 	rn.tr.add(event.CallerLeft, "")
-	rn.away.Start()
+	rn.absence.Start()
 }
 
 func (rn *run) abandon() {
@@ -132,10 +132,10 @@
 	})
 }
 
-// live runs the request to its one end.
-func (rn *run) live() {
-	defer rn.vm.ended(rn)
-	defer rn.turned.raise()
+// process runs the request to its one end.
+func (rn *run) process() {
+	defer rn.vm.recordRunEnd(rn)
+	defer rn.roleChanged.raise()
 	defer rn.cancel(nil)
 	ctx, stop := clock.WithDeadlineCause(rn.ctx, rn.vm.Clock, rn.deadline, refusal.Refusal{
 		Ran:    refusal.MayHaveRun,
@@ -144,26 +144,26 @@
 	})
 	defer stop()
 	rn.tr.add(event.RequestAccepted, rn.req.Class.Name)
-	rn.vm.earnRetry(rn.id.Customer, rn.req.Class.Service)
+	rn.vm.earnRetryBudget(rn.id.Customer, rn.req.Class.Service)
 	if err := rn.execute(ctx); err != nil {
 		rn.refuse(ctx, err)
 	} else {
 		rn.recordSuccess()
-		rn.done()
+		rn.logEnd()
 	}
-	rn.away.Stop()
+	rn.absence.Stop()
 }
 
-// done notes the end of a whole answer, and how long it took.
-func (rn *run) done() {
+// logEnd notes the end of a whole answer, and how long it took.
+func (rn *run) logEnd() {
 	took := rn.vm.Clock.Now() - rn.arrived
 	events, _ := rn.st.Len()
 	rn.tr.add(event.RequestEnded, fmt.Sprintf("%d events", events))
 	rn.vm.Log.Log(event.RequestEnded,
 		event.F("Customer", rn.id.Customer),
 		event.F("Class", rn.req.Class.Name),
-		event.F("Followed", !rn.is(running)),
-		event.F("First", rn.first-rn.arrived),
+		event.F("Followed", !rn.hasRole(running)),
+		event.F("First", rn.firstPieceAt-rn.arrived),
 		event.F("Took", took))
 }
 
@@ -172,9 +172,9 @@
 // starts over and follows that VM.
 func (rn *run) execute(ctx context.Context) error {
 	var givenUp board.VMRef
-	for pause := reopenPause; ; pause = min(2*pause, followPause) {
-		err := rn.once(ctx, &givenUp)
-		if err == nil || !errors.Is(err, errAgain) {
+	for pause := reopenDelay; ; pause = min(2*pause, maxFollowDelay) {
+		err := rn.claimOnce(ctx, &givenUp)
+		if err == nil || !errors.Is(err, errReclaim) {
 			return err
 		}
 		if !clock.Sleep(ctx, pause) {
@@ -183,85 +183,85 @@
 	}
 }
 
-// once makes one claim and acts on it. It returns errAgain if the request
+// claimOnce makes one claim and acts on it. It returns errReclaim if the request
 // must be claimed anew.
-func (rn *run) once(ctx context.Context, givenUp *board.VMRef) error {
-	rn.become(searching)
+func (rn *run) claimOnce(ctx context.Context, givenUp *board.VMRef) error {
+	rn.setRole(searching)
 	if rn.vm.seats.Load() == nil {
-		return rn.withoutSeats(ctx)
+		return rn.executeWithoutSeats(ctx)
 	}
 	mine, lose := context.WithCancelCause(ctx)
 	defer lose(nil)
-	rn.claimed = rn.claim(*givenUp, func() { lose(errLost) })
-	defer rn.claimed.end()
-	dec, err := rn.claimed.verdict(mine, 0)
+	rn.claimed = rn.startClaim(*givenUp, func() { lose(errKeyLost) })
+	defer rn.claimed.stopLater()
+	dec, err := rn.claimed.awaitDecision(mine, 0)
 	if err != nil {
 		return err
 	}
 	switch dec.Verdict {
 	case claim.Run, claim.TakeOver:
-		rn.attempt, rn.until = int(dec.Attempt), dec.Until
-		rn.become(running)
-		if err := rn.serve(mine, dec); !errors.Is(context.Cause(mine), errLost) {
-			rn.report(err)
+		rn.attempt, rn.claimUntil = int(dec.Attempt), dec.Until
+		rn.setRole(running)
+		if err := rn.serveClaimed(mine, dec); !errors.Is(context.Cause(mine), errKeyLost) {
+			rn.reportOutcome(err)
 			return err
 		}
-		return errAgain
+		return errReclaim
 	case claim.Lost:
-		return errAgain
+		return errReclaim
 	case claim.Follow:
-		rn.become(following)
+		rn.setRole(following)
 		return rn.followOnce(mine, dec, givenUp)
 	case claim.Unavailable:
 		if !rn.req.Class.Idempotent {
 			return claimRefusal(dec)
 		}
-		rn.become(running)
-		rn.doubtGivenKey()
-		return rn.serve(mine, dec)
+		rn.setRole(running)
+		rn.assumeKeyMayHaveRun()
+		return rn.serveClaimed(mine, dec)
 	default:
 		return claimRefusal(dec)
 	}
 }
 
-// withoutSeats runs a request while this VM does not know yet which VMs keep
+// executeWithoutSeats runs a request while this VM does not know yet which VMs keep
 // request keys. What may run at most once has to wait for that.
-func (rn *run) withoutSeats(ctx context.Context) error {
+func (rn *run) executeWithoutSeats(ctx context.Context) error {
 	if !rn.req.Class.Idempotent {
 		return refusal.Refusal{
-			Ran:        unasked(rn.req),
+			Ran:        ranBeforeClaim(rn.req),
 			Reason:     refusal.Starting,
 			RetryAfter: clock.Second,
 			Detail:     "this VM does not know yet which VMs keep request keys",
 		}
 	}
-	rn.claimed = rn.vm.noClaim()
-	rn.become(running)
-	rn.doubtGivenKey()
-	return rn.serve(ctx, claim.Decided{Verdict: claim.Run})
+	rn.claimed = rn.vm.newUnclaimed()
+	rn.setRole(running)
+	rn.assumeKeyMayHaveRun()
+	return rn.serveClaimed(ctx, claim.Decided{Verdict: claim.Run})
 }
 
-// doubtGivenKey notes, for a request that runs without its seats' word, that
+// assumeKeyMayHaveRun notes, for a request that runs without its seats' word, that
 // the same key may have run before: callers send one again.
-func (rn *run) doubtGivenKey() {
+func (rn *run) assumeKeyMayHaveRun() {
 	if rn.req.KeyGiven {
-		rn.sent.Store(true)
+		rn.mayHaveBeenSent.Store(true)
 	}
 }
 
-// become sets the role and tells those who wait for it.
-func (rn *run) become(ro role) {
+// setRole sets the role and tells those who wait for it.
+func (rn *run) setRole(ro role) {
 	rn.role.Store(int32(ro))
-	rn.turned.raise()
+	rn.roleChanged.raise()
 }
 
-func (rn *run) is(ro role) bool { return role(rn.role.Load()) == ro }
+func (rn *run) hasRole(ro role) bool { return role(rn.role.Load()) == ro }
 
-// settled waits until the role is decided or the answer has its end.
-func (rn *run) settled(ctx context.Context) {
+// awaitRoleDecision waits until the role is decided or the answer has its end.
+func (rn *run) awaitRoleDecision(ctx context.Context) {
 	for {
-		turned := rn.turned.wait()
-		if _, final := rn.st.Len(); final || !rn.is(searching) {
+		turned := rn.roleChanged.wait()
+		if _, final := rn.st.Len(); final || !rn.hasRole(searching) {
 			return
 		}
 		select {
@@ -279,52 +279,52 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, errNotKept):
+	case errors.Is(err, errAnswerExpired):
 		return err
 	case errors.Is(err, errUnknownKey):
 		*givenUp = dec.Runner
-	case rn.readOn(ctx, rn.named(dec)):
+	case rn.followDecode(ctx, rn.withDecode(dec)):
 		return nil
 	}
-	return errAgain
+	return errReclaim
 }
 
-func (rn *run) serve(ctx context.Context, dec claim.Decided) error {
-	if rn.late {
+func (rn *run) serveClaimed(ctx context.Context, dec claim.Decided) error {
+	if rn.arrivedDraining {
 		return drainingRefusal()
 	}
 	if rn.req.Resumed && dec.Verdict != claim.TakeOver {
-		if rn.rescue(ctx) {
+		if rn.recoverAnswer(ctx) {
 			return nil
 		}
-		return errNotKept
+		return errAnswerExpired
 	}
 	if dec.Verdict == claim.TakeOver {
-		rn.sent.Store(true) // the VM before this one may have sent it
+		rn.mayHaveBeenSent.Store(true) // the VM before this one may have sent it
 	}
 	if rn.req.Plain != nil {
-		return rn.plain(ctx)
+		return rn.runPlain(ctx)
 	}
 	if dec.Verdict == claim.TakeOver {
 		rn.vm.Log.Log(event.RequestTakenOver, event.F("Customer", rn.id.Customer), event.F("Attempt", dec.Attempt))
 		rn.tr.add(event.RequestTakenOver, dec.DecodeServer)
-		if rn.resume(ctx, dec) || rn.rescue(ctx) {
+		if rn.resumeDecode(ctx, dec) || rn.recoverAnswer(ctx) {
 			return nil
 		}
 		if !rn.req.Class.Idempotent || rn.req.Resumed {
 			return refusal.Refusal{Reason: refusal.VMLost, Detail: "the VM that ran the request is lost"}
 		}
 	}
-	return rn.model(ctx)
+	return rn.runModel(ctx)
 }
 
-// report tells the seats how the key ended.
-func (rn *run) report(err error) {
+// reportOutcome tells the seats how the key ended.
+func (rn *run) reportOutcome(err error) {
 	switch {
 	case err == nil:
-		rn.claimed.became(claim.Became{State: claim.Complete})
-	case !rn.sent.Load() || errors.Is(err, errNotKept):
-		rn.claimed.became(claim.Became{State: claim.RefusedNotRun})
+		rn.claimed.reportState(claim.Became{State: claim.Complete})
+	case !rn.mayHaveBeenSent.Load() || errors.Is(err, errAnswerExpired):
+		rn.claimed.reportState(claim.Became{State: claim.RefusedNotRun})
 	}
 }
 
@@ -356,9 +356,9 @@
 		}
 	}
 	switch {
-	case rn.sent.Load():
+	case rn.mayHaveBeenSent.Load():
 		return rf.WithRan(refusal.MayHaveRun)
-	case rn.is(running):
+	case rn.hasRole(running):
 		return rf.WithRan(refusal.NotRun)
 	default:
 		return rf
@@ -378,5 +378,5 @@
 	}
 }
 
-// self tells whether a VM reference is this run of this VM.
-func (vm *VM) self(ref board.VMRef) bool { return ref == vm.Self }
+// isSelf tells whether a VM reference is this run of this VM.
+func (vm *VM) isSelf(ref board.VMRef) bool { return ref == vm.Self }
--- a/internal/entry/runs.go
+++ b/internal/entry/runs.go
@@ -20,8 +20,8 @@
 	// ones are kept so that a caller can come back for the answer; the zero
 	// value keeps none.
 	runs struct {
-		keep clock.Millis // of an answer after its end
-		most int          // bytes of all answers that are kept
+		retention clock.Millis // of an answer after its end
+		maxBytes  int          // bytes of all answers that are kept
 
 		mu    sync.Mutex
 		byID  map[requestID]*run
@@ -45,9 +45,9 @@
 	return rn, ok
 }
 
-// enter returns the run that the key has already, or adds the one that make
+// getOrAdd returns the run that the key has already, or adds the one that make
 // makes.
-func (rs *runs) enter(id requestID, fresh func() *run) (rn *run, added bool) {
+func (rs *runs) getOrAdd(id requestID, fresh func() *run) (rn *run, added bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	if rn, ok := rs.byID[id]; ok {
@@ -61,13 +61,13 @@
 	return rn, true
 }
 
-// end keeps a run that has its end for a while, if its answer may be told
+// keepEnded keeps a run that has its keepEnded for a while, if its answer may be told
 // again; otherwise the key is free for another run.
-func (rs *runs) end(rn *run, now clock.Millis) {
+func (rs *runs) keepEnded(rn *run, now clock.Millis) {
 	last, _ := rn.st.Last()
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	if !knownAnswer(last) || (!rn.is(running) && last.Kind == answer.Refused) {
+	if !replayableEnd(last) || (!rn.hasRole(running) && last.Kind == answer.Refused) {
 		rs.remove(rn)
 		return
 	}
@@ -75,14 +75,14 @@
 	size := rn.st.Size() + keptOverhead
 	rs.ended = append(rs.ended, keptRun{rn: rn, since: now, bytes: size})
 	rs.bytes += size
-	rs.trim(now)
+	rs.evict(now)
 }
 
-// trim drops ended runs that are too old or too much.
-func (rs *runs) trim(now clock.Millis) {
+// evict drops ended runs that are too old or too much.
+func (rs *runs) evict(now clock.Millis) {
 	for len(rs.ended) > 0 {
 		old := rs.ended[0]
-		if now-old.since < rs.keep && rs.bytes <= rs.most {
+		if now-old.since < rs.retention && rs.bytes <= rs.maxBytes {
 			return
 		}
 		rs.bytes -= old.bytes
@@ -116,24 +116,24 @@
 	}
 	if vm.runs.inProgress() >= vm.Settings.Limits.MaxStreams {
 		return nil, refusal.Refusal{
-			Ran:        unasked(req),
+			Ran:        ranBeforeClaim(req),
 			Reason:     refusal.TooManyConnections,
 			RetryAfter: clock.Second,
 			Detail:     "this VM makes as many answers as it may",
 		}
 	}
-	rn, added := vm.runs.enter(id, func() *run { return vm.newRun(req) })
+	rn, added := vm.runs.getOrAdd(id, func() *run { return vm.newRun(req) })
 	if !added {
 		return rn.answerFor(req)
 	}
-	rn.late = err != nil // whether the key ran elsewhere is known once it is claimed
-	vm.wg.Go(rn.live)
+	rn.arrivedDraining = err != nil // whether the key ran elsewhere is known once it is claimed
+	vm.wg.Go(rn.process)
 	return rn.st, nil
 }
 
-// unasked is what can be said of a request before its key was claimed: a key
+// ranBeforeClaim is what can be said of a request before its key was claimed: a key
 // of the caller's own may have run elsewhere.
-func unasked(req caller.Request) refusal.Ran {
+func ranBeforeClaim(req caller.Request) refusal.Ran {
 	if req.KeyGiven {
 		return refusal.MayHaveRun
 	}
@@ -158,7 +158,7 @@
 	if rn, ok := vm.runs.find(id); ok {
 		return rn.st, nil
 	}
-	st, err := vm.findElsewhere(ctx, id)
+	st, err := vm.findRemote(ctx, id)
 	if err != nil {
 		return nil, fmt.Errorf("find the answer: %w", err)
 	}
@@ -195,7 +195,7 @@
 	return caller.Candidates(vm.Board.Fleet()), vm.Settings.Addresses.KeepFor
 }
 
-func (vm *VM) ended(rn *run) {
-	vm.runs.end(rn, vm.Clock.Now())
+func (vm *VM) recordRunEnd(rn *run) {
+	vm.runs.keepEnded(rn, vm.Clock.Now())
 	vm.runEnded.raise()
 }
--- a/internal/entry/scale_test.go
+++ b/internal/entry/scale_test.go
@@ -19,16 +19,16 @@
 		entries     int
 		least, most clock.Millis
 	}{
-		{"none", 0, 750, listEvery},
-		{"today", 20, 750, listEvery},
+		{"none", 0, 750, listInterval},
+		{"today", 20, 750, listInterval},
 		{"large", 980, 3675, 4900},
-		{"beyond", 100_000, 3750, listMost},
+		{"beyond", 100_000, 3750, maxListInterval},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			seen := make(map[clock.Millis]bool)
 			for range 200 {
-				span := listPause(tc.entries, rnd)
+				span := listDelay(tc.entries, rnd)
 				seen[span] = true
 				assert.Assert(t, span > tc.least && span <= tc.most, "%v", span)
 			}
@@ -42,26 +42,26 @@
 func TestCellsAreDividedOnceForEachList(t *testing.T) {
 	vm := &VM{Board: &board.Board{}}
 	assert.Equal(t, len(vm.cellList().cells), 0)
-	vm.Board.SetBackends(vm.Board.Backends().WithServers(engines("svc", 6, 11)))
+	vm.Board.SetBackends(vm.Board.Backends().WithServers(modelEngines("svc", 6, 11)))
 	first := vm.cellList()
 	assert.Equal(t, len(first.cells), 2)
 	vm.Board.SetBackends(vm.Board.Backends().WithReport(board.LoadReport{Server: "svc-p000"}))
 	assert.Equal(t, vm.cellList(), first)
-	vm.Board.SetBackends(vm.Board.Backends().WithServers(engines("svc", 6, 10)))
+	vm.Board.SetBackends(vm.Board.Backends().WithServers(modelEngines("svc", 6, 10)))
 	assert.Equal(t, len(vm.cellList().cells), 1)
 	assert.DeepEqual(t, vm.cellList().byService, map[string][]string{"svc": {"svc/0"}})
 }
 
 // What the lists of runs cost at rest does not grow with the runs.
 func TestRunsAreListedLessOftenTheMoreThereAre(t *testing.T) {
-	assert.Equal(t, runningPause(0), runningEvery)
-	assert.Equal(t, runningPause(100), runningEvery)
-	assert.Equal(t, runningPause(320), 32*clock.Second)
-	assert.Equal(t, runningPause(10_000), runningMost)
+	assert.Equal(t, runningDelay(0), runningInterval)
+	assert.Equal(t, runningDelay(100), runningInterval)
+	assert.Equal(t, runningDelay(320), 32*clock.Second)
+	assert.Equal(t, runningDelay(10_000), maxRunningInterval)
 }
 
 // A lost or replaced VM puts the runs in doubt, a suspected one does not.
-func TestLossDigestHeedsLossAlone(t *testing.T) {
+func TestLossDigestIgnoresSuspicion(t *testing.T) {
 	fleet := func(health board.Health, incarnation uint64) uint64 {
 		return lossDigest(&board.Fleet{VMs: []board.VM{
 			{VMRef: board.VMRef{ID: "vm-1", Incarnation: 1}},
@@ -78,8 +78,8 @@
 // A VM reads four load reports of plain servers a second; the four servers of
 // a service of today are read each second, and any within three.
 func TestPlainReportsAreBounded(t *testing.T) {
-	assert.Equal(t, plainPause(0), plainPoll)
-	assert.Equal(t, plainPause(4), plainPoll)
-	assert.Equal(t, plainPause(8), 2*clock.Second)
-	assert.Equal(t, plainPause(40), plainMost)
+	assert.Equal(t, plainPollDelay(0), plainPollInterval)
+	assert.Equal(t, plainPollDelay(4), plainPollInterval)
+	assert.Equal(t, plainPollDelay(8), 2*clock.Second)
+	assert.Equal(t, plainPollDelay(40), maxPlainInterval)
 }
--- a/internal/entry/snapshot.go
+++ b/internal/entry/snapshot.go
@@ -16,7 +16,7 @@
 	snap := &peerpb.Snapshot{}
 	switch fw, ok := vm.followerOf(ask.GetStream()); {
 	case ok:
-		fw.look(ctx, func(fo *register.Follower) {
+		fw.query(ctx, func(fo *register.Follower) {
 			data, asOf, err := fo.Snapshot()
 			snap.Data, snap.AsOf, snap.Ready = data, asOf, err == nil
 		})
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -9,8 +9,8 @@
 
 // Bounds of what a VM remembers for "explain".
 const (
-	traceRequests = 2048
-	traceLines    = 48
+	maxTraces     = 2048
+	maxTraceLines = 48
 )
 
 type (
@@ -45,8 +45,8 @@
 	}
 )
 
-// of returns the trace of the request and starts one if there is none.
-func (ts *traces) of(id requestID) *trace {
+// getOrAdd returns the trace getOrAdd the request and starts one if there is none.
+func (ts *traces) getOrAdd(id requestID) *trace {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	if tr, ok := ts.byID[id]; ok {
@@ -55,7 +55,7 @@
 	if ts.byID == nil {
 		ts.byID = make(map[requestID]*trace)
 	}
-	if len(ts.order) >= traceRequests {
+	if len(ts.order) >= maxTraces {
 		delete(ts.byID, ts.order[0])
 		ts.order = ts.order[1:]
 	}
@@ -83,8 +83,8 @@
 func (tr *trace) add(ev event.Event, text string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if len(tr.lines) >= traceLines {
-		tr.lines = append(tr.lines[:traceLines/2], tr.lines[traceLines/2+1:]...)
+	if len(tr.lines) >= maxTraceLines {
+		tr.lines = append(tr.lines[:maxTraceLines/2], tr.lines[maxTraceLines/2+1:]...)
 	}
 	tr.lines = append(tr.lines, traceLine{Since: tr.clk.Now() - tr.start, Event: ev, Text: text})
 }
--- a/internal/entry/transfer_test.go
+++ b/internal/entry/transfer_test.go
@@ -19,55 +19,55 @@
 // the reservation, and the decode engine e1.
 type transferRig struct {
 	ma *modelAttempt
-	rr *rigRunner // the accountant's end: it receives what the runner tells
+	rr *testRunner // the accountant's end: it receives what the runner tells
 }
 
 func newTransferRig(t *testing.T, imports http.HandlerFunc) *transferRig {
 	t.Helper()
-	rn, _ := newToldBy(t, http.HandlerFunc(func(wr http.ResponseWriter, req *http.Request) {
+	rn, _ := newEngineRun(t, http.HandlerFunc(func(wr http.ResponseWriter, req *http.Request) {
 		if req.URL.Path == engine.ImportPath { // and no question whether the engine is there
 			imports(wr, req)
 		}
 	}), nil)
 	near, far := newPipe()
 	ma := &modelAttempt{
-		rn:      rn,
-		name:    "cu/k/1.0",
-		number:  1,
-		kv:      engine.PrefillResult{KV: "kv", KeptFor: 800},
-		prefill: board.BackendServer{ID: "p1", Role: board.Prefill, Address: "p1.example:1"},
-		touched: make(map[string]struct{}),
+		rn:          rn,
+		name:        "cu/k/1.0",
+		number:      1,
+		kv:          engine.PrefillResult{KV: "kv", KeptFor: 800},
+		prefill:     board.BackendServer{ID: "p1", Role: board.Prefill, Address: "p1.example:1"},
+		usedEngines: make(map[string]struct{}),
 		rs: &reservation{vm: rn.vm, cn: near, granted: true, attempt: 1, stage: sched.Prefilled,
-			said: make(chan *peerpb.Frame, outboxDepth)},
+			decisions: make(chan *peerpb.Frame, outboxDepth)},
 	}
-	return &transferRig{ma: ma, rr: &rigRunner{t: t, cn: far}}
+	return &transferRig{ma: ma, rr: &testRunner{t: t, cn: far}}
 }
 
-// says is a decision of the accountant.
-func (tr *transferRig) says(fr *peerpb.Frame) { tr.ma.rs.said <- fr }
+// decide is a decision of the accountant.
+func (tr *transferRig) decide(fr *peerpb.Frame) { tr.ma.rs.decisions <- fr }
 
-func transferTo(server string) *peerpb.Frame {
+func transferFrame(server string) *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_Transfer{Transfer: &peerpb.Transfer{DecodeServer: server, Attempt: 1}}}
 }
 
-func preempted() *peerpb.Frame {
+func preemptFrame() *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_Preempt{Preempt: &peerpb.Preempt{Attempt: 1}}}
 }
 
 // A KV cache that its prefill engine dropped is no word of the decode engine.
 // The accountant heard that the engine had rejected the import, and took it to
 // be full until its next report.
-func TestLostKVCacheDoesNotFillTheDecodeEngine(t *testing.T) {
+func TestLostKVCacheDoesNotMarkDecodeEngineFull(t *testing.T) {
 	tr := newTransferRig(t, func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set(backend.DeclinedHeader, string(backend.NoKV))
 		wr.WriteHeader(http.StatusConflict)
 	})
-	tr.says(transferTo("e1"))
+	tr.decide(transferFrame("e1"))
 	ended := make(chan error, 1)
-	go func() { ended <- tr.ma.transfer(t.Context()) }()
-	assert.Equal(t, tr.rr.next().GetProgress().GetStage(), string(sched.Transferring))
-	assert.Equal(t, tr.rr.next().GetProgress().GetStage(), string(sched.Lapsed))
-	tr.says(preempted())
+	go func() { ended <- tr.ma.transferKV(t.Context()) }()
+	assert.Equal(t, tr.rr.receive().GetProgress().GetStage(), string(sched.Transferring))
+	assert.Equal(t, tr.rr.receive().GetProgress().GetStage(), string(sched.Lapsed))
+	tr.decide(preemptFrame())
 	assert.ErrorIs(t, <-ended, errPreempted)
 }
 
@@ -81,13 +81,13 @@
 		close(began)
 		<-req.Context().Done()
 	})
-	tr.says(transferTo("e1"))
+	tr.decide(transferFrame("e1"))
 	ended := make(chan error, 1)
-	go func() { ended <- tr.ma.transfer(t.Context()) }()
+	go func() { ended <- tr.ma.transferKV(t.Context()) }()
 	<-began
-	tr.says(preempted())
+	tr.decide(preemptFrame())
 	assert.ErrorIs(t, <-ended, errPreempted)
-	assert.Equal(t, tr.rr.next().GetProgress().GetStage(), string(sched.Transferring))
+	assert.Equal(t, tr.rr.receive().GetProgress().GetStage(), string(sched.Transferring))
 }
 
 // A transfer that stalled at e1 and was declined by e2 is sent back to e1. The
@@ -97,7 +97,7 @@
 //	vm-3  726ms TransferChosen: rapportmodel-decode-1
 //	vm-3  780ms TransferChosen: rapportmodel-decode-2
 //	vm-3 1.162s AttemptFailed: import: Import was declined by rapportmodel-decode-2: Cancelled
-func TestEachImportIsAnAttemptOfItsOwn(t *testing.T) {
+func TestEachImportHasItsOwnAttemptNumber(t *testing.T) {
 	began, attempts := make(chan struct{}, 3), make(chan int, 3)
 	tr := newTransferRig(t, func(wr http.ResponseWriter, req *http.Request) {
 		var od engine.ImportOrder
@@ -120,13 +120,13 @@
 	second := first
 	second.ID = "e2"
 	vm.Board.SetBackends(&board.Backends{Servers: []board.BackendServer{first, second}})
-	tr.says(transferTo("e1"))
+	tr.decide(transferFrame("e1"))
 	ended := make(chan error, 1)
-	go func() { ended <- tr.ma.transfer(t.Context()) }()
+	go func() { ended <- tr.ma.transferKV(t.Context()) }()
 	<-began
-	tr.says(transferTo("e2"))
+	tr.decide(transferFrame("e2"))
 	<-began
-	tr.says(transferTo("e1"))
+	tr.decide(transferFrame("e1"))
 	<-began
 	assert.NilError(t, <-ended)
 	assert.DeepEqual(t, []int{<-attempts, <-attempts, <-attempts}, []int{1, 2, 3})
--- a/internal/entry/unsent_test.go
+++ b/internal/entry/unsent_test.go
@@ -27,7 +27,7 @@
 	vm := rg.vm
 	vm.Self = board.VMRef{ID: "vm-1", Incarnation: 1}
 	vm.loopCtx = t.Context()
-	vm.fresh.Store(math.MinInt64)
+	vm.quorateUntil.Store(math.MinInt64)
 	vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: vm.Self}}})
 	vm.initBook()
 	vm.bookState.FromStart = true
@@ -35,7 +35,7 @@
 	vm.book.Step = func(now clock.Millis, ev claim.Event) []claim.Intent {
 		if ask, ok := ev.(claim.Asked); ok && ask.Ask.GetConfirm() && !still {
 			still = true
-			time.Sleep(2 * callWithin.Std())
+			time.Sleep(2 * callTimeout.Std())
 		}
 		return vm.stepBook(now, ev)
 	}
@@ -60,7 +60,7 @@
 //	01:57:35.955 vm-1 claim=227 confirm=false to=vm-1: Held RunnerID:"vm-1" State:"Claimed"
 //	01:57:38.396 vm-1 Verdict:Follow Runner:vm-1
 //	01:57:38.500 vm-1 Verdict:InDoubt Runner:vm-1 Ran:MayHaveRun
-func TestPaymentThatWasNotSentGoesOnWithItsClaim(t *testing.T) {
+func TestUnsentPaymentKeepsItsClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newUnsentRig(t)
 		rn := rg.vm.newRun(caller.Request{
@@ -68,10 +68,10 @@
 			Class: template.Class{Service: "kiosk-api", Share: 1, StreamWait: clock.Minute},
 			Plain: &caller.Plain{Service: "kiosk-api", Method: http.MethodPost, Path: "/payments/k"},
 		})
-		rn.live()
+		rn.process()
 		last, final := rn.st.Last()
 		assert.Assert(t, final)
 		assert.Equal(t, last.Kind, answer.Whole, "%v", last.Refusal)
-		assert.Equal(t, rg.runs(), 1)
+		assert.Equal(t, rg.totalRuns(), 1)
 	})
 }
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -81,46 +81,46 @@
 		startedAt clock.Millis
 
 		// runCtx ends when the last request has its end.
-		runCtx   context.Context
-		stopRuns context.CancelFunc
-		wg       sync.WaitGroup
-		draining atomic.Bool
-		drainNow chan struct{}
-		drain    sync.Once
+		runCtx        context.Context
+		stopRuns      context.CancelFunc
+		wg            sync.WaitGroup
+		draining      atomic.Bool
+		stopRequested chan struct{}
+		stopOnce      sync.Once
 
 		runs         runs
 		traces       traces
 		janitor      janitor
-		decodes      decodes
-		accountant   accountant
-		alone        alone
+		decodes      decodeList
+		scheduler    scheduler
+		fallback     fallbackPlacer
 		chooser      chooser
 		retries      retries
 		poison       poison.Guard
 		incarnations backend.Incarnations
 
-		members  *actor.Actor[membership.Event, membership.Intent]
-		follower *follower
-		leases   *follower
-		book     *actor.Actor[claim.Event, claim.Intent]
+		members          *actor.Actor[membership.Event, membership.Intent]
+		templateFollower *logFollower
+		leaseFollower    *logFollower
+		book             *actor.Actor[claim.Event, claim.Intent]
 
-		bookState *claim.Book  // owned by the loop of book once it runs
-		restored  *claim.Seats // learned from a peer before the book ran
-		claimSeed atomic.Uint64
-		leaseSeed atomic.Uint64
-		nextCell  atomic.Uint64
-		cells     atomic.Pointer[cellList] // made last
-		loopCtx   context.Context          // ends after the last request
+		bookState     *claim.Book  // owned by the loop of book once it runs
+		restoredSeats *claim.Seats // learned from a peer before the book ran
+		claimSeed     atomic.Uint64
+		leaseSeed     atomic.Uint64
+		nextCell      atomic.Uint64
+		cells         atomic.Pointer[cellList] // made last
+		loopCtx       context.Context          // ends after the last request
 
 		backendsMu sync.Mutex // orders the writers of the board's backend servers
 
-		fresh     atomic.Int64 // clock.Millis up to which this VM is quorate
-		seats     atomic.Pointer[claim.Seats]
-		refuted   signal // this VM was held dead and goes on
-		fleetMove signal // the fleet or the seats changed
-		runEnded  signal
-		replies   pending[*claimReply]
-		verdicts  verdicts
+		quorateUntil atomic.Int64 // clock.Millis up to which this VM is quorate
+		seats        atomic.Pointer[claim.Seats]
+		refuted      signal // this VM was held dead and goes on
+		fleetChanged signal // the fleet or the seats changed
+		runEnded     signal
+		replies      pending[*claimReply]
+		verdicts     verdicts
 	}
 
 	chooser struct {
@@ -182,7 +182,7 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-vm.drainNow:
+	case <-vm.stopRequested:
 		return nil
 	case <-failed.Done():
 		return context.Cause(failed)
@@ -193,7 +193,7 @@
 
 // beginStop begins the planned stop. More than one call does no harm.
 func (vm *VM) beginStop() {
-	vm.drain.Do(func() { close(vm.drainNow) })
+	vm.stopOnce.Do(func() { close(vm.stopRequested) })
 }
 
 // stop is the planned stop.
@@ -205,7 +205,7 @@
 	err := <-callersDone
 	vm.awaitRuns()
 	vm.members.Tell(vm.runCtx, membership.Leave{Final: true})
-	clock.Sleep(vm.runCtx, leaveGossip)
+	clock.Sleep(vm.runCtx, leaveGossipWait)
 	if err != nil {
 		return fmt.Errorf("stop serving callers: %w", err)
 	}
@@ -228,8 +228,8 @@
 	}
 }
 
-// leaveGossip is the time for the others to hear that this VM has left.
-const leaveGossip = 600 * clock.Millis(1)
+// leaveGossipWait is the time for the others to hear that this VM has left.
+const leaveGossipWait = 600 * clock.Millis(1)
 
 func (vm *VM) init() error {
 	if vm.Incarnation == 0 {
@@ -247,9 +247,9 @@
 	vm.Log.VM = vm.Settings.ID
 	vm.Self = board.VMRef{ID: vm.Settings.ID, Incarnation: vm.Incarnation}
 	vm.startedAt = vm.Clock.Now()
-	vm.drainNow = make(chan struct{})
+	vm.stopRequested = make(chan struct{})
 	vm.traces.clk = vm.Clock
-	vm.runs.keep, vm.runs.most = vm.Settings.Answers.KeepFor, int(vm.Settings.Limits.MaxAnswerMemory)
+	vm.runs.retention, vm.runs.maxBytes = vm.Settings.Answers.KeepFor, int(vm.Settings.Limits.MaxAnswerMemory)
 	vm.initAdapters()
 	vm.initDecisions()
 	return nil
@@ -268,14 +268,14 @@
 		Listen:    set.Peer.Listen.String(),
 		Secret:    []byte(set.Peer.Secret.Reveal()),
 		Handler:   peerHandler{vm},
-		Datagrams: vm.heard,
+		Datagrams: vm.handleDatagram,
 		Scope:     vm.Scope,
 		Log:       vm.Log,
 		Clock:     vm.Clock,
 
-		DialTimeout:      dialWithin,
-		HandshakeTimeout: handshakeWithin,
-		Limits:           peer.Limits{MaxStreams: peerStreams},
+		DialTimeout:      dialTimeout,
+		HandshakeTimeout: handshakeTimeout,
+		Limits:           peer.Limits{MaxStreams: maxPeerStreams},
 	}
 	vm.callers = &caller.Server{
 		Listen: set.Caller.Listen.String(),
@@ -296,7 +296,7 @@
 	srv := &operator.Server{
 		Listener: ln,
 		Token:    vm.Settings.Operator.Token,
-		Backend:  operatorSide{vm},
+		Backend:  operatorBackend{vm},
 		Metrics:  vm.Metrics,
 		Scope:    vm.Scope.SubScope("Operator"),
 		Log:      vm.Log,
@@ -307,9 +307,9 @@
 	return nil
 }
 
-// stopWait bounds a planned stop above the longest deadline that a template
+// maxStopWait bounds a planned stop above the longest deadline that a template
 // may set, so that it cuts off no request.
-const stopWait = 25 * clock.Hour
+const maxStopWait = 25 * clock.Hour
 
 // callerLimits are the limits that the settings hold for callers.
 func callerLimits(set settings.Settings) caller.Limits {
@@ -322,24 +322,24 @@
 		Addresses:     set.Addresses.Count,
 		ListLag:       set.Drain.Linger,
 		BodyGrace:     set.Limits.BodyTimeout,
-		StopWait:      stopWait,
+		StopWait:      maxStopWait,
 	}
 }
 
 // initDecisions makes the decision packages and their loops.
 func (vm *VM) initDecisions() {
-	vm.accountant = accountant{vm: vm}
-	vm.alone = alone{vm: vm, fb: sched.Fallback{Rand: vm.rand(4)}, own: make(map[string]int)}
+	vm.scheduler = scheduler{vm: vm}
+	vm.fallback = fallbackPlacer{vm: vm, fb: sched.Fallback{Rand: vm.rand(4)}, placed: make(map[string]int)}
 	vm.janitor = janitor{cancel: vm.Engines.CancelAttempt, find: vm.server, lg: vm.Log}
 	vm.chooser.Chooser = &balance.Chooser{Rand: vm.rand(1)}
 	vm.retries.Policy = &retry.Policy{Rand: vm.rand(2)}
 	vm.retries.count.Scope = vm.Scope
 	vm.initPoison()
 	vm.initMembers()
-	vm.follower = vm.newFollower(vm.Settings.Log.Stream, register.Templates)
-	vm.leases = vm.newFollower(leasesStream(vm.Settings.Log.Stream), register.Leases)
-	vm.leases.fo.Settings.Wait = leasesWait
-	vm.leases.after = vm.observeLeases
+	vm.templateFollower = vm.newLogFollower(vm.Settings.Log.Stream, register.Templates)
+	vm.leaseFollower = vm.newLogFollower(leasesStream(vm.Settings.Log.Stream), register.Leases)
+	vm.leaseFollower.fo.Settings.Wait = leaseReadWait
+	vm.leaseFollower.afterStep = vm.observeLeases
 	vm.initBook()
 }
 
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -7,8 +7,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// withdrawn is the final stage of a runner that no longer wants its place.
-const withdrawn sched.Stage = "Withdrawn"
+// stageWithdrawn is the final stage of a runner that no longer wants its place.
+const stageWithdrawn sched.Stage = "Withdrawn"
 
 func doneFrame() *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_Done{Done: &peerpb.Done{}}}
