--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -7,27 +7,27 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds of what a VM remembers for "explain".
+// Limits of the traces that a VM keeps for "explain".
 const (
 	maxTraces     = 2048
 	maxTraceLines = 48
 )
 
 type (
-	// requestID names a request across the fleet.
+	// requestID identifies a request across the fleet.
 	requestID struct {
 		Customer string
 		Key      string
 	}
 
-	// traceLine is one step in a request's life at this VM.
+	// traceLine is one step of a request at this VM.
 	traceLine struct {
 		Since clock.Millis
 		Event event.Event
 		Text  string
 	}
 
-	// trace is what one VM did for one request.
+	// trace records what one VM did for one request.
 	trace struct {
 		mu    sync.Mutex
 		start clock.Millis
@@ -35,7 +35,7 @@
 		lines []traceLine
 	}
 
-	// traces remembers the newest requests, oldest out first.
+	// traces holds the newest traces and evicts the oldest first.
 	traces struct {
 		clk clock.Source
 
@@ -45,7 +45,7 @@
 	}
 )
 
-// getOrAdd returns the trace getOrAdd the request and starts one if there is none.
+// getOrAdd returns the trace of the request and adds one if there is none.
 func (ts *traces) getOrAdd(id requestID) *trace {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
@@ -78,8 +78,8 @@
 	return append([]traceLine(nil), tr.lines...)
 }
 
-// add notes a step. Steps past the bound are dropped from the middle, so that
-// the beginning and the end stay.
+// add records a step. Above the limit, steps are dropped from the middle, so that the
+// beginning and the end are kept.
 func (tr *trace) add(ev event.Event, text string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/internal/entry/transfer.go
+++ b/internal/entry/transfer.go
@@ -13,27 +13,28 @@
 	"alderdyke/pkg/clock"
 )
 
-// Parts of the time that a prefill engine keeps a KV cache.
+// Fractions of the time for which a prefill engine keeps a KV cache.
 const (
-	// detachedWaitFraction is how long a runner without a stream to its accountant
+	// detachedWaitFraction is how long a runner without a stream to its scheduler
 	// waits for one before it uses the engine that the grant named.
 	detachedWaitFraction = 0.25
-	// detachedLimitFraction is how long a transfer may be waited for without an accountant;
-	// what is left is for the order to reach the engine.
+	// detachedLimitFraction limits the wait for a transfer without a scheduler; the
+	// rest of the time is needed for the import order to reach the engine.
 	detachedLimitFraction = 0.9
-	// decisionLimitFraction is how long an accountant's word is waited for. It counts from
-	// when it hears of the KV cache, and takes a request that found no engine
-	// back just before the end, without using up one of its attempts.
+	// decisionLimitFraction limits the wait for a decision of the scheduler. The
+	// scheduler counts from when it is informed of the KV cache. It revokes the grant
+	// of a request without an engine just before the end, which does not use up one
+	// of the request's attempts.
 	decisionLimitFraction = 1.25
 )
 
 var (
-	errRedirected = errors.New("the accountant chose another decode engine")
-	errKVExpired  = errors.New("no decode engine had a place while the KV cache was kept")
+	errRedirected = errors.New("the scheduler chose another decode engine")
+	errKVExpired  = errors.New("no decode engine had a free slot while the KV cache was kept")
 )
 
-// transferKV brings the KV cache to the decode engine that the accountant
-// chooses, and to another one if that one refuses it or the transferKV stalls.
+// transferKV transfers the KV cache to the decode engine that the scheduler chooses, and
+// to another one if that one refuses it or the transfer stalls.
 func (ma *modelAttempt) transferKV(ctx context.Context) error {
 	now := ma.rn.vm.Clock.Now()
 	if err := ma.awaitDecodeChoice(ctx, now); err != nil {
@@ -61,15 +62,15 @@
 	}
 }
 
-// retentionPoint is the point at which a part of the time is over for which the KV
-// cache is kept since a point.
+// retentionPoint returns the time at which the given fraction of the KV cache's retention
+// has passed since a time.
 func (ma *modelAttempt) retentionPoint(since clock.Millis, part float64) clock.Millis {
 	return since + clock.Millis(part*float64(ma.kv.KeptFor))
 }
 
-// awaitDecodeChoice waits for the binding choice of the decode engine, or for the word that
-// there was none while the KV cache was kept. Without a stream to an accountant it
-// goes on, after a silence, with the engine that the grant named.
+// awaitDecodeChoice waits for the scheduler's final choice of the decode engine, or for its
+// decision that none was free while the KV cache was kept. Without a stream to a scheduler
+// it continues after a wait with the engine that the grant named.
 func (ma *modelAttempt) awaitDecodeChoice(ctx context.Context, since clock.Millis) error {
 	if ma.placedLocally {
 		return nil
@@ -89,8 +90,8 @@
 	return ma.applyDecision(fr)
 }
 
-// chooseOtherDecode finds another decode engine after one refused the KV cache. Where
-// that had lapsed, the accountant takes the request back.
+// chooseOtherDecode finds another decode engine after one refused the KV cache. If the KV
+// cache has expired, the scheduler revokes the grant.
 func (ma *modelAttempt) chooseOtherDecode(ctx context.Context, since clock.Millis) error {
 	if ma.placedLocally {
 		return ma.setDecode(ma.rn.vm.redirectByReports(ctx, ma.rs.ask, ma.decode.ID))
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// importKV has the decode engine fetch the KV cache, and leaves off when the
-// accountant chooses another engine meanwhile or takes the grant back.
+// importKV has the decode engine fetch the KV cache. It stops when the scheduler chooses
+// another engine meanwhile or revokes the grant.
 func (ma *modelAttempt) importKV(ctx context.Context) error {
 	ma.rs.sendProgress(sched.Transferring, ma.decode.ID, 0, 0)
 	ma.usedEngines[ma.decode.ID] = struct{}{}
@@ -158,11 +159,11 @@
 				ma.cancelEngine(srv.ID)
 				return failure{"import", err}
 			}
-			ma.decode.Incarnation = ma.rn.vm.incarnations.Of(srv.ID) // which holds the KV cache
+			ma.decode.Incarnation = ma.rn.vm.incarnations.Of(srv.ID) // the one that holds the KV cache
 			return nil
 		case fr, ok := <-said:
 			if !ok {
-				said = nil // no accountant any more
+				said = nil // the reservation has lost its scheduler
 				continue
 			}
 			if err := ma.abortIfReplaced(fr, srv.ID); err != nil {
@@ -172,8 +173,8 @@
 	}
 }
 
-// abortIfReplaced leaves an import off if a decision of the accountant puts another
-// engine or another grant in its place.
+// abortIfReplaced aborts an import if a decision of the scheduler replaces its engine or
+// its grant.
 func (ma *modelAttempt) abortIfReplaced(fr *peerpb.Frame, server string) error {
 	pr, next := fr.GetPreempt(), fr.GetTransfer()
 	switch {
--- a/internal/entry/transfer_test.go
+++ b/internal/entry/transfer_test.go
@@ -15,17 +15,17 @@
 	"alderdyke/internal/sched"
 )
 
-// transferRig is an attempt whose prompt is computed, its accountant's end of
-// the reservation, and the decode engine e1.
+// transferRig is an attempt whose prompt is computed, the scheduler's end of its reservation,
+// and the decode engine e1.
 type transferRig struct {
 	ma *modelAttempt
-	rr *testRunner // the accountant's end: it receives what the runner tells
+	rr *testRunner // the scheduler's end, which receives the runner's frames
 }
 
 func newTransferRig(t *testing.T, imports http.HandlerFunc) *transferRig {
 	t.Helper()
 	rn, _ := newEngineRun(t, http.HandlerFunc(func(wr http.ResponseWriter, req *http.Request) {
-		if req.URL.Path == engine.ImportPath { // and no question whether the engine is there
+		if req.URL.Path == engine.ImportPath { // not a ping
 			imports(wr, req)
 		}
 	}), nil)
@@ -43,7 +43,7 @@
 	return &transferRig{ma: ma, rr: &testRunner{t: t, cn: far}}
 }
 
-// decide is a decision of the accountant.
+// decide passes a decision of the scheduler to the attempt.
 func (tr *transferRig) decide(fr *peerpb.Frame) { tr.ma.rs.decisions <- fr }
 
 func transferFrame(server string) *peerpb.Frame {
@@ -54,9 +54,9 @@
 	return &peerpb.Frame{Body: &peerpb.Frame_Preempt{Preempt: &peerpb.Preempt{Attempt: 1}}}
 }
 
-// A KV cache that its prefill engine dropped is no word of the decode engine.
-// The accountant heard that the engine had rejected the import, and took it to
-// be full until its next report.
+// If the prefill engine dropped the KV cache, the failed import says nothing about the decode
+// engine. If the runner reported it as rejected by that engine, the scheduler would treat the
+// engine as full until its next report.
 func TestLostKVCacheDoesNotMarkDecodeEngineFull(t *testing.T) {
 	tr := newTransferRig(t, func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set(backend.DeclinedHeader, string(backend.NoKV))
@@ -71,13 +71,12 @@
 	assert.ErrorIs(t, <-ended, errPreempted)
 }
 
-// The accountant takes a grant back while the import goes on, as where its
-// answer and a second order crossed. The runner went on with an import that
-// nobody accounted for.
+// The scheduler may revoke a grant during the import, for example when its decision and a second
+// order cross. The runner must then stop the import, which no slot accounts for any more.
 func TestImportEndsWithItsGrant(t *testing.T) {
 	began := make(chan struct{})
 	tr := newTransferRig(t, func(_ http.ResponseWriter, req *http.Request) {
-		_, _ = io.Copy(io.Discard, req.Body) // or the server does not see that the caller left
+		_, _ = io.Copy(io.Discard, req.Body) // otherwise the server does not detect that the caller left
 		close(began)
 		<-req.Context().Done()
 	})
@@ -90,13 +89,8 @@
 	assert.Equal(t, tr.rr.receive().GetProgress().GetStage(), string(sched.Transferring))
 }
 
-// A transfer that stalled at e1 and was declined by e2 is sent back to e1. The
-// order named the attempt that e1 had been told to cancel, and was declined:
-//
-//	vm-3  208ms TransferChosen: rapportmodel-decode-2
-//	vm-3  726ms TransferChosen: rapportmodel-decode-1
-//	vm-3  780ms TransferChosen: rapportmodel-decode-2
-//	vm-3 1.162s AttemptFailed: import: Import was declined by rapportmodel-decode-2: Cancelled
+// A transfer that stalled at e1 and was declined by e2 returns to e1. Its order must have a new
+// attempt number: e1 was told to cancel the first attempt and declines an order with its number.
 func TestEachImportHasItsOwnAttemptNumber(t *testing.T) {
 	began, attempts := make(chan struct{}, 3), make(chan int, 3)
 	tr := newTransferRig(t, func(wr http.ResponseWriter, req *http.Request) {
--- a/internal/entry/unsent_test.go
+++ b/internal/entry/unsent_test.go
@@ -18,9 +18,9 @@
 	"alderdyke/pkg/template"
 )
 
-// newUnsentRig is a hedgeRig whose VM is the only seat and, not being quorate,
-// asks it again before each payment that it sends. The seat stands still at
-// the first such ask, for longer than an ask waits.
+// newUnsentRig returns a hedgeRig whose VM is the only seat and is not quorate, so that it
+// confirms its claim there before each payment that it sends. The seat is paused at the first
+// confirmation, for longer than the call waits.
 func newUnsentRig(t *testing.T) *hedgeRig {
 	t.Helper()
 	rg := newHedgeRig(t)
@@ -47,19 +47,11 @@
 	return rg
 }
 
-// A VM that is not quorate has its claim confirmed before it sends a payment.
-// Seats that stand still, or settle after a change of their table, don't
-// confirm it, and the VM claimed the key anew under another number. It found
-// its own claim at the seats, waited for a word that would free it and that
-// nobody sends, and refused as if a VM that is lost may have run the key.
-// Nothing had been sent to any server, and no VM was lost.
-//
-//	01:57:35.496 vm-1 claim=8349 confirm=false to=vm-1: Granted, Verdict:Run, fresh=0
-//	01:57:35.761 vm-1 claim=8349 confirm=true to=vm-1: Settling RunnerID:"vm-1" State:"Claimed"
-//	01:57:35.874 vm-1 Verdict:Lost
-//	01:57:35.955 vm-1 claim=227 confirm=false to=vm-1: Held RunnerID:"vm-1" State:"Claimed"
-//	01:57:38.396 vm-1 Verdict:Follow Runner:vm-1
-//	01:57:38.500 vm-1 Verdict:InDoubt Runner:vm-1 Ran:MayHaveRun
+// A VM that is not quorate has its claim confirmed before it sends a payment. Seats that are
+// paused, or settle after a change of their table, do not confirm it. If the VM then claims the
+// key again under another number, it finds its own claim at the seats and waits for a release
+// that nobody sends. It refuses the request as possibly run by a lost VM, although nothing was
+// sent to any server and no VM was lost.
 func TestUnsentPaymentKeepsItsClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newUnsentRig(t)
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -1,11 +1,11 @@
-// Package entry is one entry VM: it runs each request's life and wires the
-// decisions to the peers that carry them out.
+// Package entry implements one entry VM: it handles the life cycle of each request and
+// connects the decision packages with the adapters that execute their intents.
 //
-// Callers, operators and other VMs come in through their adapters; the
-// decision packages each run in one goroutine and never do I/O; what they
-// intend is carried out here. What the VM knows lies on a board.Board, whose
-// snapshots each have one writer: membership writes the fleet, the reader of
-// the VM list the backend servers, the follower of the log the templates.
+// Callers, operators and other VMs connect through their adapters. Each decision
+// package runs in one goroutine and never does I/O; its intents are executed here.
+// The state that the VM knows is on a board.Board, whose snapshots each have one
+// writer: membership writes the fleet, the reader of the VM list writes the backend
+// servers, and the follower of the log writes the templates.
 //
 // # Usage
 //
@@ -60,27 +60,27 @@
 		Log         event.Logger
 		Scope       tally.Scope
 
-		// Board is what this VM knows. It is made by Run if nil.
+		// Board holds the state that this VM knows. Run creates it if it is nil.
 		Board *board.Board
 
-		// Self names this run of this VM. It is set by Run.
+		// Self identifies this VM in its current incarnation. Run sets it.
 		Self board.VMRef
 
-		// Peers, Engines, Services, Logs and List are the adapters. They are
-		// made by Run from the settings.
+		// Peers, Engines, Services, Logs and List are the adapters. Run creates
+		// them from the settings.
 		Peers    *peer.Transport
 		Engines  *engine.Client
 		Services *service.Client
 		Logs     logsvc.Log
 		List     *vmlist.Client
 
-		// Metrics is the page of the counters; nil shows none.
+		// Metrics serves the metrics page; if nil, there is none.
 		Metrics http.Handler
 
 		callers   *caller.Server
 		startedAt clock.Millis
 
-		// runCtx ends when the last request has its end.
+		// runCtx ends when the last request has ended.
 		runCtx        context.Context
 		stopRuns      context.CancelFunc
 		wg            sync.WaitGroup
@@ -105,18 +105,18 @@
 		book             *actor.Actor[claim.Event, claim.Intent]
 
 		bookState     *claim.Book  // owned by the loop of book once it runs
-		restoredSeats *claim.Seats // learned from a peer before the book ran
+		restoredSeats *claim.Seats // loaded from a peer before the book started
 		claimSeed     atomic.Uint64
 		leaseSeed     atomic.Uint64
 		nextCell      atomic.Uint64
-		cells         atomic.Pointer[cellList] // made last
+		cells         atomic.Pointer[cellList] // cached list
 		loopCtx       context.Context          // ends after the last request
 
-		backendsMu sync.Mutex // orders the writers of the board's backend servers
+		backendsMu sync.Mutex // serializes the writers of the board's backend servers
 
-		quorateUntil atomic.Int64 // clock.Millis up to which this VM is quorate
+		quorateUntil atomic.Int64 // time in clock.Millis until which this VM is quorate
 		seats        atomic.Pointer[claim.Seats]
-		refuted      signal // this VM was held dead and goes on
+		refuted      signal // other VMs considered this VM dead, but it still runs
 		fleetChanged signal // the fleet or the seats changed
 		runEnded     signal
 		replies      pending[*claimReply]
@@ -137,9 +137,9 @@
 
 var errNoIncarnation = errors.New("the VM has no incarnation")
 
-// Run serves until the context ends, and then makes a planned stop: it takes
-// no new requests, tells callers to go elsewhere for as long as they may keep
-// its address, and returns when the last request in progress has its end.
+// Run serves until the context ends, and then performs a planned stop: it accepts no new
+// requests, redirects callers to other VMs for as long as they may keep its address, and
+// returns when the last request in progress has ended.
 func (vm *VM) Run(ctx context.Context) error {
 	if err := vm.init(); err != nil {
 		return fmt.Errorf("start the VM: %w", err)
@@ -191,12 +191,12 @@
 	}
 }
 
-// beginStop begins the planned stop. More than one call does no harm.
+// beginStop begins the planned stop. Further calls have no effect.
 func (vm *VM) beginStop() {
 	vm.stopOnce.Do(func() { close(vm.stopRequested) })
 }
 
-// stop is the planned stop.
+// stop performs the planned stop.
 func (vm *VM) stop(stopCallers context.CancelFunc, callersDone <-chan error) error {
 	vm.Log.Log(event.Stopping, event.F("InProgress", vm.runs.inProgress()))
 	vm.draining.Store(true)
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// awaitRuns waits until no run is in progress, whoever follows it.
+// awaitRuns waits until no run is in progress, including followed ones.
 func (vm *VM) awaitRuns() {
 	for {
 		ended := vm.runEnded.wait()
@@ -228,7 +228,7 @@
 	}
 }
 
-// leaveGossipWait is the time for the others to hear that this VM has left.
+// leaveGossipWait is the time in which the other VMs learn that this VM has left.
 const leaveGossipWait = 600 * clock.Millis(1)
 
 func (vm *VM) init() error {
@@ -287,7 +287,7 @@
 	}
 }
 
-// serveOperators serves the operators' address.
+// serveOperators serves the operators' interface.
 func (vm *VM) serveOperators(ctx context.Context) error {
 	ln, err := net.Listen("tcp", vm.Settings.Operator.Listen.String())
 	if err != nil {
@@ -307,11 +307,11 @@
 	return nil
 }
 
-// maxStopWait bounds a planned stop above the longest deadline that a template
-// may set, so that it cuts off no request.
+// maxStopWait limits a planned stop. It is above the longest deadline that a template
+// may set, so that the stop cuts off no request.
 const maxStopWait = 25 * clock.Hour
 
-// callerLimits are the limits that the settings hold for callers.
+// callerLimits returns the limits for callers from the settings.
 func callerLimits(set settings.Settings) caller.Limits {
 	return caller.Limits{
 		MaxBody:       int64(set.Limits.MaxBody),
@@ -326,7 +326,7 @@
 	}
 }
 
-// initDecisions makes the decision packages and their loops.
+// initDecisions creates the decision packages and their loops.
 func (vm *VM) initDecisions() {
 	vm.scheduler = scheduler{vm: vm}
 	vm.fallback = fallbackPlacer{vm: vm, fb: sched.Fallback{Rand: vm.rand(4)}, placed: make(map[string]int)}
@@ -343,12 +343,13 @@
 	vm.initBook()
 }
 
-// rand seeds one decision package, differently on each VM and at each start.
+// rand returns a random source for one decision package. The seed differs between VMs
+// and between starts.
 func (vm *VM) rand(part uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(vm.Self.Incarnation, hashID(vm.Self.ID)+part))
 }
 
-// server finds a backend server, in the incarnation that it told last.
+// server returns a backend server with the incarnation that it last reported.
 func (vm *VM) server(id string) (board.BackendServer, bool) {
 	srv, ok := vm.Board.Backends().Server(id)
 	if srv.Incarnation == 0 {
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -7,7 +7,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// stageWithdrawn is the final stage of a runner that no longer wants its place.
+// stageWithdrawn is the final stage of a runner that no longer needs its slot.
 const stageWithdrawn sched.Stage = "Withdrawn"
 
 func doneFrame() *peerpb.Frame {
@@ -27,8 +27,8 @@
 	}
 }
 
-// refusalFromWire reads a refusal. Whatever is not the promise NotRun counts
-// as MayHaveRun.
+// refusalFromWire decodes a refusal. Anything but the guarantee NotRun counts as
+// MayHaveRun.
 func refusalFromWire(rf *peerpb.Refusal) refusal.Refusal {
 	ran := refusal.MayHaveRun
 	if refusal.Ran(rf.GetRan()) == refusal.NotRun {
