--- a/internal/entry/deadly_test.go
+++ b/internal/entry/deadly_test.go
@@ -23,11 +23,11 @@
 	const back, pause = 300 * time.Millisecond, 200 * time.Millisecond
 	fleets := map[int]*poisonRig{1: newPoisonRig(t, 6), 2: newPoisonRig(t, 10)} // by number of cells
 	for ix, tc := range []struct {
-		name        string
-		end         crashPoint
-		back, pause time.Duration // until a server restarts; between attempts
-		vms, cells  int           // VMs that get the attempts in turn
-		lose, deaf  bool
+		name                     string
+		end                      crashPoint
+		back, pause              time.Duration // until a server restarts; between attempts
+		vms, cells               int           // VMs that get the attempts in turn
+		loseNotices, noScheduler bool
 	}{
 		{"prompt, same VM", prompt, back, 0, 1, 1, false, false},
 		{"prompt, other VMs", prompt, back, pause, 5, 1, false, false},
@@ -52,8 +52,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ask := poisonRequest{fmt.Sprintf("cu-%d", ix), fmt.Sprintf("%s-%d", poisonMarker, ix), tc.end.path == poisonPath}
 			rg := fleets[tc.cells]
-			rg.setCrash(tc.end, tc.back, tc.lose)
-			rg.rejectReservations.Store(tc.deaf)
+			rg.setCrash(tc.end, tc.back, tc.loseNotices)
+			rg.rejectReservations.Store(tc.noScheduler)
 			defer rg.rejectReservations.Store(false)
 			for try := range poisonTries {
 				rg.sendUntilServed(t, rg.targetVM(try%tc.vms), fmt.Sprintf("%s-%d", ask.content, try), ask)
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return ma.generate(ctx, rn.tokenCount())
+	return ma.runDecode(ctx, rn.tokenCount())
 }
 
 // engineName returns the name of one attempt at the engines. The name includes the
@@ -285,8 +285,8 @@
 	return errors.As(err, &notSent) || errors.As(err, &inDoubt)
 }
 
-// generate starts the decode and copies its tokens to the end.
-func (ma *modelAttempt) generate(ctx context.Context, have int) error {
+// runDecode starts the decode and copies its tokens to the end.
+func (ma *modelAttempt) runDecode(ctx context.Context, have int) error {
 	rn := ma.rn
 	if err := rn.checkPoison(); err != nil {
 		return err
--- a/internal/entry/transfer.go
+++ b/internal/entry/transfer.go
@@ -135,7 +135,7 @@
 	ctx, stop := context.WithTimeout(ctx, importTimeout.Std())
 	defer stop()
 	done := make(chan error, 1)
-	srv, said := ma.decode, ma.rs.decisions
+	srv, decisions := ma.decode, ma.rs.decisions
 	sc := ma.rn.beginCall(srv)
 	go func() {
 		done <- ma.rn.vm.Engines.Import(ctx, srv, engine.ImportOrder{
@@ -161,9 +161,9 @@
 			}
 			ma.decode.Incarnation = ma.rn.vm.incarnations.Of(srv.ID) // the one that holds the KV cache
 			return nil
-		case fr, ok := <-said:
+		case fr, ok := <-decisions:
 			if !ok {
-				said = nil // the reservation has lost its scheduler
+				decisions = nil // the reservation has lost its scheduler
 				continue
 			}
 			if err := ma.abortIfReplaced(fr, srv.ID); err != nil {
