--- a/internal/entry/lease_test.go
+++ b/internal/entry/lease_test.go
@@ -13,8 +13,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// leaseBench is a lease of one VM, and the log that it is on.
-type leaseBench struct {
+// testLease is a lease of one VM with the log of its records.
+type testLease struct {
 	t     *testing.T
 	clk   *clock.Manual
 	le    *lease
@@ -22,8 +22,8 @@
 	next  uint64
 }
 
-func newLeaseBench(t *testing.T) *leaseBench {
-	lb := &leaseBench{t: t, clk: &clock.Manual{}, next: 41}
+func newTestLease(t *testing.T) *testLease {
+	lb := &testLease{t: t, clk: &clock.Manual{}, next: 41}
 	lb.clk.Advance(clock.Second)
 	vm := &VM{Clock: lb.clk, Self: board.VMRef{ID: strings.Repeat("v", 63), Incarnation: 1_790_000_000_000}, Settings: settings.Default()}
 	lb.le = vm.newLease(t.Context(), "m/0", nil)
@@ -31,8 +31,8 @@
 	return lb
 }
 
-// step tells the lease something; what it appends is on the log at once.
-func (lb *leaseBench) step(ev register.HolderEvent) {
+// step passes an event to the lease; the records that it appends are on the log at once.
+func (lb *testLease) step(ev register.HolderEvent) {
 	lb.t.Helper()
 	for _, in := range lb.le.step(lb.clk.Now(), ev) {
 		if la, ok := in.(register.LeaseAppend); ok {
@@ -40,58 +40,58 @@
 			assert.NilError(lb.t, err)
 			pub := rec.(register.Publish)
 			lb.next++
-			lb.taken(pub.ID, pub.Value)
+			lb.publishEntry(pub.ID, pub.Value)
 		}
 	}
 }
 
-func (lb *leaseBench) taken(id string, value json.RawMessage) {
+func (lb *testLease) publishEntry(id string, value json.RawMessage) {
 	lb.entry = register.Entry{Key: lb.le.ho.Resource, Revision: lb.next, ID: id, Value: value}
 	lb.step(register.LeaseObserved{Entry: lb.entry, Known: true})
 }
 
-func TestLeaseIsAskedByTheClock(t *testing.T) {
+func TestLeaseExpiresByTheClock(t *testing.T) {
 	const margin = 2 * clock.Second
-	lb := newLeaseBench(t)
-	assert.Assert(t, !lb.le.mayOrder(lb.next, 0), "not wanted yet")
+	lb := newTestLease(t)
+	assert.Assert(t, !lb.le.mayOrder(lb.next, 0), "the lease is not wanted yet")
 	lb.step(register.LeaseWanted{Hold: true})
 	token := lb.entry.Revision
 	assert.Assert(t, token != 0 && lb.le.mayOrder(token, margin))
-	assert.Assert(t, !lb.le.mayOrder(token-1, 0), "a token of before the lease")
-	assert.Assert(t, !lb.le.mayOrder(token+1, 0), "a token that was never given")
+	assert.Assert(t, !lb.le.mayOrder(token-1, 0), "a token from before the lease")
+	assert.Assert(t, !lb.le.mayOrder(token+1, 0), "a token that was never issued")
 
-	// A paused holder hears nothing, yet its clock goes on.
+	// A paused holder receives no events, but its clock continues.
 	lb.clk.Advance(leaseDuration - register.DefaultMargin - margin)
 	assert.Assert(t, lb.le.mayOrder(token, 0))
-	assert.Assert(t, !lb.le.mayOrder(token, margin), "too little is left for an engine that does not check")
+	assert.Assert(t, !lb.le.mayOrder(token, margin), "too little time is left for an engine that does not check tokens")
 	lb.clk.Advance(margin)
-	assert.Assert(t, !lb.le.mayOrder(token, 0), "the lease is over")
+	assert.Assert(t, !lb.le.mayOrder(token, 0), "the lease has expired")
 }
 
-// A renewal leaves orders of the lease as they are; a lease that lapsed and
-// was taken again doesn't.
+// Orders of a lease stay valid after a renewal, but not after the lease expired and was
+// acquired again.
 func TestOrdersOutliveRenewalsOnly(t *testing.T) {
-	lb := newLeaseBench(t)
+	lb := newTestLease(t)
 	lb.step(register.LeaseWanted{Hold: true})
 	first := lb.entry.Revision
 	lb.clk.Advance(leaseDuration / 2)
 	lb.step(register.LeaseTick{})
-	assert.Assert(t, lb.entry.Revision > first, "it was not renewed")
+	assert.Assert(t, lb.entry.Revision > first, "the lease was not renewed")
 	assert.Assert(t, lb.le.mayOrder(first, 0) && lb.le.mayOrder(lb.entry.Revision, 0))
 
 	lb.next++
-	lb.taken("another-vm", json.RawMessage(`{"Holder":"another","Duration":"20s"}`))
+	lb.publishEntry("another-vm", json.RawMessage(`{"Holder":"another","Duration":"20s"}`))
 	assert.Assert(t, !lb.le.mayOrder(first, 0))
 	lb.clk.Advance(2 * leaseDuration)
 	lb.step(register.LeaseTick{})
-	assert.Assert(t, lb.le.mayOrder(lb.entry.Revision, 0), "it was not taken again")
-	assert.Assert(t, !lb.le.mayOrder(first, 0), "an order of the lease before")
+	assert.Assert(t, lb.le.mayOrder(lb.entry.Revision, 0), "the lease was not acquired again")
+	assert.Assert(t, !lb.le.mayOrder(first, 0), "an order of the previous lease")
 }
 
-// A VM that accounts for a cell again starts with a new Holder, whose records
-// must not pass for repeats.
-func TestLeasesHaveIDsOfTheirOwn(t *testing.T) {
-	lb := newLeaseBench(t)
+// A VM that schedules a cell again starts with a new Holder, whose records must not be
+// taken for duplicates.
+func TestLeasesHaveDistinctIDs(t *testing.T) {
+	lb := newTestLease(t)
 	other := lb.le.vm.newLease(t.Context(), "m/0", nil)
 	lb.step(register.LeaseWanted{Hold: true})
 	one := lb.entry.ID
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -19,16 +19,17 @@
 	"alderdyke/pkg/clock"
 )
 
-// Spans of the loops that read the platform.
+// Intervals of the loops that read the platform.
 const (
-	listEvery = 1 * clock.Second
-	// listPerEntry is added to the span between two fetches for each entry of
-	// the list, up to listMost: a long list that changes often is not
-	// read whole each second, and the VMs of a large fleet ask less often.
-	listPerEntry = 5 * clock.Millis(1)
-	listMost     = 5 * clock.Second
-	memberTick   = 100 * clock.Millis(1)
-	listMisses   = 5 // in a row are logged
+	listInterval = 1 * clock.Second
+	// listIntervalPerEntry is added to the interval between two fetches for each
+	// entry of the list, up to maxListInterval, so that a long list that changes
+	// often is not fetched in full every second, and the VMs of a large fleet poll
+	// less often.
+	listIntervalPerEntry = 5 * clock.Millis(1)
+	maxListInterval      = 5 * clock.Second
+	memberTick           = 100 * clock.Millis(1)
+	loggedListFailures   = 5 // consecutive failures before one is logged
 )
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
@@ -54,17 +55,17 @@
 		}
 		return out
 	}
-	vm.members.Do = vm.moveFleet
+	vm.members.Do = vm.handleMembershipIntent
 	vm.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 }
 
-// moveFleet carries out what membership intends.
-func (vm *VM) moveFleet(in membership.Intent) {
+// handleMembershipIntent executes an intent of the failure detector.
+func (vm *VM) handleMembershipIntent(in membership.Intent) {
 	switch in := in.(type) {
 	case membership.Send:
-		vm.Peers.Datagram(in.To, in.Datagram) // lost datagrams are membership's daily bread
+		vm.Peers.Datagram(in.To, in.Datagram) // errors are ignored: membership tolerates lost datagrams
 	case membership.QuorumDeadline:
-		vm.fresh.Store(int64(in.Until))
+		vm.quorateUntil.Store(int64(in.Until))
 	case membership.DeathRefuted:
 		vm.Log.Log(event.HeldDead)
 		vm.refuted.raise()
@@ -75,16 +76,16 @@
 		old := vm.Board.Fleet()
 		fleet.LogChanges(vm.Log, old, in.Fleet)
 		vm.Board.SetFleet(in.Fleet)
-		vm.tellStarted(old, in.Fleet)
-		vm.fleetMove.raise()
+		vm.sendCatchUp(old, in.Fleet)
+		vm.fleetChanged.raise()
 	}
 }
 
-// startLoops starts the decisions and the loops that feed them.
+// startLoops starts the decision loops and the loops that supply their events.
 func (vm *VM) startLoops(ctx context.Context) {
 	for _, run := range []func(context.Context){
-		vm.members.Run, vm.follower.ac.Run, vm.leases.ac.Run,
-		vm.followFleet, vm.readList, vm.readSeats, vm.watchPlain, vm.poison.Share,
+		vm.members.Run, vm.templateFollower.ac.Run, vm.leaseFollower.ac.Run,
+		vm.forwardFleet, vm.pollList, vm.readSeats, vm.pollPlainLoad, vm.poison.Share,
 	} {
 		vm.wg.Go(func() { run(ctx) })
 	}
@@ -93,8 +94,8 @@
 	}
 }
 
-// seedVMs are the VMs that the settings name, known by their address alone
-// until they answer.
+// seedVMs returns the VMs from the settings. Only their addresses are known until
+// they respond.
 func (vm *VM) seedVMs() []board.VM {
 	var out []board.VM
 	for _, addr := range vm.Settings.Peer.Seeds {
@@ -107,15 +108,15 @@
 
 func seedID(addr netip.AddrPort) string { return fmt.Sprintf("seed-%s", addr) }
 
-// followFleet passes each change of the fleet to the decisions that need it.
-func (vm *VM) followFleet(ctx context.Context) {
+// forwardFleet forwards each change of the fleet to the decision loops that need it.
+func (vm *VM) forwardFleet(ctx context.Context) {
 	for {
-		moved := vm.fleetMove.wait()
+		moved := vm.fleetChanged.wait()
 		fl := vm.Board.Fleet()
-		vm.follower.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
-		vm.leases.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
+		vm.templateFollower.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
+		vm.leaseFollower.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
 		vm.book.Tell(ctx, claim.FleetChanged{Fleet: fl})
-		vm.accountant.follow(ctx)
+		vm.scheduler.updateCells(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -124,19 +125,19 @@
 	}
 }
 
-// readList reads the platform's VM list. A list that can't be had changes
-// nothing: the last one stays in use.
-func (vm *VM) readList(ctx context.Context) {
+// pollList polls the platform's VM list. If a fetch fails, the last list stays in
+// use.
+func (vm *VM) pollList(ctx context.Context) {
 	misses := 0
 	rnd := vm.rand(5)
-	pause := listEvery
+	pause := listInterval
 	for {
 		list, err := vm.List.Fetch(ctx)
 		if err == nil {
 			misses = 0
-			vm.useList(ctx, list)
-			pause = listPause(len(list.VMs)+len(list.Servers), rnd)
-		} else if misses++; misses == listMisses {
+			vm.applyList(ctx, list)
+			pause = listDelay(len(list.VMs)+len(list.Servers), rnd)
+		} else if misses++; misses == loggedListFailures {
 			vm.Log.Log(event.ListUnreachable, event.F("Error", err.Error()))
 		}
 		if !clock.Sleep(ctx, pause) {
@@ -145,14 +146,14 @@
 	}
 }
 
-// listPause is the span until the next fetch, spread so that the VMs do not
-// all ask at once.
-func listPause(entries int, rnd *rand.Rand) clock.Millis {
-	span := min(listMost, max(listEvery, clock.Millis(entries)*listPerEntry))
+// listDelay returns the delay until the next fetch, with jitter so that the VMs do
+// not all poll at the same time.
+func listDelay(entries int, rnd *rand.Rand) clock.Millis {
+	span := min(maxListInterval, max(listInterval, clock.Millis(entries)*listIntervalPerEntry))
 	return span - clock.Millis(rnd.Int64N(int64(span)/4))
 }
 
-func (vm *VM) useList(ctx context.Context, list vmlist.List) {
+func (vm *VM) applyList(ctx context.Context, list vmlist.List) {
 	vm.members.Tell(ctx, membership.Listed{VMs: list.VMs})
 	vm.backendsMu.Lock()
 	old := vm.Board.Backends()
@@ -163,12 +164,12 @@
 	vm.backendsMu.Unlock()
 	if !same {
 		vm.incarnations.Retain(func(id string) bool { _, listed := vm.Board.Backends().Server(id); return listed })
-		vm.accountant.follow(ctx)
+		vm.scheduler.updateCells(ctx)
 	}
 }
 
-// report puts a load report of an engine on the board.
-func (vm *VM) report(rp board.LoadReport) {
+// recordReport puts an engine's load report on the board.
+func (vm *VM) recordReport(rp board.LoadReport) {
 	vm.backendsMu.Lock()
 	defer vm.backendsMu.Unlock()
 	vm.Board.SetBackends(vm.Board.Backends().WithReport(rp))
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -14,20 +14,20 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds of what is asked of another VM.
+// Timeouts and limits of calls to and from other VMs.
 const (
-	callWithin      = 1 * clock.Second
-	dialWithin      = 400 * clock.Millis(1)
-	handshakeWithin = 800 * clock.Millis(1)
-	// peerStreams bounds the streams that one VM may hold open here: mostly
-	// reservations, which live as long as their requests and those that wait.
-	peerStreams = 2048
+	callTimeout      = 1 * clock.Second
+	dialTimeout      = 400 * clock.Millis(1)
+	handshakeTimeout = 800 * clock.Millis(1)
+	// maxPeerStreams limits the streams that one VM may hold open here. Most of
+	// them are reservations, which live as long as their running or queued requests.
+	maxPeerStreams = 2048
 )
 
 // peerHandler serves the streams that other VMs open.
 type peerHandler struct{ vm *VM }
 
-// Serve implements peer.Handler: the first frame decides what the stream is.
+// Serve implements peer.Handler. The first frame determines the kind of stream.
 func (ph peerHandler) Serve(ctx context.Context, from board.VMRef, cn *peer.Conn) {
 	fr, err := cn.Recv()
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	switch body := fr.GetBody().(type) {
 	case *peerpb.Frame_ReserveAsk:
-		ph.vm.accountant.serve(ctx, from, body.ReserveAsk, cn)
+		ph.vm.scheduler.serve(ctx, from, body.ReserveAsk, cn)
 	case *peerpb.Frame_AttachAsk:
 		ph.vm.serveAttach(ctx, body.AttachAsk, cn)
 	default:
@@ -47,16 +47,16 @@
 	}
 }
 
-// answerPeer answers the asks that have one reply.
+// answerPeer answers requests that have a single reply.
 func (vm *VM) answerPeer(ctx context.Context, fr *peerpb.Frame) (*peerpb.Frame, error) {
 	switch body := fr.GetBody().(type) {
 	case *peerpb.Frame_ClaimAsk:
 		return vm.answerClaim(ctx, body.ClaimAsk)
 	case *peerpb.Frame_ClaimUpdate:
-		vm.tellBook(ctx, body.ClaimUpdate)
+		vm.updateBook(ctx, body.ClaimUpdate)
 		return doneFrame(), nil
 	case *peerpb.Frame_ClaimHandoff:
-		vm.takeHandoff(ctx, body.ClaimHandoff)
+		vm.receiveHandoff(ctx, body.ClaimHandoff)
 		return doneFrame(), nil
 	case *peerpb.Frame_LogAsk:
 		return vm.answerLog(ctx, body.LogAsk), nil
@@ -65,14 +65,14 @@
 	case *peerpb.Frame_ExplainAsk:
 		return vm.answerExplain(body.ExplainAsk), nil
 	default:
-		return nil, fmt.Errorf("frame %T opens no stream", fr.GetBody())
+		return nil, fmt.Errorf("frame %T can't open a stream", fr.GetBody())
 	}
 }
 
-// heard passes an authentic datagram to who it is for. A full backlog of membership
-// drops it, as the network may.
-func (vm *VM) heard(dg *peerpb.Datagram, _ netip.AddrPort) {
-	vm.spread().PassOn(dg)
+// handleDatagram dispatches an authenticated datagram. If the queue of the membership
+// loop is full, it drops the datagram, as the network may.
+func (vm *VM) handleDatagram(dg *peerpb.Datagram, _ netip.AddrPort) {
+	vm.broadcast().PassOn(dg)
 	if re := dg.GetRequestEnd(); re != nil {
 		if en, ok := fleet.EndFromWire(re); ok {
 			vm.poison.RecordRemote(en)
@@ -85,13 +85,13 @@
 	}
 }
 
-// callPeer asks another VM for one reply; this VM answers itself without a
+// callPeer calls another VM for a single reply; a call to this VM needs no
 // connection.
 func (vm *VM) callPeer(ctx context.Context, to board.VM, ask *peerpb.Frame) (*peerpb.Frame, error) {
 	if to.ID == vm.Self.ID {
 		return vm.answerPeer(ctx, ask)
 	}
-	ctx, stop := context.WithTimeout(ctx, callWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, callTimeout.Std())
 	defer stop()
 	reply, err := vm.Peers.Call(ctx, to, ask)
 	if err != nil {
@@ -100,27 +100,27 @@
 	return reply, nil
 }
 
-// openAccountant opens a stream to the VM that accounts for the cell.
-func (vm *VM) openAccountant(ctx context.Context, cellName string) (frames, error) {
-	to, ok := accountantOf(cellName, vm.Board.Fleet())
+// openScheduler opens a stream to the VM that schedules the cell.
+func (vm *VM) openScheduler(ctx context.Context, cellName string) (frameStream, error) {
+	to, ok := schedulerOf(cellName, vm.Board.Fleet())
 	if !ok {
-		return nil, errAccountantAway
+		return nil, errSchedulerAway
 	}
 	if to.ID == vm.Self.ID {
 		near, far := newPipe()
 		vm.wg.Go(func() { vm.serveLocal(far) })
 		return near, nil
 	}
-	cn, err := vm.openWithin(ctx, answerWithin, to)
+	cn, err := vm.openWithTimeout(ctx, schedulerAckTimeout, to)
 	if err != nil {
-		return nil, fmt.Errorf("open a stream to the accountant %s: %w", to.ID, err)
+		return nil, fmt.Errorf("open a stream to the scheduler %s: %w", to.ID, err)
 	}
 	return cn, nil
 }
 
-// openWithin opens a stream within a span. The stream lives until the context
-// ends, which bounds it for its whole life; the span bounds the opening alone.
-func (vm *VM) openWithin(ctx context.Context, span clock.Millis, to board.VM) (*peer.Conn, error) {
+// openWithTimeout opens a stream. The timeout applies to the opening alone; the stream
+// lives until the context ends.
+func (vm *VM) openWithTimeout(ctx context.Context, span clock.Millis, to board.VM) (*peer.Conn, error) {
 	life, end := context.WithCancelCause(ctx)
 	late := time.AfterFunc(span.Std(), func() { end(context.DeadlineExceeded) })
 	cn, err := vm.Peers.Open(life, to)
@@ -136,11 +136,11 @@
 	return cn, nil
 }
 
-func (vm *VM) serveLocal(cn frames) {
+func (vm *VM) serveLocal(cn frameStream) {
 	fr, err := cn.Recv()
 	if err != nil || fr.GetReserveAsk() == nil {
 		cn.Close()
 		return
 	}
-	vm.accountant.serve(vm.runCtx, vm.Self, fr.GetReserveAsk(), cn)
+	vm.scheduler.serve(vm.runCtx, vm.Self, fr.GetReserveAsk(), cn)
 }
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -23,33 +23,33 @@
 )
 
 const (
-	// plainPoll is the least span between two load reports of a server. It
-	// grows by plainPerServer with the servers that are asked, so that a VM
-	// reads four reports a second, but never beyond plainMost: a server that
-	// leaves has to be known within seconds.
-	plainPoll      = 1 * clock.Second
-	plainPerServer = 250 * clock.Millis(1)
-	plainMost      = 3 * clock.Second
-	// plainSubset bounds how many servers of one plain service this VM uses,
-	// so that what it asks for does not grow with the fleet.
-	plainSubset = 8
+	// plainPollInterval is the minimum interval between two load reports of a
+	// server. It grows by plainIntervalPerServer with the number of servers, so
+	// that a VM reads four reports per second, but only up to maxPlainInterval,
+	// because a leaving server must be detected within seconds.
+	plainPollInterval      = 1 * clock.Second
+	plainIntervalPerServer = 250 * clock.Millis(1)
+	maxPlainInterval       = 3 * clock.Second
+	// maxPlainSubset limits the servers of one plain service that this VM uses,
+	// so that its polling does not grow with the fleet.
+	maxPlainSubset = 8
 )
 
-// plainAttempt is the end of one attempt, or of two beside each other.
+// plainAttempt is the result of one attempt, or of two concurrent ones.
 type plainAttempt struct {
-	tried []string // servers
+	tried []string // IDs of the servers
 	rsp   service.Response
 	err   error
 }
 
-// plain runs a request at the servers of a plain service, with retries, to
-// its end.
-func (rn *run) plain(ctx context.Context) error {
+// runPlain runs a request on the servers of a plain service, with retries, until
+// it ends.
+func (rn *run) runPlain(ctx context.Context) error {
 	var tried []string
 	for try := 0; ; try++ {
-		at := rn.hedged(ctx, tried)
+		at := rn.attemptHedged(ctx, tried)
 		if at.err == nil {
-			return rn.wholePlain(at.rsp)
+			return rn.endPlainAnswer(at.rsp)
 		}
 		if ctx.Err() != nil {
 			return at.err
@@ -57,23 +57,23 @@
 		tried = append(tried, at.tried...)
 		err := at.err
 		rn.tr.add(event.AttemptFailed, err.Error())
-		if err := rn.again(ctx, try, err); err != nil {
+		if err := rn.awaitRetry(ctx, try, err); err != nil {
 			return err
 		}
 	}
 }
 
-// hedged makes one attempt, and a second one beside it at another server if
-// the first is slower than usual and the retry policy pays for it. The first
-// whole answer counts; a server's word that it failed does only if the other
-// attempt ends no better.
-func (rn *run) hedged(ctx context.Context, tried []string) plainAttempt {
+// attemptHedged makes one attempt, and a second concurrent one at another server if
+// the first is slower than usual and the retry budget allows it. The first complete
+// response counts. A response that reports the server's own failure counts only if
+// the other attempt has no better result.
+func (rn *run) attemptHedged(ctx context.Context, tried []string) plainAttempt {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	call := rn.plainCall() // the run drops its request when it ends, maybe before the slower attempt
+	call := rn.plainCall() // copied, because the run drops its request when it ends, maybe before the slower attempt
 	done := make(chan plainAttempt, 2)
 	began := make(chan string, 1)
-	rn.vm.wg.Go(func() { done <- rn.tryPlain(ctx, call, tried, began) })
+	rn.vm.wg.Go(func() { done <- rn.attemptPlain(ctx, call, tried, began) })
 	ask := retry.HedgeRequest{
 		Customer:   rn.id.Customer,
 		Service:    rn.req.Class.Service,
@@ -82,7 +82,7 @@
 		Deadline:   rn.deadline,
 	}
 	var late <-chan time.Time
-	if after, ok := rn.vm.hedgeAfter(ask); ok {
+	if after, ok := rn.vm.hedgeDelay(ask); ok {
 		late = time.After(after.Std())
 	}
 	all := plainAttempt{}
@@ -90,33 +90,33 @@
 		select {
 		case at := <-done:
 			open--
-			all = all.with(at)
-			if all.answered() {
+			all = all.merge(at)
+			if all.conclusive() {
 				return all
 			}
 		case <-late:
 			late = nil
 			select {
 			case first := <-began:
-				if rn.vm.takeHedge(ask) {
+				if rn.vm.spendHedge(ask) {
 					open++
 					rn.tr.add(event.RequestRetried, string(retry.Hedged))
 					others := append(slices.Clone(tried), first)
-					rn.vm.wg.Go(func() { done <- rn.tryPlain(ctx, call, others, nil) })
+					rn.vm.wg.Go(func() { done <- rn.attemptPlain(ctx, call, others, nil) })
 				}
-			default: // the first attempt has not found a server yet
+			default: // the first attempt has not chosen a server yet
 			}
 		}
 	}
 	return all
 }
 
-// with joins the ends of attempts made beside each other.
-func (at plainAttempt) with(other plainAttempt) plainAttempt {
+// merge combines the results of concurrent attempts.
+func (at plainAttempt) merge(other plainAttempt) plainAttempt {
 	tried := append(at.tried, other.tried...)
 	switch {
-	case other.answered():
-	case at.whole(): // came first, and the other is no better
+	case other.conclusive():
+	case at.hasResponse(): // arrived first, and the other one is no better
 		other = at
 	case other.err != nil:
 		other.err = errors.Join(at.err, other.err)
@@ -125,17 +125,17 @@
 	return other
 }
 
-// whole tells whether a server answered, whatever it said.
-func (at plainAttempt) whole() bool { return at.err == nil && at.rsp.Status != 0 }
+// hasResponse reports whether a server responded, with whatever status.
+func (at plainAttempt) hasResponse() bool { return at.err == nil && at.rsp.Status != 0 }
 
-// answered tells whether a server answered with anything but its own failure.
-func (at plainAttempt) answered() bool {
-	return at.whole() && at.rsp.Status < http.StatusInternalServerError
+// conclusive reports whether a server responded with anything but its own failure.
+func (at plainAttempt) conclusive() bool {
+	return at.hasResponse() && at.rsp.Status < http.StatusInternalServerError
 }
 
-// tryPlain makes one attempt. It tells on began, if that is not nil, at which
-// server.
-func (rn *run) tryPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (at plainAttempt) {
+// attemptPlain makes one attempt. If began is not nil, it sends the ID of the chosen
+// server to it.
+func (rn *run) attemptPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (at plainAttempt) {
 	start := rn.vm.Clock.Now()
 	var id string
 	id, at.rsp, at.err = rn.callPlain(ctx, call, tried, began)
@@ -143,7 +143,7 @@
 		at.tried = []string{id}
 	}
 	if at.err == nil {
-		rn.vm.tookPlain(rn.req.Class.Service, rn.vm.Clock.Now()-start)
+		rn.vm.recordPlainLatency(rn.req.Class.Service, rn.vm.Clock.Now()-start)
 	}
 	return at
 }
@@ -152,7 +152,7 @@
 func (rn *run) callPlain(ctx context.Context, call service.Request, tried []string, began chan<- string) (string, service.Response, error) {
 	vm := rn.vm
 	var none service.Response
-	id, err := vm.pick(balance.Request{
+	id, err := vm.pickServer(balance.Request{
 		Service:  rn.req.Class.Service,
 		Customer: rn.id.Customer,
 		Share:    rn.req.Class.Share,
@@ -162,12 +162,12 @@
 		return "", none, fmt.Errorf("choose a server: %w", err)
 	}
 	outcome := balance.Failure
-	defer func() { vm.picked(id, rn.id.Customer, outcome) }()
+	defer func() { vm.recordOutcome(id, rn.id.Customer, outcome) }()
 	srv, ok := vm.server(id)
 	if !ok {
-		return id, none, failure{"use the server", errUnknown}
+		return id, none, failure{"use the server", errUnknownServer}
 	}
-	if err := rn.mayDispatch(ctx); err != nil {
+	if err := rn.checkDispatch(ctx); err != nil {
 		outcome = balance.Cancelled
 		return id, none, err
 	}
@@ -179,18 +179,18 @@
 	rsp, err := vm.Services.Call(ctx, srv, call)
 	rn.recordCall(ctx, sc, err)
 	if !backend.NotRun(err) {
-		rn.sent.Store(true)
+		rn.mayHaveBeenSent.Store(true)
 	}
 	outcome = plainOutcome(ctx, err)
-	vm.heedRest(err)
+	vm.recordServerPause(err)
 	if err != nil {
 		return id, none, failure{"call", err}
 	}
 	return id, rsp, nil
 }
 
-// heedRest gives a server the rest that it asked for when it declined a call.
-func (vm *VM) heedRest(err error) {
+// recordServerPause pauses a server for the delay that it requested when it declined a call.
+func (vm *VM) recordServerPause(err error) {
 	if server, span := backend.RetryAfterOf(err); span > 0 {
 		vm.chooser.mu.Lock()
 		defer vm.chooser.mu.Unlock()
@@ -198,16 +198,16 @@
 	}
 }
 
-// hedgeAfter asks the retry policy when to hedge a request, if at all.
-func (vm *VM) hedgeAfter(ask retry.HedgeRequest) (clock.Millis, bool) {
+// hedgeDelay returns the retry policy's delay before a request is hedged, if it may be.
+func (vm *VM) hedgeDelay(ask retry.HedgeRequest) (clock.Millis, bool) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
 	hd, ok := vm.retries.Hedge(vm.Clock.Now(), ask).(retry.Hedge)
 	return hd.After, ok
 }
 
-// takeHedge pays for a hedge and counts what the policy said.
-func (vm *VM) takeHedge(ask retry.HedgeRequest) bool {
+// spendHedge takes a hedge from the retry budget and counts the policy's reason.
+func (vm *VM) spendHedge(ask retry.HedgeRequest) bool {
 	vm.retries.mu.Lock()
 	reason, ok := vm.retries.SpendHedge(vm.Clock.Now(), ask)
 	vm.retries.mu.Unlock()
@@ -215,8 +215,8 @@
 	return ok
 }
 
-// tookPlain notes how long a whole answer took.
-func (vm *VM) tookPlain(name string, took clock.Millis) {
+// recordPlainLatency records how long a complete response took.
+func (vm *VM) recordPlainLatency(name string, took clock.Millis) {
 	vm.retries.mu.Lock()
 	defer vm.retries.mu.Unlock()
 	vm.retries.ObserveLatency(name, took)
@@ -254,34 +254,34 @@
 	}
 }
 
-func (rn *run) wholePlain(rsp service.Response) error {
+func (rn *run) endPlainAnswer(rsp service.Response) error {
 	data, err := caller.PlainAnswer{Status: rsp.Status, Header: rsp.Header, Body: rsp.Body}.Encode()
 	if err != nil {
-		return fmt.Errorf("keep the answer: %w", err)
+		return fmt.Errorf("encode the answer: %w", err)
 	}
 	if err := rn.st.Whole(data); err != nil {
 		return fmt.Errorf("end the answer: %w", err)
 	}
-	rn.first = rn.vm.Clock.Now()
+	rn.firstPieceAt = rn.vm.Clock.Now()
 	return nil
 }
 
-// pick chooses a server of a plain service.
-func (vm *VM) pick(ask balance.Request) (string, error) {
+// pickServer chooses a server of a plain service.
+func (vm *VM) pickServer(ask balance.Request) (string, error) {
 	vm.chooser.mu.Lock()
 	defer vm.chooser.mu.Unlock()
 	return vm.chooser.Pick(vm.Clock.Now(), ask)
 }
 
-// picked tells how a choice went.
-func (vm *VM) picked(server, customer string, out balance.Result) {
+// recordOutcome reports the result of a call to the chooser.
+func (vm *VM) recordOutcome(server, customer string, out balance.Result) {
 	vm.chooser.mu.Lock()
 	defer vm.chooser.mu.Unlock()
 	vm.chooser.Done(vm.Clock.Now(), server, balance.Outcome{Customer: customer, Result: out})
 }
 
-// watchPlain reads the load of the plain servers that this VM uses.
-func (vm *VM) watchPlain(ctx context.Context) {
+// pollPlainLoad polls the load of the plain servers that this VM uses.
+func (vm *VM) pollPlainLoad(ctx context.Context) {
 	for {
 		servers := vm.plainServers()
 		reports := make([]*board.LoadReport, len(servers))
@@ -293,20 +293,20 @@
 			})
 		}
 		gr.Wait()
-		vm.usePlain(servers, reports)
-		if !clock.Sleep(ctx, plainPause(len(servers))) {
+		vm.applyPlainReports(servers, reports)
+		if !clock.Sleep(ctx, plainPollDelay(len(servers))) {
 			return
 		}
 	}
 }
 
-// plainPause is the span until the servers are asked again.
-func plainPause(servers int) clock.Millis {
-	return min(plainMost, max(plainPoll, clock.Millis(servers)*plainPerServer))
+// plainPollDelay returns the delay until the servers are polled again.
+func plainPollDelay(servers int) clock.Millis {
+	return min(maxPlainInterval, max(plainPollInterval, clock.Millis(servers)*plainIntervalPerServer))
 }
 
 func (vm *VM) plainLoad(ctx context.Context, srv board.BackendServer) *board.LoadReport {
-	ctx, stop := context.WithTimeout(ctx, reportWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, reportTimeout.Std())
 	defer stop()
 	rp, err := vm.Services.Load(ctx, srv)
 	if err != nil {
@@ -316,8 +316,8 @@
 	return &rp
 }
 
-// usePlain puts the reports on the board and tells the chooser.
-func (vm *VM) usePlain(servers []board.BackendServer, reports []*board.LoadReport) {
+// applyPlainReports puts the reports on the board and updates the chooser.
+func (vm *VM) applyPlainReports(servers []board.BackendServer, reports []*board.LoadReport) {
 	vm.backendsMu.Lock()
 	bk := vm.Board.Backends()
 	for _, rp := range reports {
@@ -333,8 +333,8 @@
 	vm.chooser.Update(vm.Clock.Now(), own, len(vm.Board.Fleet().Serving()))
 }
 
-// plainServers lists the plain servers that this VM uses: all of a small
-// service, a subset of a large one that differs from VM to VM.
+// plainServers returns the plain servers that this VM uses: all of a small service,
+// and of a large one a subset that differs from VM to VM.
 func (vm *VM) plainServers() []board.BackendServer {
 	bySvc := make(map[string][]board.BackendServer)
 	var out []board.BackendServer
@@ -344,7 +344,7 @@
 		}
 	}
 	for _, servers := range bySvc {
-		out = append(out, rendezvous.Subset(vm.Self.ID, servers, plainSubset)...)
+		out = append(out, rendezvous.Subset(vm.Self.ID, servers, maxPlainSubset)...)
 	}
 	return out
 }
--- a/internal/entry/runs.go
+++ b/internal/entry/runs.go
@@ -12,16 +12,16 @@
 	"alderdyke/pkg/refusal"
 )
 
-// keptOverhead is about what an ended run takes beside its answer, in bytes.
+// keptOverhead is the approximate memory of an ended run beyond its answer, in bytes.
 const keptOverhead = 2 << 10
 
 type (
-	// runs is the requests of this VM, in progress and lately ended. Ended
-	// ones are kept so that a caller can come back for the answer; the zero
-	// value keeps none.
+	// runs holds the requests of this VM, in progress and recently ended. Ended
+	// ones are kept so that a caller can return for the answer. The zero value
+	// keeps none.
 	runs struct {
-		keep clock.Millis // of an answer after its end
-		most int          // bytes of all answers that are kept
+		retention clock.Millis // of an answer after its end
+		maxBytes  int          // total size of the kept answers
 
 		mu    sync.Mutex
 		byID  map[requestID]*run
@@ -29,7 +29,7 @@
 		bytes int
 	}
 
-	// keptRun is a run that has its end.
+	// keptRun is a run whose answer has ended.
 	keptRun struct {
 		rn    *run
 		since clock.Millis
@@ -45,9 +45,8 @@
 	return rn, ok
 }
 
-// enter returns the run that the key has already, or adds the one that make
-// makes.
-func (rs *runs) enter(id requestID, fresh func() *run) (rn *run, added bool) {
+// getOrAdd returns the existing run of a key, or adds the one that fresh creates.
+func (rs *runs) getOrAdd(id requestID, fresh func() *run) (rn *run, added bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	if rn, ok := rs.byID[id]; ok {
@@ -61,28 +60,28 @@
 	return rn, true
 }
 
-// end keeps a run that has its end for a while, if its answer may be told
-// again; otherwise the key is free for another run.
-func (rs *runs) end(rn *run, now clock.Millis) {
+// keepEnded keeps an ended run for a while if its answer may be replayed; otherwise the
+// key becomes free for another run.
+func (rs *runs) keepEnded(rn *run, now clock.Millis) {
 	last, _ := rn.st.Last()
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	if !knownAnswer(last) || (!rn.is(running) && last.Kind == answer.Refused) {
+	if !replayableEnd(last) || (!rn.hasRole(running) && last.Kind == answer.Refused) {
 		rs.remove(rn)
 		return
 	}
-	rn.req.Chat, rn.req.Plain = nil, nil // only the answer is told again
+	rn.req.Chat, rn.req.Plain = nil, nil // only the answer is replayed
 	size := rn.st.Size() + keptOverhead
 	rs.ended = append(rs.ended, keptRun{rn: rn, since: now, bytes: size})
 	rs.bytes += size
-	rs.trim(now)
+	rs.evict(now)
 }
 
-// trim drops ended runs that are too old or too much.
-func (rs *runs) trim(now clock.Millis) {
+// evict removes the oldest ended runs while they exceed the retention or the size limit.
+func (rs *runs) evict(now clock.Millis) {
 	for len(rs.ended) > 0 {
 		old := rs.ended[0]
-		if now-old.since < rs.keep && rs.bytes <= rs.most {
+		if now-old.since < rs.retention && rs.bytes <= rs.maxBytes {
 			return
 		}
 		rs.bytes -= old.bytes
@@ -97,7 +96,7 @@
 	}
 }
 
-// inProgress counts the runs that have no end yet.
+// inProgress returns the number of runs that have not ended.
 func (rs *runs) inProgress() int {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -116,31 +115,31 @@
 	}
 	if vm.runs.inProgress() >= vm.Settings.Limits.MaxStreams {
 		return nil, refusal.Refusal{
-			Ran:        unasked(req),
+			Ran:        ranBeforeClaim(req),
 			Reason:     refusal.TooManyConnections,
 			RetryAfter: clock.Second,
 			Detail:     "this VM makes as many answers as it may",
 		}
 	}
-	rn, added := vm.runs.enter(id, func() *run { return vm.newRun(req) })
+	rn, added := vm.runs.getOrAdd(id, func() *run { return vm.newRun(req) })
 	if !added {
 		return rn.answerFor(req)
 	}
-	rn.late = err != nil // whether the key ran elsewhere is known once it is claimed
-	vm.wg.Go(rn.live)
+	rn.arrivedDraining = err != nil // the claim will show whether the key runs elsewhere
+	vm.wg.Go(rn.process)
 	return rn.st, nil
 }
 
-// unasked is what can be said of a request before its key was claimed: a key
-// of the caller's own may have run elsewhere.
-func unasked(req caller.Request) refusal.Ran {
+// ranBeforeClaim returns what is known of a request before its key is claimed: a key that
+// the caller chose may have run elsewhere.
+func ranBeforeClaim(req caller.Request) refusal.Ran {
 	if req.KeyGiven {
 		return refusal.MayHaveRun
 	}
 	return refusal.NotRun
 }
 
-// answerFor returns the answer of a run to the same request asked again.
+// answerFor returns the answer of a run to a repetition of its request.
 func (rn *run) answerFor(req caller.Request) (*answer.Stream, error) {
 	if !bytes.Equal(rn.req.Fingerprint, req.Fingerprint) {
 		return nil, refusal.Refusal{
@@ -158,7 +157,7 @@
 	if rn, ok := vm.runs.find(id); ok {
 		return rn.st, nil
 	}
-	st, err := vm.findElsewhere(ctx, id)
+	st, err := vm.findRemote(ctx, id)
 	if err != nil {
 		return nil, fmt.Errorf("find the answer: %w", err)
 	}
@@ -195,7 +194,7 @@
 	return caller.Candidates(vm.Board.Fleet()), vm.Settings.Addresses.KeepFor
 }
 
-func (vm *VM) ended(rn *run) {
-	vm.runs.end(rn, vm.Clock.Now())
+func (vm *VM) recordRunEnd(rn *run) {
+	vm.runs.keepEnded(rn, vm.Clock.Now())
 	vm.runEnded.raise()
 }
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -7,27 +7,27 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds of what a VM remembers for "explain".
+// Limits of the traces that a VM keeps for "explain".
 const (
-	traceRequests = 2048
-	traceLines    = 48
+	maxTraces     = 2048
+	maxTraceLines = 48
 )
 
 type (
-	// requestID names a request across the fleet.
+	// requestID identifies a request across the fleet.
 	requestID struct {
 		Customer string
 		Key      string
 	}
 
-	// traceLine is one step in a request's life at this VM.
+	// traceLine is one step of a request at this VM.
 	traceLine struct {
 		Since clock.Millis
 		Event event.Event
 		Text  string
 	}
 
-	// trace is what one VM did for one request.
+	// trace records what one VM did for one request.
 	trace struct {
 		mu    sync.Mutex
 		start clock.Millis
@@ -35,7 +35,7 @@
 		lines []traceLine
 	}
 
-	// traces remembers the newest requests, oldest out first.
+	// traces holds the newest traces and evicts the oldest first.
 	traces struct {
 		clk clock.Source
 
@@ -45,8 +45,8 @@
 	}
 )
 
-// of returns the trace of the request and starts one if there is none.
-func (ts *traces) of(id requestID) *trace {
+// getOrAdd returns the trace of the request and adds one if there is none.
+func (ts *traces) getOrAdd(id requestID) *trace {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	if tr, ok := ts.byID[id]; ok {
@@ -55,7 +55,7 @@
 	if ts.byID == nil {
 		ts.byID = make(map[requestID]*trace)
 	}
-	if len(ts.order) >= traceRequests {
+	if len(ts.order) >= maxTraces {
 		delete(ts.byID, ts.order[0])
 		ts.order = ts.order[1:]
 	}
@@ -78,13 +78,13 @@
 	return append([]traceLine(nil), tr.lines...)
 }
 
-// add notes a step. Steps past the bound are dropped from the middle, so that
-// the beginning and the end stay.
+// add records a step. Above the limit, steps are dropped from the middle, so that the
+// beginning and the end are kept.
 func (tr *trace) add(ev event.Event, text string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if len(tr.lines) >= traceLines {
-		tr.lines = append(tr.lines[:traceLines/2], tr.lines[traceLines/2+1:]...)
+	if len(tr.lines) >= maxTraceLines {
+		tr.lines = append(tr.lines[:maxTraceLines/2], tr.lines[maxTraceLines/2+1:]...)
 	}
 	tr.lines = append(tr.lines, traceLine{Since: tr.clk.Now() - tr.start, Event: ev, Text: text})
 }
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -1,11 +1,11 @@
-// Package entry is one entry VM: it runs each request's life and wires the
-// decisions to the peers that carry them out.
+// Package entry implements one entry VM: it handles the life cycle of each request and
+// connects the decision packages with the adapters that execute their intents.
 //
-// Callers, operators and other VMs come in through their adapters; the
-// decision packages each run in one goroutine and never do I/O; what they
-// intend is carried out here. What the VM knows lies on a board.Board, whose
-// snapshots each have one writer: membership writes the fleet, the reader of
-// the VM list the backend servers, the follower of the log the templates.
+// Callers, operators and other VMs connect through their adapters. Each decision
+// package runs in one goroutine and never does I/O; its intents are executed here.
+// The state that the VM knows is on a board.Board, whose snapshots each have one
+// writer: membership writes the fleet, the reader of the VM list writes the backend
+// servers, and the follower of the log writes the templates.
 //
 // # Usage
 //
@@ -60,67 +60,67 @@
 		Log         event.Logger
 		Scope       tally.Scope
 
-		// Board is what this VM knows. It is made by Run if nil.
+		// Board holds the state that this VM knows. Run creates it if it is nil.
 		Board *board.Board
 
-		// Self names this run of this VM. It is set by Run.
+		// Self identifies this VM in its current incarnation. Run sets it.
 		Self board.VMRef
 
-		// Peers, Engines, Services, Logs and List are the adapters. They are
-		// made by Run from the settings.
+		// Peers, Engines, Services, Logs and List are the adapters. Run creates
+		// them from the settings.
 		Peers    *peer.Transport
 		Engines  *engine.Client
 		Services *service.Client
 		Logs     logsvc.Log
 		List     *vmlist.Client
 
-		// Metrics is the page of the counters; nil shows none.
+		// Metrics serves the metrics page; if nil, there is none.
 		Metrics http.Handler
 
 		callers   *caller.Server
 		startedAt clock.Millis
 
-		// runCtx ends when the last request has its end.
-		runCtx   context.Context
-		stopRuns context.CancelFunc
-		wg       sync.WaitGroup
-		draining atomic.Bool
-		drainNow chan struct{}
-		drain    sync.Once
+		// runCtx ends when the last request has ended.
+		runCtx        context.Context
+		stopRuns      context.CancelFunc
+		wg            sync.WaitGroup
+		draining      atomic.Bool
+		stopRequested chan struct{}
+		stopOnce      sync.Once
 
 		runs         runs
 		traces       traces
 		janitor      janitor
-		decodes      decodes
-		accountant   accountant
-		alone        alone
+		decodes      decodeList
+		scheduler    scheduler
+		fallback     fallbackPlacer
 		chooser      chooser
 		retries      retries
 		poison       poison.Guard
 		incarnations backend.Incarnations
 
-		members  *actor.Actor[membership.Event, membership.Intent]
-		follower *follower
-		leases   *follower
-		book     *actor.Actor[claim.Event, claim.Intent]
-
-		bookState *claim.Book      // owned by the loop of book once it runs
-		restored  *claim.SeatTable // learned from a peer before the book ran
-		claimSeed atomic.Uint64
-		leaseSeed atomic.Uint64
-		nextCell  atomic.Uint64
-		cells     atomic.Pointer[cellList] // made last
-		loopCtx   context.Context          // ends after the last request
-
-		backendsMu sync.Mutex // orders the writers of the board's backend servers
-
-		fresh     atomic.Int64 // clock.Millis up to which this VM is quorate
-		seats     atomic.Pointer[claim.SeatTable]
-		refuted   signal // this VM was held dead and goes on
-		fleetMove signal // the fleet or the seats changed
-		runEnded  signal
-		replies   pending[*claimReply]
-		verdicts  verdicts
+		members          *actor.Actor[membership.Event, membership.Intent]
+		templateFollower *logFollower
+		leaseFollower    *logFollower
+		book             *actor.Actor[claim.Event, claim.Intent]
+
+		bookState     *claim.Book      // owned by the loop of book once it runs
+		restoredSeats *claim.SeatTable // loaded from a peer before the book started
+		claimSeed     atomic.Uint64
+		leaseSeed     atomic.Uint64
+		nextCell      atomic.Uint64
+		cells         atomic.Pointer[cellList] // cached list
+		loopCtx       context.Context          // ends after the last request
+
+		backendsMu sync.Mutex // serializes the writers of the board's backend servers
+
+		quorateUntil atomic.Int64 // time in clock.Millis until which this VM is quorate
+		seats        atomic.Pointer[claim.SeatTable]
+		refuted      signal // other VMs considered this VM dead, but it still runs
+		fleetChanged signal // the fleet or the seats changed
+		runEnded     signal
+		replies      pending[*claimReply]
+		verdicts     verdicts
 	}
 
 	chooser struct {
@@ -137,9 +137,9 @@
 
 var errNoIncarnation = errors.New("the VM has no incarnation")
 
-// Run serves until the context ends, and then makes a planned stop: it takes
-// no new requests, tells callers to go elsewhere for as long as they may keep
-// its address, and returns when the last request in progress has its end.
+// Run serves until the context ends, and then performs a planned stop: it accepts no new
+// requests, redirects callers to other VMs for as long as they may keep its address, and
+// returns when the last request in progress has ended.
 func (vm *VM) Run(ctx context.Context) error {
 	if err := vm.init(); err != nil {
 		return fmt.Errorf("start the VM: %w", err)
@@ -182,7 +182,7 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-vm.drainNow:
+	case <-vm.stopRequested:
 		return nil
 	case <-failed.Done():
 		return context.Cause(failed)
@@ -191,12 +191,12 @@
 	}
 }
 
-// beginStop begins the planned stop. More than one call does no harm.
+// beginStop begins the planned stop. Further calls have no effect.
 func (vm *VM) beginStop() {
-	vm.drain.Do(func() { close(vm.drainNow) })
+	vm.stopOnce.Do(func() { close(vm.stopRequested) })
 }
 
-// stop is the planned stop.
+// stop performs the planned stop.
 func (vm *VM) stop(stopCallers context.CancelFunc, callersDone <-chan error) error {
 	vm.Log.Log(event.Stopping, event.F("InProgress", vm.runs.inProgress()))
 	vm.draining.Store(true)
@@ -205,14 +205,14 @@
 	err := <-callersDone
 	vm.awaitRuns()
 	vm.members.Tell(vm.runCtx, membership.Leave{Final: true})
-	clock.Sleep(vm.runCtx, leaveGossip)
+	clock.Sleep(vm.runCtx, leaveGossipWait)
 	if err != nil {
 		return fmt.Errorf("stop serving callers: %w", err)
 	}
 	return nil
 }
 
-// awaitRuns waits until no run is in progress, whoever follows it.
+// awaitRuns waits until no run is in progress, including followed ones.
 func (vm *VM) awaitRuns() {
 	for {
 		ended := vm.runEnded.wait()
@@ -228,8 +228,8 @@
 	}
 }
 
-// leaveGossip is the time for the others to hear that this VM has left.
-const leaveGossip = 600 * clock.Millis(1)
+// leaveGossipWait is the time in which the other VMs learn that this VM has left.
+const leaveGossipWait = 600 * clock.Millis(1)
 
 func (vm *VM) init() error {
 	if vm.Incarnation == 0 {
@@ -247,9 +247,9 @@
 	vm.Log.VM = vm.Settings.ID
 	vm.Self = board.VMRef{ID: vm.Settings.ID, Incarnation: vm.Incarnation}
 	vm.startedAt = vm.Clock.Now()
-	vm.drainNow = make(chan struct{})
+	vm.stopRequested = make(chan struct{})
 	vm.traces.clk = vm.Clock
-	vm.runs.keep, vm.runs.most = vm.Settings.Answers.KeepFor, int(vm.Settings.Limits.MaxAnswerMemory)
+	vm.runs.retention, vm.runs.maxBytes = vm.Settings.Answers.KeepFor, int(vm.Settings.Limits.MaxAnswerMemory)
 	vm.initAdapters()
 	vm.initDecisions()
 	return nil
@@ -268,14 +268,14 @@
 		Listen:    set.Peer.Listen.String(),
 		Secret:    []byte(set.Peer.Secret.Reveal()),
 		Handler:   peerHandler{vm},
-		Datagrams: vm.heard,
+		Datagrams: vm.handleDatagram,
 		Scope:     vm.Scope,
 		Log:       vm.Log,
 		Clock:     vm.Clock,
 
-		DialTimeout:      dialWithin,
-		HandshakeTimeout: handshakeWithin,
-		Limits:           peer.Limits{MaxStreams: peerStreams},
+		DialTimeout:      dialTimeout,
+		HandshakeTimeout: handshakeTimeout,
+		Limits:           peer.Limits{MaxStreams: maxPeerStreams},
 	}
 	vm.callers = &caller.Server{
 		Listen: set.Caller.Listen.String(),
@@ -287,7 +287,7 @@
 	}
 }
 
-// serveOperators serves the operators' address.
+// serveOperators serves the operators' interface.
 func (vm *VM) serveOperators(ctx context.Context) error {
 	ln, err := net.Listen("tcp", vm.Settings.Operator.Listen.String())
 	if err != nil {
@@ -296,7 +296,7 @@
 	srv := &operator.Server{
 		Listener: ln,
 		Token:    vm.Settings.Operator.Token,
-		Backend:  operatorSide{vm},
+		Backend:  operatorBackend{vm},
 		Metrics:  vm.Metrics,
 		Scope:    vm.Scope.SubScope("Operator"),
 		Log:      vm.Log,
@@ -307,11 +307,11 @@
 	return nil
 }
 
-// stopWait bounds a planned stop above the longest deadline that a template
-// may set, so that it cuts off no request.
-const stopWait = 25 * clock.Hour
+// maxStopWait limits a planned stop. It is above the longest deadline that a template
+// may set, so that the stop cuts off no request.
+const maxStopWait = 25 * clock.Hour
 
-// callerLimits are the limits that the settings hold for callers.
+// callerLimits returns the limits for callers from the settings.
 func callerLimits(set settings.Settings) caller.Limits {
 	return caller.Limits{
 		MaxBody:       int64(set.Limits.MaxBody),
@@ -322,33 +322,34 @@
 		Addresses:     set.Addresses.Count,
 		ListLag:       set.Drain.Linger,
 		BodyGrace:     set.Limits.BodyTimeout,
-		StopWait:      stopWait,
+		StopWait:      maxStopWait,
 	}
 }
 
-// initDecisions makes the decision packages and their loops.
+// initDecisions creates the decision packages and their loops.
 func (vm *VM) initDecisions() {
-	vm.accountant = accountant{vm: vm}
-	vm.alone = alone{vm: vm, fb: sched.Fallback{Rand: vm.rand(4)}, own: make(map[string]int)}
+	vm.scheduler = scheduler{vm: vm}
+	vm.fallback = fallbackPlacer{vm: vm, fb: sched.Fallback{Rand: vm.rand(4)}, placed: make(map[string]int)}
 	vm.janitor = janitor{cancel: vm.Engines.CancelAttempt, find: vm.server, lg: vm.Log}
 	vm.chooser.Chooser = &balance.Chooser{Rand: vm.rand(1)}
 	vm.retries.Policy = &retry.Policy{Rand: vm.rand(2)}
 	vm.retries.count.Scope = vm.Scope
 	vm.initPoison()
 	vm.initMembers()
-	vm.follower = vm.newFollower(vm.Settings.Log.Stream, register.Templates)
-	vm.leases = vm.newFollower(leasesStream(vm.Settings.Log.Stream), register.Leases)
-	vm.leases.fo.Settings.ReadWait = leasesWait
-	vm.leases.after = vm.observeLeases
+	vm.templateFollower = vm.newLogFollower(vm.Settings.Log.Stream, register.Templates)
+	vm.leaseFollower = vm.newLogFollower(leasesStream(vm.Settings.Log.Stream), register.Leases)
+	vm.leaseFollower.fo.Settings.ReadWait = leaseReadWait
+	vm.leaseFollower.afterStep = vm.observeLeases
 	vm.initBook()
 }
 
-// rand seeds one decision package, differently on each VM and at each start.
+// rand returns a random source for one decision package. The seed differs between VMs
+// and between starts.
 func (vm *VM) rand(part uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(vm.Self.Incarnation, hashID(vm.Self.ID)+part))
 }
 
-// server finds a backend server, in the incarnation that it told last.
+// server returns a backend server with the incarnation that it last reported.
 func (vm *VM) server(id string) (board.BackendServer, bool) {
 	srv, ok := vm.Board.Backends().Server(id)
 	if srv.Incarnation == 0 {
