--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -7,19 +7,22 @@
 )
 
 const (
-	// paceDecay is what earlier observations weigh against a new one: about
-	// twenty count.
+	// paceDecay is the factor that each new observation applies to the weight of
+	// earlier ones. At 0.95 about the last twenty observations count.
 	paceDecay = 0.95
-	// minSizeSpread is the standard deviation of sizes, over their mean, from which
-	// a constant part can be told from one that grows with the size.
+	// minSizeSpread is the relative standard deviation of sizes above which the
+	// constant part of the time can be separated from the part that grows with
+	// the size.
 	minSizeSpread = 0.2
-	// minGrowthPart is the part of the mean time by size that at least grows with the
-	// size: large work does not take as long as small, whatever a few showed.
+	// minGrowthPart is the smallest part of the mean time per unit of size that
+	// is attributed to the size. Large work never takes as long as small work,
+	// even if a few observations suggest it.
 	minGrowthPart = 0.5
 )
 
-// pace is how long work takes by its size: a constant part and one that grows
-// with the size, as observed of late. The zero value knows nothing.
+// pace models the duration of work as a constant part plus a part proportional
+// to its size, fitted to recent observations. The zero value has no
+// observations.
 type pace struct{ weight, sizes, times, squares, products float64 }
 
 func (pc *pace) add(size int, took clock.Millis) {
@@ -32,7 +35,8 @@
 	}
 }
 
-// estimate is how long work of a size takes; zero if none was observed.
+// estimate returns the expected duration of work of the given size, or zero if
+// nothing was observed.
 func (pc pace) estimate(size int) clock.Millis {
 	if pc.weight == 0 {
 		return 0
@@ -42,8 +46,8 @@
 	return clock.Millis(math.Ceil(constant + growth*float64(size)))
 }
 
-// slope is by how many milliseconds work takes longer for each unit of its
-// size; zero if that was not observed.
+// slope returns by how many milliseconds the duration grows per unit of size,
+// or zero if no size was observed.
 func (pc pace) slope() float64 {
 	if pc.sizes == 0 {
 		return 0
--- a/internal/pool/pace_test.go
+++ b/internal/pool/pace_test.go
@@ -17,10 +17,10 @@
 		want  clock.Millis
 	}{
 		{"nothing observed", nil, 5000, 0},
-		{"one", []int{5000}, 5000, 140},
-		{"alike ones, in proportion", []int{5000, 5000, 5000}, 10000, 280},
-		{"the constant part is told apart", []int{2000, 5000, 9000, 4000}, 20000, 440},
-		{"for nothing it is all", []int{2000, 5000, 9000, 4000}, 0, 40},
+		{"one observation", []int{5000}, 5000, 140},
+		{"same size, in proportion", []int{5000, 5000, 5000}, 10000, 280},
+		{"constant part is separated", []int{2000, 5000, 9000, 4000}, 20000, 440},
+		{"size zero takes the constant part", []int{2000, 5000, 9000, 4000}, 0, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var pc pace
@@ -34,7 +34,7 @@
 	var pc pace
 	pc.add(0, 30)
 	pc.add(0, 50)
-	assert.Assert(t, pc.estimate(0) >= 40 && pc.estimate(0) <= 42, "a mean where nothing has a size")
+	assert.Assert(t, pc.estimate(0) >= 40 && pc.estimate(0) <= 42, "without sizes the estimate is the mean")
 }
 
 func TestPaceAdapts(t *testing.T) {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,22 +1,23 @@
-// Package pool decides, for one entry VM, where a generation finds its place
-// among the model engines of a service, in which order requests wait for one,
-// and how much memory one is reserved.
+// Package pool decides, for one entry VM, which model engine of a service
+// decodes a generation, which one computes its prompt, and in which order
+// requests wait for an engine.
 //
-// What an engine has left is known to the engine alone, since all VMs send to
-// it: a place is a reservation that the engine itself confirmed, taken before
-// the prompt is computed, so that no prefill is spent on a request that can't
-// be decoded. The pool orders the engines by what they are expected to need
-// and remembers which of them said just now that they are full.
+// All VMs send to the same engines, so only an engine itself knows its free
+// memory. A place is a reservation that the engine confirmed. It is taken
+// before the prompt is computed, so that no prefill is spent on a request that
+// can't be decoded. The pool orders the engines by their projected memory use
+// and remembers which of them recently declined because they were full.
 //
-// Who was refused before and came back goes first, for a request that is
-// refused twice has cost its caller twice; but not while new requests are
-// refused somewhere in the fleet. Among requests alike the turn decides, a
-// number that each draws: all VMs see one order by it, and the room that
-// requests elsewhere take first is left to them ([Requirements.Ahead]).
+// A request that was refused before and came back goes first, because a second
+// refusal costs its caller twice. New requests go first while new requests are
+// being refused somewhere in the fleet. Among equal requests a randomly drawn
+// turn decides. All VMs order requests by their turns, and each leaves capacity
+// for the requests at other VMs that are ahead ([Requirements.Ahead]).
 //
-// A prompt is computed where it is expected to be done first ([Pool.ChoosePrefill]),
-// by how long engines were seen to take, or by the decode engine itself
-// ([Pool.ShouldPrefillAtDecoder]) where it would be too late elsewhere.
+// A prompt is computed by the prefill engine that is expected to finish it
+// first, judged by observed durations ([Pool.ChoosePrefill]), or by the decode
+// engine itself if a prefill engine would finish too late
+// ([Pool.ShouldPrefillAtDecoder]).
 //
 // # Usage
 //
@@ -44,62 +45,63 @@
 )
 
 const (
-	// fullBackoff is how long an engine that said it is full is not asked again
-	// unless a run of this VM ends there: about the time in which a cell of
-	// six engines ends one run.
+	// fullBackoff is how long an engine that declined for lack of memory is not
+	// tried again, unless a run of this VM ends there. Six engines together end
+	// about one run in this time.
 	fullBackoff = 60 * clock.Millis(1)
-	// needBuckets divides the memory of an engine into parts within which
-	// needs count as alike; a run takes about one of them.
+	// needBuckets divides the memory of an engine into ranges. Projected needs in
+	// the same range count as equal; a run takes about one range.
 	needBuckets = 8
-	// minFailureBackoff and maxFailureBackoff bound how long an engine that failed is passed
-	// over; the span doubles with each failure in a row.
+	// minFailureBackoff and maxFailureBackoff bound how long a failed engine is
+	// skipped. The span doubles with each consecutive failure.
 	minFailureBackoff = 2 * clock.Second
 	maxFailureBackoff = 8 * clock.Second
 )
 
 type (
-	// Requirements is what a request needs of an engine.
+	// Requirements is what a request needs of a decode engine.
 	Requirements struct {
 		Tokens   int // to reserve
-		Limit    int // that the engine may come to need
-		Ahead    int // requests elsewhere that take their places first
-		Headroom int // further requests alike that must fit beside it
-		// Peak is what an engine will need with so many runs like the
-		// request's more than it has.
+		Limit    int // largest projected memory use of an engine, in tokens
+		Ahead    int // requests at other VMs that are placed before this one
+		Headroom int // further requests of this size that must fit beside it
+		// Peak returns the projected memory use of an engine, in tokens, with the
+		// given number of additional runs of the request's size.
 		Peak func(id string, more int) int
-		// LastResort tells whether an engine is to be asked after all others; nil: none
-		// is.
+		// LastResort reports whether an engine is tried only after all others. If
+		// it is nil, no engine is a last resort.
 		LastResort func(id string) bool
 	}
 
-	// Pool is the engines of one service as one VM uses them. Set the
-	// exported fields before use.
+	// Pool tracks the engines of one service as one VM uses them, and the queue
+	// of requests that wait for one. Set the exported fields before use.
 	Pool struct {
 		Rand *rand.Rand // must be set
 
 		engines map[string]*engine
-		queue   []*Ticket // returning requests first, then by their turns
+		queue   []*Ticket // by priority, then returning requests first, then by turn
 
-		prefillPace        pace // of prompts, at all prefill engines
+		prefillPace        pace // of prompts at all prefill engines
 		decoderPrefillPace pace // of prompts that decode engines compute beside their runs
-		firstEventPace     pace // of decodes, from their order to the first event
+		firstEventPace     pace // of decodes, from the order to the first event
 	}
 
 	engine struct {
 		server        board.BackendServer
 		removed       bool
-		rejectedEntry board.BackendServer // the entry that the engine's own word contradicts
-		runs          int                 // of this VM
+		rejectedEntry board.BackendServer // listed entry that the engine itself contradicted
+		runs          int                 // started by this VM
 		fullUntil     clock.Millis
-		fullTokens    int // smallest reservation that was declined lately
+		fullTokens    int // smallest reservation that was recently declined
 		failures      int
 		failedUntil   clock.Millis
-		backoffUntil  clock.Millis // it asked for rest until then; zero: it did not
+		backoffUntil  clock.Millis // requested by the engine; zero: not requested
 		prefillPace   pace         // of prompts
 	}
 )
 
-// Update takes the engines of the service.
+// Update replaces the list of the service's engines. Engines that are no longer
+// listed are kept while they have runs of this VM.
 func (po *Pool) Update(servers []board.BackendServer) {
 	if po.engines == nil {
 		po.engines = make(map[string]*engine)
@@ -122,12 +124,12 @@
 	}
 }
 
-// DecodeCandidates lists the engines to ask for a place, those first that are expected
-// to need the least memory. Those that will need more than the limit are left
-// out, and so is the room that requests elsewhere will take first: every VM
-// that waits works out the same choices, and so they don't all choose the
-// engine at which a place became free. If none is before the request, alike
-// engines are taken by chance, for the same reason.
+// DecodeCandidates lists the engines at which to try a reservation, those with
+// the lowest projected memory use first. Engines that would exceed the limit
+// are left out, and so is the capacity that the requests ahead at other VMs
+// will take. All waiting VMs compute the same placements, so they don't all try
+// the engine at which memory was just freed. If no request is ahead, engines
+// with similar projections are shuffled for the same reason.
 func (po *Pool) DecodeCandidates(now clock.Millis, rq Requirements) []board.BackendServer {
 	fit := po.healthy(now)
 	needs := make(map[*engine]int, len(fit))
@@ -160,8 +162,8 @@
 	return out
 }
 
-// HasRoom tells whether some decode engine has room for the request, and to spare,
-// whoever goes first.
+// HasRoom reports whether some decode engine has room for the request and the
+// headroom, regardless of the requests ahead.
 func (po *Pool) HasRoom(now clock.Millis, rq Requirements) bool {
 	for _, en := range po.healthy(now) {
 		if rq.Peak(en.server.ID, 1+rq.Headroom) <= rq.Limit {
@@ -171,8 +173,9 @@
 	return false
 }
 
-// LowestPeak is the least that any decode engine would need with one more request,
-// of how many; zero of none.
+// LowestPeak returns the lowest projected memory use of any decode engine with
+// one more request, and the number of engines considered. Both are zero if
+// there is none.
 func (po *Pool) LowestPeak(now clock.Millis, rq Requirements) (need, engines int) {
 	for _, en := range po.healthy(now) {
 		if nd := rq.Peak(en.server.ID, 1); engines == 0 || nd < need {
@@ -183,8 +186,9 @@
 	return need, engines
 }
 
-// placeAhead takes the places of the requests that are before this one out of
-// the room at the engines, and returns the engines that have more.
+// placeAhead assigns the requests ahead of this one to engines, each to the one
+// with the lowest projection, and returns the engines that still have room. It
+// updates needs.
 func placeAhead(fit []*engine, rq Requirements, needs map[*engine]int) []*engine {
 	taken := make(map[*engine]int)
 	for range rq.Ahead {
@@ -203,8 +207,8 @@
 	return fit
 }
 
-// well lists the decode engines that stay and did not fail just now, or all
-// that stay if each of them failed.
+// healthy lists the available decode engines that did not fail recently, or all
+// available ones if each of them failed.
 func (po *Pool) healthy(now clock.Millis) []*engine {
 	all := po.available(now, board.Decode)
 	var out []*engine
@@ -219,7 +223,7 @@
 	return out
 }
 
-// available lists the engines of a role that take new work.
+// available lists the engines of a role that accept new work.
 func (po *Pool) available(now clock.Millis, role board.Role) []*engine {
 	var out []*engine
 	for _, en := range po.engines {
@@ -230,21 +234,22 @@
 	return out
 }
 
-// acceptsWork tells whether the engine acceptsWork new work now.
+// acceptsWork reports whether the engine accepts new work now.
 func (en *engine) acceptsWork(now clock.Millis) bool { return en.isServing() && !en.isBackingOff(now) }
 
 func (en *engine) isBackingOff(now clock.Millis) bool {
 	return en.backoffUntil != 0 && now < en.backoffUntil
 }
 
-// stays tells whether the engine goes on taking new work. One that said itself that it
-// is not what its entry says does again when its entry changes.
+// isServing reports whether the engine is listed, is not leaving and has not
+// contradicted its entry. An engine that contradicted its entry serves again
+// when the entry changes.
 func (en *engine) isServing() bool {
 	return !en.removed && !en.server.Leaving && en.server != en.rejectedEntry
 }
 
-// RejectEntry notes that a server at the engine's address said that it is another
-// incarnation, or has the other role: the entry that is known here is old.
+// RejectEntry records that a server at the engine's address reported another
+// incarnation or another role: the entry known to this VM is outdated.
 func (po *Pool) RejectEntry(id string) {
 	if en := po.engines[id]; en != nil {
 		en.rejectedEntry = en.server
@@ -252,8 +257,8 @@
 }
 
 func (po *Pool) sortByLoad(list []*engine, load func(en *engine) int) {
-	// The map's order is no fair chance; sorted by ID, the shuffle repeats
-	// with the seed.
+	// The iteration order of a map is not uniformly random. Sorting by ID first
+	// makes the shuffle reproducible from the seed.
 	slices.SortFunc(list, func(ea, eb *engine) int {
 		if ea.server.ID < eb.server.ID {
 			return -1
@@ -268,22 +273,22 @@
 	slices.SortStableFunc(list, func(ea, eb *engine) int { return cmp.Compare(loads[ea], loads[eb]) })
 }
 
-// AcceptsWork tells whether an engine takes new work now.
+// AcceptsWork reports whether an engine accepts new work now.
 func (po *Pool) AcceptsWork(now clock.Millis, id string) bool {
 	en := po.engines[id]
 	return en != nil && en.acceptsWork(now)
 }
 
-// BackOff notes that an engine asked for rest for a span: it is asked for nothing until
-// then, be there another one or not.
+// BackOff records that an engine requested backoff for a span. It gets no work
+// until the span has passed, even if there is no other engine.
 func (po *Pool) BackOff(now clock.Millis, id string, span clock.Millis) {
 	if en := po.engines[id]; en != nil {
 		en.backoffUntil = max(en.backoffUntil, now+span)
 	}
 }
 
-// BackoffLeft is how long it takes until the first of the decode engines has rested; zero if
-// some engine does not rest, or there is none.
+// BackoffLeft returns the time until the first decode engine's backoff ends. It
+// is zero if some decode engine is not backing off, or if there is none.
 func (po *Pool) BackoffLeft(now clock.Millis) clock.Millis {
 	var first clock.Millis
 	for _, en := range po.engines {
@@ -298,7 +303,7 @@
 	return first
 }
 
-// MarkFull notes that an engine declined a reservation.
+// MarkFull records that an engine declined a reservation of so many tokens.
 func (po *Pool) MarkFull(now clock.Millis, id string, tokens int) {
 	en := po.engines[id]
 	if en == nil {
@@ -310,7 +315,8 @@
 	en.fullUntil = now + fullBackoff
 }
 
-// Unavailable lists the engines that declined or failed this VM just now, or rest, by ID.
+// Unavailable lists, sorted by ID, the engines that recently declined or failed
+// this VM, are backing off, or contradicted their entries.
 func (po *Pool) Unavailable(now clock.Millis) []string {
 	var out []string
 	for id, en := range po.engines {
@@ -322,14 +328,15 @@
 	return out
 }
 
-// AddRun counts a run on an engine until Free.
+// AddRun counts a run on an engine until EndRun.
 func (po *Pool) AddRun(id string) {
 	if en := po.engines[id]; en != nil {
 		en.runs++
 	}
 }
 
-// EndRun ends a run, and with it the memory that it used.
+// EndRun ends a run on an engine and frees its memory: the engine no longer
+// counts as full.
 func (po *Pool) EndRun(id string) {
 	if en := po.engines[id]; en != nil {
 		en.runs--
@@ -337,8 +344,8 @@
 	}
 }
 
-// MarkFailed notes that an engine broke off, answered nonsense or did not answer, and
-// returns until when it is passed over.
+// MarkFailed records that an engine broke off, sent an invalid answer or did not
+// answer, and returns until when it is skipped.
 func (po *Pool) MarkFailed(now clock.Millis, id string) clock.Millis {
 	en := po.engines[id]
 	if en == nil {
@@ -353,7 +360,8 @@
 	return en.failedUntil
 }
 
-// MarkWorking notes that an engine did what it was asked.
+// MarkWorking records that an engine did what it was asked to do, and ends its
+// failures.
 func (po *Pool) MarkWorking(id string) {
 	if en := po.engines[id]; en != nil {
 		en.failures, en.failedUntil = 0, 0
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -36,12 +36,12 @@
 	return out
 }
 
-// decoders asks without a limit.
+// decoders lists the candidates for a request without a memory limit.
 func decoders(po *pool.Pool, now clock.Millis, tokens int) []board.BackendServer {
 	return po.DecodeCandidates(now, pool.Requirements{Tokens: tokens, Limit: 1, Peak: func(string, int) int { return 0 }})
 }
 
-// prefiller asks for engines that have nothing before them.
+// prefiller chooses among engines that have no prompts queued.
 func prefiller(po *pool.Pool, now clock.Millis) (board.BackendServer, bool) {
 	pf, ok := po.ChoosePrefill(now, pool.Prompt{Tokens: 1000, QueuedTokens: func(string) int { return 0 }})
 	return pf.Server, ok
@@ -68,7 +68,7 @@
 func TestNewRequestsGoFirstDuringShortage(t *testing.T) {
 	po := newPool(board.Decode)
 	back := po.Enter(0, pool.Request{Returning: true})
-	assert.Assert(t, po.IsFirst(back, true), "no new one waits")
+	assert.Assert(t, po.IsFirst(back, true), "no new request waits")
 	fresh := po.Enter(0, pool.Request{})
 	assert.Assert(t, po.IsFirst(fresh, true))
 	assert.Assert(t, !po.IsFirst(back, true))
@@ -76,8 +76,7 @@
 	assert.Assert(t, !po.IsFirst(fresh, false))
 }
 
-// Who must leave room for further requests is not sent to engines that have
-// none.
+// A request that must leave headroom is not sent to engines without it.
 func TestDecodeCandidatesKeepHeadroom(t *testing.T) {
 	po := newPool(board.Decode, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300}
@@ -87,7 +86,7 @@
 	}
 }
 
-// An engine that is to come last does, however empty it is.
+// An engine of last resort comes last even if it is empty.
 func TestLastResortEnginesComeLast(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Decode)
 	needs := map[string]int{"a": 0, "b": 300, "c": 200}
@@ -103,7 +102,7 @@
 	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 499, Peak: need})), []string{"d", "b"})
 }
 
-// A request takes no room that others, which wait for longer, take first.
+// A request leaves the room that requests ahead of it will take.
 func TestDecodeCandidatesLeaveRoomForRequestsAhead(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300, "d": 100}
@@ -113,7 +112,7 @@
 		want   []string
 	}{
 		{0, []string{"d", "b"}},
-		{1, []string{"d", "b"}}, // d has room for two, and needs less than b with one more
+		{1, []string{"d", "b"}}, // d has room for two, and with one more it needs less than b
 		{2, []string{"b"}},
 		{3, nil},
 		{9, nil},
@@ -126,7 +125,7 @@
 	po := newPool(board.Decode)
 	po.MarkFull(100, "a", 1000)
 	assert.Equal(t, len(decoders(po, 101, 1000)), 0)
-	assert.Equal(t, len(decoders(po, 101, 999)), 1, "a smaller one may fit")
+	assert.Equal(t, len(decoders(po, 101, 999)), 1, "a smaller reservation may fit")
 	assert.Equal(t, len(decoders(po, 5000, 1000)), 1)
 	po.MarkFull(100, "a", 1000)
 	po.AddRun("a")
@@ -157,11 +156,11 @@
 	bs, _ = prefiller(po, 1)
 	assert.Equal(t, bs.ID, "a")
 	po.MarkFailed(0, "c")
-	assert.Equal(t, len(decoders(po, 1, 1)), 1, "one that failed is better than none")
+	assert.Equal(t, len(decoders(po, 1, 1)), 1, "a failed engine is better than none")
 }
 
-// An engine that is not what its entry says gets nothing until the entry
-// changes, however often the same entry is read.
+// An engine that contradicted its entry gets nothing until the entry changes,
+// even if the same entry is read again.
 func TestRejectedEntry(t *testing.T) {
 	po := newPool(board.Decode, board.Decode)
 	po.RejectEntry("a")
@@ -174,8 +173,8 @@
 	assert.Equal(t, bs.ID, "a")
 }
 
-// Whatever comes and goes, the queue holds returning requests before others,
-// each part by the turns that were drawn.
+// In any sequence of arrivals and departures, the queue holds returning requests
+// before new ones, each group ordered by turn.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		po := newPool(board.Decode)
@@ -208,7 +207,7 @@
 	})
 }
 
-// The highest priority goes first, and within it the order is as among equals.
+// The highest priority goes first; within a priority the usual order holds.
 func TestQueueByPriority(t *testing.T) {
 	po := &pool.Pool{Rand: rand.New(rand.NewPCG(1, 2))}
 	low := po.Enter(0, pool.Request{Returning: true, Priority: 2})
@@ -225,13 +224,13 @@
 	assert.Assert(t, po.IsFirst(low, false) && po.IsFirst(newLow, true))
 }
 
-// An engine that asked for rest is asked for nothing until then, be there another one
-// or not.
+// An engine that requested backoff gets no work until the backoff ends, even if
+// there is no other engine.
 func TestBackedOffEngineGetsNothing(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill)
 	po.BackOff(0, "a", 500)
 	assert.DeepEqual(t, ids(decoders(po, 499, 1)), []string{"b"})
-	assert.Equal(t, po.BackoffLeft(0), clock.Millis(0), "b does not")
+	assert.Equal(t, po.BackoffLeft(0), clock.Millis(0), "b is not backing off")
 	po.BackOff(0, "b", 800)
 	po.BackOff(0, "c", 900)
 	po.BackOff(0, "nobody", 900)
@@ -242,7 +241,7 @@
 	_, ok := prefiller(po, 899)
 	assert.Assert(t, !ok && !po.CanPrefill(899, "c"))
 	po.BackOff(600, "b", 1)
-	assert.DeepEqual(t, ids(decoders(po, 700, 1)), []string{"a"}) // a shorter word does not end a longer rest
+	assert.DeepEqual(t, ids(decoders(po, 700, 1)), []string{"a"}) // a shorter backoff does not end a longer one
 	assert.Equal(t, len(decoders(po, 900, 1)), 2)
 	_, ok = prefiller(po, 900)
 	assert.Assert(t, ok)
--- a/internal/pool/prefill.go
+++ b/internal/pool/prefill.go
@@ -9,53 +9,56 @@
 )
 
 const (
-	// lateFactor is how many times as long as the decode engine the prefill engine
-	// takes where it is better to hold up the decode engine's runs although the
-	// request is late either way.
+	// lateFactor is how many times longer than the decode engine the prefill
+	// engine must take before the prompt is computed by the decode engine,
+	// delaying its runs, although the request is late either way.
 	lateFactor = 2
-	// decoderSlowdownPrior is how many times as long as a prefill engine a decode engine
-	// takes for a prompt, until one was observed: it reads at half the speed and
-	// between the tokens of its runs.
+	// decoderSlowdownPrior is how many times longer than a prefill engine a decode
+	// engine is assumed to take for a prompt until one was observed: it computes
+	// prompts at half the speed and interleaves them with the tokens of its runs.
 	decoderSlowdownPrior = 3
-	// minTimePart is the least part of the time of all engines together that one of them
-	// is taken to need.
+	// minTimePart is the smallest part of the average time of all engines that one
+	// engine is assumed to need.
 	minTimePart = 0.5
-	// minOwnObservations is how many prompts of an engine show its own pace.
+	// minOwnObservations is how many observed prompts an engine needs before its
+	// own pace counts fully.
 	minOwnObservations = 3
 )
 
 type (
-	// Prompt is a prompt that is to be computed.
+	// Prompt describes a prompt that has to be computed.
 	Prompt struct {
 		Tokens int
-		Domain string // failure domain of the decode engine; the memory moves there
-		// QueuedTokens is the tokens of prompts that an engine has before this one.
+		Domain string // failure domain of the decode engine, to which the KV memory moves
+		// QueuedTokens returns the tokens of prompts that an engine computes before
+		// this one; math.MaxInt excludes the engine.
 		QueuedTokens func(id string) int
-		// LastResort tells whether an engine is chosen only if no other is left; nil:
-		// none is.
+		// LastResort reports whether an engine is chosen only if no other is left.
+		// If it is nil, no engine is a last resort.
 		LastResort func(id string) bool
 	}
 
-	// Prefill is where a prompt is computed.
+	// Prefill is the choice of an engine for a prompt.
 	Prefill struct {
 		Server       board.BackendServer
-		QueuedTokens int          // tokens of prompts before it
-		ExpectedTime clock.Millis // expected, with those before it; zero if no speed was observed yet
+		QueuedTokens int          // tokens of prompts computed before it
+		ExpectedTime clock.Millis // including the queued prompts; zero if no prompt was observed yet
 	}
 
-	// StartBudget is what of a generation's time to its first event is spent already.
+	// StartBudget is a generation's time objective for its first event and the
+	// part of it already spent.
 	StartBudget struct {
-		Spent     clock.Millis // since the request came
+		Spent     clock.Millis // since the request arrived
 		Objective clock.Millis // for the first event; zero: none
 	}
 )
 
-// ChoosePrefill chooses the engine that is expected to be done first with a prompt,
-// by chance among equals. One in another failure domain than the decode
-// engine counts as having the prompt itself before it once more: the move
-// between domains takes twice as long and is paid for, and that is worth a wait
-// as long as the prompt takes. An engine that failed just now is left out.
-// There may be none.
+// ChoosePrefill chooses the engine that is expected to finish a prompt first, at
+// random among equals. An engine in another failure domain than the decode
+// engine counts as having the prompt queued twice: a transfer between domains
+// takes twice as long and is charged for, so avoiding it is worth waiting for
+// the duration of the prompt. Engines that failed recently are left out. The
+// second result is false if no engine is left.
 func (po *Pool) ChoosePrefill(now clock.Millis, pr Prompt) (Prefill, bool) {
 	var fit []*engine
 	costs := make(map[*engine]int)
@@ -70,7 +73,7 @@
 		if en.server.FailureDomain != pr.Domain {
 			tokens += pr.Tokens
 		}
-		// Without a pace of one, all read alike.
+		// Until a pace was observed, all engines count as equally fast.
 		costs[en] = int(cmp.Or(po.prefillTime(en, tokens), clock.Millis(tokens)))
 	}
 	if len(fit) == 0 {
@@ -86,7 +89,8 @@
 	return Prefill{Server: best.server, QueuedTokens: ahead[best], ExpectedTime: po.prefillTime(best, ahead[best]+pr.Tokens)}, true
 }
 
-// PrefillAt is a prefill at an engine that another VM chose.
+// PrefillAt returns the prefill at an engine that another VM chose. The second
+// result is false if the engine is unknown.
 func (po *Pool) PrefillAt(id string, ahead, tokens int) (Prefill, bool) {
 	en := po.engines[id]
 	if en == nil {
@@ -95,27 +99,29 @@
 	return Prefill{Server: en.server, QueuedTokens: ahead, ExpectedTime: po.prefillTime(en, ahead+tokens)}, true
 }
 
-// CanPrefill tells whether an engine computes prompts and did not fail just now.
+// CanPrefill reports whether an engine computes prompts, accepts work and did
+// not fail recently.
 func (po *Pool) CanPrefill(now clock.Millis, id string) bool {
 	en := po.engines[id]
 	return en != nil && en.acceptsWork(now) && en.server.Role == board.Prefill && now >= en.failedUntil
 }
 
-// prefillTime is how long an engine takes for so many tokens of prompts; zero if
-// no engine was observed.
+// prefillTime returns how long an engine takes for so many tokens of prompts, or
+// zero if no prompt was observed at any engine.
 func (po *Pool) prefillTime(en *engine, tokens int) clock.Millis {
 	all := po.prefillPace.estimate(tokens)
 	own := en.prefillPace.estimate(tokens)
-	// What one of its first prompts showed may have been an exception.
+	// The first few prompts of an engine may be exceptions, such as one that the
+	// engine still had in its cache, so the average of all engines counts too.
 	if known := en.prefillPace.weight / minOwnObservations; known < 1 {
 		own = clock.Millis(known*float64(own) + (1-known)*float64(all))
 	}
 	return max(own, clock.Millis(minTimePart*float64(all)))
 }
 
-// ObservePrefill notes how long a prefill took. What was before it at the engine may have
-// been partly done, so that only a prefill with nothing before it shows the
-// pace.
+// ObservePrefill records how long a prefill took. Prefills that had to queue are
+// ignored: the prompts before them may have been partly computed, so only a
+// prefill without a queue shows the engine's pace.
 func (po *Pool) ObservePrefill(pf Prefill, tokens int, took clock.Millis) {
 	en := po.engines[pf.Server.ID]
 	if en == nil || pf.QueuedTokens > 0 {
@@ -125,12 +131,12 @@
 	po.prefillPace.add(tokens, took)
 }
 
-// ShouldPrefillAtDecoder tells whether the decode engine should compute a prompt itself, with so
-// many tokens of other prompts before it there. That holds up its other runs, a
-// tenth of an engine's work for each of them, so it is for a burst of prompts in
-// which the prefill engine would be done too late for the request's objective and
-// the decode engine in time, or where both are late and the prefill engine by
-// far.
+// ShouldPrefillAtDecoder reports whether the decode engine should compute a
+// prompt itself, after the given tokens of other prompts queued there. This
+// delays the engine's other runs, by a tenth of an engine's work for each of
+// them. It is meant for bursts of prompts: if the prefill engine would miss the
+// request's objective and the decode engine would meet it, or if both would miss
+// it and the prefill engine by far.
 func (po *Pool) ShouldPrefillAtDecoder(pf Prefill, tokens, ahead int, st StartBudget) bool {
 	if st.Objective == 0 || pf.ExpectedTime == 0 {
 		return false
@@ -147,7 +153,8 @@
 	}
 }
 
-// decoderPrefillTime is how long a decode engine takes for prompts beside its runs.
+// decoderPrefillTime returns how long a decode engine takes for prompts beside
+// its runs.
 func (po *Pool) decoderPrefillTime(tokens int) clock.Millis {
 	if took := po.decoderPrefillPace.estimate(tokens); took > 0 {
 		return took
@@ -155,12 +162,12 @@
 	return decoderSlowdownPrior * po.prefillPace.estimate(tokens)
 }
 
-// ObserveFirstEvent notes the time from a decode's order to its first event, of a prompt
-// that was computed elsewhere.
+// ObserveFirstEvent records the time from a decode order to its first event, for
+// a prompt that was computed by another engine.
 func (po *Pool) ObserveFirstEvent(took clock.Millis) { po.firstEventPace.add(0, took) }
 
-// ObserveDecoderPrefill notes the same where the decode engine computed the prompt, with
-// nothing before it.
+// ObserveDecoderPrefill records the time from a decode order to its first event
+// where the decode engine computed the prompt with no other prompt queued.
 func (po *Pool) ObserveDecoderPrefill(tokens int, took clock.Millis) {
 	po.decoderPrefillPace.add(tokens, max(1, took-po.firstEventPace.estimate(0)))
 }
--- a/internal/pool/prefill_test.go
+++ b/internal/pool/prefill_test.go
@@ -11,7 +11,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// twoDomainPool and far are two prefill engines in failure domains of their own.
+// twoDomainPool returns a pool of two prefill engines in different failure
+// domains, and a prompt for a decode engine in the first.
 func twoDomainPool(loads map[string]int) (*pool.Pool, pool.Prompt) {
 	po := newPool(board.Prefill, board.Prefill)
 	list := engines(board.Prefill, board.Prefill)
@@ -27,10 +28,10 @@
 		domain string
 		want   string
 	}{
-		{"the least before it", map[string]int{"a": 9000, "b": 100}, "z", "b"},
-		{"in the decode engine's domain", map[string]int{"a": 4900}, "x", "a"},
-		{"the other, by more than the prompt itself", map[string]int{"a": 5100}, "x", "b"},
-		{"avoided", map[string]int{"a": math.MaxInt, "b": 9000}, "x", "b"},
+		{"shortest queue", map[string]int{"a": 9000, "b": 100}, "z", "b"},
+		{"same domain as the decode engine", map[string]int{"a": 4900}, "x", "a"},
+		{"other domain if the queue is longer than the prompt", map[string]int{"a": 5100}, "x", "b"},
+		{"excluded engine", map[string]int{"a": math.MaxInt, "b": 9000}, "x", "b"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			po, pr := twoDomainPool(tc.ahead)
@@ -39,16 +40,16 @@
 			assert.Assert(t, ok)
 			assert.Equal(t, pf.Server.ID, tc.want)
 			assert.Equal(t, pf.QueuedTokens, tc.ahead[tc.want])
-			assert.Equal(t, pf.ExpectedTime, clock.Millis(0), "no pace was seen yet")
+			assert.Equal(t, pf.ExpectedTime, clock.Millis(0), "no prompt was observed yet")
 		})
 	}
 	po, pr := twoDomainPool(map[string]int{"a": math.MaxInt, "b": math.MaxInt})
 	_, ok := po.ChoosePrefill(0, pr)
-	assert.Assert(t, !ok, "all are avoided")
+	assert.Assert(t, !ok, "all engines are excluded")
 }
 
-// An engine that reads more slowly gets a prompt when the faster one has more
-// before it than that makes up for.
+// A slower engine gets a prompt if the queue of the faster one outweighs the
+// difference in speed.
 func TestChoosePrefillByObservedSpeed(t *testing.T) {
 	ahead := map[string]int{}
 	po, pr := twoDomainPool(ahead)
@@ -60,13 +61,13 @@
 				perMilli = 25
 			}
 			po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: id}}, tokens, clock.Millis(20+tokens/perMilli))
-			po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: id}, QueuedTokens: 1000}, tokens, 1) // tells nothing
+			po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: id}, QueuedTokens: 1000}, tokens, 1) // ignored
 		}
 	}
 	ahead["a"] = 4000
 	pf, _ := po.ChoosePrefill(0, pr)
 	assert.Equal(t, pf.Server.ID, "a")
-	assert.Assert(t, pf.ExpectedTime >= 195 && pf.ExpectedTime <= 205, "20 ms and 9,000 tokens at 50 in a millisecond: %s", pf.ExpectedTime)
+	assert.Assert(t, pf.ExpectedTime >= 195 && pf.ExpectedTime <= 205, "20 ms and 9,000 tokens at 50 per millisecond: %s", pf.ExpectedTime)
 	ahead["a"] = 12000
 	pf, _ = po.ChoosePrefill(0, pr)
 	assert.Equal(t, pf.Server.ID, "b")
@@ -86,13 +87,13 @@
 		start pool.StartBudget
 		want  bool
 	}{
-		{"in time either way", 700, 0, pool.StartBudget{Spent: 100, Objective: 900}, false},
-		{"too late at the prefill engine", 800, 0, pool.StartBudget{Spent: 100, Objective: 900}, true},
-		{"that has a prompt already", 800, 9000, pool.StartBudget{Spent: 100, Objective: 900}, false},
-		{"late either way", 500, 0, pool.StartBudget{Spent: 800, Objective: 900}, false},
-		{"late either way, by far", 700, 0, pool.StartBudget{Spent: 800, Objective: 900}, true},
+		{"both in time", 700, 0, pool.StartBudget{Spent: 100, Objective: 900}, false},
+		{"prefill engine too late", 800, 0, pool.StartBudget{Spent: 100, Objective: 900}, true},
+		{"decode engine has a queued prompt", 800, 9000, pool.StartBudget{Spent: 100, Objective: 900}, false},
+		{"both late", 500, 0, pool.StartBudget{Spent: 800, Objective: 900}, false},
+		{"both late, prefill engine by far", 700, 0, pool.StartBudget{Spent: 800, Objective: 900}, true},
 		{"no objective", 5000, 0, pool.StartBudget{}, false},
-		{"no speed is known", 0, 0, pool.StartBudget{Spent: 800, Objective: 900}, false},
+		{"no prompt observed", 0, 0, pool.StartBudget{Spent: 800, Objective: 900}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			assert.Equal(t, po.ShouldPrefillAtDecoder(pool.Prefill{ExpectedTime: tc.takes}, tokens, tc.ahead, tc.start), tc.want)
@@ -100,9 +101,9 @@
 	}
 }
 
-// A burst of prompts at 1.6 times what two prefill engines read: each begins
-// within its objective, since decode engines compute some. At 0.6 times they
-// compute none.
+// In a burst of prompts at 1.6 times the capacity of two prefill engines, each
+// request begins within its objective because decode engines compute some of
+// the prompts. At 0.6 times the capacity they compute none.
 func TestBurstOfPromptsBeginsInTime(t *testing.T) {
 	const (
 		tokens    = 5200
@@ -114,17 +115,17 @@
 		every  clock.Millis
 		itself bool
 	}{
-		{"a burst", 40, true},
-		{"a steady load", 110, false},
+		{"burst", 40, true},
+		{"steady load", 110, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			free := make(map[string]clock.Millis) // when an engine is done
+			free := make(map[string]clock.Millis) // when each engine becomes idle
 			po := newPool(board.Prefill, board.Prefill)
 			for _, size := range []int{2000, 5000, 9000, 3000} {
 				po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: "a"}}, size, clock.Millis(size/40))
 				po.ObserveFirstEvent(60)
 			}
-			// read has an engine compute a prompt behind those before it.
+			// read queues a prompt at an engine and returns when it is computed.
 			read := func(now clock.Millis, id string, perMilli int) clock.Millis {
 				free[id] = max(now, free[id]) + clock.Millis(tokens/perMilli)
 				return free[id]
--- a/internal/pool/prompts_test.go
+++ b/internal/pool/prompts_test.go
@@ -13,35 +13,35 @@
 	"alderdyke/pkg/clock"
 )
 
-// promptSeeds is how many courses are played; more are played by hand.
-var promptSeeds = flag.Uint64("prompts.seeds", 20, "seeds of the courses of prompts")
+// promptSeeds is the number of simulated runs. Larger numbers are set by hand.
+var promptSeeds = flag.Uint64("prompts.seeds", 20, "seeds of the simulated prompts")
 
 const (
-	// maxPromptDelay bounds how much later than at the engine that would be done first
-	// any prompt may be done, and maxMeanPromptDelay the mean of that in any two
-	// seconds. Generations have half a second to their first event.
+	// maxPromptDelay bounds how much later a prompt may be done than at the engine
+	// that would finish it first, and maxMeanPromptDelay bounds the mean delay in
+	// any two seconds. Generations have half a second to their first event.
 	maxPromptDelay     = clock.Second
 	maxMeanPromptDelay = 100 * clock.Millis(1)
 	promptWindow       = 2 * clock.Second
 	promptSpan         = 40 * clock.Second
-	// promptRatePerEngine is the prompts a second for each engine, which is busy for two
-	// thirds of the time.
+	// promptRatePerEngine is the number of prompts per second and engine. It keeps
+	// an engine busy for two thirds of the time.
 	promptRatePerEngine = 6
-	// repeatedPromptPart of the prompts were computed by their engine just before, which
-	// still has them.
+	// repeatedPromptPart is the part of prompts that their engine computed just
+	// before and still has cached.
 	repeatedPromptPart = 0.02
-	// meanSchedulerTerm is how long one VM chooses for all in the mean.
+	// meanSchedulerTerm is the mean time for which one VM places all prompts.
 	meanSchedulerTerm = 8 * clock.Second
 )
 
-// promptTime is how long an engine that has nothing else computes a prompt.
+// promptTime is how long an idle engine takes to compute a prompt.
 func promptTime(tokens int) clock.Millis { return 20 + clock.Millis(tokens/30) }
 
-// The VM that chose for all had a prompt computed by an engine that had computed it half
-// a second before, and still had it: 16 ms. It was the first that this VM had ever seen
-// of this engine, and what it took to be the engine's pace. From then on all prompts of
-// all VMs went there, and since only a prompt with nothing before it teaches the pace,
-// nothing corrected it.
+// A single unusually fast prompt must not attract all later ones. An engine that
+// still has a prompt cached from half a second before computes it in 16 ms. If
+// this is the first prompt that the scheduling VM observes at the engine and is
+// taken for the engine's pace, all prompts of all VMs go there. Only prompts
+// without a queue update the pace, so nothing corrects it.
 func TestOneFastPromptDoesNotAttractAllOthers(t *testing.T) {
 	po := newPool(board.Prefill, board.Prefill, board.Prefill)
 	list := engines(board.Prefill, board.Prefill, board.Prefill)
@@ -55,20 +55,21 @@
 	ahead := map[string]int{list[2].ID: 13700}
 	pf, ok := po.ChoosePrefill(0, pool.Prompt{Tokens: 2000, QueuedTokens: func(id string) int { return ahead[id] }})
 	assert.Assert(t, ok)
-	assert.Assert(t, pf.Server.ID != list[2].ID, "%d tokens before it, expected to take %v", pf.QueuedTokens, pf.ExpectedTime)
+	assert.Assert(t, pf.Server.ID != list[2].ID, "%d tokens queued, expected time %v", pf.QueuedTokens, pf.ExpectedTime)
 }
 
 type (
-	// promptSim is a fleet whose prompts one VM places, by what it has seen of its own.
+	// promptSim simulates a fleet in which one VM at a time places all prompts and
+	// observes only its own.
 	promptSim struct {
 		t             *testing.T
 		rnd           *rand.Rand
 		vms           int
 		list          []board.BackendServer
 		now           clock.Millis
-		po            *pool.Pool // of the VM that chooses
+		po            *pool.Pool // of the scheduling VM
 		nextScheduler clock.Millis
-		jobs          map[string][]promptJob // by engine, in the order in which they are done
+		jobs          map[string][]promptJob // by engine, in order of completion
 		delays        []delaySample
 	}
 
@@ -77,14 +78,14 @@
 		done        clock.Millis
 		pf          pool.Prefill
 		began       clock.Millis
-		ofScheduler bool // of the VM that chooses
+		ofScheduler bool // sent by the scheduling VM
 	}
 
 	delaySample struct{ at, delay clock.Millis }
 )
 
-// play plays a course and returns by how much prompts were late at most, and in the mean
-// of the worst window.
+// play runs the simulation and returns the largest delay of a prompt and the mean
+// delay in the worst window.
 func (ps *promptSim) play() (most, mean clock.Millis) {
 	rate := float64(promptRatePerEngine*len(ps.list)) / float64(clock.Second)
 	for due := 0.0; ps.now < promptSpan; due += ps.rnd.ExpFloat64() / rate {
@@ -119,8 +120,8 @@
 	return out
 }
 
-// place has the chooser place a prompt, and notes how much later it is done than at the
-// engine that would be done first.
+// place has the scheduling VM place a prompt, and records how much later it is
+// done than at the engine that would finish it first.
 func (ps *promptSim) place(tokens int) {
 	pf, ok := ps.po.ChoosePrefill(ps.now, pool.Prompt{Tokens: tokens, QueuedTokens: ps.ahead})
 	assert.Assert(ps.t, ok)
@@ -138,7 +139,7 @@
 		promptJob{tokens: tokens, done: at + took, pf: pf, began: ps.now, ofScheduler: ps.rnd.IntN(ps.vms) == 0})
 }
 
-// freeAt is when an engine has done what it has.
+// freeAt returns when an engine has computed all of its prompts.
 func (ps *promptSim) freeAt(id string) clock.Millis {
 	if jobs := ps.jobs[id]; len(jobs) > 0 {
 		return jobs[len(jobs)-1].done
@@ -154,7 +155,7 @@
 	return sum
 }
 
-// finish has the chooser learn from those of its own prompts that are done.
+// finish removes completed prompts and lets the scheduling VM observe its own.
 func (ps *promptSim) finish() {
 	for _, bs := range ps.list {
 		jobs := ps.jobs[bs.ID]
@@ -168,9 +169,9 @@
 	}
 }
 
-// However little the VM that chooses has seen, whenever it is another one that has seen
-// nothing, and whatever engines still had of some prompts: no prompt is done much later
-// than where it would be done first.
+// No prompt is done much later than at the engine that would finish it first:
+// not if the scheduling VM has observed little, not after a change to a VM that
+// has observed nothing, and not if engines still have some prompts cached.
 func TestPromptsGoWhereTheyAreDoneFirst(t *testing.T) {
 	for _, tc := range []struct{ vms, engines int }{{7, 3}, {69, 9}, {300, 40}} {
 		t.Run(fmt.Sprint(tc.vms), func(t *testing.T) {
@@ -180,11 +181,11 @@
 				ps := &promptSim{t: t, rnd: rand.New(rand.NewPCG(seed, 40)), vms: tc.vms, list: engines(roles(tc.engines)...), jobs: make(map[string][]promptJob)}
 				mo, me := ps.play()
 				if mo > maxPromptDelay || me > maxMeanPromptDelay {
-					t.Errorf("seed %d: %v later at most, %v in the mean of the worst window", seed, mo, me)
+					t.Errorf("seed %d: largest delay %v, mean delay in the worst window %v", seed, mo, me)
 				}
 				most, mean = max(most, mo), max(mean, me)
 			}
-			t.Logf("%v later at most, %v in the mean of the worst window", most, mean)
+			t.Logf("largest delay %v, mean delay in the worst window %v", most, mean)
 		})
 	}
 }
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -9,24 +9,24 @@
 )
 
 type (
-	// Request is a generation that needs a place.
+	// Request is a generation that needs a place at a decode engine.
 	Request struct {
-		Returning bool // it was refused before
+		Returning bool // refused before
 		Priority  int  // the lowest number goes first
 	}
 
-	// Ticket is a request's turn in the queue.
+	// Ticket is a request's position in the queue.
 	Ticket struct {
 		request Request
 		turn    usage.Turn
 		since   clock.Millis
-		tried   bool // it found no place yet
+		tried   bool // no place was found so far
 	}
 )
 
-// Enter puts a request into the queue. Its turn is drawn by chance: all VMs
-// must see one order, and agree on no time. A request waits for so short a time
-// that arrival would be no fairer.
+// Enter adds a request to the queue. Its turn is drawn at random because all VMs
+// must agree on one order and have no common clock. Requests wait so briefly
+// that the order of arrival would be no fairer.
 func (po *Pool) Enter(now clock.Millis, req Request) *Ticket {
 	tk := &Ticket{request: req, turn: usage.NewTurn(req.Priority, po.Rand.Uint32()), since: now}
 	at, _ := slices.BinarySearchFunc(po.queue, tk, compare)
@@ -47,16 +47,17 @@
 	return cmp.Compare(ta.turn, tb.turn)
 }
 
-// Leave takes a request out of the queue.
+// Leave removes a request from the queue.
 func (po *Pool) Leave(tk *Ticket) {
 	if at := slices.Index(po.queue, tk); at >= 0 {
 		po.queue = slices.Delete(po.queue, at, at+1)
 	}
 }
 
-// IsFirst tells whether it is the request's turn. While places are wanting, new
-// requests go before returning ones of their priority: who is refused twice is as
-// many either way, and a place is worth more to who is not late yet.
+// IsFirst reports whether the request is the next to be placed. During a
+// shortage of places, new requests go before returning ones of the same
+// priority: the number of requests that are refused twice stays the same, and a
+// place is worth more to a request that is not late yet.
 func (po *Pool) IsFirst(tk *Ticket, shortage bool) bool {
 	if len(po.queue) == 0 {
 		return false
@@ -73,18 +74,18 @@
 	return first == tk
 }
 
-// Waiting is the number of requests in the queue.
+// Waiting returns the number of requests in the queue.
 func (po *Pool) Waiting() int { return len(po.queue) }
 
-// MarkTried notes that a request found no place, and tells whether that is new.
+// MarkTried records that a request found no place, and reports whether this was
+// its first attempt.
 func (po *Pool) MarkTried(tk *Ticket) bool {
 	fresh := !tk.tried
 	tk.tried = true
 	return fresh
 }
 
-// TriedTickets lists the requests that found no place yet, in the order of their
-// turns.
+// TriedTickets lists the requests that found no place so far, in queue order.
 func (po *Pool) TriedTickets() []*Ticket {
 	var out []*Ticket
 	for _, tk := range po.queue {
@@ -95,11 +96,12 @@
 	return out
 }
 
-// Request is the generation that the ticket is for.
+// Request returns the generation that the ticket is for.
 func (tk *Ticket) Request() Request { return tk.request }
 
-// Turn is the request's place in the order of all VMs; the lowest goes first.
+// Turn returns the request's rank among the requests of all VMs; the lowest goes
+// first.
 func (tk *Ticket) Turn() usage.Turn { return tk.turn }
 
-// Waited is how long the request has been in the queue.
+// Waited returns how long the request has been in the queue.
 func (tk *Ticket) Waited(now clock.Millis) clock.Millis { return now - tk.since }
