--- a/internal/usage/ask.go
+++ b/internal/usage/ask.go
@@ -3,28 +3,28 @@
 import "alderdyke/pkg/clock"
 
 type (
-	// PlacementRequest asks the scheduler of a large fleet where a generation is to go.
+	// PlacementRequest asks the scheduler of a large fleet to place a generation.
 	PlacementRequest struct {
 		Waiting       WaitingRequest
 		Run           Run // without its engine
-		ReserveTokens int // tokens that will be reserved
-		// MaxWait and MaxWaitReturning are how long new requests, and those that
-		// came back, wait for a place.
+		ReserveTokens int // tokens that the VM will reserve
+		// MaxWait and MaxWaitReturning bound how long new and returning requests
+		// wait for a place.
 		MaxWait, MaxWaitReturning clock.Millis
-		Excluded                  []string // engines that declined or failed the asker just now
-		NeedsPrefill              bool     // the prompt is yet to be computed
+		Excluded                  []string // engines that recently declined or failed the requesting VM
+		NeedsPrefill              bool     // the prompt is not computed yet
 	}
 
-	// PlacementReply is the answer. The place at the first of Engines, and the
-	// prompt at Prefill, count as taken by the asker.
+	// PlacementReply answers a PlacementRequest. The place at the first of Engines
+	// and the prompt at Prefill count as taken by the requesting VM.
 	PlacementReply struct {
-		Informed      bool     // the asked VM hears what the others have; else the rest says nothing
-		Engines       []string // to be asked for a place, in this order
-		RequestsAhead int      // requests at other VMs that take their places first
-		Shortage      bool     // places are wanting somewhere in the fleet
-		Prefill       string   // engine for the prompt; empty: none is sound
-		QueuedTokens  int      // tokens of prompts before it there
-		// Doubtful tells that the first of Engines may be gone.
+		Informed      bool     // the replying VM has reports of the others; otherwise the other fields are unset
+		Engines       []string // to try for a reservation, in this order
+		RequestsAhead int      // requests at other VMs that are placed first
+		Shortage      bool     // places are short somewhere in the fleet
+		Prefill       string   // engine that computes the prompt; empty: none is healthy
+		QueuedTokens  int      // tokens of prompts queued there
+		// Doubtful reports that the first of Engines may be dead.
 		Doubtful bool
 	}
 )
--- a/internal/usage/assumed.go
+++ b/internal/usage/assumed.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	// assumedRunTTL is how long a place that was given to a VM counts without
-	// that VM's word on it: an ask's way back, and a word's that is lost once.
+	// assumedRunTTL is how long a place that was assigned to a VM counts without a
+	// report of it. It covers the way of the reply to the VM and the loss of one
+	// report.
 	assumedRunTTL = 300 * clock.Millis(1)
 	// assumedPromptTTL is the same for a prompt. The VM first reserves the place,
-	// 5 to 10 ms, and its word on that says nothing of the prompt yet.
+	// which takes 5 to 10 ms, and its report of that does not include the prompt
+	// yet.
 	assumedPromptTTL = 40 * clock.Millis(1)
-	// unreportedRunTTL is the same once a further word of that VM came: one that was
-	// told before the VM had its answer says nothing of the place, and the next one
-	// does. It waits for the answer for 30 ms, and tells of the place in 4 ms.
+	// unreportedRunTTL is how long a place counts if reports of the VM arrive that
+	// do not include it. A report sent before the VM received the reply can't
+	// include the place; the next one does. The VM waits up to 30 ms for the reply
+	// and reports the place within 4 ms.
 	unreportedRunTTL = 40 * clock.Millis(1)
 )
 
 type (
-	// assumptions are places and prompts that this VM gave to others and that they
-	// did not tell of yet. The zero value has none.
+	// assumptions holds the places and prompts that this VM assigned to others and
+	// that they have not reported yet. The zero value has none.
 	assumptions struct {
 		list []assumption
 	}
@@ -29,15 +32,15 @@
 	assumption struct {
 		vm          string
 		run         Run
-		givenAt     clock.Millis // when
-		runUntil    clock.Millis // until when the run counts
+		givenAt     clock.Millis
+		runUntil    clock.Millis // when the run stops counting; zero: it was reported
 		prefill     string       // engine that computes the prompt; empty: none
-		promptUntil clock.Millis // until when the prompt counts there
+		promptUntil clock.Millis // when the prompt stops counting
 	}
 )
 
-// AssumePlacement counts a place and a prompt as given to another VM until it tells of
-// them, so that the next VM that asks is given another one.
+// AssumePlacement counts a place and a prompt as taken by another VM until that
+// VM reports them, so that the next VM that asks is placed elsewhere.
 func (le *Ledger) AssumePlacement(now clock.Millis, vm string, run Run, prefill string) {
 	le.assumed.expire(now)
 	le.assumed.list = append(le.assumed.list, assumption{vm: vm, run: run, givenAt: now, runUntil: now + assumedRunTTL, prefill: prefill, promptUntil: now + assumedPromptTTL})
@@ -47,11 +50,12 @@
 	am.list = slices.DeleteFunc(am.list, func(as assumption) bool { return now >= as.runUntil && now >= as.promptUntil })
 }
 
-// reconcile takes a word of a VM: a place that it tells of counts as told, and any
-// other one only until the next word must have told of it. More is how many more
-// runs the VM has at an engine than it told before.
+// reconcile matches a VM's assumed places with its new report. A reported place
+// stops being assumed. Any other one counts only until the VM's next report must
+// include it. More returns how many runs the VM has at an engine beyond those in
+// its previous report.
 func (am *assumptions) reconcile(vm string, more func(engine string) int) {
-	told := make(map[string]int) // by engine: places that the word tells of
+	told := make(map[string]int) // by engine: newly reported places that were matched
 	for ix := range am.list {
 		as := &am.list[ix]
 		if as.vm != vm || as.runUntil == 0 {
--- a/internal/usage/failing_test.go
+++ b/internal/usage/failing_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// What another VM says of an engine that failed it counts for as long as it
-// says so; what failed this VM itself is for its pool to know.
+// An engine that failed another VM counts as failing for as long as that VM
+// reports it. Engines that failed this VM itself are left to its pool.
 func TestFailingEngines(t *testing.T) {
 	var le, other Ledger
 	other.MarkFailed("e1", 2000)
@@ -18,8 +18,8 @@
 	assert.Assert(t, !other.Failing(1000, "e1"))
 	other.ClearFailed("e2")
 	le.ApplyReport(2000, "vm-2", other.Report(2000))
-	assert.Assert(t, !le.Failing(2000, "e1"), "its time is over")
-	assert.Assert(t, !le.Failing(2000, "e2"), "it worked")
+	assert.Assert(t, !le.Failing(2000, "e1"), "the failure has expired")
+	assert.Assert(t, !le.Failing(2000, "e2"), "the engine has worked since")
 	le.ApplyReport(3000, "vm-2", Report{Failing: []string{"e1"}})
-	assert.Assert(t, !le.Failing(3000+ReportTTL, "e1"), "an old word counts no more")
+	assert.Assert(t, !le.Failing(3000+ReportTTL, "e1"), "the report has expired")
 }
--- a/internal/usage/lengths.go
+++ b/internal/usage/lengths.go
@@ -3,38 +3,37 @@
 import "math"
 
 const (
-	// priorMean and priorSpread stand for what is not observed yet: the mean
-	// of an answer's length over its caller's guess, and its standard
-	// deviation over that mean, where guesses are right in the median and
-	// lengths spread around them by a half on the scale of logarithms.
+	// priorMean and priorSpread describe answers before any was observed: the mean
+	// ratio of an answer's length to its caller's estimate, and the standard
+	// deviation of the ratio relative to that mean. They hold if estimates are
+	// right in the median and lengths are log-normal with a deviation of a half.
 	priorMean   = 1.13
 	priorSpread = 0.53
-	// priorWeight is the answers that the prior counts for, and maxWeight
-	// those after which older ones begin to count less: the spread of 20
-	// answers is known to a sixth of itself.
+	// priorWeight is the number of answers that the prior counts for. After
+	// maxWeight answers, older ones begin to count less. From 20 answers the
+	// spread is known to a sixth of its value.
 	priorWeight = 20
 	maxWeight   = 400
-	// growthDeviations is how many standard deviations the runs of an engine
-	// may together exceed their expected growth by: 39 in 40 times they
-	// stay below.
+	// growthDeviations is the margin, in standard deviations, on the joint growth
+	// of the runs of an engine. Their growth stays below it in 39 of 40 cases.
 	growthDeviations = 2.0
 )
 
 type (
-	// lengths is how long the answers of each route came out against their
-	// callers' guesses. The zero value knows the prior alone.
+	// lengths records, for each route, the lengths of answers relative to their
+	// callers' estimates. The zero value holds the prior alone.
 	lengths struct {
 		routes map[string]*ratios
 		all    ratios
 	}
 
-	// ratios are the moments of lengths over guesses.
+	// ratios holds the moments of lengths over estimates.
 	ratios struct {
 		weight, sum, squares float64
 	}
 )
 
-// observe notes an answer that came to its end.
+// observe records the length of a completed answer and its caller's estimate.
 func (ls *lengths) observe(route string, guess, generated int) {
 	if guess <= 0 || generated <= 0 {
 		return
@@ -50,7 +49,8 @@
 	ls.all.add(ratio)
 }
 
-// mean is the expected length of an answer of the route over its guess.
+// mean returns the expected ratio of an answer's length to its caller's estimate
+// for a route; for a route without answers, that of all routes.
 func (ls *lengths) mean(route string) float64 {
 	rt := ls.routes[route]
 	if rt == nil {
@@ -59,7 +59,7 @@
 	return rt.mean()
 }
 
-// spread is the standard deviation of an answer's length over its mean.
+// spread returns the standard deviation of the ratio over its mean.
 func (ls *lengths) spread() float64 { return ls.all.spread() }
 
 func (rt *ratios) add(ratio float64) {
--- a/internal/usage/lengths_test.go
+++ b/internal/usage/lengths_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// What is expected of an answer follows what answers of its route came to.
+// The expected length of an answer follows the lengths of its route's answers.
 func TestLengthsAreLearnedByRoute(t *testing.T) {
 	var le Ledger
 	assert.Equal(t, le.ExpectedTokens("short", 1000), 1130, "the prior, before any answer")
@@ -19,7 +19,7 @@
 	}
 	assert.Assert(t, math.Abs(float64(le.ExpectedTokens("short", 1000))-510) < 60, le.ExpectedTokens("short", 1000))
 	assert.Assert(t, math.Abs(float64(le.ExpectedTokens("long", 1000))-2040) < 120, le.ExpectedTokens("long", 1000))
-	assert.Assert(t, le.ExpectedTokens("unseen", 1000) > le.ExpectedTokens("short", 1000), "what all routes came to")
+	assert.Assert(t, le.ExpectedTokens("unseen", 1000) > le.ExpectedTokens("short", 1000), "an unseen route takes the mean of all routes")
 }
 
 func TestSpreadIsLearned(t *testing.T) {
@@ -28,29 +28,29 @@
 	for range 2000 {
 		ls.observe("r", 1000, 1000)
 	}
-	assert.Assert(t, ls.spread() < 0.15, "answers that come out as guessed leave little margin: %.2f", ls.spread())
+	assert.Assert(t, ls.spread() < 0.15, "answers as long as estimated leave little margin: %.2f", ls.spread())
 	ls.observe("r", 0, 70)
 	ls.observe("r", 70, 0)
-	assert.Assert(t, ls.spread() < 0.15, "what tells nothing counts for nothing")
+	assert.Assert(t, ls.spread() < 0.15, "answers without a length or an estimate are ignored")
 }
 
-// A burst fills an engine. Where runs are nine parts prompt, an engine takes
-// more of them than a margin on all its memory would let in; where half of a
-// run is growth it takes no more.
+// A burst fills an engine. If runs are nine tenths prompt, the engine admits more
+// of them than with a margin on its whole memory. If half of a run is growth, it
+// admits no more.
 func TestBurstFillsAnEngineUpToItsGrowth(t *testing.T) {
 	for _, tc := range []struct {
 		name                   string
 		memory, prompt, answer int
 		least, most            int
 	}{
-		{"long prompts, short answers", 57000, 5200, 600, 9, 10}, // 8 with 15 in 100 left free
+		{"long prompts, short answers", 57000, 5200, 600, 9, 10}, // 8 with 15 % left free
 		{"answers as long as prompts", 74700, 5200, 4400, 7, 9},  // 8
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var le Ledger
 			count := 0
 			for le.Peak(0, "e", Run{Tokens: tc.prompt, Left: tc.answer}, 1) <= tc.memory {
-				// The runs that are there began one after the other.
+				// The runs at the engine began one after the other.
 				done := tc.answer * count / 12
 				en := le.Begin(Run{Engine: "e", Tokens: tc.prompt, Left: tc.answer})
 				le.Grow(1, en, done)
--- a/internal/usage/reports.go
+++ b/internal/usage/reports.go
@@ -8,31 +8,31 @@
 )
 
 type (
-	// reports are the newest words of the other VMs, indexed by engine: of a large
-	// fleet hundreds of VMs have something, and a dozen of them at one engine.
-	// The zero value has none.
+	// reports holds the newest report of each other VM, indexed by engine: in a
+	// large fleet hundreds of VMs have runs, but only a dozen of them at one
+	// engine. The zero value has none.
 	reports struct {
 		byVM           map[string]receivedReport
 		runs           byEngine[[]Run]
 		promptTokensBy byEngine[int] // tokens of prompts
 		avoidedBy      byEngine[struct{}]
 		failingBy      byEngine[struct{}]
-		waiting        map[string]struct{} // VMs with requests that wait
-		shortageBy     map[string]struct{} // VMs that lately refused for want of a place
-		prunedAt       clock.Millis        // when words of VMs that are gone were dropped last
+		waiting        map[string]struct{} // VMs with waiting requests
+		shortageBy     map[string]struct{} // VMs that recently refused requests for lack of a place
+		prunedAt       clock.Millis        // when expired reports were last removed
 	}
 
-	// receivedReport is what another VM told.
+	// receivedReport is the newest report of another VM.
 	receivedReport struct {
 		at     clock.Millis
 		report Report
 	}
 
-	// byEngine holds what VMs have at an engine, by engine and VM.
+	// byEngine holds values by engine and VM.
 	byEngine[T any] map[string]map[string]T
 )
 
-// apply replaces a VM's word.
+// apply replaces a VM's report.
 func (rs *reports) apply(now clock.Millis, vm string, rp Report) {
 	if rs.byVM == nil {
 		*rs = reports{byVM: make(map[string]receivedReport), runs: make(byEngine[[]Run]), promptTokensBy: make(byEngine[int]),
@@ -62,7 +62,7 @@
 	}
 }
 
-// remove takes a VM's word out.
+// remove removes a VM's report.
 func (rs *reports) remove(vm string) {
 	rp := rs.byVM[vm].report
 	for _, run := range rp.Runs {
@@ -82,7 +82,7 @@
 	delete(rs.byVM, vm)
 }
 
-// prune drops the words of VMs that are gone.
+// prune removes expired reports.
 func (rs *reports) prune(now clock.Millis) {
 	if now-rs.prunedAt < 4*ReportTTL {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// age is how old a VM's word is, and whether it still counts.
+// age returns the age of a VM's report and whether the report has not expired.
 func (rs *reports) age(now clock.Millis, vm string) (age clock.Millis, fresh bool) {
 	rc, ok := rs.byVM[vm]
 	age = now - rc.at
@@ -107,7 +107,7 @@
 	return fresh
 }
 
-// anyFresh tells whether the word of one of the VMs counts.
+// anyFresh reports whether any of the VMs has a report that has not expired.
 func (rs *reports) anyFresh(now clock.Millis, vms map[string]struct{}) bool {
 	for vm := range vms {
 		if rs.isFresh(now, vm) {
@@ -144,7 +144,8 @@
 	return false
 }
 
-// waitingRequests lists the requests that wait at other VMs, with their ages by now.
+// waitingRequests lists the requests that wait at other VMs, with their present
+// ages.
 func (rs *reports) waitingRequests(now clock.Millis) []WaitingRequest {
 	var out []WaitingRequest
 	for _, vm := range slices.Sorted(maps.Keys(rs.waiting)) {
--- a/internal/usage/reports_test.go
+++ b/internal/usage/reports_test.go
@@ -11,8 +11,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// Whatever words come in whatever order, the index says what the newest words
-// say that still count.
+// For any sequence of reports, the index agrees with the newest reports that have
+// not expired.
 func TestReportsAreIndexed(t *testing.T) {
 	engines := []string{"e0", "e1", "e2"}
 	some := rapid.SliceOfNDistinct(rapid.SampledFrom(engines), 0, 3, rapid.ID[string])
@@ -41,7 +41,7 @@
 	})
 }
 
-// checkReports compares the index with the words themselves.
+// checkReports compares the index with the reports themselves.
 func checkReports(t *rapid.T, rs *reports, told map[string]receivedReport, now clock.Millis, engine string) {
 	held, prompts, avoided, failing, short := 0, 0, false, false, false
 	for _, rc := range told {
@@ -73,7 +73,7 @@
 	assert.Equal(t, rs.hasShortage(now), short)
 }
 
-// Words of VMs that are gone are dropped in time.
+// Expired reports are removed in time.
 func TestStaleReportsArePruned(t *testing.T) {
 	var rs reports
 	for ix := range 500 {
@@ -84,8 +84,8 @@
 	assert.Equal(t, len(rs.runs), 0)
 }
 
-// A place that was assumed counts until its VM tells of its runs, or does not
-// for long; a prompt counts until the VM can have told of it.
+// An assumed place counts until its VM reports its runs or the assumption
+// expires. An assumed prompt counts until the VM can have reported it.
 func TestAssumedPlacement(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -94,9 +94,9 @@
 		run, prompts int
 	}{
 		{"at once", 0, false, 5, 5},
-		{"the VM told of it", 10, true, 7, 5},
-		{"the prompt's time is over", assumedPromptTTL, false, 5, 0},
-		{"nothing was told", assumedRunTTL, false, 0, 0},
+		{"reported by the VM", 10, true, 7, 5},
+		{"prompt expired", assumedPromptTTL, false, 5, 0},
+		{"nothing reported", assumedRunTTL, false, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			le := ledgerWithoutMargin()
@@ -107,25 +107,25 @@
 			assert.Equal(t, le.Peak(tc.at, "e", Run{}, 0), tc.run)
 			assert.Equal(t, le.PromptTokens(tc.at, "f"), tc.prompts)
 			le.AssumePlacement(assumedRunTTL+1, "vm-3", Run{Engine: "x"}, "")
-			assert.Assert(t, tc.at > 0 || len(le.assumed.list) == 1, "what is over is dropped")
+			assert.Assert(t, tc.at > 0 || len(le.assumed.list) == 1, "expired assumptions are removed")
 		})
 	}
 }
 
-// A word that a VM told before it had its answer says nothing of the place. The
-// place counts until the VM's next words must tell of it, and once a word does, it
-// counts once.
+// A report that a VM sent before it received the reply does not include the
+// place. The place counts until the VM's next report must include it, and only
+// once as soon as a report does.
 func TestAssumedPlacementAndLaterReports(t *testing.T) {
 	before := Report{Runs: []Run{{Engine: "e", Tokens: 3}, {Engine: "x", Tokens: 1}}}
 	le := ledgerWithoutMargin()
 	le.ApplyReport(0, "vm-2", before)
 	le.AssumePlacement(10, "vm-2", Run{Engine: "e", Tokens: 5}, "")
 	le.ApplyReport(12, "vm-2", before)
-	assert.Equal(t, le.Peak(12, "e", Run{}, 0), 8, "it was on its way when the place was given")
+	assert.Equal(t, le.Peak(12, "e", Run{}, 0), 8, "the report was sent before the place was assigned")
 	le.ApplyReport(14, "vm-3", Report{Runs: []Run{{Engine: "e", Tokens: 2}}})
-	assert.Equal(t, le.Peak(14, "e", Run{}, 0), 10, "what another VM tells says nothing of it")
+	assert.Equal(t, le.Peak(14, "e", Run{}, 0), 10, "the report of another VM does not affect the place")
 	le.ApplyReport(16, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 3}, {Engine: "e", Tokens: 5}}})
-	assert.Equal(t, le.Peak(16, "e", Run{}, 0), 10, "it is told")
+	assert.Equal(t, le.Peak(16, "e", Run{}, 0), 10, "the place is reported")
 	le.AssumePlacement(20, "vm-2", Run{Engine: "e", Tokens: 7}, "")
 	le.ApplyReport(22, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 5}}})
 	assert.Equal(t, le.Peak(22, "e", Run{}, 0), 14)
--- a/internal/usage/turn_test.go
+++ b/internal/usage/turn_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, NewTurn(1, 5<<8) < NewTurn(1, 6<<8))
 }
 
-// A request of a higher priority at another VM goes first, whether it came back or not.
+// A request of a higher priority at another VM goes first, returning or not.
 func TestCountAheadByPriority(t *testing.T) {
 	var le Ledger
 	le.ApplyReport(1000, "vm-2", Report{Waiting: []WaitingRequest{
@@ -28,5 +28,5 @@
 	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(3, 0)}, mayWait), 2)
 	le.MarkShortage(1010)
 	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 0, "new ones go first where places are wanting")
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 0, "new requests go first during a shortage")
 }
--- a/internal/usage/turns.go
+++ b/internal/usage/turns.go
@@ -5,18 +5,18 @@
 // WaitingRequest is a request that waits for a place at a service's engines.
 type WaitingRequest struct {
 	Service   string
-	Returning bool         // it was refused before
-	Turn      uint32       // drawn by chance; the lowest of all VMs' goes first
-	Age       clock.Millis // for which it has waited
+	Returning bool         // refused before
+	Turn      uint32       // random; the lowest of all VMs goes first
+	Age       clock.Millis // time that it has waited
 }
 
-// CountAhead counts the requests of other VMs that take their places ahead of this
-// one: those of a higher priority, and among those of its own the ones with a lower
-// turn of its kind, and those of the kind that goes first, which are the new ones
-// where places are wanting and else the returning ones. A word on a request counts for as long as
-// such a request may wait. Turns are drawn, not counted from the time that a
-// request has waited: what VMs know of that differs by the way of their words,
-// and then two of them would both be first.
+// CountAhead counts the requests of other VMs that are placed before this one:
+// those of a higher priority and, within its priority, those of the kind that
+// goes first and those of its own kind with a lower turn. During a shortage new
+// requests go first, otherwise returning ones. A reported request counts for as
+// long as such a request may wait. Turns are random and do not depend on the
+// time that a request has waited: reports reach the VMs with different delays,
+// so the VMs would disagree and two requests would both be first.
 func (le *Ledger) CountAhead(now clock.Millis, req WaitingRequest, maxWait func(returning bool) clock.Millis) int {
 	short, count := le.HasShortage(now), 0
 	for _, other := range le.others.waitingRequests(now) {
@@ -27,7 +27,7 @@
 	return count
 }
 
-// precedes tells whether a request takes its place ahead of another one.
+// precedes reports whether the request is placed before another one.
 func (wr WaitingRequest) precedes(other WaitingRequest, short bool) bool {
 	switch {
 	case PriorityOf(wr.Turn) != PriorityOf(other.Turn):
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,13 +1,14 @@
-// Package usage foretells how much memory the generations at each engine will
-// need, from what all VMs have there.
+// Package usage projects how much memory the generations at each engine will
+// need, from the runs of all VMs there.
 //
-// A generation takes its prompt at once and grows by each token. A reservation
-// of all that it may come to leaves two fifths of an engine's memory unused,
-// since the runs at an engine are never all at their end together; admitting
-// by what is used now lets them grow beyond it together. A [Ledger] knows the
-// runs of this VM and what the others told of theirs, and works out the most
-// memory that they will need at one time, as they grow and end. All runs of an
-// engine grow at the same speed, so the one with the least to come ends first.
+// A generation takes memory for its whole prompt at once and grows with each
+// token. Reserving each run's final size would leave two fifths of an engine's
+// memory unused, because the runs at an engine never all reach their end at the
+// same time. Admitting runs by their present size would let them outgrow the
+// memory together. A [Ledger] holds the runs of this VM and those that the
+// others reported, and computes the most memory that they will need at any one
+// time as they grow and end. All runs of an engine grow at the same speed, so
+// the one with the fewest remaining tokens ends first.
 //
 // # Usage
 //
@@ -19,11 +20,11 @@
 //	le.ApplyReport(now, "vm-2", report)
 //	le.End(en)
 //
-// The length of an answer is a guess. The ledger learns by route how answers come
-// out against their callers' guesses, and leaves a margin on the growth of the runs
-// at an engine. What VMs tell each other of failing engines and of requests that
-// wait is kept here too. A Ledger does no I/O and
-// is not safe for concurrent use. The zero value is ready.
+// The length of an answer is only an estimate. The ledger learns for each route
+// how answers compare to their callers' estimates, and adds a margin to the
+// growth of the runs at an engine. It also holds what the VMs report to each
+// other about failing engines and waiting requests. A Ledger does no I/O and is
+// not safe for concurrent use. The zero value is ready.
 package usage
 
 import (
@@ -36,22 +37,22 @@
 )
 
 const (
-	// speedGain is the weight of an event in the speed: a run of 70 events
-	// counts as much as all before it.
+	// speedGain is the weight of a new event in the average speed: the events of
+	// one run, about 70, count as much as all before them.
 	speedGain = 0.02
-	// shortageTTL is how long a refusal for want of a place counts: a tenth of
-	// a burst.
+	// shortageTTL is how long a refusal for lack of a place counts as a shortage:
+	// a tenth of the length of a burst.
 	shortageTTL = 500 * clock.Millis(1)
-	// residualPart is the part of the first guess that a run which has outgrown
-	// it is thought to have left. It is the mean of what is left where the
-	// lengths spread by a half around their guess.
+	// residualPart is the part of the initial estimate that a run is assumed to
+	// have left once it has outgrown that estimate. It is the mean remainder if
+	// lengths deviate from their estimates by a half.
 	residualPart = 0.3
-	// maxDoubtfulRuns is how many runs an engine may have that is in doubt: those
-	// that were placed within the tenth of a second in which the first of them
-	// shows whether the engine is there.
+	// maxDoubtfulRuns is the largest number of runs at an engine that is still
+	// doubtful. It allows for the runs that are placed within the tenth of a
+	// second in which the first of them shows whether the engine is alive.
 	maxDoubtfulRuns = 2
-	// ReportTTL is the age from which another VM's word counts no more. It is
-	// renewed at least twice in that span.
+	// ReportTTL is the age at which another VM's report expires. Reports are
+	// renewed at least twice in that time.
 	ReportTTL = 2500 * clock.Millis(1)
 )
 
@@ -59,23 +60,23 @@
 	// Run is a generation at an engine.
 	Run struct {
 		Engine string
-		Tokens int // in the engine's memory
-		Left   int // expected to come
+		Tokens int // in the engine's memory now
+		Left   int // expected number of tokens still to be generated
 	}
 
-	// Report is what one VM has at the engines.
+	// Report lists one VM's runs at the engines and what it observed of them.
 	Report struct {
-		Runs    []Run          // by engine
-		Prompts map[string]int // tokens of prompts that are computed, by engine
-		// Avoided lists engines that by their own word, or by an order of the
-		// VM, take no new work for now.
+		Runs    []Run          // sorted by engine
+		Prompts map[string]int // tokens of prompts being computed, by engine
+		// Avoided lists engines that accept no new work for now, because they
+		// declined it or because the VM ordered them to change their role.
 		Avoided []string
-		// Failing lists engines that broke off or did not answer just now.
+		// Failing lists engines that recently broke off or did not answer.
 		Failing []string
-		// Waiting lists requests that found no place yet.
+		// Waiting lists requests that found no place so far.
 		Waiting []WaitingRequest
-		// Shortage tells that the VM lately refused a new request for want of a
-		// place.
+		// Shortage reports that the VM recently refused a new request for lack of
+		// a place.
 		Shortage bool
 	}
 
@@ -84,26 +85,26 @@
 		run        Run
 		generated  int
 		guess      int
-		lastGrowth clock.Millis // when it grew last; zero: it has not begun
+		lastGrowth clock.Millis // zero: no tokens were generated yet
 	}
 
-	// Ledger is the runs of all VMs as one VM knows them.
+	// Ledger holds the runs of all VMs as far as one VM knows them.
 	Ledger struct {
 		own                 map[*Entry]struct{}
 		prompts             map[string]int
 		avoided             map[string]clock.Millis // by engine, until when
-		failing             map[string]clock.Millis // the same
-		shortageUntil       clock.Millis            // until when this VM's last refusal counts
-		remoteShortageUntil clock.Millis            // the same of what a scheduler told
+		failing             map[string]clock.Millis // by engine, until when
+		shortageUntil       clock.Millis            // end of a shortage that this VM caused
+		remoteShortageUntil clock.Millis            // end of a shortage that a scheduler reported
 		others              reports
 		assumed             assumptions
-		speed               float64 // tokens in a millisecond; zero: no run of this VM has grown
-		lengths             lengths // of answers against their guesses
-		scratch             []Run   // of one engine, while its peak is worked out
+		speed               float64 // tokens per millisecond; zero: no run of this VM has grown
+		lengths             lengths // of answers relative to their estimates
+		scratch             []Run   // runs of one engine while its peak is computed
 	}
 )
 
-// Begin enters a run of this VM.
+// Begin adds a run of this VM.
 func (le *Ledger) Begin(run Run) *Entry {
 	if le.own == nil {
 		le.own = make(map[*Entry]struct{})
@@ -113,7 +114,7 @@
 	return en
 }
 
-// Run is the run as it is now; that of the nil Entry is empty.
+// Run returns the run's present state. The nil Entry has an empty run.
 func (en *Entry) Run() Run {
 	if en == nil {
 		return Run{}
@@ -121,7 +122,7 @@
 	return en.run
 }
 
-// Grow notes tokens that a run of this VM has generated.
+// Grow records tokens that a run of this VM has generated.
 func (le *Ledger) Grow(now clock.Millis, en *Entry, tokens int) {
 	if en == nil || tokens == 0 {
 		return
@@ -142,30 +143,31 @@
 	le.speed += speedGain * (speed - le.speed)
 }
 
-// End takes a run of this VM out.
+// End removes a run of this VM.
 func (le *Ledger) End(en *Entry) {
 	if en != nil {
 		delete(le.own, en)
 	}
 }
 
-// Speed is the tokens that a run of this VM generates in a millisecond; zero if
-// none has grown yet.
+// Speed returns how many tokens a run of this VM generates per millisecond; zero
+// if none has grown yet.
 func (le *Ledger) Speed() float64 { return le.speed }
 
-// ObserveAnswer notes that an answer of a route came to its end with so many tokens,
-// and what its caller had guessed.
+// ObserveAnswer records the length of a completed answer of a route and its
+// caller's estimate, both in tokens.
 func (le *Ledger) ObserveAnswer(route string, guess, generated int) {
 	le.lengths.observe(route, guess, generated)
 }
 
-// ExpectedTokens is the tokens that an answer of a route is expected to come to.
+// ExpectedTokens returns the expected length of an answer of a route for its
+// caller's estimate.
 func (le *Ledger) ExpectedTokens(route string, guess int) int {
 	return int(le.lengths.mean(route) * float64(guess))
 }
 
-// AddPrompt counts tokens of a prompt as computed at an engine; with a negative
-// count, as done.
+// AddPrompt adds tokens of a prompt to those being computed at an engine; a
+// negative count removes them.
 func (le *Ledger) AddPrompt(engine string, tokens int) {
 	if le.prompts == nil {
 		le.prompts = make(map[string]int)
@@ -175,13 +177,15 @@
 	}
 }
 
-// PromptTokens is how many tokens of prompts are computed at an engine for all VMs.
+// PromptTokens returns the tokens of prompts that an engine is computing for all
+// VMs.
 func (le *Ledger) PromptTokens(now clock.Millis, engine string) int {
 	return le.prompts[engine] + le.others.promptTokens(now, engine) + le.assumed.promptTokens(now, engine)
 }
 
-// Avoid notes that an engine takes no new work until then: it was ordered to
-// change its role, or declined what it had a place for. The other VMs are told.
+// Avoid records that an engine accepts no new work until the given time, because
+// it was ordered to change its role or declined a run that it had confirmed a
+// reservation for. The report carries this to the other VMs.
 func (le *Ledger) Avoid(engine string, until clock.Millis) {
 	if le.avoided == nil {
 		le.avoided = make(map[string]clock.Millis)
@@ -189,22 +193,23 @@
 	le.avoided[engine] = max(until, le.avoided[engine])
 }
 
-// Readmit ends an Avoid of this VM.
+// Readmit ends an Avoid by this VM.
 func (le *Ledger) Readmit(engine string) { delete(le.avoided, engine) }
 
-// Avoided tells whether this VM or another one avoids an engine.
+// Avoided reports whether this VM or another one avoids an engine.
 func (le *Ledger) Avoided(now clock.Millis, engine string) bool {
 	return now < le.avoided[engine] || le.others.avoided(now, engine)
 }
 
-// unexpired lists the engines whose time is not over, sorted, and drops the others.
+// unexpired lists the engines whose time has not passed, sorted, and removes the
+// others from the map.
 func unexpired(engines map[string]clock.Millis, now clock.Millis) []string {
 	maps.DeleteFunc(engines, func(_ string, until clock.Millis) bool { return now >= until })
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// MarkFailed notes that an engine broke off or did not answer this VM, and until when
-// that counts. The other VMs are told.
+// MarkFailed records that an engine broke off or did not answer this VM, and
+// until when that counts. The report carries this to the other VMs.
 func (le *Ledger) MarkFailed(engine string, until clock.Millis) {
 	if le.failing == nil {
 		le.failing = make(map[string]clock.Millis)
@@ -212,34 +217,36 @@
 	le.failing[engine] = until
 }
 
-// ClearFailed ends a MarkFailed of this VM.
+// ClearFailed ends a MarkFailed by this VM.
 func (le *Ledger) ClearFailed(engine string) { delete(le.failing, engine) }
 
-// Failing tells whether an engine failed another VM just now. It may be that VM
-// which is cut off, so that this says where to go last, not where not to go.
+// Failing reports whether an engine recently failed another VM. The other VM may
+// be the one that is cut off, so such an engine is a last resort rather than
+// excluded.
 func (le *Ledger) Failing(now clock.Millis, engine string) bool {
 	return le.others.failing(now, engine)
 }
 
-// Doubtful tells whether an engine failed another VM just now and next to nothing
-// runs there: it may be dead, or another one may answer in its place and take
-// reservations for it.
+// Doubtful reports whether an engine recently failed another VM and has almost
+// no runs: it may be dead, or another server may answer at its address and accept
+// reservations in its place.
 func (le *Ledger) Doubtful(now clock.Millis, engine string) bool {
 	return le.Failing(now, engine) && le.RunCount(now, engine) <= maxDoubtfulRuns
 }
 
-// MarkShortage notes that this VM refused a new request for want of a place.
+// MarkShortage records that this VM refused a new request for lack of a place.
 func (le *Ledger) MarkShortage(now clock.Millis) { le.shortageUntil = now + shortageTTL }
 
-// HasShortage tells whether some VM lately refused a new request for want of a place.
+// HasShortage reports whether any VM recently refused a new request for lack of
+// a place.
 func (le *Ledger) HasShortage(now clock.Millis) bool {
 	return now < le.shortageUntil || now < le.remoteShortageUntil || le.others.hasShortage(now)
 }
 
-// MarkRemoteShortage notes that a scheduler knows of such refusals.
+// MarkRemoteShortage records that a scheduler reported such refusals.
 func (le *Ledger) MarkRemoteShortage(now clock.Millis) { le.remoteShortageUntil = now + shortageTTL }
 
-// Report is what this VM has at the engines.
+// Report returns this VM's report, without its waiting requests.
 func (le *Ledger) Report(now clock.Millis) Report {
 	rp := Report{Runs: make([]Run, 0, len(le.own)), Prompts: maps.Clone(le.prompts), Shortage: now < le.shortageUntil}
 	rp.Avoided = unexpired(le.avoided, now)
@@ -253,14 +260,14 @@
 	return rp
 }
 
-// ApplyReport takes another VM's report in place of its last one, and of what it was
-// assumed to have as far as the report can tell of that.
+// ApplyReport replaces another VM's previous report. It also replaces those
+// assumed placements of the VM that the report can already include.
 func (le *Ledger) ApplyReport(now clock.Millis, vm string, rp Report) {
 	le.assumed.reconcile(vm, func(engine string) int { return rp.runsAt(engine) - len(le.others.runs[engine][vm]) })
 	le.others.apply(now, vm, rp)
 }
 
-// runsAt is how many runs the VM has at an engine.
+// runsAt returns the number of the VM's runs at an engine.
 func (rp Report) runsAt(engine string) int {
 	count := 0
 	for _, run := range rp.Runs {
@@ -271,15 +278,16 @@
 	return count
 }
 
-// HasFreshReport tells whether the VM's word is fresh.
+// HasFreshReport reports whether the VM's last report has not expired.
 func (le *Ledger) HasFreshReport(now clock.Millis, vm string) bool { return le.others.isFresh(now, vm) }
 
-// Peak is the most memory, in tokens, that the runs of an engine will need at
-// one time, with so many more of a size that begin now. What they hold is known;
-// what they grow by is a guess, and so the margin is on the growth alone, and
-// smaller for many runs together than for one. An engine whose runs are nine
-// parts prompt then holds a seventh more of them than with a margin of 15 in 100
-// on all its memory, and one whose runs grow by half holds as many.
+// Peak returns the most memory, in tokens, that the runs of an engine will need
+// at one time, with count additional runs that begin now. The present size of
+// runs is known and only their growth is estimated, so the margin applies to the
+// growth alone. It is relatively smaller for many runs than for one. Compared to
+// a margin of 15 % on the whole memory, an engine whose runs are nine tenths
+// prompt holds a seventh more runs, and one whose runs are half growth holds as
+// many.
 func (le *Ledger) Peak(now clock.Millis, engine string, added Run, count int) int {
 	le.scratch = le.scratch[:0]
 	for range count {
@@ -289,12 +297,13 @@
 	return peak(le.scratch, growthDeviations*le.lengths.spread())
 }
 
-// RunCount is how many runs an engine has.
+// RunCount returns the number of runs at an engine.
 func (le *Ledger) RunCount(now clock.Millis, engine string) int {
 	return len(le.appendRuns(nil, now, engine))
 }
 
-// appendRuns adds the runs appendRuns an engine, as they are by now, to a list.
+// appendRuns appends the runs at an engine to a list. Runs of other VMs are
+// projected from their reports to now.
 func (le *Ledger) appendRuns(list []Run, now clock.Millis, engine string) []Run {
 	for en := range le.own {
 		if en.run.Engine == engine {
@@ -315,7 +324,7 @@
 	return list
 }
 
-// grownBy is the run when it has generated so many more tokens.
+// grownBy returns the run after it has generated so many more tokens.
 func (ru Run) grownBy(tokens int) Run {
 	grown := min(tokens, ru.Left)
 	ru.Tokens += grown
@@ -323,10 +332,11 @@
 	return ru
 }
 
-// peak is the most that the runs need together, if the growth of one may exceed
-// what is expected by the margin, a part of it, and that of many by less, since
-// their lengths differ independently. Between two ends the need only grows, so
-// it is looked at just before each end.
+// peak returns the most memory that the runs need at one time. The margin is the
+// part by which the growth of a single run may exceed its expectation. For many
+// runs the margin is smaller, since their lengths vary independently. The need
+// only grows between the ends of two runs, so it is evaluated just before each
+// end.
 func peak(list []Run, margin float64) int {
 	slices.SortFunc(list, func(ra, rb Run) int { return cmp.Compare(ra.Left, rb.Left) })
 	held := 0
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -20,13 +20,13 @@
 		{"one", []Run{{Tokens: 5, Left: 4}}, 9},
 		{"together", []Run{{Tokens: 5, Left: 4}, {Tokens: 5, Left: 4}}, 18},
 		{"one after the other", []Run{{Tokens: 9, Left: 0}, {Tokens: 5, Left: 4}}, 14},
-		{"the short one is gone when the long one is long", []Run{{Tokens: 10, Left: 1}, {Tokens: 5, Left: 8}}, 17},
+		{"the short run ends before the long one grows", []Run{{Tokens: 10, Left: 1}, {Tokens: 5, Left: 8}}, 17},
 	} {
 		assert.Equal(t, peak(tc.runs, 0), tc.want, tc.name)
 	}
 }
 
-// The peak is what a step by step growth comes to.
+// The peak equals the largest sum of a step-by-step simulation of the growth.
 func TestPeakEqualsGrowth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Run {
@@ -46,8 +46,8 @@
 	})
 }
 
-// ledgerWithoutMargin is a ledger whose answers came out as guessed, so that it needs no
-// margin.
+// ledgerWithoutMargin returns a ledger whose answers were all as long as
+// estimated, so that it adds no margin.
 func ledgerWithoutMargin() *Ledger {
 	const many = 1e12
 	return &Ledger{lengths: lengths{all: ratios{weight: many, sum: many, squares: many}}}
@@ -61,24 +61,24 @@
 	assert.Equal(t, le.Peak(1000, "e1", Run{}, 1), 150, "the other's run ends before this one's")
 	le.Grow(1000, en, 20)
 	assert.DeepEqual(t, le.Report(0).Runs, []Run{{Engine: "e1", Tokens: 120, Left: 30}, {Engine: "e2", Tokens: 7}})
-	assert.Equal(t, le.Peak(1000, "e1", Run{}, 1), 150, "growth was foreseen")
+	assert.Equal(t, le.Peak(1000, "e1", Run{}, 1), 150, "the growth was projected")
 	le.End(en)
 	assert.Equal(t, le.Peak(1010, "e1", Run{}, 1), 10)
-	assert.Equal(t, le.Peak(1000+ReportTTL, "e1", Run{}, 1), 0, "an old word counts no more")
+	assert.Equal(t, le.Peak(1000+ReportTTL, "e1", Run{}, 1), 0, "the report has expired")
 	assert.Assert(t, !le.HasFreshReport(1000+ReportTTL, "vm-2"))
 }
 
-// What another VM told grows on until its next word.
+// Reported runs of another VM are projected to grow until its next report.
 func TestRemoteRunsGrowBetweenReports(t *testing.T) {
 	le := ledgerWithoutMargin()
 	own := le.Begin(Run{Engine: "e2"})
 	for at := range clock.Millis(10) {
 		le.Grow(100*(at+1), own, 140)
 	}
-	assert.Assert(t, math.Abs(le.Speed()-1.4) < 0.001, "what the runs of this VM show")
+	assert.Assert(t, math.Abs(le.Speed()-1.4) < 0.001, "speed observed from this VM's runs")
 	le.ApplyReport(0, "vm-2", Report{Runs: []Run{{Engine: "e1", Tokens: 100, Left: 1400}}})
 	var now clock.Millis = 500
-	// 700 tokens on, a new run of 900 meets the rest of the old one.
+	// After 700 tokens, a new run of 900 overlaps with the rest of the old one.
 	assert.Equal(t, le.Peak(now, "e1", Run{Tokens: 900, Left: 100}, 1), 800+900+2*100)
 }
 
@@ -146,16 +146,16 @@
 		ask  WaitingRequest
 		want int
 	}{
-		{"a new one behind one new and the returning one", 1010, WaitingRequest{Service: "s", Turn: 4}, 2},
-		{"the highest turn", 1010, WaitingRequest{Service: "s", Turn: 9}, 3},
-		{"a returning one with a lower turn", 1010, WaitingRequest{Service: "s", Returning: true, Turn: 4}, 0},
-		{"a returning one behind another", 1010, WaitingRequest{Service: "s", Returning: true, Turn: 6}, 1},
+		{"new request behind a new and a returning one", 1010, WaitingRequest{Service: "s", Turn: 4}, 2},
+		{"highest turn", 1010, WaitingRequest{Service: "s", Turn: 9}, 3},
+		{"returning request with a lower turn", 1010, WaitingRequest{Service: "s", Returning: true, Turn: 4}, 0},
+		{"returning request behind another", 1010, WaitingRequest{Service: "s", Returning: true, Turn: 6}, 1},
 		{"another service", 1010, WaitingRequest{Service: "t", Turn: 2}, 1},
-		{"who may not wait any more has gone", 1190, WaitingRequest{Service: "s", Turn: 9}, 1},
-		{"an old word counts no more", 1000 + ReportTTL, WaitingRequest{Service: "s", Turn: 9}, 0},
+		{"request beyond its longest wait", 1190, WaitingRequest{Service: "s", Turn: 9}, 1},
+		{"expired report", 1000 + ReportTTL, WaitingRequest{Service: "s", Turn: 9}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, le.CountAhead(tc.now, tc.ask, mayWait), tc.want) })
 	}
 	le.ApplyReport(1000, "vm-3", Report{Shortage: true})
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: 9}, mayWait), 2, "where places are wanting, returning ones wait")
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: 9}, mayWait), 2, "during a shortage returning requests wait")
 }
