--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -3,11 +3,11 @@
 import "alderdyke/pkg/clock"
 
 type (
-	// Account is what one VM has of the customers' tokens. Set the exported fields
-	// before use.
+	// Account holds one VM's tokens of all customers in one shard. Set the exported
+	// fields before use.
 	Account struct {
 		Settings Settings
-		Shard    int // whose keepers it asks
+		Shard    int // whose keepers it uses
 
 		lent     loan
 		slack    slackLoan
@@ -15,40 +15,40 @@
 		own      map[string]*ownBucket
 		credits  map[string]float64
 		now      clock.Millis
-		ownTime  float64 // span for which the whole fleet would have had this VM's own part, in ms
+		ownTime  float64 // pool time in ms for which this VM used its own part
 	}
 
-	// ownBucket is a customer's tokens of this VM's own part.
+	// ownBucket holds a customer's tokens of this VM's own part.
 	ownBucket struct {
 		bucket
-		recoveredAt clock.Millis // when what was taken of the slack was looked at last
+		recoveredAt clock.Millis // last recovery of the slack
 	}
 
-	// slackLoan is the part of the slack that this VM lends.
+	// slackLoan records to whom this VM lent its part of the slack.
 	slackLoan struct {
-		keeper uint64       // the process that it was lent to last; zero: none
-		until  clock.Millis // when the last lease with it runs out, by this VM's clock
+		keeper uint64       // process that it was last lent to; zero: none
+		until  clock.Millis // end of the last lease with that process, by this VM's clock
 	}
 
-	// loan is the lease on this VM's part, as the VM that lends it sees it.
+	// loan is the lease on this VM's part, as seen by the VM that lends it.
 	loan struct {
 		vm          string
 		id          uint64       // of the keeper's process
-		keeperTime  clock.Millis // the keeper's own time in its last answer
-		requestedAt clock.Millis // when that answer was asked for
-		until       clock.Millis // when the lease runs out, by this VM's clock
-		releasing   bool         // it is not renewed any more
+		keeperTime  clock.Millis // keeper's own time in its last response
+		requestedAt clock.Millis // when that response was requested
+		until       clock.Millis // end of the lease by this VM's clock
+		releasing   bool         // not renewed any more
 		announced   bool         // the keeper was told that it holds the lease
 	}
 )
 
-// Credit is the tokens of a customer that this VM holds as credit.
+// Credit returns the tokens of a customer that this VM holds as credit.
 func (ac *Account) Credit(now clock.Millis, vms int, customer string, lim Limit) float64 {
 	ac.advance(now, vms)
 	return ac.creditOf(customer, lim, vms)
 }
 
-// LocalTokens is the most that TakeLocal takes now.
+// LocalTokens returns the most tokens that TakeLocal would take now.
 func (ac *Account) LocalTokens(now clock.Millis, vms int, customer string, lim Limit) float64 {
 	ac.advance(now, vms)
 	spare := ac.Settings.slackTokensPerVM(lim, vms)
@@ -58,8 +58,8 @@
 	return max(0, bu.level+spare+ac.creditOf(customer, lim, vms))
 }
 
-// Take takes a request's tokens from the credit that this VM holds, and tells
-// whether they were there.
+// Take takes a request's tokens from the credit that this VM holds. It reports
+// whether the credit was sufficient; otherwise nothing is taken.
 func (ac *Account) Take(now clock.Millis, vms int, customer string, lim Limit, tokens float64) bool {
 	ac.advance(now, vms)
 	credit := ac.creditOf(customer, lim, vms)
@@ -70,9 +70,9 @@
 	return true
 }
 
-// TakeLocal takes them from this VM's own part of the limit, where no keeper
-// answers. While a keeper may hold a lease on that part no more comes in, but what
-// is there is this VM's.
+// TakeLocal takes a request's tokens from this VM's credit and its own part of the
+// limit, for use while no keeper responds. While a keeper may hold a lease on
+// that part, no further tokens accrue, but those already there belong to this VM.
 func (ac *Account) TakeLocal(now clock.Millis, vms int, customer string, lim Limit, tokens float64) bool {
 	if ac.LocalTokens(now, vms, customer, lim) < tokens {
 		return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-// advance counts how long this VM had its own part.
+// advance adds the time for which this VM had its own part.
 func (ac *Account) advance(now clock.Millis, vms int) {
 	if ac.own == nil {
 		ac.own, ac.credits, ac.now = make(map[string]*ownBucket), make(map[string]float64), now
@@ -104,8 +104,8 @@
 	return bu
 }
 
-// recoverSlack gives back what was taken of the slack, all of it within a window,
-// whether this VM has its own part or lends it.
+// recoverSlack replaces tokens that were taken from the slack, all of them within
+// a window, whether this VM uses its own part or lends it.
 func (ob *ownBucket) recoverSlack(now clock.Millis, spare float64, window clock.Millis) {
 	if ob.level < 0 && window > 0 {
 		ob.level = min(0, ob.level+spare*float64(now-ob.recoveredAt)/float64(window))
@@ -117,14 +117,15 @@
 	return min(ac.credits[customer], ac.Settings.slackTokensPerVM(lim, vms))
 }
 
-// NeedsCredit tells whether credit is to be asked for: there is less than two requests of
-// a size take, and room for it.
+// NeedsCredit reports whether credit should be requested: less is left than two
+// requests of the given size take, and there is room for more.
 func (ac *Account) NeedsCredit(vms int, customer string, lim Limit, tokens float64) bool {
 	most := ac.Settings.slackTokensPerVM(lim, vms)
 	return most >= tokens && ac.creditOf(customer, lim, vms) < min(most, 2*tokens)
 }
 
-// Holder is the VM that holds a lease on this VM's part; empty: none does.
+// Holder returns the VM that holds the lease on this VM's part, or the empty
+// string.
 func (ac *Account) Holder(now clock.Millis) string {
 	if now < ac.lent.until {
 		return ac.lent.vm
@@ -132,16 +133,17 @@
 	return ""
 }
 
-// LeaseLeft is how long the lease on this VM's part goes on.
+// LeaseLeft returns the remaining time of the lease on this VM's part.
 func (ac *Account) LeaseLeft(now clock.Millis) clock.Millis { return max(0, ac.lent.until-now) }
 
-// RenewalDue tells whether a lease with a keeper is to be begun, told or renewed.
+// RenewalDue reports whether a lease with a keeper must be begun, announced or
+// renewed.
 func (ac *Account) RenewalDue(now clock.Millis, vm string) bool {
 	return ac.lent.vm != vm || !ac.lent.announced || now-ac.lent.requestedAt >= RenewInterval
 }
 
-// NewRequest is what a keeper is asked: for a request's tokens, and for as much credit as is
-// wanting. It is to be the keeper that holds the lease, if one does.
+// NewRequest returns a request to a keeper for a request's tokens and for the
+// credit that is missing. If a keeper holds the lease, vm must be that keeper.
 func (ac *Account) NewRequest(now clock.Millis, vms int, vm, customer string, lim Limit, tokens float64) Request {
 	req := ac.LeaseRequest(now, vms, vm)
 	req.Customer, req.Need = customer, tokens
@@ -149,7 +151,7 @@
 	return req
 }
 
-// LeaseRequest is what a keeper is told for its lease alone.
+// LeaseRequest returns a request to a keeper that only renews the lease.
 func (ac *Account) LeaseRequest(now clock.Millis, vms int, vm string) Request {
 	ac.advance(now, vms)
 	ac.sequence++
@@ -161,8 +163,8 @@
 	return req
 }
 
-// lendSlack lends the part of the slack to the keeper that holds the lease, unless
-// another one may have spent it within the window.
+// lendSlack lends this VM's part of the slack to the keeper that holds the lease,
+// unless another keeper may have spent it within the window.
 func (ac *Account) lendSlack(now clock.Millis) bool {
 	other := ac.slack.keeper != 0 && ac.slack.keeper != ac.lent.id
 	if other && now < ac.slack.until+ac.Settings.Window {
@@ -172,7 +174,7 @@
 	return true
 }
 
-// endSlack notes that a keeper has released its lease.
+// endSlack records that a keeper has released its lease.
 func (ac *Account) endSlack(now clock.Millis, rsp Response) {
 	switch {
 	case ac.slack.keeper != rsp.KeeperID:
@@ -183,8 +185,8 @@
 	}
 }
 
-// ReleaseRequest is the word by which a lease ends before it has run out. From then on it
-// is not renewed; the keeper is asked still, until another one is.
+// ReleaseRequest returns a request that ends a lease before it expires. From then
+// on the lease is not renewed, but its keeper is used until another one holds it.
 func (ac *Account) ReleaseRequest(now clock.Millis, vms int) Request {
 	ac.lent.releasing = true
 	ask := ac.LeaseRequest(now, vms, ac.lent.vm)
@@ -192,9 +194,9 @@
 	return ask
 }
 
-// GiveBack is the word by which tokens that were taken for a request that did not
-// run are given back, beyond what is kept here as credit. The second result tells
-// whether there are any.
+// GiveBack returns tokens that were taken for a request that did not run. Some are
+// kept here as credit; the request that is returned gives the rest back to the
+// keeper. The second result reports whether there is such a request to send.
 func (ac *Account) GiveBack(now clock.Millis, vms int, customer string, lim Limit, tokens float64) (Request, bool) {
 	ac.advance(now, vms)
 	credit := ac.creditOf(customer, lim, vms)
@@ -208,9 +210,8 @@
 	return ask, true
 }
 
-// ApplyResponse takes a keeper's answer to what was asked at a point. An answer of a
-// keeper that does not hold the lease while another one does changes nothing but
-// the credit.
+// ApplyResponse applies a keeper's response to a request sent at the given time. If
+// another keeper holds the lease, the response changes only the credit.
 func (ac *Account) ApplyResponse(now, asked clock.Millis, vms int, vm string, req Request, lim Limit, rsp Response) {
 	ac.advance(now, vms)
 	if rsp.Credit > 0 {
@@ -225,13 +226,13 @@
 	case !same && now < ac.lent.until, same && ac.lent.releasing && now < ac.lent.until:
 		return
 	case same && rsp.Time < ac.lent.keeperTime:
-		return // a newer one came before
+		return // a newer response was applied before
 	}
 	told := same && now < ac.lent.until && ac.lent.announced
 	ac.lent = loan{vm: vm, id: rsp.KeeperID, keeperTime: rsp.Time, requestedAt: asked, until: max(ac.lent.until, now+LeaseDuration), announced: told}
 }
 
-// Evict drops what is kept of customers that are not wanted any more.
+// Evict drops the state of customers that are not wanted any more.
 func (ac *Account) Evict(wanted func(customer string) bool) {
 	for customer := range ac.own {
 		if !wanted(customer) {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,7 +8,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// BenchmarkAnswer is what one ask costs a keeper to which so many VMs lend their parts.
+// BenchmarkAnswer measures one request to a keeper to which so many VMs lend their
+// parts.
 func BenchmarkAnswer(b *testing.B) {
 	for _, vms := range []int{7, 69, 300} {
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -6,37 +6,38 @@
 	"alderdyke/pkg/clock"
 )
 
-// evictAfter is how long what a VM gave back last is kept: no ask is that late.
+// evictAfter is how long a VM's last return of tokens is remembered after its lease
+// has expired. No request arrives that late.
 const evictAfter = clock.Minute
 
 type (
-	// Keeper gives out the tokens of the parts that it was lent. Set the exported
+	// Keeper grants the tokens of the parts that were lent to it. Set the exported
 	// fields before use.
 	Keeper struct {
 		Settings Settings
-		ID       uint64 // of the process; not zero, and another one at each start
+		ID       uint64 // of the process; not zero, and different after each start
 
 		leases     map[string]lease
 		buckets    map[string]*bucket
 		now        clock.Millis
-		pooledTime float64      // span for which the whole fleet's parts would have been held, in ms
-		unleasedAt clock.Millis // when there was no lease last
-		fillStart  float64      // what pooled was then: buckets fill since
+		pooledTime float64      // pool time: span in ms for which all parts of the fleet would have been held
+		unleasedAt clock.Millis // last time without any lease
+		fillStart  float64      // pool time from which new buckets fill
 	}
 
-	// lease is the part of one VM, in one of its lives.
+	// lease is the lease on the part of one VM, in one of its incarnations.
 	lease struct {
 		until         clock.Millis
 		incarnation   uint64
-		lastReturn    uint64 // number of the last ask that gave something back
-		lastRelease   uint64 // number of the last ask that ended the lease
-		slack         bool   // it is on the VM's part of the slack too
-		slackSequence uint64 // number of the ask that said so
+		lastReturn    uint64 // sequence number of the last request that returned tokens
+		lastRelease   uint64 // sequence number of the last request that ended the lease
+		slack         bool   // includes the VM's part of the slack
+		slackSequence uint64 // sequence number of the request that set slack
 	}
 )
 
-// Handle answers a VM. The fleet has so many VMs, and the limit is the customer's
-// as this VM knows it; nil: it knows none.
+// Handle handles a VM's request in a fleet of vms VMs. The limit is the customer's
+// limit as this VM knows it, or nil if it knows none.
 func (ke *Keeper) Handle(now clock.Millis, vms int, vm string, incarnation uint64, req Request, lim *Limit) Response {
 	ke.advance(now, vms)
 	ke.applyLease(now, vm, incarnation, req)
@@ -51,8 +52,8 @@
 	if req.Returned > 0 && ke.acceptReturn(vm, incarnation, req.Sequence) {
 		bu.level = min(bu.level+req.Returned, lim.Burst*part)
 	}
-	// A request that is larger than a full bucket goes when that is full, and what
-	// it takes beyond comes in before the next.
+	// A request that is larger than a full bucket is granted when the bucket is
+	// full. The excess must accrue before the next request is granted.
 	wanted := req.Need - ke.Settings.slackTokens(*lim)*slack
 	if part > majorityPart {
 		wanted = min(wanted, lim.Burst*part)
@@ -69,7 +70,7 @@
 	return rsp
 }
 
-// waitFor is how long tokens take to come in at a rate.
+// waitFor returns how long tokens take to accrue at a rate.
 func waitFor(tokens, rate float64) clock.Millis {
 	if rate <= 0 {
 		return LeaseDuration
@@ -77,7 +78,7 @@
 	return clock.Millis(math.Ceil(tokens / rate * float64(clock.Second)))
 }
 
-// advance counts how long the parts of VMs were held since the last time.
+// advance adds the time for which the parts of VMs were held since the last call.
 func (ke *Keeper) advance(now clock.Millis, vms int) {
 	if ke.leases == nil {
 		ke.leases, ke.buckets = make(map[string]lease), make(map[string]*bucket)
@@ -98,8 +99,9 @@
 	}
 }
 
-// emptyBuckets takes what is in the buckets: others give out tokens now, and what came
-// in here before may not be given out beside theirs.
+// emptyBuckets removes all tokens from the buckets: while this keeper has no leases
+// others grant tokens, and those that accrued here before must not be granted in
+// addition.
 func (ke *Keeper) emptyBuckets() {
 	ke.unleasedAt, ke.fillStart = ke.now, ke.pooledTime
 	for _, bu := range ke.buckets {
@@ -107,8 +109,9 @@
 	}
 }
 
-// applyLease takes a VM's word that it lends its part since it heard this keeper last, or
-// that it does not any more. Words of one VM may overtake each other.
+// applyLease renews or ends the lease on a VM's part. The lease is renewed from the
+// time at which the VM last received a response of this keeper. Requests of one VM
+// may arrive out of order.
 func (ke *Keeper) applyLease(now clock.Millis, vm string, incarnation uint64, req Request) {
 	le := ke.leases[vm]
 	if incarnation > le.incarnation {
@@ -127,8 +130,8 @@
 	ke.leases[vm] = le
 }
 
-// heldParts is the heldParts of the fleet that lends its parts now, and the heldParts that lends its
-// slack.
+// heldParts returns the fraction of the fleet's parts that are lent to this keeper
+// now, and the fraction that are lent with their slack.
 func (ke *Keeper) heldParts(vms int) (part, slack float64) {
 	held, lent := 0, 0
 	for _, le := range ke.leases {
@@ -144,7 +147,7 @@
 	return min(1, float64(held)/all), min(1, float64(lent)/all)
 }
 
-// inDebt tells whether any customer was given tokens that have not come in yet.
+// inDebt reports whether any customer was granted tokens that have not accrued yet.
 func (ke *Keeper) inDebt() bool {
 	for _, bu := range ke.buckets {
 		if bu.inDebt(ke.pooledTime) {
@@ -154,7 +157,8 @@
 	return false
 }
 
-// acceptReturn tells whether what an ask gives back was not given back before.
+// acceptReturn reports whether the tokens that a request returns were not returned
+// before, and records the return.
 func (ke *Keeper) acceptReturn(vm string, incarnation, number uint64) bool {
 	le := ke.leases[vm]
 	if incarnation < le.incarnation || number <= le.lastReturn {
@@ -165,8 +169,8 @@
 	return true
 }
 
-// bucketOf is a customer's bucket. One that did not ask before has what came in since
-// this keeper holds leases, for nobody gave that out.
+// bucketOf returns a customer's bucket. A new bucket starts with what accrued since
+// this keeper has held leases, because nobody granted those tokens.
 func (ke *Keeper) bucketOf(customer string) *bucket {
 	bu := ke.buckets[customer]
 	if bu == nil {
@@ -176,13 +180,13 @@
 	return bu
 }
 
-// Evict drops what is kept of customers that are not wanted any more, and of VMs
-// whose leases ran out long ago.
+// Evict drops the state of customers that are not wanted any more, and of VMs whose
+// leases expired long ago.
 func (ke *Keeper) Evict(wanted func(customer string) bool) {
 	for customer := range ke.buckets {
 		if !wanted(customer) {
 			delete(ke.buckets, customer)
-			ke.fillStart = ke.pooledTime // it may be wanted again, and was given tokens
+			ke.fillStart = ke.pooledTime // the customer may return, and was granted tokens before
 		}
 	}
 	for vm, le := range ke.leases {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,42 +1,46 @@
-// Package quota keeps what a customer may ask of the whole fleet within its
-// limit, whichever VMs its requests come to, and whatever becomes of those.
+// Package quota keeps the requests of each customer to the whole fleet within
+// the customer's limit, whichever VMs the requests arrive at and whichever VMs
+// or connections fail.
 //
-// # Shares that are lent for a time
+// # Parts and leases
 //
-// Of N VMs each owns an N-th part of every customer's rate. A VM may use its own
-// part, or lend it for a short time (a lease, [LeaseDuration]) to a keeper, which is one of
-// the VMs. A keeper pools the parts that it was lent: its token buckets fill at as
-// many N-ths of the rate as it holds leases. A part is never in two hands: a VM
-// uses its own, or lends it to another keeper, only after the lease has run out by
-// its own steady clock, and the keeper counts the lease from before the VM did. So
-// the sum over the fleet is the rate at any time, however many keepers there are:
-// in a fleet that is cut in two, each side has a keeper with its part of the rate.
-// No majority is needed, and nothing is asked of the store.
+// In a fleet of N VMs, each VM owns an N-th part of every customer's rate. A VM
+// either uses its part itself or lends it, under a short lease ([LeaseDuration]),
+// to a keeper, which is one of the VMs. A keeper pools the parts lent to it: its
+// token buckets fill at as many N-ths of the rate as it holds leases. A part is
+// never used by two VMs at once: its owner uses it or lends it to another keeper
+// only after the lease has expired by the owner's own monotonic clock, and the
+// keeper counts the lease from an earlier point than the owner does. So the sum
+// over the fleet equals the rate at any time, with any number of keepers. In a
+// partitioned fleet, each side has a keeper with that side's part of the rate.
+// No quorum is needed and the store is not involved.
 //
-// A keeper that starts, as one does that takes over, knows nothing of what was
-// given out before: its buckets begin empty and fill from then on.
+// A keeper that starts or takes over does not know what was granted before, so
+// its buckets begin empty and fill from then on.
 //
 // # Shards
 //
-// Each limit is split into [Shards] equal shards ([Limit.PerShard], [Settings.PerShard]),
-// each with an Account at every VM and a Keeper of its own. A request takes an equal
-// part of each. Where the keeper of one shard does not answer, the other one is asked
-// for all of it, so that the loss of a VM leaves half of the rate and of the burst in
-// use. A shard is bounded like a limit, so their sum is bounded like the whole.
+// Each limit is split into [Shards] equal shards ([Limit.PerShard],
+// [Settings.PerShard]), each with its own Keeper and with an Account at every VM. A
+// request takes an equal part of its tokens from each shard. If the keeper of
+// one shard does not answer, the other one is asked for all of the tokens, so
+// that the loss of a VM leaves half of the rate and of the burst usable. Each
+// shard is bounded like a limit, so the sum of the shards is bounded like the
+// whole limit.
 //
-// # What is used of the slack
+// # Use of the slack
 //
 // Limits have a slack ([Settings]) for what a fleet can't know in time. Some of it
-// is spent on callers: keepers, and VMs that no keeper answers, may go below an
-// empty bucket, and VMs hold credit, tokens that were taken from a keeper ahead of
-// need, by which plain requests need not wait for an answer. The rest is for VMs that
-// start again while their last life's lease still counts, and for what VMs know late
-// of the fleet's size.
+// is spent on requests: keepers, and VMs without a responding keeper, may take a
+// bucket below empty, and VMs hold credit, which is tokens taken from a keeper in
+// advance so that plain requests need not wait for a response. The rest covers
+// VMs that restart while the lease of their previous incarnation still counts,
+// and VMs that learn late of a change in the fleet's size.
 //
-// A VM lends its part of the slack with its part of the rate, but to one keeper in a
-// window: the next one has it when the window is over, or at once if the one before
-// said, as the lease ended, that it owes nothing. So keepers that follow one another
-// do not each spend it.
+// A VM lends its part of the slack together with its part of the rate, but to
+// only one keeper per window. The next keeper gets it when the window is over,
+// or at once if the previous one reported at the end of its lease that it is not
+// in debt. So successive keepers do not each spend it.
 //
 // # Usage
 //
@@ -45,9 +49,9 @@
 //	rsp := ke.Handle(now, vms, "vm-7", incarnation, req, &limit) // at the keeper of a shard
 //
 //	ac := &quota.Account{Settings: st} // of the same shard
-//	if ac.Take(now, vms, customer, limit, tokens) { ... } // by what the VM has here
-//	req := ac.NewRequest(now, vms, "vm-2", customer, limit, tokens) // or a keeper is asked
-//	ac.ApplyResponse(now, asked, vms, "vm-2", req, limit, rsp)
+//	if ac.Take(now, vms, customer, limit, tokens) { ... } // from the credit that the VM holds
+//	req := ac.NewRequest(now, vms, "vm-2", customer, limit, tokens) // or from a keeper
+//	ac.ApplyResponse(now, requestedAt, vms, "vm-2", req, limit, rsp)
 //
 // A Keeper and an Account do no I/O and are not safe for concurrent use.
 package quota
@@ -55,119 +59,121 @@
 import "alderdyke/pkg/clock"
 
 const (
-	// Shards is how many keepers, at most, share each limit.
+	// Shards is the number of shards of each limit, and so the largest number of
+	// keepers that share it.
 	Shards = 2
-	// LeaseDuration is how long a VM lends its part to a keeper. It is what requests
-	// wait at worst, beside finding out, after a keeper has died; and the most
-	// that a keeper may be silent, frozen or cut off before its VMs leave it.
+	// LeaseDuration is how long a VM lends its part to a keeper. It bounds how long
+	// requests wait after the failure of a keeper was detected, and how long a
+	// keeper may be unresponsive, paused or partitioned before its VMs leave it.
 	LeaseDuration = 1500 * clock.Millis(1)
-	// RenewInterval is how old a VM's lease may get before it is renewed. Words that are
-	// lost are said again after a fifth of a second, and three may be. The keeper
-	// of 300 VMs hears 500 words a second.
+	// RenewInterval is the age at which a VM renews its lease. A lost renewal is
+	// repeated after 200 ms, and three in a row may be lost. The keeper of 300 VMs
+	// receives 500 renewals per second.
 	RenewInterval = 600 * clock.Millis(1)
-	// SettleTime is how long a keeper that held no leases does not say that there is no
-	// room: the VMs lend it their parts within two looks at their leases, and its
-	// buckets begin empty. Without it a fleet whose VMs had all been killed turned
-	// customers away who were far below their limits.
+	// SettleTime is how long a keeper that held no leases does not deny tokens. The
+	// VMs lend it their parts within two checks of their leases, and its buckets
+	// begin empty. Without this time, a fleet whose VMs were all killed would refuse
+	// customers that are far below their limits.
 	SettleTime = 500 * clock.Millis(1)
-	// slackFraction is what one use of the slack may take of it: a keeper, the VMs'
-	// credit, and VMs alone, which in one window may take theirs twice.
+	// slackFraction is the part of the slack that each of its uses may take. The uses
+	// are the keepers, the credit of the VMs, and the local use by VMs, which may
+	// take theirs twice within a window.
 	slackFraction = 0.15
-	// creditThreshold of a full bucket has to be there for a keeper to give credit:
-	// what is scarce goes to requests that are there.
+	// creditThreshold is the part of a full bucket that must be left for a keeper to
+	// grant credit, because scarce tokens go to present requests first.
 	creditThreshold = 0.25
-	// majorityPart of the fleet's parts is what one keeper at most holds more than. It
-	// alone grants a request that is larger than a full bucket: where each of
-	// many small keepers did, a fleet in pieces would pass its limits.
+	// majorityPart is the part of the fleet's parts that at most one keeper can
+	// exceed. Only that keeper grants requests that are larger than a full bucket.
+	// If each of many small keepers did, a partitioned fleet would exceed its limits.
 	majorityPart = 0.5
 )
 
 type (
-	// Limit is a customer's, over the whole fleet.
+	// Limit is the limit of a customer over the whole fleet.
 	Limit struct {
-		Rate  float64 // tokens a second; zero: there is no limit
-		Burst float64 // tokens beyond it at once
+		Rate  float64 // tokens per second; zero: unlimited
+		Burst float64 // additional tokens at once
 	}
 
-	// Settings tell by how much the limits may be passed.
+	// Settings bounds by how much the limits may be exceeded.
 	Settings struct {
-		Window clock.Millis // the span in which they are judged
-		Excess float64      // part of what a limit allows in a window
-		Slack  float64      // tokens beyond that
+		Window clock.Millis // span in which usage is compared with the limit
+		Excess float64      // fraction of the tokens that the limit allows in a window
+		Slack  float64      // additional tokens in a window
 	}
 
-	// Request is what a VM asks of a keeper. Each also renews the lease on the VM's
-	// part.
+	// Request is sent by a VM to a keeper. Each request also renews the lease on the
+	// VM's part.
 	Request struct {
-		Shard      int          // that it is about, from 0
-		Sequence   uint64       // of the VM's asks; grows
-		KeeperID   uint64       // the keeper's process that holds the VM's lease; zero: none does
-		KeeperTime clock.Millis // the keeper's own time in its last answer to the VM
-		Customer   string       // empty: nothing is asked for
-		Need       float64      // tokens that a request takes, all or none
-		Credit     float64      // tokens that are wanted as credit beyond
+		Shard      int          // counted from 0
+		Sequence   uint64       // of the VM's requests; increases
+		KeeperID   uint64       // process that holds the lease on the VM's part; zero: none
+		KeeperTime clock.Millis // keeper's own time in its last response to the VM
+		Customer   string       // empty: no tokens are requested
+		Need       float64      // tokens for a request, granted all or none
+		Credit     float64      // additional tokens wanted as credit
 		Returned   float64      // tokens that were taken before and not used
-		Release    bool         // the lease ends here
-		LendsSlack bool         // the lease is on the VM's part of the slack too
+		Release    bool         // the lease ends with this request
+		LendsSlack bool         // the lease includes the VM's part of the slack
 	}
 
-	// Response is the keeper's.
+	// Response is the keeper's response to a Request.
 	Response struct {
-		KeeperID uint64       // its process
-		Time     clock.Millis // by its own clock
-		Known    bool         // it knows a limit of the customer and what there is of it; else the rest says nothing
+		KeeperID uint64       // process of the keeper
+		Time     clock.Millis // by the keeper's own clock
+		Known    bool         // the keeper knows the customer's limit and level; otherwise Granted, Credit and Wait mean nothing
 		Granted  bool         // the request may run
-		Credit   float64      // tokens beyond it
-		Wait     clock.Millis // after which there will be as many as were needed
-		InDebt   bool         // it has given out tokens that have not come in yet
+		Credit   float64      // additional tokens granted
+		Wait     clock.Millis // until as many tokens as needed will be available
+		InDebt   bool         // the keeper granted tokens that have not accrued yet
 	}
 
-	// bucket is one customer's tokens in one hand.
+	// bucket holds one customer's tokens at a keeper or at a VM.
 	bucket struct {
 		level float64
-		at    float64 // point of the pool's time at which it was filled last
-		rate  float64 // of the limit then
+		at    float64 // pool time of the last fill
+		rate  float64 // of the limit at the last fill
 	}
 )
 
-// Limited tells whether there is a limit.
+// Limited reports whether there is a limit.
 func (lim Limit) Limited() bool { return lim.Rate > 0 }
 
-// PerShard is one shard's part of the limit.
+// PerShard returns one shard's part of the limit.
 func (lim Limit) PerShard() Limit {
 	return Limit{Rate: lim.Rate / Shards, Burst: lim.Burst / Shards}
 }
 
-// PerShard is what the settings are for one shard.
+// PerShard returns the settings for one shard.
 func (st Settings) PerShard() Settings {
 	st.Slack /= Shards
 	return st
 }
 
-// slackTokens is the tokens beyond the limit that one use of the slack may take, in the
-// whole fleet.
+// slackTokens returns the tokens beyond the limit that one use of the slack may
+// take in the whole fleet.
 func (st Settings) slackTokens(lim Limit) float64 {
 	window := float64(st.Window) / float64(clock.Second)
 	return slackFraction * (st.Excess*(lim.Rate*window+lim.Burst) + st.Slack)
 }
 
-// slackTokensPerVM is one VM's part of that: the most that it holds as credit, and that it may
-// take alone.
+// slackTokensPerVM returns one VM's part of the slack tokens: the most that it
+// may hold as credit, and the most that it may take locally.
 func (st Settings) slackTokensPerVM(lim Limit, vms int) float64 {
 	return st.slackTokens(lim) / float64(max(1, vms))
 }
 
-// fill adds what came in since the bucket was filled last, at a part of the rate:
-// at is the pool's time, in which a millisecond of the whole fleet's leases is a
-// millisecond.
+// fill adds the tokens that accrued since the last fill and caps the level at a
+// part of the burst. The argument at is pool time, in which a millisecond passes
+// per millisecond for which the leases of the whole fleet are held.
 func (bu *bucket) fill(at float64, lim Limit, part float64) {
 	bu.level += lim.Rate * (at - bu.at) / float64(clock.Second)
 	bu.level = min(bu.level, lim.Burst*part)
 	bu.at, bu.rate = at, lim.Rate
 }
 
-// inDebt tells whether tokens were taken that have not come in by a point of the pool's
-// time.
+// inDebt reports whether tokens were granted that will not have accrued by a
+// point of pool time.
 func (bu *bucket) inDebt(at float64) bool {
 	return bu.level+bu.rate*(at-bu.at)/float64(clock.Second) < 0
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,10 +9,10 @@
 	"alderdyke/pkg/clock"
 )
 
-// quotaPair is a fleet of two VMs, of which one keeps the quotas.
+// quotaPair is a fleet of two VMs, one of which is the keeper.
 type quotaPair struct {
 	ke            *quota.Keeper
-	borrower      *quota.Account // of the other one
+	borrower      *quota.Account // of the other VM
 	keeperAccount *quota.Account // of the keeper's VM
 	lim           quota.Limit
 	keeperVM      string
@@ -22,12 +22,12 @@
 	vmA      = "a" // the keeper
 	vmB      = "b"
 	pairSize = 2
-	// renewEvery is how often the leases of these tests are renewEvery.
+	// renewEvery is the interval at which these tests renew leases.
 	renewEvery = 400 * clock.Millis(1)
 )
 
 var (
-	// withoutSlack has no slack, so that a test sees the limit itself.
+	// withoutSlack makes the limit itself observable.
 	withoutSlack = quota.Settings{Window: 8 * clock.Second}
 	pairLimit    = quota.Limit{Rate: 1000, Burst: 500}
 )
@@ -44,7 +44,7 @@
 	}
 }
 
-// renewUntil renews them regularly.
+// renewUntil renews the leases of both VMs regularly.
 func (pa *quotaPair) renewUntil(from, to clock.Millis) {
 	for now := from; now <= to; now += renewEvery {
 		pa.renew(now)
@@ -59,7 +59,8 @@
 	return ans
 }
 
-// A keeper that takes over does not know what was given out before it.
+// A keeper that takes over does not know what was granted before, so it starts with
+// empty buckets.
 func TestKeeperStartsEmpty(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800) // the first leases count from 400
@@ -80,15 +81,15 @@
 	assert.Assert(t, pa.need(1100, 300).Granted)
 }
 
-// A keeper that was frozen, or cut off, gives out no more than what it had leases for.
+// A keeper that was paused or partitioned grants no more than its leases covered.
 func TestKeeperResumesWithoutLeases(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
 	assert.Assert(t, pa.need(4000, 500).Granted)
-	// The leases end at 5500: the rest of the span adds nothing.
+	// The leases end at 5500, so no tokens accrue after that.
 	ask := quota.Request{Sequence: 100, Customer: customer, Need: 1}
 	assert.Assert(t, !pa.ke.Handle(60*clock.Second, pairSize, vmB, 1, ask, &pa.lim).Granted)
-	// What it had before it lost its leases may have been given out by others since.
+	// Tokens from before the keeper lost its leases may have been granted by others since.
 	pa = newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
 	assert.Assert(t, pa.need(4000, 1).Granted)
@@ -99,20 +100,21 @@
 	assert.Assert(t, !pa.ke.Handle(60*clock.Second+1, pairSize, vmB, 1, quota.Request{Sequence: 200, Customer: customer, Need: 2}, &pa.lim).Granted)
 }
 
-// A lease counts from when the keeper spoke, not from when the word of it arrived, and
-// the VM counts it from later: its part is never in two hands.
+// The keeper counts a lease from the time of its own response, not from the arrival
+// of the renewal, and the VM counts it from a later time. So the VM's part is never
+// used by both at once.
 func TestLeaseEndsAtTheKeeperFirst(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
-	late := pa.borrower.LeaseRequest(1000, pairSize, vmA) // echoes what the keeper said at 800
+	late := pa.borrower.LeaseRequest(1000, pairSize, vmA) // echoes the keeper's time, 800
 	assert.Equal(t, late.KeeperTime, 800*clock.Millis(1))
 	pa.need(1000, 1)
 	for now := 2 * clock.Second; now < 10*clock.Second; now += renewEvery {
-		pa.ke.Handle(now, pairSize, vmB, 1, late, &pa.lim) // it arrives again and again
+		pa.ke.Handle(now, pairSize, vmB, 1, late, &pa.lim) // is delivered repeatedly
 	}
 	ans := pa.ke.Handle(10*clock.Second, pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 1e6}, &pa.lim)
 	assert.Equal(t, ans.Wait, quota.LeaseDuration, "the keeper holds no leases: %v", ans)
-	assert.Equal(t, pa.borrower.LeaseLeft(1000), quota.LeaseDuration, "the VM counts from when it last heard the keeper")
+	assert.Equal(t, pa.borrower.LeaseLeft(1000), quota.LeaseDuration, "the VM counts from the keeper's last response")
 }
 
 // A VM lends its part to one keeper at a time.
@@ -131,19 +133,19 @@
 	word(2400)
 	assert.Equal(t, pa.borrower.Holder(2400), "c")
 	assert.Equal(t, word(2500).KeeperID, uint64(2))
-	// Its own part comes in while nobody has it.
+	// Tokens of its own part accrue while nobody holds a lease on it.
 	assert.Assert(t, !pa.borrower.TakeLocal(2500, pairSize, customer, pa.lim, 100))
 	assert.Assert(t, !pa.borrower.TakeLocal(2500+quota.LeaseDuration+199, pairSize, customer, pa.lim, 100))
 	assert.Assert(t, pa.borrower.TakeLocal(2500+quota.LeaseDuration+200, pairSize, customer, pa.lim, 100))
 }
 
-// A lease that is released is free at once, and words from before don't renew it.
+// A released lease ends at once, and earlier requests that arrive late don't renew it.
 func TestRelease(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
 	late := pa.borrower.LeaseRequest(850, pairSize, vmA)
 	ask := pa.borrower.ReleaseRequest(900, pairSize)
-	assert.Equal(t, pa.borrower.LeaseRequest(900, pairSize, vmA).KeeperID, uint64(0), "a lease that ends is not renewed")
+	assert.Equal(t, pa.borrower.LeaseRequest(900, pairSize, vmA).KeeperID, uint64(0), "a lease being released is not renewed")
 	ans := pa.ke.Handle(900, pairSize, vmB, 1, ask, &pa.lim)
 	assert.Equal(t, pa.borrower.Holder(900), vmA)
 	pa.borrower.ApplyResponse(901, 900, pairSize, vmA, ask, pa.lim, ans)
@@ -156,7 +158,7 @@
 	assert.Equal(t, ans.Wait, quota.LeaseDuration, "the keeper holds no leases")
 }
 
-// What was taken and not used comes back once.
+// Unused tokens are returned once, even if the request is delivered repeatedly.
 func TestTokensAreReturnedOnce(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
@@ -168,7 +170,7 @@
 	}
 	assert.Assert(t, !pa.need(4000, 401).Granted)
 	assert.Assert(t, pa.need(4000, 400).Granted)
-	// It never fills a bucket beyond its size.
+	// A return never fills a bucket beyond its size.
 	pa.renewUntil(4000, 8000)
 	ask, _ = pa.borrower.GiveBack(8000, pairSize, customer, pa.lim, 300)
 	pa.ke.Handle(8000, pairSize, vmB, 1, ask, &pa.lim)
@@ -176,27 +178,27 @@
 	assert.Assert(t, !pa.need(8000, 1).Granted)
 }
 
-// Credit is taken from the customer when it is given, and is the customer's.
+// Credit is deducted when it is granted, and can be used only for its customer.
 func TestCredit(t *testing.T) {
 	st := quota.Settings{Window: 8 * clock.Second, Slack: 4000}
 	pa := newPair(st)
 	pa.renewUntil(0, 4000)
 	ans := pa.need(4000, 100)
 	assert.Assert(t, ans.Granted)
-	assert.Equal(t, ans.Credit, 500.0-100-500/4, "a quarter of the burst is for requests that are there")
+	assert.Equal(t, ans.Credit, 500.0-100-500/4, "a quarter of the burst is kept for present requests")
 	assert.Assert(t, pa.borrower.Take(4000, pairSize, customer, pa.lim, 200))
 	assert.Assert(t, !pa.borrower.Take(4000, pairSize, customer, pa.lim, 200))
 	assert.Assert(t, !pa.borrower.Take(4000, pairSize, "another", pa.lim, 1))
 	assert.Assert(t, pa.borrower.NeedsCredit(pairSize, customer, pa.lim, 100))
-	// What is left at the keeper, below empty by its part of the slack.
+	// What the keeper has left, including its part of the slack below empty.
 	left := 500 - 100 - ans.Credit + 0.15*4000
 	assert.Assert(t, !pa.need(4000, left+1).Granted)
 	assert.Assert(t, pa.need(4000, left).Granted)
-	// A lower limit takes back what credit is beyond it.
+	// A smaller part of the slack caps the credit that was granted before.
 	assert.Assert(t, !pa.borrower.Take(4000, 100*pairSize, customer, pa.lim, 50))
 }
 
-// Where no keeper answers a VM may use a little of the slack, and in each window again.
+// A VM without a responding keeper may use a part of the slack, again in each window.
 func TestTakeLocalWhileLent(t *testing.T) {
 	st := quota.Settings{Window: 8 * clock.Second, Slack: 8000}
 	pa := newPair(st)
@@ -212,8 +214,8 @@
 	assert.Assert(t, pa.borrower.TakeLocal(48000, pairSize, customer, pa.lim, 0.9*most))
 }
 
-// A keeper without a limit of the customer says so; customers that are gone are
-// forgotten.
+// A keeper without a limit for the customer says so. Evicted customers start with
+// empty buckets.
 func TestUnknownLimitAndEviction(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
@@ -224,11 +226,12 @@
 	pa.renewUntil(800, 4000)
 	pa.ke.Evict(func(string) bool { return false })
 	pa.borrower.Evict(func(string) bool { return false })
-	assert.Assert(t, !pa.need(4000, 1).Granted, "the customer begins anew")
+	assert.Assert(t, !pa.need(4000, 1).Granted, "the customer starts with an empty bucket")
 }
 
-// A request that is larger than the burst goes when the bucket is full, and is paid for
-// before the next one; a keeper with less than half of the parts grants none such.
+// A request that is larger than the burst is granted when the bucket is full, and
+// its excess must accrue before the next one. A keeper with less than half of the
+// parts grants no such request.
 func TestRequestLargerThanTheBurst(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.lim = quota.Limit{Rate: 1000}
@@ -257,8 +260,8 @@
 	assert.Assert(t, !few.Handle(9000, 2*pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 600}, &pairLimit).Granted)
 }
 
-// A keeper that has just got its first leases does not say that there is no room, for
-// it knows only that it has nothing yet.
+// A keeper that has just received its first leases does not deny tokens, because its
+// buckets are still empty for lack of time.
 func TestKeeperSettles(t *testing.T) {
 	pa := newPair(withoutSlack)
 	ans := pa.ke.Handle(0, pairSize, vmB, 1, quota.Request{Sequence: 1, Customer: customer, Need: 1}, &pa.lim)
@@ -267,31 +270,31 @@
 	ans = pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 90, Customer: customer, Need: 450}, &pa.lim)
 	assert.Assert(t, !ans.Known && !ans.Granted)
 	ans = pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 91, Customer: customer, Need: 300}, &pa.lim)
-	assert.Assert(t, ans.Known && ans.Granted, "what there is may be given out")
+	assert.Assert(t, ans.Known && ans.Granted, "tokens that have accrued may be granted")
 	ans = pa.ke.Handle(1000, pairSize, vmB, 1, quota.Request{Sequence: 92, Customer: customer, Need: 450}, &pa.lim)
 	assert.Assert(t, ans.Known && !ans.Granted)
 }
 
-// Keepers that follow one another do not each spend the VMs' parts of the slack, which
-// had a fleet whose keepers change often pass its limits: a VM lends its part to the
-// next one when a window is over, or at once if the one before owed nothing.
+// Successive keepers do not each spend the VMs' parts of the slack; otherwise a fleet
+// whose keepers change often would exceed its limits. A VM lends its part to the next
+// keeper when a window is over, or at once if the previous keeper was not in debt.
 func TestSlackIsLentOnceInAWindow(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		owes bool
-		wait clock.Millis // until the next keeper is asked
+		wait clock.Millis // until the next keeper is used
 		want bool
 	}{
-		{"the first one owes", true, clock.Second, false},
-		{"the first one owed, a window ago", true, 9 * clock.Second, true},
-		{"the first one owes nothing", false, clock.Second, true},
+		{"the first keeper is in debt", true, clock.Second, false},
+		{"the first keeper was in debt a window ago", true, 9 * clock.Second, true},
+		{"the first keeper is not in debt", false, clock.Second, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			st := quota.Settings{Window: 8 * clock.Second, Slack: 4000}
 			pa := newPair(st)
 			pa.renewUntil(0, 4000)
 			if tc.owes {
-				assert.Assert(t, pa.need(4000, 700).Granted, "below empty")
+				assert.Assert(t, pa.need(4000, 700).Granted, "takes the bucket below empty")
 			}
 			for _, ac := range []*quota.Account{pa.keeperAccount, pa.borrower} {
 				ask := ac.ReleaseRequest(4000, pairSize)
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -17,52 +17,52 @@
 	simStep          = 10 * clock.Millis(1)
 	simSpan          = 60 * clock.Second
 	simVMs           = 24
-	simDelay         = 3 * clock.Millis(1)   // longest of a message on a sound network
-	simSlow          = 40 * clock.Millis(1)  // the same on one with faults
-	simStall         = 900 * clock.Millis(1) // of one that is
-	simViewDelay     = 2 * clock.Second      // longest until a VM sees a change of the fleet
-	simAnswerTimeout = 60 * clock.Millis(1)  // for an answer
+	simDelay         = 3 * clock.Millis(1)   // largest delay of a message without faults
+	simSlow          = 40 * clock.Millis(1)  // largest delay with faults, unless stalled
+	simStall         = 900 * clock.Millis(1) // largest additional delay of a stalled message
+	simViewDelay     = 2 * clock.Second      // largest delay until a VM sees a change of the fleet
+	simAnswerTimeout = 60 * clock.Millis(1)  // for a keeper's response
 	simBig           = 7000.0
 	simSmall         = 200.0
 	customer         = "c"
-	// unservedPart of the requests find no server and are given back, and unansweredPart
-	// of the times a VM takes its keeper for silent.
+	// unservedPart of the requests find no server, so that their tokens are given
+	// back. With probability unansweredPart a VM considers its keeper unresponsive.
 	unservedPart   = 0.05
 	unansweredPart = 0.2
 )
 
-// seeds is how many are played; more are played by hand.
+// seeds is the number of simulations. Larger numbers are set by hand.
 var seeds = flag.Uint64("seeds", 6, "seeds of the simulated fleet")
 
 type (
-	// simVM is one VM of a simulated fleet, in its present life.
+	// simVM is one VM of a simulated fleet, in its present incarnation.
 	simVM struct {
 		name              string
 		incarnation       uint64
 		ke                quota.Keeper
 		ac                quota.Account
-		down              clock.Millis // until when it does not run
-		frozen            clock.Millis // until when it runs nothing
-		side              int          // of a cut network
+		down              clock.Millis // until when it is stopped
+		frozen            clock.Millis // until when it is paused
+		side              int          // of a partitioned network
 		unresponsiveUntil map[string]clock.Millis
-		view              string // the VM that it takes for the keeper
+		view              string // the VM that it considers to be the keeper
 		nextView          clock.Millis
 		inbox             []message
 	}
 
-	// message is an ask, or the answer to one.
+	// message is a request or the response to one.
 	message struct {
-		at          clock.Millis // when it arrives
-		from        string       // the VM that sent it
-		asker       string       // the VM that asked, in one of its lives
-		incarnation uint64       // of the asker
+		at          clock.Millis // of arrival
+		from        string       // the sending VM
+		asker       string       // the VM that sent the request
+		incarnation uint64       // of the VM that sent the request
 		ask         quota.Request
-		asked       clock.Millis    // when
-		tokens      float64         // of the request that waits for the answer
-		answer      *quota.Response // nil: it is the ask
+		asked       clock.Millis    // when the request was sent
+		tokens      float64         // of the customer's request that waits for the response
+		answer      *quota.Response // nil: the message is the request
 	}
 
-	// sim plays a fleet in virtual time: callers ask all that they can.
+	// sim simulates a fleet in virtual time, under more demand than the limit allows.
 	sim struct {
 		rnd      *rand.Rand
 		now      clock.Millis
@@ -72,8 +72,8 @@
 		st       quota.Settings
 		ran      []ranAt
 		asked    int
-		cutUntil clock.Millis // until when the network is cut
-		delay    clock.Millis // longest of a message that is not held up
+		cutUntil clock.Millis // end of the network partition
+		delay    clock.Millis // largest delay of a message that is not stalled
 		faulty   bool
 	}
 
@@ -108,7 +108,7 @@
 
 func (sm *sim) up(vm *simVM) bool { return sm.now >= vm.down && sm.now >= vm.frozen }
 
-// updateView has a VM see the fleet as it is now: the first that runs on its side.
+// updateView sets the VM's view of the keeper: the first running VM on its side.
 func (sm *sim) updateView(vm *simVM) {
 	if sm.now < vm.nextView {
 		return
@@ -122,7 +122,7 @@
 	}
 }
 
-// send has a message arrive later, or never.
+// send delivers a message after a delay, or drops it.
 func (sm *sim) send(from, to *simVM, ms message) {
 	if from.side != to.side || sm.faulty && sm.rnd.Float64() < 0.02 {
 		return
@@ -134,7 +134,7 @@
 	to.inbox = append(to.inbox, ms)
 }
 
-// faults has things go wrong by chance.
+// faults injects random partitions, crashes and pauses.
 func (sm *sim) faults() {
 	if sm.now >= sm.cutUntil {
 		for _, vm := range sm.vms {
@@ -167,7 +167,7 @@
 	}
 }
 
-// serve has a VM take what came, renew its lease, and try to run requests.
+// serve lets a VM handle messages, renew its lease, and try to run requests.
 func (sm *sim) serve(vm *simVM, perSecond float64) {
 	keep := vm.inbox[:0]
 	var due []message
@@ -201,7 +201,7 @@
 	}
 }
 
-// request has a VM try to run a request.
+// request lets a VM try to run a customer's request.
 func (sm *sim) request(vm *simVM, tokens float64) {
 	sm.asked++
 	if vm.ac.Take(sm.now, simVMs, customer, sm.lim, tokens) {
@@ -221,7 +221,7 @@
 	sm.ask(vm, to, vm.ac.NewRequest(sm.now, simVMs, to, customer, sm.lim, tokens), tokens)
 }
 
-// ask sends an ask to a keeper, which may be the VM itself.
+// ask sends a request to a keeper, which may be the VM itself.
 func (sm *sim) ask(vm *simVM, to string, ask quota.Request, tokens float64) {
 	ms := message{from: vm.name, asker: vm.name, incarnation: vm.incarnation, ask: ask, asked: sm.now, tokens: tokens}
 	if to == vm.name {
@@ -231,7 +231,7 @@
 	sm.send(vm, sm.vms[to], ms)
 }
 
-// take has a VM take a message: an ask as the keeper, or an answer to its own.
+// take handles a message: a request as the keeper, or the response to an own request.
 func (sm *sim) take(vm *simVM, ms message) {
 	if ms.answer == nil {
 		ans := vm.ke.Handle(sm.now, simVMs, ms.asker, ms.incarnation, ms.ask, &sm.lim)
@@ -243,7 +243,7 @@
 		ms.from = vm.name
 	}
 	if ms.incarnation != vm.incarnation {
-		return // another life of this VM asked
+		return // a previous incarnation of this VM sent the request
 	}
 	vm.ac.ApplyResponse(sm.now, ms.asked, simVMs, ms.from, ms.ask, sm.lim, *ms.answer)
 	if ms.tokens > 0 && ms.answer.Granted && sm.now-ms.asked <= simAnswerTimeout {
@@ -251,7 +251,7 @@
 	}
 }
 
-// runOrGiveBack runs a request whose tokens were taken, or finds no server for it.
+// runOrGiveBack runs a request whose tokens were taken, or gives the tokens back.
 func (sm *sim) runOrGiveBack(vm *simVM, tokens float64) {
 	if sm.rnd.Float64() >= unservedPart {
 		sm.ran = append(sm.ran, ranAt{sm.now, tokens})
@@ -262,7 +262,7 @@
 	}
 }
 
-// play plays so long, with demand and, if wanted, faults.
+// play advances the simulation by a span, with the given demand, with or without faults.
 func (sm *sim) play(span clock.Millis, perSecond float64, faults bool) {
 	sm.faulty, sm.delay = faults, simDelay
 	if faults {
@@ -280,7 +280,7 @@
 	}
 }
 
-// most is the most that ran in any window.
+// most returns the largest number of tokens that ran in any window.
 func (sm *sim) most(window clock.Millis) float64 {
 	sum, most, first := 0.0, 0.0, 0
 	for _, ra := range sm.ran {
@@ -307,13 +307,13 @@
 	simSettings = quota.Settings{Window: 8 * clock.Second, Excess: 0.1, Slack: 120000}
 )
 
-// bound is what may run in a window by the rule.
+// bound returns the number of tokens that may run in a window.
 func bound(lim quota.Limit, st quota.Settings) float64 {
 	return (lim.Rate*float64(st.Window)/1000+lim.Burst)*(1+st.Excess) + st.Slack
 }
 
-// Whatever becomes of VMs, keepers and the network between them, no window has more
-// than the limit and its slack, while callers ask for many times as much.
+// No window exceeds the limit and its slack while callers demand many times as much,
+// whichever VMs crash or pause and however the network fails.
 func TestLimitHoldsUnderFaults(t *testing.T) {
 	worst := 0.0
 	for seed := range *seeds {
@@ -325,11 +325,11 @@
 			assert.Assert(t, got <= may, "seed %d, rate %v: %.0f tokens in a window, %.0f may run", seed, lim.Rate, got, may)
 		}
 	}
-	t.Logf("the worst window had %.2f of what may run", worst)
+	t.Logf("the worst window had %.2f of the tokens that may run", worst)
 }
 
-// What holds of a limit holds of its shards, whose requests are as large, and the shards'
-// bounds make up the bound of the whole.
+// The bound also holds for a shard of a limit, with requests of the same size, and
+// the bounds of the shards sum up to the bound of the whole limit.
 func TestShardLimitHoldsUnderFaults(t *testing.T) {
 	worst := 0.0
 	for seed := range *seeds {
@@ -343,20 +343,20 @@
 			assert.Assert(t, got <= may, "seed %d, rate %v: %.0f tokens in a window, %.0f may run", seed, lim.Rate, got, may)
 		}
 	}
-	t.Logf("the worst window had %.2f of what may run", worst)
+	t.Logf("the worst window had %.2f of the tokens that may run", worst)
 }
 
-// Without faults a customer far beyond its limit gets the limit, and in no window
-// more than a hundredth beyond what the slack lends.
+// Without faults, a customer far beyond its limit gets the full limit. Apart from the
+// permitted part of the slack, no window exceeds the limit by more than 1 %.
 func TestLimitIsUsed(t *testing.T) {
 	sm := newSim(1, simLimit, simSettings)
 	sm.play(10*clock.Second, 0, false)
 	sm.play(30*clock.Second, 40, false)
 	window := float64(simSettings.Window) / float64(clock.Second)
 	limit := simLimit.Rate*window + simLimit.Burst
-	assert.Assert(t, sm.total() >= 0.97*(30*simLimit.Rate+simLimit.Burst), "%.0f in all", sm.total())
+	assert.Assert(t, sm.total() >= 0.97*(30*simLimit.Rate+simLimit.Burst), "%.0f in total", sm.total())
 	spare := bound(simLimit, simSettings) - limit
-	assert.Assert(t, sm.most(simSettings.Window) <= 1.01*limit+0.6*spare, "%.0f in a window of %.0f", sm.most(simSettings.Window), limit)
+	assert.Assert(t, sm.most(simSettings.Window) <= 1.01*limit+0.6*spare, "%.0f in a window, limit %.0f", sm.most(simSettings.Window), limit)
 	ran := slices.DeleteFunc(slices.Clone(sm.ran), func(ra ranAt) bool { return ra.at < 20*clock.Second })
 	sum := 0.0
 	for _, ra := range ran {
