--- a/internal/charge/bound_test.go
+++ b/internal/charge/bound_test.go
@@ -18,17 +18,17 @@
 const (
 	boundVMs  = 12
 	boundSpan = 20 * time.Second
-	// boundRequestRate is how many requests come to each VM in a second: several times what
-	// the limit allows, so that all that may run does.
+	// boundRequestRate is the number of requests per second and VM. It is several times
+	// what the limit allows, so that all that may run does.
 	boundRequestRate = 20
-	// boundUnservedPart of the requests that are let through do not run.
+	// boundUnservedPart of the admitted requests do not run.
 	boundUnservedPart = 0.05
 )
 
-// boundSeeds is how many are played; more are played by hand.
-var boundSeeds = flag.Uint64("seeds", 3, "seeds of the fleet that is disturbed")
+// boundSeeds is the number of simulations. Larger numbers are set by hand.
+var boundSeeds = flag.Uint64("seeds", 3, "seeds of the simulated fleet with failing keepers")
 
-// ran is what ran, and when.
+// ran records the requests that ran.
 type ran struct {
 	mu     sync.Mutex
 	at     []time.Duration
@@ -41,7 +41,7 @@
 	rn.at, rn.tokens = append(rn.at, at), append(rn.tokens, tokens)
 }
 
-// most is the most that ran in any window.
+// most returns the largest number of tokens that ran in any window.
 func (rn *ran) most(window time.Duration) float64 {
 	sum, most, first := 0.0, 0.0, 0
 	for ix, at := range rn.at {
@@ -55,8 +55,8 @@
 	return most
 }
 
-// disturb has VMs answer nobody for a while, keepers more than others, and other VMs
-// keep the quotas.
+// disturb makes VMs, keepers more than others, unresponsive for a while, and changes
+// the keeper at random.
 func disturb(nt *testNet, rnd *rand.Rand, names []string, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		time.Sleep(time.Duration(rnd.Int64N(int64(1500 * time.Millisecond))))
@@ -81,7 +81,7 @@
 	}
 }
 
-// overload has requests of all sizes come to a VM, without regard to the limit.
+// overload sends requests of all sizes to a VM without regard to the limit.
 func overload(t *testing.T, nt *testNet, name string, rnd *rand.Rand, lim quota.Limit, rn *ran, start time.Time) {
 	var open sync.WaitGroup
 	for time.Since(start) < boundSpan {
@@ -105,8 +105,8 @@
 	open.Wait()
 }
 
-// Whatever becomes of the keepers of the shards, no window has more than the limit and
-// its slack, while callers ask for many times as much.
+// No window exceeds the limit and its slack while callers demand many times as much,
+// whichever keepers of the shards fail.
 func TestLimitHoldsWhileKeepersAreLost(t *testing.T) {
 	worst := 0.0
 	for seed := range *boundSeeds {
@@ -128,7 +128,7 @@
 					all.Go(func() { overload(t, nt, name, one, lim, rn, start) })
 				}
 				all.Wait()
-				time.Sleep(5 * time.Second) // until what disturb had begun is over
+				time.Sleep(5 * time.Second) // until the disturbances have ended
 			})
 			may := (lim.Rate*8+lim.Burst)*(1+settings.Excess) + settings.Slack
 			got := rn.most(settings.Window.Std())
@@ -136,10 +136,10 @@
 			assert.Assert(t, got <= may, "seed %d, rate %v: %.0f tokens in a window, %.0f may run", seed, lim.Rate, got, may)
 		}
 	}
-	t.Logf("the worst window had %.2f of what may run", worst)
+	t.Logf("the worst window had %.2f of the tokens that may run", worst)
 }
 
-// vmNames is so many names of VMs.
+// vmNames returns the names of so many VMs.
 func vmNames(count int) []string {
 	var names []string
 	for ix := range count {
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -1,11 +1,12 @@
-// Package charge has requests charged to their customers' quotas, before they go to
-// a backend server.
+// Package charge charges requests to their customers' quotas before they are sent
+// to a backend server.
 //
-// Two VMs keep the quotas for all, each a shard of every limit; each VM asks them, for
-// a generation when it comes, and for plain requests ahead of need. Package quota
-// decides; this one asks, waits for answers, renews leases, and tells what callers
-// hear: that the quota is used up, and when there will be room, or that the quota
-// can't be asked for now.
+// Two VMs are the keepers of the quotas, each for one shard of every limit. Every
+// VM requests tokens from them: for a generation on its arrival, for plain
+// requests in advance. Package quota makes the decisions. This package sends the
+// requests, waits for responses, renews leases, and refuses callers: because the
+// quota is used up, with the time after which there will be room, or because the
+// keepers can't be reached now.
 //
 // # Usage
 //
@@ -30,86 +31,86 @@
 )
 
 const (
-	// keeperRetryInterval is the pause of a request for which no keeper answered,
-	// before it asks again.
+	// keeperRetryInterval is the pause before a request without a response from any
+	// keeper tries again.
 	keeperRetryInterval = 30 * clock.Millis(1)
-	// minRetryAfter is the least time after which a caller beyond its quota is told
-	// to come back: it takes a new connection.
+	// minRetryAfter is the shortest time after which a caller beyond its quota is
+	// told to return, because each return takes a new connection.
 	minRetryAfter = 50 * clock.Millis(1)
-	// retryAfterJitter is the part of the time that is added by chance, so that
+	// retryAfterJitter is the largest random part that is added to the time, so that
 	// callers who were refused together don't return together.
 	retryAfterJitter = 0.25
-	// leaseCheckInterval is how often leases are looked at.
+	// leaseCheckInterval is the interval at which leases are checked.
 	leaseCheckInterval = 100 * clock.Millis(1)
-	// freeAfter is how long none of a customer's requests is refused before its
-	// quota counts as free again: at its limit some pass and some don't.
+	// freeAfter is how long no request of a customer must be refused before its
+	// quota counts as free again. At the limit, some requests pass and some don't.
 	freeAfter = 2 * clock.Second
-	// evictInterval is how often what is kept of customers and VMs that are gone
+	// evictInterval is the interval at which the state of removed customers and VMs
 	// is dropped.
 	evictInterval = 10 * clock.Second
 )
 
 type (
-	// Peers is the other VMs.
+	// Peers gives access to the other VMs.
 	Peers interface {
-		// Keepers is the VM that keeps each shard of the quotas as this VM sees the
-		// fleet; empty: it does not see the fleet yet.
+		// Keepers returns the keeper of each shard in this VM's view of the fleet. An
+		// empty name means that this VM has no view of the fleet yet.
 		Keepers() [quota.Shards]string
-		// VMs is how many VMs there are, also those that are dead for now; 0: it
-		// is not known yet.
+		// VMs returns the number of VMs, including those that are dead at present; 0 if
+		// it is not known yet.
 		VMs() int
-		// AskQuota asks a VM.
+		// AskQuota sends a request to a VM and returns the response.
 		AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error)
-		// TellQuota tells it what needs no answer.
+		// TellQuota sends a request to a VM without waiting for a response.
 		TellQuota(vm string, ask quota.Request)
 	}
 
-	// Order is what one request takes.
+	// Order is the charge for one request.
 	Order struct {
 		Customer string
 		Limit    quota.Limit
 		Tokens   float64
-		MaxWait  clock.Millis // that the request may wait where no keeper answers
+		MaxWait  clock.Millis // how long the request may wait while no keeper responds
 	}
 
-	// Charger charges the requests of one VM, and keeps a shard of the quotas for all
-	// where this VM is the one that does. Set the exported fields before use.
+	// Charger charges the requests of one VM, and serves as the keeper of a shard for
+	// all VMs while this VM is the one. Set the exported fields before use.
 	Charger struct {
-		Self     string // this VM
-		ID       uint64 // of the process; not zero, and another one at each start
+		Self     string // name of this VM
+		ID       uint64 // of the process; not zero, and different after each start
 		Settings quota.Settings
 		Peers    Peers
-		// Limit is a customer's limit by the configuration in force; false: it
-		// has none, or there is no such customer.
+		// Limit returns a customer's limit in the configuration in force, or false if
+		// the customer has none or does not exist.
 		Limit func(customer string) (quota.Limit, bool)
-		// Limited tells whether any customer has one; without, no leases are kept:
-		// at 300 VMs a keeper would hear 500 words a second for nothing.
+		// Limited reports whether any customer has a limit. If none has, no leases are
+		// kept: with 300 VMs, a keeper would receive 500 useless renewals per second.
 		Limited func() bool
 		Clock   clock.Source
 		Log     event.Logger
 		Scope   tally.Scope
 
-		once      sync.Once  // makes the shards
-		mu        sync.Mutex // guards all below
+		once      sync.Once  // creates the shards
+		mu        sync.Mutex // guards all fields below
 		shards    [quota.Shards]*shard
-		exhausted map[string]clock.Millis // customers whose quota is used up, and when it last was
+		exhausted map[string]clock.Millis // last refusal of each customer whose quota is used up
 	}
 
-	// attempt is what became of one attempt to charge a request.
+	// attempt is the result of one attempt to charge a request.
 	attempt struct {
 		granted  bool
-		answered bool         // by all keepers, now or just before; else one is not asked or silent
-		wait     clock.Millis // until there is room, if they answered that there is none
+		answered bool         // all keepers responded, now or recently; otherwise one is missing or unresponsive
+		wait     clock.Millis // until there is room, if all responded and there is none
 	}
 )
 
-// withTokens is an order of so many tokens.
+// withTokens returns the order with another number of tokens.
 func (or Order) withTokens(tokens float64) Order {
 	or.Tokens = tokens
 	return or
 }
 
-// Charge takes a request's tokens. The error is a refusal.Refusal.
+// Charge takes a request's tokens. A non-nil error is a refusal.Refusal.
 func (ch *Charger) Charge(ctx context.Context, or Order) error {
 	until := ch.now() + or.MaxWait
 	for {
@@ -131,14 +132,15 @@
 	}
 }
 
-// retryAfter is when a caller is told to come back who finds room after a span.
+// retryAfter returns when a caller is told to return if there is room after a span.
 func retryAfter(wait clock.Millis) clock.Millis {
 	wait = max(minRetryAfter, wait)
 	return wait + clock.Millis(retryAfterJitter*rand.Float64()*float64(wait))
 }
 
-// retryAfterUnavailable is when the quota can be asked for again: when a keeper that has begun
-// has settled, or when the lease of one that is gone has run out.
+// retryAfterUnavailable returns when a caller is told to return because no keeper
+// responded: when a new keeper has settled, or when the lease of an unresponsive one
+// has expired.
 func (ch *Charger) retryAfterUnavailable() clock.Millis {
 	ch.ensureShards()
 	ch.mu.Lock()
@@ -154,7 +156,7 @@
 	return retryAfter(left)
 }
 
-// ensureShards makes the shards.
+// ensureShards creates the shards at the first call.
 func (ch *Charger) ensureShards() {
 	ch.once.Do(func() {
 		st := ch.Settings.PerShard()
@@ -166,7 +168,7 @@
 	})
 }
 
-// GiveBack gives back what was taken for a request that did not run.
+// GiveBack returns the tokens of a request that did not run.
 func (ch *Charger) GiveBack(or Order) {
 	ch.ensureShards()
 	for _, sh := range ch.shards {
@@ -174,7 +176,7 @@
 	}
 }
 
-// Run renews this VM's lease until the context ends.
+// Run renews this VM's leases until the context ends.
 func (ch *Charger) Run(ctx context.Context) {
 	ch.ensureShards()
 	forgot := ch.now()
@@ -189,7 +191,7 @@
 	}
 }
 
-// evict drops what is kept of customers that have no limit any more.
+// evict drops the state of customers that have no limit any more.
 func (ch *Charger) evict() {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -204,7 +206,7 @@
 
 func (ch *Charger) now() clock.Millis { return clock.Or(ch.Clock).Now() }
 
-// record counts a request, and tells when a customer's quota is used up, and when it
+// record counts a request. It logs when a customer's quota is used up, and when it
 // has been free again for a while.
 func (ch *Charger) record(or Order, tr attempt) {
 	if tr.granted {
@@ -233,7 +235,7 @@
 	}
 }
 
-// countOutcome counts a request by what became of it.
+// countOutcome counts a request by its outcome.
 func (ch *Charger) countOutcome(outcome string) {
 	if ch.Scope != nil {
 		ch.Scope.Tagged(map[string]string{"Outcome": outcome}).Counter("Charges").Inc(1)
--- a/internal/charge/charge_test.go
+++ b/internal/charge/charge_test.go
@@ -18,21 +18,21 @@
 )
 
 type (
-	// testNet joins the VMs of a test.
+	// testNet connects the VMs of a test.
 	testNet struct {
 		mu       sync.Mutex
 		vms      map[string]*charge.Charger
 		names    []string
 		keeper   string          // of the first shard
 		second   string          // keeper of the second shard; empty: the VM after the first one
-		cut      map[string]bool // VMs that answer nobody
+		cut      map[string]bool // unresponsive VMs
 		requests int
 		delay    time.Duration
 
 		unlimited bool // no customer has a limit
 	}
 
-	// peers is the net as one VM sees it.
+	// peers is the testNet as one VM sees it.
 	peers struct {
 		net  *testNet
 		self string
@@ -50,7 +50,7 @@
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
 
-// Keepers are two VMs, where there are as many.
+// Keepers returns two VMs if there are that many.
 func (pe peers) Keepers() [quota.Shards]string {
 	pe.net.mu.Lock()
 	defer pe.net.mu.Unlock()
@@ -91,7 +91,7 @@
 	return !nt.unlimited
 }
 
-// newNet makes VMs of which one keeps the quotas, and runs them until the test ends.
+// newNet creates VMs, the first of which is a keeper, and runs them until the test ends.
 func newNet(t *testing.T, st quota.Settings, names ...string) *testNet {
 	t.Helper()
 	nt := &testNet{vms: make(map[string]*charge.Charger), names: names, keeper: names[0], cut: make(map[string]bool), delay: 3 * time.Millisecond}
@@ -122,8 +122,8 @@
 	return rf
 }
 
-// Requests below the limit pass, whichever VM they come to; beyond it they are told
-// when there will be room, and then there is.
+// Requests below the limit pass at any VM. Beyond the limit they are refused with the
+// time after which there will be room, and then there is.
 func TestCharge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, quota.Settings{Window: 8 * clock.Second}, "a", "b", "c")
@@ -135,13 +135,13 @@
 		time.Sleep(rf.RetryAfter.Std())
 		assert.NilError(t, nt.vms["c"].Charge(t.Context(), order(5000)))
 		assert.Equal(t, refusalOf(t, nt.vms["a"].Charge(t.Context(), order(5000))).Reason, refusal.ShareExceeded)
-		// What did not run is there again, at any VM.
+		// Tokens of a request that did not run are available again at any VM.
 		nt.vms["c"].GiveBack(order(5000))
 		assert.NilError(t, nt.vms["b"].Charge(t.Context(), order(5000)))
 	})
 }
 
-// Credit makes most plain requests pass without waiting for an answer.
+// Credit lets most plain requests pass without waiting for a response.
 func TestPlainRequestsDoNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b", "c")
@@ -155,11 +155,11 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		assert.Assert(t, slow <= 2, "%d of 200 waited for an answer", slow)
+		assert.Assert(t, slow <= 2, "%d of 200 waited for a response", slow)
 	})
 }
 
-// A customer far beyond its limit does not make the keeper answer each request.
+// A customer far beyond its limit does not make the keeper respond to each request.
 func TestDenialIsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b")
@@ -171,12 +171,12 @@
 			_ = nt.vms["b"].Charge(t.Context(), order(10000)) // one may find room
 			time.Sleep(time.Millisecond)
 		}
-		assert.Assert(t, nt.requestCount()-before < 40, "%d asks in a second", nt.requestCount()-before)
+		assert.Assert(t, nt.requestCount()-before < 40, "%d requests to keepers in a second", nt.requestCount()-before)
 	})
 }
 
-// A keeper that is gone is found out soon; until another one holds the leases a VM
-// goes by its part of the slack, and says when to come back.
+// An unresponsive keeper is detected soon. Until another one holds the leases, a VM
+// uses its part of the slack and tells refused callers when to return.
 func TestUnresponsiveKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b", "c", "d")
@@ -190,7 +190,7 @@
 		assert.Equal(t, rf.Reason, refusal.QuotaAway)
 		assert.Assert(t, time.Since(began) <= 250*time.Millisecond)
 		assert.Assert(t, rf.RetryAfter > 0 && rf.RetryAfter <= 2*(quota.LeaseDuration+100), "%v", rf.RetryAfter)
-		time.Sleep(time.Second) // until it counts as dead
+		time.Sleep(time.Second) // until the keeper counts as dead
 		nt.mu.Lock()
 		nt.keeper = "c"
 		nt.mu.Unlock()
@@ -199,8 +199,8 @@
 	})
 }
 
-// A request that comes before the keeper has any leases is not told that its customer's
-// quota is used up.
+// A request that arrives before the keeper has any leases is not refused because of a
+// used-up quota.
 func TestChargeBeforeKeeperHasLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, quota.Settings{Window: 8 * clock.Second}, "a", "b", "c")
@@ -214,7 +214,7 @@
 	})
 }
 
-// When another VM is to keep the quotas the leases move to it at once.
+// When another VM becomes the keeper, the leases move to it at once.
 func TestKeeperMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, quota.Settings{Window: 8 * clock.Second}, "a", "b", "c")
@@ -228,7 +228,7 @@
 	})
 }
 
-// Where no customer has a limit VMs say nothing to each other.
+// If no customer has a limit, VMs send each other no requests.
 func TestNoLeasesWithoutLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b", "c")
@@ -240,7 +240,7 @@
 	})
 }
 
-// Before the fleet's size is known a VM has no part of a limit.
+// Until the fleet's size is known, a VM has no part of a limit.
 func TestNoLocalTokensBeforeFleetSizeIsKnown(t *testing.T) {
 	ch := &charge.Charger{Self: "a", ID: 1, Peers: peers{&testNet{}, "a"}}
 	or := order(1)
--- a/internal/charge/lost_test.go
+++ b/internal/charge/lost_test.go
@@ -16,27 +16,27 @@
 
 const (
 	lostVMs = 24
-	// lossNoticeDelay is when the VMs see that the keeper is gone.
+	// lossNoticeDelay is the time until the VMs learn that the keeper is lost.
 	lossNoticeDelay = time.Second
-	// lossSpan is how long a lost keeper may be felt.
+	// lossSpan is how long the loss of a keeper may have effects.
 	lossSpan = 2 * time.Second
-	// lossUtilization of its limit is what the customer sends, a tenth of it as plain
-	// requests.
+	// lossUtilization is the part of its limit that the customer uses, a tenth of that
+	// for plain requests.
 	lossUtilization  = 0.55
 	generationTokens = 7700
 	plainTokens      = 100
 )
 
-// lostLimit is that of a small customer: of its generations four fit a second.
+// lostLimit is the limit of a small customer, which allows four generations per second.
 var lostLimit = quota.Limit{Rate: 29000, Burst: 29000}
 
-// requestCounts counts requests, and those that were refused.
+// requestCounts counts requests and refusals.
 type requestCounts struct {
 	mu             sync.Mutex
 	count, refused int
 }
 
-// ask has requests of one size come at random VMs for a span.
+// ask sends requests of one size to random VMs for a span.
 func (rc *requestCounts) ask(t *testing.T, nt *testNet, rnd *rand.Rand, names []string, span time.Duration, tokens, perSecond float64) {
 	var open sync.WaitGroup
 	for end := time.Now().Add(span); ; {
@@ -58,7 +58,8 @@
 	open.Wait()
 }
 
-// playKeeperLoss plays the loss of a keeper, and counts the requests of the span after it.
+// playKeeperLoss simulates the loss of a keeper and counts the requests in the span
+// after it.
 func playKeeperLoss(t *testing.T, seed uint64) (plain, generations *requestCounts) {
 	plain, generations = &requestCounts{}, &requestCounts{}
 	synctest.Test(t, func(t *testing.T) {
@@ -99,8 +100,8 @@
 	return plain, generations
 }
 
-// When the keeper is lost, a customer below its limit has at most one in a hundred of its
-// requests refused in the two seconds after.
+// After the loss of a keeper, a customer below its limit has at most 1 % of its requests
+// refused within two seconds.
 func TestKeeperLost(t *testing.T) {
 	var plain, generations, lostPlain, lostGenerations int
 	for seed := range uint64(30) {
--- a/internal/charge/shard.go
+++ b/internal/charge/shard.go
@@ -12,37 +12,37 @@
 const (
 	// requestTimeout bounds one request to a keeper.
 	requestTimeout = 40 * clock.Millis(1)
-	// unresponsiveFor is how long a keeper that did not answer is not asked again.
+	// unresponsiveFor is how long a keeper that did not respond gets no requests.
 	unresponsiveFor = 200 * clock.Millis(1)
-	// maxDenialTTL bounds how long a keeper's word that there is no room stands
-	// without asking again: a customer far beyond its limit would make it answer
-	// each of its requests.
+	// maxDenialTTL bounds how long a keeper's denial is reused without a new request.
+	// Otherwise a customer far beyond its limit would make the keeper respond to each
+	// of its requests.
 	maxDenialTTL = 60 * clock.Millis(1)
 )
 
 type (
-	// shard is what this VM has of one shard of the limits. The Charger's lock guards
-	// it.
+	// shard is this VM's state for one shard of the limits, guarded by the Charger's
+	// lock.
 	shard struct {
 		index             int
 		keeper            quota.Keeper
 		account           quota.Account
-		unresponsiveUntil map[string]clock.Millis // keepers that did not answer, until when they are not asked
+		unresponsiveUntil map[string]clock.Millis // by keeper, until when it gets no requests
 		denials           map[string]denial       // by customer
-		requestingCredit  map[string]bool         // customers for whom credit is being asked
-		holder            string                  // VM that held the lease when that was looked at last
+		requestingCredit  map[string]bool         // customers for whom a request for credit is under way
+		holder            string                  // VM that held the lease at the last check
 	}
 
-	// denial is a keeper's word that there is no room.
+	// denial is a keeper's response that there is no room.
 	denial struct {
-		tokens float64 // that were asked for
+		tokens float64 // that were requested
 		until  clock.Millis
-		roomAt clock.Millis // when there will be
+		roomAt clock.Millis // when there will be room
 	}
 )
 
-// keeperFor is the VM to ask: the one that holds the lease on this VM's part, or else the
-// shard's keeper as this VM sees the fleet.
+// keeperFor returns the VM to send requests to: the one that holds the lease on this
+// VM's part, or else the shard's keeper in this VM's view of the fleet.
 func (sh *shard) keeperFor(now clock.Millis, keeper string) string {
 	if vm := sh.account.Holder(now); vm != "" {
 		return vm
@@ -50,8 +50,8 @@
 	return keeper
 }
 
-// cachedDenial tells whether the keeper said just now that there is no room for so
-// many tokens, and how long there will be none.
+// cachedDenial reports whether the keeper recently denied so many tokens, and how
+// long there will be no room for them.
 func (sh *shard) cachedDenial(now clock.Millis, customer string, tokens float64) (wait clock.Millis, denied bool) {
 	de := sh.denials[customer]
 	if now >= de.until || tokens < de.tokens {
@@ -60,13 +60,13 @@
 	return de.roomAt - now, true
 }
 
-// needsCredit tells whether credit is to be asked for now.
+// needsCredit reports whether credit should be requested now.
 func (sh *shard) needsCredit(now clock.Millis, vms int, vm string, or Order) bool {
 	return vm != "" && !sh.requestingCredit[or.Customer] && now >= sh.unresponsiveUntil[vm] && now >= sh.denials[or.Customer].until &&
 		sh.account.NeedsCredit(vms, or.Customer, or.Limit.PerShard(), or.Tokens/quota.Shards)
 }
 
-// evict drops what is kept of customers that are not wanted any more.
+// evict drops the state of customers that are not wanted any more.
 func (sh *shard) evict(wanted func(customer string) bool) {
 	sh.keeper.Evict(wanted)
 	sh.account.Evict(wanted)
@@ -77,8 +77,8 @@
 	}
 }
 
-// requestTokens asks a shard's keeper for tokens. The second result tells whether the keeper
-// answered and knows what there is.
+// requestTokens requests tokens from a shard's keeper. The second result reports
+// whether the keeper responded and knows the customer's level.
 func (ch *Charger) requestTokens(ctx context.Context, sh *shard, vm string, vms int, or Order) (quota.Response, bool) {
 	lim := or.Limit.PerShard()
 	ch.mu.Lock()
@@ -88,15 +88,15 @@
 	return ans, err == nil && ans.Known
 }
 
-// requestCredit asks for credit alone.
+// requestCredit requests credit only.
 func (ch *Charger) requestCredit(sh *shard, vm string, vms int, or Order) {
-	_, _ = ch.requestTokens(context.Background(), sh, vm, vms, or.withTokens(0)) // a request that finds none asks for itself
+	_, _ = ch.requestTokens(context.Background(), sh, vm, vms, or.withTokens(0)) // on failure, the next request without credit requests its own tokens
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	delete(sh.requestingCredit, or.Customer)
 }
 
-// exchange asks a keeper, which may be this VM, and takes its answer.
+// exchange sends a request to a keeper, which may be this VM, and applies its response.
 func (ch *Charger) exchange(ctx context.Context, sh *shard, vm string, vms int, req quota.Request, lim quota.Limit) (quota.Response, error) {
 	asked := ch.now()
 	var ans quota.Response
@@ -122,7 +122,7 @@
 	return ans, nil
 }
 
-// Handle answers another VM as the keeper of a shard.
+// Handle handles the request of another VM as the keeper of a shard.
 func (ch *Charger) Handle(vm string, incarnation uint64, req quota.Request) quota.Response {
 	ch.ensureShards()
 	var lim *quota.Limit
@@ -138,7 +138,7 @@
 	return ch.shards[req.Shard].keeper.Handle(ch.now(), vms, vm, incarnation, req, lim)
 }
 
-// giveBack gives back tokens of a shard that were not used.
+// giveBack returns unused tokens of a shard.
 func (ch *Charger) giveBack(sh *shard, customer string, lim quota.Limit, tokens float64) {
 	vms := ch.Peers.VMs()
 	ch.mu.Lock()
@@ -155,8 +155,8 @@
 	}
 }
 
-// renewAll renews the leases on all shards, each by itself: a keeper that does not
-// answer holds up no other.
+// renewAll renews the leases on all shards concurrently, so that an unresponsive
+// keeper does not delay the others.
 func (ch *Charger) renewAll(ctx context.Context) {
 	keepers := ch.Peers.Keepers()
 	var renewals sync.WaitGroup
@@ -166,25 +166,25 @@
 	renewals.Wait()
 }
 
-// renew renews the lease on a shard, or begins one. A lease that is held by another VM
-// than the one that should keep the shard ends.
+// renew renews or begins the lease on a shard. If a VM other than the shard's keeper
+// holds the lease, it is released.
 func (ch *Charger) renew(ctx context.Context, sh *shard, vm string) {
 	vms := ch.Peers.VMs()
 	if ask, holder, ends := ch.release(sh, vm, vms); ends {
-		_, _ = ch.exchange(ctx, sh, holder, vms, ask, quota.Limit{}) // or it runs out
+		_, _ = ch.exchange(ctx, sh, holder, vms, ask, quota.Limit{}) // on failure the lease expires
 	}
-	for range 2 { // a lease that begins is told at once
+	for range 2 { // a new lease is announced to its keeper at once
 		ask, due := ch.renewalRequest(sh, vm, vms)
 		if !due {
 			return
 		}
 		if _, err := ch.exchange(ctx, sh, vm, vms, ask, quota.Limit{}); err != nil {
-			return // it is noted, and tried again
+			return // the keeper is marked unresponsive and is tried again later
 		}
 	}
 }
 
-// renewalRequest is the word by which a lease is renewed or begun, if it is time.
+// renewalRequest returns the request that renews or begins a lease, if one is due.
 func (ch *Charger) renewalRequest(sh *shard, vm string, vms int) (ask quota.Request, due bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -197,7 +197,7 @@
 	return sh.account.LeaseRequest(now, vms, vm), true
 }
 
-// release ends the lease of a VM that should not hold it.
+// release returns the request that ends the lease of a VM that should not hold it.
 func (ch *Charger) release(sh *shard, vm string, vms int) (ask quota.Request, holder string, ends bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -209,7 +209,7 @@
 	return sh.account.ReleaseRequest(now, vms), holder, now >= sh.unresponsiveUntil[holder]
 }
 
-// cacheDenial has a keeper's word that there is no room stand for a while.
+// cacheDenial stores a keeper's denial for a while.
 func (ch *Charger) cacheDenial(sh *shard, or Order, wait clock.Millis) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -217,15 +217,16 @@
 	sh.denials[or.Customer] = denial{tokens: or.Tokens, until: now + min(wait, maxDenialTTL), roomAt: now + wait}
 }
 
-// markUnresponsive has a keeper that did not answer not asked for a while. The lock is held.
+// markUnresponsive excludes a keeper that did not respond from requests for a while.
+// The lock must be held.
 func (ch *Charger) markUnresponsive(now clock.Millis, sh *shard, vm string, err error) {
 	sh.unresponsiveUntil[vm] = now + unresponsiveFor
 	ch.Log.Log(event.QuotaSilent, event.F("Other", vm), event.F("Shard", sh.index),
 		event.F("LeaseLeft", sh.account.LeaseLeft(now).String()), event.F("Error", err.Error()))
 }
 
-// logHolderChange tells that another VM keeps a shard of the quotas for this one. The lock
-// is held.
+// logHolderChange logs if the holder of this VM's lease on a shard has changed. The
+// lock must be held.
 func (ch *Charger) logHolderChange(now clock.Millis, sh *shard) {
 	if vm := sh.account.Holder(now); vm != sh.holder {
 		ch.Log.Log(event.QuotaKeeperChanged, event.F("Other", vm), event.F("Shard", sh.index), event.F("Before", sh.holder))
@@ -233,7 +234,8 @@
 	}
 }
 
-// holders is the VMs that keep the shards for this VM. The lock is held.
+// holders returns the VM that holds this VM's lease on each shard. The lock must be
+// held.
 func (ch *Charger) holders() []string {
 	var vms []string
 	for _, sh := range ch.shards {
--- a/internal/charge/sizes_test.go
+++ b/internal/charge/sizes_test.go
@@ -15,24 +15,24 @@
 	"alderdyke/internal/quota"
 )
 
-// Larger fleets and more seeds are played by hand.
+// Larger fleets and more seeds are set by hand.
 var (
 	lossVMs   = flag.Int("loss.vms", 24, "VMs of a larger fleet that loses a keeper")
-	lossSeeds = flag.Uint64("loss.seeds", 10, "plays of it")
+	lossSeeds = flag.Uint64("loss.seeds", 10, "seeds of that fleet")
 )
 
-// keeperLoss is the loss of one keeper or both in a fleet whose customer uses a part of
-// its limit.
+// keeperLoss simulates the loss of one or both keepers in a fleet whose customer uses a
+// part of its limit.
 type keeperLoss struct {
 	vms   int
 	limit quota.Limit
-	lost  []int // the VMs that are lost; 0 and 1 keep the shards
+	lost  []int // indices of the lost VMs; VMs 0 and 1 are the keepers
 }
 
-// lossCounts counts requests, and those that were refused.
+// lossCounts counts requests and refusals.
 type lossCounts struct{ plain, plainRefused, generations, generationsRefused int }
 
-// play counts the requests of the two seconds after the loss.
+// play counts the requests in the two seconds after the loss.
 func (kl keeperLoss) play(t *testing.T, seed uint64) (lc lossCounts) {
 	synctest.Test(t, func(t *testing.T) {
 		names := vmNames(kl.vms)
@@ -66,8 +66,8 @@
 	return lc
 }
 
-// ask has generations and plain requests come at random VMs for a span, a tenth of the
-// tokens for plain ones.
+// ask sends generations and plain requests to random VMs for a span. A tenth of the
+// tokens is for plain requests.
 func (kl keeperLoss) ask(t *testing.T, nt *testNet, names []string, rnd *rand.Rand, span time.Duration) lossCounts {
 	var open sync.WaitGroup
 	var mu sync.Mutex
@@ -97,7 +97,7 @@
 	return lc
 }
 
-// playAll sums plays.
+// playAll sums the counts of several seeds.
 func (kl keeperLoss) playAll(t *testing.T, seeds uint64) (sum lossCounts) {
 	for seed := range seeds {
 		lc := kl.play(t, seed)
@@ -108,8 +108,8 @@
 	return sum
 }
 
-// The loss of the keeper of either shard refuses at most one in a hundred requests of a
-// customer below its limit, in a fleet of any size.
+// The loss of the keeper of either shard causes at most 1 % of the requests of a customer
+// below its limit to be refused, in a fleet of any size.
 func TestEitherKeeperLost(t *testing.T) {
 	for vms, seeds := range map[int]uint64{7: 30, *lossVMs: *lossSeeds} {
 		for _, lim := range []quota.Limit{{Rate: 29000, Burst: 29000}, {Rate: 163000, Burst: 163000}} {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Where both keepers are lost at once generations are refused until others hold the
+// If both keepers are lost at once, generations are refused until other keepers hold the
 // leases.
 func TestBothKeepersLost(t *testing.T) {
 	as := keeperLoss{vms: 24, limit: lostLimit, lost: []int{0, 1}}.playAll(t, 10)
--- a/internal/charge/take.go
+++ b/internal/charge/take.go
@@ -8,18 +8,18 @@
 	"alderdyke/pkg/clock"
 )
 
-// reply is what one shard says to a request. It may be asked, unless it has denied the
-// request or has no keeper to ask.
+// reply is a shard's reply to a request. The shard may be asked for tokens unless it
+// denied the request or its keeper is unavailable.
 type reply struct {
 	sh          *shard
 	vm          string // its keeper
 	granted     bool
 	denied      bool
-	unavailable bool         // it has no keeper that answers
-	wait        clock.Millis // until there is room, if it denied
+	unavailable bool         // it has no responding keeper
+	wait        clock.Millis // until there is room, if it denied the request
 }
 
-// attempt takes the tokens from what is here, or asks the keepers for them once.
+// attempt takes the tokens held by this VM, or requests them once from the keepers.
 func (ch *Charger) attempt(ctx context.Context, or Order) attempt {
 	ch.ensureShards()
 	vms, keepers := ch.Peers.VMs(), ch.Peers.Keepers()
@@ -41,9 +41,10 @@
 	return tr
 }
 
-// localReplies is what the shards' replies to a request are without asking: those of which a
-// denial stands, or whose keeper is silent, are not asked. The others share the tokens,
-// which a shard may have denied that has room for its equal part.
+// localReplies returns the replies that are known without a request to the keepers.
+// Shards with an unresponsive keeper or a cached denial are not asked, and the others
+// share their tokens. A shard with room for its equal part may have denied the larger
+// part that results, so the check repeats with that part.
 func (ch *Charger) localReplies(keepers [quota.Shards]string, or Order) []*reply {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -65,7 +66,7 @@
 	return replies
 }
 
-// askable is the replies of shards that may be asked.
+// askable returns the replies of shards that may be asked for tokens.
 func askable(replies []*reply) []*reply {
 	var open []*reply
 	for _, re := range replies {
@@ -76,7 +77,7 @@
 	return open
 }
 
-// requestEach asks the shards for a part each, at the same time.
+// requestEach requests a part of the tokens from each of the shards concurrently.
 func (ch *Charger) requestEach(ctx context.Context, open []*reply, vms int, part Order) {
 	var asks sync.WaitGroup
 	for _, re := range open {
@@ -92,9 +93,9 @@
 	asks.Wait()
 }
 
-// completeGrants tells whether the shards that were asked for a part each granted all. Where
-// some granted theirs, the first of those is asked for what the others did not, and all
-// of it is given back if that is not there either.
+// completeGrants reports whether the shards granted all of the tokens. If only some
+// granted their parts, the first of these is asked for the missing tokens. If it does
+// not grant them, all granted parts are given back.
 func (ch *Charger) completeGrants(ctx context.Context, asked []*reply, vms int, part Order) bool {
 	var granted []*reply
 	for _, re := range asked {
@@ -119,8 +120,8 @@
 	return false
 }
 
-// takeCredit takes the tokens from the credit that this VM holds, and asks for more
-// where that is low.
+// takeCredit takes the tokens from the credit that this VM holds, and requests more
+// credit if it is low.
 func (ch *Charger) takeCredit(vms int, keepers [quota.Shards]string, or Order) bool {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -142,8 +143,8 @@
 	return true
 }
 
-// takeLocal takes the tokens from this VM's own part of the shards whose keepers do not
-// answer. The part's size is not known before the fleet's is.
+// takeLocal takes the tokens from this VM's own part of the shards whose keepers are
+// unavailable. The size of the part is unknown until the fleet's size is known.
 func (ch *Charger) takeLocal(replies []*reply, vms int, or Order) bool {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -161,8 +162,8 @@
 	})
 }
 
-// takeFrom takes tokens from shards that together have them, equal parts where each
-// has its own. The lock is held.
+// takeFrom takes tokens from shards that together have enough, in equal parts as far
+// as each has its own. The lock must be held.
 func takeFrom(shards []*shard, tokens float64, has func(*shard) float64, take func(*shard, float64)) bool {
 	sum := 0.0
 	for _, sh := range shards {
