--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -2,23 +2,23 @@
 
 import "alderdyke/pkg/clock"
 
-// maxBudgets is the number of budgets after which those that are full again
-// are dropped, for a full one is the same as a new one.
+// maxBudgets is the number of budgets at which full ones are dropped. A full budget
+// equals a new one, so nothing is lost.
 const maxBudgets = 4096
 
 type (
-	// account names a budget.
+	// account identifies a budget.
 	account struct{ customer, service string }
 
-	// bucket holds retries that were earned and not spent.
+	// bucket holds the retries that were earned and not spent.
 	bucket struct {
 		tokens float64
-		at     clock.Millis // up to when it was refilled
+		at     clock.Millis // last refill
 	}
 )
 
-// bucket returns the budget refilled up to now. A new one is full, or holds what was
-// earned since the clock's start.
+// bucket returns the budget refilled up to now. A new one is full, or with
+// Settings.StartEmpty holds what was earned since the clock's start.
 func (po *Policy) bucket(now clock.Millis, ac account) *bucket {
 	bk := po.budgets[ac]
 	if bk == nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// refill adds what the time since the last refill earns.
+// refill adds what was earned over the time since the last refill.
 func (bk *bucket) refill(now clock.Millis, st Settings) {
 	if now <= bk.at {
 		return
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// hedgeQuantile of the latest latencies is where an attempt counts as
-	// slow.
+	// hedgeQuantile is the quantile of the recent latencies above which an attempt
+	// counts as slow.
 	hedgeQuantile = 0.95
-	// sampleWindow is how many answers the quantile is taken from, and known how
-	// many there must be before it says anything.
+	// sampleWindow is the number of recent answers from which the quantile is taken,
+	// and minSamples the number needed before it is used.
 	sampleWindow = 256
 	minSamples   = 32
-	// refreshInterval is the number of answers after which the quantile is taken
-	// anew.
+	// refreshInterval is the number of answers after which the quantile is computed
+	// again.
 	refreshInterval = 16
 )
 
@@ -26,23 +26,23 @@
 	HedgeRequest struct {
 		Customer, Service string
 		Idempotent, Quick bool
-		Deadline          clock.Millis // point
+		Deadline          clock.Millis // point in time
 	}
 
-	// Hedging tells when to hedge a request: Hedge or NoHedge.
+	// Hedging is the decision whether to hedge a request: Hedge or NoHedge.
 	Hedging interface{ hedging() }
 
-	// Hedge tells to call SpendHedge after a span, if there is no answer yet.
+	// Hedge means to call SpendHedge after a span if there is no answer by then.
 	Hedge struct{ After clock.Millis }
 
-	// NoHedge tells to wait for the attempt.
+	// NoHedge means not to hedge the attempt.
 	NoHedge struct{ Reason Reason }
 
-	// latencies are the latest ones of a service, as a ring.
+	// latencies holds the recent latencies of a service in a ring buffer.
 	latencies struct {
 		ring         []float64 // milliseconds
 		next         int
-		sinceRefresh int // answers since slow was taken
+		sinceRefresh int // answers since slow was computed
 		slow         clock.Millis
 	}
 )
@@ -50,7 +50,7 @@
 func (Hedge) hedging()   {}
 func (NoHedge) hedging() {}
 
-// ObserveLatency notes how long a whole answer of the service took.
+// ObserveLatency records the time that a complete answer of the service took.
 func (po *Policy) ObserveLatency(service string, took clock.Millis) {
 	po.prepare()
 	lt := po.latency[service]
@@ -61,8 +61,8 @@
 	lt.add(float64(took))
 }
 
-// Hedge tells whether and when a second attempt may be sent beside the first.
-// Nothing is paid yet.
+// Hedge decides whether and when a second attempt may be sent in addition to the
+// first. It spends nothing yet.
 func (po *Policy) Hedge(now clock.Millis, req HedgeRequest) Hedging {
 	po.prepare()
 	slow, why := po.hedgeDelay(req)
@@ -76,8 +76,8 @@
 	}
 }
 
-// SpendHedge pays for a hedge when its time has come. The reason is Hedged, or
-// why it must not be sent.
+// SpendHedge pays for a hedge when its time has come. The reason is Hedged, or why the
+// hedge must not be sent.
 func (po *Policy) SpendHedge(now clock.Millis, req HedgeRequest) (Reason, bool) {
 	po.prepare()
 	slow, why := po.hedgeDelay(req)
@@ -93,8 +93,8 @@
 	}
 }
 
-// hedgeDelay returns the latency from which an attempt of the request counts as
-// hedgeDelay, or why the request is never hedged.
+// hedgeDelay returns the latency above which an attempt of the request counts as slow,
+// or the reason why the request is never hedged.
 func (po *Policy) hedgeDelay(req HedgeRequest) (clock.Millis, Reason) {
 	lt := po.latency[req.Service]
 	switch {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,13 +1,12 @@
 // Package retry decides whether a failed attempt of a request is followed by
 // another, and whether a slow one is hedged.
 //
-// Retries multiply under overload, so each customer has a budget for each
-// service: requests earn a small part of a retry each, and a slow refill
-// keeps a quiet customer from going without. A hedge is paid from the same
-// budget. Backoff is drawn with full jitter, so that those who failed
-// together don't come back together. Nothing is tried past the request's
-// deadline, and a request that is not idempotent is never tried again once it
-// may have run.
+// Retries multiply under overload, so each customer has a budget for each service.
+// Each request earns a small fraction of a retry, and a slow refill provides for
+// customers with few requests. A hedge is paid from the same budget. Backoff has
+// full jitter, so that requests that failed together are not retried together.
+// Nothing is retried past the request's deadline, and a request that is not
+// idempotent is never retried once it may have run.
 //
 // # Usage
 //
@@ -30,26 +29,26 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Reasons of verdicts; each has a counter of its own, named after it.
+// Reasons of verdicts. Each has its own counter, which is named after it.
 const (
 	RetriedNotRun     Reason = "RetriedNotRun"     // the attempt did not run
-	RetriedIdempotent Reason = "RetriedIdempotent" // the attempt may have run; running twice does no harm
+	RetriedIdempotent Reason = "RetriedIdempotent" // the attempt may have run; running twice is harmless
 	Hedged            Reason = "Hedged"            // the attempt is slower than usual
 
 	GaveUpMayHaveRun Reason = "GaveUpMayHaveRun" // not idempotent, and may have run
-	GaveUpFinal      Reason = "GaveUpFinal"      // the failure would be the same again
-	GaveUpAttempts   Reason = "GaveUpAttempts"   // as many attempts as allowed
+	GaveUpFinal      Reason = "GaveUpFinal"      // another attempt would fail in the same way
+	GaveUpAttempts   Reason = "GaveUpAttempts"   // the largest number of attempts is reached
 	GaveUpDeadline   Reason = "GaveUpDeadline"   // another attempt would pass the deadline
 	GaveUpBudget     Reason = "GaveUpBudget"     // the budget is used up
 
 	NoHedgeNotIdempotent Reason = "NoHedgeNotIdempotent" // two runs are not allowed
 	NoHedgePatient       Reason = "NoHedgePatient"       // only quick requests are hedged
-	NoHedgeUnknown       Reason = "NoHedgeUnknown"       // too few answers to know what is slow
+	NoHedgeUnknown       Reason = "NoHedgeUnknown"       // too few answers to tell what is slow
 	NoHedgeDeadline      Reason = "NoHedgeDeadline"      // a hedge would pass the deadline
 	NoHedgeBudget        Reason = "NoHedgeBudget"        // the budget is used up
 )
 
-// What the zero value of a field of [Settings] stands for.
+// Defaults of the zero fields of [Settings].
 const (
 	DefaultRatio       = 0.1
 	DefaultRefill      = 0.2
@@ -61,56 +60,56 @@
 )
 
 type (
-	// Reason of a verdict.
+	// Reason is the reason of a verdict.
 	Reason string
 
-	// Settings of a Policy. A zero field stands for its default.
+	// Settings configures a Policy. A zero field stands for its default.
 	Settings struct {
-		Ratio  float64 // retries earned by one request
-		Refill float64 // retries earned in a second without requests
-		Burst  float64 // most retries that are kept
-		// StartEmpty has a budget hold at first what Refill has earned since the
-		// clock's start, and not Burst: whoever starts again does not know what it
-		// has spent before.
+		Ratio  float64 // retries earned per request
+		Refill float64 // retries earned per second without requests
+		Burst  float64 // largest number of retries that a budget holds
+		// StartEmpty makes a budget start with what Refill has earned since the clock's
+		// start instead of Burst, because a restarted process does not know what it
+		// spent before.
 		StartEmpty  bool
-		Attempts    int          // most attempts of one request, the first included
-		BaseBackoff clock.Millis // bound of the first backoff; the next ones double
+		Attempts    int          // largest number of attempts of a request, including the first
+		BaseBackoff clock.Millis // bound of the first backoff; it doubles for each further one
 		MaxBackoff  clock.Millis // largest bound of a backoff
-		RetryAfter  clock.Millis // told to a caller who was given up
+		RetryAfter  clock.Millis // for callers whose request is given up
 	}
 
 	// Attempt is a failed attempt of a request.
 	Attempt struct {
 		Customer, Service string
 		Idempotent        bool
-		Number            int // of this attempt, from 1
-		// Last is how the attempt failed. Its RetryAfter is heeded.
+		Number            int // of this attempt, counted from 1
+		// Last is the refusal of this attempt. Its RetryAfter is observed.
 		Last refusal.Refusal
-		// EarlierMayHaveRun tells that an attempt before this one may have
-		// run, whatever became of the last.
+		// EarlierMayHaveRun reports that an attempt before this one may have run, even
+		// if this one did not.
 		EarlierMayHaveRun bool
-		Deadline          clock.Millis // point
-		MinTime           clock.Millis // the least span in which another attempt can be of use
+		Deadline          clock.Millis // point in time
+		MinTime           clock.Millis // shortest span in which another attempt can succeed
 		Cost              float64      // calls that another attempt makes; zero means one
 	}
 
-	// Verdict on a failed attempt: Retry or GiveUp.
+	// Verdict is the decision on a failed attempt: Retry or GiveUp.
 	Verdict interface{ verdict() }
 
-	// Retry tells to try again after a span.
+	// Retry means to try again after a span.
 	Retry struct {
 		After  clock.Millis
 		Reason Reason
 	}
 
-	// GiveUp ends the request with a refusal, whose Ran speaks for all of
-	// its attempts.
+	// GiveUp ends the request with a refusal. The refusal's Ran covers all attempts.
 	GiveUp struct {
 		Refusal refusal.Refusal
 		Reason  Reason
 	}
 
-	// Policy decides for one VM. Set the exported fields before use.
+	// Policy decides about retries and hedges for one VM. Set the exported fields
+	// before use.
 	Policy struct {
 		Rand     *rand.Rand // must be set
 		Settings Settings
@@ -124,14 +123,14 @@
 func (Retry) verdict()  {}
 func (GiveUp) verdict() {}
 
-// RecordRequest earns the customer a part of a retry. Call it once for each
+// RecordRequest earns the customer a fraction of a retry. Call it once for each
 // request, not for its retries.
 func (po *Policy) RecordRequest(now clock.Millis, customer, service string) {
 	po.prepare()
 	po.bucket(now, account{customer, service}).earn(po.Settings.Ratio, po.Settings.Burst)
 }
 
-// Decide tells what follows a failed attempt. A Retry has been paid for.
+// Decide decides what follows a failed attempt. A Retry has already been paid for.
 func (po *Policy) Decide(now clock.Millis, at Attempt) Verdict {
 	po.prepare()
 	ran := refusal.NotRun
@@ -161,28 +160,28 @@
 	return Retry{After: after, Reason: RetriedIdempotent}
 }
 
-// Spend pays for calls that follow no verdict, such as the second of an attempt that
-// makes two, and tells whether the budget held as much.
+// Spend pays for calls without a verdict, such as the second call of an attempt that
+// makes two. It reports whether the budget was sufficient; otherwise nothing is spent.
 func (po *Policy) Spend(now clock.Millis, customer, service string, cost float64) bool {
 	po.prepare()
 	return cost <= 0 || po.bucket(now, account{customer, service}).spend(cost)
 }
 
-// Balance is what the budget holds.
+// Balance returns the retries that the budget holds.
 func (po *Policy) Balance(now clock.Millis, customer, service string) float64 {
 	po.prepare()
 	return po.bucket(now, account{customer, service}).tokens
 }
 
-// Refund gives back what was paid for calls that were not made.
+// Refund returns what was paid for calls that were not made.
 func (po *Policy) Refund(now clock.Millis, customer, service string, cost float64) {
 	po.prepare()
 	po.bucket(now, account{customer, service}).earn(cost, po.Settings.Burst)
 }
 
-// isTransient tells whether a failure may be gone at the next attempt. All other
-// reasons lie with the request, or are told to the caller at once because
-// more load is what must not come.
+// isTransient reports whether another attempt may not fail in the same way. All other
+// reasons are due to the request itself, or are returned to the caller at once
+// because a retry would add load under overload.
 func isTransient(rs refusal.Reason) bool {
 	switch rs {
 	case refusal.BackendFailed, refusal.NoBackend, refusal.SchedulerAway, refusal.HomeUnreachable, refusal.VMLost:
@@ -192,7 +191,7 @@
 	}
 }
 
-// backoff is drawn evenly from nothing up to a bound that doubles.
+// backoff returns a uniformly random span up to a bound that doubles with each attempt.
 func (po *Policy) backoff(number int) clock.Millis {
 	bound := po.Settings.BaseBackoff
 	for range number - 1 {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,7 +13,7 @@
 
 func policy(seed uint64) *Policy { return &Policy{Rand: rand.New(rand.NewPCG(seed, 1))} }
 
-// attempt is a failed one that may be tried again.
+// attempt returns a failed attempt that may be retried.
 func attempt() Attempt {
 	return Attempt{Customer: "cu", Service: "svc", Idempotent: true, Number: 1, Deadline: clock.Minute, MinTime: 10,
 		Last: refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.BackendFailed}}
@@ -34,15 +34,15 @@
 			GaveUpMayHaveRun, refusal.MayHaveRun, refusal.BackendFailed},
 		{"earlier may have run, not idempotent", func(at *Attempt) { at.Idempotent, at.EarlierMayHaveRun = false, true },
 			GaveUpMayHaveRun, refusal.MayHaveRun, refusal.BackendFailed},
-		{"unsaid whether it ran, not idempotent", func(at *Attempt) { at.Idempotent, at.Last.Ran = false, "" },
+		{"unknown whether it ran, not idempotent", func(at *Attempt) { at.Idempotent, at.Last.Ran = false, "" },
 			GaveUpMayHaveRun, refusal.MayHaveRun, refusal.BackendFailed},
-		{"fault of the request", func(at *Attempt) { at.Last.Reason = refusal.TooLarge }, GaveUpFinal, refusal.NotRun, refusal.TooLarge},
+		{"faulty request", func(at *Attempt) { at.Last.Reason = refusal.TooLarge }, GaveUpFinal, refusal.NotRun, refusal.TooLarge},
 		{"share used up", func(at *Attempt) { at.Last.Reason = refusal.ShareExceeded }, GaveUpFinal, refusal.NotRun, refusal.ShareExceeded},
 		{"last attempt", func(at *Attempt) { at.Number = DefaultAttempts }, GaveUpAttempts, refusal.NotRun, refusal.RetriesExhausted},
 		{"last attempt, earlier may have run", func(at *Attempt) { at.Number, at.EarlierMayHaveRun = DefaultAttempts, true },
 			GaveUpAttempts, refusal.MayHaveRun, refusal.RetriesExhausted},
 		{"no time left", func(at *Attempt) { at.Deadline = 10 }, GaveUpDeadline, refusal.NotRun, refusal.DeadlinePassed},
-		{"server asks for more time than is left", func(at *Attempt) { at.Last.RetryAfter = clock.Minute },
+		{"server requests more time than is left", func(at *Attempt) { at.Last.RetryAfter = clock.Minute },
 			GaveUpDeadline, refusal.NotRun, refusal.DeadlinePassed},
 	}
 	for _, tc := range cases {
@@ -62,7 +62,7 @@
 	}
 }
 
-// When every attempt fails, retries stay under their part of the requests.
+// If every attempt fails, the retries stay within the earned fraction of the requests.
 func TestBudgetAtFullFailure(t *testing.T) {
 	po := policy(2)
 	const requests, spacing = 10_000, 10
@@ -116,8 +116,8 @@
 	assert.Assert(t, len(po.budgets) <= maxBudgets)
 }
 
-// Any history of attempts of one request ends in time, and never runs a
-// request twice that must not be.
+// Any history of a request's attempts ends before the deadline, and a request that is
+// not idempotent is never retried once it may have run.
 func TestHistories(t *testing.T) {
 	reasons := []refusal.Reason{refusal.BackendFailed, refusal.NoBackend, refusal.VMLost, refusal.BadRequest, refusal.QueueFull}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -147,10 +147,10 @@
 
 func checkAgain(rt *rapid.T, now clock.Millis, at Attempt, mayHaveRun bool) {
 	if mayHaveRun && !at.Idempotent {
-		rt.Fatal("tried again though it may have run")
+		rt.Fatal("retried although it may have run")
 	}
 	if now+at.MinTime >= at.Deadline {
-		rt.Fatalf("try at %d, deadline %d", now, at.Deadline)
+		rt.Fatalf("retry at %d, deadline %d", now, at.Deadline)
 	}
 }
 
@@ -208,8 +208,8 @@
 	}
 }
 
-// Hedges are paid from the budget: when all answers turn slow at once, their
-// number stays under its part of the requests.
+// Hedges are paid from the budget: if all answers become slow at once, their number
+// stays within the earned fraction of the requests.
 func TestHedgesAreBudgeted(t *testing.T) {
 	po := policy(7)
 	for range minSamples {
@@ -234,7 +234,8 @@
 	t.Logf("%d requests, all slow: %d hedges (%.1f%%)", requests, hedges, 100*float64(hedges)/requests)
 }
 
-// What is taken is gone until it is returned, and no more is taken than there is.
+// Spent retries are unavailable until they are refunded, and no more can be spent than
+// the budget holds.
 func TestSpendAndRefund(t *testing.T) {
 	po := policy(1)
 	assert.Equal(t, po.Balance(0, "cu", "svc"), float64(DefaultBurst))
@@ -245,6 +246,6 @@
 	po.Refund(0, "cu", "svc", 1)
 	assert.Assert(t, po.Spend(0, "cu", "svc", 2))
 	po.Refund(0, "cu", "svc", 2*DefaultBurst)
-	assert.Equal(t, po.Balance(0, "cu", "svc"), float64(DefaultBurst), "more than is kept")
+	assert.Equal(t, po.Balance(0, "cu", "svc"), float64(DefaultBurst), "a refund does not exceed the burst")
 	assert.Equal(t, po.Balance(0, "cu", "other"), float64(DefaultBurst))
 }
--- a/internal/retry/storm_test.go
+++ b/internal/retry/storm_test.go
@@ -9,15 +9,15 @@
 	"alderdyke/pkg/refusal"
 )
 
-// storm is a server that answers one request at a time, in order, also those
-// that nobody waits for any more, and callers who give an attempt up after a
-// while.
+// storm simulates a server that answers one request at a time, in order, including
+// those whose callers have given up, and callers who give up an attempt after a
+// timeout.
 type storm struct {
 	policy         *Policy
 	queue          []*sentAttempt
 	retries        map[clock.Millis][]*sentAttempt
-	answeredInTime map[clock.Millis]int // answers in time, by second
-	computed       int                  // all that the server did
+	answeredInTime map[clock.Millis]int // number of answers, by second
+	computed       int                  // all answers, including late ones
 }
 
 type sentAttempt struct {
@@ -27,10 +27,10 @@
 }
 
 const (
-	stormServiceTime = clock.Millis(10) // the server answers 100 a second
-	stormInterval    = clock.Millis(16) // 62 requests a second
+	stormServiceTime = clock.Millis(10) // the server answers 100 requests per second
+	stormInterval    = clock.Millis(16) // 62 requests per second
 	stormTimeout     = clock.Millis(500)
-	stormStall       = 20 * clock.Second // when the server stands still
+	stormStall       = 20 * clock.Second // when the server stalls
 	stormStallEnd    = 23 * clock.Second
 	stormSpan        = clock.Minute
 )
@@ -67,7 +67,7 @@
 	}
 }
 
-// giveUp asks the policy about the attempts whose callers' patience ends.
+// giveUp has the policy decide about the attempts that reach the callers' timeout.
 func (sm *storm) giveUp(now clock.Millis) {
 	for _, se := range sm.queue {
 		if now-se.began != stormTimeout+1 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// goodput is the answers in time for each request of a span, in seconds.
+// goodput returns the answers in time per request in a span given in seconds.
 func (sm *storm) goodput(from, to clock.Millis) float64 {
 	sum := 0
 	for sec := from; sec < to; sec++ {
@@ -92,8 +92,8 @@
 	return float64(sum) * float64(stormInterval) / float64((to-from)*clock.Second)
 }
 
-// recovered is the first second after the stall from which goodput is whole,
-// or -1.
+// recovered returns the number of seconds from the end of the stall until goodput is
+// full again, or -1 if it never is.
 func (sm *storm) recovered() clock.Millis {
 	for sec := stormStallEnd / clock.Second; sec < stormSpan/clock.Second; sec++ {
 		if sm.goodput(sec, stormSpan/clock.Second) > 0.99 {
@@ -103,8 +103,8 @@
 	return -1
 }
 
-// A server stands still for three seconds. With the budget it is back to its
-// goodput by itself; with retries that only attempts bound it never is.
+// A server stalls for three seconds. With the budget it returns to full goodput by
+// itself. If retries are bounded only by the number of attempts, it never does.
 func TestServiceRecoversAfterStall(t *testing.T) {
 	free := policy(1)
 	free.Settings = Settings{Ratio: 10, Refill: 1000, Burst: 1e6}
@@ -117,7 +117,7 @@
 		sm := &storm{policy: tc.policy}
 		sm.run()
 		before, after := sm.goodput(10, 20), sm.goodput(45, 60)
-		t.Logf("%-14s: goodput %.2f before the stall, %.2f from 22 s after it, whole after %d s; %d answers computed",
+		t.Logf("%-14s: goodput %.2f before the stall, %.2f from 22 s after it, full after %d s; %d answers computed",
 			tc.name, before, after, sm.recovered(), sm.computed)
 		assert.Assert(t, before > 0.99, "%f", before)
 		if tc.recover {
