--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -1,15 +1,15 @@
-// Package roles keeps the engines of each model service divided between
-// prefill and decode.
+// Package roles divides the engines of each model service between prefill and
+// decode.
 //
-// Engines here end their running work by themselves before they change their
-// role, so that nothing needs to be drained first; package orders is for those
-// that have to be emptied. What remains is to decide how many engines of each
-// role there should be ([Plan]), and to order a change as the only VM that
-// does ([Keeper]): under a lease whose revision is the fencing token, which is
-// looked at once more when the connection to the engine stands.
+// These engines finish their running work by themselves before they change their
+// role, so they need not be drained first. Package orders handles servers that
+// must be drained. This package decides how many engines of each role there
+// should be ([Plan]) and orders the changes ([Keeper]). Only one VM gives orders:
+// the holder of a lease whose revision is the fencing token. The lease is checked
+// once more when the connection to the engine is established.
 //
-// The lease is not given back after an order, since two holders must not give
-// orders shortly after one another; it lapses by itself.
+// The lease is not released after an order but expires, because two holders must
+// not give orders shortly after one another.
 //
 // # Usage
 //
@@ -32,36 +32,35 @@
 )
 
 const (
-	// leaseCheckInterval is how often the roles are looked at.
+	// leaseCheckInterval is the interval at which roles and lease are checked.
 	leaseCheckInterval = 500 * clock.Millis(1)
-	// fencedPause is how long nothing is ordered after an engine refused the
-	// fencing token: another VM has a newer one.
+	// fencedPause is how long no orders are given after an engine declined the
+	// fencing token, because another VM has a newer one.
 	fencedPause = 15 * clock.Second
-	// orderTimeout bounds one order.
+	// orderTimeout bounds the time of one order.
 	orderTimeout = clock.Second
-	// minLeaseLeft is what must be left of the lease when an order is sent.
+	// minLeaseLeft is the remaining time of the lease that is needed to send an order.
 	minLeaseLeft = 1500 * clock.Millis(1)
 )
 
 type (
-	// Service is the engines of one model service.
+	// Service describes the engines of one model service.
 	Service struct {
 		Engines    []board.BackendServer
-		SwitchTime clock.Millis // time that a change of role takes
+		SwitchTime clock.Millis // duration of a change of role
 	}
 
-	// Register is a register that changes by compare-and-swap and outlives
-	// the VMs.
+	// Register is a register with compare-and-swap that outlives the VMs.
 	Register interface {
-		// Read returns the register as it was lately. It is called often.
+		// Read returns a recent state of the register. It is called often.
 		Read(ctx context.Context) (register.Entry, error)
 		// Swap replaces the value if the revision is still base. An error
 		// unwraps to a *logsvc.AppendError.
 		Swap(ctx context.Context, base uint64, id string, value []byte) error
 	}
 
-	// Orders gives one order to an engine, unless may says no when the
-	// connection stands. Errors are those of package backend.
+	// Orders sends an order to an engine, unless may returns false when the connection
+	// is established. Errors are those of package backend.
 	Orders interface {
 		ChangeRole(ctx context.Context, ch Change, token uint64, may func() bool) error
 	}
@@ -72,25 +71,26 @@
 		Orders      Orders
 		Holder      *register.Holder // owned by the Keeper from Run on
 		Services    func() map[string]Service
-		ShouldOrder func() bool // tells whether this VM is the one to order
-		// OnOrdered hears of each engine that was ordered to change its role,
-		// or may have been, and until when that may be under way; may be nil.
+		ShouldOrder func() bool // reports whether this VM is the one to give orders
+		// OnOrdered is called for each engine that was ordered to change its role, or
+		// may have been, with the time until which the change may be in progress. It
+		// may be nil.
 		OnOrdered func(server string, until clock.Millis)
 		Settings  Settings
 		Clock     clock.Source
 		Log       event.Logger
 
 		plans            map[string]*Plan
-		pausedUntil      clock.Millis // nothing is ordered before
-		leaseWantedUntil clock.Millis // the lease is wanted until
+		pausedUntil      clock.Millis // no orders are given before
+		leaseWantedUntil clock.Millis // the lease is acquired and renewed until then
 	}
 )
 
-// leaseLinger is how long after an order the lease is still wanted, so that a
-// second change needs no new one.
+// leaseLinger is how long the lease is still renewed after an order, so that another
+// change needs no new lease.
 const leaseLinger = 4 * clock.Second
 
-// Run keeps the roles until the context ends.
+// Run keeps the engines divided until the context ends.
 func (ke *Keeper) Run(ctx context.Context) {
 	ke.plans = make(map[string]*Plan)
 	ke.Holder.Lapses = true
@@ -108,18 +108,18 @@
 
 func (ke *Keeper) now() clock.Millis { return clock.Or(ke.Clock).Now() }
 
-// tick decides once, and orders what is due if the lease is held.
+// tick determines the changes that are due and orders them if the lease is held.
 func (ke *Keeper) tick(ctx context.Context) {
 	now := ke.now()
 	due := ke.dueChanges(now)
 	if len(due) > 0 && ke.ShouldOrder() && now >= ke.pausedUntil {
 		ke.leaseWantedUntil = now + leaseLinger
 	}
-	// Observed also while the lease is not wanted: another VM's lease is
-	// waited out from when it was seen.
+	// The register is also observed while no lease is wanted, because another VM's
+	// lease must be waited out from the time at which it was first observed.
 	ke.observe(ctx)
 	if now >= ke.leaseWantedUntil {
-		ke.stepHolder(ctx, register.Want{}) // a lease that is still held lapses by itself
+		ke.stepHolder(ctx, register.Want{}) // a lease that is still held expires
 		return
 	}
 	ke.stepHolder(ctx, register.Want{Hold: true})
@@ -144,17 +144,17 @@
 	return out
 }
 
-// observe reads the lease's register.
+// observe reads the register of the lease.
 func (ke *Keeper) observe(ctx context.Context) {
 	en, err := ke.Register.Read(ctx)
 	if err != nil {
 		ke.stepHolder(ctx, register.LeaseTick{})
-		return // the store's loss has a line of its own; without it there is no lease
+		return // the loss of the store is logged elsewhere; without the store there is no lease
 	}
 	ke.stepHolder(ctx, register.Observed{Entry: en, Known: true})
 }
 
-// stepHolder tells the holder and carries out what it intends.
+// stepHolder passes an event to the holder and carries out its intents.
 func (ke *Keeper) stepHolder(ctx context.Context, ev register.HolderEvent) {
 	for _, in := range ke.Holder.Step(ke.now(), ev) {
 		switch in := in.(type) {
@@ -180,7 +180,7 @@
 	ke.observe(ctx)
 }
 
-// order gives one order if the lease allows it.
+// order sends one order if the lease allows it.
 func (ke *Keeper) order(ctx context.Context, ch Change) {
 	token, may := ke.Holder.MayOrder(ke.now() + minLeaseLeft)
 	if !may {
@@ -208,7 +208,7 @@
 		ke.pausedUntil = now + fencedPause
 		ke.leaseWantedUntil = 0
 	case oc == backend.InDoubt:
-		// It may be carried out, now or seconds later: count on it.
+		// The engine may still carry it out, now or seconds later, so it counts as ordered.
 		ke.recordOrder(now, ch)
 	}
 }
--- a/internal/roles/keeper_test.go
+++ b/internal/roles/keeper_test.go
@@ -24,16 +24,16 @@
 var errMoved = errors.New("the register has moved on")
 
 type (
-	// testCell is a register and the engines of one service, in memory.
+	// testCell holds a register and the engines of one service in memory.
 	testCell struct {
 		mu          sync.Mutex
 		entry       register.Entry
 		engines     []board.BackendServer
 		token       uint64
 		orders      []givenOrder
-		lostReplies int // replies of orders that are lost from now on
+		lostReplies int // number of replies to lose from now on
 		storeDown   bool
-		swaps       int // writes of the lease
+		swaps       int // number of writes of the lease
 	}
 
 	givenOrder struct {
@@ -124,8 +124,8 @@
 	return append([]givenOrder(nil), ce.orders...)
 }
 
-// Two VMs that both hold themselves for the one that orders: one does, tokens
-// never go back, and the other follows only after the lease's end.
+// If two VMs both consider themselves the one to give orders, only one does, tokens
+// never decrease, and the other takes over only after the lease has expired.
 func TestOnlyOneKeeperOrdersAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(4, 4)}
@@ -147,14 +147,14 @@
 			before := orders[ix]
 			assert.Assert(t, gv.token >= before.token)
 			if gv.by != before.by {
-				assert.Assert(t, gv.at.Sub(before.at) > 5*time.Second, "turns within %s", gv.at.Sub(before.at))
+				assert.Assert(t, gv.at.Sub(before.at) > 5*time.Second, "orders of two VMs within %s", gv.at.Sub(before.at))
 			}
 		}
 	})
 }
 
-// Once nothing is to be ordered the lease lapses, and the store is left alone;
-// it is neither renewed nor given back. The next order takes it anew.
+// Once no change is due, the lease expires without a renewal or a release, and the store
+// gets no further writes. The next order acquires the lease again.
 func TestLeaseLapsesWhenNothingIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(3, 5)}
@@ -205,7 +205,7 @@
 	})
 }
 
-// A VM whose token an engine refuses stops for longer than a lease lasts.
+// A VM whose token an engine declined pauses for longer than a lease lasts.
 func TestRejectedTokenPausesKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(4, 4), token: 1000}
--- a/internal/roles/plan.go
+++ b/internal/roles/plan.go
@@ -9,63 +9,64 @@
 	"alderdyke/pkg/clock"
 )
 
-// What the zero value of a field of [Settings] stands for.
+// Defaults of the zero fields of [Settings].
 const (
-	// DefaultPrefillPart is the part of a service's engines that compute
-	// prompts while every decode engine is full. A generation of 5,000 tokens
-	// in and 4,400 out keeps a prefill engine for 90 ms and an eighth of a
-	// decode engine for 3.2 s, which makes a sixth.
+	// DefaultPrefillPart is the fraction of a service's engines that compute prompts
+	// while every decode engine is full. A generation with 5,000 prompt tokens and
+	// 4,400 answer tokens occupies a prefill engine for 90 ms and an eighth of a
+	// decode engine for 3.2 s, which results in a sixth.
 	DefaultPrefillPart = 0.16
-	// DefaultPrefillSpare is the room for chance, in square roots of the
-	// number of engines: prompts come by chance, so what has to be kept free
-	// for those that come together grows with the root of their number.
+	// DefaultPrefillSpare is the number of spare prefill engines per square root of
+	// the number of engines. Prompts arrive at random, so the capacity needed for
+	// coinciding prompts grows with the square root of their number.
 	DefaultPrefillSpare = 0.4
-	// DefaultMinPrefill prefill engines are kept, so that one may be lost.
+	// DefaultMinPrefill is the smallest number of prefill engines; one of them may be
+	// lost.
 	DefaultMinPrefill = 2
-	// DefaultDwell is how long a change must be called for. Engines that are
-	// replaced are gone for about a second.
+	// DefaultDwell is how long a change must be needed before it is due. Engines that
+	// are replaced are missing for about a second.
 	DefaultDwell = 1500 * clock.Millis(1)
-	// DefaultSettle is how long beyond the change itself an engine's entry may
-	// still name its old role: it ends its runs first, which takes up to 8 s,
+	// DefaultSettle is how long after the change itself an engine's entry may still
+	// show the old role. The engine finishes its runs first, which takes up to 8 s,
 	// and the entry lags by a heartbeat and a read.
 	DefaultSettle = 10 * clock.Second
 )
 
 type (
-	// Settings of a Plan. A zero field stands for its default.
+	// Settings configures a Plan. A zero field stands for its default.
 	Settings struct {
-		PrefillPart  float64      // of the engines of a service that compute prompts
-		PrefillSpare float64      // engines beyond that, for each square root of their number
-		MinPrefill   int          // prefill engines that are kept
-		Dwell        clock.Millis // for how long a change must be called for
-		Settle       clock.Millis // after a change, until the entry counts again
+		PrefillPart  float64      // fraction of a service's engines that compute prompts
+		PrefillSpare float64      // additional prefill engines per square root of the number of engines
+		MinPrefill   int          // smallest number of prefill engines
+		Dwell        clock.Millis // how long a change must be needed before it is due
+		Settle       clock.Millis // how long after a change an engine's entry may be outdated
 	}
 
-	// Change is one engine's change of role.
+	// Change is the change of one engine's role.
 	Change struct {
 		Server board.BackendServer
 		To     board.Role
 	}
 
-	// Plan decides for one service which engines change their role. Set the
-	// exported fields before use.
+	// Plan decides which engines of one service change their role. Set the exported
+	// fields before use.
 	Plan struct {
 		Settings   Settings
-		SwitchTime clock.Millis // time that a change takes at an engine
+		SwitchTime clock.Millis // duration of a change at an engine
 
 		ordered      map[string]order
-		pendingSince clock.Millis // since when a change is called for; zero: it is not
+		pendingSince clock.Millis // when pendingRole was first needed
 		pendingRole  board.Role
 	}
 
-	// order is a change that was ordered and whose end is not seen yet.
+	// order is a change that was ordered and may not be listed yet.
 	order struct {
 		to    board.Role
 		until clock.Millis
 	}
 )
 
-// Next returns the change that is due, if one is.
+// Next returns the change that is due, if there is one.
 func (pl *Plan) Next(now clock.Millis, engines []board.BackendServer) (Change, bool) {
 	st := pl.Settings.withDefaults()
 	roles := pl.effectiveRoles(now, engines)
@@ -80,8 +81,8 @@
 	return Change{Server: bs, To: toward}, ok
 }
 
-// RecordOrder notes that a change was ordered, or may have been, and returns until
-// when it may be under way.
+// RecordOrder records that a change was ordered, or may have been, and returns until
+// when it may be in progress.
 func (pl *Plan) RecordOrder(now clock.Millis, ch Change) clock.Millis {
 	if pl.ordered == nil {
 		pl.ordered = make(map[string]order)
@@ -91,8 +92,8 @@
 	return until
 }
 
-// effectiveRoles tells the role of each engine that stays, an ordered one ahead of the
-// listed one.
+// effectiveRoles returns the role of each engine that is not leaving. An ordered role
+// takes precedence over the listed one.
 func (pl *Plan) effectiveRoles(now clock.Millis, engines []board.BackendServer) map[string]board.Role {
 	out := make(map[string]board.Role, len(engines))
 	for _, bs := range engines {
@@ -112,7 +113,7 @@
 	return out
 }
 
-// missingRole tells which role has too few engines; empty if none has.
+// missingRole returns the role that has too few engines, or the empty string.
 func missingRole(st Settings, roles map[string]board.Role) board.Role {
 	prefill := 0
 	for _, role := range roles {
@@ -133,8 +134,9 @@
 	}
 }
 
-// engineToChange chooses the engine that changes: of the failure domain that has most
-// engines of its role, so that a domain's loss takes fewest of either.
+// engineToChange chooses the engine whose role changes. It takes one from the failure
+// domain with the most engines of that role, so that the loss of a domain affects as
+// few engines of either role as possible.
 func engineToChange(engines []board.BackendServer, roles map[string]board.Role, toward board.Role) (board.BackendServer, bool) {
 	perDomain := make(map[string]int)
 	var fit []board.BackendServer
--- a/internal/roles/plan_test.go
+++ b/internal/roles/plan_test.go
@@ -30,11 +30,11 @@
 		want            board.Role
 	}{
 		{"too many prefill", 3, 5, board.Decode},
-		{"right", 2, 6, ""},
+		{"balanced", 2, 6, ""},
 		{"one lost", 1, 6, board.Prefill},
 		{"all lost", 0, 5, board.Prefill},
-		{"large", 13, 25, board.Decode},
-		{"large and right", 9, 29, ""},
+		{"many engines, too many prefill", 13, 25, board.Decode},
+		{"many engines, balanced", 9, 29, ""},
 		{"two engines", 1, 1, ""},
 		{"one engine", 0, 1, ""},
 	} {
@@ -42,7 +42,7 @@
 			var pl roles.Plan
 			list := engines(tc.prefill, tc.decode)
 			_, ok := pl.Next(0, list)
-			assert.Assert(t, !ok, "a change must be called for a while")
+			assert.Assert(t, !ok, "a change must be needed for a while")
 			ch, ok := pl.Next(roles.DefaultDwell, list)
 			assert.Equal(t, ok, tc.want != "")
 			assert.Equal(t, ch.To, tc.want)
