--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,19 +1,19 @@
-// Package balance decides, for plain services, which backend server an entry
-// VM sends a request to, and whether the customer may send it now.
+// Package balance decides, for plain services, to which backend server an entry
+// VM sends a request, and whether the customer may send it now.
 //
-// Each VM decides by itself. Load reports are the same for all VMs and late,
-// so the least loaded server by report would be chosen by all at once. A
-// [Chooser] takes the server with the fewest of its own requests in flight,
-// which it knows exactly and no other VM shares. Reports only count against
-// a server that stands out: whose load, smoothed over many reports, is above
-// the others' by more than chance explains.
+// Each VM decides by itself. Load reports are late and the same for all VMs, so
+// all VMs would choose the server with the lowest reported load at once. A
+// [Chooser] therefore takes the server with the fewest of its own requests in
+// flight, a number that it knows exactly and that differs from VM to VM. Reports
+// only count against outliers: servers whose load, smoothed over many reports,
+// exceeds that of the others by more than random variation.
 //
-// A server that fails again and again is ejected for a span that grows, but
-// never more than half of a service's servers are. A server that returns, by
-// any way, gets its part of the requests little by little.
+// A server that fails repeatedly is ejected for a span that grows with each
+// ejection, but no more than half of a service's servers are ejected at a time. A
+// server that returns for any reason gets its part of the requests gradually.
 //
-// A customer's share of a service holds for the whole fleet. Each VM gives
-// out its part of it, one request at least, and lends what is unused.
+// A customer's share of a service applies to the whole fleet. Each VM grants its
+// part of the share, but at least one request, and lends what is unused.
 //
 // # Usage
 //
@@ -40,15 +40,15 @@
 
 // Results of a request that was sent to a server.
 const (
-	Success   Result = "Success"   // whole answer, also one that says the caller was wrong
+	Success   Result = "Success"   // complete answer, including one that reports an error of the caller
 	Failure   Result = "Failure"   // error of the server, or a broken connection
 	Timeout   Result = "Timeout"   // no answer in time
-	Busy      Result = "Busy"      // the server itself said that it has no room
+	Busy      Result = "Busy"      // declined by the server for lack of room
 	Gone      Result = "Gone"      // another server answered at its address
-	Cancelled Result = "Cancelled" // given up from this side; says nothing of the server
+	Cancelled Result = "Cancelled" // given up by this VM or the caller; does not reflect on the server
 )
 
-// What the zero value of a field of [Settings] stands for.
+// Defaults of the zero fields of [Settings].
 const (
 	DefaultFailures     = 5
 	DefaultBaseEjection = 5 * clock.Second
@@ -63,50 +63,50 @@
 	DefaultRetryAfter   = clock.Second
 )
 
-// minWeight is the part of its requests that a server gets at the begin of
-// its slow start.
+// minWeight is the part of its requests that a server gets at the beginning of its
+// slow start.
 const minWeight = 0.1
 
 type (
-	// Result of a request.
+	// Result is the result of a request.
 	Result string
 
-	// Outcome tells how a request ended.
+	// Outcome describes how a request ended.
 	Outcome struct {
-		Customer string // the one of the Ask
+		Customer string // that of the Request
 		Result   Result
 		Took     clock.Millis
-		Load     *Load // what the server told of itself; nil: nothing
+		Load     *Load // reported with the answer; nil: not reported
 	}
 
-	// Settings of a Chooser. A zero field stands for its default.
+	// Settings configures a Chooser. A zero field stands for its default.
 	Settings struct {
-		Failures     int          // failures in a row that eject a server
-		BaseEjection clock.Millis // first ejection; the next ones double
+		Failures     int          // consecutive failures that eject a server
+		BaseEjection clock.Millis // duration of the first ejection; it doubles for each further one
 		MaxEjection  clock.Millis // longest ejection
-		ForgiveAfter clock.Millis // time since an ejection's end after which the next is short again
-		SlowStart    clock.Millis // from a server's return to its full part
-		ReportStale  clock.Millis // age after which a load report says nothing
-		Slots        int          // room of a server that reports none
-		ActiveSpan   clock.Millis // how long a customer's unused part is held back after its last request
+		ForgiveAfter clock.Millis // time after an ejection's end until the next one is short again
+		SlowStart    clock.Millis // from a server's return until it gets its full part
+		ReportStale  clock.Millis // age at which a load report expires
+		Slots        int          // assumed for a server that reports none
+		ActiveSpan   clock.Millis // how long a customer's unused part is reserved after its last request
 		PartSlack    float64      // standard deviations by which a customer may exceed its part at this VM
-		LendSlack    float64      // standard deviations by which all may exceed this VM's part of the room
-		RetryAfter   clock.Millis // told to a customer whose share is used up
+		LendSlack    float64      // standard deviations by which all customers may exceed this VM's part of the slots
+		RetryAfter   clock.Millis // for refused requests
 	}
 
-	// Request is all that a choice needs.
+	// Request describes a request for which a server is chosen.
 	Request struct {
 		Service  string
 		Customer string
-		Share    float64  // part of the service's room in the whole fleet, from 0 to 1
+		Share    float64  // the customer's part of the service's slots in the whole fleet, from 0 to 1
 		Exclude  []string // servers already tried for the request
-		Sender   string   // whose requests are refused by how many there are while not all can be served; empty: nobody's
-		// Objective is the time within which the answer is of most use; zero: the
-		// request waits at servers for as long as it has to.
+		Sender   string   // under overload, senders with many requests are refused first; empty: unknown
+		// Objective is the time within which the answer is useful. If it is zero, the
+		// request waits at servers without a limit.
 		Objective clock.Millis
 	}
 
-	// Chooser chooses for one VM. Set the exported fields before use.
+	// Chooser chooses servers for one VM. Set the exported fields before use.
 	Chooser struct {
 		Rand     *rand.Rand // must be set
 		Settings Settings
@@ -116,21 +116,21 @@
 		services map[string]*service
 	}
 
-	// service is the servers and the customers of one plain service.
+	// service holds the servers and the customers of one plain service.
 	service struct {
-		servers   []*server // sorted by ID, leaving ones left out
+		servers   []*server // sorted by ID, without leaving ones
 		customers map[string]*customer
 		inFlight  int
 		queue     queueEstimate
 		senders   senders
 
 		comparedAt clock.Millis
-		overloaded bool // by the reports there is more work than room
+		overloaded bool // the reported load exceeds the slots
 	}
 )
 
-// Update takes the backend servers, their reports and the number of VMs that
-// serve. Servers of other roles than [board.Plain] are passed over.
+// Update replaces the backend servers, their reports and the number of serving VMs.
+// Servers of other roles than [board.Plain] are ignored.
 func (ch *Chooser) Update(now clock.Millis, bk *board.Backends, vms int) {
 	ch.prepare()
 	ch.vms = max(vms, 1)
@@ -172,7 +172,7 @@
 	if srv.address != bs.Address {
 		srv.address, srv.replaced = bs.Address, false
 	}
-	// A server that was given to another service first ends what it has.
+	// A server that was moved to another service first ends its running requests.
 	away := bs.Leaving || rep.Leaving || srv.service != bs.Service
 	if srv.unavailable && !away {
 		srv.returnedAt = now // slow start
@@ -186,9 +186,9 @@
 	}
 }
 
-// Pick chooses a server and counts the request as in flight on it. The error
-// is a [refusal.Refusal] that says NotRun. A server of Exclude is chosen only
-// if no other is left.
+// Pick chooses a server and counts the request as in flight there. The error is a
+// [refusal.Refusal] with NotRun. A server in Exclude is chosen only if no other is
+// left.
 func (ch *Chooser) Pick(now clock.Millis, req Request) (string, error) {
 	ch.prepare()
 	svc := ch.services[req.Service]
@@ -197,7 +197,7 @@
 			RetryAfter: ch.Settings.RetryAfter, Detail: "no server of the service takes new work"}
 	}
 	if now-svc.comparedAt >= compareInterval {
-		svc.findOutliers(now, ch.Settings) // reports may have grown stale
+		svc.findOutliers(now, ch.Settings) // reports may have expired
 	}
 	cu := svc.customer(req.Customer)
 	cu.recordRequest(now, req.Share, ch.Settings.ActiveSpan)
@@ -221,7 +221,8 @@
 	return srv.id, nil
 }
 
-// rejectsForQueue decides whether a request is refused for the line before the servers.
+// rejectsForQueue decides whether a request is refused because of the queue at the
+// servers.
 func (ch *Chooser) rejectsForQueue(now clock.Millis, svc *service, req Request) bool {
 	svc.senders.add(now, req.Sender)
 	part := svc.queue.refusalPart(now, req.Objective, maxWaitPart)
@@ -231,7 +232,7 @@
 	return ch.Rand.Float64() < part
 }
 
-// Done ends a request that Pick placed.
+// Done ends a request for which Pick chose a server.
 func (ch *Chooser) Done(now clock.Millis, id string, out Outcome) {
 	srv := ch.servers[id]
 	if srv == nil {
@@ -261,16 +262,16 @@
 	}
 }
 
-// BackOff notes that a server asked for rest for a span: it gets nothing until then, be
-// there another one or not.
+// BackOff records that a server requested backoff for a span. It gets nothing until
+// the span has passed, even if there is no other server.
 func (ch *Chooser) BackOff(now clock.Millis, id string, span clock.Millis) {
 	if srv := ch.servers[id]; srv != nil {
 		srv.backoffUntil = max(srv.backoffUntil, now+span)
 	}
 }
 
-// BackoffLeft is how long it takes until the first of a service's servers has rested; zero if
-// some server does not rest, or there is none.
+// BackoffLeft returns the time until the first of a service's servers ends its
+// backoff. It is zero if some server is not backing off, or if there is none.
 func (ch *Chooser) BackoffLeft(now clock.Millis, service string) clock.Millis {
 	svc := ch.services[service]
 	if svc == nil || len(svc.servers) == 0 || slices.ContainsFunc(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) }) {
@@ -280,8 +281,8 @@
 	return first.backoffUntil - now
 }
 
-// choose takes the server under the least pressure, one of them at random if
-// there are several. A returning server stands for choice only now and then.
+// choose returns the server under the lowest pressure, a random one among equals. A
+// server in slow start is considered only for a part of the requests.
 func (ch *Chooser) choose(now clock.Millis, fit []*server) *server {
 	standing := filter(fit, func(srv *server) bool {
 		weight := srv.weight(now, ch.Settings)
@@ -306,9 +307,9 @@
 	return best
 }
 
-// candidates lists the servers to choose from among those that do not rest: those not ejected
-// or gone and not tried before, if there are any; else those not tried; else those not
-// ejected; else all.
+// candidates lists the servers to choose from, without those that are backing off. It
+// prefers untried servers that are neither ejected nor replaced, then any untried
+// ones, then tried ones that are neither ejected nor replaced, then all.
 func (svc *service) candidates(now clock.Millis, exclude []string) []*server {
 	awake := filter(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) })
 	untried := filter(awake, func(srv *server) bool { return !slices.Contains(exclude, srv.id) })
@@ -333,7 +334,7 @@
 	return out
 }
 
-// mayEject tells whether another server may be ejected: at most half are.
+// mayEject reports whether another server may be ejected: at most half are.
 func (svc *service) mayEject(now clock.Millis) bool {
 	out := 0
 	for _, other := range svc.servers {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -19,7 +19,7 @@
 
 func chooser(seed uint64) *Chooser { return &Chooser{Rand: rand.New(rand.NewPCG(seed, 1))} }
 
-// backends makes n servers of one plain service, with room for slots each.
+// backends returns n servers of one plain service with the given slots each.
 func backends(n, slots int) *board.Backends {
 	bk := &board.Backends{Reports: map[string]board.LoadReport{}}
 	for ix := range n {
@@ -114,7 +114,7 @@
 			ch.Done(0, id, Outcome{Customer: "cu", Result: Cancelled})
 		}
 	}
-	// With all of them tried there is no other left.
+	// If all servers were tried, one is tried again.
 	pick(t, ch, 0, "s00", "s01", "s02")
 }
 
@@ -129,7 +129,7 @@
 	for _, span := range []clock.Millis{DefaultBaseEjection, 2 * DefaultBaseEjection, 4 * DefaultBaseEjection} {
 		assert.Equal(t, srv.ejectedUntil-now, span)
 		assert.Equal(t, counts(t, ch, srv.ejectedUntil-1, 200, bad)["s02"], 0)
-		// Back, and out again at its first failure.
+		// It returns, and its first failure ejects it again.
 		now = srv.ejectedUntil + DefaultSlowStart
 		assert.Equal(t, counts(t, ch, now, 200, bad)["s02"], 1)
 	}
@@ -181,7 +181,7 @@
 	t.Logf("of 80 requests the returning server of 4 gets %d, half way %d, then %d", early, middle, late)
 	assert.Assert(t, early <= 5 && early < middle && middle < late, "%d %d %d", early, middle, late)
 	assert.Assert(t, late >= 17 && late <= 23, "%d", late)
-	// Also one by one, when none of the servers has a request in flight.
+	// The same holds if requests come one by one, with none in flight at any server.
 	early = counts(t, ch, 1000, 2000, always(Success))["s03"]
 	late = counts(t, ch, 1000+DefaultSlowStart, 2000, always(Success))["s03"]
 	assert.Assert(t, early >= 20 && early <= 100 && late >= 400 && late <= 600, "%d %d", early, late)
@@ -199,8 +199,8 @@
 	assert.Assert(t, counts(t, ch, 500, 300, always(Success))["s00"] > 50)
 }
 
-// Whatever fails, at most half of the servers are ejected, a server is always
-// found, and requests in flight are counted right.
+// For any sequence of results, at most half of the servers are ejected, a server is
+// always found, and the counts of requests in flight are correct.
 func TestEjectionKeepsHalf(t *testing.T) {
 	results := []Result{Success, Failure, Timeout, Busy, Cancelled}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -248,7 +248,7 @@
 	}
 }
 
-// admitted sends requests that stay until one is refused.
+// admitted sends requests that stay in flight until one is refused.
 func admitted(t *testing.T, ch *Chooser, now clock.Millis, customer string, share float64, most int) []string {
 	t.Helper()
 	var ids []string
@@ -264,30 +264,30 @@
 }
 
 func TestUnusedSharesAreLentAndReclaimed(t *testing.T) {
-	const slots, vms = 30, 6 // 4 servers: 120 in all, 20 for this VM, 33 with slack; half of it 10, 16 with slack
+	const slots, vms = 30, 6 // 4 servers: 120 slots in total, 20 for this VM, 33 with slack; half of it 10, 16 with slack
 	ch := chooser(8)
 	ch.Update(1, backends(4, slots), vms)
-	// Nobody else is there: all that the VM may give out is lent, with slack.
+	// Without other customers, all of the VM's part is lent, with slack.
 	lent := admitted(t, ch, 1, "flood", 0.5, 1000)
 	assert.Equal(t, len(lent), 33)
-	// The other comes and has its own part at once.
+	// Another customer arrives and gets its own part at once.
 	others := admitted(t, ch, 2, "other", 0.5, 1000)
 	assert.Equal(t, len(others), 16)
-	// The flood gave back all but 5, and is lent what the other leaves.
+	// The flood has 8 requests left in flight, and is lent what the other leaves.
 	for _, id := range lent[:25] {
 		ch.Done(3, id, Outcome{Customer: "flood", Result: Success})
 	}
 	assert.Equal(t, len(admitted(t, ch, 3, "flood", 0.5, 1000)), 9)
-	// What the other gives back is held for it, for it used that lately.
+	// What the other customer frees stays reserved for it, because it was recently used.
 	for _, id := range others {
 		ch.Done(4, id, Outcome{Customer: "other", Result: Success})
 	}
 	assert.Equal(t, len(admitted(t, ch, 4, "flood", 0.5, 1000)), 0)
-	// When the other is gone for the span, its part is lent.
+	// When the other customer has been idle for the span, its part is lent.
 	assert.Equal(t, len(admitted(t, ch, 3+DefaultActiveSpan, "flood", 0.5, 1000)), 16)
 }
 
-// While the reports show queues, nobody has more than the own part.
+// While the reports show queues, no customer gets more than its own part.
 func TestOverloadedServiceLendsNothing(t *testing.T) {
 	ch := chooser(11)
 	bk := backends(4, 30)
@@ -300,8 +300,8 @@
 	}
 	admitted(t, ch, 5, "other", 1, 20)
 	assert.Equal(t, len(admitted(t, ch, 5, "flood", 0.1, 1000)), 4) // a tenth of 20, with slack
-	// Reports that are stale say nothing.
-	assert.Equal(t, len(admitted(t, ch, 5+DefaultReportStale, "flood", 0.1, 1000)), 9) // 33 in all
+	// Expired reports are ignored.
+	assert.Equal(t, len(admitted(t, ch, 5+DefaultReportStale, "flood", 0.1, 1000)), 9) // 33 in total
 }
 
 func TestShareAllowsAtLeastOneRequest(t *testing.T) {
@@ -311,8 +311,8 @@
 	assert.Equal(t, len(admitted(t, ch, 1, "small", 0.001, 1)), 1)
 }
 
-// Room that the reports show is lent although this VM's own part is used up,
-// but only this VM's part of it.
+// Slots that the reports show as free are lent even if this VM's own part is used up,
+// but only this VM's part of them.
 func TestUnevenVMsBorrow(t *testing.T) {
 	ch := chooser(10)
 	bk := backends(4, 30)
@@ -331,8 +331,8 @@
 	assert.Equal(t, len(admitted(t, ch, 1500, "cu", 0.1, 1000)), 13) // 80 free
 }
 
-// A server in whose place another one answers gets nothing more, at the first
-// word, unless there is no other or its entry names another address.
+// A server at whose address another one answered gets nothing more, from the first such
+// answer on, unless there is no other server or its entry has a new address.
 func TestReplacedServerGetsNothing(t *testing.T) {
 	ch := &Chooser{Rand: rand.New(rand.NewPCG(1, 2))}
 	list := func(address string) *board.Backends {
@@ -356,8 +356,8 @@
 	assert.Equal(t, pick("b"), "a")
 }
 
-// A server that asked for rest gets nothing until then, also where it is the last one:
-// then requests are refused with the time that is left.
+// A server that requested backoff gets nothing until the backoff ends, even if it is the
+// last one. Requests are then refused with the remaining time.
 func TestBackedOffServerGetsNothing(t *testing.T) {
 	ch := chooser(1)
 	ch.Update(0, backends(2, 4), 1)
@@ -366,7 +366,7 @@
 	for range 20 {
 		assert.Equal(t, try(t, ch, 400, always(Failure)), "s01")
 	}
-	assert.Equal(t, pick(t, ch, 400, "s01"), "s01", "one that was tried is better than one that rests")
+	assert.Equal(t, pick(t, ch, 400, "s01"), "s01", "a tried server is better than one that is backing off")
 	assert.Equal(t, ch.BackoffLeft(400, svcName), clock.Millis(0))
 	ch.BackOff(400, "s01", 1000)
 	_, err := ch.Pick(450, Request{Service: svcName, Share: 1})
--- a/internal/balance/compare_test.go
+++ b/internal/balance/compare_test.go
@@ -15,11 +15,11 @@
 	"alderdyke/pkg/clock"
 )
 
-// The trial: a few VMs choose among servers that serve some requests at once
-// and queue the rest, and report their load late.
+// Parameters of the trial: several VMs choose among servers that serve some requests
+// concurrently, queue the others, and report their load late.
 const (
 	trialSlots          = 16
-	trialMean           = 80                // milliseconds of service
+	trialMean           = 80                // mean service time in milliseconds
 	trialReportInterval = clock.Second      // between reports
 	trialLag            = clock.Millis(200) // of a report
 )
@@ -34,7 +34,7 @@
 
 	trialCustomer struct {
 		name  string
-		load  float64 // offered, of the whole room
+		load  float64 // offered, as a part of all slots
 		share float64
 	}
 
@@ -90,7 +90,7 @@
 	heap.Push(&tl.due, trialEvent{when, tl.due.seq, do})
 }
 
-// run offers the load for the span and lets all end.
+// run offers the load for the span and lets all requests end.
 func (tl *trial) run() {
 	tl.running, tl.queues = make([]int, tl.servers), make([][]job, tl.servers)
 	tl.waits, tl.refused = map[string][]float64{}, map[string]int{}
@@ -104,8 +104,8 @@
 	}
 }
 
-// result returns mean and 99th percentile of a customer's wait in
-// milliseconds, and the part of the customer's requests that was refused.
+// result returns the mean and the 99th percentile of a customer's wait in milliseconds,
+// and the part of the customer's requests that was refused.
 func (tl *trial) result(customer string) (mean, p99, refused float64) {
 	waits := tl.waits[customer]
 	slices.Sort(waits)
@@ -113,7 +113,7 @@
 	return stat.Mean(waits, nil), stat.Quantile(0.99, stat.Empirical, waits, nil), float64(tl.refused[customer]) / all
 }
 
-// arrive brings all requests of a customer in one millisecond.
+// arrive generates all requests of a customer in one millisecond.
 func (tl *trial) arrive(now clock.Millis, cu trialCustomer) {
 	perMilli := cu.load * (float64(tl.servers) - 1 + 1/tl.slowdown) * trialSlots / trialMean
 	for gap := tl.rng.ExpFloat64(); gap < perMilli; gap += tl.rng.ExpFloat64() {
@@ -166,24 +166,24 @@
 }
 
 type (
-	// roundRobin goes round at each VM.
+	// roundRobin chooses the servers in turn at each VM.
 	roundRobin struct {
 		servers int
 		next    map[int]int
 	}
 
-	// leastReported takes the server with the least reported load, among as
-	// many as it draws; all if it draws none.
+	// leastReported takes the server with the least reported load among a number of
+	// random draws, or among all servers if the number is zero.
 	leastReported struct {
 		rng            *rand.Rand
 		servers, draws int
 		loads          []int
 	}
 
-	// oracle sees the servers as they are.
+	// oracle chooses by the present load of the servers.
 	oracle struct{ tl *trial }
 
-	// choosers is the Chooser of each VM.
+	// choosers holds the Chooser of each VM.
 	choosers struct {
 		bk  *board.Backends
 		all []*Chooser
@@ -279,16 +279,15 @@
 	return tl
 }
 
-// shape is one setting of the trial.
+// shape is one configuration of the trial.
 type shape struct {
 	vms, servers int
 	load, slow   float64
-	ratio        map[string]float64 // of the chooser's mean wait to the policy's, at most
+	ratio        map[string]float64 // largest ratio of the chooser's mean wait to that of each policy
 }
 
-// The same requests under each policy, with a few VMs and with many that have
-// few requests each. The bounds are ratios of the mean wait, and hold for
-// each seed.
+// Compares the policies for the same requests, with a few VMs and with many VMs that get
+// few requests each. The bounds are ratios of the mean waits and hold for each seed.
 func TestCompareChoices(t *testing.T) {
 	for _, sh := range []shape{
 		{6, 8, 0.8, 1, map[string]float64{polRoundRobin: 0.2, polLeastReported: 0.01, polTwoByReport: 0.01}},
@@ -324,8 +323,8 @@
 	}
 }
 
-// One customer offers three times what there is. The other, within its
-// share, is next to never refused and hardly waits.
+// One customer offers three times the capacity. The other one, within its share, is
+// hardly ever refused and hardly waits.
 func TestFloodOfOneCustomer(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		for _, name := range []string{polRoundRobin, polChooser} {
@@ -349,7 +348,7 @@
 		assert.Check(t, refused < 0.005, "%f refused", refused)
 		assert.Check(t, mean <= 0.2*trialMean, "mean wait %f", mean)
 		assert.Check(t, p99 <= trialMean, "p99 of wait %f", p99)
-		// The room less what steady uses, of three times the room: 0.77.
+		// The flood offers three times all slots and gets those that steady leaves, so 0.77 of it is refused.
 		assert.Check(t, floodRefused > 0.7 && floodRefused < 0.8, "flood refused %f", floodRefused)
 	}
 }
--- a/internal/balance/crowd.go
+++ b/internal/balance/crowd.go
@@ -7,51 +7,53 @@
 )
 
 const (
-	// waitGain is the weight of a server's word in the wait that is expected at
-	// a service: of the five requests that a VM of a large fleet sends it in a
-	// second, those of the last half second count for most.
+	// waitGain is the weight of a server's report in the expected wait of a service.
+	// A VM of a large fleet sends it about five requests per second, so the reports
+	// of the last half second have the most weight.
 	waitGain = 0.3
-	// waitHalfLife is how long it takes until half of the expected wait is forgotten
-	// where no server says anything.
+	// waitHalfLife is the time in which the expected wait decays to a half while no
+	// server reports.
 	waitHalfLife = 500 * clock.Millis(1)
-	// workGain is the weight of an answer in the time that work takes.
+	// workGain is the weight of an answer in the average service time.
 	workGain = 0.05
-	// maxWaitPart of what an objective leaves beside the work may be expected to be
-	// waited at a server before requests are refused. What VMs know is half a
-	// second old, in which the line of a burst becomes several times as long. Of
-	// 69 VMs' requests at 2.8 times the usual 60 in 100 are answered in time in
-	// place of 27 (TestQueueIsKeptShort); half and a fifth of what is left let
-	// three and two times as many be late.
+	// maxWaitPart is the largest expected wait at a server for which no request is
+	// refused, as a part of what the objective leaves beyond the service time. The
+	// estimate is half a second old, in which the queue of a burst grows several
+	// times as long. If 69 VMs send 2.8 times the usual requests, 60 % are answered
+	// in time, instead of 27 % without refusals (TestQueueIsKeptShort). With a half
+	// or a fifth, three or two times as many are late.
 	maxWaitPart = 0.1
-	// maxWaitPartLight is the same for those who send few, whom others' lines are not to
-	// push out: it leaves them in time.
+	// maxWaitPartLight is the same for senders with few requests. It still lets them
+	// be in time, and keeps the queues of other senders from displacing them.
 	maxWaitPartLight = 0.4
-	// assumedRefusalPart of all requests would be refused where it is asked who sends few.
+	// assumedRefusalPart is the part of all requests that is assumed to be refused
+	// when deciding which senders have few requests.
 	assumedRefusalPart = 0.5
-	// refusalSlope is how fast refusals rise with the line beyond that: at three
-	// times the useful wait all are refused that may be. Twice as fast answers as
-	// many in time and refuses 20 to 30 in 1,000 more.
+	// refusalSlope is how fast refusals increase with the expected wait beyond the
+	// largest one. At about three times that wait refusals reach their maximum. Twice
+	// the slope answers as many in time and refuses 20 to 30 more in 1,000.
 	refusalSlope = 0.5
-	// maxRefusalPart is the largest part of requests that is refused by expectation:
-	// the others find out whether it is still true.
+	// maxRefusalPart is the largest part of requests that is refused because of the
+	// expected wait. The others show whether the estimate still holds.
 	maxRefusalPart = 0.9
 )
 
 type (
-	// Load is what a server tells with an answer of how busy it is.
+	// Load is the load that a server reports with an answer.
 	Load struct {
 		Running, Waiting, Slots int
 	}
 
-	// queueEstimate is what a VM expects of the line before a service's servers.
+	// queueEstimate is a VM's estimate of the queue at a service's servers.
 	queueEstimate struct {
-		wait float64 // expected, in ms
-		work float64 // that a request takes without one, in ms; zero: not known
+		wait float64 // expected wait in ms
+		work float64 // service time of a request without a queue, in ms; zero: unknown
 		at   clock.Millis
 	}
 )
 
-// observe takes a server's word, which came with an answer that took so long.
+// observe updates the estimate with a load report and the duration of the answer that
+// carried it.
 func (qe *queueEstimate) observe(now clock.Millis, ld Load, took clock.Millis) {
 	if ld.Slots <= 0 {
 		return
@@ -67,23 +69,23 @@
 	qe.at = now
 }
 
-// expectedWait is the wait that is expectedWait now.
+// expectedWait returns the expected wait now, in ms.
 func (qe *queueEstimate) expectedWait(now clock.Millis) float64 {
 	return qe.wait * math.Exp2(-float64(now-qe.at)/float64(waitHalfLife))
 }
 
-// RefusesForQueue tells whether some requests of a service with an objective are refused
-// since the line before its servers is too long.
+// RefusesForQueue reports whether some requests of a service with an objective are
+// refused because the queue at its servers is too long.
 func (ch *Chooser) RefusesForQueue(now clock.Millis, service string, objective clock.Millis) bool {
 	svc := ch.services[service]
 	return svc != nil && svc.queue.refusalPart(now, objective, maxWaitPart) > 0
 }
 
-// refusalPart is the part of requests with an objective that are better refused at
-// once: while more come than servers have places for, all wait in a line that
-// makes all of them late, and of as many as can be served each is in time if the
-// others are turned away. Up to a part of what the objective leaves beside the work may
-// be expected to be waited.
+// refusalPart returns the part of requests with an objective that should be refused at
+// once. If more requests arrive than the servers have capacity for, the queue makes
+// all of them late. If the excess is refused, all others are answered in time. The
+// argument waitPart is the largest acceptable wait as a part of what the objective
+// leaves beyond the service time.
 func (qe *queueEstimate) refusalPart(now, objective clock.Millis, waitPart float64) float64 {
 	useful := waitPart * (float64(objective) - qe.work)
 	if objective <= 0 || qe.work == 0 || useful <= 0 {
--- a/internal/balance/crowd_test.go
+++ b/internal/balance/crowd_test.go
@@ -13,42 +13,42 @@
 	"alderdyke/pkg/clock"
 )
 
-// The load of the test: a fleet before a plain service that is asked for more than it
-// can do.
+// Parameters of the load: a fleet sends a plain service more requests than it has
+// capacity for.
 const (
 	loadVMs         = 69
 	loadServers     = 5
 	loadSlots       = 6
 	loadQueue       = 24
-	loadMeanWork    = 60 // ms in the mean, evenly from a third to five thirds of it
+	loadMeanWork    = 60 // mean in ms; uniform from a third to five thirds of it
 	loadObjective   = 300 * clock.Millis(1)
-	loadRetryDelay  = 50 * clock.Millis(1) // when a refused caller comes back, once
-	loadFailurePart = 1.0 / 7              // of requests fail at a server
+	loadRetryDelay  = 50 * clock.Millis(1) // until a refused caller returns, once
+	loadFailurePart = 1.0 / 7              // part of requests that fail at a server
 	loadCrossing    = 3 * clock.Millis(1)
-	loadRate        = 211.0 // requests a second, of which a burst is so many times as many
+	loadRate        = 211.0 // requests per second; a burst has loadBurst times as many
 	loadBurst       = 2.8
 	loadBurstFrom   = 4 * clock.Second
 	loadBurstTo     = 9 * clock.Second
 	loadEnd         = 14 * clock.Second
 	loadSenders     = 16
-	loadBurstSender = "sender 0"       // who sends a burst
-	loadDetection   = 2 * clock.Second // from its begin until the VMs have seen who sends it
+	loadBurstSender = "sender 0"       // sends the burst
+	loadDetection   = 2 * clock.Second // from the burst's beginning until the VMs have detected its sender
 )
 
 type (
-	// loadSim is the fleet and the servers in virtual time.
+	// loadSim simulates the fleet and the servers in virtual time.
 	loadSim struct {
 		rnd        *rand.Rand
 		whose      *rand.Rand // draws senders
 		vms        []*Chooser
 		servers    map[string]*loadServer
 		events     []loadEvent
-		useReports bool // the choosers hear what servers tell, and of the objective
-		// nameSenders has the choosers hear whose a request is.
+		useReports bool // the choosers get the servers' load reports and the objective
+		// nameSenders gives the choosers the senders of requests.
 		nameSenders bool
 
 		asked, inTime, late, refused, failed int
-		others                               struct{ asked, inTime, refused int } // of all senders but the first
+		others                               struct{ asked, inTime, refused int } // all senders except loadBurstSender
 	}
 
 	loadServer struct {
@@ -65,7 +65,7 @@
 		sent      clock.Millis
 		returning bool // its caller was refused before
 		tried     []string
-		fails     bool // always
+		fails     bool // at every server
 		server    string
 	}
 
@@ -88,7 +88,7 @@
 		ls.servers[id] = &loadServer{id: id, speed: 1}
 		list = append(list, board.BackendServer{ID: id, Service: "s", Role: board.Plain, Address: id})
 	}
-	ls.servers["a"].speed = 0.7 // one is slow
+	ls.servers["a"].speed = 0.7 // a slow server
 	for ix := range loadVMs {
 		ch := &Chooser{Rand: rand.New(rand.NewPCG(seed, uint64(ix)))}
 		ch.Update(0, (&board.Backends{}).WithServers(list), 1)
@@ -97,8 +97,8 @@
 	return ls
 }
 
-// play has callers come, and returns the part of them that were answered in time while
-// there were more than the servers can do.
+// play runs the simulation and returns the part of the requests of the burst that were
+// answered in time.
 func (ls *loadSim) play() float64 {
 	for at := 0.0; at < float64(loadEnd); {
 		rate := loadRate
@@ -118,8 +118,8 @@
 	return float64(ls.inTime) / float64(ls.asked)
 }
 
-// senderAt draws whose a request is: the usual ones are anybody's, what a burst is
-// above them is the first sender's.
+// senderAt draws the sender of a request. The usual requests come from any sender, and
+// those that the burst adds come from loadBurstSender.
 func (ls *loadSim) senderAt(at clock.Millis) string {
 	burst := at >= loadBurstFrom && at < loadBurstTo
 	if burst && ls.whose.Float64() >= 1/loadBurst {
@@ -128,7 +128,7 @@
 	return fmt.Sprint("sender ", ls.whose.IntN(loadSenders))
 }
 
-// inBurst tells whether a request came in the burst.
+// inBurst reports whether a request arrived during the burst.
 func (rq *loadRequest) inBurst() bool { return rq.began >= loadBurstFrom && rq.began < loadBurstTo }
 
 func (ls *loadSim) count(rq *loadRequest, count *int) {
@@ -237,22 +237,23 @@
 	}
 }
 
-// While more come than the servers can do, as many as they can do are to be answered in
-// time. Of 591 requests a second five servers with 28 places' worth can answer 470; a
-// tenth of the requests fail at both tries. Without heed of the line all wait in it.
+// Under overload, as many requests as the servers have capacity for should be answered in
+// time. Of 591 requests per second, five servers with the capacity of 28 slots can answer
+// 470, and a tenth of the requests fail at both attempts. Without the reports all
+// requests wait in the queue.
 func TestQueueIsKeptShort(t *testing.T) {
 	for seed := range uint64(5) {
 		heeding, waiting := newLoadSim(seed, true), newLoadSim(seed, false)
 		with, without := heeding.play(), waiting.play()
-		t.Logf("seed %d: in time %.2f, without heed %.2f; late %d and %d of %d, refused %d and %d", seed, with, without,
+		t.Logf("seed %d: in time %.2f, without reports %.2f; late %d and %d of %d, refused %d and %d", seed, with, without,
 			heeding.late, waiting.late, heeding.asked, heeding.refused, waiting.refused)
 		assert.Assert(t, with >= 0.5, "seed %d: %.2f in time", seed, with)
-		assert.Assert(t, with >= 1.25*without, "seed %d: %.2f in time, %.2f without heed", seed, with, without)
+		assert.Assert(t, with >= 1.25*without, "seed %d: %.2f in time, %.2f without reports", seed, with, without)
 		assert.Assert(t, heeding.late <= heeding.asked/10, "seed %d: %d late", seed, heeding.late)
 	}
 }
 
-// Where there is room nobody is refused, and a word that is old counts no more.
+// With free capacity no request is refused, and old load reports lose their effect.
 func TestNoRefusalsWithFreeCapacity(t *testing.T) {
 	var cr queueEstimate
 	assert.Equal(t, cr.refusalPart(0, loadObjective, maxWaitPart), 0.0)
@@ -264,26 +265,26 @@
 		cr.observe(now, Load{Running: 6, Waiting: 24, Slots: 6}, 300)
 	}
 	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart)
-	assert.Equal(t, cr.refusalPart(2000, 0, maxWaitPart), 0.0, "without an objective nobody is late")
+	assert.Equal(t, cr.refusalPart(2000, 0, maxWaitPart), 0.0, "without an objective no request is late")
 	assert.Equal(t, cr.refusalPart(2000, 50, maxWaitPart), 0.0, "the objective can't be met anyway")
 	assert.Equal(t, cr.refusalPart(2000+6*waitHalfLife, loadObjective, maxWaitPart), 0.0)
 	cr.observe(2000, Load{}, 60)
-	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart, "a word without places says nothing")
+	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart, "a report without slots is ignored")
 }
 
-// A burst that one sender makes is that sender's to bear: two seconds after its begin at
-// most one in twenty of the others' requests, which would fit, is refused, and not fewer
-// of all are answered in time.
+// A burst of one sender is at that sender's expense. From two seconds after its beginning,
+// at most one in twenty requests of the others, for which there is capacity, is refused,
+// and the part of all requests that are answered in time does not drop.
 func TestBurstOfOneSenderDoesNotDisplaceOthers(t *testing.T) {
 	for seed := range uint64(5) {
 		fair, alike := newLoadSim(seed, true), newLoadSim(seed, true)
 		fair.nameSenders = true
 		with, without := fair.play(), alike.play()
 		ot, was := fair.others, alike.others
-		t.Logf("seed %d: of the others' in time %.2f, all alike %.2f; refused %.3f and %.3f; of all in time %.2f and %.2f", seed,
+		t.Logf("seed %d: others in time %.2f, without senders %.2f; refused %.3f and %.3f; all in time %.2f and %.2f", seed,
 			float64(ot.inTime)/float64(ot.asked), float64(was.inTime)/float64(was.asked),
 			float64(ot.refused)/float64(ot.asked), float64(was.refused)/float64(was.asked), with, without)
 		assert.Assert(t, ot.refused*20 <= ot.asked, "seed %d: %d of %d refused", seed, ot.refused, ot.asked)
-		assert.Assert(t, with >= without-0.03, "seed %d: %.2f of all in time, %.2f where all are alike", seed, with, without)
+		assert.Assert(t, with >= without-0.03, "seed %d: %.2f of all in time, %.2f without senders", seed, with, without)
 	}
 }
--- a/internal/balance/customer.go
+++ b/internal/balance/customer.go
@@ -6,16 +6,16 @@
 	"alderdyke/pkg/clock"
 )
 
-// customer is the use of one service by one customer through this VM.
+// customer is one customer's use of one service through this VM.
 type customer struct {
 	share    float64
 	inFlight int
 
-	// The most requests in flight at once, in this span of Settings.ActiveSpan
-	// and in the one before.
+	// The largest numbers of requests in flight, in the present span of
+	// Settings.ActiveSpan and in the previous one.
 	peak, previousPeak int
 	spanBegan          clock.Millis
-	lastRequest        clock.Millis // last request
+	lastRequest        clock.Millis
 }
 
 func (svc *service) customer(name string) *customer {
@@ -27,7 +27,7 @@
 	return cu
 }
 
-// evictIdle drops customers that have been quiet for long.
+// evictIdle drops customers that have been idle for long.
 func (svc *service) evictIdle(now, active clock.Millis) {
 	for name, cu := range svc.customers {
 		if cu.inFlight == 0 && now-cu.lastRequest > 2*active {
@@ -36,7 +36,7 @@
 	}
 }
 
-// recordRequest takes a new ask and begins a new span if one is over.
+// recordRequest records a request, and begins a new span if the present one is over.
 func (cu *customer) recordRequest(now clock.Millis, share float64, active clock.Millis) {
 	cu.share, cu.lastRequest = share, now
 	switch past := now - cu.spanBegan; {
@@ -52,18 +52,18 @@
 	cu.peak = max(cu.peak, cu.inFlight)
 }
 
-// part is what the customer may have in flight through this VM whatever the
-// others do: its share of the whole room over the VMs, with slack for callers
-// who spread over the VMs by chance, and at least one.
+// part returns the number of requests that the customer may always have in flight
+// through this VM: its share of all slots, divided by the number of VMs, with slack
+// for callers who are spread unevenly over the VMs, and at least one.
 func (cu *customer) part(room float64, st Settings) int {
 	return max(1, int(withSlack(cu.share*room, st.PartSlack)))
 }
 
-// withSlack adds standard deviations of a Poisson count to its mean.
+// withSlack adds standard deviations of a Poisson distribution to its mean.
 func withSlack(mean, deviations float64) float64 { return mean + deviations*math.Sqrt(mean) }
 
-// reserved is how much of the customer's part is not lent, for it was used
-// lately and may be wanted again: up to twice the latest peak.
+// reserved returns how much of the customer's part is not lent because it was recently
+// used and may be needed again: up to twice the recent peak.
 func (cu *customer) reserved(now clock.Millis, room float64, st Settings) int {
 	if now-cu.lastRequest > st.ActiveSpan {
 		return 0
@@ -72,9 +72,9 @@
 	return max(0, min(cu.part(room, st), likely)-cu.inFlight)
 }
 
-// admits tells whether the customer may have one more request in flight:
-// within its own part always, beyond it while there is room that no other
-// customer is likely to want.
+// admits reports whether the customer may have one more request in flight. Within its
+// own part it always may; beyond it, while there are slots that no other customer is
+// likely to need.
 func (ch *Chooser) admits(now clock.Millis, svc *service, cu *customer) bool {
 	room := float64(svc.totalSlots()) / float64(ch.vms)
 	if cu.inFlight < cu.part(room, ch.Settings) {
@@ -97,12 +97,12 @@
 	return sum
 }
 
-// lendable is how many requests this VM may have in flight in all, when it
-// lends: its part of the service's room with slack, or what it had when the
-// servers reported and its part of what was free then, whichever is more. All
-// VMs see the same reports; as each takes only its part until the next
-// report, they don't take the same free room all at once. While the reports
-// show more work than room there is no slack.
+// lendable returns how many requests in total this VM may have in flight while it
+// lends: its part of the service's slots with slack or, if that is more, its requests
+// in flight at the last reports plus its part of the slots that were free then. All VMs
+// see the same reports. Since each takes only its part until the next report, they
+// don't all take the same free slots. While the reports show more load than slots,
+// there is no slack.
 func (ch *Chooser) lendable(now clock.Millis, svc *service, room float64) int {
 	if svc.overloaded {
 		return int(room)
--- a/internal/balance/fair.go
+++ b/internal/balance/fair.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// senderHalfLife is how long it takes until half of a sender's requests are
-	// forgotten: one VM of many sees a sender once in seconds.
+	// senderHalfLife is the time in which a sender's count decays to a half. In a
+	// large fleet, one VM gets a request of a sender only every few seconds.
 	senderHalfLife = 2 * clock.Second
-	// maxSenders bounds those that are remembered.
+	// maxSenders bounds the number of senders that are counted.
 	maxSenders = 256
 )
 
 type (
-	// senders is how many requests each sender made of late at one service through
-	// this VM, so that one who sends many does not push the others out. The zero
+	// senders counts the recent requests of each sender to one service through this
+	// VM, so that a sender with many requests does not displace the others. The zero
 	// value has none.
 	senders struct {
 		counts map[string]decayingCount
 	}
 
-	// decayingCount is a number of requests, of which half is forgotten in senderHalfLife.
+	// decayingCount is a count of requests with the half-life senderHalfLife.
 	decayingCount struct {
 		count float64
 		at    clock.Millis
@@ -34,7 +34,7 @@
 	return dc.count * math.Exp2(-float64(now-dc.at)/float64(senderHalfLife))
 }
 
-// add counts a request of a known sender.
+// add counts a request if its sender is known.
 func (se *senders) add(now clock.Millis, name string) {
 	if name == "" {
 		return
@@ -48,7 +48,7 @@
 	se.counts[name] = decayingCount{count: se.counts[name].valueAt(now) + 1, at: now}
 }
 
-// evictSmallest drops who has made the fewest requests.
+// evictSmallest drops the sender with the smallest count.
 func (se *senders) evictSmallest(now clock.Millis) {
 	least, fewest := "", math.Inf(1)
 	for name, md := range se.counts {
@@ -59,11 +59,12 @@
 	delete(se.counts, least)
 }
 
-// withinFairShare tells whether a sender makes so few requests that none of them would be refused if
-// a part of all were, and each sender could have as many as the others.
+// withinFairShare reports whether a sender has so few requests that none of them would
+// be refused if the given part of all requests were refused and all senders were
+// limited to the same number.
 func (se *senders) withinFairShare(now clock.Millis, name string, part float64) bool {
 	if name == "" || len(se.counts) < 2 {
-		return false // it is nobody's, or there is nobody else
+		return false // the sender is unknown, or there is no other
 	}
 	counts := make([]float64, 0, len(se.counts))
 	sum := 0.0
@@ -76,8 +77,8 @@
 	return se.counts[name].valueAt(now) <= fairLevel(counts, (1-part)*sum)
 }
 
-// fairLevel is how much each of some amounts, in rising order, may have at most if all
-// together may have so much.
+// fairLevel returns the largest limit for each of some counts, given in ascending
+// order, with which the limited counts sum up to at most a total.
 func fairLevel(counts []float64, all float64) float64 {
 	for ix, count := range counts {
 		each := all / float64(len(counts)-ix)
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// reportGain is the weight of a new report against those before it. The
-	// load of a second ago says little of the load now; that of many seconds
-	// tells a slow server, or one that others use more.
+	// reportGain is the weight of a new report against earlier ones. The load one
+	// second ago says little about the load now. The load over many seconds reveals
+	// a slow server, or one that is used more by other VMs.
 	reportGain = 0.1
-	// recentGain is the same for the sum over all servers, in which chance
+	// recentGain is the same for the sum over all servers, in which random variation
 	// evens out.
 	recentGain = 0.5
-	// A server stands out whose smoothed load is above the mean by this many
-	// standard deviations of a Poisson count, and this many requests.
+	// An outlier is a server whose smoothed load exceeds the mean by this many
+	// standard deviations of a Poisson distribution plus this many requests.
 	outlierDeviations = 2
 	outlierRequests   = 1
-	// compareInterval is how often servers are compared anew without a report.
+	// compareInterval is how often servers are compared without a new report.
 	compareInterval = clock.Second
 )
 
-// server is what this VM knows of one backend server.
+// server is this VM's state for one backend server.
 type server struct {
 	id, service string
 	address     string
@@ -33,25 +33,25 @@
 
 	slots        int
 	reportedAt   clock.Millis
-	load         float64 // by the reports, smoothed over many
-	recent       float64 // by the reports, smoothed over a few
-	excess       float64 // of load over what others have and chance explains
+	load         float64 // reported load, smoothed over many reports
+	recent       float64 // reported load, smoothed over a few reports
+	excess       float64 // load beyond that of the others and random variation
 	busyUntil    clock.Millis
-	backoffUntil clock.Millis // it asked for rest until then; zero: it did not
+	backoffUntil clock.Millis // requested by the server; zero: not requested
 
-	// At the last report.
+	// At the time of the last report.
 	inFlightAtReport, freeAtReport int
 
-	rampingUp  bool         // slow start runs from since
+	rampingUp  bool         // in slow start since returnedAt
 	returnedAt clock.Millis // last return
 
-	failures     int // in a row
-	ejections    int // in a row, each ends the longer
+	failures     int // consecutive
+	ejections    int // consecutive; each lasts longer
 	ejectedUntil clock.Millis
-	probation    bool // no answer yet since the last ejection
+	probation    bool // no success since the last ejection
 }
 
-// applyReport takes a load report once.
+// applyReport applies a load report, unless it was applied before.
 func (srv *server) applyReport(rep board.LoadReport, st Settings) {
 	if srv.slots == 0 {
 		srv.slots = st.Slots
@@ -75,8 +75,8 @@
 	srv.freeAtReport = max(0, srv.slots-load)
 }
 
-// findOutliers finds the servers that stand out, for each slot that they have, and
-// whether all together have more work than room.
+// findOutliers computes the excess of each server, compared to the others per slot, and
+// whether the total load exceeds the slots.
 func (svc *service) findOutliers(now clock.Millis, st Settings) {
 	svc.comparedAt = now
 	var load, recent, slots float64
@@ -97,14 +97,14 @@
 	}
 }
 
-// hasFreshReport tells whether the last report still says something.
+// hasFreshReport reports whether the last report has not expired.
 func (srv *server) hasFreshReport(now clock.Millis, st Settings) bool {
 	return srv.reportedAt > 0 && now-srv.reportedAt <= st.ReportStale
 }
 
-// pressure compares servers: requests in flight for each slot, the slots of a
-// returning server counting little at first. One that said that it is busy
-// counts as full until it reports again.
+// pressure returns the value by which servers are compared: the load per slot, where
+// the slots of a returning server count little at first. A server that declined a
+// request as busy counts as full until its next report.
 func (srv *server) pressure(now clock.Millis, st Settings) float64 {
 	load := float64(srv.inFlight) + srv.excess
 	if now < srv.busyUntil {
@@ -113,7 +113,7 @@
 	return load / (float64(srv.slots) * srv.weight(now, st))
 }
 
-// weight is the part of its requests that the server gets, as it returns.
+// weight returns the part of its requests that a returning server gets now.
 func (srv *server) weight(now clock.Millis, st Settings) float64 {
 	if !srv.rampingUp {
 		return 1
@@ -128,9 +128,9 @@
 
 func (srv *server) ejected(now clock.Millis) bool { return now < srv.ejectedUntil }
 
-// failed counts a failure and tells whether it ejects the server, if it may be.
-// After an ejection the first failure does, until the server has answered
-// once. Requests that end while the server is ejected say nothing new.
+// failed counts a failure and reports whether the server should be ejected. After an
+// ejection the first failure suffices, until the server has answered once. Requests
+// that end while the server is ejected are ignored, because they were sent before.
 func (srv *server) failed(now clock.Millis, st Settings) bool {
 	if srv.ejected(now) {
 		return false
@@ -150,8 +150,8 @@
 	srv.rampingUp, srv.returnedAt = true, srv.ejectedUntil
 }
 
-// succeeded ends a row of failures. Ejections are forgiven when the server
-// has done well for long enough.
+// succeeded resets the consecutive failures. The ejections are forgiven once the server
+// has worked for long enough.
 func (srv *server) succeeded(now clock.Millis, st Settings) {
 	srv.failures, srv.probation = 0, false
 	if now-srv.ejectedUntil >= st.ForgiveAfter {
