--- a/pkg/place/decode.go
+++ b/pkg/place/decode.go
@@ -28,7 +28,7 @@
 	if sc.run() {
 		sc.decode(target)
 	}
-	if check != nil && !sc.broken {
+	if check != nil && !sc.undecodable {
 		for _, pe := range check() {
 			sc.addProblem(pe)
 		}
@@ -51,12 +51,12 @@
 
 // decode reads the sound expressions of the text.
 func (sc *scan) decode(target any) {
-	dec := toml.NewDecoder(bytes.NewReader(sc.soundText())).DisallowUnknownFields()
+	dec := toml.NewDecoder(bytes.NewReader(sc.validText())).DisallowUnknownFields()
 	err := dec.Decode(target)
 	if err == nil {
 		return
 	}
-	sc.broken = true
+	sc.undecodable = true
 	var de *toml.DecodeError
 	if !errors.As(err, &de) {
 		sc.problems = append(sc.problems, Error{Mend: err.Error()})
@@ -80,11 +80,11 @@
 	return ""
 }
 
-// soundText returns the text with the lines of unsound expressions emptied.
-func (sc *scan) soundText() []byte {
+// validText returns the text with the lines of unsound expressions emptied.
+func (sc *scan) validText() []byte {
 	lines := bytes.Split(sc.text, []byte("\n"))
 	for _, ex := range sc.expressions {
-		if ex.sound {
+		if ex.valid {
 			continue
 		}
 		for row := ex.first; row <= ex.last && row <= len(lines); row++ {
--- a/pkg/place/scan.go
+++ b/pkg/place/scan.go
@@ -34,7 +34,7 @@
 		bad         map[string]bool // key paths with a problem
 		counts      map[string]int  // elements of each array of tables
 		problems    Errors
-		broken      bool // no value could be decoded
+		undecodable bool // no value could be decoded
 
 		at  string       // path of the current table
 		typ reflect.Type // of the current table; nil if it is unknown
@@ -44,7 +44,7 @@
 	expression struct {
 		path        string
 		first, last int
-		sound       bool
+		valid       bool
 	}
 )
 
@@ -77,7 +77,7 @@
 	if err == nil {
 		return true
 	}
-	sc.broken = true
+	sc.undecodable = true
 	pe := Error{Mend: "write valid TOML: " + err.Error()}
 	var se *unstable.ParserError
 	if errors.As(err, &se) {
@@ -111,7 +111,7 @@
 	sc.expressions = append(sc.expressions, expression{
 		path:  path,
 		first: line,
-		sound: !inside && before == len(sc.problems),
+		valid: !inside && before == len(sc.problems),
 	})
 }
 
