--- a/pkg/place/decode.go
+++ b/pkg/place/decode.go
@@ -12,16 +12,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxProblems bounds the problems of one text that are reported one by one.
+// MaxProblems is the largest number of problems of one text that are listed.
 const MaxProblems = 100
 
-// Decode reads TOML into the struct that target points to, then calls check,
+// Decode decodes TOML into the struct that target points to, then calls check,
 // which returns the problems of the decoded value by their keys. The error is
-// nil or an [Errors] that holds all problems, in the order of their lines; of
-// more than [MaxProblems], the last entry tells how many were left out.
+// nil or an [Errors] that holds all problems, ordered by line. If there are more
+// than [MaxProblems], the last entry tells how many were left out.
 //
-// Parts of the text that are wrong in themselves are left out of the decoded
-// value; a problem that check finds at such a key, or below it, is not
+// Expressions that are invalid by themselves are left out of the decoded value. A
+// problem that check finds at the key of such an expression, or below it, is not
 // reported a second time. A nil check finds nothing.
 func Decode(file string, text []byte, target any, check func() Errors) error {
 	sc := newScan(text, reflect.TypeOf(target).Elem())
@@ -40,7 +40,7 @@
 	return sc.problems.bounded(file).Err()
 }
 
-// bounded cuts a list that is longer than a person reads.
+// bounded truncates a list that is too long for a person to read.
 func (es Errors) bounded(file string) Errors {
 	if len(es) <= MaxProblems {
 		return es
@@ -49,7 +49,7 @@
 	return append(es[:MaxProblems:MaxProblems], more)
 }
 
-// decode reads the sound expressions of the text.
+// decode decodes the valid expressions of the text.
 func (sc *scan) decode(target any) {
 	dec := toml.NewDecoder(bytes.NewReader(sc.validText())).DisallowUnknownFields()
 	err := dec.Decode(target)
@@ -80,7 +80,7 @@
 	return ""
 }
 
-// validText returns the text with the lines of unsound expressions emptied.
+// validText returns the text with the lines of invalid expressions blanked.
 func (sc *scan) validText() []byte {
 	lines := bytes.Split(sc.text, []byte("\n"))
 	for _, ex := range sc.expressions {
@@ -94,8 +94,8 @@
 	return bytes.Join(lines, []byte("\n"))
 }
 
-// addProblem adds a problem of the decoded value, unless its key or one above it
-// has one already.
+// addProblem adds a problem of the decoded value, unless a problem at its key or at
+// a key above it was already reported.
 func (sc *scan) addProblem(pe Error) {
 	if pe.Line == 0 {
 		pe.Line = sc.lineOf(pe.Key)
@@ -108,7 +108,8 @@
 	sc.problems = append(sc.problems, pe)
 }
 
-// lineOf finds the line of a key, or of the nearest key above it.
+// lineOf returns the line of a key, or of the nearest key above it; zero if none has
+// one.
 func (sc *scan) lineOf(key string) int {
 	for ; key != ""; key = parent(key) {
 		if line, ok := sc.lines[key]; ok {
@@ -118,7 +119,7 @@
 	return 0
 }
 
-// parent returns the key above, or the empty string.
+// parent returns the key above, or the empty string if there is none.
 func parent(key string) string {
 	return key[:max(0, strings.LastIndexAny(key, ".["))]
 }
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -1,6 +1,6 @@
-// Package place reports what is wrong with a text that a person wrote, by the
-// place where it is wrong and the way to mend it, and decodes TOML so that all
-// problems of a text are reported together.
+// Package place reports the problems of a text that a person wrote, each with its
+// place and a way to mend it, and decodes TOML so that all problems of a text are
+// reported together.
 //
 // Keys are matched exactly, letter case included, and a key that the target
 // does not have is an error. A value whose type implements
@@ -31,13 +31,13 @@
 		Mend  string // what to write instead
 	}
 
-	// Errors is all problems of one text. A function that returns it as an
-	// error returns nil rather than an empty list.
+	// Errors holds all problems of one text. A function that returns it as an error
+	// returns nil instead of an empty list.
 	Errors []Error
 )
 
-// Error writes the problem as "file:line: Key = value: mend", without the
-// parts that are not known.
+// Error formats the problem as "file:line: Key = value: mend", without the parts
+// that are unknown.
 func (pe Error) Error() string {
 	var sb strings.Builder
 	switch {
@@ -59,14 +59,14 @@
 	return sb.String()
 }
 
-// WithPlace returns the problem with another file and line.
+// WithPlace returns a copy of the problem with another file and line.
 func (pe Error) WithPlace(file string, line int) Error {
 	pe.File = file
 	pe.Line = line
 	return pe
 }
 
-// Error writes one problem a line.
+// Error formats the problems, one per line.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for ix, pe := range es {
@@ -92,8 +92,8 @@
 	return es
 }
 
-// Add appends a problem. The value is shown as it is; leave it empty for a
-// value that must not be shown.
+// Add appends a problem. The value is shown verbatim; leave it empty if it must not
+// be shown.
 func (es *Errors) Add(key, value, mend string) {
 	*es = append(*es, Error{Key: key, Value: value, Mend: mend})
 }
--- a/pkg/place/place_test.go
+++ b/pkg/place/place_test.go
@@ -52,31 +52,31 @@
 		text string
 		want []string // "line key"
 	}{
-		"sound":                {"Share = 1\nCount = 2\nOn = true\n[Inner]\nName = 'x'\nSpan = '5s'\nParts = ['a']", nil},
-		"empty":                {"", nil},
-		"dotted":               {"Inner.Name = 'x'\nInner.Span = '1s'", nil},
-		"inline":               {"Inner = {Name = 'x', Other = 1}", []string{"1 Inner.Other"}},
-		"list of inline":       {"List = [{Name = 'x'},\n {Name = 3}]", []string{"2 List[1].Name"}},
-		"host name":            {"Address = 'vm-1:80'", []string{"1 Address"}},
-		"host name in a list":  {"Seeds = ['10.0.0.1:1',\n'vm-1:2']", []string{"2 Seeds[1]"}},
-		"letter case":          {"share = 1", []string{"1 share"}},
-		"private":              {"private = 'x'", []string{"1 private"}},
-		"unknown table":        {"[Nothing]\nName = 'x'\n[Inner]\nName = 5", []string{"1 Nothing", "4 Inner.Name"}},
-		"span without unit":    {"[Inner]\n\nSpan = 5", []string{"3 Inner.Span"}},
-		"span without sense":   {"[Inner]\nSpan = 'soon'", []string{"2 Inner.Span"}},
-		"span not a number":    {"[Inner]\nSpan = nan", []string{"2 Inner.Span"}},
-		"table for a value":    {"[Share]\nName = 'x'", []string{"1 Share"}},
-		"value for a table":    {"Inner = 5", []string{"1 Inner"}},
-		"table for an address": {"[Address]", []string{"1 Address"}},
-		"table twice":          {"[Inner]\n[Inner]\nName = 'x'", []string{"2 Inner"}},
-		"below a value":        {"Share.Name = 5", []string{"1 Share.Name"}},
-		"list of no tables":    {"[[Share]]\nName = 1", []string{"1 Share"}},
-		"second in a list":     {"[[List]]\nName = 'x'\n[[List]]\nSpan = 'x'", []string{"4 List[1].Span"}},
-		"all at once":          {"Share = 'x'\nCount = 1.5\nOn = 1\nInner = {Name = true}\nZ = 1", []string{"1 Share", "2 Count", "3 On", "4 Inner.Name", "5 Z"}},
-		"twice":                {"Share = 1\nShare = 2", []string{"2 Share"}},
-		"too large":            {"Count = 99999999999999999999", []string{"1 Count"}},
-		"no TOML":              {"Share = 1\nCount =", []string{"2 "}},
-		"secret":               {"Hidden = 'abc'", []string{"1 Hidden"}},
+		"valid":                       {"Share = 1\nCount = 2\nOn = true\n[Inner]\nName = 'x'\nSpan = '5s'\nParts = ['a']", nil},
+		"empty":                       {"", nil},
+		"dotted":                      {"Inner.Name = 'x'\nInner.Span = '1s'", nil},
+		"inline":                      {"Inner = {Name = 'x', Other = 1}", []string{"1 Inner.Other"}},
+		"list of inline":              {"List = [{Name = 'x'},\n {Name = 3}]", []string{"2 List[1].Name"}},
+		"host name":                   {"Address = 'vm-1:80'", []string{"1 Address"}},
+		"host name in a list":         {"Seeds = ['10.0.0.1:1',\n'vm-1:2']", []string{"2 Seeds[1]"}},
+		"letter case":                 {"share = 1", []string{"1 share"}},
+		"private":                     {"private = 'x'", []string{"1 private"}},
+		"unknown table":               {"[Nothing]\nName = 'x'\n[Inner]\nName = 5", []string{"1 Nothing", "4 Inner.Name"}},
+		"span without unit":           {"[Inner]\n\nSpan = 5", []string{"3 Inner.Span"}},
+		"span that does not parse":    {"[Inner]\nSpan = 'soon'", []string{"2 Inner.Span"}},
+		"span not a number":           {"[Inner]\nSpan = nan", []string{"2 Inner.Span"}},
+		"table for a value":           {"[Share]\nName = 'x'", []string{"1 Share"}},
+		"value for a table":           {"Inner = 5", []string{"1 Inner"}},
+		"table for an address":        {"[Address]", []string{"1 Address"}},
+		"table twice":                 {"[Inner]\n[Inner]\nName = 'x'", []string{"2 Inner"}},
+		"key below a value":           {"Share.Name = 5", []string{"1 Share.Name"}},
+		"array of tables for a value": {"[[Share]]\nName = 1", []string{"1 Share"}},
+		"second table in an array":    {"[[List]]\nName = 'x'\n[[List]]\nSpan = 'x'", []string{"4 List[1].Span"}},
+		"several problems":            {"Share = 'x'\nCount = 1.5\nOn = 1\nInner = {Name = true}\nZ = 1", []string{"1 Share", "2 Count", "3 On", "4 Inner.Name", "5 Z"}},
+		"key twice":                   {"Share = 1\nShare = 2", []string{"2 Share"}},
+		"too large":                   {"Count = 99999999999999999999", []string{"1 Count"}},
+		"invalid TOML":                {"Share = 1\nCount =", []string{"2 "}},
+		"secret":                      {"Hidden = 'abc'", []string{"1 Hidden"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out outer
@@ -105,8 +105,8 @@
 	assert.Equal(t, out.private, "")
 }
 
-// A check sees the sound rest, and what it says of an unsound key, or below
-// it, is dropped.
+// A check sees the valid part of the text. What it reports at or below the key of an
+// invalid expression is dropped.
 func TestDecodeChecksTheRest(t *testing.T) {
 	var out outer
 	err := place.Decode("some.toml", []byte("Count = 3\nShare = 'x'\n[Inner]\nName = 'y'"), &out, func() place.Errors {
--- a/pkg/place/scan.go
+++ b/pkg/place/scan.go
@@ -28,11 +28,11 @@
 		text        []byte
 		root        reflect.Type
 		parser      unstable.Parser
-		breaks      []int // offsets of the line breaks
+		breaks      []int // offsets of line breaks
 		expressions []expression
 		lines       map[string]int  // line of each key path
 		bad         map[string]bool // key paths with a problem
-		counts      map[string]int  // elements of each array of tables
+		counts      map[string]int  // number of elements of each array of tables
 		problems    Errors
 		undecodable bool // no value could be decoded
 
@@ -40,7 +40,7 @@
 		typ reflect.Type // of the current table; nil if it is unknown
 	}
 
-	// expression is the lines of one key-value pair or table header.
+	// expression holds the lines of one key-value pair or table header.
 	expression struct {
 		path        string
 		first, last int
@@ -61,7 +61,7 @@
 	return sc
 }
 
-// run goes through all expressions. It returns false if the text is no TOML.
+// run checks all expressions. It returns false if the text is not valid TOML.
 func (sc *scan) run() bool {
 	sc.parser.Reset(sc.text)
 	for sc.parser.NextExpression() {
@@ -88,7 +88,7 @@
 	return false
 }
 
-// line returns the line of a range of the text.
+// line returns the line at which a range of the text begins.
 func (sc *scan) line(rg unstable.Range) int {
 	ix, _ := slices.BinarySearch(sc.breaks, int(rg.Offset))
 	return ix + 1
@@ -164,8 +164,8 @@
 	return names, line
 }
 
-// resolve follows a dotted key from a struct type. The type is nil if a part
-// is unknown, which has then been reported.
+// resolve follows a dotted key from a struct type. The type is nil if a part of the key
+// is unknown, which was reported then.
 func (sc *scan) resolve(path string, typ reflect.Type, names []string, line int) (string, reflect.Type) {
 	for _, name := range names {
 		if path, typ = sc.field(path, typ, name, line); typ == nil {
@@ -196,7 +196,7 @@
 	return path, fd.Type
 }
 
-// checkValue compares a checkValue with the type that it is for.
+// checkValue compares a value with the type of its target.
 func (sc *scan) checkValue(path string, typ reflect.Type, nd *unstable.Node, line int) {
 	if reflect.PointerTo(typ).Implements(textUnmarshalerType) {
 		sc.checkText(path, typ, nd, line)
@@ -271,8 +271,8 @@
 	}
 }
 
-// expectKind reports a value of another kind than the one wanted. It shows the kind
-// and not the value, which may be a secret at the wrong key.
+// expectKind reports a value of the wrong kind. The message names the kind and not the
+// value, which may be a secret at the wrong key.
 func (sc *scan) expectKind(ok bool, path string, nd *unstable.Node, line int, kind string) bool {
 	if !ok {
 		sc.report(path, line, "", fmt.Sprintf("write %s instead of this %s", kind, nd.Kind))
@@ -285,7 +285,7 @@
 	sc.problems = append(sc.problems, Error{Line: line, Key: path, Value: value, Mend: mend})
 }
 
-// isTable tells whether a type is written as a table.
+// isTable reports whether values of a type are written as tables.
 func isTable(typ reflect.Type) bool {
 	return typ.Kind() == reflect.Struct && !reflect.PointerTo(typ).Implements(textUnmarshalerType)
 }
