--- a/internal/balance/crowd_test.go
+++ b/internal/balance/crowd_test.go
@@ -39,7 +39,7 @@
 	// loadSim simulates the fleet and the servers in virtual time.
 	loadSim struct {
 		rnd        *rand.Rand
-		whose      *rand.Rand // draws senders
+		senderRand *rand.Rand // draws senders
 		vms        []*Chooser
 		servers    map[string]*loadServer
 		events     []loadEvent
@@ -47,8 +47,8 @@
 		// nameSenders gives the choosers the senders of requests.
 		nameSenders bool
 
-		asked, inTime, late, refused, failed int
-		others                               struct{ asked, inTime, refused int } // all senders except loadBurstSender
+		requestCount, inTime, late, refused, failed int
+		others                                      struct{ asked, inTime, refused int } // all senders except loadBurstSender
 	}
 
 	loadServer struct {
@@ -81,7 +81,7 @@
 }
 
 func newLoadSim(seed uint64, heed bool) *loadSim {
-	ls := &loadSim{rnd: rand.New(rand.NewPCG(seed, 5)), whose: rand.New(rand.NewPCG(seed, 6)), servers: make(map[string]*loadServer), useReports: heed}
+	ls := &loadSim{rnd: rand.New(rand.NewPCG(seed, 5)), senderRand: rand.New(rand.NewPCG(seed, 6)), servers: make(map[string]*loadServer), useReports: heed}
 	var list []board.BackendServer
 	for ix := range loadServers {
 		id := string(rune('a' + ix))
@@ -115,17 +115,17 @@
 		ls.events = ls.events[1:]
 		ev.do(ev.at)
 	}
-	return float64(ls.inTime) / float64(ls.asked)
+	return float64(ls.inTime) / float64(ls.requestCount)
 }
 
 // senderAt draws the sender of a request. The usual requests come from any sender, and
 // those that the burst adds come from loadBurstSender.
 func (ls *loadSim) senderAt(at clock.Millis) string {
 	burst := at >= loadBurstFrom && at < loadBurstTo
-	if burst && ls.whose.Float64() >= 1/loadBurst {
+	if burst && ls.senderRand.Float64() >= 1/loadBurst {
 		return loadBurstSender
 	}
-	return fmt.Sprint("sender ", ls.whose.IntN(loadSenders))
+	return fmt.Sprint("sender ", ls.senderRand.IntN(loadSenders))
 }
 
 // inBurst reports whether a request arrived during the burst.
@@ -133,7 +133,7 @@
 
 func (ls *loadSim) count(rq *loadRequest, count *int) {
 	if rq.inBurst() {
-		ls.asked++
+		ls.requestCount++
 		*count++
 	}
 	if rq.sender == loadBurstSender || !rq.inBurst() || rq.began < loadBurstFrom+loadDetection {
@@ -246,10 +246,10 @@
 		heeding, waiting := newLoadSim(seed, true), newLoadSim(seed, false)
 		with, without := heeding.play(), waiting.play()
 		t.Logf("seed %d: in time %.2f, without reports %.2f; late %d and %d of %d, refused %d and %d", seed, with, without,
-			heeding.late, waiting.late, heeding.asked, heeding.refused, waiting.refused)
+			heeding.late, waiting.late, heeding.requestCount, heeding.refused, waiting.refused)
 		assert.Assert(t, with >= 0.5, "seed %d: %.2f in time", seed, with)
 		assert.Assert(t, with >= 1.25*without, "seed %d: %.2f in time, %.2f without reports", seed, with, without)
-		assert.Assert(t, heeding.late <= heeding.asked/10, "seed %d: %d late", seed, heeding.late)
+		assert.Assert(t, heeding.late <= heeding.requestCount/10, "seed %d: %d late", seed, heeding.late)
 	}
 }
 
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -60,9 +60,9 @@
 		// it is not known yet.
 		VMs() int
 		// AskQuota sends a request to a VM and returns the response.
-		AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error)
+		AskQuota(ctx context.Context, vm string, req quota.Request) (quota.Response, error)
 		// TellQuota sends a request to a VM without waiting for a response.
-		TellQuota(vm string, ask quota.Request)
+		TellQuota(vm string, req quota.Request)
 	}
 
 	// Order is the charge for one request.
--- a/internal/charge/shard.go
+++ b/internal/charge/shard.go
@@ -82,9 +82,9 @@
 func (ch *Charger) requestTokens(ctx context.Context, sh *shard, vm string, vms int, or Order) (quota.Response, bool) {
 	lim := or.Limit.PerShard()
 	ch.mu.Lock()
-	ask := sh.account.NewRequest(ch.now(), vms, vm, or.Customer, lim, or.Tokens)
+	req := sh.account.NewRequest(ch.now(), vms, vm, or.Customer, lim, or.Tokens)
 	ch.mu.Unlock()
-	ans, err := ch.exchange(ctx, sh, vm, vms, ask, lim)
+	ans, err := ch.exchange(ctx, sh, vm, vms, req, lim)
 	return ans, err == nil && ans.Known
 }
 
@@ -143,15 +143,15 @@
 	vms := ch.Peers.VMs()
 	ch.mu.Lock()
 	now := ch.now()
-	ask, tell := sh.account.GiveBack(now, vms, customer, lim, tokens)
+	req, send := sh.account.GiveBack(now, vms, customer, lim, tokens)
 	vm := sh.account.Holder(now)
 	ch.mu.Unlock()
 	switch {
-	case !tell:
+	case !send:
 	case vm == ch.Self:
-		ch.Handle(vm, 0, ask)
+		ch.Handle(vm, 0, req)
 	default:
-		ch.Peers.TellQuota(vm, ask)
+		ch.Peers.TellQuota(vm, req)
 	}
 }
 
@@ -170,41 +170,41 @@
 // holds the lease, it is released.
 func (ch *Charger) renew(ctx context.Context, sh *shard, vm string) {
 	vms := ch.Peers.VMs()
-	if ask, holder, ends := ch.release(sh, vm, vms); ends {
-		_, _ = ch.exchange(ctx, sh, holder, vms, ask, quota.Limit{}) // on failure the lease expires
+	if req, holder, ends := ch.release(sh, vm, vms); ends {
+		_, _ = ch.exchange(ctx, sh, holder, vms, req, quota.Limit{}) // on failure the lease expires
 	}
 	for range 2 { // a new lease is announced to its keeper at once
-		ask, due := ch.renewalRequest(sh, vm, vms)
+		req, due := ch.renewalRequest(sh, vm, vms)
 		if !due {
 			return
 		}
-		if _, err := ch.exchange(ctx, sh, vm, vms, ask, quota.Limit{}); err != nil {
+		if _, err := ch.exchange(ctx, sh, vm, vms, req, quota.Limit{}); err != nil {
 			return // the keeper is marked unresponsive and is tried again later
 		}
 	}
 }
 
 // renewalRequest returns the request that renews or begins a lease, if one is due.
-func (ch *Charger) renewalRequest(sh *shard, vm string, vms int) (ask quota.Request, due bool) {
+func (ch *Charger) renewalRequest(sh *shard, vm string, vms int) (req quota.Request, due bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
 	ch.logHolderChange(now, sh)
 	holder := sh.account.Holder(now)
 	if vm == "" || holder != "" && holder != vm || now < sh.unresponsiveUntil[vm] || !sh.account.RenewalDue(now, vm) {
-		return ask, false
+		return req, false
 	}
 	return sh.account.LeaseRequest(now, vms, vm), true
 }
 
 // release returns the request that ends the lease of a VM that should not hold it.
-func (ch *Charger) release(sh *shard, vm string, vms int) (ask quota.Request, holder string, ends bool) {
+func (ch *Charger) release(sh *shard, vm string, vms int) (req quota.Request, holder string, ends bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now := ch.now()
 	holder = sh.account.Holder(now)
 	if vm == "" || holder == "" || holder == vm {
-		return ask, "", false
+		return req, "", false
 	}
 	return sh.account.ReleaseRequest(now, vms), holder, now >= sh.unresponsiveUntil[holder]
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -189,9 +189,9 @@
 // on the lease is not renewed, but its keeper is used until another one holds it.
 func (ac *Account) ReleaseRequest(now clock.Millis, vms int) Request {
 	ac.lent.releasing = true
-	ask := ac.LeaseRequest(now, vms, ac.lent.vm)
-	ask.Release = true
-	return ask
+	req := ac.LeaseRequest(now, vms, ac.lent.vm)
+	req.Release = true
+	return req
 }
 
 // GiveBack returns tokens that were taken for a request that did not run. Some are
@@ -205,9 +205,9 @@
 	if tokens -= kept; tokens <= 0 || ac.Holder(now) == "" {
 		return Request{}, false
 	}
-	ask := ac.LeaseRequest(now, vms, ac.lent.vm)
-	ask.Customer, ask.Returned = customer, tokens
-	return ask, true
+	req := ac.LeaseRequest(now, vms, ac.lent.vm)
+	req.Customer, req.Returned = customer, tokens
+	return req, true
 }
 
 // ApplyResponse applies a keeper's response to a request sent at the given time. If
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -54,27 +54,27 @@
 	message struct {
 		at          clock.Millis // of arrival
 		from        string       // the sending VM
-		asker       string       // the VM that sent the request
+		requester   string       // the VM that sent the request
 		incarnation uint64       // of the VM that sent the request
-		ask         quota.Request
-		asked       clock.Millis    // when the request was sent
+		request     quota.Request
+		sentAt      clock.Millis    // when the request was sent
 		tokens      float64         // of the customer's request that waits for the response
-		answer      *quota.Response // nil: the message is the request
+		response    *quota.Response // nil: the message is the request
 	}
 
 	// sim simulates a fleet in virtual time, under more demand than the limit allows.
 	sim struct {
-		rnd      *rand.Rand
-		now      clock.Millis
-		vms      map[string]*simVM
-		order    []string
-		lim      quota.Limit
-		st       quota.Settings
-		ran      []ranAt
-		asked    int
-		cutUntil clock.Millis // end of the network partition
-		delay    clock.Millis // largest delay of a message that is not stalled
-		faulty   bool
+		rnd          *rand.Rand
+		now          clock.Millis
+		vms          map[string]*simVM
+		order        []string
+		lim          quota.Limit
+		st           quota.Settings
+		ran          []ranAt
+		requestCount int
+		cutUntil     clock.Millis // end of the network partition
+		delay        clock.Millis // largest delay of a message that is not stalled
+		faulty       bool
 	}
 
 	ranAt struct {
@@ -180,17 +180,17 @@
 	}
 	vm.inbox = keep
 	for _, ms := range due {
-		sm.take(vm, ms)
+		sm.handle(vm, ms)
 	}
 	sm.updateView(vm)
 	if holder := vm.ac.Holder(sm.now); holder != "" && holder != vm.view && sm.now >= vm.unresponsiveUntil[holder] {
 		vm.unresponsiveUntil[holder] = sm.now + 100
-		sm.ask(vm, holder, vm.ac.ReleaseRequest(sm.now, simVMs), 0)
+		sm.sendRequest(vm, holder, vm.ac.ReleaseRequest(sm.now, simVMs), 0)
 	}
 	if holder := vm.ac.Holder(sm.now); (holder == "" || holder == vm.view) && vm.ac.RenewalDue(sm.now, vm.view) && sm.now >= vm.unresponsiveUntil[vm.view] {
 		ask := vm.ac.LeaseRequest(sm.now, simVMs, vm.view)
 		vm.unresponsiveUntil[vm.view] = sm.now + 100
-		sm.ask(vm, vm.view, ask, 0)
+		sm.sendRequest(vm, vm.view, ask, 0)
 	}
 	for sm.rnd.Float64() < perSecond*float64(simStep)/float64(clock.Second) {
 		tokens := simSmall
@@ -203,7 +203,7 @@
 
 // request lets a VM try to run a customer's request.
 func (sm *sim) request(vm *simVM, tokens float64) {
-	sm.asked++
+	sm.requestCount++
 	if vm.ac.Take(sm.now, simVMs, customer, sm.lim, tokens) {
 		sm.runOrGiveBack(vm, tokens)
 		return
@@ -218,26 +218,26 @@
 		}
 		return
 	}
-	sm.ask(vm, to, vm.ac.NewRequest(sm.now, simVMs, to, customer, sm.lim, tokens), tokens)
+	sm.sendRequest(vm, to, vm.ac.NewRequest(sm.now, simVMs, to, customer, sm.lim, tokens), tokens)
 }
 
-// ask sends a request to a keeper, which may be the VM itself.
-func (sm *sim) ask(vm *simVM, to string, ask quota.Request, tokens float64) {
-	ms := message{from: vm.name, asker: vm.name, incarnation: vm.incarnation, ask: ask, asked: sm.now, tokens: tokens}
+// sendRequest sends a request to a keeper, which may be the VM itself.
+func (sm *sim) sendRequest(vm *simVM, to string, req quota.Request, tokens float64) {
+	ms := message{from: vm.name, requester: vm.name, incarnation: vm.incarnation, request: req, sentAt: sm.now, tokens: tokens}
 	if to == vm.name {
-		sm.take(vm, ms)
+		sm.handle(vm, ms)
 		return
 	}
 	sm.send(vm, sm.vms[to], ms)
 }
 
-// take handles a message: a request as the keeper, or the response to an own request.
-func (sm *sim) take(vm *simVM, ms message) {
-	if ms.answer == nil {
-		ans := vm.ke.Handle(sm.now, simVMs, ms.asker, ms.incarnation, ms.ask, &sm.lim)
-		ms.answer = &ans
-		if ms.asker != vm.name {
-			sm.send(vm, sm.vms[ms.asker], ms)
+// handle handles a message: a request as the keeper, or the response to an own request.
+func (sm *sim) handle(vm *simVM, ms message) {
+	if ms.response == nil {
+		rsp := vm.ke.Handle(sm.now, simVMs, ms.requester, ms.incarnation, ms.request, &sm.lim)
+		ms.response = &rsp
+		if ms.requester != vm.name {
+			sm.send(vm, sm.vms[ms.requester], ms)
 			return
 		}
 		ms.from = vm.name
@@ -245,8 +245,8 @@
 	if ms.incarnation != vm.incarnation {
 		return // a previous incarnation of this VM sent the request
 	}
-	vm.ac.ApplyResponse(sm.now, ms.asked, simVMs, ms.from, ms.ask, sm.lim, *ms.answer)
-	if ms.tokens > 0 && ms.answer.Granted && sm.now-ms.asked <= simAnswerTimeout {
+	vm.ac.ApplyResponse(sm.now, ms.sentAt, simVMs, ms.from, ms.request, sm.lim, *ms.response)
+	if ms.tokens > 0 && ms.response.Granted && sm.now-ms.sentAt <= simAnswerTimeout {
 		sm.runOrGiveBack(vm, ms.tokens)
 	}
 }
@@ -258,7 +258,7 @@
 		return
 	}
 	if ask, tell := vm.ac.GiveBack(sm.now, simVMs, customer, sm.lim, tokens); tell {
-		sm.ask(vm, vm.ac.Holder(sm.now), ask, 0)
+		sm.sendRequest(vm, vm.ac.Holder(sm.now), ask, 0)
 	}
 }
 
--- a/internal/usage/reports.go
+++ b/internal/usage/reports.go
@@ -153,9 +153,9 @@
 		if !fresh {
 			continue
 		}
-		for _, ask := range rs.byVM[vm].report.Waiting {
-			ask.Age += since
-			out = append(out, ask)
+		for _, wr := range rs.byVM[vm].report.Waiting {
+			wr.Age += since
+			out = append(out, wr)
 		}
 	}
 	return out
