--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -249,8 +249,8 @@
 	vm := &VM{Settings: dv.set, Incarnation: uint64(time.Now().UnixMilli())}
 	assert.NilError(rg.t, vm.init())
 	vm.Peers.Handler = reservationFilter{peerHandler{vm}, &rg.rejectReservations}
-	heard, lost := vm.Peers.Datagrams, make(map[string]bool)
-	vm.Peers.Datagrams = func(dg *peerpb.Datagram, from netip.AddrPort) {
+	heard, lost := vm.Peers.OnDatagram, make(map[string]bool)
+	vm.Peers.OnDatagram = func(dg *peerpb.Datagram, from netip.AddrPort) {
 		if re := dg.GetRequestEnd(); re != nil && !lost[re.GetServer()] {
 			rg.mu.Lock()
 			lost[re.GetServer()] = rg.loseFirstNotices
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -63,7 +63,7 @@
 func (vm *VM) handleMembershipIntent(in membership.Intent) {
 	switch in := in.(type) {
 	case membership.Send:
-		vm.Peers.Datagram(in.To, in.Datagram) // errors are ignored: membership tolerates lost datagrams
+		vm.Peers.SendDatagram(in.To, in.Datagram) // errors are ignored: membership tolerates lost datagrams
 	case membership.QuorumDeadline:
 		vm.quorateUntil.Store(int64(in.Until))
 	case membership.DeathRefuted:
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -72,9 +72,9 @@
 // handleDatagram dispatches an authenticated datagram. If the queue of the membership
 // loop is full, it drops the datagram, as the network may.
 func (vm *VM) handleDatagram(dg *peerpb.Datagram, _ netip.AddrPort) {
-	vm.broadcast().PassOn(dg)
+	vm.broadcast().Forward(dg)
 	if re := dg.GetRequestEnd(); re != nil {
-		if en, ok := fleet.EndFromWire(re); ok {
+		if en, ok := fleet.CrashFromWire(re); ok {
 			vm.poison.RecordRemote(en)
 		}
 		return
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -43,13 +43,13 @@
 	gd.Key = func() []byte { return []byte(vm.Settings.Peer.Secret.Reveal()) }
 	gd.Probe = vm.probe
 	gd.Backends = vm.Board.Backends
-	gd.Broadcast = vm.broadcast().TellEnd
+	gd.Broadcast = vm.broadcast().BroadcastCrash
 	gd.VMs = func() int { return len(vm.Board.Fleet().Serving()) }
 }
 
 // broadcast returns the sender of datagrams to all VMs.
-func (vm *VM) broadcast() fleet.Spread {
-	return fleet.Spread{Self: vm.Self.ID, View: vm.Board.Fleet, Peers: vm.Peers}
+func (vm *VM) broadcast() fleet.Broadcaster {
+	return fleet.Broadcaster{Self: vm.Self.ID, View: vm.Board.Fleet, Peers: vm.Peers}
 }
 
 // probe checks whether a server still runs in the incarnation that a call was sent to.
@@ -110,7 +110,7 @@
 			continue
 		}
 		for _, en := range vm.poison.Snapshot() {
-			vm.broadcast().TellEndTo(other, en)
+			vm.broadcast().SendCrash(other, en)
 		}
 	}
 }
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -264,14 +264,14 @@
 	vm.Logs = &logsvc.Client{URL: "http://" + set.Log.Address.String(), Token: set.Log.Token.Reveal()}
 	vm.List = &vmlist.Client{URL: "http://" + set.VMList.Address.String(), Token: set.VMList.Token.Reveal()}
 	vm.Peers = &peer.Transport{
-		Self:      vm.Self,
-		Listen:    set.Peer.Listen.String(),
-		Secret:    []byte(set.Peer.Secret.Reveal()),
-		Handler:   peerHandler{vm},
-		Datagrams: vm.handleDatagram,
-		Scope:     vm.Scope,
-		Log:       vm.Log,
-		Clock:     vm.Clock,
+		Self:       vm.Self,
+		Listen:     set.Peer.Listen.String(),
+		Secret:     []byte(set.Peer.Secret.Reveal()),
+		Handler:    peerHandler{vm},
+		OnDatagram: vm.handleDatagram,
+		Scope:      vm.Scope,
+		Log:        vm.Log,
+		Clock:      vm.Clock,
 
 		DialTimeout:      dialTimeout,
 		HandshakeTimeout: handshakeTimeout,
--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -16,11 +16,11 @@
 // first: what is lost with a domain is one in as many as there are domains of
 // what any caller knows. A VM's choice stays while the fleet does, since callers
 // leave connections to addresses that they are not told again.
-func (ne *Neighbours) Addresses(most int) []string {
-	return addressesOf(ne.Self, ne.View().VMs, most)
+func (mb *Member) Addresses(limit int) []string {
+	return selectAddresses(mb.Self, mb.View().VMs, limit)
 }
 
-func addressesOf(self board.VM, vms []board.VM, most int) []string {
+func selectAddresses(self board.VM, vms []board.VM, limit int) []string {
 	var fit []board.VM
 	for _, vm := range vms {
 		if vm.ID != self.ID && vm.Health == board.Alive && !vm.Leaving && vm.Caller != "" {
@@ -35,10 +35,10 @@
 		}
 		byDomain[vm.FailureDomain] = append(byDomain[vm.FailureDomain], vm)
 	}
-	out := make([]string, 0, min(most, len(fit)))
-	for round := 0; len(out) < min(most, len(fit)); round++ {
+	out := make([]string, 0, min(limit, len(fit)))
+	for round := 0; len(out) < min(limit, len(fit)); round++ {
 		for _, domain := range domains {
-			if round < len(byDomain[domain]) && len(out) < most {
+			if round < len(byDomain[domain]) && len(out) < limit {
 				out = append(out, byDomain[domain][round].Caller)
 			}
 		}
--- a/internal/fleet/ask.go
+++ b/internal/fleet/ask.go
@@ -16,49 +16,49 @@
 // errNotScheduler tells that the asked VM is no scheduler any more.
 var errNotScheduler = errors.New("the VM is no scheduler")
 
-// asks are the asks of one kind of this VM that wait for their answers. The zero
+// pendingRequests are the pendingRequests of one kind of this VM that wait for their answers. The zero
 // value has none.
-type asks[A any] struct {
-	mu     sync.Mutex
-	number uint64
-	open   map[uint64]chan A
+type pendingRequests[A any] struct {
+	mu         sync.Mutex
+	lastNumber uint64
+	waiting    map[uint64]chan A
 }
 
-func (as *asks[A]) begin() (number uint64, answer <-chan A) {
-	as.mu.Lock()
-	defer as.mu.Unlock()
-	if as.open == nil {
-		as.open = make(map[uint64]chan A)
+func (pr *pendingRequests[A]) register() (number uint64, answer <-chan A) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	if pr.waiting == nil {
+		pr.waiting = make(map[uint64]chan A)
 	}
-	as.number++
+	pr.lastNumber++
 	ch := make(chan A, 1)
-	as.open[as.number] = ch
-	return as.number, ch
+	pr.waiting[pr.lastNumber] = ch
+	return pr.lastNumber, ch
 }
 
-// end hands an answer to who waits for it. One that comes late, or twice, is
+// deliver hands an answer to who waits for it. One that comes late, or twice, is
 // dropped.
-func (as *asks[A]) end(number uint64, ans A) {
-	as.mu.Lock()
-	defer as.mu.Unlock()
-	if ch := as.open[number]; ch != nil {
+func (pr *pendingRequests[A]) deliver(number uint64, ans A) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	if ch := pr.waiting[number]; ch != nil {
 		ch <- ans
-		delete(as.open, number)
+		delete(pr.waiting, number)
 	}
 }
 
-func (as *asks[A]) forget(number uint64) {
-	as.mu.Lock()
-	defer as.mu.Unlock()
-	delete(as.open, number)
+func (pr *pendingRequests[A]) remove(number uint64) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	delete(pr.waiting, number)
 }
 
-// await sends an ask by its number and waits for its answer, once: who gets none
+// call sends an ask by its number and waits for its answer, once: who gets none
 // asks another VM.
-func (as *asks[A]) await(ctx context.Context, send func(number uint64) error) (A, error) {
+func (pr *pendingRequests[A]) call(ctx context.Context, send func(number uint64) error) (A, error) {
 	var none A
-	number, answer := as.begin()
-	defer as.forget(number)
+	number, answer := pr.register()
+	defer pr.remove(number)
 	if err := send(number); err != nil {
 		return none, fmt.Errorf("ask: %w", err)
 	}
@@ -70,44 +70,44 @@
 	}
 }
 
-// ask asks a VM for a place.
-func (fl *Fleet) ask(ctx context.Context, vm board.VM, ask usage.PlacementRequest) (usage.PlacementReply, error) {
-	return fl.asks.await(ctx, func(number uint64) error {
-		return fl.peers.Datagram(vm, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: askToWire(number, ask)}})
+// requestPlacement asks a VM for a place.
+func (fl *Fleet) requestPlacement(ctx context.Context, vm board.VM, ask usage.PlacementRequest) (usage.PlacementReply, error) {
+	return fl.placementRequests.call(ctx, func(number uint64) error {
+		return fl.peers.SendDatagram(vm, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: placementRequestToWire(number, ask)}})
 	})
 }
 
-// heardAsk answers an ask. It goes to where the ask came from: the asker may be
+// handlePlacementRequest answers an ask. It goes to where the ask came from: the asker may be
 // too new to be known here.
-func (fl *Fleet) heardAsk(vm string, from netip.AddrPort, pa *peerpb.PlaceAsk) {
-	if fl.Place == nil {
+func (fl *Fleet) handlePlacementRequest(vm string, from netip.AddrPort, pa *peerpb.PlaceAsk) {
+	if fl.OnPlacementRequest == nil {
 		return
 	}
-	answer := answerToWire(pa.GetNumber(), fl.Place(vm, askFromWire(pa)))
+	answer := placementReplyToWire(pa.GetNumber(), fl.OnPlacementRequest(vm, placementRequestFromWire(pa)))
 	to := board.VM{VMRef: board.VMRef{ID: vm}, Peer: from.String()}
 	// The asker asks the next VM if the answer is lost.
-	_ = fl.peers.Datagram(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAnswer{PlaceAnswer: answer}})
+	_ = fl.peers.SendDatagram(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAnswer{PlaceAnswer: answer}})
 }
 
-func askToWire(number uint64, ask usage.PlacementRequest) *peerpb.PlaceAsk {
+func placementRequestToWire(number uint64, ask usage.PlacementRequest) *peerpb.PlaceAsk {
 	return &peerpb.PlaceAsk{Number: number, Service: ask.Waiting.Service, Returning: ask.Waiting.Returning, Turn: ask.Waiting.Turn, Age: uint32(ask.Waiting.Age),
 		Tokens: uint32(ask.Run.Tokens), Left: uint32(ask.Run.Left), Reserve: uint32(ask.ReserveTokens),
 		MayWait: uint32(max(0, ask.MaxWait)), MayWaitBack: uint32(max(0, ask.MaxWaitReturning)), Skip: ask.Excluded, Prompt: ask.NeedsPrefill}
 }
 
-func askFromWire(pa *peerpb.PlaceAsk) usage.PlacementRequest {
+func placementRequestFromWire(pa *peerpb.PlaceAsk) usage.PlacementRequest {
 	return usage.PlacementRequest{
 		Waiting: usage.WaitingRequest{Service: pa.GetService(), Returning: pa.GetReturning(), Turn: pa.GetTurn(), Age: clock.Millis(pa.GetAge())},
 		Run:     usage.Run{Tokens: int(pa.GetTokens()), Left: int(pa.GetLeft())}, ReserveTokens: int(pa.GetReserve()),
 		MaxWait: clock.Millis(pa.GetMayWait()), MaxWaitReturning: clock.Millis(pa.GetMayWaitBack()), Excluded: pa.GetSkip(), NeedsPrefill: pa.GetPrompt()}
 }
 
-func answerToWire(number uint64, ans usage.PlacementReply) *peerpb.PlaceAnswer {
+func placementReplyToWire(number uint64, ans usage.PlacementReply) *peerpb.PlaceAnswer {
 	return &peerpb.PlaceAnswer{Number: number, Known: ans.Informed, Engines: ans.Engines, Before: uint32(ans.RequestsAhead), Short: ans.Shortage,
 		Prefill: ans.Prefill, Ahead: uint32(ans.QueuedTokens), Doubtful: ans.Doubtful}
 }
 
-func answerFromWire(pa *peerpb.PlaceAnswer) usage.PlacementReply {
+func placementReplyFromWire(pa *peerpb.PlaceAnswer) usage.PlacementReply {
 	return usage.PlacementReply{Informed: pa.GetKnown(), Engines: pa.GetEngines(), RequestsAhead: int(pa.GetBefore()), Shortage: pa.GetShort(),
 		Prefill: pa.GetPrefill(), QueuedTokens: int(pa.GetAhead()), Doubtful: pa.GetDoubtful()}
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -12,7 +12,7 @@
 // BenchmarkView is what a VM of 295 does with a new view of the fleet, in which
 // one other VM has changed.
 func BenchmarkView(bb *testing.B) {
-	vms := large(295, 6)
+	vms := largeFleet(295, 6)
 	slices.SortFunc(vms, func(va, vb board.VM) int { return strings.Compare(va.ID, vb.ID) })
 	old := &board.Fleet{Self: vms[0].VMRef, VMs: vms}
 	now := &board.Fleet{Self: vms[0].VMRef, VMs: slices.Clone(vms)}
@@ -24,13 +24,13 @@
 	})
 	bb.Run("schedulers", func(bb *testing.B) {
 		for bb.Loop() {
-			schedulersOf(now)
+			selectSchedulers(now)
 		}
 	})
 	bb.Run("rank", func(bb *testing.B) {
-		ne := &Neighbours{Self: vms[0], Name: "t"}
+		mb := &Member{Self: vms[0], TopicName: "t"}
 		for bb.Loop() {
-			ne.rankIn(now)
+			mb.rankInView(now)
 		}
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -6,7 +6,7 @@
 //
 //	fl := &fleet.Fleet{Self: self, Secret: secret, Rand: rng, Log: lg}
 //	go fl.Run(ctx)
-//	fl.List(ctx, listed)
+//	fl.SetListed(ctx, listed)
 //	for _, vm := range fl.View().VMs { ... }
 //	fl.Leave(ctx)
 package fleet
@@ -33,8 +33,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// tick is the longest span between two decisions of membership.
-const tick = 100 * clock.Millis(1)
+// maxTickInterval is the longest span between two decisions of membership.
+const maxTickInterval = 100 * clock.Millis(1)
 
 // Fleet is one VM's view of the others. Set the exported fields before Run.
 type Fleet struct {
@@ -45,29 +45,29 @@
 	Clock    clock.Source
 	Log      event.Logger
 	Scope    tally.Scope
-	// Usage hears what another VM has at model engines; nil drops it.
-	Usage func(vm string, rp usage.Report)
-	// Place chooses engines for a request of another VM; nil answers no asks.
-	Place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
-	// Quota answers another VM, which is in one of its lives, as a keeper of the
+	// OnUsage hears what another VM has at model engines; nil drops it.
+	OnUsage func(vm string, rp usage.Report)
+	// OnPlacementRequest chooses engines for a request of another VM; nil answers no asks.
+	OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply
+	// OnQuotaRequest answers another VM, which is in one of its lives, as a keeper of the
 	// customers' quotas; nil answers no asks.
-	Quota func(vm string, life uint64, ask quota.Request) quota.Response
-	// Changed hears of each new view of the fleet; nil drops it.
-	Changed func(view *board.Fleet)
-	// End hears at which server's end a request was there; nil drops it.
-	End func(en suspect.Crash)
-	// News hears what another VM read of a topic; nil drops it.
-	News func(nw topic.Update)
-
-	view       atomic.Pointer[board.Fleet]
-	schedulers atomic.Pointer[schedulers]
-	asks       asks[usage.PlacementReply]
-	quotaAsks  asks[quota.Response]
-	keepers    atomic.Pointer[keepers]
-	latest     map[string]wordOrder // by VM: the newest word on usage that was heard
-	large      map[string]*pieces   // by topic
-	members    *actor.Actor[membership.Event, membership.Intent]
-	peers      *peer.Transport
+	OnQuotaRequest func(vm string, life uint64, ask quota.Request) quota.Response
+	// OnViewChange hears of each new view of the fleet; nil drops it.
+	OnViewChange func(view *board.Fleet)
+	// OnCrash hears at which server's end a request was there; nil drops it.
+	OnCrash func(en suspect.Crash)
+	// OnTopicUpdate hears what another VM read of a topic; nil drops it.
+	OnTopicUpdate func(nw topic.Update)
+
+	view              atomic.Pointer[board.Fleet]
+	schedulers        atomic.Pointer[schedulers]
+	placementRequests pendingRequests[usage.PlacementReply]
+	quotaRequests     pendingRequests[quota.Response]
+	keepers           atomic.Pointer[keepers]
+	latestUsage       map[string]messageOrder // by VM: the newest word on usage that was heard
+	reassemblies      map[string]*reassembly  // by topic
+	members           *actor.Actor[membership.Event, membership.Intent]
+	peers             *peer.Transport
 }
 
 // View is the VMs as this one sees them; never nil.
@@ -82,10 +82,10 @@
 func (fl *Fleet) Prepare() {
 	dt := &membership.Detector{Self: fl.Self, Rand: fl.Rand, Settings: fl.Settings}
 	fl.peers = &peer.Transport{Self: fl.Self.VMRef, Listen: fl.Self.Peer, Secret: fl.Secret,
-		Datagrams: fl.heard, Scope: fl.Scope, Log: fl.Log, Clock: clock.Or(fl.Clock)}
-	fl.members = actor.New[membership.Event, membership.Intent](clock.Or(fl.Clock), membership.Tick{}, tick)
+		OnDatagram: fl.handleDatagram, Scope: fl.Scope, Log: fl.Log, Clock: clock.Or(fl.Clock)}
+	fl.members = actor.New[membership.Event, membership.Intent](clock.Or(fl.Clock), membership.Tick{}, maxTickInterval)
 	fl.members.Step = dt.Step
-	fl.members.Do = fl.carryOut
+	fl.members.Do = fl.handleIntent
 	fl.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 }
 
@@ -101,36 +101,36 @@
 	return nil
 }
 
-// List tells which VMs there may be.
-func (fl *Fleet) List(ctx context.Context, vms []board.VM) {
+// SetListed tells which VMs there may be.
+func (fl *Fleet) SetListed(ctx context.Context, vms []board.VM) {
 	fl.members.Tell(ctx, membership.Listed{VMs: vms})
 }
 
 // Leave announces a planned stop.
 func (fl *Fleet) Leave(ctx context.Context) { fl.members.Tell(ctx, membership.Leave{}) }
 
-// heard takes a datagram. The transport calls it for one at a time.
-func (fl *Fleet) heard(dg *peerpb.Datagram, from netip.AddrPort) {
-	fl.spread().PassOn(dg)
+// handleDatagram takes a datagram. The transport calls it for one at a time.
+func (fl *Fleet) handleDatagram(dg *peerpb.Datagram, from netip.AddrPort) {
+	fl.broadcaster().Forward(dg)
 	switch {
 	case dg.GetUsage() != nil:
-		fl.heardUsage(dg)
+		fl.handleUsage(dg)
 	case dg.GetTopicNews() != nil:
-		nw := newsFromWire(dg.GetTopicNews())
+		nw := updateFromWire(dg.GetTopicNews())
 		nw.Sender = dg.GetFrom()
-		fl.heardNews(nw)
+		fl.handleTopicUpdate(nw)
 	case dg.GetTopicPiece() != nil:
-		fl.heardPiece(dg.GetTopicPiece())
+		fl.handleFragment(dg.GetTopicPiece())
 	case dg.GetRequestEnd() != nil:
-		fl.heardEnd(dg.GetRequestEnd())
+		fl.handleCrash(dg.GetRequestEnd())
 	case dg.GetPlaceAsk() != nil:
-		fl.heardAsk(dg.GetFrom(), from, dg.GetPlaceAsk())
+		fl.handlePlacementRequest(dg.GetFrom(), from, dg.GetPlaceAsk())
 	case dg.GetPlaceAnswer() != nil:
-		fl.asks.end(dg.GetPlaceAnswer().GetNumber(), answerFromWire(dg.GetPlaceAnswer()))
+		fl.placementRequests.deliver(dg.GetPlaceAnswer().GetNumber(), placementReplyFromWire(dg.GetPlaceAnswer()))
 	case dg.GetQuotaAsk() != nil:
-		fl.heardQuotaAsk(dg, from)
+		fl.handleQuotaRequest(dg, from)
 	case dg.GetQuotaAnswer() != nil:
-		fl.quotaAsks.end(dg.GetQuotaAnswer().GetNumber(), quotaAnswerFromWire(dg.GetQuotaAnswer()))
+		fl.quotaRequests.deliver(dg.GetQuotaAnswer().GetNumber(), quotaResponseFromWire(dg.GetQuotaAnswer()))
 	default:
 		select {
 		case fl.members.Events <- membership.Received{Datagram: dg}:
@@ -139,67 +139,67 @@
 	}
 }
 
-// wordOrder orders the words of one VM.
-type wordOrder struct{ incarnation, sequence uint64 }
+// messageOrder orders the words of one VM.
+type messageOrder struct{ incarnation, sequence uint64 }
 
-// heardUsage takes a VM's word unless a newer one came before.
-func (fl *Fleet) heardUsage(dg *peerpb.Datagram) {
-	order, last := wordOrder{dg.GetIncarnation(), dg.GetSequence()}, fl.latest[dg.GetFrom()]
+// handleUsage takes a VM's word unless a newer one came before.
+func (fl *Fleet) handleUsage(dg *peerpb.Datagram) {
+	order, last := messageOrder{dg.GetIncarnation(), dg.GetSequence()}, fl.latestUsage[dg.GetFrom()]
 	old := order.incarnation < last.incarnation || order.incarnation == last.incarnation && order.sequence < last.sequence
-	if old || fl.Usage == nil {
+	if old || fl.OnUsage == nil {
 		return
 	}
-	if fl.latest == nil {
-		fl.latest = make(map[string]wordOrder)
+	if fl.latestUsage == nil {
+		fl.latestUsage = make(map[string]messageOrder)
 	}
-	fl.latest[dg.GetFrom()] = order
-	fl.Usage(dg.GetFrom(), usageFromWire(dg.GetUsage()))
+	fl.latestUsage[dg.GetFrom()] = order
+	fl.OnUsage(dg.GetFrom(), usageFromWire(dg.GetUsage()))
 }
 
-func (fl *Fleet) heardEnd(re *peerpb.RequestEnd) {
-	if en, ok := EndFromWire(re); ok && fl.End != nil {
-		fl.End(en)
+func (fl *Fleet) handleCrash(re *peerpb.RequestEnd) {
+	if en, ok := CrashFromWire(re); ok && fl.OnCrash != nil {
+		fl.OnCrash(en)
 	}
 }
 
-func (fl *Fleet) heardNews(nw topic.Update) {
-	if fl.News != nil {
-		fl.News(nw)
+func (fl *Fleet) handleTopicUpdate(nw topic.Update) {
+	if fl.OnTopicUpdate != nil {
+		fl.OnTopicUpdate(nw)
 	}
 }
 
-// heardPiece takes a piece of a large record, and the record as news once it is
+// handleFragment takes a piece of a large record, and the record as news once it is
 // whole.
-func (fl *Fleet) heardPiece(tp *peerpb.TopicPiece) {
-	if fl.large == nil {
-		fl.large = make(map[string]*pieces)
+func (fl *Fleet) handleFragment(tp *peerpb.TopicPiece) {
+	if fl.reassemblies == nil {
+		fl.reassemblies = make(map[string]*reassembly)
 	}
-	if fl.large[tp.GetTopic()] == nil {
-		fl.large[tp.GetTopic()] = &pieces{}
+	if fl.reassemblies[tp.GetTopic()] == nil {
+		fl.reassemblies[tp.GetTopic()] = &reassembly{}
 	}
-	rec, whole, err := fl.large[tp.GetTopic()].take(tp)
+	rec, whole, err := fl.reassemblies[tp.GetTopic()].add(tp)
 	if err != nil {
 		// What was read is of no use; the gap has this VM read for itself.
 		fl.Log.Log(event.NewsUnreadable, event.F("Topic", tp.GetTopic()), event.F("Offset", tp.GetOffset()), event.F("Error", err.Error()))
 		return
 	}
 	if whole {
-		fl.heardNews(topic.Update{Topic: tp.GetTopic(), From: rec.Offset, Next: rec.Offset + 1, Records: []topic.Record{rec}})
+		fl.handleTopicUpdate(topic.Update{Topic: tp.GetTopic(), From: rec.Offset, Next: rec.Offset + 1, Records: []topic.Record{rec}})
 	}
 }
 
-func (fl *Fleet) carryOut(in membership.Intent) {
+func (fl *Fleet) handleIntent(in membership.Intent) {
 	switch in := in.(type) {
 	case membership.Send:
 		// Membership expects datagrams to be lost.
-		_ = fl.peers.Datagram(in.To, in.Datagram)
+		_ = fl.peers.SendDatagram(in.To, in.Datagram)
 	case membership.FleetChanged:
 		LogChanges(fl.Log, fl.View(), in.Fleet)
 		fl.view.Store(in.Fleet)
-		fl.schedulers.Store(schedulersOf(in.Fleet))
-		fl.keepers.Store(keepersOf(in.Fleet))
-		if fl.Changed != nil {
-			fl.Changed(in.Fleet)
+		fl.schedulers.Store(selectSchedulers(in.Fleet))
+		fl.keepers.Store(selectKeepers(in.Fleet))
+		if fl.OnViewChange != nil {
+			fl.OnViewChange(in.Fleet)
 		}
 	case membership.DeathRefuted:
 		fl.Log.Log(event.HeldDead)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -34,29 +34,29 @@
 
 // VMs that are listed to each other see each other live, hear each other's
 // words, and see one leave.
-func TestFleetOfThree(t *testing.T) {
+func TestThreeVMsExchangeMessages(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	words := make(chan string, 100)
+	received := make(chan string, 100)
 	var fleets []*fleet.Fleet
 	var vms []board.VM
 	for ix := range 3 {
 		self := board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%d", ix), Incarnation: 7}, Peer: freePort(t), Caller: fmt.Sprintf("10.0.0.%d:80", ix)}
 		vms = append(vms, self)
 		fl := &fleet.Fleet{Self: self, Secret: []byte("sixteen bytes or more"), Rand: rand.New(rand.NewPCG(uint64(ix), 2)),
-			Usage: func(vm string, rp usage.Report) { words <- fmt.Sprintf("usage of %s: %d", vm, len(rp.Runs)) },
-			News:  func(nw topic.Update) { words <- fmt.Sprintf("news of %s: %d", nw.Topic, nw.Next) },
-			End: func(en suspect.Crash) {
-				words <- fmt.Sprintf("end of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Concurrent)
+			OnUsage:       func(vm string, rp usage.Report) { received <- fmt.Sprintf("usage of %s: %d", vm, len(rp.Runs)) },
+			OnTopicUpdate: func(nw topic.Update) { received <- fmt.Sprintf("news of %s: %d", nw.Topic, nw.Next) },
+			OnCrash: func(en suspect.Crash) {
+				received <- fmt.Sprintf("end of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Concurrent)
 			}}
 		fl.Prepare()
 		fleets = append(fleets, fl)
 		go func() { _ = fl.Run(ctx) }() // ends with the context
 	}
 	for _, fl := range fleets {
-		fl.List(ctx, vms)
+		fl.SetListed(ctx, vms)
 	}
-	until(t, "all see all", func() bool {
+	eventually(t, "all see all", func() bool {
 		for _, fl := range fleets {
 			for _, vm := range fl.View().VMs {
 				if vm.Health != board.Alive || vm.Incarnation != 7 || vm.Caller == "" {
@@ -69,24 +69,24 @@
 		}
 		return true
 	})
-	heard := map[string]bool{}
-	until(t, "words are heard", func() bool {
-		fleets[0].TellUsage(usage.Report{Runs: []usage.Run{{Engine: "e", Tokens: 1}}})
-		fleets[0].TellNews(topic.Update{Topic: "t", Next: 3})
-		fleets[0].TellEnd(suspect.Crash{Mark: suspect.Mark{1, 2}, Server: "s", Answered: true, Concurrent: 7})
-		for len(words) > 0 {
-			heard[<-words] = true
+	seen := map[string]bool{}
+	eventually(t, "words are heard", func() bool {
+		fleets[0].ReportUsage(usage.Report{Runs: []usage.Run{{Engine: "e", Tokens: 1}}})
+		fleets[0].BroadcastUpdate(topic.Update{Topic: "t", Next: 3})
+		fleets[0].BroadcastCrash(suspect.Crash{Mark: suspect.Mark{1, 2}, Server: "s", Answered: true, Concurrent: 7})
+		for len(received) > 0 {
+			seen[<-received] = true
 		}
-		return heard["usage of vm-0: 1"] && heard["news of t: 3"] && heard["end of s: 010200000000 true 7"]
+		return seen["usage of vm-0: 1"] && seen["news of t: 3"] && seen["end of s: 010200000000 true 7"]
 	})
 	fleets[1].Leave(ctx)
-	until(t, "one leaves", func() bool {
+	eventually(t, "one leaves", func() bool {
 		vm, _ := fleets[0].View().VM("vm-1")
 		return vm.Leaving
 	})
 }
 
-func until(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if is() {
@@ -98,40 +98,40 @@
 
 // A scheduler is asked over the wire, also by a VM that it does not know; who is
 // silent is not waited for.
-func TestAskOfAScheduler(t *testing.T) {
+func TestPlacementRequestToScheduler(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	const count = 36
-	var fleets []*fleet.Neighbours
+	var fleets []*fleet.Member
 	st := &memoryStore{}
 	for ix := range count {
-		ne := &fleet.Neighbours{Self: board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%02d", ix)}, FailureDomain: fmt.Sprint(ix % 4), Peer: freePort(t), Caller: "10.0.0.1:80"},
-			Name: "t", Store: st, Ready: func() bool { return true }, Size: func(int) {}, Moved: func() {}, News: func(topic.Update) {},
-			Usage: func(string, usage.Report) {},
-			Place: func(vm string, ask usage.PlacementRequest) usage.PlacementReply {
+		mb := &fleet.Member{Self: board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%02d", ix)}, FailureDomain: fmt.Sprint(ix % 4), Peer: freePort(t), Caller: "10.0.0.1:80"},
+			TopicName: "t", Store: st, Ready: func() bool { return true }, OnFleetSize: func(int) {}, OnSchedulersChange: func() {}, OnTopicUpdate: func(topic.Update) {},
+			OnUsage: func(string, usage.Report) {},
+			OnPlacementRequest: func(vm string, ask usage.PlacementRequest) usage.PlacementReply {
 				return usage.PlacementReply{Informed: true, Engines: []string{ask.Waiting.Service + " for " + vm}}
 			}}
-		ne.Prepare()
-		fleets = append(fleets, ne)
-		go ne.Run(ctx)
+		mb.Prepare()
+		fleets = append(fleets, mb)
+		go mb.Run(ctx)
 	}
-	asker := func() (*fleet.Neighbours, []string) {
-		for _, ne := range fleets {
-			if vms, here := ne.Before(); !here && len(vms) == 3 {
-				return ne, vms
+	asker := func() (*fleet.Member, []string) {
+		for _, mb := range fleets {
+			if vms, here := mb.Before(); !here && len(vms) == 3 {
+				return mb, vms
 			}
 		}
 		return nil, nil
 	}
-	until(t, "a large fleet has three schedulers", func() bool { ne, _ := asker(); return ne != nil })
-	ne, vms := asker()
-	until(t, "one answers", func() bool {
+	eventually(t, "a large fleet has three schedulers", func() bool { mb, _ := asker(); return mb != nil })
+	mb, vms := asker()
+	eventually(t, "one answers", func() bool {
 		within, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		ans, err := ne.Ask(within, vms[0], usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "m"}})
-		return err == nil && ans.Informed && len(ans.Engines) == 1 && ans.Engines[0] == "m for "+ne.Self.ID
+		ans, err := mb.Ask(within, vms[0], usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "m"}})
+		return err == nil && ans.Informed && len(ans.Engines) == 1 && ans.Engines[0] == "m for "+mb.Self.ID
 	})
-	_, err := ne.Ask(ctx, "stranger", usage.PlacementRequest{})
+	_, err := mb.Ask(ctx, "stranger", usage.PlacementRequest{})
 	assert.Assert(t, err != nil)
 }
 
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -31,50 +31,50 @@
 const (
 	simEngineCount  = 16
 	simEngineMemory = 10000
-	// simFits is how many runs of simPrompt tokens, and what they grow by, an
+	// simRunsPerEngine is how many runs of simPrompt tokens, and what they grow by, an
 	// engine holds.
-	simFits   = 3
-	simPrompt = 2500
-	// simGap is the mean time between two requests: a fifth more than the engines
+	simRunsPerEngine = 3
+	simPrompt        = 2500
+	// simMeanGap is the mean time between two requests: a fifth more than the engines
 	// bear, so that requests wait for places at all times.
-	simGap = 17 * time.Millisecond
-	// simRunMost is the longest run; the mean is half of it and 100 ms.
-	simRunMost = 1800 * time.Millisecond
-	// handOverSeeds is how many times each fault is played.
-	handOverSeeds = 1
+	simMeanGap = 17 * time.Millisecond
+	// simMaxRun is the longest run; the mean is half of it and 100 ms.
+	simMaxRun = 1800 * time.Millisecond
+	// handoverSeeds is how many times each fault is played.
+	handoverSeeds = 1
 )
 
 type (
-	// placeSim is a fleet that places requests at engines that hold three each.
-	placeSim struct {
+	// placementSim is a fleet that places requests at engines that hold three each.
+	placementSim struct {
 		*simNet
 		t      *testing.T
 		relays map[*simVM]*relay.Relay
-		alter  func(vm *simVM) // changes a VM before it starts; may be nil
+		mutate func(vm *simVM) // changes a VM before it starts; may be nil
 
-		mu       sync.Mutex
-		engines  map[string]*simEngine
-		number   uint64
-		declines []clock.Millis // by engines that had no room
-		refused  []simRefusal
+		mu         sync.Mutex
+		engines    map[string]*simEngine
+		number     uint64
+		declinedAt []clock.Millis // by engines that had no room
+		refused    []simRefusal
 	}
 
 	// simEngine is a decode engine.
 	simEngine struct {
-		held  map[string]*time.Timer // reservations, with what lets them lapse, and runs
-		since clock.Millis           // since when it has had room
+		held      map[string]*time.Timer // reservations, with what lets them lapse, and runs
+		freeSince clock.Millis           // since when it has had room
 	}
 
 	// simRefusal is a request that found no place.
 	simRefusal struct {
-		at     clock.Millis
-		took   clock.Millis
-		unused clock.Millis // for how long an engine had had room by then
+		at         clock.Millis
+		waited     clock.Millis
+		engineFree clock.Millis // for how long an engine had had room by then
 	}
 
 	// simServers is the engines as one VM reaches them.
 	simServers struct {
-		ps *placeSim
+		ps *placementSim
 		vm *simVM
 	}
 
@@ -87,8 +87,8 @@
 	}
 )
 
-func newPlaceSim(t *testing.T, seed uint64) *placeSim {
-	ps := &placeSim{simNet: newNet(seed), t: t, relays: make(map[*simVM]*relay.Relay), engines: make(map[string]*simEngine)}
+func newPlacementSim(t *testing.T, seed uint64) *placementSim {
+	ps := &placementSim{simNet: newNet(seed), t: t, relays: make(map[*simVM]*relay.Relay), engines: make(map[string]*simEngine)}
 	for ix := range simEngineCount {
 		ps.engines[fmt.Sprintf("d%02d", ix)] = &simEngine{held: make(map[string]*time.Timer)}
 	}
@@ -96,25 +96,25 @@
 }
 
 // startVM starts a further life of a VM.
-func (ps *placeSim) startVM(ctx context.Context, ix int) *simVM {
+func (ps *placementSim) startVM(ctx context.Context, ix int) *simVM {
 	rl := &relay.Relay{Clock: ps.clock, Rand: rand.New(rand.NewPCG(ps.seed, uint64(ix))),
 		Settings: relay.Settings{Budget: retry.Settings{Burst: 3, Refill: 0.001, Ratio: 0.1, BaseBackoff: 1}}}
-	vm := ps.newVM(ctx, ix, simHears{usage: rl.ReceiveUsage, place: rl.AnswerPlace, moved: rl.TriggerUsageReport})
-	rl.Servers, rl.OtherVMs, rl.Schedulers = simServers{ps, vm}, vm.ne.Others, vm
+	vm := ps.newVM(ctx, ix, simHandlers{usage: rl.ReceiveUsage, place: rl.AnswerPlace, moved: rl.TriggerUsageReport})
+	rl.Servers, rl.OtherVMs, rl.Schedulers = simServers{ps, vm}, vm.mb.Others, vm
 	ps.configure(rl)
 	ps.mu.Lock()
 	ps.relays[vm] = rl
 	ps.mu.Unlock()
-	if ps.alter != nil {
-		ps.alter(vm)
+	if ps.mutate != nil {
+		ps.mutate(vm)
 	}
 	vm.start()
-	go rl.ShareUsage(vm.ctx, vm.tellUsage)
+	go rl.ShareUsage(vm.ctx, vm.reportUsage)
 	return vm
 }
 
 // configure gives a relay one route to the engines.
-func (ps *placeSim) configure(rl *relay.Relay) {
+func (ps *placementSim) configure(rl *relay.Relay) {
 	engines := &route.Engines{Memory: simEngineMemory, Hold: 2 * clock.Second}
 	tb, err := route.New(1, []route.Route{{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream,
 		Shares: []route.Share{{Service: "model", Weight: 1}}, Timeout: 14 * clock.Second, Attempts: 1}},
@@ -129,11 +129,11 @@
 	rl.SetBackends(rl.Clock.Now(), list)
 }
 
-// offer sends requests to VMs that live and are not frozen, for a span.
-func (ps *placeSim) offer(ctx context.Context, span time.Duration) {
+// generateRequests sends requests to VMs that live and are not frozen, for a span.
+func (ps *placementSim) generateRequests(ctx context.Context, span time.Duration) {
 	until := time.Now().Add(span)
 	for number := uint64(0); time.Now().Before(until) && ctx.Err() == nil; number++ {
-		if !clock.Sleep(ctx, clock.Of(time.Duration(2*ps.chance("gap", number)*float64(simGap)))) {
+		if !clock.Sleep(ctx, clock.Of(time.Duration(2*ps.chance("gap", number)*float64(simMeanGap)))) {
 			return
 		}
 		list := ps.running()
@@ -148,7 +148,7 @@
 }
 
 // serve carries one request, and notes how it ended if it found no place.
-func (ps *placeSim) serve(vm *simVM, number uint64) {
+func (ps *placementSim) serve(vm *simVM, number uint64) {
 	ps.mu.Lock()
 	rl := ps.relays[vm]
 	ps.mu.Unlock()
@@ -156,101 +156,101 @@
 		Arrived: ps.clock.Now(), WaitLimit: 14 * clock.Second, Prompt: &relay.Prompt{Tokens: simPrompt, MaxOutput: 800, Hint: 100}}
 	err := rl.Serve(vm.ctx, httptest.NewRecorder(), req)
 	if rf, ok := errors.AsType[refusal.Refusal](err); ok && rf.Reason == refusal.QueueFull && vm.ctx.Err() == nil {
-		ps.noteRefusal(vm, req.Arrived)
+		ps.recordRefusal(vm, req.Arrived)
 	}
 }
 
-// noteRefusal notes a refusal, but for one of a VM that was frozen meanwhile.
-func (ps *placeSim) noteRefusal(vm *simVM, came clock.Millis) {
+// recordRefusal notes a refusal, but for one of a VM that was frozen meanwhile.
+func (ps *placementSim) recordRefusal(vm *simVM, came clock.Millis) {
 	if vm.frozenSince(came) {
 		return
 	}
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	now := ps.clock.Now()
-	rf := simRefusal{at: now, took: now - came}
+	rf := simRefusal{at: now, waited: now - came}
 	for _, en := range ps.engines {
-		if len(en.held) < simFits {
-			rf.unused = max(rf.unused, now-en.since)
+		if len(en.held) < simRunsPerEngine {
+			rf.engineFree = max(rf.engineFree, now-en.freeSince)
 		}
 	}
 	ps.refused = append(ps.refused, rf)
 }
 
-// take reserves a place at an engine for a span; false if it has none.
-func (ps *placeSim) take(engine string, life clock.Millis) (id string, ok bool) {
+// reserve reserves a place at an engine for a span; false if it has none.
+func (ps *placementSim) reserve(engine string, life clock.Millis) (id string, ok bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	en := ps.engines[engine]
-	if len(en.held) >= simFits {
-		ps.declines = append(ps.declines, ps.clock.Now())
+	if len(en.held) >= simRunsPerEngine {
+		ps.declinedAt = append(ps.declinedAt, ps.clock.Now())
 		return "", false
 	}
 	ps.number++
 	id = fmt.Sprint("p", ps.number)
-	en.held[id] = time.AfterFunc(life.Std(), func() { ps.free(engine, id) })
+	en.held[id] = time.AfterFunc(life.Std(), func() { ps.release(engine, id) })
 	return id, true
 }
 
-// begin makes a run of a reservation.
-func (ps *placeSim) begin(engine, id string) bool {
+// startRun makes a run of a reservation.
+func (ps *placementSim) startRun(engine, id string) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	lapse := ps.engines[engine].held[id]
 	return lapse != nil && lapse.Stop()
 }
 
-func (ps *placeSim) free(engine, id string) {
+func (ps *placementSim) release(engine, id string) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	en := ps.engines[engine]
 	if en.held[id] == nil {
 		return
 	}
-	if len(en.held) == simFits {
-		en.since = ps.clock.Now()
+	if len(en.held) == simRunsPerEngine {
+		en.freeSince = ps.clock.Now()
 	}
 	delete(en.held, id)
 }
 
-// cross is one way to an engine; false if the VM died or the call ended.
-func (sv simServers) cross(ctx context.Context) bool {
-	return sv.vm.await() && clock.Sleep(ctx, 1) && sv.vm.await()
+// travel is one way to an engine; false if the VM died or the call ended.
+func (sv simServers) travel(ctx context.Context) bool {
+	return sv.vm.waitResumed() && clock.Sleep(ctx, 1) && sv.vm.waitResumed()
 }
 
 func (sv simServers) Reserve(ctx context.Context, bs board.BackendServer, _ int, life clock.Millis) (string, error) {
-	if !sv.cross(ctx) {
+	if !sv.travel(ctx) {
 		return "", backend.NotSentError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is gone")}
 	}
-	id, ok := sv.ps.take(bs.ID, life)
+	id, ok := sv.ps.reserve(bs.ID, life)
 	if !ok {
 		return "", backend.DeclinedError{Server: bs.ID, Call: "Reserve", Reason: backend.Full}
 	}
-	if !sv.cross(ctx) {
+	if !sv.travel(ctx) {
 		return "", backend.InDoubtError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is gone")}
 	}
 	return id, nil
 }
 
 func (sv simServers) Send(ctx context.Context, bs board.BackendServer, req *relay.Request, op relay.Options) (*http.Response, error) {
-	if !sv.cross(ctx) || !sv.ps.begin(bs.ID, op.Reservation) {
+	if !sv.travel(ctx) || !sv.ps.startRun(bs.ID, op.Reservation) {
 		return nil, backend.NotSentError{Server: bs.ID, Call: "Decode", Err: errors.New("the VM is gone")}
 	}
-	span := 100*time.Millisecond + time.Duration(sv.ps.chance("run "+req.ID, 0)*float64(simRunMost))
+	span := 100*time.Millisecond + time.Duration(sv.ps.chance("run "+req.ID, 0)*float64(simMaxRun))
 	body := &simBody{ctx: ctx, parts: []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, end: time.After(span),
-		close: func() { sv.ps.free(bs.ID, op.Reservation) }}
+		close: func() { sv.ps.release(bs.ID, op.Reservation) }}
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: body}, nil
 }
 
 func (sv simServers) Prefill(ctx context.Context, bs board.BackendServer, req *relay.Request, _ clock.Millis) (relay.Handle, error) {
-	if !sv.cross(ctx) || !clock.Sleep(ctx, 20) || !sv.cross(ctx) {
+	if !sv.travel(ctx) || !clock.Sleep(ctx, 20) || !sv.travel(ctx) {
 		return relay.Handle{}, backend.NotSentError{Server: bs.ID, Call: "Prefill", Err: errors.New("the VM is gone")}
 	}
 	return relay.Handle{Server: bs, ID: req.ID}, nil
 }
 
 func (sv simServers) Release(_ context.Context, bs board.BackendServer, reservation string) error {
-	sv.ps.free(bs.ID, reservation)
+	sv.ps.release(bs.ID, reservation)
 	return nil
 }
 
@@ -289,113 +289,113 @@
 }
 
 // restart starts a further life of a VM, whose last one ends here if it lives.
-func (ps *placeSim) restart(ctx context.Context, vm *simVM) {
+func (ps *placementSim) restart(ctx context.Context, vm *simVM) {
 	vm.stop()
 	ps.startVM(ctx, slices.Index(allNames(), vm.self.ID))
 }
 
 // violations tells what was not as it must be, if all was well again from a point
 // on: each kind once, with how often and when first.
-func (ps *placeSim) violations(well clock.Millis) []string {
+func (ps *placementSim) violations(recovered clock.Millis) []string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var vi violations
-	for _, at := range ps.declines {
-		vi.note(at >= well, at, "a place was given twice")
+	for _, at := range ps.declinedAt {
+		vi.recordIf(at >= recovered, at, "a place was given twice")
 	}
 	waited := false
 	for _, rf := range ps.refused {
-		waited = waited || rf.at >= well
-		vi.note(rf.at >= well && rf.unused > termWell, rf.at, "a request was refused, and a place unused for longer than one that is not taken")
-		vi.note(rf.unused > termFault, rf.at, "a request was refused, and a place lost for longer than its term")
-		vi.note(rf.took > tookMost, rf.at, "a request waited for too long")
+		waited = waited || rf.at >= recovered
+		vi.recordIf(rf.at >= recovered && rf.engineFree > maxUnusedHealthy, rf.at, "a request was refused, and a place unused for longer than one that is not taken")
+		vi.recordIf(rf.engineFree > maxUnusedFaulty, rf.at, "a request was refused, and a place lost for longer than its term")
+		vi.recordIf(rf.waited > maxRequestWait, rf.at, "a request waited for too long")
 	}
-	vi.note(!waited, well, "no request waited for a place")
+	vi.recordIf(!waited, recovered, "no request waited for a place")
 	return vi.list()
 }
 
 const (
-	// termWell is how long a place is unused while requests want one: one that was
+	// maxUnusedHealthy is how long a place is unused while requests want one: one that was
 	// given and is not taken counts for so long.
-	termWell = 300 * clock.Millis(1)
-	// termFault is the same whatever failed: what a VM had counts until its word is
+	maxUnusedHealthy = 300 * clock.Millis(1)
+	// maxUnusedFaulty is the same whatever failed: what a VM had counts until its word is
 	// stale, and the next ask follows.
-	termFault = usage.ReportTTL + termWell
-	// tookMost is how long a request may wait in vain: its own span, an ask of each
+	maxUnusedFaulty = usage.ReportTTL + maxUnusedHealthy
+	// maxRequestWait is how long a request may wait in vain: its own span, an ask of each
 	// scheduler, and an engine that declines.
-	tookMost = relay.DefaultPlaceWait + 100*clock.Millis(1)
+	maxRequestWait = relay.DefaultPlaceWait + 100*clock.Millis(1)
 
 	// agreeWithin is how long after that all name the same schedulers: a VM that was
 	// frozen when another one died finds out by a probe of its own, the last in a round.
-	agreeWithin = netVMs*probeVMs + probeDeadline
-
-	// faultAfter is how long after the start a fault begins, faultFor how long it
-	// lasts, wellAfter when all is well again, and wellFor how long that is watched.
-	faultAfter = 4 * time.Second
-	faultFor   = 3 * time.Second
-	wellAfter  = 3 * time.Second
-	wellFor    = 3 * time.Second
+	agreeWithin = netVMs*probeInterval + probeDeadline
+
+	// A fault begins faultStart after the start and lasts for faultDuration. The
+	// fleet then has recoveryTime to recover and is observed for observationTime.
+	faultStart      = 4 * time.Second
+	faultDuration   = 3 * time.Second
+	recoveryTime    = 3 * time.Second
+	observationTime = 3 * time.Second
 )
 
 // fault is something that fails, until the function that it returns is called.
 type fault struct {
 	name  string
-	begin func(ctx context.Context, ps *placeSim) (end func())
+	begin func(ctx context.Context, ps *placementSim) (end func())
 }
 
 var faults = []fault{
-	{"none", func(context.Context, *placeSim) func() { return func() {} }},
-	{"the first is frozen", func(_ context.Context, ps *placeSim) func() { return ps.scheduler(0).freeze() }},
-	{"all three are frozen", func(_ context.Context, ps *placeSim) func() {
-		return together(ps.scheduler(0).freeze(), ps.scheduler(1).freeze(), ps.scheduler(2).freeze())
+	{"none", func(context.Context, *placementSim) func() { return func() {} }},
+	{"the first is frozen", func(_ context.Context, ps *placementSim) func() { return ps.scheduler(0).freeze() }},
+	{"all three are frozen", func(_ context.Context, ps *placementSim) func() {
+		return runAll(ps.scheduler(0).freeze(), ps.scheduler(1).freeze(), ps.scheduler(2).freeze())
 	}},
-	{"the first hears nobody", func(_ context.Context, ps *placeSim) func() {
+	{"the first hears nobody", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
-		return ps.cutOff(others(first), []string{first})
+		return ps.block(namesExcept(first), []string{first})
 	}},
-	{"nobody hears the first", func(_ context.Context, ps *placeSim) func() {
+	{"nobody hears the first", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
-		return ps.cutOff([]string{first}, others(first))
+		return ps.block([]string{first}, namesExcept(first))
 	}},
-	{"half do not reach the first", func(_ context.Context, ps *placeSim) func() {
+	{"half do not reach the first", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
-		return ps.cutOff(others(first)[:netVMs/2], []string{first})
+		return ps.block(namesExcept(first)[:netVMs/2], []string{first})
 	}},
-	{"the first is slow", func(_ context.Context, ps *placeSim) func() {
+	{"the first is slow", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
 		ps.slowDown(first, 40*time.Millisecond)
 		return func() { ps.slowDown(first, 0) }
 	}},
-	{"the first is killed", func(_ context.Context, ps *placeSim) func() {
+	{"the first is killed", func(_ context.Context, ps *placementSim) func() {
 		ps.scheduler(0).stop()
 		return func() {}
 	}},
-	{"the first is killed and starts later", func(ctx context.Context, ps *placeSim) func() {
+	{"the first is killed and starts later", func(ctx context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0)
 		first.stop()
 		return func() { ps.restart(ctx, first) }
 	}},
-	{"the first starts again at once under its name", func(ctx context.Context, ps *placeSim) func() {
+	{"the first starts again at once under its name", func(ctx context.Context, ps *placementSim) func() {
 		ps.restart(ctx, ps.scheduler(0))
 		return func() {}
 	}},
-	{"the first is killed while the second is frozen", func(_ context.Context, ps *placeSim) func() {
+	{"the first is killed while the second is frozen", func(_ context.Context, ps *placementSim) func() {
 		thaw := ps.scheduler(1).freeze()
 		ps.scheduler(0).stop()
 		return thaw
 	}},
-	{"two believe that they are first", func(_ context.Context, ps *placeSim) func() {
+	{"two believe that they are first", func(_ context.Context, ps *placementSim) func() {
 		one, two := ps.halves(ps.scheduler(0), ps.scheduler(1))
-		return together(ps.cutOff(one, two), ps.cutOff(two, one))
+		return runAll(ps.block(one, two), ps.block(two, one))
 	}},
-	{"half of the VMs are lost", func(_ context.Context, ps *placeSim) func() {
+	{"half of the VMs are lost", func(_ context.Context, ps *placementSim) func() {
 		one, _ := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		for _, name := range one {
 			ps.vm(name).stop()
 		}
 		return func() {}
 	}},
-	{"half of the VMs are lost and start again", func(ctx context.Context, ps *placeSim) func() {
+	{"half of the VMs are lost and start again", func(ctx context.Context, ps *placementSim) func() {
 		one, _ := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		for _, name := range one {
 			ps.vm(name).stop()
@@ -406,16 +406,16 @@
 			}
 		}
 	}},
-	{"half of the VMs start again at once", func(ctx context.Context, ps *placeSim) func() {
+	{"half of the VMs start again at once", func(ctx context.Context, ps *placementSim) func() {
 		one, _ := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		for _, name := range one {
 			ps.restart(ctx, ps.vm(name))
 		}
 		return func() {}
 	}},
-	{"a tenth of the datagrams is lost", func(_ context.Context, ps *placeSim) func() {
-		ps.lose(0.1)
-		return func() { ps.lose(0) }
+	{"a tenth of the datagrams is lost", func(_ context.Context, ps *placementSim) func() {
+		ps.setLoss(0.1)
+		return func() { ps.setLoss(0) }
 	}},
 }
 
@@ -426,7 +426,7 @@
 
 // halves divides the VMs so that two of them stand apart.
 func (sn *simNet) halves(first, second *simVM) (one, two []string) {
-	for ix, name := range others(first.self.ID, second.self.ID) {
+	for ix, name := range namesExcept(first.self.ID, second.self.ID) {
 		if ix%2 == 0 {
 			one = append(one, name)
 		} else {
@@ -436,12 +436,12 @@
 	return append(one, first.self.ID), append(two, second.self.ID)
 }
 
-// others lists the names of all VMs but some.
-func others(but ...string) []string {
+// namesExcept lists the names of all VMs but some.
+func namesExcept(but ...string) []string {
 	return slices.DeleteFunc(allNames(), func(name string) bool { return slices.Contains(but, name) })
 }
 
-func together(all ...func()) func() {
+func runAll(all ...func()) func() {
 	return func() {
 		for _, do := range all {
 			do()
@@ -449,62 +449,62 @@
 	}
 }
 
-// some is faults that begin one after the other and end together, drawn by the seed
+// combinedFaults is faults that begin one after the other and end together, drawn by the seed
 // from those after which all VMs live again.
-var some = fault{"some at once", func(ctx context.Context, ps *placeSim) func() {
+var combinedFaults = fault{"some at once", func(ctx context.Context, ps *placementSim) func() {
 	var list []fault
 	for _, fa := range faults {
-		if !lastingLoss(fa.name) {
+		if !losesVMs(fa.name) {
 			list = append(list, fa)
 		}
 	}
 	var ends []func()
-	for _, at := range ps.drawn(someFaults, len(list)) {
+	for _, at := range ps.drawDistinct(combinedFaultCount, len(list)) {
 		ends = append(ends, list[at].begin(ctx, ps))
-		time.Sleep(someAfter)
+		time.Sleep(combinedFaultGap)
 	}
-	return together(ends...)
+	return runAll(ends...)
 }}
 
-// lastingLoss tells of faults that leave fewer VMs. Of two of them less than half of
+// losesVMs tells of faults that leave fewer VMs. Of two of them less than half of
 // the fleet lives, and no VM takes what it hears for whole.
-func lastingLoss(name string) bool {
+func losesVMs(name string) bool {
 	return name == "half of the VMs are lost" || name == "the first is killed" || name == "the first is killed while the second is frozen"
 }
 
 const (
-	// someFaults is how many faults are played together, and someAfter the span
-	// from one to the next.
-	someFaults = 3
-	someAfter  = 600 * time.Millisecond
-	// someSeeds is how many times that is played.
-	someSeeds = 4
+	// combinedFaultCount is the number of faults that are active together, and
+	// combinedFaultGap the time from one to the next.
+	combinedFaultCount = 3
+	combinedFaultGap   = 600 * time.Millisecond
+	// combinedFaultSeeds is how many times that is played.
+	combinedFaultSeeds = 4
 )
 
-// playPlaces plays a fault in the middle of requests for more places than there
+// runPlacementSim plays a fault in the middle of requests for more places than there
 // are, and tells what was not as it must be. All VMs start at once. Alter changes
 // a VM before it starts; nil changes none.
-func playPlaces(t *testing.T, seed uint64, fa fault, alter func(vm *simVM)) (out []string) {
+func runPlacementSim(t *testing.T, seed uint64, fa fault, alter func(vm *simVM)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		ps := newPlaceSim(t, seed)
-		ps.alter = alter
+		ps := newPlacementSim(t, seed)
+		ps.mutate = alter
 		for ix := range netVMs {
 			ps.startVM(ctx, ix)
 		}
-		go ps.offer(ctx, time.Hour)
-		time.Sleep(faultAfter)
+		go ps.generateRequests(ctx, time.Hour)
+		time.Sleep(faultStart)
 		end := fa.begin(ctx, ps)
-		time.Sleep(faultFor)
+		time.Sleep(faultDuration)
 		end()
-		time.Sleep(wellAfter)
-		well := ps.clock.Now()
-		time.Sleep(wellFor)
-		for len(ps.disagreed()) > 0 && ps.clock.Now() < well+agreeWithin {
+		time.Sleep(recoveryTime)
+		recovered := ps.clock.Now()
+		time.Sleep(observationTime)
+		for len(ps.schedulerDisagreements()) > 0 && ps.clock.Now() < recovered+agreeWithin {
 			time.Sleep(100 * time.Millisecond)
 		}
-		out = append(ps.violations(well), ps.disagreed()...)
+		out = append(ps.violations(recovered), ps.schedulerDisagreements()...)
 	})
 	return out
 }
@@ -512,39 +512,39 @@
 // Whatever becomes of those that choose for all, a place is given to one request
 // at a time once the fault is over, no place is lost for longer than its term, and
 // no request waits for longer than it may.
-func TestHandOverOfPlaces(t *testing.T) {
+func TestPlacementHandover(t *testing.T) {
 	for _, fa := range faults {
-		for seed := range uint64(handOverSeeds) {
+		for seed := range uint64(handoverSeeds) {
 			t.Run(fmt.Sprintf("%s/%d", fa.name, seed), func(t *testing.T) {
 				t.Parallel()
-				assert.DeepEqual(t, playPlaces(t, seed, fa, nil), []string(nil))
+				assert.DeepEqual(t, runPlacementSim(t, seed, fa, nil), []string(nil))
 			})
 		}
 	}
 }
 
 // The same with several faults at once.
-func TestHandOverOfPlacesInSomeFaults(t *testing.T) {
-	for seed := range uint64(someSeeds) {
+func TestPlacementHandoverCombinedFaults(t *testing.T) {
+	for seed := range uint64(combinedFaultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			assert.DeepEqual(t, playPlaces(t, seed, some, nil), []string(nil))
+			assert.DeepEqual(t, runPlacementSim(t, seed, combinedFaults, nil), []string(nil))
 		})
 	}
 }
 
 // The check notices VMs that choose by themselves, and a scheduler that goes on
 // with what it heard first.
-func TestHandOverOfPlacesIsChecked(t *testing.T) {
+func TestPlacementSimDetectsFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		alter func(vm *simVM)
 		want  string
 	}{
-		{"all believe that they are first", func(vm *simVM) { vm.selfish = true }, "a place was given twice"},
+		{"all believe that they are first", func(vm *simVM) { vm.alwaysFirst = true }, "a place was given twice"},
 		{"schedulers go on with the first runs that they hear of", func(vm *simVM) {
-			first, hear := make(map[string]usage.Report), vm.fl.Usage
-			vm.fl.Usage = func(other string, rp usage.Report) {
+			first, hear := make(map[string]usage.Report), vm.fl.OnUsage
+			vm.fl.OnUsage = func(other string, rp usage.Report) {
 				if _, heard := first[other]; !heard && len(rp.Runs) > 0 {
 					first[other] = rp
 				}
@@ -554,7 +554,7 @@
 		}, "a place lost for longer than its term"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := strings.Join(playPlaces(t, 0, faults[0], tc.alter), "\n")
+			got := strings.Join(runPlacementSim(t, 0, faults[0], tc.alter), "\n")
 			assert.Assert(t, strings.Contains(got, tc.want), "%s", got)
 		})
 	}
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -14,9 +14,9 @@
 
 // Causes for which the lease can't be read or swapped.
 var (
-	errNotJoined = errors.New("this VM has not joined the others yet")
-	errUnknownVM = errors.New("this VM does not see such a VM")
-	errMoved     = errors.New("the lease has moved on")
+	errNotJoined    = errors.New("this VM has not joined the others yet")
+	errUnknownVM    = errors.New("this VM does not see such a VM")
+	errLeaseChanged = errors.New("the lease has moved on")
 )
 
 // leaseEntry is the lease as it stands in the topic.
@@ -28,23 +28,23 @@
 
 // leaseView is what a VM knows of the lease on orders.
 type leaseView struct {
-	entry register.Entry
-	end   uint64       // where the topic ended when it was read last
-	anew  bool         // the store came back from an older copy, and was not listed since
-	lasts clock.Millis // that a lease lasts
+	entry    register.Entry
+	end      uint64       // where the topic ended when it was read last
+	restored bool         // the store came back from an older copy, and was not listed since
+	duration clock.Millis // that a lease lasts
 }
 
-// WithReturn is the view after the store came back from an older copy.
-func (lv leaseView) WithReturn() leaseView {
-	lv.anew = true
+// WithRestore is the view after the store came back from an older copy.
+func (lv leaseView) WithRestore() leaseView {
+	lv.restored = true
 	return lv
 }
 
-// WithListing is the view after a listing of the topic.
-func (lv leaseView) WithListing(recs []topic.Record) (leaseView, error) {
-	if lv.anew {
-		lv.anew = false
-		lv = lv.withDoubt(recs)
+// WithSnapshot is the view after a listing of the topic.
+func (lv leaseView) WithSnapshot(recs []topic.Record) (leaseView, error) {
+	if lv.restored {
+		lv.restored = false
+		lv = lv.withUnknownHolder(recs)
 	}
 	var all error
 	for _, rec := range recs {
@@ -54,22 +54,22 @@
 	return lv, all
 }
 
-// withDoubt has the lease count as another VM's, which is waited out, where the older
+// withUnknownHolder has the lease count as another VM's, which is waited out, where the older
 // copy has none: the record by which it is held may be gone, also one that this VM never
 // saw, and whoever holds it by that has stopped when one more would have ended. Where the
 // copy has one, that one is later than what is known, and is waited out too.
-func (lv leaseView) withDoubt(recs []topic.Record) leaseView {
-	if lists(recs, LeaseKey) {
+func (lv leaseView) withUnknownHolder(recs []topic.Record) leaseView {
+	if containsKey(recs, LeaseKey) {
 		return lv
 	}
-	lv.entry = lv.anyones(topic.Position(topic.EraOf(lv.end)+1, 0))
+	lv.entry = lv.unknownHolderEntry(topic.Position(topic.EraOf(lv.end)+1, 0))
 	return lv
 }
 
-// anyones is a lease that any VM may hold, and none knows as its own.
-func (lv leaseView) anyones(revision uint64) register.Entry {
+// unknownHolderEntry is a lease that any VM may hold, and none knows as its own.
+func (lv leaseView) unknownHolderEntry(revision uint64) register.Entry {
 	// Two fields of plain types always marshal.
-	value, _ := json.Marshal(register.Lease{Holder: "unknown", Duration: lv.lasts})
+	value, _ := json.Marshal(register.Lease{Holder: "unknown", Duration: lv.duration})
 	return register.Entry{Key: LeaseKey, Revision: revision, Value: value}
 }
 
@@ -97,7 +97,7 @@
 	switch {
 	case revision <= lv.entry.Revision:
 	case en.Era != topic.EraOf(rec.Offset):
-		lv.entry = lv.anyones(revision)
+		lv.entry = lv.unknownHolderEntry(revision)
 	default:
 		lv.entry = register.Entry{Key: LeaseKey, Revision: revision, ID: en.ID, Value: en.Value}
 	}
@@ -108,7 +108,7 @@
 // the topic has to end for it.
 func (lv leaseView) Swap(base uint64, id string, value []byte) (data []byte, at uint64, err error) {
 	if lv.entry.Revision != base {
-		return nil, 0, errMoved
+		return nil, 0, errLeaseChanged
 	}
 	data, err = json.Marshal(leaseEntry{ID: id, Era: topic.EraOf(lv.end), Value: value})
 	if err != nil {
@@ -118,32 +118,32 @@
 }
 
 // Read returns the lease on orders. It may be late, which Swap notices.
-func (ne *Neighbours) Read(context.Context) (register.Entry, error) {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
-	if ne.fleet == nil {
+func (mb *Member) Read(context.Context) (register.Entry, error) {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
+	if mb.fleet == nil {
 		return register.Entry{}, errNotJoined
 	}
-	return ne.lease.entry, nil
+	return mb.lease.entry, nil
 }
 
 // Swap replaces the lease on orders if its revision is still base. The topic
 // holds more than the lease, so a swap fails now and then although the lease
 // has not moved; the holder then tries again.
-func (ne *Neighbours) Swap(ctx context.Context, base uint64, id string, value []byte) error {
-	read := ne.Topic.Next()
-	ne.mu.Lock()
-	ne.lease = ne.lease.WithEnd(read)
-	data, end, err := ne.lease.Swap(base, id, value)
-	ne.mu.Unlock()
+func (mb *Member) Swap(ctx context.Context, base uint64, id string, value []byte) error {
+	read := mb.Topic.Next()
+	mb.mu.Lock()
+	mb.lease = mb.lease.WithEnd(read)
+	data, end, err := mb.lease.Swap(base, id, value)
+	mb.mu.Unlock()
 	if err != nil {
-		return &logsvc.AppendError{Stream: ne.Name, Effect: logsvc.NotAppended, Err: err}
+		return &logsvc.AppendError{Stream: mb.TopicName, Effect: logsvc.NotAppended, Err: err}
 	}
-	offset, err := ne.Store.Append(ctx, ne.Name, LeaseKey, data, &end)
+	offset, err := mb.Store.Append(ctx, mb.TopicName, LeaseKey, data, &end)
 	if err != nil {
-		ne.Topic.Refresh() // perhaps what was read is late
+		mb.Topic.Refresh() // perhaps what was read is late
 		return err
 	}
-	ne.take(topic.Record{Key: LeaseKey, Value: data, Offset: offset})
+	mb.applyRecord(topic.Record{Key: LeaseKey, Value: data, Offset: offset})
 	return nil
 }
--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -30,29 +30,29 @@
 
 // How a VM is tied to the store during a tick.
 const (
-	linkWhole  = iota
-	linkMute   // what it writes arrives a tick later, what it is answered does not
-	linkCut    // nothing arrives
-	linkFrozen // the VM itself does nothing
+	linkWhole     = iota
+	linkNoReplies // what it writes arrives a tick later, what it is answered does not
+	linkCut       // nothing arrives
+	linkFrozen    // the VM itself does nothing
 	links
 )
 
 type (
 	// exploreLimits bound a world.
 	exploreLimits struct {
-		calm, ticks           int // steps in which nothing happens, and those after
-		returns, others       int
-		changes               int // of the ways to the store, each VM's
-		vms, restarts, leaves int
+		calm, ticks             int // steps in which nothing happens, and those after
+		restores, others        int
+		changes                 int // of the ways to the store, each VM's
+		vms, restarts, releases int
 	}
 
-	// exploreBroken are parts of the design that are left out, to show that the walk
+	// exploreOmissions are parts of the design that are left out, to show that the walk
 	// finds what they prevent.
-	exploreBroken struct {
-		noDoubt   bool // a return of the store is not told
-		noEra     bool // positions are offsets alone
-		anyAppend bool // a write that was sent in an earlier era counts
-		noWait    bool // where no lease is seen at first, there is none
+	exploreOmissions struct {
+		noRestoreNotice bool // a return of the store is not told
+		noEra           bool // positions are offsets alone
+		acceptOldEra    bool // a write that was sent in an earlier era counts
+		noInitialWait   bool // where no lease is seen at first, there is none
 	}
 
 	exploreRecord struct {
@@ -62,14 +62,14 @@
 
 	// exploreVM is one VM. Its holder is never changed, only replaced.
 	exploreVM struct {
-		view    leaseView
-		ho      *register.Holder
-		next    uint64 // position that it reads from; zero: it has listed nothing
-		listed  bool
-		leaves  bool // it does not want the lease any more
-		link    int
-		changes int
-		flying  *exploreAppend // on its way to the store
+		view     leaseView
+		ho       *register.Holder
+		next     uint64 // position that it reads from; zero: it has listed nothing
+		listed   bool
+		releases bool // it does not want the lease any more
+		link     int
+		changes  int
+		inFlight *exploreAppend // on its way to the store
 	}
 
 	exploreAppend struct {
@@ -80,50 +80,50 @@
 
 	// exploreWorld is never changed; a step makes a new one.
 	exploreWorld struct {
-		now     clock.Millis
-		era     uint64
-		log     []exploreRecord
-		vms     []exploreVM
-		returns int
-		others  int
-		starts  int
-		leaves  int
-		token   uint64 // highest that was used
-		story   *exploreStory
-	}
-
-	// exploreStory is how a world came about, newest first.
-	exploreStory struct {
+		now      clock.Millis
+		era      uint64
+		log      []exploreRecord
+		vms      []exploreVM
+		restores int
+		others   int
+		starts   int
+		releases int
+		token    uint64 // highest that was used
+		history  *exploreHistory
+	}
+
+	// exploreHistory is how a world came about, newest first.
+	exploreHistory struct {
 		step    string
-		earlier *exploreStory
+		earlier *exploreHistory
 	}
 
 	leaseExplorer struct {
-		lim    exploreLimits
-		broken exploreBroken
-		seen   map[uint64]struct{}
-		stack  []exploreWorld
-		buf    []byte
-		fault  string
-		met    map[string]int // what the walk came by
+		lim       exploreLimits
+		omit      exploreOmissions
+		seen      map[uint64]struct{}
+		stack     []exploreWorld
+		buf       []byte
+		violation string
+		coverage  map[string]int // what the walk came by
 	}
 
-	// leastSource makes every span of chance the shortest one, which is the one that
+	// minSource makes every span of chance the shortest one, which is the one that
 	// may be too short.
-	leastSource struct{}
+	minSource struct{}
 )
 
 // Uint64 is a number that makes the least of any span of milliseconds, at the first draw.
-func (leastSource) Uint64() uint64 { return 1 << 32 }
+func (minSource) Uint64() uint64 { return 1 << 32 }
 
-func exploreLeases(lim exploreLimits, broken exploreBroken) *leaseExplorer {
-	le := &leaseExplorer{lim: lim, broken: broken, seen: make(map[uint64]struct{}), met: make(map[string]int)}
+func exploreLeases(lim exploreLimits, broken exploreOmissions) *leaseExplorer {
+	le := &leaseExplorer{lim: lim, omit: broken, seen: make(map[uint64]struct{}), coverage: make(map[string]int)}
 	wo := exploreWorld{era: 1}
 	for ix := range lim.vms {
-		wo.vms = append(wo.vms, le.start(fmt.Sprint("vm", ix)))
+		wo.vms = append(wo.vms, le.newVM(fmt.Sprint("vm", ix)))
 	}
 	le.push(wo)
-	for len(le.stack) > 0 && le.fault == "" {
+	for len(le.stack) > 0 && le.violation == "" {
 		last := len(le.stack) - 1
 		wo := le.stack[last]
 		le.stack = le.stack[:last]
@@ -134,27 +134,27 @@
 	return le
 }
 
-// start is a VM that just started.
-func (le *leaseExplorer) start(name string) exploreVM {
-	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(leastSource{}), Duration: exploreLease, Lapses: true, Lossy: !le.broken.noWait}
-	return exploreVM{ho: ho, view: leaseView{lasts: exploreLease}}
+// newVM is a VM that just started.
+func (le *leaseExplorer) newVM(name string) exploreVM {
+	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(minSource{}), Duration: exploreLease, Lapses: true, Lossy: !le.omit.noInitialWait}
+	return exploreVM{ho: ho, view: leaseView{duration: exploreLease}}
 }
 
 // step makes each world that may follow within a tick: what happens to the store, then
 // each VM in turn, with each state of its way to the store.
 func (le *leaseExplorer) step(wo exploreWorld) {
 	wo.now += exploreTick
-	for _, next := range le.stores(wo) {
+	for _, next := range le.storeSteps(wo) {
 		worlds := []exploreWorld{next}
 		for ix := range wo.vms {
 			var after []exploreWorld
 			for _, wo := range worlds {
-				after = append(after, le.turns(wo, ix)...)
+				after = append(after, le.vmSteps(wo, ix)...)
 			}
 			worlds = after
 		}
 		for _, wo := range worlds {
-			le.push(le.checked(wo))
+			le.push(le.checkInvariants(wo))
 		}
 	}
 }
@@ -163,22 +163,22 @@
 	return wo.now <= clock.Millis(le.lim.calm)*exploreTick
 }
 
-// stores is what may happen to the store: nothing, another's record, a return from a
+// storeSteps is what may happen to the store: nothing, another's record, a return from a
 // copy of any age.
-func (le *leaseExplorer) stores(wo exploreWorld) []exploreWorld {
+func (le *leaseExplorer) storeSteps(wo exploreWorld) []exploreWorld {
 	out := []exploreWorld{wo}
 	if le.calm(wo) {
 		return out
 	}
 	if wo.others < le.lim.others {
-		next := wo.told("another record is written")
+		next := wo.withStep("another record is written")
 		next.others++
-		out = append(out, next.appended(exploreRecord{rec: topic.Record{Key: prefixVM + "x", Value: []byte("{}")}, enc: "o"}))
+		out = append(out, next.withRecord(exploreRecord{rec: topic.Record{Key: vmKeyPrefix + "x", Value: []byte("{}")}, enc: "o"}))
 	}
-	if wo.returns < le.lim.returns {
+	if wo.restores < le.lim.restores {
 		for kept := range wo.log {
-			next := wo.told(fmt.Sprintf("the store comes back with %d of %d records", kept, len(wo.log)))
-			next.returns++
+			next := wo.withStep(fmt.Sprintf("the store comes back with %d of %d records", kept, len(wo.log)))
+			next.restores++
 			next.era++
 			next.log = wo.log[:kept:kept]
 			out = append(out, next)
@@ -187,10 +187,10 @@
 	return out
 }
 
-// turns is what may happen to one VM within a tick.
-func (le *leaseExplorer) turns(wo exploreWorld, ix int) []exploreWorld {
+// vmSteps is what may happen to one VM within a tick.
+func (le *leaseExplorer) vmSteps(wo exploreWorld, ix int) []exploreWorld {
 	if le.calm(wo) {
-		return []exploreWorld{le.turn(wo, ix)}
+		return []exploreWorld{le.runVM(wo, ix)}
 	}
 	var out []exploreWorld
 	for link := range links {
@@ -201,29 +201,29 @@
 		next := wo
 		if link != vm.link {
 			vm.changes++
-			next = next.told(fmt.Sprintf("vm%d: its way to the store is now %s", ix, [links]string{"whole", "mute", "cut", "frozen"}[link]))
+			next = next.withStep(fmt.Sprintf("vm%d: its way to the store is now %s", ix, [links]string{"whole", "mute", "cut", "frozen"}[link]))
 		}
 		vm.link = link
-		out = append(out, le.turn(next.withVM(ix, vm), ix))
+		out = append(out, le.runVM(next.withVM(ix, vm), ix))
 	}
 	if wo.starts < le.lim.restarts {
-		next := wo.told(fmt.Sprintf("vm%d starts again", ix))
+		next := wo.withStep(fmt.Sprintf("vm%d starts again", ix))
 		next.starts++
-		out = append(out, le.turn(next.withVM(ix, le.start(fmt.Sprint("vm", ix, "-", next.starts))), ix))
+		out = append(out, le.runVM(next.withVM(ix, le.newVM(fmt.Sprint("vm", ix, "-", next.starts))), ix))
 	}
-	if wo.leaves < le.lim.leaves && !wo.vms[ix].leaves {
-		next := wo.told(fmt.Sprintf("vm%d does not want the lease any more", ix))
-		next.leaves++
+	if wo.releases < le.lim.releases && !wo.vms[ix].releases {
+		next := wo.withStep(fmt.Sprintf("vm%d does not want the lease any more", ix))
+		next.releases++
 		vm := wo.vms[ix]
-		vm.leaves = true
-		out = append(out, le.turn(next.withVM(ix, vm), ix))
+		vm.releases = true
+		out = append(out, le.runVM(next.withVM(ix, vm), ix))
 	}
 	return out
 }
 
-// turn lands what was on its way, has the VM read, and hands its holder the time.
-func (le *leaseExplorer) turn(wo exploreWorld, ix int) exploreWorld {
-	wo = le.land(wo, ix)
+// runVM lands what was on its way, has the VM read, and hands its holder the time.
+func (le *leaseExplorer) runVM(wo exploreWorld, ix int) exploreWorld {
+	wo = le.applyInFlight(wo, ix)
 	vm := wo.vms[ix]
 	if vm.link == linkFrozen {
 		return wo
@@ -233,7 +233,7 @@
 	}
 	ho := *vm.ho
 	vm.ho = &ho
-	out := ho.Step(wo.now, register.LeaseWanted{Hold: !vm.leaves})
+	out := ho.Step(wo.now, register.LeaseWanted{Hold: !vm.releases})
 	if vm.listed {
 		out = append(out, ho.Step(wo.now, register.LeaseObserved{Entry: vm.view.entry, Known: true})...)
 	}
@@ -243,8 +243,8 @@
 		}
 	}
 	wo = wo.withVM(ix, vm)
-	if vm.link == linkWhole && vm.flying != nil {
-		return le.land(wo, ix)
+	if vm.link == linkWhole && vm.inFlight != nil {
+		return le.applyInFlight(wo, ix)
 	}
 	return wo
 }
@@ -253,7 +253,7 @@
 func (le *leaseExplorer) send(vm exploreVM, in register.LeaseAppend) exploreVM {
 	rec, err := register.Parse(0, in.Data)
 	if err != nil {
-		le.fault = err.Error()
+		le.violation = err.Error()
 		return vm
 	}
 	pub := rec.(register.Publish)
@@ -261,28 +261,28 @@
 	if err != nil {
 		return vm // the lease has moved on; the holder finds out by reading
 	}
-	vm.flying = &exploreAppend{id: pub.ID, data: data, at: at}
+	vm.inFlight = &exploreAppend{id: pub.ID, data: data, at: at}
 	return vm
 }
 
-// land has the store take what a VM wrote a tick before, if it fits.
-func (le *leaseExplorer) land(wo exploreWorld, ix int) exploreWorld {
+// applyInFlight has the store take what a VM wrote a tick before, if it fits.
+func (le *leaseExplorer) applyInFlight(wo exploreWorld, ix int) exploreWorld {
 	vm := wo.vms[ix]
-	fl := vm.flying
-	vm.flying = nil
+	fl := vm.inFlight
+	vm.inFlight = nil
 	if fl == nil || vm.link == linkCut || int(topic.OffsetOf(fl.at)) != len(wo.log) {
 		return wo.withVM(ix, vm)
 	}
-	late := !le.broken.noEra && topic.EraOf(fl.at) != wo.era
+	late := !le.omit.noEra && topic.EraOf(fl.at) != wo.era
 	if late {
-		le.met["a write of an earlier era fits"]++
-		wo = wo.told(fmt.Sprintf("vm%d: its write of an earlier era happens to fit", ix))
+		le.coverage["a write of an earlier era fits"]++
+		wo = wo.withStep(fmt.Sprintf("vm%d: its write of an earlier era happens to fit", ix))
 	}
 	data := fl.data
-	if le.broken.anyAppend {
+	if le.omit.acceptOldEra {
 		data = withEra(data, wo.era)
 	}
-	wo = wo.appended(exploreRecord{rec: topic.Record{Key: LeaseKey, Value: data}, enc: fl.id})
+	wo = wo.withRecord(exploreRecord{rec: topic.Record{Key: LeaseKey, Value: data}, enc: fl.id})
 	if vm.link == linkWhole && !late {
 		rec := le.records(wo)[len(wo.log)-1]
 		ho := *vm.ho
@@ -315,11 +315,11 @@
 		vm.next, vm.view = end, vm.view.WithEnd(end)
 		return vm
 	}
-	if vm.listed && !le.broken.noDoubt {
-		vm.view = vm.view.WithReturn()
-		le.met["a VM sees a return"]++
+	if vm.listed && !le.omit.noRestoreNotice {
+		vm.view = vm.view.WithRestore()
+		le.coverage["a VM sees a return"]++
 	}
-	vm.view, _ = vm.view.WithListing(newest(recs))
+	vm.view, _ = vm.view.WithSnapshot(newest(recs))
 	vm.listed, vm.next, vm.view = true, end, vm.view.WithEnd(end)
 	return vm
 }
@@ -327,15 +327,15 @@
 // newest is the newest record of each key.
 func newest(recs []topic.Record) (out []topic.Record) {
 	for ix, rec := range recs {
-		if !lists(recs[ix+1:], rec.Key) {
+		if !containsKey(recs[ix+1:], rec.Key) {
 			out = append(out, rec)
 		}
 	}
 	return out
 }
 
-// checked holds a world against what must never be.
-func (le *leaseExplorer) checked(wo exploreWorld) exploreWorld {
+// checkInvariants holds a world against what must never be.
+func (le *leaseExplorer) checkInvariants(wo exploreWorld) exploreWorld {
 	var holders []int
 	for ix, vm := range wo.vms {
 		if vm.link == linkFrozen {
@@ -354,8 +354,8 @@
 	if len(holders) > 1 {
 		le.fail(wo, fmt.Sprintf("%d VMs may order", len(holders)))
 	}
-	if len(holders) > 0 && wo.returns > 0 {
-		le.met["orders after a return"]++
+	if len(holders) > 0 && wo.restores > 0 {
+		le.coverage["orders after a return"]++
 	}
 	return wo
 }
@@ -365,13 +365,13 @@
 }
 
 func (le *leaseExplorer) fail(wo exploreWorld, what string) {
-	if le.fault == "" {
-		le.fault = what + " at " + wo.now.String() + wo.story.String()
+	if le.violation == "" {
+		le.violation = what + " at " + wo.now.String() + wo.history.String()
 	}
 }
 
 // String tells a story from its begin.
-func (es *exploreStory) String() string {
+func (es *exploreHistory) String() string {
 	var lines []string
 	for ; es != nil; es = es.earlier {
 		lines = append([]string{es.step}, lines...)
@@ -379,14 +379,14 @@
 	return "\n  " + strings.Join(lines, "\n  ")
 }
 
-func (wo exploreWorld) told(step string) exploreWorld {
-	wo.story = &exploreStory{step: wo.now.String() + ": " + step, earlier: wo.story}
+func (wo exploreWorld) withStep(step string) exploreWorld {
+	wo.history = &exploreHistory{step: wo.now.String() + ": " + step, earlier: wo.history}
 	return wo
 }
 
 // position is that of an offset in the store.
 func (le *leaseExplorer) position(wo exploreWorld, offset int) uint64 {
-	if le.broken.noEra {
+	if le.omit.noEra {
 		return uint64(offset)
 	}
 	return topic.Position(wo.era, uint64(offset))
@@ -402,7 +402,7 @@
 	return out
 }
 
-func (wo exploreWorld) appended(er exploreRecord) exploreWorld {
+func (wo exploreWorld) withRecord(er exploreRecord) exploreWorld {
 	wo.log = append(wo.log[:len(wo.log):len(wo.log)], er)
 	return wo
 }
@@ -417,7 +417,7 @@
 
 func (le *leaseExplorer) push(wo exploreWorld) {
 	buf := le.buf[:0]
-	for _, num := range []uint64{uint64(wo.now), wo.era, uint64(wo.returns), uint64(wo.others), uint64(wo.starts), uint64(wo.leaves), wo.token} {
+	for _, num := range []uint64{uint64(wo.now), wo.era, uint64(wo.restores), uint64(wo.others), uint64(wo.starts), uint64(wo.releases), wo.token} {
 		buf = binary.AppendUvarint(buf, num)
 	}
 	for _, er := range wo.log {
@@ -435,13 +435,13 @@
 }
 
 func (vm *exploreVM) encode(buf []byte) []byte {
-	buf = append(buf, '|', byte(vm.link), byte(vm.changes), bit(vm.view.anew), bit(vm.listed), bit(vm.leaves))
+	buf = append(buf, '|', byte(vm.link), byte(vm.changes), bit(vm.view.restored), bit(vm.listed), bit(vm.releases))
 	for _, num := range []uint64{vm.view.entry.Revision, vm.view.end, vm.next} {
 		buf = binary.AppendUvarint(buf, num)
 	}
-	if vm.flying != nil {
-		buf = append(buf, vm.flying.id...)
-		buf = binary.AppendUvarint(buf, vm.flying.at)
+	if vm.inFlight != nil {
+		buf = append(buf, vm.inFlight.id...)
+		buf = binary.AppendUvarint(buf, vm.inFlight.at)
 	}
 	return encodeHolder(buf, reflect.ValueOf(vm.ho).Elem())
 }
@@ -478,26 +478,26 @@
 }
 
 var leaseWorlds = map[string]exploreLimits{
-	"from the start":   {vms: 2, ticks: 10, returns: 1, others: 1, changes: 1},
-	"one return":       {vms: 2, calm: 6, ticks: 8, returns: 1, changes: 2},
-	"offsets that fit": {vms: 2, calm: 6, ticks: 5, returns: 1, others: 1, changes: 2},
-	"two returns":      {vms: 2, calm: 6, ticks: 7, returns: 2, changes: 1},
-	"a VM starts":      {vms: 2, calm: 6, ticks: 6, returns: 1, changes: 1, restarts: 1},
+	"from the start":   {vms: 2, ticks: 10, restores: 1, others: 1, changes: 1},
+	"one return":       {vms: 2, calm: 6, ticks: 8, restores: 1, changes: 2},
+	"offsets that fit": {vms: 2, calm: 6, ticks: 5, restores: 1, others: 1, changes: 2},
+	"two returns":      {vms: 2, calm: 6, ticks: 7, restores: 2, changes: 1},
+	"a VM starts":      {vms: 2, calm: 6, ticks: 6, restores: 1, changes: 1, restarts: 1},
 }
 
 // No course of a small world lets two VMs order, or a token go back, while the store
 // comes back from copies of any age.
-func TestLeasesOverReturnsOfTheStore(t *testing.T) {
+func TestLeaseSurvivesStoreRestores(t *testing.T) {
 	t.Parallel()
 	for name, lim := range leaseWorlds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			le := exploreLeases(lim, exploreBroken{})
-			t.Logf("%d states, %v", len(le.seen), le.met)
-			assert.Equal(t, le.fault, "")
+			le := exploreLeases(lim, exploreOmissions{})
+			t.Logf("%d states, %v", len(le.seen), le.coverage)
+			assert.Equal(t, le.violation, "")
 			// The walk must have met what it is meant for.
 			for _, what := range []string{"a write of an earlier era fits", "a VM sees a return", "orders after a return"} {
-				assert.Assert(t, le.met[what] > 100, "%s: %d", what, le.met[what])
+				assert.Assert(t, le.coverage[what] > 100, "%s: %d", what, le.coverage[what])
 			}
 		})
 	}
@@ -505,22 +505,22 @@
 
 // Each part of the design is needed: without it the walk finds two VMs that order, or a
 // token that goes back.
-func TestEachPartOfTheLeaseIsNeeded(t *testing.T) {
+func TestLeaseNeedsEachSafeguard(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name, world string
-		broken      exploreBroken
+		broken      exploreOmissions
 	}{
-		{"a return is told", "one return", exploreBroken{noDoubt: true}},
-		{"positions have an era", "one return", exploreBroken{noEra: true}},
-		{"a write tells its era", "one return", exploreBroken{anyAppend: true}},
-		{"a lease that is not seen is waited out", "a VM starts", exploreBroken{noWait: true}},
+		{"a return is told", "one return", exploreOmissions{noRestoreNotice: true}},
+		{"positions have an era", "one return", exploreOmissions{noEra: true}},
+		{"a write tells its era", "one return", exploreOmissions{acceptOldEra: true}},
+		{"a lease that is not seen is waited out", "a VM starts", exploreOmissions{noInitialWait: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			le := exploreLeases(leaseWorlds[tc.world], tc.broken)
-			assert.Assert(t, le.fault != "", "not caught in %d states", len(le.seen))
-			t.Logf("caught after %d states: %s", len(le.seen), le.fault)
+			assert.Assert(t, le.violation != "", "not caught in %d states", len(le.seen))
+			t.Logf("caught after %d states: %s", len(le.seen), le.violation)
 		})
 	}
 }
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -13,39 +13,39 @@
 	"alderdyke/pkg/clock"
 )
 
-// sweptStore is a store whose topic ends with the removal of an entry, which a listing
+// storeAfterRemoval is a store whose topic ends with the removal of an entry, which a listing
 // does not name.
-type sweptStore struct{ end uint64 }
+type storeAfterRemoval struct{ end uint64 }
 
-func (ss sweptStore) Newest(context.Context, string) ([]topic.Record, uint64, error) {
-	return []topic.Record{{Key: keySecret, Value: []byte("s"), Offset: 3}}, ss.end, nil
+func (st storeAfterRemoval) Newest(context.Context, string) ([]topic.Record, uint64, error) {
+	return []topic.Record{{Key: secretKey, Value: []byte("s"), Offset: 3}}, st.end, nil
 }
 
-func (ss sweptStore) Read(ctx context.Context, _ string, from uint64, wait clock.Millis) ([]topic.Record, uint64, error) {
+func (st storeAfterRemoval) Read(ctx context.Context, _ string, from uint64, wait clock.Millis) ([]topic.Record, uint64, error) {
 	clock.Sleep(ctx, wait)
 	return nil, from, ctx.Err()
 }
 
-func (ss sweptStore) Append(_ context.Context, name, _ string, _ []byte, at *uint64) (uint64, error) {
-	if at != nil && *at != ss.end {
-		return 0, &logsvc.AppendError{Stream: name, Effect: logsvc.NotAppended, Err: errMoved}
+func (st storeAfterRemoval) Append(_ context.Context, name, _ string, _ []byte, at *uint64) (uint64, error) {
+	if at != nil && *at != st.end {
+		return 0, &logsvc.AppendError{Stream: name, Effect: logsvc.NotAppended, Err: errLeaseChanged}
 	}
-	return ss.end, nil
+	return st.end, nil
 }
 
 // A VM that lists the topic after an entry was removed from its end takes the lease like
 // any other. It went by the last record that it saw, which is not where the topic ends
 // then, and was turned away until some VM wrote something else.
-func TestLeaseAfterARemovedEntry(t *testing.T) {
-	ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, Store: sweptStore{end: 9}, Lease: 4 * clock.Second}
-	ne.Prepare()
+func TestLeaseAfterRemovedEntry(t *testing.T) {
+	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, Store: storeAfterRemoval{end: 9}, LeaseDuration: 4 * clock.Second}
+	mb.Prepare()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
-	go ne.Topic.Run(ctx)
+	go mb.Topic.Run(ctx)
 	select {
-	case <-ne.read:
+	case <-mb.readSignal:
 	case <-ctx.Done():
 		t.Fatal("the topic was not listed")
 	}
-	assert.NilError(t, ne.Swap(ctx, 0, "me/1", []byte("{}")))
+	assert.NilError(t, mb.Swap(ctx, 0, "me/1", []byte("{}")))
 }
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -18,7 +18,7 @@
 	// Both views are sorted by ID, so that one walk finds all (BenchmarkView).
 	walk := vmWalk{vms: old.VMs}
 	for _, after := range now.VMs {
-		before, known := walk.to(after.ID)
+		before, known := walk.find(after.ID)
 		news := !known || before.Health != after.Health || before.Incarnation != after.Incarnation
 		if news && after.Incarnation != 0 && after.ID != now.Self.ID {
 			logVM(lg, healthEvents[after.Health], after)
@@ -29,7 +29,7 @@
 	}
 	walk = vmWalk{vms: now.VMs}
 	for _, before := range old.VMs {
-		if _, known := walk.to(before.ID); !known {
+		if _, known := walk.find(before.ID); !known {
 			logVM(lg, event.VMRemoved, before)
 		}
 	}
@@ -45,7 +45,7 @@
 // that order too.
 type vmWalk struct{ vms []board.VM }
 
-func (vw *vmWalk) to(id string) (board.VM, bool) {
+func (vw *vmWalk) find(id string) (board.VM, bool) {
 	for len(vw.vms) > 0 && vw.vms[0].ID < id {
 		vw.vms = vw.vms[1:]
 	}
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -26,28 +26,28 @@
 	// LeaseKey is the key of the lease on orders to engines.
 	LeaseKey = "lease/roles"
 
-	keySecret = "secret" // that the VMs prove themselves to each other with
-	prefixVM  = "vm/"
+	secretKey   = "secret" // that the VMs prove themselves to each other with
+	vmKeyPrefix = "vm/"
 )
 
 const (
 	// secretBytes is the length of the secret.
 	secretBytes = 32
-	// ownWait is how long a read of the fleet's topic waits for a
+	// topicReadWait is how long a read of the fleet's topic waits for a
 	// change: it changes when VMs start and leases are taken.
-	ownWait = 8 * clock.Second
-	// ownPause lets the VMs that start together be read at once.
-	ownPause = clock.Second
-	// ownStandby is longer than a read and its pause, and ownPatience than
-	// that and the read of who is second in line.
-	ownStandby  = 10 * clock.Second
-	ownPatience = 12 * clock.Second
-	// proposeWithin is the span over which VMs that start together spread
+	topicReadWait = 8 * clock.Second
+	// topicReadPause lets the VMs that start together be read at once.
+	topicReadPause = clock.Second
+	// topicStandbyAfter is longer than a read and its pause, and
+	// topicSelfReadAfter than that and the read of the second in line.
+	topicStandbyAfter  = 10 * clock.Second
+	topicSelfReadAfter = 12 * clock.Second
+	// maxProposalDelay is the span over which VMs that start together spread
 	// their proposals of a secret. The first is known to all after one write
 	// and one read, 10 ms: of 300 VMs eight write, in place of all.
-	proposeWithin = 400 * clock.Millis(1)
-	// joinRetry is the pause before a write is tried again.
-	joinRetry = 500 * clock.Millis(1)
+	maxProposalDelay = 400 * clock.Millis(1)
+	// writeRetryPause is the pause before a write is tried again.
+	writeRetryPause = 500 * clock.Millis(1)
 )
 
 type (
@@ -60,45 +60,45 @@
 		Append(ctx context.Context, name, key string, value []byte, at *uint64) (uint64, error)
 	}
 
-	// Neighbours joins this VM to the others: a topic of the store tells who
+	// Member joins this VM to the others: a topic of the store tells who
 	// there is, and membership who lives. Set the exported fields before
 	// Prepare.
-	Neighbours struct {
-		Self  board.VM // without its incarnation
-		Name  string   // of the topic
-		Store Store
-		Log   event.Logger
-		Clock clock.Source
-		Lease clock.Millis // that the lease on orders lasts
-
-		Ready func() bool // tells whether this VM takes requests
-		Usage func(vm string, rp usage.Report)
-		Place func(vm string, ask usage.PlacementRequest) usage.PlacementReply // chooses engines for a request of another VM
-		Quota func(vm string, life uint64, ask quota.Request) quota.Response   // answers as the keeper of the customers' quotas
-		End   func(en suspect.Crash)                                           // hears at which server's end a request was there
-		Moved func()                                                           // hears that other VMs are the schedulers now
-		News  func(nw topic.Update)                                            // hears what others read of any topic
-		Size  func(vms int)                                                    // hears how many VMs there are
-		Again func(kind string)                                                // hears what this VM wrote again: Secret or Entry; may be nil
+	Member struct {
+		Self          board.VM // without its incarnation
+		TopicName     string   // of the topic
+		Store         Store
+		Log           event.Logger
+		Clock         clock.Source
+		LeaseDuration clock.Millis // that the lease on orders lasts
+
+		Ready              func() bool // tells whether this VM takes requests
+		OnUsage            func(vm string, rp usage.Report)
+		OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply // chooses engines for a request of another VM
+		OnQuotaRequest     func(vm string, life uint64, ask quota.Request) quota.Response   // answers as the keeper of the customers' quotas
+		OnCrash            func(en suspect.Crash)                                           // hears at which server's end a request was there
+		OnSchedulersChange func()                                                           // hears that other VMs are the schedulers now
+		OnTopicUpdate      func(nw topic.Update)                                            // hears what others read of any topic
+		OnFleetSize        func(vms int)                                                    // hears how many VMs there are
+		OnRewrite          func(kind string)                                                // hears what this VM wrote again: Secret or Entry; may be nil
 
 		// Topic follows the topic; it is there from Prepare on.
 		Topic *topic.Follower
 
-		mu         sync.Mutex
-		fleet      *Fleet // nil until the secret is known
-		quit       func() // ends the fleet
-		joinedIn   uint64 // era of the store in which the fleet was joined
-		secret     []byte // in the topic
-		listed     map[string]vmEntry
-		dropped    bool                    // this VM's entry was removed
-		gone       map[string]clock.Millis // VMs with an entry, to since when they are dead or away
-		lease      leaseView               // on orders to engines
-		read       chan struct{}
-		ranked     *board.Fleet // the view that rank was worked out for
-		rank       int
-		sized      *board.Fleet // the view that size was worked out for
-		size       int
-		schedulers string // names of the VMs that are
+		mu            sync.Mutex
+		fleet         *Fleet // nil until the secret is known
+		stopFleet     func() // ends the fleet
+		joinedEra     uint64 // era of the store in which the fleet was joined
+		secret        []byte // in the topic
+		listed        map[string]vmEntry
+		entryRemoved  bool                    // this VM's entry was removed
+		deadSince     map[string]clock.Millis // VMs with an entry, to since when they are dead or away
+		lease         leaseView               // on orders to engines
+		readSignal    chan struct{}
+		rankedView    *board.Fleet // the view that rank was worked out for
+		rank          int
+		countedView   *board.Fleet // the view that size was worked out for
+		vmCount       int
+		schedulersKey string // names of the VMs that are
 	}
 
 	// vmEntry is a VM's entry in the topic.
@@ -112,130 +112,130 @@
 )
 
 // Prepare makes the topic's follower.
-func (ne *Neighbours) Prepare() {
-	ne.lease.lasts = ne.Lease
-	ne.listed, ne.read = make(map[string]vmEntry), make(chan struct{}, 1)
-	ne.Topic = &topic.Follower{Source: ne.Store, Name: ne.Name, Wait: ownWait, Pause: ownPause, SkipPause: ne.lacksSecret, Log: ne.Log,
-		StandbyAfter: ownStandby, SelfReadAfter: ownPatience, Rank: ne.rankHere, Broadcast: ne.TellNews,
-		OnSnapshot: ne.takeWhole, OnChange: ne.take, OnCaughtUp: ne.noteRead, OnStoreRestored: ne.returned}
+func (mb *Member) Prepare() {
+	mb.lease.duration = mb.LeaseDuration
+	mb.listed, mb.readSignal = make(map[string]vmEntry), make(chan struct{}, 1)
+	mb.Topic = &topic.Follower{Source: mb.Store, Name: mb.TopicName, Wait: topicReadWait, Pause: topicReadPause, SkipPause: mb.lacksSecret, Log: mb.Log,
+		StandbyAfter: topicStandbyAfter, SelfReadAfter: topicSelfReadAfter, Rank: mb.ownTopicRank, Broadcast: mb.BroadcastUpdate,
+		OnSnapshot: mb.applySnapshot, OnChange: mb.applyRecord, OnCaughtUp: mb.signalRead, OnStoreRestored: mb.storeRestored}
 }
 
 // lacksSecret tells that this VM can't join the others yet.
-func (ne *Neighbours) lacksSecret() bool {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
-	return len(ne.secret) == 0
+func (mb *Member) lacksSecret() bool {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
+	return len(mb.secret) == 0
 }
 
-func (ne *Neighbours) take(rec topic.Record) {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
+func (mb *Member) applyRecord(rec topic.Record) {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
 	var err error
-	if ne.lease, err = ne.lease.WithRecord(rec); err != nil {
-		ne.noteUnreadable(rec.Key, err)
+	if mb.lease, err = mb.lease.WithRecord(rec); err != nil {
+		mb.logUnreadable(rec.Key, err)
 	}
-	ne.takeOne(rec)
+	mb.applyEntry(rec)
 }
 
-func (ne *Neighbours) noteUnreadable(key string, err error) {
-	ne.Log.Log(event.EntryUnreadable, event.F("Key", key), event.F("Error", err.Error()))
+func (mb *Member) logUnreadable(key string, err error) {
+	mb.Log.Log(event.EntryUnreadable, event.F("Key", key), event.F("Error", err.Error()))
 }
 
-// takeOne takes one record that does not speak of the lease. The lock is held.
-func (ne *Neighbours) takeOne(rec topic.Record) {
-	switch name, isVM := strings.CutPrefix(rec.Key, prefixVM); {
-	case rec.Key == keySecret:
-		ne.secret = rec.Value
+// applyEntry takes one record that does not speak of the lease. The lock is held.
+func (mb *Member) applyEntry(rec topic.Record) {
+	switch name, isVM := strings.CutPrefix(rec.Key, vmKeyPrefix); {
+	case rec.Key == secretKey:
+		mb.secret = rec.Value
 	case isVM && len(rec.Value) == 0:
-		delete(ne.listed, name)
-		ne.sized = nil
-		ne.dropped = ne.dropped || name == ne.Self.ID
+		delete(mb.listed, name)
+		mb.countedView = nil
+		mb.entryRemoved = mb.entryRemoved || name == mb.Self.ID
 	case isVM:
 		var en vmEntry
 		if err := json.Unmarshal(rec.Value, &en); err != nil {
-			ne.noteUnreadable(rec.Key, fmt.Errorf("read the entry at %d: %w", rec.Offset, err))
+			mb.logUnreadable(rec.Key, fmt.Errorf("read the entry at %d: %w", rec.Offset, err))
 			return
 		}
-		ne.listed[name] = en
-		ne.sized = nil
+		mb.listed[name] = en
+		mb.countedView = nil
 	}
 }
 
-// noteRead tells the fleet who is listed now.
-func (ne *Neighbours) noteRead() {
+// signalRead tells the fleet who is listed now.
+func (mb *Member) signalRead() {
 	select {
-	case ne.read <- struct{}{}:
+	case mb.readSignal <- struct{}{}:
 	default:
 	}
 }
 
 // Run joins the fleet and stays in it until the context ends.
-func (ne *Neighbours) Run(ctx context.Context) {
-	go ne.Topic.Run(ctx)
-	go ne.sweep(ctx)
+func (mb *Member) Run(ctx context.Context) {
+	go mb.Topic.Run(ctx)
+	go mb.sweepEntries(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ne.read:
+		case <-mb.readSignal:
 		}
-		if fl := ne.join(ctx); fl != nil {
-			fl.List(ctx, ne.vms())
+		if fl := mb.join(ctx); fl != nil {
+			fl.SetListed(ctx, mb.listedVMs())
 		}
 	}
 }
 
-// joining is the fleet, or the secret that it is to be joined with.
-func (ne *Neighbours) joining() (*Fleet, []byte) {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
-	return ne.fleet, ne.secret
+// fleetAndSecret is the fleet, or the secret that it is to be joined with.
+func (mb *Member) fleetAndSecret() (*Fleet, []byte) {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
+	return mb.fleet, mb.secret
 }
 
 // join starts membership once the secret is known, and proposes a secret if
 // there is none.
-func (ne *Neighbours) join(ctx context.Context) *Fleet {
-	fl, secret := ne.joining()
+func (mb *Member) join(ctx context.Context) *Fleet {
+	fl, secret := mb.fleetAndSecret()
 	switch {
 	case fl == nil && len(secret) == 0:
-		ne.propose(ctx, newSecret())
+		mb.proposeSecret(ctx, newSecret())
 		return nil
 	case fl == nil:
 	case bytes.Equal(fl.Secret, secret):
 		return fl
-	case len(secret) == 0 || ne.insists():
-		ne.propose(ctx, fl.Secret)
+	case len(secret) == 0 || mb.joinedBeforeRestore():
+		mb.proposeSecret(ctx, fl.Secret)
 		return fl
 	default:
-		ne.leave(fl) // another fleet was there before
+		mb.leaveFleet(fl) // another fleet was there before
 	}
-	fl = &Fleet{Self: ne.self(), Secret: secret, Log: ne.Log, Usage: ne.Usage, Place: ne.Place, News: ne.News, End: ne.End, Quota: ne.Quota, Changed: ne.changed,
-		Settings: membership.Settings{ProbeInterval: probeVMs, ProbeTimeout: probeVMs, ProbeDeadline: probeDeadline},
+	fl = &Fleet{Self: mb.nextSelf(), Secret: secret, Log: mb.Log, OnUsage: mb.OnUsage, OnPlacementRequest: mb.OnPlacementRequest, OnTopicUpdate: mb.OnTopicUpdate, OnCrash: mb.OnCrash, OnQuotaRequest: mb.OnQuotaRequest, OnViewChange: mb.handleViewChange,
+		Settings: membership.Settings{ProbeInterval: probeInterval, ProbeTimeout: probeInterval, ProbeDeadline: probeDeadline},
 		Rand:     mathrand.New(mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64()))}
 	fl.Prepare()
 	within, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
-	ne.mu.Lock()
-	ne.fleet, ne.joinedIn = fl, topic.EraOf(ne.lease.end)
-	ne.quit = func() {
+	mb.mu.Lock()
+	mb.fleet, mb.joinedEra = fl, topic.EraOf(mb.lease.end)
+	mb.stopFleet = func() {
 		stop()
 		<-ended // its address is free then
 	}
-	ne.mu.Unlock()
+	mb.mu.Unlock()
 	go func() {
 		defer close(ended)
 		if err := fl.Run(within); err != nil {
-			ne.Log.Log(event.FleetLost, event.F("Error", err.Error()))
+			mb.Log.Log(event.FleetLost, event.F("Error", err.Error()))
 		}
 	}()
-	go ne.enlist(within, fl.Self)
+	go mb.maintainEntry(within, fl.Self)
 	return fl
 }
 
 const (
-	// probeVMs is how often one VM is probed: of six, each is probed about
+	// probeInterval is how often one VM is probed: of six, each is probed about
 	// every 300 ms by some other.
-	probeVMs = 300 * clock.Millis(1)
+	probeInterval = 300 * clock.Millis(1)
 	// probeDeadline without an acknowledgement makes a VM suspect, and takes
 	// it out of the addresses for callers.
 	probeDeadline = 700 * clock.Millis(1)
@@ -247,41 +247,41 @@
 	return secret
 }
 
-// propose writes a secret, a new one or that of this VM's fleet, if the topic still ends
+// proposeSecret writes a secret, a new one or that of this VM's fleet, if the topic still ends
 // where it was read. The VM whose write comes first wins, and each waits for a span of
 // chance in which the topic may bring another's. A write that fails is tried again at the
 // next reading; that the store is away is told by the topic's follower.
-func (ne *Neighbours) propose(ctx context.Context, secret []byte) {
-	wait := clock.Millis(mathrand.Int64N(int64(proposeWithin)))
-	if !clock.Sleep(ctx, wait) || !ne.wants(secret) {
+func (mb *Member) proposeSecret(ctx context.Context, secret []byte) {
+	wait := clock.Millis(mathrand.Int64N(int64(maxProposalDelay)))
+	if !clock.Sleep(ctx, wait) || !mb.secretNeedsWrite(secret) {
 		return
 	}
-	at := ne.Topic.Next()
-	_, err := ne.Store.Append(ctx, ne.Name, keySecret, secret, &at)
+	at := mb.Topic.Next()
+	_, err := mb.Store.Append(ctx, mb.TopicName, secretKey, secret, &at)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		time.AfterFunc(joinRetry.Std(), ne.noteRead)
-	case err == nil && ne.joined() != nil:
-		ne.noteAgain("Secret")
+		time.AfterFunc(writeRetryPause.Std(), mb.signalRead)
+	case err == nil && mb.currentFleet() != nil:
+		mb.reportRewrite("Secret")
 	}
 }
 
-// self is this VM, with an incarnation above any earlier one.
-func (ne *Neighbours) self() board.VM {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
+// nextSelf is this VM, with an incarnation above any earlier one.
+func (mb *Member) nextSelf() board.VM {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
 	// The time of day may jump back between two starts.
-	vm := ne.Self
-	vm.Incarnation = max(uint64(time.Now().UnixMilli()), ne.listed[vm.ID].Incarnation+1)
+	vm := mb.Self
+	vm.Incarnation = max(uint64(time.Now().UnixMilli()), mb.listed[vm.ID].Incarnation+1)
 	return vm
 }
 
-// vms are the listed VMs.
-func (ne *Neighbours) vms() []board.VM {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
+// listedVMs are the listed VMs.
+func (mb *Member) listedVMs() []board.VM {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
 	var out []board.VM
-	for name, en := range ne.listed {
+	for name, en := range mb.listed {
 		out = append(out, board.VM{VMRef: board.VMRef{ID: name, Incarnation: en.Incarnation}, FailureDomain: en.FailureDomain,
 			Region: en.Region, Caller: en.Callers, Peer: en.Peers, Listed: true})
 	}
@@ -289,87 +289,87 @@
 }
 
 // View is the fleet as this VM sees it; without a fleet, itself alone.
-func (ne *Neighbours) View() *board.Fleet {
-	if fl := ne.joined(); fl != nil {
+func (mb *Member) View() *board.Fleet {
+	if fl := mb.currentFleet(); fl != nil {
 		return fl.View()
 	}
 	return &board.Fleet{}
 }
 
-// joined is the fleet; nil before the secret is known.
-func (ne *Neighbours) joined() *Fleet {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
-	return ne.fleet
+// currentFleet is the fleet; nil before the secret is known.
+func (mb *Member) currentFleet() *Fleet {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
+	return mb.fleet
 }
 
 // Leave announces a planned stop to the others.
-func (ne *Neighbours) Leave(ctx context.Context) {
-	if fl := ne.joined(); fl != nil {
+func (mb *Member) Leave(ctx context.Context) {
+	if fl := mb.currentFleet(); fl != nil {
 		fl.Leave(ctx)
 	}
 }
 
-// TellNews passes on to the others what was read of a topic.
-func (ne *Neighbours) TellNews(nw topic.Update) {
-	if fl := ne.joined(); fl != nil {
-		fl.TellNews(nw)
+// BroadcastUpdate passes on to the others what was read of a topic.
+func (mb *Member) BroadcastUpdate(nw topic.Update) {
+	if fl := mb.currentFleet(); fl != nil {
+		fl.BroadcastUpdate(nw)
 	}
 }
 
-// TellEnd tells the others at which server's end a request was there.
-func (ne *Neighbours) TellEnd(en suspect.Crash) {
-	if fl := ne.joined(); fl != nil {
-		fl.TellEnd(en)
+// BroadcastCrash tells the others at which server's end a request was there.
+func (mb *Member) BroadcastCrash(en suspect.Crash) {
+	if fl := mb.currentFleet(); fl != nil {
+		fl.BroadcastCrash(en)
 	}
 }
 
 // Secret is what the VMs of the fleet share; empty before it is known.
-func (ne *Neighbours) Secret() []byte {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
-	if ne.fleet != nil {
-		return ne.fleet.Secret
+func (mb *Member) Secret() []byte {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
+	if mb.fleet != nil {
+		return mb.fleet.Secret
 	}
-	return ne.secret
+	return mb.secret
 }
 
-// TellUsage tells the others what this VM has at the engines.
-func (ne *Neighbours) TellUsage(rp usage.Report) {
-	if fl := ne.joined(); fl != nil {
-		fl.TellUsage(rp)
+// ReportUsage tells the others what this VM has at the engines.
+func (mb *Member) ReportUsage(rp usage.Report) {
+	if fl := mb.currentFleet(); fl != nil {
+		fl.ReportUsage(rp)
 	}
 }
 
-// changed takes a new view of the fleet. VMs that become schedulers are told at
+// handleViewChange takes a new view of the fleet. VMs that become schedulers are told at
 // once what this one has at the engines.
-func (ne *Neighbours) changed(view *board.Fleet) {
-	ne.Size(len(view.Serving()))
+func (mb *Member) handleViewChange(view *board.Fleet) {
+	mb.OnFleetSize(len(view.Serving()))
 	key := ""
-	if fl := ne.joined(); fl != nil {
+	if fl := mb.currentFleet(); fl != nil {
 		key = fl.schedulersKey()
 	}
-	ne.mu.Lock()
-	moved := key != ne.schedulers
-	ne.schedulers = key
-	ne.mu.Unlock()
+	mb.mu.Lock()
+	moved := key != mb.schedulersKey
+	mb.schedulersKey = key
+	mb.mu.Unlock()
 	if moved {
-		ne.Log.Log(event.SchedulersChanged, event.F("VMs", key))
-		ne.Moved()
+		mb.Log.Log(event.SchedulersChanged, event.F("VMs", key))
+		mb.OnSchedulersChange()
 	}
 }
 
 // Others are the VMs that live besides this one, as it sees them. Whole is
 // false while it sees less than half of the fleet live: then those that it
 // takes for dead may be, and it may be the one that is cut off.
-func (ne *Neighbours) Others() (ids []string, whole bool) {
-	view := ne.View()
+func (mb *Member) Others() (ids []string, whole bool) {
+	view := mb.View()
 	if len(view.VMs) == 0 {
 		return nil, false // it has not joined them yet
 	}
 	all := 0
 	for _, vm := range view.VMs {
-		if vm.ID == ne.Self.ID || vm.Incarnation == 0 || vm.Health == board.Left {
+		if vm.ID == mb.Self.ID || vm.Incarnation == 0 || vm.Health == board.Left {
 			continue
 		}
 		all++
--- a/internal/fleet/neighbours_test.go
+++ b/internal/fleet/neighbours_test.go
@@ -13,7 +13,7 @@
 
 // A VM that sees less than half of the others live may be the one that is cut
 // off, and does not know what the others have.
-func TestOthersOfAVMThatIsCutOff(t *testing.T) {
+func TestOthersDuringPartition(t *testing.T) {
 	vm := func(id string, health board.Health) board.VM {
 		return board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health}
 	}
@@ -30,10 +30,10 @@
 		{"not joined", nil, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: "me"}}}
-			ne.fleet = &Fleet{}
-			ne.fleet.view.Store(&board.Fleet{VMs: tc.vms})
-			ids, whole := ne.Others()
+			mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}}
+			mb.fleet = &Fleet{}
+			mb.fleet.view.Store(&board.Fleet{VMs: tc.vms})
+			ids, whole := mb.Others()
 			assert.Equal(t, len(ids), tc.ids)
 			assert.Equal(t, whole, tc.whole)
 		})
@@ -42,8 +42,8 @@
 
 // The entry of a VM goes once it has been dead, or away, for long without a
 // break; one that comes back starts anew.
-func TestEntriesOfVMsThatAreGone(t *testing.T) {
-	ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, fleet: &Fleet{},
+func TestExpiredEntries(t *testing.T) {
+	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, fleet: &Fleet{},
 		listed: map[string]vmEntry{"me": {}, "dead": {}, "left": {}, "back": {}, "suspect": {}}}
 	see := func(back board.Health) {
 		var view board.Fleet
@@ -52,28 +52,28 @@
 			view.VMs = append(view.VMs, board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health})
 		}
 		slices.SortFunc(view.VMs, func(va, vb board.VM) int { return strings.Compare(va.ID, vb.ID) })
-		ne.fleet.view.Store(&view)
+		mb.fleet.view.Store(&view)
 	}
 	see(board.Dead)
-	assert.DeepEqual(t, ne.goneVMs(1000), []string(nil))
+	assert.DeepEqual(t, mb.expiredEntries(1000), []string(nil))
 	see(board.Alive)
-	assert.DeepEqual(t, ne.goneVMs(2000), []string(nil))
+	assert.DeepEqual(t, mb.expiredEntries(2000), []string(nil))
 	see(board.Dead)
-	assert.DeepEqual(t, ne.goneVMs(3000), []string(nil))
-	assert.DeepEqual(t, ne.goneVMs(1000+goneAfter), []string{"dead", "left"})
-	assert.DeepEqual(t, ne.goneVMs(3000+goneAfter), []string{"back", "dead", "left"})
+	assert.DeepEqual(t, mb.expiredEntries(3000), []string(nil))
+	assert.DeepEqual(t, mb.expiredEntries(1000+entryRetention), []string{"dead", "left"})
+	assert.DeepEqual(t, mb.expiredEntries(3000+entryRetention), []string{"back", "dead", "left"})
 }
 
 // A VM whose own entry was removed learns of it once.
 func TestOwnEntryIsRemoved(t *testing.T) {
-	ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, listed: make(map[string]vmEntry)}
-	ne.take(topic.Record{Key: "vm/me", Value: []byte(`{"Incarnation":4}`), Offset: 1})
-	assert.Assert(t, !ne.takeDropped())
-	ne.take(topic.Record{Key: "vm/other", Offset: 2})
-	assert.Assert(t, !ne.takeDropped())
-	ne.take(topic.Record{Key: "vm/me", Offset: 3})
-	assert.Assert(t, ne.takeDropped())
-	assert.Assert(t, !ne.takeDropped())
+	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, listed: make(map[string]vmEntry)}
+	mb.applyRecord(topic.Record{Key: "vm/me", Value: []byte(`{"Incarnation":4}`), Offset: 1})
+	assert.Assert(t, !mb.takeEntryRemoved())
+	mb.applyRecord(topic.Record{Key: "vm/other", Offset: 2})
+	assert.Assert(t, !mb.takeEntryRemoved())
+	mb.applyRecord(topic.Record{Key: "vm/me", Offset: 3})
+	assert.Assert(t, mb.takeEntryRemoved())
+	assert.Assert(t, !mb.takeEntryRemoved())
 }
 
 // A VM that leaves, or that knows no other, is behind all that read for others.
@@ -82,9 +82,9 @@
 		return board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health, Leaving: leaving}
 	}
 	rankOf := func(self string, vms ...board.VM) int {
-		ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: self}}, Name: "t", fleet: &Fleet{}}
-		ne.fleet.view.Store(&board.Fleet{VMs: vms})
-		return ne.Rank()
+		mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: self}}, TopicName: "t", fleet: &Fleet{}}
+		mb.fleet.view.Store(&board.Fleet{VMs: vms})
+		return mb.Rank()
 	}
 	all := []board.VM{vm("a", board.Alive, false), vm("b", board.Alive, false), vm("c", board.Alive, false)}
 	ranks := []int{rankOf("a", all...), rankOf("b", all...), rankOf("c", all...)}
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -23,7 +23,7 @@
 
 const (
 	// netVMs is a fleet that is large enough for schedulers.
-	netVMs = mostDirect + 3
+	netVMs = maxDirectVMs + 3
 	// netDomains is its failure domains.
 	netDomains = 4
 	// inboxDatagrams bounds what waits for a VM that is frozen.
@@ -38,13 +38,13 @@
 		seed  uint64
 		clock bubbleClock
 
-		mu    sync.Mutex
-		vms   map[string]*simVM        // the newest life of each name
-		lives map[string]uint64        // incarnation of the newest life
-		cut   map[[2]string]bool       // datagrams from the first to the second are lost
-		slow  map[string]time.Duration // added to each datagram from and to a VM
-		loss  float64                  // part of the datagrams that is lost, while others overtake each other
-		last  map[[2]string]time.Time  // when the last datagram from the first to the second arrives
+		mu          sync.Mutex
+		vms         map[string]*simVM        // the newest life of each name
+		lives       map[string]uint64        // incarnation of the newest life
+		blocked     map[[2]string]bool       // datagrams from the first to the second are lost
+		extraDelay  map[string]time.Duration // added to each datagram from and to a VM
+		loss        float64                  // part of the datagrams that is lost, while others overtake each other
+		lastArrival map[[2]string]time.Time  // when the last datagram from the first to the second arrives
 	}
 
 	// simVM is one life of a VM: the project's own membership, wire forms, choice
@@ -55,19 +55,19 @@
 		ctx  context.Context
 		stop context.CancelFunc
 		fl   *Fleet
-		ne   *Neighbours
+		mb   *Member
 
-		inbox   chan []byte
-		selfish bool // it believes that it is the first scheduler
+		inbox       chan []byte
+		alwaysFirst bool // it believes that it is the first scheduler
 
-		mu     sync.Mutex
-		number uint64        // of the last datagram
-		thaw   chan struct{} // closed when a frozen VM goes on; nil: it is not frozen
-		thawed clock.Millis  // when it last went on
+		mu        sync.Mutex
+		sequence  uint64        // of the last datagram
+		resumed   chan struct{} // closed when a frozen VM goes on; nil: it is not frozen
+		resumedAt clock.Millis  // when it last went on
 	}
 
-	// simHears is what a VM does with others' words; a nil field drops them.
-	simHears struct {
+	// simHandlers is what a VM does with others' words; a nil field drops them.
+	simHandlers struct {
 		usage func(vm string, rp usage.Report)
 		place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
 		moved func()
@@ -87,8 +87,8 @@
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
 
-// note notes a violation if there is one.
-func (vi *violations) note(is bool, at clock.Millis, kind string) {
+// recordIf notes a violation if there is one.
+func (vi *violations) recordIf(is bool, at clock.Millis, kind string) {
 	if !is {
 		return
 	}
@@ -112,8 +112,8 @@
 
 func newNet(seed uint64) *simNet {
 	return &simNet{seed: seed, clock: bubbleClock{time.Now()}, vms: make(map[string]*simVM), lives: make(map[string]uint64),
-		cut: make(map[[2]string]bool), slow: make(map[string]time.Duration),
-		last: make(map[[2]string]time.Time)}
+		blocked: make(map[[2]string]bool), extraDelay: make(map[string]time.Duration),
+		lastArrival: make(map[[2]string]time.Time)}
 }
 
 // chance is a number in [0,1) that follows from the seed and the key.
@@ -123,45 +123,45 @@
 	return float64(xxhash.Sum64(raw)>>11) / (1 << 53)
 }
 
-// nameOf is the name of a VM of the fleet.
-func nameOf(ix int) string { return fmt.Sprintf("vm-%02d", ix) }
+// vmName is the name of a VM of the fleet.
+func vmName(ix int) string { return fmt.Sprintf("vm-%02d", ix) }
 
-// listed is the VMs as the store lists them.
-func listed() []board.VM {
+// listedVMs is the VMs as the store lists them.
+func listedVMs() []board.VM {
 	out := make([]board.VM, 0, netVMs)
 	for ix := range netVMs {
-		out = append(out, board.VM{VMRef: board.VMRef{ID: nameOf(ix)}, FailureDomain: fmt.Sprint(ix % netDomains),
+		out = append(out, board.VM{VMRef: board.VMRef{ID: vmName(ix)}, FailureDomain: fmt.Sprint(ix % netDomains),
 			Peer: fmt.Sprintf("10.0.0.%d:1", ix+1), Caller: fmt.Sprintf("10.0.1.%d:80", ix+1), Listed: true})
 	}
 	return out
 }
 
 // newVM makes a further life of a VM, which is not started yet.
-func (sn *simNet) newVM(ctx context.Context, ix int, hears simHears) *simVM {
+func (sn *simNet) newVM(ctx context.Context, ix int, handlers simHandlers) *simVM {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
-	self := listed()[ix]
+	self := listedVMs()[ix]
 	sn.lives[self.ID]++
 	self.Incarnation = sn.lives[self.ID]
 	vm := &simVM{net: sn, self: self, inbox: make(chan []byte, inboxDatagrams)}
 	vm.ctx, vm.stop = context.WithCancel(ctx)
-	vm.ne = &Neighbours{Self: self, Name: "t", Size: func(int) {}, Moved: orNothing(hears.moved)}
+	vm.mb = &Member{Self: self, TopicName: "t", OnFleetSize: func(int) {}, OnSchedulersChange: orNoop(handlers.moved)}
 	vm.fl = &Fleet{Self: self, Clock: sn.clock, Rand: rand.New(rand.NewPCG(sn.seed, uint64(ix)<<8|self.Incarnation)),
-		Settings: membership.Settings{ProbeInterval: probeVMs, ProbeTimeout: probeVMs, ProbeDeadline: probeDeadline},
-		Usage:    hears.usage, Place: hears.place, News: hears.news, Changed: vm.ne.changed}
+		Settings: membership.Settings{ProbeInterval: probeInterval, ProbeTimeout: probeInterval, ProbeDeadline: probeDeadline},
+		OnUsage:  handlers.usage, OnPlacementRequest: handlers.place, OnTopicUpdate: handlers.news, OnViewChange: vm.mb.handleViewChange}
 	vm.fl.Prepare()
-	vm.ne.fleet = vm.fl
+	vm.mb.fleet = vm.fl
 	step := vm.fl.members.Step
 	vm.fl.members.Step = func(_ clock.Millis, ev membership.Event) []membership.Intent {
-		vm.await() // the span of a freeze is a pause to membership
+		vm.waitResumed() // the span of a freeze is a pause to membership
 		return step(sn.clock.Now(), ev)
 	}
-	vm.fl.members.Do = vm.carryOut
+	vm.fl.members.Do = vm.handleIntent
 	sn.vms[self.ID] = vm
 	return vm
 }
 
-func orNothing(do func()) func() {
+func orNoop(do func()) func() {
 	if do == nil {
 		return func() {}
 	}
@@ -170,24 +170,24 @@
 
 func (vm *simVM) start() {
 	go vm.fl.members.Run(vm.ctx)
-	go vm.hear()
-	vm.fl.List(vm.ctx, listed())
+	go vm.receiveLoop()
+	vm.fl.SetListed(vm.ctx, listedVMs())
 }
 
-// carryOut sends by the simulated network, and leaves all else to the fleet.
-func (vm *simVM) carryOut(in membership.Intent) {
+// handleIntent sends by the simulated network, and leaves all else to the fleet.
+func (vm *simVM) handleIntent(in membership.Intent) {
 	if send, ok := in.(membership.Send); ok {
 		vm.send(send.To.ID, send.Datagram)
 		return
 	}
-	vm.fl.carryOut(in)
+	vm.fl.handleIntent(in)
 }
 
-// await waits while the VM is frozen, and tells whether it still lives.
-func (vm *simVM) await() bool {
+// waitResumed waits while the VM is frozen, and tells whether it still lives.
+func (vm *simVM) waitResumed() bool {
 	for vm.ctx.Err() == nil {
 		vm.mu.Lock()
-		thaw := vm.thaw
+		thaw := vm.resumed
 		vm.mu.Unlock()
 		if thaw == nil {
 			return true
@@ -206,11 +206,11 @@
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	ch := make(chan struct{})
-	vm.thaw = ch
+	vm.resumed = ch
 	return func() {
 		vm.mu.Lock()
 		defer vm.mu.Unlock()
-		vm.thaw, vm.thawed = nil, vm.net.clock.Now()
+		vm.resumed, vm.resumedAt = nil, vm.net.clock.Now()
 		close(ch)
 	}
 }
@@ -219,42 +219,42 @@
 func (vm *simVM) frozenSince(at clock.Millis) bool {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
-	return vm.thaw != nil || vm.thawed > at
+	return vm.resumed != nil || vm.resumedAt > at
 }
 
 // send sends a datagram as the transport does: numbered, encoded, and without
 // word of whether it arrives.
 func (vm *simVM) send(to string, dg *peerpb.Datagram) {
-	if !vm.await() {
+	if !vm.waitResumed() {
 		return
 	}
 	vm.mu.Lock()
-	vm.number++
-	number := vm.number
+	vm.sequence++
+	number := vm.sequence
 	dg.From, dg.Incarnation, dg.Sequence = vm.self.ID, vm.self.Incarnation, number
 	raw, err := proto.Marshal(dg)
 	vm.mu.Unlock()
 	if err != nil {
 		panic(err)
 	}
-	vm.net.carry(vm.self.ID, to, number, raw)
+	vm.net.transmit(vm.self.ID, to, number, raw)
 }
 
-// carry takes a millisecond or two, and what slow VMs add. Datagrams of one VM to
+// transmit takes a millisecond or two, and what slow VMs add. Datagrams of one VM to
 // another arrive in order unless some are lost.
-func (sn *simNet) carry(from, to string, number uint64, raw []byte) {
+func (sn *simNet) transmit(from, to string, number uint64, raw []byte) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
 	path := [2]string{from, to}
-	if sn.cut[path] || sn.chance("lost "+from+to, number) < sn.loss {
+	if sn.blocked[path] || sn.chance("lost "+from+to, number) < sn.loss {
 		return
 	}
 	delay := time.Millisecond + time.Duration(sn.chance(from+to, number)*float64(time.Millisecond))
-	at := time.Now().Add(delay + sn.slow[from] + sn.slow[to])
-	if sn.loss == 0 && at.Before(sn.last[path]) {
-		at = sn.last[path].Add(time.Microsecond)
+	at := time.Now().Add(delay + sn.extraDelay[from] + sn.extraDelay[to])
+	if sn.loss == 0 && at.Before(sn.lastArrival[path]) {
+		at = sn.lastArrival[path].Add(time.Microsecond)
 	}
-	sn.last[path] = at
+	sn.lastArrival[path] = at
 	time.AfterFunc(time.Until(at), func() { sn.deliver(to, raw) })
 }
 
@@ -274,49 +274,49 @@
 	return sn.vms[name]
 }
 
-// hear takes datagrams one at a time.
-func (vm *simVM) hear() {
+// receiveLoop takes datagrams one at a time.
+func (vm *simVM) receiveLoop() {
 	for {
 		select {
 		case <-vm.ctx.Done():
 			return
 		case raw := <-vm.inbox:
-			if !vm.await() {
+			if !vm.waitResumed() {
 				return
 			}
 			var dg peerpb.Datagram
 			if err := proto.Unmarshal(raw, &dg); err != nil {
 				panic(err)
 			}
-			vm.heard(&dg)
+			vm.handleDatagram(&dg)
 		}
 	}
 }
 
-// heard answers an ask and passes news on by the simulated network, and leaves
+// handleDatagram answers an ask and passes news on by the simulated network, and leaves
 // all else to the fleet.
-func (vm *simVM) heard(dg *peerpb.Datagram) {
+func (vm *simVM) handleDatagram(dg *peerpb.Datagram) {
 	if ask := dg.GetPlaceAsk(); ask != nil {
-		answer := answerToWire(ask.GetNumber(), vm.fl.Place(dg.GetFrom(), askFromWire(ask)))
+		answer := placementReplyToWire(ask.GetNumber(), vm.fl.OnPlacementRequest(dg.GetFrom(), placementRequestFromWire(ask)))
 		vm.send(dg.GetFrom(), &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAnswer{PlaceAnswer: answer}})
 		return
 	}
 	if gr := dg.GetForward(); gr != nil {
 		dg.Forward = nil
 		from := dg.GetFrom()
-		for _, other := range vm.fl.spread().living(func(other board.VM) bool { return inGroup(gr, other) && other.ID != vm.self.ID && other.ID != from }) {
+		for _, other := range vm.fl.broadcaster().alive(func(other board.VM) bool { return inGroup(gr, other) && other.ID != vm.self.ID && other.ID != from }) {
 			vm.send(other.ID, proto.Clone(dg).(*peerpb.Datagram))
 		}
 	}
-	vm.fl.heard(dg, netip.AddrPort{})
+	vm.fl.handleDatagram(dg, netip.AddrPort{})
 }
 
 // Before is the VMs that are asked for a place.
 func (vm *simVM) Before() (vms []string, here bool) {
-	if vm.selfish {
+	if vm.alwaysFirst {
 		return nil, true
 	}
-	return vm.ne.Before()
+	return vm.mb.Before()
 }
 
 // Ask asks a VM for a place by the simulated network.
@@ -324,9 +324,9 @@
 	if !slices.ContainsFunc(vm.fl.Schedulers(), func(other board.VM) bool { return other.ID == to }) {
 		return usage.PlacementReply{}, errNotScheduler
 	}
-	number, answer := vm.fl.asks.begin()
-	defer vm.fl.asks.forget(number)
-	vm.send(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: askToWire(number, ask)}})
+	number, answer := vm.fl.placementRequests.register()
+	defer vm.fl.placementRequests.remove(number)
+	vm.send(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: placementRequestToWire(number, ask)}})
 	select {
 	case ans := <-answer:
 		return ans, nil
@@ -335,8 +335,8 @@
 	}
 }
 
-// tellUsage tells the schedulers what this VM has at the engines.
-func (vm *simVM) tellUsage(rp usage.Report) {
+// reportUsage tells the schedulers what this VM has at the engines.
+func (vm *simVM) reportUsage(rp usage.Report) {
 	for _, to := range vm.fl.Schedulers() {
 		if to.ID != vm.self.ID {
 			vm.send(to.ID, &peerpb.Datagram{Body: &peerpb.Datagram_Usage{Usage: usageToWire(rp)}})
@@ -344,15 +344,15 @@
 	}
 }
 
-// cutOff loses what goes from some VMs to others; back has it carried again.
-func (sn *simNet) cutOff(from, to []string) (back func()) {
+// block loses what goes from some VMs to others; back has it carried again.
+func (sn *simNet) block(from, to []string) (back func()) {
 	set := func(lost bool) {
 		sn.mu.Lock()
 		defer sn.mu.Unlock()
 		for _, vm := range from {
 			for _, other := range to {
 				if vm != other {
-					sn.cut[[2]string{vm, other}] = lost
+					sn.blocked[[2]string{vm, other}] = lost
 				}
 			}
 		}
@@ -365,11 +365,11 @@
 func (sn *simNet) slowDown(vm string, span time.Duration) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
-	sn.slow[vm] = span
+	sn.extraDelay[vm] = span
 }
 
-// drawn is some of the numbers below a count, each once, that follow from the seed.
-func (sn *simNet) drawn(some, count int) (out []int) {
+// drawDistinct is some of the numbers below a count, each once, that follow from the seed.
+func (sn *simNet) drawDistinct(some, count int) (out []int) {
 	for number := uint64(0); len(out) < some; number++ {
 		if at := int(sn.chance("drawn", number) * float64(count)); !slices.Contains(out, at) {
 			out = append(out, at)
@@ -378,8 +378,8 @@
 	return out
 }
 
-// lose loses a part of all datagrams, and lets others overtake each other.
-func (sn *simNet) lose(part float64) {
+// setLoss loses a part of all datagrams, and lets others overtake each other.
+func (sn *simNet) setLoss(part float64) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
 	sn.loss = part
@@ -389,7 +389,7 @@
 func allNames() []string {
 	var out []string
 	for ix := range netVMs {
-		out = append(out, nameOf(ix))
+		out = append(out, vmName(ix))
 	}
 	return out
 }
@@ -407,9 +407,9 @@
 	return out
 }
 
-// disagreed tells of VMs that name other schedulers than the first VM does, or ones
+// schedulerDisagreements tells of VMs that name other schedulers than the first VM does, or ones
 // that do not live.
-func (sn *simNet) disagreed() (out []string) {
+func (sn *simNet) schedulerDisagreements() (out []string) {
 	list := sn.running()
 	key := list[0].fl.schedulersKey()
 	for _, vm := range list {
--- a/internal/fleet/pieces.go
+++ b/internal/fleet/pieces.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// mostPieces bounds the datagrams of one record: a configuration of 30
+	// maxFragments bounds the datagrams of one record: a configuration of 30
 	// routes deflates to two of them, and a larger one than fits into 16 is
 	// read from the store by each VM.
-	mostPieces = 16
-	// recordBytes bounds a record once it is inflated: the store's own bound.
-	recordBytes = 256 << 10
+	maxFragments = 16
+	// maxRecordBytes bounds a record once it is inflated: the store's own bound.
+	maxRecordBytes = 256 << 10
 )
 
-// pieces are the parts of the record that a topic's reader passes on just now.
+// reassembly are the parts of the record that a topic's reader passes on just now.
 // The zero value has none.
-type pieces struct {
-	key    string
-	offset uint64
-	parts  [][]byte
-	got    int
+type reassembly struct {
+	key      string
+	offset   uint64
+	parts    [][]byte
+	received int
 }
 
-// split makes the pieces of a record; none if it is too large.
-func split(name string, rec topic.Record) ([]*peerpb.TopicPiece, error) {
+// fragmentRecord makes the pieces of a record; none if it is too large.
+func fragmentRecord(name string, rec topic.Record) ([]*peerpb.TopicPiece, error) {
 	var packed bytes.Buffer
 	wr, err := flate.NewWriter(&packed, flate.DefaultCompression)
 	if err != nil {
@@ -41,9 +41,9 @@
 	if err := wr.Close(); err != nil {
 		return nil, fmt.Errorf("deflate a record: %w", err)
 	}
-	room := newsBytes - len(rec.Key)
+	room := maxUpdateBytes - len(rec.Key)
 	count := (packed.Len() + room - 1) / room
-	if count > mostPieces || len(rec.Value) > recordBytes {
+	if count > maxFragments || len(rec.Value) > maxRecordBytes {
 		return nil, nil
 	}
 	out := make([]*peerpb.TopicPiece, 0, count)
@@ -54,40 +54,40 @@
 	return out, nil
 }
 
-// take adds a piece and returns the record if it is whole. Pieces of an older
+// add adds a piece and returns the record if it is whole. Pieces of an older
 // record are dropped: who misses it notices the gap.
-func (pc *pieces) take(tp *peerpb.TopicPiece) (rec topic.Record, whole bool, err error) {
+func (ra *reassembly) add(tp *peerpb.TopicPiece) (rec topic.Record, whole bool, err error) {
 	count := tp.GetCount()
-	if count == 0 || count > mostPieces || tp.GetIndex() >= count {
+	if count == 0 || count > maxFragments || tp.GetIndex() >= count {
 		return rec, false, fmt.Errorf("piece %d of %d", tp.GetIndex(), count)
 	}
-	if tp.GetOffset() < pc.offset {
+	if tp.GetOffset() < ra.offset {
 		return rec, false, nil
 	}
-	if tp.GetOffset() != pc.offset || tp.GetKey() != pc.key || int(count) != len(pc.parts) {
-		*pc = pieces{key: tp.GetKey(), offset: tp.GetOffset(), parts: make([][]byte, count)}
+	if tp.GetOffset() != ra.offset || tp.GetKey() != ra.key || int(count) != len(ra.parts) {
+		*ra = reassembly{key: tp.GetKey(), offset: tp.GetOffset(), parts: make([][]byte, count)}
 	}
-	if pc.parts[tp.GetIndex()] != nil {
+	if ra.parts[tp.GetIndex()] != nil {
 		return rec, false, nil // it came before
 	}
-	pc.parts[tp.GetIndex()] = tp.GetData()
-	if pc.got++; pc.got < len(pc.parts) {
+	ra.parts[tp.GetIndex()] = tp.GetData()
+	if ra.received++; ra.received < len(ra.parts) {
 		return rec, false, nil
 	}
-	value, err := inflate(bytes.Join(pc.parts, nil))
+	value, err := inflate(bytes.Join(ra.parts, nil))
 	if err != nil {
 		return rec, false, err
 	}
-	return topic.Record{Key: pc.key, Value: value, Offset: pc.offset}, true, nil
+	return topic.Record{Key: ra.key, Value: value, Offset: ra.offset}, true, nil
 }
 
 func inflate(packed []byte) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), recordBytes+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxRecordBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("inflate a record: %w", err)
 	}
-	if len(value) > recordBytes {
-		return nil, fmt.Errorf("a record of more than %d bytes", recordBytes)
+	if len(value) > maxRecordBytes {
+		return nil, fmt.Errorf("a record of more than %d bytes", maxRecordBytes)
 	}
 	return value, nil
 }
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -22,8 +22,8 @@
 	return view
 }
 
-// lose has a VM be dead.
-func lose(view *board.Fleet, id string) *board.Fleet {
+// withDead has a VM be dead.
+func withDead(view *board.Fleet, id string) *board.Fleet {
 	out := &board.Fleet{}
 	for _, vm := range view.VMs {
 		if vm.ID == id {
@@ -36,18 +36,18 @@
 
 // The shards have two keepers where there are two VMs, and the loss of one keeper moves
 // its own shard alone, but for fleets in which all VMs stand for the same shard.
-func TestKeepersOfShards(t *testing.T) {
-	assert.Equal(t, *keepersOf(&board.Fleet{}), keepers{})
-	one := *keepersOf(quotaView(0, 1))
+func TestKeeperSelection(t *testing.T) {
+	assert.Equal(t, *selectKeepers(&board.Fleet{}), keepers{})
+	one := *selectKeepers(quotaView(0, 1))
 	assert.Equal(t, one, keepers{"edge-0-0", "edge-0-0"})
 	for _, size := range []int{2, 3, 7, 24, 69} {
 		moved, lost := 0, 0
 		for fl := range 200 {
 			view := quotaView(fl, size)
-			ks := *keepersOf(view)
+			ks := *selectKeepers(view)
 			assert.Assert(t, ks[0] != ks[1] && ks[0] != "" && ks[1] != "")
 			for ix, id := range ks {
-				after := *keepersOf(lose(view, id))
+				after := *selectKeepers(withDead(view, id))
 				assert.Assert(t, after[ix] != id && after[ix] != "")
 				lost++
 				if after[1-ix] != ks[1-ix] {
@@ -65,12 +65,12 @@
 // not is not answered.
 func TestQuotaOnTheWire(t *testing.T) {
 	ask := quota.Request{Shard: 1, Sequence: 7, KeeperID: 8, KeeperTime: 9, Customer: "c", Need: 10, Credit: 11, Returned: 12, Release: true, LendsSlack: true}
-	assert.Equal(t, quotaAskFromWire(quotaAskToWire(3, ask).GetQuotaAsk()), ask)
+	assert.Equal(t, quotaRequestFromWire(quotaRequestToWire(3, ask).GetQuotaAsk()), ask)
 	ans := quota.Response{KeeperID: 1, Time: 2, Known: true, Granted: true, Credit: 3, Wait: 4, InDebt: true}
-	assert.Equal(t, quotaAnswerFromWire(quotaAnswerToWire(3, ans).GetQuotaAnswer()), ans)
-	fl := &Fleet{Quota: func(string, uint64, quota.Request) quota.Response {
+	assert.Equal(t, quotaResponseFromWire(quotaResponseToWire(3, ans).GetQuotaAnswer()), ans)
+	fl := &Fleet{OnQuotaRequest: func(string, uint64, quota.Request) quota.Response {
 		t.Error("the shard is none")
 		return quota.Response{}
 	}}
-	fl.heardQuotaAsk(&peerpb.Datagram{Body: &peerpb.Datagram_QuotaAsk{QuotaAsk: &peerpb.QuotaAsk{Shard: quota.Shards}}}, netip.AddrPort{})
+	fl.handleQuotaRequest(&peerpb.Datagram{Body: &peerpb.Datagram_QuotaAsk{QuotaAsk: &peerpb.QuotaAsk{Shard: quota.Shards}}}, netip.AddrPort{})
 }
--- a/internal/fleet/returned_test.go
+++ b/internal/fleet/returned_test.go
@@ -15,7 +15,7 @@
 
 // A store that came back without the record of the lease must not give the lease to a
 // second VM while the first goes by that record: all wait until it is surely over.
-func TestLeaseThatTheStoreLost(t *testing.T) {
+func TestLeaseLostByStore(t *testing.T) {
 	data := func(id string) []byte {
 		value, err := json.Marshal(register.Lease{Holder: id, Duration: 4 * clock.Second})
 		assert.NilError(t, err)
@@ -23,7 +23,7 @@
 		assert.NilError(t, err)
 		return entry
 	}
-	vmRecord := topic.Record{Key: prefixVM + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
+	vmRecord := topic.Record{Key: vmKeyPrefix + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
 	for _, tc := range []struct {
 		name    string
 		older   []topic.Record // what the copy has
@@ -34,21 +34,21 @@
 		{"an older lease is there", []topic.Record{vmRecord, {Key: LeaseKey, Value: data("another"), Offset: topic.Position(1, 4)}}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, Lease: 4 * clock.Second}
-			ne.Prepare()
-			ne.take(topic.Record{Key: LeaseKey, Value: data("holder"), Offset: 20})
-			before := ne.lease.entry
+			mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, LeaseDuration: 4 * clock.Second}
+			mb.Prepare()
+			mb.applyRecord(topic.Record{Key: LeaseKey, Value: data("holder"), Offset: 20})
+			before := mb.lease.entry
 			ho := &register.Holder{Resource: LeaseKey, Self: "me", Rand: rand.New(rand.NewPCG(1, 1)), Duration: 4 * clock.Second}
 			ho.Step(0, register.LeaseWanted{Hold: true})
 			ho.Step(0, register.LeaseObserved{Entry: before, Known: true})
 			now := 20 * clock.Second // that lease is long over
-			ne.returned()
-			ne.takeWhole(tc.older)
-			assert.Assert(t, ne.lease.entry.Revision > before.Revision, "a fencing token never goes back")
-			assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: ne.lease.entry, Known: true})))
+			mb.storeRestored()
+			mb.applySnapshot(tc.older)
+			assert.Assert(t, mb.lease.entry.Revision > before.Revision, "a fencing token never goes back")
+			assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: mb.lease.entry, Known: true})))
 			assert.Assert(t, !appends(ho.Step(now+4*clock.Second, register.LeaseTick{})))
 			assert.Assert(t, appends(ho.Step(now+7*clock.Second, register.LeaseTick{})))
-			assert.Equal(t, ne.takeDropped(), tc.dropped, "this VM's entry is written again")
+			assert.Equal(t, mb.takeEntryRemoved(), tc.dropped, "this VM's entry is written again")
 		})
 	}
 }
@@ -64,19 +64,19 @@
 
 // A VM that had seen no lease may be the one that was cut off while another took it: what
 // the store lost is waited out by it too.
-func TestLeaseThatTheStoreLostUnseen(t *testing.T) {
-	ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, Lease: 4 * clock.Second}
-	ne.Prepare()
-	vmRecord := topic.Record{Key: prefixVM + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
-	ne.takeWhole([]topic.Record{vmRecord})
+func TestUnseenLeaseLostByStore(t *testing.T) {
+	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, LeaseDuration: 4 * clock.Second}
+	mb.Prepare()
+	vmRecord := topic.Record{Key: vmKeyPrefix + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
+	mb.applySnapshot([]topic.Record{vmRecord})
 	ho := &register.Holder{Resource: LeaseKey, Self: "me", Rand: rand.New(rand.NewPCG(1, 1)), Duration: 4 * clock.Second}
-	ho.Step(0, register.LeaseObserved{Entry: ne.lease.entry, Known: true})
+	ho.Step(0, register.LeaseObserved{Entry: mb.lease.entry, Known: true})
 	now := 20 * clock.Second
-	ne.returned()
+	mb.storeRestored()
 	vmRecord.Offset = topic.Position(2, 3)
-	ne.takeWhole([]topic.Record{vmRecord})
+	mb.applySnapshot([]topic.Record{vmRecord})
 	ho.Step(now, register.LeaseWanted{Hold: true})
-	assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: ne.lease.entry, Known: true})))
+	assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: mb.lease.entry, Known: true})))
 	assert.Assert(t, !appends(ho.Step(now+4*clock.Second, register.LeaseTick{})))
 	assert.Assert(t, appends(ho.Step(now+7*clock.Second, register.LeaseTick{})))
 }
--- a/internal/fleet/schedulers.go
+++ b/internal/fleet/schedulers.go
@@ -15,8 +15,8 @@
 	// answer. They are ranked without regard to failure domains, so that the next
 	// in line is always one that was told before.
 	schedulerCount = 3
-	// rankSchedulers ranks them.
-	rankSchedulers = "schedulers"
+	// schedulerRankKey ranks them.
+	schedulerRankKey = "schedulers"
 )
 
 // schedulers is the VMs that choose engines for all, in the order in which they
@@ -26,19 +26,19 @@
 	key string // of the VMs' names, to tell whether they changed
 }
 
-// schedulersOf chooses by a view of the fleet. The fleet's size counts also the
+// selectSchedulers chooses by a view of the fleet. The fleet's size counts also the
 // VMs that are dead for now, so that it does not change with each fault.
-func schedulersOf(view *board.Fleet) *schedulers {
+func selectSchedulers(view *board.Fleet) *schedulers {
 	size := 0
 	for ix := range view.VMs {
 		if vm := &view.VMs[ix]; isKnown(view, vm) && vm.Health != board.Left {
 			size++
 		}
 	}
-	if size <= mostDirect+1 {
+	if size <= maxDirectVMs+1 {
 		return &schedulers{}
 	}
-	sc := &schedulers{vms: rendezvous.Top(rankSchedulers, view.VMs, schedulerCount, mayServeAll(view))}
+	sc := &schedulers{vms: rendezvous.Top(schedulerRankKey, view.VMs, schedulerCount, eligible(view))}
 	for _, vm := range sc.vms {
 		sc.key += vm.ID + " "
 	}
@@ -50,9 +50,9 @@
 	return vm.Incarnation != 0 || vm.ID == view.Self.ID
 }
 
-// mayServeAll tells of a VM whether it may do for all what one or a few do: it
+// eligible tells of a VM whether it may do for all what one or a few do: it
 // lives and stays.
-func mayServeAll(view *board.Fleet) func(vm *board.VM) bool {
+func eligible(view *board.Fleet) func(vm *board.VM) bool {
 	return func(vm *board.VM) bool { return isKnown(view, vm) && vm.Health == board.Alive && !vm.Leaving }
 }
 
@@ -74,14 +74,14 @@
 
 // Before lists the VMs that are asked for a place before this one chooses by
 // itself, and tells whether it may: it is a scheduler too, or all VMs tell all.
-func (ne *Neighbours) Before() (vms []string, here bool) {
-	fl := ne.joined()
+func (mb *Member) Before() (vms []string, here bool) {
+	fl := mb.currentFleet()
 	if fl == nil {
 		return nil, true
 	}
 	list := fl.Schedulers()
 	for _, vm := range list {
-		if vm.ID == ne.Self.ID {
+		if vm.ID == mb.Self.ID {
 			return vms, true
 		}
 		vms = append(vms, vm.ID)
@@ -90,8 +90,8 @@
 }
 
 // Ask asks a scheduler for a place.
-func (ne *Neighbours) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
-	fl := ne.joined()
+func (mb *Member) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
+	fl := mb.currentFleet()
 	if fl == nil {
 		return usage.PlacementReply{}, errNotJoined
 	}
@@ -100,5 +100,5 @@
 	if at < 0 {
 		return usage.PlacementReply{}, errNotScheduler
 	}
-	return fl.ask(ctx, list[at], ask)
+	return fl.requestPlacement(ctx, list[at], ask)
 }
--- a/internal/fleet/schedulers_test.go
+++ b/internal/fleet/schedulers_test.go
@@ -8,7 +8,7 @@
 	"alderdyke/internal/board"
 )
 
-func names(sc *schedulers) []string {
+func schedulerIDs(sc *schedulers) []string {
 	var out []string
 	for _, vm := range sc.vms {
 		out = append(out, vm.ID)
@@ -18,13 +18,13 @@
 
 // In a small fleet each VM chooses engines by itself; in a large one three VMs
 // do for all, and all VMs name the same.
-func TestSchedulersOfAFleet(t *testing.T) {
-	for _, tc := range []struct{ vms, want int }{{1, 0}, {7, 0}, {mostDirect + 1, 0}, {mostDirect + 2, 3}, {295, 3}, {1000, 3}} {
-		vms := large(tc.vms, 6)
-		sc := schedulersOf(&board.Fleet{Self: vms[0].VMRef, VMs: vms})
+func TestSchedulerSelection(t *testing.T) {
+	for _, tc := range []struct{ vms, want int }{{1, 0}, {7, 0}, {maxDirectVMs + 1, 0}, {maxDirectVMs + 2, 3}, {295, 3}, {1000, 3}} {
+		vms := largeFleet(tc.vms, 6)
+		sc := selectSchedulers(&board.Fleet{Self: vms[0].VMRef, VMs: vms})
 		assert.Equal(t, len(sc.vms), tc.want, "%d VMs", tc.vms)
-		other := schedulersOf(&board.Fleet{Self: vms[len(vms)-1].VMRef, VMs: vms})
-		assert.DeepEqual(t, names(other), names(sc))
+		other := selectSchedulers(&board.Fleet{Self: vms[len(vms)-1].VMRef, VMs: vms})
+		assert.DeepEqual(t, schedulerIDs(other), schedulerIDs(sc))
 	}
 }
 
@@ -32,15 +32,15 @@
 // was told nothing yet comes last. Others that die change nothing, and a fleet
 // of which many died is still a large one.
 func TestSchedulersMoveUp(t *testing.T) {
-	vms := large(60, 6)
+	vms := largeFleet(60, 6)
 	view := &board.Fleet{Self: vms[0].VMRef, VMs: vms}
-	before := names(schedulersOf(view))
+	before := schedulerIDs(selectSchedulers(view))
 	for ix := range vms {
 		if vms[ix].ID == before[0] {
 			vms[ix].Leaving = true
 		}
 	}
-	after := names(schedulersOf(view))
+	after := schedulerIDs(selectSchedulers(view))
 	assert.DeepEqual(t, after[:2], before[1:])
 	dead := 0
 	for ix := range vms {
@@ -50,27 +50,27 @@
 			dead++
 		}
 	}
-	assert.DeepEqual(t, names(schedulersOf(view)), after)
+	assert.DeepEqual(t, schedulerIDs(selectSchedulers(view)), after)
 }
 
 // A scheduler asks those before it and then chooses by itself; all others ask in
 // order.
-func TestWhomToAsk(t *testing.T) {
-	vms := large(60, 6)
+func TestSchedulersBeforeSelf(t *testing.T) {
+	vms := largeFleet(60, 6)
 	view := &board.Fleet{Self: vms[0].VMRef, VMs: vms}
-	order := names(schedulersOf(view))
+	order := schedulerIDs(selectSchedulers(view))
 	for _, tc := range []struct {
 		self string
 		vms  []string
 		here bool
 	}{{order[0], nil, true}, {order[1], order[:1], true}, {order[2], order[:2], true}, {"stranger", order, false}} {
-		ne := &Neighbours{Self: board.VM{VMRef: board.VMRef{ID: tc.self}}, fleet: &Fleet{}}
-		ne.fleet.schedulers.Store(schedulersOf(view))
-		asked, here := ne.Before()
+		mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: tc.self}}, fleet: &Fleet{}}
+		mb.fleet.schedulers.Store(selectSchedulers(view))
+		asked, here := mb.Before()
 		assert.DeepEqual(t, asked, tc.vms)
 		assert.Equal(t, here, tc.here)
 	}
-	ne := &Neighbours{}
-	asked, here := ne.Before()
+	mb := &Member{}
+	asked, here := mb.Before()
 	assert.Assert(t, len(asked) == 0 && here, "a VM that has not joined is on its own")
 }
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -12,68 +12,72 @@
 	"alderdyke/internal/suspect"
 )
 
-// mostDirect is how many VMs this one tells a word by itself. In a larger fleet one
+// maxDirectVMs is how many VMs this one tells a word by itself. In a larger fleet one
 // VM of each group passes it on, which takes less time (BenchmarkWord) and fewer
 // crossings between failure domains, where bytes cost most.
-const mostDirect = 32
+const maxDirectVMs = 32
 
-// Spread sends words to the VMs of a fleet. Words between VMs may be lost, and are
+// Broadcaster sends words to the VMs of a fleet. Words between VMs may be lost, and are
 // renewed.
-type Spread struct {
+type Broadcaster struct {
 	Self  string // ID of this VM
 	View  func() *board.Fleet
 	Peers *peer.Transport
 }
 
-func (fl *Fleet) spread() Spread { return Spread{Self: fl.Self.ID, View: fl.View, Peers: fl.peers} }
+func (fl *Fleet) broadcaster() Broadcaster {
+	return Broadcaster{Self: fl.Self.ID, View: fl.View, Peers: fl.peers}
+}
 
-// TellAll sends words, in their order, to each VM that lives. In a large fleet
+// Broadcast sends words, in their order, to each VM that lives. In a large fleet
 // they go to one VM of each group, drawn anew for each call, which passes them
 // on: one that is lost, or dead and not known to be, costs its group these words
 // alone.
-func (sp Spread) TellAll(words ...*peerpb.Datagram) {
-	living := sp.living(func(vm board.VM) bool { return vm.ID != sp.Self })
-	if len(living) <= mostDirect {
-		sp.send(living, words)
+func (br Broadcaster) Broadcast(msgs ...*peerpb.Datagram) {
+	living := br.alive(func(vm board.VM) bool { return vm.ID != br.Self })
+	if len(living) <= maxDirectVMs {
+		br.sendTo(living, msgs)
 		return
 	}
 	for _, gr := range groupsOf(living) {
 		head := gr.vms[rand.IntN(len(gr.vms))]
-		for _, word := range words {
-			word.Forward = gr.wire
+		for _, msg := range msgs {
+			msg.Forward = gr.wire
 		}
-		sp.send([]board.VM{head}, words)
+		br.sendTo([]board.VM{head}, msgs)
 	}
 }
 
-// PassOn sends a word to the group that its sender named, if it named one.
-func (sp Spread) PassOn(word *peerpb.Datagram) {
-	gr, from := word.GetForward(), word.GetFrom()
+// Forward sends a word to the group that its sender named, if it named one.
+func (br Broadcaster) Forward(msg *peerpb.Datagram) {
+	gr, from := msg.GetForward(), msg.GetFrom()
 	if gr == nil {
 		return
 	}
-	word.Forward = nil
-	sp.send(sp.living(func(vm board.VM) bool {
-		return inGroup(gr, vm) && vm.ID != sp.Self && vm.ID != from
-	}), []*peerpb.Datagram{word})
+	msg.Forward = nil
+	br.sendTo(br.alive(func(vm board.VM) bool {
+		return inGroup(gr, vm) && vm.ID != br.Self && vm.ID != from
+	}), []*peerpb.Datagram{msg})
 }
 
-// TellEnd tells all VMs that live at which server's end a request was there.
-func (sp Spread) TellEnd(en suspect.Crash) { sp.TellAll(endToWire(en)) }
+// BroadcastCrash tells all VMs that live at which server's end a request was there.
+func (br Broadcaster) BroadcastCrash(en suspect.Crash) { br.Broadcast(crashToWire(en)) }
 
-// TellEndTo tells one VM of an end. Words between VMs may be lost.
-func (sp Spread) TellEndTo(vm board.VM, en suspect.Crash) { _ = sp.Peers.Datagram(vm, endToWire(en)) }
+// SendCrash tells one VM of an end. Words between VMs may be lost.
+func (br Broadcaster) SendCrash(vm board.VM, en suspect.Crash) {
+	_ = br.Peers.SendDatagram(vm, crashToWire(en))
+}
 
-func (sp Spread) send(vms []board.VM, words []*peerpb.Datagram) {
-	for _, word := range words {
-		_ = sp.Peers.Broadcast(vms, word)
+func (br Broadcaster) sendTo(vms []board.VM, msgs []*peerpb.Datagram) {
+	for _, msg := range msgs {
+		_ = br.Peers.Broadcast(vms, msg)
 	}
 }
 
-// living lists the VMs that live and are wanted.
-func (sp Spread) living(want func(vm board.VM) bool) []board.VM {
+// alive lists the VMs that live and are wanted.
+func (br Broadcaster) alive(want func(vm board.VM) bool) []board.VM {
 	var out []board.VM
-	for _, vm := range sp.View().VMs {
+	for _, vm := range br.View().VMs {
 		if vm.Health == board.Alive && vm.Incarnation != 0 && want(vm) {
 			out = append(out, vm)
 		}
@@ -92,7 +96,7 @@
 // groups of a domain join without a gap, so that a VM that the sender does not
 // know yet belongs to one of them too.
 func groupsOf(vms []board.VM) []group {
-	most := int(math.Ceil(math.Sqrt(float64(len(vms)))))
+	maxSize := int(math.Ceil(math.Sqrt(float64(len(vms)))))
 	sorted := slices.Clone(vms)
 	slices.SortFunc(sorted, func(va, vb board.VM) int {
 		return cmp.Or(cmp.Compare(va.FailureDomain, vb.FailureDomain), cmp.Compare(va.ID, vb.ID))
@@ -104,15 +108,15 @@
 		if count < 0 {
 			count = len(sorted)
 		}
-		out = append(out, groupsOfDomain(sorted[:count], most)...)
+		out = append(out, groupsOfDomain(sorted[:count], maxSize)...)
 		sorted = sorted[count:]
 	}
 	return out
 }
 
 // groupsOfDomain divides the VMs of one domain, sorted by ID, evenly.
-func groupsOfDomain(vms []board.VM, most int) []group {
-	parts := (len(vms) + most - 1) / most
+func groupsOfDomain(vms []board.VM, maxSize int) []group {
+	parts := (len(vms) + maxSize - 1) / maxSize
 	out := make([]group, 0, parts)
 	after := ""
 	for part := range parts {
--- a/internal/fleet/spread_test.go
+++ b/internal/fleet/spread_test.go
@@ -10,8 +10,8 @@
 	"alderdyke/internal/board"
 )
 
-// large is VMs of domains of about the same size.
-func large(count, domains int) []board.VM {
+// largeFleet is VMs of domains of about the same size.
+func largeFleet(count, domains int) []board.VM {
 	out := make([]board.VM, 0, count)
 	for ix := range count {
 		domain := fmt.Sprintf("d%d", ix%domains)
@@ -27,7 +27,7 @@
 func TestGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 9).Draw(t, "domains")
-		vms := large(rapid.IntRange(1, 1000).Draw(t, "vms"), domains)
+		vms := largeFleet(rapid.IntRange(1, 1000).Draw(t, "vms"), domains)
 		all := groupsOf(vms)
 		seen := make(map[string]int)
 		for _, gr := range all {
@@ -55,10 +55,10 @@
 // callers spread over all VMs and lose little with a domain.
 func TestAddressesSpread(t *testing.T) {
 	const most = 63
-	vms := large(295, 6)
+	vms := largeFleet(295, 6)
 	named := make(map[string]int)
 	for _, self := range vms {
-		list := addressesOf(self, vms, most)
+		list := selectAddresses(self, vms, most)
 		assert.Equal(t, len(list), most)
 		perDomain := make(map[string]int)
 		seen := make(map[string]bool)
@@ -71,7 +71,7 @@
 		for domain, count := range perDomain {
 			assert.Assert(t, count >= most/6 && count <= most/6+1, "%s has %d of %d", domain, count, most)
 		}
-		assert.DeepEqual(t, list, addressesOf(self, vms, most))
+		assert.DeepEqual(t, list, selectAddresses(self, vms, most))
 	}
 	for _, vm := range vms {
 		count := named[vm.Caller]
@@ -81,12 +81,12 @@
 
 // The choice stays when others come and go, and names nobody who leaves or does
 // not answer.
-func TestAddressesStay(t *testing.T) {
-	vms := large(295, 6)
-	before := addressesOf(vms[0], vms, 63)
+func TestAddressesAreStable(t *testing.T) {
+	vms := largeFleet(295, 6)
+	before := selectAddresses(vms[0], vms, 63)
 	vms[17].Leaving, vms[18].Health, vms[19].Health = true, board.Dead, board.Suspect
 	stay := 0
-	for _, address := range addressesOf(vms[0], vms, 63) {
+	for _, address := range selectAddresses(vms[0], vms, 63) {
 		for _, gone := range vms[17:20] {
 			assert.Assert(t, address != gone.Caller)
 		}
@@ -101,7 +101,7 @@
 
 // A small fleet names all.
 func TestAddressesOfASmallFleet(t *testing.T) {
-	vms := large(7, 4)
-	assert.Equal(t, len(addressesOf(vms[0], vms, 63)), 6)
-	assert.Equal(t, len(addressesOf(vms[0], vms[:1], 63)), 0)
+	vms := largeFleet(7, 4)
+	assert.Equal(t, len(selectAddresses(vms[0], vms, 63)), 6)
+	assert.Equal(t, len(selectAddresses(vms[0], vms[:1], 63)), 0)
 }
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// sweepEvery is how often the VM that reads for all looks for entries of VMs
+	// sweepInterval is how often the VM that reads for all looks for entries of VMs
 	// that are gone,
 	// and each VM whether its own entry went.
-	sweepEvery = 10 * clock.Second
-	// goneAfter is how long a VM must be dead, or have left, before its entry
+	sweepInterval = 10 * clock.Second
+	// entryRetention is how long a VM must be dead, or have left, before its entry
 	// goes: restarts, power cuts and partitions are over within a minute, and
 	// a VM that comes back later writes its entry anew.
-	goneAfter = 2 * clock.Minute
+	entryRetention = 2 * clock.Minute
 )
 
-// enlist keeps this VM's entry in the topic once it takes requests. That the
+// maintainEntry keeps this VM's entry in the topic once it takes requests. That the
 // store is away is told by the topic's follower.
-func (ne *Neighbours) enlist(ctx context.Context, self board.VM) {
+func (mb *Member) maintainEntry(ctx context.Context, self board.VM) {
 	value, err := json.Marshal(vmEntry{Incarnation: self.Incarnation, FailureDomain: self.FailureDomain,
 		Region: self.Region, Callers: self.Caller, Peers: self.Peer})
 	if err != nil {
-		ne.Log.Log(event.EntryUnreadable, event.F("Key", prefixVM+self.ID), event.F("Error", err.Error()))
+		mb.Log.Log(event.EntryUnreadable, event.F("Key", vmKeyPrefix+self.ID), event.F("Error", err.Error()))
 		return
 	}
 	for written, again := false, false; ; {
-		if written && ne.takeDropped() {
+		if written && mb.takeEntryRemoved() {
 			written, again = false, true // others took this VM for gone, or the store lost it
 		}
-		pause := sweepEvery
+		pause := sweepInterval
 		if !written {
-			pause = joinRetry
-			if ne.Ready() {
-				_, err := ne.Store.Append(ctx, ne.Name, prefixVM+self.ID, value, nil)
+			pause = writeRetryPause
+			if mb.Ready() {
+				_, err := mb.Store.Append(ctx, mb.TopicName, vmKeyPrefix+self.ID, value, nil)
 				written = err == nil
 			}
 			if written && again {
-				ne.noteAgain("Entry")
+				mb.reportRewrite("Entry")
 			}
 		}
 		if !clock.Sleep(ctx, pause) {
@@ -51,57 +51,57 @@
 	}
 }
 
-// takeDropped tells whether this VM's entry was removed since it was asked
+// takeEntryRemoved tells whether this VM's entry was removed since it was asked
 // for last.
-func (ne *Neighbours) takeDropped() bool {
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
-	dropped := ne.dropped
-	ne.dropped = false
+func (mb *Member) takeEntryRemoved() bool {
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
+	dropped := mb.entryRemoved
+	mb.entryRemoved = false
 	return dropped
 }
 
-// sweep removes the entries of VMs that are gone for good: a VM that starts
+// sweepEntries removes the entries of VMs that are gone for good: a VM that starts
 // would probe each of them, and name it to callers until it is suspect.
-func (ne *Neighbours) sweep(ctx context.Context) {
-	for clock.Sleep(ctx, sweepEvery) {
-		gone := ne.goneVMs(clock.Or(ne.Clock).Now())
-		if _, whole := ne.Others(); !whole || ne.Rank() != 0 {
+func (mb *Member) sweepEntries(ctx context.Context) {
+	for clock.Sleep(ctx, sweepInterval) {
+		gone := mb.expiredEntries(clock.Or(mb.Clock).Now())
+		if _, whole := mb.Others(); !whole || mb.Rank() != 0 {
 			continue // this VM may be the one that is cut off, or others see to it
 		}
 		for _, name := range gone {
-			_, err := ne.Store.Append(ctx, ne.Name, prefixVM+name, nil, nil)
+			_, err := mb.Store.Append(ctx, mb.TopicName, vmKeyPrefix+name, nil, nil)
 			fields := []event.Field{event.F("Other", name)}
 			if err != nil {
 				fields = append(fields, event.F("Error", err.Error())) // tried again at the next look
 			}
-			ne.Log.Log(event.VMEntryRemoved, fields...)
+			mb.Log.Log(event.VMEntryRemoved, fields...)
 		}
 	}
 }
 
-// goneVMs lists the VMs with an entry that have been dead, or away as planned,
+// expiredEntries lists the VMs with an entry that have been dead, or away as planned,
 // for so long that the entry is to go.
-func (ne *Neighbours) goneVMs(now clock.Millis) []string {
-	view := ne.View()
-	ne.mu.Lock()
-	defer ne.mu.Unlock()
+func (mb *Member) expiredEntries(now clock.Millis) []string {
+	view := mb.View()
+	mb.mu.Lock()
+	defer mb.mu.Unlock()
 	since := make(map[string]clock.Millis)
 	var out []string
-	for name := range ne.listed {
+	for name := range mb.listed {
 		vm, ok := view.VM(name)
 		if !ok || vm.Health != board.Dead && vm.Health != board.Left {
 			continue
 		}
 		since[name] = now
-		if before, ok := ne.gone[name]; ok {
+		if before, ok := mb.deadSince[name]; ok {
 			since[name] = before
 		}
-		if now-since[name] >= goneAfter {
+		if now-since[name] >= entryRetention {
 			out = append(out, name)
 		}
 	}
-	ne.gone = since
+	mb.deadSince = since
 	slices.Sort(out)
 	return out
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -14,45 +14,45 @@
 	"alderdyke/pkg/clock"
 )
 
-// newsBytes bounds the keys and values of one message; the rest of a datagram
+// maxUpdateBytes bounds the keys and values of one message; the rest of a datagram
 // is left for the names and numbers around them.
-const newsBytes = peer.MaxDatagram - 300
+const maxUpdateBytes = peer.MaxDatagram - 300
 
-// TellUsage tells the schedulers what this VM has at model engines; in a small
+// ReportUsage tells the schedulers what this VM has at model engines; in a small
 // fleet, all VMs.
-func (fl *Fleet) TellUsage(rp usage.Report) {
+func (fl *Fleet) ReportUsage(rp usage.Report) {
 	to := fl.Schedulers()
 	if len(to) == 0 {
-		to = fl.spread().living(func(board.VM) bool { return true })
+		to = fl.broadcaster().alive(func(board.VM) bool { return true })
 	}
 	to = slices.DeleteFunc(slices.Clone(to), func(vm board.VM) bool { return vm.ID == fl.Self.ID })
 	// A message that is too long or lost is as good as none: the others then
 	// reserve what a run may come to.
-	fl.spread().send(to, []*peerpb.Datagram{{Body: &peerpb.Datagram_Usage{Usage: usageToWire(rp)}}})
+	fl.broadcaster().sendTo(to, []*peerpb.Datagram{{Body: &peerpb.Datagram_Usage{Usage: usageToWire(rp)}}})
 }
 
-// TellNews passes on to all VMs that live what this one read of a topic. Whoever
+// BroadcastUpdate passes on to all VMs that live what this one read of a topic. Whoever
 // misses a part notices the gap at the next.
-func (fl *Fleet) TellNews(nw topic.Update) {
-	words, err := newsToWire(nw)
+func (fl *Fleet) BroadcastUpdate(nw topic.Update) {
+	msgs, err := updateToWire(nw)
 	if err != nil {
 		fl.Log.Log(event.NewsNotTold, event.F("Topic", nw.Topic), event.F("From", nw.From), event.F("Error", err.Error()))
 		return
 	}
-	fl.spread().TellAll(words...)
+	fl.broadcaster().Broadcast(msgs...)
 }
 
-// TellEnd tells all VMs that live at which server's end a request was there.
-func (fl *Fleet) TellEnd(en suspect.Crash) { fl.spread().TellEnd(en) }
+// BroadcastCrash tells all VMs that live at which server's end a request was there.
+func (fl *Fleet) BroadcastCrash(en suspect.Crash) { fl.broadcaster().BroadcastCrash(en) }
 
-func endToWire(en suspect.Crash) *peerpb.Datagram {
+func crashToWire(en suspect.Crash) *peerpb.Datagram {
 	return &peerpb.Datagram{Body: &peerpb.Datagram_RequestEnd{RequestEnd: &peerpb.RequestEnd{
 		Mark: en.Mark[:], Server: en.Server, Answered: en.Answered, Beside: uint32(en.Concurrent),
 		Age: uint32(max(0, en.Age)), Forgiven: en.Retracted}}}
 }
 
-// EndFromWire reads an end; one without a whole mark or a server says nothing.
-func EndFromWire(re *peerpb.RequestEnd) (suspect.Crash, bool) {
+// CrashFromWire reads an end; one without a whole mark or a server says nothing.
+func CrashFromWire(re *peerpb.RequestEnd) (suspect.Crash, bool) {
 	if len(re.GetMark()) != len(suspect.Mark{}) || re.GetServer() == "" {
 		return suspect.Crash{}, false
 	}
@@ -60,21 +60,21 @@
 		Age: clock.Millis(re.GetAge()), Retracted: re.GetForgiven()}, true
 }
 
-// newsToWire splits news into messages. A record that is larger than a message
+// updateToWire splits news into messages. A record that is larger than a message
 // goes in pieces; one that is too large for that is left out, so that the others
 // see a gap and read for themselves.
-func newsToWire(nw topic.Update) ([]*peerpb.Datagram, error) {
-	sp := newsSplitter{topic: nw.Topic, outageEnded: uint32(nw.OutageEndedAgo), answered: wireSpan(nw.AvailableFor)}
+func updateToWire(nw topic.Update) ([]*peerpb.Datagram, error) {
+	sp := updateSplitter{topic: nw.Topic, outageEnded: uint32(nw.OutageEndedAgo), availableFor: millisToWire(nw.AvailableFor)}
 	sp.begin(nw.From)
 	for _, rec := range nw.Records {
 		size := len(rec.Key) + len(rec.Value)
-		if size > newsBytes {
+		if size > maxUpdateBytes {
 			if err := sp.addLarge(rec); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if sp.size+size > newsBytes {
+		if sp.size+size > maxUpdateBytes {
 			sp.end(rec.Offset)
 			sp.begin(rec.Offset)
 		}
@@ -84,44 +84,44 @@
 	return sp.out, nil
 }
 
-// newsSplitter makes the messages of one piece of news, in order.
-type newsSplitter struct {
-	topic       string
-	outageEnded uint32
-	answered    uint32
-	part        *peerpb.TopicNews
-	size        int // of the part's keys and values
-	out         []*peerpb.Datagram
+// updateSplitter makes the messages of one piece of news, in order.
+type updateSplitter struct {
+	topic        string
+	outageEnded  uint32
+	availableFor uint32
+	part         *peerpb.TopicNews
+	size         int // of the part's keys and values
+	out          []*peerpb.Datagram
 }
 
-func (sp *newsSplitter) begin(from uint64) {
-	sp.part, sp.size = &peerpb.TopicNews{Topic: sp.topic, From: from, Missed: sp.outageEnded, Answered: sp.answered}, 0
+func (sp *updateSplitter) begin(from uint64) {
+	sp.part, sp.size = &peerpb.TopicNews{Topic: sp.topic, From: from, Missed: sp.outageEnded, Answered: sp.availableFor}, 0
 }
 
-func (sp *newsSplitter) add(rec topic.Record, size int) {
+func (sp *updateSplitter) add(rec topic.Record, size int) {
 	sp.size += size
 	sp.part.Records = append(sp.part.Records, &peerpb.TopicRecord{Key: rec.Key, Value: rec.Value, Offset: rec.Offset})
 }
 
-func (sp *newsSplitter) addLarge(rec topic.Record) error {
+func (sp *updateSplitter) addLarge(rec topic.Record) error {
 	sp.end(rec.Offset)
 	sp.begin(rec.Offset + 1)
-	list, err := split(sp.topic, rec)
+	list, err := fragmentRecord(sp.topic, rec)
 	for _, tp := range list {
 		sp.out = append(sp.out, &peerpb.Datagram{Body: &peerpb.Datagram_TopicPiece{TopicPiece: tp}})
 	}
 	return err
 }
 
-func (sp *newsSplitter) end(next uint64) {
+func (sp *updateSplitter) end(next uint64) {
 	sp.part.Next = next
 	sp.out = append(sp.out, &peerpb.Datagram{Body: &peerpb.Datagram_TopicNews{TopicNews: sp.part}})
 }
 
-// wireSpan bounds a span by what its field holds, which is 49 days.
-func wireSpan(span clock.Millis) uint32 { return uint32(min(span, math.MaxUint32)) }
+// millisToWire bounds a span by what its field holds, which is 49 days.
+func millisToWire(span clock.Millis) uint32 { return uint32(min(span, math.MaxUint32)) }
 
-func newsFromWire(tn *peerpb.TopicNews) topic.Update {
+func updateFromWire(tn *peerpb.TopicNews) topic.Update {
 	nw := topic.Update{Topic: tn.GetTopic(), From: tn.GetFrom(), Next: tn.GetNext(), OutageEndedAgo: clock.Millis(tn.GetMissed()), AvailableFor: clock.Millis(tn.GetAnswered())}
 	for _, rec := range tn.GetRecords() {
 		nw.Records = append(nw.Records, topic.Record{Key: rec.GetKey(), Value: rec.GetValue(), Offset: rec.GetOffset()})
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -35,7 +35,7 @@
 
 // However news are split, each message fits a datagram, and whoever hears all of
 // them knows every record, or of a gap where one is too large for pieces.
-func TestNewsOnTheWire(t *testing.T) {
+func TestUpdateOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := uint64(rapid.IntRange(0, 5).Draw(t, "from"))
 		nw := topic.Update{Topic: "t", From: from, Next: from}
@@ -43,7 +43,7 @@
 		for ix := range rapid.IntRange(0, 12).Draw(t, "records") {
 			size := rapid.IntRange(0, 1500).Draw(t, "size")
 			if rapid.IntRange(0, 20).Draw(t, "huge") == 0 {
-				size = 2 * mostPieces * newsBytes
+				size = 2 * maxFragments * maxUpdateBytes
 				large++
 			}
 			value := make([]byte, size) // of bytes that do not deflate
@@ -53,10 +53,10 @@
 			nw.Records = append(nw.Records, topic.Record{Key: fmt.Sprintf("k%x", ix%16), Value: value, Offset: nw.Next})
 			nw.Next++
 		}
-		words, err := newsToWire(nw)
+		msgs, err := updateToWire(nw)
 		assert.NilError(t, err)
-		known, heard, gaps := from, 0, 0
-		fl := &Fleet{News: func(got topic.Update) {
+		known, received, gaps := from, 0, 0
+		fl := &Fleet{OnTopicUpdate: func(got topic.Update) {
 			if got.From > known {
 				gaps++
 				known = got.From
@@ -66,79 +66,79 @@
 				assert.Equal(t, rec.Offset, known)
 				assert.Assert(t, string(rec.Value) == want[rec.Offset])
 				known++
-				heard++
+				received++
 			}
 			assert.Equal(t, got.Next, known)
 		}}
-		for _, word := range words {
-			assert.Assert(t, proto.Size(word) < peer.MaxDatagram-100, "%d", proto.Size(word))
-			fl.heard(word, netip.AddrPort{})
+		for _, msg := range msgs {
+			assert.Assert(t, proto.Size(msg) < peer.MaxDatagram-100, "%d", proto.Size(msg))
+			fl.handleDatagram(msg, netip.AddrPort{})
 		}
 		assert.Equal(t, known, nw.Next)
-		assert.Equal(t, heard+large, len(nw.Records))
+		assert.Equal(t, received+large, len(nw.Records))
 		assert.Equal(t, gaps > 0, large > 0)
 	})
 }
 
 // A configuration of the usual size, larger than a datagram, is passed on: the
 // VMs need not each read it, and one that is cut off from the store has it too.
-func TestLargeRecordGoesInPieces(t *testing.T) {
+func TestLargeRecordIsFragmented(t *testing.T) {
 	var text strings.Builder
 	for ix := range 40 {
 		fmt.Fprintf(&text, `{"name":"r-%d","host":"h%d.example","path_prefix":"/p%d/","timeout_ms":14000},`, ix*7919%1000, ix%3, ix*31%977)
 	}
-	words, err := newsToWire(topic.Update{Topic: "t", From: 3, Next: 4,
+	msgs, err := updateToWire(topic.Update{Topic: "t", From: 3, Next: 4,
 		Records: []topic.Record{{Key: "config", Value: []byte(text.String()), Offset: 3}}})
 	assert.NilError(t, err)
-	assert.Assert(t, len(words) <= 4, "%d messages", len(words))
+	assert.Assert(t, len(msgs) <= 4, "%d messages", len(msgs))
 	var got []topic.Record
-	fl := &Fleet{News: func(nw topic.Update) { got = append(got, nw.Records...) }}
-	for _, word := range words {
-		fl.heard(word, netip.AddrPort{})
-		fl.heard(word, netip.AddrPort{}) // twice, as the network may bring it
+	fl := &Fleet{OnTopicUpdate: func(nw topic.Update) { got = append(got, nw.Records...) }}
+	for _, msg := range msgs {
+		fl.handleDatagram(msg, netip.AddrPort{})
+		fl.handleDatagram(msg, netip.AddrPort{}) // twice, as the network may bring it
 	}
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, string(got[0].Value), text.String())
 }
 
 // What is no piece of a record is told, and harms nothing.
-func TestPiecesThatAreNone(t *testing.T) {
+func TestMalformedFragments(t *testing.T) {
 	for _, tp := range []*peerpb.TopicPiece{
 		{Topic: "t"}, {Topic: "t", Index: 2, Count: 2}, {Topic: "t", Count: 1 << 30}, {Topic: "t", Count: 1, Data: []byte("no deflate")},
 	} {
-		_, whole, err := (&pieces{}).take(tp)
+		_, whole, err := (&reassembly{}).add(tp)
 		assert.Assert(t, !whole && err != nil, "%v", tp)
 	}
-	var pc pieces
-	_, whole, err := pc.take(&peerpb.TopicPiece{Offset: 5, Count: 2})
+	var pc reassembly
+	_, whole, err := pc.add(&peerpb.TopicPiece{Offset: 5, Count: 2})
 	assert.Assert(t, !whole && err == nil)
-	_, whole, err = pc.take(&peerpb.TopicPiece{Offset: 4, Count: 1, Data: []byte("old")})
+	_, whole, err = pc.add(&peerpb.TopicPiece{Offset: 4, Count: 1, Data: []byte("old")})
 	assert.Assert(t, !whole && err == nil)
 }
 
 // The newest word of a VM stays, whichever comes first, and a VM that starts
 // again is heard at once.
-func TestWordsThatOvertake(t *testing.T) {
-	var heard []string
-	fl := &Fleet{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, Usage: func(vm string, rp usage.Report) {
-		heard = append(heard, fmt.Sprintf("%s %d", vm, rp.Prompts["e"]))
+func TestReorderedUsageReports(t *testing.T) {
+	var reports []string
+	fl := &Fleet{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, OnUsage: func(vm string, rp usage.Report) {
+		reports = append(reports, fmt.Sprintf("%s %d", vm, rp.Prompts["e"]))
 	}}
-	word := func(vm string, incarnation, sequence uint64, tokens uint32) {
-		fl.heard(&peerpb.Datagram{From: vm, Incarnation: incarnation, Sequence: sequence, Body: &peerpb.Datagram_Usage{
+	receive := func(vm string, incarnation, sequence uint64, tokens uint32) {
+		fl.handleDatagram(&peerpb.Datagram{From: vm, Incarnation: incarnation, Sequence: sequence, Body: &peerpb.Datagram_Usage{
 			Usage: &peerpb.Usage{Engines: []*peerpb.EngineUsage{{Engine: "e", Prompts: tokens}}}}}, netip.AddrPort{})
 	}
-	word("a", 10, 2, 2)
-	word("a", 10, 1, 1)
-	word("b", 9, 1, 7)
-	word("a", 11, 1, 3)
-	word("a", 10, 3, 4)
-	assert.DeepEqual(t, heard, []string{"a 2", "b 7", "a 3"})
+	receive("a", 10, 2, 2)
+	receive("a", 10, 1, 1)
+	receive("b", 9, 1, 7)
+	receive("a", 11, 1, 3)
+	receive("a", 10, 3, 4)
+	assert.DeepEqual(t, reports, []string{"a 2", "b 7", "a 3"})
 }
 
-func TestAskOnTheWire(t *testing.T) {
+func TestPlacementRequestOnTheWire(t *testing.T) {
 	ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "s", Returning: true, Turn: 1 << 31, Age: 90}, Run: usage.Run{Tokens: 5200, Left: 2000},
 		ReserveTokens: 5500, MaxWait: 180, MaxWaitReturning: 2800, Excluded: []string{"e1", "e2"}, NeedsPrefill: true}
-	assert.DeepEqual(t, askFromWire(askToWire(7, ask)), ask)
+	assert.DeepEqual(t, placementRequestFromWire(placementRequestToWire(7, ask)), ask)
 	ans := usage.PlacementReply{Informed: true, Engines: []string{"e3", "e4"}, RequestsAhead: 3, Shortage: true, Prefill: "f1", QueuedTokens: 5200, Doubtful: true}
-	assert.DeepEqual(t, answerFromWire(answerToWire(7, ans)), ans)
+	assert.DeepEqual(t, placementReplyFromWire(placementReplyToWire(7, ans)), ans)
 }
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -16,18 +16,18 @@
 	"alderdyke/pkg/refusal"
 )
 
-// acceptPause is how long nothing is accepted after a failure.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryPause is how long nothing is accepted after a failure.
+const acceptRetryPause = 100 * time.Millisecond
 
-// handshakes holds the connections that have not proved the secret yet, the
+// pendingHandshakes holds the connections that have not proved the secret yet, the
 // oldest first. The oldest gives way to a new one: a VM needs a few
 // milliseconds for its handshake, a slow stranger all that it can get.
-type handshakes struct {
+type pendingHandshakes struct {
 	conns []net.Conn
 }
 
 // add takes a connection and returns the one that gives way, if any.
-func (hs *handshakes) add(cn net.Conn, limit int) net.Conn {
+func (hs *pendingHandshakes) add(cn net.Conn, limit int) net.Conn {
 	hs.conns = append(hs.conns, cn)
 	if len(hs.conns) <= limit {
 		return nil
@@ -37,7 +37,7 @@
 	return oldest
 }
 
-func (hs *handshakes) remove(cn net.Conn) {
+func (hs *pendingHandshakes) remove(cn net.Conn) {
 	for ix, have := range hs.conns {
 		if have == cn {
 			hs.conns = append(hs.conns[:ix], hs.conns[ix+1:]...)
@@ -46,7 +46,7 @@
 	}
 }
 
-func (hs *handshakes) closeAll() {
+func (hs *pendingHandshakes) closeAll() {
 	for _, cn := range hs.conns {
 		_ = cn.Close()
 	}
@@ -64,14 +64,14 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err)
 		default:
-			tr.pause()
+			tr.acceptBackoff()
 		}
 	}
 }
 
-// pause waits before the next try of what just failed.
-func (tr *Transport) pause() {
-	tm := time.NewTimer(acceptPause)
+// acceptBackoff waits before the next try of what just failed.
+func (tr *Transport) acceptBackoff() {
+	tm := time.NewTimer(acceptRetryPause)
 	defer tm.Stop()
 	select {
 	case <-tm.C:
@@ -87,12 +87,12 @@
 		_ = raw.Close()
 		return
 	}
-	gives := tr.pending.add(raw, tr.Limits.MaxHandshakes)
+	evicted := tr.pending.add(raw, tr.Limits.MaxHandshakes)
 	tr.group.Go(func() { tr.serveConn(raw) })
 	tr.mu.Unlock()
-	if gives != nil {
-		tr.count.refused[refusedCrowded].Inc(1)
-		_ = gives.Close()
+	if evicted != nil {
+		tr.count.refused[refusedManyHandshakes].Inc(1)
+		_ = evicted.Close()
 	}
 }
 
@@ -104,31 +104,31 @@
 	tr.mu.Unlock()
 	if err != nil {
 		_ = raw.Close()
-		tr.refused(reason, raw, err)
+		tr.recordRefusal(reason, raw, err)
 		return
 	}
 	tr.serveSession(ss)
 }
 
-func (tr *Transport) refused(reason string, raw net.Conn, err error) {
+func (tr *Transport) recordRefusal(reason string, raw net.Conn, err error) {
 	tr.count.refused[reason].Inc(1)
 	address := event.F("Address", raw.RemoteAddr().String())
 	switch reason {
 	case refusedUntrusted:
-		tr.warnSome(event.PeerUntrusted, address)
-	case refusedWrongVM, refusedStale:
-		tr.warnSome(event.PeerWrongVM, address, event.F("Error", err.Error()))
+		tr.warnLimited(event.PeerUntrusted, address)
+	case refusedWrongVM, refusedStaleIncarnation:
+		tr.warnLimited(event.PeerWrongVM, address, event.F("Error", err.Error()))
 	case refusedManySessions:
-		tr.warnSome(event.PeerLimit, address, event.F("Limit", tr.Limits.MaxSessions))
+		tr.warnLimited(event.PeerLimit, address, event.F("Limit", tr.Limits.MaxSessions))
 	}
 }
 
 // accept makes a session of a connection, or tells why not.
 func (tr *Transport) accept(raw net.Conn) (*session, string, error) {
-	if err := tr.bound(raw); err != nil {
+	if err := tr.setHandshakeDeadline(raw); err != nil {
 		return nil, refusedHandshake, err
 	}
-	wr := tr.newWire(raw)
+	wr := tr.newTrackedConn(raw)
 	tc := tls.Server(wr, tr.id.server)
 	if err := tc.HandshakeContext(tr.runCtx); err != nil {
 		reason := refusedHandshake
@@ -147,7 +147,7 @@
 		err := errors.Join(WrongVMError{Want: board.VMRef{ID: hl.GetTo()}, Got: tr.Self}, tr.sendHello(tc, from.ID))
 		return nil, refusedWrongVM, err
 	}
-	return tr.enter(tc, wr, from)
+	return tr.addAccepted(tc, wr, from)
 }
 
 // isUntrusted tells a wrong key on either side from other failures.
@@ -161,42 +161,42 @@
 	return errors.As(err, &remote) && remote.Op == "remote error"
 }
 
-// enter checks the limits, answers the hello and enters the session into the
+// addAccepted checks the limits, answers the hello and enters the session into the
 // list.
-func (tr *Transport) enter(tc *tls.Conn, wr *wire, from board.VMRef) (*session, string, error) {
-	if reason, err := tr.mayEnter(from); err != nil {
+func (tr *Transport) addAccepted(tc *tls.Conn, wr *trackedConn, from board.VMRef) (*session, string, error) {
+	if reason, err := tr.checkLimits(from); err != nil {
 		return nil, reason, err
 	}
 	if err := tr.sendHello(tc, from.ID); err != nil {
 		return nil, refusedHello, err
 	}
-	if err := unbound(wr.Conn); err != nil {
+	if err := clearHandshakeDeadline(wr.Conn); err != nil {
 		return nil, refusedHandshake, err
 	}
 	mux, err := yamux.Server(tc, tr.muxConfig())
 	if err != nil {
 		return nil, refusedHandshake, fmt.Errorf("start session: %w", err)
 	}
-	ss := &session{mux: mux, wire: wr, peer: from}
+	ss := &session{mux: mux, tcp: wr, peer: from}
 	ss.ctx, ss.cancel = context.WithCancelCause(tr.runCtx)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if tr.stopped {
-		tr.group.Go(ss.kill)
+		tr.group.Go(ss.abort)
 		return nil, refusedHandshake, net.ErrClosed
 	}
-	tr.all[ss] = struct{}{}
+	tr.sessions[ss] = struct{}{}
 	return ss, "", nil
 }
 
-// mayEnter refuses sessions over the limit and those of a VM's older run, and
+// checkLimits refuses sessions over the limit and those of a VM's older run, and
 // gives up the sessions of the runs before this one.
-func (tr *Transport) mayEnter(from board.VMRef) (string, error) {
+func (tr *Transport) checkLimits(from board.VMRef) (string, error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var older []*session
 	var accepted int
-	for ss := range tr.all {
+	for ss := range tr.sessions {
 		if ss.dialed != "" || ss.mux.IsClosed() {
 			continue
 		}
@@ -205,7 +205,7 @@
 			continue
 		}
 		if ss.peer.Incarnation > from.Incarnation {
-			return refusedStale, WrongVMError{Want: ss.peer, Got: from}
+			return refusedStaleIncarnation, WrongVMError{Want: ss.peer, Got: from}
 		}
 		if ss.peer.Incarnation < from.Incarnation {
 			older = append(older, ss)
@@ -215,7 +215,7 @@
 		return refusedManySessions, fmt.Errorf("limit of %d sessions reached", tr.Limits.MaxSessions)
 	}
 	for _, ss := range older {
-		tr.lose(ss)
+		tr.abandon(ss)
 	}
 	return "", nil
 }
@@ -225,7 +225,7 @@
 	defer func() {
 		ss.close()
 		tr.mu.Lock()
-		tr.ended(ss)
+		tr.removeClosed(ss)
 		tr.mu.Unlock()
 	}()
 	for {
@@ -247,14 +247,14 @@
 
 func (tr *Transport) serveStream(ss *session, cn *Conn) {
 	defer cn.Close()
-	cn.expectFirst()
+	cn.setFirstFrameDeadline()
 	tr.Handler.Serve(ss.ctx, ss.peer, cn)
 }
 
 // refuseStream tells the peer that the stream was not looked at.
 func (tr *Transport) refuseStream(ss *session, cn *Conn) {
 	tr.count.refused[refusedManyStreams].Inc(1)
-	tr.warnSome(event.PeerLimit, event.F("Peer", ss.peer.ID), event.F("Limit", tr.Limits.MaxStreams))
+	tr.warnLimited(event.PeerLimit, event.F("Peer", ss.peer.ID), event.F("Limit", tr.Limits.MaxStreams))
 	_ = cn.Send(&peerpb.Frame{Body: &peerpb.Frame_Refusal{Refusal: &peerpb.Refusal{
 		Ran:        string(refusal.NotRun),
 		Reason:     string(refusal.TooManyConnections),
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -44,8 +44,8 @@
 	return 0
 }
 
-// inUse is the memory of heap and stacks after garbage collection.
-func inUse() (bytes float64, goroutines int) {
+// memoryInUse is the memory of heap and stacks after garbage collection.
+func memoryInUse() (bytes float64, goroutines int) {
 	runtime.GC()
 	runtime.GC()
 	var ms runtime.MemStats
@@ -69,23 +69,23 @@
 		for ix := range spokes {
 			from = append(from, benchStart(b, &peer.Transport{Self: ref(fmt.Sprint("spoke", ix), 1)}))
 		}
-		bytes, routines := inUse()
+		bytes, routines := memoryInUse()
 		began := time.Now()
 		for _, tr := range from {
 			_, err := tr.Call(context.Background(), benchVM(hub), explain("key"))
 			assert.NilError(b, err)
 		}
 		took := time.Since(began)
-		awaitRest()
-		after, routinesAfter := inUse()
+		awaitQuiescence()
+		after, routinesAfter := memoryInUse()
 		b.ReportMetric((after-bytes)/spokes, "B/session-pair")
 		b.ReportMetric(float64(routinesAfter-routines)/spokes, "goroutines/session-pair")
 		b.ReportMetric(float64(took.Microseconds())/spokes, "us/dial-and-call")
 	}
 }
 
-// awaitRest waits until goroutines that end by themselves have ended.
-func awaitRest() {
+// awaitQuiescence waits until goroutines that end by themselves have ended.
+func awaitQuiescence() {
 	for last := -1; last != runtime.NumGoroutine(); {
 		last = runtime.NumGoroutine()
 		time.Sleep(50 * time.Millisecond)
@@ -101,8 +101,8 @@
 		tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1)})
 		_, err := tr.Call(context.Background(), benchVM(hub), explain("key"))
 		assert.NilError(b, err)
-		awaitRest()
-		bytes, routines := inUse()
+		awaitQuiescence()
+		bytes, routines := memoryInUse()
 		open := make([]*peer.Conn, streams)
 		for ix := range open {
 			cn, err := tr.Open(context.Background(), benchVM(hub))
@@ -112,8 +112,8 @@
 			assert.NilError(b, err)
 			open[ix] = cn
 		}
-		awaitRest()
-		after, routinesAfter := inUse()
+		awaitQuiescence()
+		after, routinesAfter := memoryInUse()
 		b.ReportMetric((after-bytes)/streams, "B/stream-pair")
 		b.ReportMetric(float64(routinesAfter-routines)/streams, "goroutines/stream-pair")
 		for _, cn := range open {
@@ -153,7 +153,7 @@
 	sends := 0
 	for b.Loop() {
 		dg := &peerpb.Datagram{Body: &peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 5}}}
-		if err := tr.Datagram(benchVM(hub), dg); err != nil {
+		if err := tr.SendDatagram(benchVM(hub), dg); err != nil {
 			b.Fatal(err)
 		}
 		sends++
@@ -161,11 +161,11 @@
 	b.ReportMetric(float64(value(scope, "PeerDatagramBytesSent"))/float64(sends), "UDP-B/datagram")
 }
 
-// wordFleet is how many other VMs hear a word in the benchmark of one.
-const wordFleet = 88
+// broadcastVMs is how many other VMs hear a word in the benchmark of one.
+const broadcastVMs = 88
 
-// wordOf makes a word of the usual size: six engines with two runs each.
-func wordOf() *peerpb.Datagram {
+// usageDatagram makes a word of the usual size: six engines with two runs each.
+func usageDatagram() *peerpb.Datagram {
 	us := &peerpb.Usage{}
 	for ix := range 6 {
 		us.Engines = append(us.Engines, &peerpb.EngineUsage{Engine: fmt.Sprintf("i-7f3a91c%d", ix), Tokens: []uint32{5200, 7400}, Left: []uint32{4300, 900}})
@@ -178,14 +178,14 @@
 func BenchmarkWord(b *testing.B) {
 	hub := benchHub(b, nil)
 	tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1)})
-	vms := make([]board.VM, wordFleet)
+	vms := make([]board.VM, broadcastVMs)
 	for ix := range vms {
 		vms[ix] = benchVM(hub)
 	}
 	b.Run("EachItsOwn", func(b *testing.B) {
 		for b.Loop() {
 			for _, vm := range vms {
-				if err := tr.Datagram(vm, wordOf()); err != nil {
+				if err := tr.SendDatagram(vm, usageDatagram()); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -193,7 +193,7 @@
 	})
 	b.Run("Broadcast", func(b *testing.B) {
 		for b.Loop() {
-			if err := tr.Broadcast(vms, wordOf()); err != nil {
+			if err := tr.Broadcast(vms, usageDatagram()); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -202,10 +202,10 @@
 
 // A session sends nothing without streams, and one ping for each span of
 // silence with streams, from the side that dialled only.
-func TestBytesAtRest(t *testing.T) {
+func TestIdleTraffic(t *testing.T) {
 	clk := new(clock.Manual)
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo, Clock: clk})
-	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleClose: clock.Hour})
+	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleTimeout: clock.Hour})
 	wire := func() int64 { return sa.counted("PeerBytesSent", "") + sa.counted("PeerBytesReceived", "") }
 	_, err := sa.Call(t.Context(), sb.vm(), explain("key"))
 	assert.NilError(t, err)
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -14,8 +14,8 @@
 	"alderdyke/internal/peer/peerpb"
 )
 
-// longPast as a deadline ends all waiting at once.
-var longPast = time.Unix(1, 0)
+// pastDeadline as a deadline ends all waiting at once.
+var pastDeadline = time.Unix(1, 0)
 
 // Conn is one stream of frames. Send may be called from several goroutines,
 // Recv from one at a time, and both beside each other. After an error of
@@ -34,7 +34,7 @@
 
 func newConn(ctx context.Context, tr *Transport, ss *session, st *yamux.Stream) *Conn {
 	cn := &Conn{ss: ss, st: st, ctx: ctx, limit: tr.Limits.MaxFrame, timeout: tr.FrameTimeout.Std()}
-	cn.detach = context.AfterFunc(ctx, cn.end)
+	cn.detach = context.AfterFunc(ctx, cn.unblock)
 	return cn
 }
 
@@ -50,19 +50,19 @@
 		return NotSentError{VM: cn.ss.peer.ID, Step: StepEncode, Err: err}
 	}
 	if _, err := cn.st.Write(raw); err != nil {
-		return cn.broken(err)
+		return cn.brokenError(err)
 	}
 	return nil
 }
 
 // Recv waits for the next frame. Its errors are a [BrokenError].
 func (cn *Conn) Recv() (*peerpb.Frame, error) {
-	rd := &byteReader{Reader: cn.st, onBody: func() { cn.await(time.Now().Add(cn.timeout)) }}
+	rd := &byteReader{Reader: cn.st, onFirstByte: func() { cn.setReadDeadline(time.Now().Add(cn.timeout)) }}
 	var fr peerpb.Frame
 	if err := decode(rd, &fr, cn.limit); err != nil {
-		return nil, cn.broken(err)
+		return nil, cn.brokenError(err)
 	}
-	cn.await(time.Time{})
+	cn.setReadDeadline(time.Time{})
 	cn.st.Shrink() // a stream at rest holds no buffer
 	return &fr, nil
 }
@@ -72,9 +72,9 @@
 // tells that the peer could not be told, which it learns by itself in time.
 func (cn *Conn) Close() error {
 	cn.detach()
-	cn.end()
+	cn.unblock()
 	if err := cn.st.Close(); err != nil {
-		return cn.broken(err)
+		return cn.brokenError(err)
 	}
 	return nil
 }
@@ -94,11 +94,11 @@
 	return watched, func() { cancel(context.Canceled) }
 }
 
-// expectFirst bounds the wait for the first frame.
-func (cn *Conn) expectFirst() { cn.await(time.Now().Add(cn.timeout)) }
+// setFirstFrameDeadline bounds the wait for the first frame.
+func (cn *Conn) setFirstFrameDeadline() { cn.setReadDeadline(time.Now().Add(cn.timeout)) }
 
-// await sets when reading gives up, unless everything has ended already.
-func (cn *Conn) await(until time.Time) {
+// setReadDeadline sets when reading gives up, unless everything has ended already.
+func (cn *Conn) setReadDeadline(until time.Time) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	if !cn.ended {
@@ -106,12 +106,12 @@
 	}
 }
 
-// end wakes whoever reads or writes.
-func (cn *Conn) end() {
+// unblock wakes whoever reads or writes.
+func (cn *Conn) unblock() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.ended = true
-	_ = cn.st.SetDeadline(longPast)
+	_ = cn.st.SetDeadline(pastDeadline)
 }
 
 func (cn *Conn) hasEnded() bool {
@@ -120,9 +120,9 @@
 	return cn.ended
 }
 
-// broken names the cause of a failed read or write. A session that is lost
+// brokenError names the cause of a failed read or write. A session that is lost
 // looks to a reader like the end of the stream; it must not be told as that.
-func (cn *Conn) broken(err error) error {
+func (cn *Conn) brokenError(err error) error {
 	switch {
 	case cn.ss.mux.IsClosed():
 		err = ErrSessionLost
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -5,24 +5,24 @@
 // Reasons for which a connection or stream of another VM is refused; each has
 // a counter.
 const (
-	refusedHandshake    = "Handshake"         // broke off, too slow or not TLS
-	refusedUntrusted    = "Untrusted"         // does not hold the secret
-	refusedCrowded      = "TooManyHandshakes" // pushed out by later connections
-	refusedHello        = "BadHello"
-	refusedWrongVM      = "WrongVM"
-	refusedStale        = "StaleIncarnation" // a newer run of the VM is connected
-	refusedManySessions = "TooManySessions"
-	refusedManyStreams  = "TooManyStreams"
+	refusedHandshake        = "Handshake"         // broke off, too slow or not TLS
+	refusedUntrusted        = "Untrusted"         // does not hold the secret
+	refusedManyHandshakes   = "TooManyHandshakes" // pushed out by later connections
+	refusedHello            = "BadHello"
+	refusedWrongVM          = "WrongVM"
+	refusedStaleIncarnation = "StaleIncarnation" // a newer run of the VM is connected
+	refusedManySessions     = "TooManySessions"
+	refusedManyStreams      = "TooManyStreams"
 )
 
 // Reasons for which a datagram is dropped; each has a counter.
 const (
-	accepted         verdict = ""
-	droppedBadMAC    verdict = "BadMAC"
-	droppedReplayed  verdict = "Replayed"
-	droppedStale     verdict = "StaleIncarnation"
-	droppedMalformed verdict = "Malformed"
-	droppedWrongVM   verdict = "WrongTarget"
+	accepted                verdict = ""
+	droppedBadMAC           verdict = "BadMAC"
+	droppedReplayed         verdict = "Replayed"
+	droppedStaleIncarnation verdict = "StaleIncarnation"
+	droppedMalformed        verdict = "Malformed"
+	droppedWrongVM          verdict = "WrongTarget"
 
 	reasonTag         = "Reason"
 	counterRefused    = "PeerRefused"
@@ -58,9 +58,9 @@
 		return out
 	}
 	return &counters{
-		refused: byReason(counterRefused, refusedHandshake, refusedUntrusted, refusedCrowded, refusedHello,
-			refusedWrongVM, refusedStale, refusedManySessions, refusedManyStreams),
-		dropped: byReason(counterDropped, string(droppedBadMAC), string(droppedReplayed), string(droppedStale),
+		refused: byReason(counterRefused, refusedHandshake, refusedUntrusted, refusedManyHandshakes, refusedHello,
+			refusedWrongVM, refusedStaleIncarnation, refusedManySessions, refusedManyStreams),
+		dropped: byReason(counterDropped, string(droppedBadMAC), string(droppedReplayed), string(droppedStaleIncarnation),
 			string(droppedMalformed), string(droppedWrongVM)),
 		dialed:           sc.Counter(counterDialed),
 		dialFailed:       sc.Counter(counterDialFailed),
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -22,11 +22,11 @@
 	macSize = 16 // bytes; HMAC-SHA256, truncated
 )
 
-// Datagram sends one datagram to the VM. It sets From, Incarnation, To and
+// SendDatagram sends one datagram to the VM. It sets From, Incarnation, To and
 // Sequence in the message, which must not be shared with another call. There
 // is no word of whether it arrives. An encoded message of more than
 // MaxDatagram less 16 bytes is a [SizeError].
-func (tr *Transport) Datagram(vm board.VM, dg *peerpb.Datagram) error {
+func (tr *Transport) SendDatagram(vm board.VM, dg *peerpb.Datagram) error {
 	dg.To = vm.ID
 	uc, raw, err := tr.seal(dg)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return tr.write(uc, vm, raw)
 }
 
-// Broadcast sends one datagram to each of the VMs, as [Transport.Datagram]
+// Broadcast sends one datagram to each of the VMs, as [Transport.SendDatagram]
 // does, but encodes and signs it once: a word of 300 bytes to 88 VMs takes
 // 0.29 ms in place of 0.85 ms (BenchmarkWord), in which a small VM does nothing
 // else. The message must be one that is meant for all alike.
@@ -61,7 +61,7 @@
 		return nil, nil, NotSentError{VM: dg.To, Step: StepStart, Err: net.ErrClosed}
 	}
 	dg.From, dg.Incarnation = tr.Self.ID, tr.Self.Incarnation
-	dg.Sequence = tr.serial.Add(1)
+	dg.Sequence = tr.sequence.Add(1)
 	raw, err := seal(tr.id.datagramKey, dg)
 	if err != nil {
 		return nil, nil, NotSentError{VM: dg.To, Step: StepEncode, Err: err}
@@ -94,11 +94,11 @@
 		if err != nil {
 			continue
 		}
-		tr.takeDatagram(buf[:got], from)
+		tr.handleDatagram(buf[:got], from)
 	}
 }
 
-func (tr *Transport) takeDatagram(raw []byte, from netip.AddrPort) {
+func (tr *Transport) handleDatagram(raw []byte, from netip.AddrPort) {
 	tr.count.datagramsIn.Inc(1)
 	tr.count.datagramBytesIn.Inc(int64(len(raw)))
 	dg, vd := tr.checkDatagram(raw)
@@ -106,8 +106,8 @@
 		tr.count.dropped[string(vd)].Inc(1)
 		return
 	}
-	if tr.Datagrams != nil {
-		tr.Datagrams(dg, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+	if tr.OnDatagram != nil {
+		tr.OnDatagram(dg, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
@@ -118,16 +118,16 @@
 	if vd != accepted {
 		return nil, vd
 	}
-	if dg.GetTo() != tr.Self.ID && !forAll(dg) {
+	if dg.GetTo() != tr.Self.ID && !isBroadcast(dg) {
 		return nil, droppedWrongVM
 	}
 	from := board.VMRef{ID: dg.GetFrom(), Incarnation: dg.GetIncarnation()}
-	return dg, tr.seen.take(from, dg.GetSequence(), tr.Clock.Now())
+	return dg, tr.replays.check(from, dg.GetSequence(), tr.Clock.Now())
 }
 
-// forAll tells whether a datagram names no receiver and needs none: what one
+// isBroadcast tells whether a datagram names no receiver and needs none: what one
 // VM has, or read, is the same whoever hears it.
-func forAll(dg *peerpb.Datagram) bool {
+func isBroadcast(dg *peerpb.Datagram) bool {
 	switch dg.GetBody().(type) {
 	case *peerpb.Datagram_Usage, *peerpb.Datagram_TopicNews, *peerpb.Datagram_TopicPiece, *peerpb.Datagram_RequestEnd:
 		return dg.GetTo() == ""
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -17,10 +17,10 @@
 	"alderdyke/pkg/clock"
 )
 
-// openTries bounds how often Open looks for a session: the cached one may
+// maxOpenAttempts bounds how often Open looks for a session: the cached one may
 // have died, and a dial that others began may have been meant for an address
 // that the VM has left.
-const openTries = 3
+const maxOpenAttempts = 3
 
 // dial is one attempt to reach a VM, shared by all who wait for it.
 type dial struct {
@@ -33,7 +33,7 @@
 	failedAt clock.Millis
 }
 
-func (dl *dial) over() bool {
+func (dl *dial) isDone() bool {
 	select {
 	case <-dl.done:
 		return true
@@ -72,7 +72,7 @@
 		return fail(StepStart, err)
 	}
 	err := error(ErrSessionLost)
-	for range openTries {
+	for range maxOpenAttempts {
 		ss, step, dialErr := tr.session(ctx, vm)
 		if dialErr != nil {
 			return fail(step, dialErr)
@@ -86,7 +86,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		tr.drop(ss)
+		tr.closeUnusable(ss)
 	}
 	return fail(StepOpen, err)
 }
@@ -103,7 +103,7 @@
 // session returns a session that may be used and counts the caller among its
 // users, until openStream.
 func (tr *Transport) session(ctx context.Context, vm board.VM) (*session, Step, error) {
-	for range openTries {
+	for range maxOpenAttempts {
 		ss, dl := tr.sessionOrDial(vm)
 		if ss != nil {
 			return ss, "", nil
@@ -131,15 +131,15 @@
 	if tr.stopped {
 		return nil, nil
 	}
-	if ss := tr.out[vm.ID]; ss != nil {
-		if ss.serves(vm) {
-			ss.users++
+	if ss := tr.dialed[vm.ID]; ss != nil {
+		if ss.isCurrentFor(vm) {
+			ss.pendingOpens++
 			return ss, nil
 		}
 		ss.retired = true
-		delete(tr.out, vm.ID)
+		delete(tr.dialed, vm.ID)
 	}
-	if dl := tr.dials[vm.ID]; dl != nil && tr.answers(dl, vm) {
+	if dl := tr.dials[vm.ID]; dl != nil && tr.covers(dl, vm) {
 		return nil, dl
 	}
 	dl := &dial{address: vm.Peer, done: make(chan struct{})}
@@ -148,14 +148,14 @@
 	return nil, dl
 }
 
-// serves tells whether the session reaches the VM as it is now known.
-func (ss *session) serves(vm board.VM) bool {
+// isCurrentFor tells whether the session reaches the VM as it is now known.
+func (ss *session) isCurrentFor(vm board.VM) bool {
 	return !ss.mux.IsClosed() && ss.dialed == vm.Peer && ss.peer.Incarnation >= vm.Incarnation
 }
 
-// answers tells whether an earlier dial also stands for this one.
-func (tr *Transport) answers(dl *dial, vm board.VM) bool {
-	if !dl.over() {
+// covers tells whether an earlier dial also stands for this one.
+func (tr *Transport) covers(dl *dial, vm board.VM) bool {
+	if !dl.isDone() {
 		return true
 	}
 	return dl.address == vm.Peer && tr.Clock.Now()-dl.failedAt <= tr.RedialAfter
@@ -167,7 +167,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if err == nil && tr.stopped {
-		tr.group.Go(ss.kill)
+		tr.group.Go(ss.abort)
 		step, err = StepStart, net.ErrClosed
 	}
 	dl.step, dl.err, dl.failedAt = step, err, tr.Clock.Now()
@@ -178,8 +178,8 @@
 	}
 	tr.count.dialed.Inc(1)
 	delete(tr.dials, vm.ID)
-	tr.out[vm.ID] = ss
-	tr.all[ss] = struct{}{}
+	tr.dialed[vm.ID] = ss
+	tr.sessions[ss] = struct{}{}
 }
 
 func (tr *Transport) connect(ctx context.Context, vm board.VM) (*session, Step, error) {
@@ -187,7 +187,7 @@
 		return nil, StepDial, fmt.Errorf("address of the VM: %w", err)
 	}
 	dr := net.Dialer{
-		LocalAddr: tr.dialFrom(),
+		LocalAddr: tr.localAddress(),
 		Timeout:   tr.DialTimeout.Std(),
 		KeepAlive: -1,
 		Control:   sockopt.UserTimeout(tr.PingTimeout),
@@ -203,9 +203,9 @@
 	return ss, "", nil
 }
 
-// dialFrom is the IP number that the VM listens at, so that a VM with several
+// localAddress is the IP number that the VM listens at, so that a VM with several
 // is known to the others by one. Nil leaves the choice to the system.
-func (tr *Transport) dialFrom() net.Addr {
+func (tr *Transport) localAddress() net.Addr {
 	listen, err := netip.ParseAddrPort(tr.Listen)
 	if err != nil || listen.Addr().IsUnspecified() {
 		return nil
@@ -214,12 +214,12 @@
 }
 
 func (tr *Transport) upgrade(ctx context.Context, raw net.Conn, vm board.VM) (*session, Step, error) {
-	if err := tr.bound(raw); err != nil {
+	if err := tr.setHandshakeDeadline(raw); err != nil {
 		return nil, StepHandshake, err
 	}
-	wr := tr.newWire(raw)
+	wr := tr.newTrackedConn(raw)
 	tc := tls.Client(wr, tr.id.client)
-	got, step, err := tr.greetDialed(ctx, tc, vm.ID)
+	got, step, err := tr.clientHandshake(ctx, tc, vm.ID)
 	if err != nil {
 		return nil, step, err
 	}
@@ -227,14 +227,14 @@
 		tr.Log.Log(event.PeerWrongVM, event.F("Want", vm.ID), event.F("Got", got.ID), event.F("Address", vm.Peer))
 		return nil, StepHello, WrongVMError{Want: vm.VMRef, Got: got}
 	}
-	if err := unbound(raw); err != nil {
+	if err := clearHandshakeDeadline(raw); err != nil {
 		return nil, StepHello, err
 	}
 	mux, err := yamux.Client(tc, tr.muxConfig())
 	if err != nil {
 		return nil, StepHello, fmt.Errorf("start session: %w", err)
 	}
-	ss := &session{mux: mux, wire: wr, peer: got, dialed: vm.Peer}
+	ss := &session{mux: mux, tcp: wr, peer: got, dialed: vm.Peer}
 	ss.ctx, ss.cancel = context.WithCancelCause(ctx)
 	return ss, "", nil
 }
@@ -244,11 +244,11 @@
 func (tr *Transport) openStream(ctx context.Context, ss *session) (*yamux.Stream, error) {
 	defer func() {
 		tr.mu.Lock()
-		ss.users--
+		ss.pendingOpens--
 		ss.idle = false
 		tr.mu.Unlock()
 	}()
-	if ss.wire.silence() >= tr.KeepAlive {
+	if ss.tcp.silence() >= tr.KeepAlive {
 		if err := ss.ping(ctx); err != nil {
 			return nil, err
 		}
@@ -260,12 +260,12 @@
 	return st, nil
 }
 
-// drop closes a session on which no stream could be opened.
-func (tr *Transport) drop(ss *session) {
+// closeUnusable closes a session on which no stream could be opened.
+func (tr *Transport) closeUnusable(ss *session) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if _, known := tr.all[ss]; !known || tr.stopped {
+	if _, known := tr.sessions[ss]; !known || tr.stopped {
 		return
 	}
-	tr.lose(ss)
+	tr.abandon(ss)
 }
--- a/internal/peer/export_test.go
+++ b/internal/peer/export_test.go
@@ -4,7 +4,7 @@
 func (tr *Transport) Waiting() bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	for ss := range tr.all {
+	for ss := range tr.sessions {
 		if ss.pinging.Load() {
 			return true
 		}
@@ -17,7 +17,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var sum int
-	for ss := range tr.all {
+	for ss := range tr.sessions {
 		sum += ss.mux.NumStreams()
 	}
 	return sum
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -43,7 +43,7 @@
 // byte of a message has come.
 type byteReader struct {
 	io.Reader
-	onBody func()
+	onFirstByte func()
 }
 
 // ReadByte reads one byte of a message's length.
@@ -52,9 +52,9 @@
 	if _, err := io.ReadFull(br.Reader, one[:]); err != nil {
 		return 0, err
 	}
-	if br.onBody != nil {
-		br.onBody()
-		br.onBody = nil
+	if br.onFirstByte != nil {
+		br.onFirstByte()
+		br.onFirstByte = nil
 	}
 	return one[0], nil
 }
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -12,12 +12,12 @@
 	"alderdyke/internal/peer/peerpb"
 )
 
-// helloLimit bounds the hello, in bytes.
-const helloLimit = 1 << 10
+// maxHelloBytes bounds the hello, in bytes.
+const maxHelloBytes = 1 << 10
 
-// greetDialed proves the secret to the VM that was dialled, learns whom it
+// clientHandshake proves the secret to the VM that was dialled, learns whom it
 // reached, and returns that. The deadline on the connection bounds it.
-func (tr *Transport) greetDialed(ctx context.Context, tc *tls.Conn, to string) (board.VMRef, Step, error) {
+func (tr *Transport) clientHandshake(ctx context.Context, tc *tls.Conn, to string) (board.VMRef, Step, error) {
 	if err := tc.HandshakeContext(ctx); err != nil {
 		return board.VMRef{}, StepHandshake, fmt.Errorf("TLS handshake: %w", err)
 	}
@@ -32,7 +32,7 @@
 }
 
 func (tr *Transport) sendHello(tc *tls.Conn, to string) error {
-	raw, err := encode(&peerpb.Hello{ID: tr.Self.ID, Incarnation: tr.Self.Incarnation, To: to}, helloLimit)
+	raw, err := encode(&peerpb.Hello{ID: tr.Self.ID, Incarnation: tr.Self.Incarnation, To: to}, maxHelloBytes)
 	if err != nil {
 		return fmt.Errorf("hello: %w", err)
 	}
@@ -44,7 +44,7 @@
 
 func readHello(tc *tls.Conn) (*peerpb.Hello, error) {
 	var hl peerpb.Hello
-	if err := decode(&byteReader{Reader: tc}, &hl, helloLimit); err != nil {
+	if err := decode(&byteReader{Reader: tc}, &hl, maxHelloBytes); err != nil {
 		return nil, fmt.Errorf("read hello: %w", err)
 	}
 	if hl.GetID() == "" {
@@ -53,16 +53,16 @@
 	return &hl, nil
 }
 
-// bound sets the time by which handshake and hello must be over.
-func (tr *Transport) bound(cn net.Conn) error {
+// setHandshakeDeadline sets the time by which handshake and hello must be over.
+func (tr *Transport) setHandshakeDeadline(cn net.Conn) error {
 	if err := cn.SetDeadline(time.Now().Add(tr.HandshakeTimeout.Std())); err != nil {
 		return fmt.Errorf("bound handshake: %w", err)
 	}
 	return nil
 }
 
-// unbound lifts what bound set.
-func unbound(cn net.Conn) error {
+// clearHandshakeDeadline lifts what bound set.
+func clearHandshakeDeadline(cn net.Conn) error {
 	if err := cn.SetDeadline(time.Time{}); err != nil {
 		return fmt.Errorf("end handshake: %w", err)
 	}
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	protocol    = "alderdyke-peer/1" // ALPN: VMs with another protocol don't connect
-	leastSecret = 16                 // bytes
+	alpnProtocol   = "alderdyke-peer/1" // ALPN: VMs with another protocol don't connect
+	minSecretBytes = 16                 // bytes
 
 	infoTLS      = "alderdyke peer TLS key 1"
 	infoDatagram = "alderdyke peer datagram key 1"
@@ -27,8 +27,8 @@
 }
 
 func newIdentity(secret []byte) (*identity, error) {
-	if len(secret) < leastSecret {
-		return nil, SecretError{Size: len(secret), Min: leastSecret}
+	if len(secret) < minSecretBytes {
+		return nil, SecretError{Size: len(secret), Min: minSecretBytes}
 	}
 	seed, err := hkdf.Key(sha256.New, secret, nil, infoTLS, ed25519.SeedSize)
 	if err != nil {
@@ -46,9 +46,9 @@
 	base := &tls.Config{
 		Certificates:           []tls.Certificate{cert},
 		MinVersion:             tls.VersionTLS13,
-		NextProtos:             []string{protocol},
+		NextProtos:             []string{alpnProtocol},
 		SessionTicketsDisabled: true,
-		VerifyConnection:       pin(key.Public().(ed25519.PublicKey)),
+		VerifyConnection:       pinPublicKey(key.Public().(ed25519.PublicKey)),
 	}
 	id := &identity{server: base, client: base.Clone(), datagramKey: mac}
 	id.server.ClientAuth = tls.RequireAnyClientCert
@@ -73,11 +73,11 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, nil
 }
 
-// pin accepts exactly one public key. TLS itself proves that the other end
+// pinPublicKey accepts exactly one public key. TLS itself proves that the other end
 // holds the private key to it.
-func pin(want ed25519.PublicKey) func(tls.ConnectionState) error {
+func pinPublicKey(want ed25519.PublicKey) func(tls.ConnectionState) error {
 	return func(cs tls.ConnectionState) error {
-		if len(cs.PeerCertificates) == 0 || cs.NegotiatedProtocol != protocol {
+		if len(cs.PeerCertificates) == 0 || cs.NegotiatedProtocol != alpnProtocol {
 			return UntrustedError{}
 		}
 		got, ok := cs.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
--- a/internal/peer/rig_test.go
+++ b/internal/peer/rig_test.go
@@ -37,14 +37,14 @@
 	}
 })
 
-// started is a transport that runs until the test ends, or until stop.
-type started struct {
+// testTransport is a transport that runs until the test ends, or until stop.
+type testTransport struct {
 	*peer.Transport
 	scope tally.TestScope
 	stop  func()
 }
 
-func start(t *testing.T, tr *peer.Transport) *started {
+func start(t *testing.T, tr *peer.Transport) *testTransport {
 	t.Helper()
 	scope := tally.NewTestScope("", nil)
 	tr.Scope = scope
@@ -78,7 +78,7 @@
 		})
 	}
 	t.Cleanup(stop)
-	return &started{Transport: tr, scope: scope, stop: stop}
+	return &testTransport{Transport: tr, scope: scope, stop: stop}
 }
 
 func ref(id string, incarnation uint64) board.VMRef {
@@ -86,12 +86,12 @@
 }
 
 // vm is the VM as the others know it.
-func (st *started) vm() board.VM {
+func (st *testTransport) vm() board.VM {
 	return board.VM{VMRef: st.Self, Peer: st.Address().String()}
 }
 
 // counted reads a counter, with the tag Reason if reason is not empty.
-func (st *started) counted(name, reason string) int64 {
+func (st *testTransport) counted(name, reason string) int64 {
 	var tags map[string]string
 	if reason != "" {
 		tags = map[string]string{"Reason": reason}
@@ -104,7 +104,7 @@
 }
 
 // awaitCount waits until a counter that another goroutine moves has a value.
-func (st *started) awaitCount(t *testing.T, name, reason string, want int64) {
+func (st *testTransport) awaitCount(t *testing.T, name, reason string, want int64) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%s %s = %d", name, reason, want), func() bool { return st.counted(name, reason) == want })
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// is tells whether the error holds one of the type.
-func is[T error](err error) bool {
+// hasError tells whether the error holds one of the type.
+func hasError[T error](err error) bool {
 	var as T
 	return errors.As(err, &as)
 }
