--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// openBacklog bounds streams of one session that the peer has not taken
+	// acceptBacklog bounds streams of one session that the peer has not taken
 	// yet; it is also the size of two buffers in each session.
-	openBacklog = 64
-	// halfClosed is how long a stream may stay open at one side only.
-	halfClosed = 30 * time.Second
+	acceptBacklog = 64
+	// halfClosedTimeout is how long a stream may stay open at one side only.
+	halfClosedTimeout = 30 * time.Second
 )
 
 type (
 	// session is one yamux session with one VM.
 	session struct {
 		mux    *yamux.Session
-		wire   *wire
+		tcp    *trackedConn
 		peer   board.VMRef
 		dialed string // address that was dialled; empty if the peer dialled
 		cancel context.CancelCauseFunc
@@ -36,67 +36,67 @@
 		pinging atomic.Bool
 
 		// Guarded by Transport.mu.
-		users     int // calls of Open that have no stream yet
-		retired   bool
-		idle      bool
-		idleSince clock.Millis
+		pendingOpens int // calls of Open that have no stream yet
+		retired      bool
+		idle         bool
+		idleSince    clock.Millis
 	}
 
-	// wire is the TCP connection below TLS. It remembers when the peer was
+	// trackedConn is the TCP connection below TLS. It remembers when the peer was
 	// last heard and counts bytes.
-	wire struct {
+	trackedConn struct {
 		net.Conn
-		clock clock.Source
-		count *counters
-		heard atomic.Int64
+		clock    clock.Source
+		count    *counters
+		lastRead atomic.Int64
 	}
 )
 
-func (tr *Transport) newWire(cn net.Conn) *wire {
-	wr := &wire{Conn: cn, clock: tr.Clock, count: tr.count}
-	wr.heard.Store(int64(tr.Clock.Now()))
+func (tr *Transport) newTrackedConn(cn net.Conn) *trackedConn {
+	wr := &trackedConn{Conn: cn, clock: tr.Clock, count: tr.count}
+	wr.lastRead.Store(int64(tr.Clock.Now()))
 	return wr
 }
 
 // Read notes that the peer was heard.
-func (wr *wire) Read(buf []byte) (int, error) {
-	got, err := wr.Conn.Read(buf)
+func (tc *trackedConn) Read(buf []byte) (int, error) {
+	got, err := tc.Conn.Read(buf)
 	if got > 0 {
-		wr.heard.Store(int64(wr.clock.Now()))
-		wr.count.bytesIn.Inc(int64(got))
+		tc.lastRead.Store(int64(tc.clock.Now()))
+		tc.count.bytesIn.Inc(int64(got))
 	}
 	return got, err
 }
 
 // Write counts what was sent.
-func (wr *wire) Write(buf []byte) (int, error) {
-	sent, err := wr.Conn.Write(buf)
-	wr.count.bytesOut.Inc(int64(sent))
+func (tc *trackedConn) Write(buf []byte) (int, error) {
+	sent, err := tc.Conn.Write(buf)
+	tc.count.bytesOut.Inc(int64(sent))
 	return sent, err
 }
 
-func (wr *wire) silence() clock.Millis {
-	return wr.clock.Now() - clock.Millis(wr.heard.Load())
+func (tc *trackedConn) silence() clock.Millis {
+	return tc.clock.Now() - clock.Millis(tc.lastRead.Load())
 }
 
 // muxConfig has yamux's own keepalive off: pings are sent by the sweep, from
 // one side and only while streams are open.
 func (tr *Transport) muxConfig() *yamux.Config {
 	return &yamux.Config{
-		AcceptBacklog:          openBacklog,
+		AcceptBacklog:          acceptBacklog,
 		KeepAliveInterval:      tr.KeepAlive.Std(),
 		ConnectionWriteTimeout: tr.PingTimeout.Std(),
 		MaxStreamWindowSize:    256 << 10,
 		StreamOpenTimeout:      (tr.KeepAlive + tr.PingTimeout).Std(),
-		StreamCloseTimeout:     halfClosed,
+		StreamCloseTimeout:     halfClosedTimeout,
 		LogOutput:              io.Discard,
 	}
 }
 
-// kill closes the session without a word to the peer. It does not wait for
+// abort closes the session without a word to the peer. It does not wait for
 // a peer that reads nothing.
-func (ss *session) kill() {
-	_ = ss.wire.Conn.Close()
+func (ss *session) abort() {
+	_ = ss.tcp.Conn.Close()
 	_ = ss.mux.Close()
 	ss.cancel(ErrSessionLost)
 }
@@ -128,7 +128,7 @@
 // sweepLoop looks after all sessions, so that none needs a goroutine or a
 // timer of its own for it.
 func (tr *Transport) sweepLoop(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -144,37 +144,37 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.Clock.Now()
-	for ss := range tr.all {
-		tr.look(ss, now)
+	for ss := range tr.sessions {
+		tr.checkSession(ss, now)
 	}
 	for id, dl := range tr.dials {
-		if dl.over() && now-dl.failedAt > tr.RedialAfter {
+		if dl.isDone() && now-dl.failedAt > tr.RedialAfter {
 			delete(tr.dials, id)
 		}
 	}
-	tr.count.sessions.Update(float64(len(tr.all)))
+	tr.count.sessions.Update(float64(len(tr.sessions)))
 }
 
-// look drops, closes or pings one session. Closing and pinging may block and
+// checkSession drops, closes or pings one session. Closing and pinging may block and
 // are left to goroutines.
-func (tr *Transport) look(ss *session, now clock.Millis) {
+func (tr *Transport) checkSession(ss *session, now clock.Millis) {
 	streams := ss.mux.NumStreams()
 	switch {
 	case ss.mux.IsClosed():
-		tr.ended(ss)
-	case streams == 0 && ss.users == 0:
-		tr.lookIdle(ss, now)
+		tr.removeClosed(ss)
+	case streams == 0 && ss.pendingOpens == 0:
+		tr.checkIdle(ss, now)
 	default:
 		ss.idle = false
-		tr.lookBusy(ss)
+		tr.checkBusy(ss)
 	}
 }
 
-func (tr *Transport) lookIdle(ss *session, now clock.Millis) {
+func (tr *Transport) checkIdle(ss *session, now clock.Millis) {
 	if !ss.idle {
 		ss.idle, ss.idleSince = true, now
 	}
-	keep := tr.IdleClose
+	keep := tr.IdleTimeout
 	if ss.dialed == "" {
 		keep *= 2 // the side that dialled goes first
 	}
@@ -182,15 +182,15 @@
 		return
 	}
 	tr.count.idle.Inc(1)
-	tr.forget(ss)
+	tr.removeSession(ss)
 	tr.group.Go(ss.close)
 }
 
-func (tr *Transport) lookBusy(ss *session) {
-	silence := ss.wire.silence()
+func (tr *Transport) checkBusy(ss *session) {
+	silence := ss.tcp.silence()
 	if ss.dialed == "" {
 		if silence > 2*tr.KeepAlive+tr.PingTimeout {
-			tr.lose(ss)
+			tr.abandon(ss)
 		}
 		return
 	}
@@ -208,36 +208,36 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if !tr.stopped {
-		tr.lose(ss)
+		tr.abandon(ss)
 	}
 }
 
-// lose gives up a session whose peer is silent; tr.mu is held.
-func (tr *Transport) lose(ss *session) {
-	tr.noteLost(ss)
-	tr.forget(ss)
-	tr.group.Go(ss.kill)
+// abandon gives up a session whose peer is silent; tr.mu is held.
+func (tr *Transport) abandon(ss *session) {
+	tr.recordLoss(ss)
+	tr.removeSession(ss)
+	tr.group.Go(ss.abort)
 }
 
-// ended takes a closed session off the lists. Streams that are still open
+// removeClosed takes a closed session off the lists. Streams that are still open
 // tell that the peer broke it off. tr.mu is held.
-func (tr *Transport) ended(ss *session) {
-	if _, known := tr.all[ss]; known && !tr.stopped && ss.mux.NumStreams() > 0 {
-		tr.noteLost(ss)
+func (tr *Transport) removeClosed(ss *session) {
+	if _, known := tr.sessions[ss]; known && !tr.stopped && ss.mux.NumStreams() > 0 {
+		tr.recordLoss(ss)
 	}
-	tr.forget(ss)
+	tr.removeSession(ss)
 }
 
-func (tr *Transport) noteLost(ss *session) {
+func (tr *Transport) recordLoss(ss *session) {
 	tr.count.lost.Inc(1)
 	tr.Log.Log(event.PeerSessionLost, event.F("Peer", ss.peer.ID), event.F("Incarnation", ss.peer.Incarnation))
 }
 
-// forget takes a session off the lists; tr.mu is held.
-func (tr *Transport) forget(ss *session) {
+// removeSession takes a session off the lists; tr.mu is held.
+func (tr *Transport) removeSession(ss *session) {
 	ss.cancel(ErrSessionLost)
-	delete(tr.all, ss)
-	if tr.out[ss.peer.ID] == ss {
-		delete(tr.out, ss.peer.ID)
+	delete(tr.sessions, ss)
+	if tr.dialed[ss.peer.ID] == ss {
+		delete(tr.dialed, ss.peer.ID)
 	}
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -22,27 +22,27 @@
 
 // What the zero value of a field of [Transport] or [Limits] stands for.
 const (
-	DefaultMaxFrame      = 4 << 20
-	DefaultMaxSessions   = 512
-	DefaultMaxStreams    = 256
-	DefaultMaxHandshakes = 64
-	DefaultMaxWindows    = 1024
+	DefaultMaxFrame         = 4 << 20
+	DefaultMaxSessions      = 512
+	DefaultMaxStreams       = 256
+	DefaultMaxHandshakes    = 64
+	DefaultMaxReplayWindows = 1024
 
 	DefaultDialTimeout      = 2 * clock.Second
 	DefaultHandshakeTimeout = 3 * clock.Second
 	DefaultKeepAlive        = 2 * clock.Second
 	DefaultPingTimeout      = 3 * clock.Second
-	DefaultIdleClose        = 60 * clock.Second
+	DefaultIdleTimeout      = 60 * clock.Second
 	DefaultFrameTimeout     = 10 * clock.Second
 	DefaultRedialAfter      = 200 * clock.Millis(1)
 )
 
 const (
-	sweepEvery   = 250 * time.Millisecond
-	warnInterval = 10 * time.Second
-	// listenTries bounds the search for a port that is free for TCP and UDP,
+	sweepInterval = 250 * time.Millisecond
+	warnInterval  = 10 * time.Second
+	// maxListenAttempts bounds the search for a port that is free for TCP and UDP,
 	// if any port will do.
-	listenTries = 16
+	maxListenAttempts = 16
 )
 
 type (
@@ -55,9 +55,9 @@
 
 		// Handler serves the streams that other VMs open; nil refuses them.
 		Handler Handler
-		// Datagrams gets each datagram that is authentic and new, one at a
+		// OnDatagram gets each datagram that is authentic and new, one at a
 		// time; it must not block. Nil drops them.
-		Datagrams func(dg *peerpb.Datagram, from netip.AddrPort)
+		OnDatagram func(dg *peerpb.Datagram, from netip.AddrPort)
 
 		Scope tally.Scope  // nil counts nothing
 		Log   event.Logger // the zero value drops the lines
@@ -69,38 +69,38 @@
 		HandshakeTimeout clock.Millis // TLS and hello, on both sides
 		KeepAlive        clock.Millis // silence after which a session with streams is pinged
 		PingTimeout      clock.Millis // wait for the reply to a ping, and for any write
-		IdleClose        clock.Millis // how long a session without streams is kept
+		IdleTimeout      clock.Millis // how long a session without streams is kept
 		FrameTimeout     clock.Millis // from a frame's first byte to its last, and from a new stream to its first frame
 		RedialAfter      clock.Millis // how long a failed dial answers for the next ones
 
-		once    sync.Once
-		ready   chan struct{}
-		id      *identity
-		count   *counters
-		warn    *rate.Limiter
-		address atomic.Value // netip.AddrPort
-		udp     atomic.Pointer[net.UDPConn]
-		serial  atomic.Uint64
-		seen    windows
+		once        sync.Once
+		ready       chan struct{}
+		id          *identity
+		count       *counters
+		warnLimiter *rate.Limiter
+		address     atomic.Value // netip.AddrPort
+		udp         atomic.Pointer[net.UDPConn]
+		sequence    atomic.Uint64
+		replays     replayWindows
 
 		group sync.WaitGroup
 
-		mu      sync.Mutex
-		runCtx  context.Context // nil before Run
-		stopped bool
-		out     map[string]*session // dialled sessions by VM ID
-		dials   map[string]*dial    // dials in progress or just failed, by VM ID
-		all     map[*session]struct{}
-		pending handshakes
+		mu       sync.Mutex
+		runCtx   context.Context // nil before Run
+		stopped  bool
+		dialed   map[string]*session // dialled sessions by VM ID
+		dials    map[string]*dial    // dials in progress or just failed, by VM ID
+		sessions map[*session]struct{}
+		pending  pendingHandshakes
 	}
 
 	// Limits bound what other VMs, and whoever reaches the port, can take.
 	Limits struct {
-		MaxFrame      int // bytes of one encoded frame
-		MaxSessions   int // sessions that others dialled
-		MaxStreams    int // open streams on one session that another VM dialled
-		MaxHandshakes int // connections that have not proved the secret yet
-		MaxWindows    int // VMs whose datagrams are remembered
+		MaxFrame         int // bytes of one encoded frame
+		MaxSessions      int // sessions that others dialled
+		MaxStreams       int // open streams on one session that another VM dialled
+		MaxHandshakes    int // connections that have not proved the secret yet
+		MaxReplayWindows int // VMs whose datagrams are remembered
 	}
 
 	// Handler serves streams that other VMs open.
@@ -171,17 +171,17 @@
 func (tr *Transport) init() {
 	tr.once.Do(func() {
 		tr.ready = make(chan struct{})
-		tr.out = make(map[string]*session)
+		tr.dialed = make(map[string]*session)
 		tr.dials = make(map[string]*dial)
-		tr.all = make(map[*session]struct{})
-		tr.warn = rate.NewLimiter(rate.Every(warnInterval), 1)
+		tr.sessions = make(map[*session]struct{})
+		tr.warnLimiter = rate.NewLimiter(rate.Every(warnInterval), 1)
 		if tr.Scope == nil {
 			tr.Scope = tally.NoopScope
 		}
 		tr.Clock = clock.Or(tr.Clock)
 		tr.count = newCounters(tr.Scope)
 		tr.setDefaults()
-		tr.seen.max = tr.Limits.MaxWindows
+		tr.replays.max = tr.Limits.MaxReplayWindows
 	})
 }
 
@@ -200,12 +200,12 @@
 	orInt(&tr.Limits.MaxSessions, DefaultMaxSessions)
 	orInt(&tr.Limits.MaxStreams, DefaultMaxStreams)
 	orInt(&tr.Limits.MaxHandshakes, DefaultMaxHandshakes)
-	orInt(&tr.Limits.MaxWindows, DefaultMaxWindows)
+	orInt(&tr.Limits.MaxReplayWindows, DefaultMaxReplayWindows)
 	orSpan(&tr.DialTimeout, DefaultDialTimeout)
 	orSpan(&tr.HandshakeTimeout, DefaultHandshakeTimeout)
 	orSpan(&tr.KeepAlive, DefaultKeepAlive)
 	orSpan(&tr.PingTimeout, DefaultPingTimeout)
-	orSpan(&tr.IdleClose, DefaultIdleClose)
+	orSpan(&tr.IdleTimeout, DefaultIdleTimeout)
 	orSpan(&tr.FrameTimeout, DefaultFrameTimeout)
 	orSpan(&tr.RedialAfter, DefaultRedialAfter)
 }
@@ -221,7 +221,7 @@
 		if err == nil {
 			return ln, uc, nil
 		}
-		if want.Port() != 0 || try == listenTries {
+		if want.Port() != 0 || try == maxListenAttempts {
 			return nil, nil, err
 		}
 	}
@@ -259,24 +259,24 @@
 	tr.mu.Lock()
 	tr.stopped = true
 	tr.pending.closeAll()
-	open := make([]*session, 0, len(tr.all))
-	for ss := range tr.all {
+	open := make([]*session, 0, len(tr.sessions))
+	for ss := range tr.sessions {
 		open = append(open, ss)
 	}
 	tr.mu.Unlock()
 	_ = ln.Close()
 	_ = uc.Close()
 	for _, ss := range open {
-		ss.kill()
+		ss.abort()
 	}
 	cancel()
 	tr.group.Wait()
 }
 
-// warnSome logs an event that strangers or a faulty VM could cause at will,
+// warnLimited logs an event that strangers or a faulty VM could cause at will,
 // at most once in warnInterval.
-func (tr *Transport) warnSome(ev event.Event, fields ...event.Field) {
-	if tr.warn.Allow() {
+func (tr *Transport) warnLimited(ev event.Event, fields ...event.Field) {
+	if tr.warnLimiter.Allow() {
 		tr.Log.Log(ev, fields...)
 	}
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -45,7 +45,7 @@
 	assert.Assert(t, bytes.Equal(reply.GetSnapshot().GetData(), data))
 }
 
-func TestTooLargeFrameStaysHere(t *testing.T) {
+func TestTooLargeFrameIsNotSent(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo})
 	sa := start(t, &peer.Transport{Self: ref("a", 1), Limits: peer.Limits{MaxFrame: 64}})
 	_, err := sa.Call(t.Context(), sb.vm(), explain(string(make([]byte, 100))))
@@ -65,7 +65,7 @@
 	sa := start(t, &peer.Transport{Self: ref("a", 1)})
 	_, err := sa.Call(t.Context(), sb.vm(), explain(string(make([]byte, 100))))
 	assert.ErrorIs(t, err, io.EOF)
-	assert.Assert(t, is[peer.SizeError](<-got))
+	assert.Assert(t, hasError[peer.SizeError](<-got))
 }
 
 func TestConcurrentOpensShareOneSession(t *testing.T) {
@@ -98,11 +98,11 @@
 		cause   func(error) bool
 		timeout clock.Millis
 	}{
-		"wrong VM":          {board.VM{VMRef: ref("x", 1), Peer: sb.vm().Peer}, peer.StepHello, is[peer.WrongVMError], 0},
-		"older run answers": {board.VM{VMRef: ref("b", 5), Peer: sb.vm().Peer}, peer.StepHello, is[peer.WrongVMError], 0},
-		"wrong secret":      {other.vm(), peer.StepHandshake, is[peer.UntrustedError], 0},
-		"nobody listens":    {gone.vm(), peer.StepDial, is[*net.OpError], 0},
-		"mute listener":     {board.VM{VMRef: ref("e", 1), Peer: mute.Addr().String()}, peer.StepHandshake, is[net.Error], 200},
+		"wrong VM":          {board.VM{VMRef: ref("x", 1), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
+		"older run answers": {board.VM{VMRef: ref("b", 5), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
+		"wrong secret":      {other.vm(), peer.StepHandshake, hasError[peer.UntrustedError], 0},
+		"nobody listens":    {gone.vm(), peer.StepDial, hasError[*net.OpError], 0},
+		"mute listener":     {board.VM{VMRef: ref("e", 1), Peer: mute.Addr().String()}, peer.StepHandshake, hasError[net.Error], 200},
 		"name for address":  {board.VM{VMRef: ref("f", 1), Peer: "localhost:1"}, peer.StepDial, nil, 0},
 	}
 	for name, tc := range cases {
@@ -128,13 +128,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := tr.Open(ctx, board.VM{VMRef: ref("b", 1), Peer: "127.0.0.1:1"})
-	assert.Assert(t, is[peer.NotSentError](err))
+	assert.Assert(t, hasError[peer.NotSentError](err))
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
 func TestRunRefusesBadSettings(t *testing.T) {
 	tr := &peer.Transport{Self: ref("a", 1), Listen: "127.0.0.1:0", Secret: []byte("short")}
-	assert.Assert(t, is[peer.SecretError](tr.Run(t.Context())))
+	assert.Assert(t, hasError[peer.SecretError](tr.Run(t.Context())))
 	tr = &peer.Transport{Self: ref("a", 1), Listen: "localhost:0", Secret: secret}
 	assert.ErrorContains(t, tr.Run(t.Context()), "listen address")
 }
@@ -157,9 +157,9 @@
 	}()
 	_, err := sa.Call(t.Context(), vm, explain("key"))
 	assert.ErrorIs(t, err, peer.ErrSessionLost)
-	assert.Assert(t, is[peer.BrokenError](err))
+	assert.Assert(t, hasError[peer.BrokenError](err))
 	_, err = sa.Call(t.Context(), vm, explain("key"))
-	assert.Assert(t, is[peer.NotSentError](err))
+	assert.Assert(t, hasError[peer.NotSentError](err))
 }
 
 // freezer is a TCP relay that can stop passing bytes with both connections
@@ -237,7 +237,7 @@
 	fz.mu.Unlock()
 }
 
-func TestSilentPeerIsFoundByBothSides(t *testing.T) {
+func TestSilentPeerIsDetectedByBothSides(t *testing.T) {
 	ended := make(chan error, 1)
 	sb := start(t, &peer.Transport{Self: ref("b", 1), KeepAlive: 200, PingTimeout: 1500,
 		Handler: handler(func(_ context.Context, _ board.VMRef, cn *peer.Conn) {
@@ -280,14 +280,14 @@
 	fz.freeze()
 	clk.Advance(peer.DefaultKeepAlive)
 	_, err = sa.Call(t.Context(), vm, explain("2"))
-	assert.Assert(t, is[peer.NotSentError](err))
+	assert.Assert(t, hasError[peer.NotSentError](err))
 	assert.Equal(t, sb.counted("PeerStreamsServed", ""), int64(1))
 }
 
 func TestIdleSessionCloses(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo})
 	clk := new(clock.Manual)
-	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleClose: 1000})
+	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleTimeout: 1000})
 	_, err := sa.Call(t.Context(), sb.vm(), explain("1"))
 	assert.NilError(t, err)
 	eventually(t, "idle close", func() bool {
@@ -304,7 +304,7 @@
 func TestOpenStreamKeepsSession(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo})
 	clk := new(clock.Manual)
-	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleClose: 1000})
+	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleTimeout: 1000})
 	cn, err := sa.Open(t.Context(), sb.vm())
 	assert.NilError(t, err)
 	defer cn.Close()
@@ -319,11 +319,11 @@
 	assert.Equal(t, sa.counted("PeerSessionsIdle", ""), int64(0))
 }
 
-func TestReplacedVMIsDialledAnew(t *testing.T) {
+func TestReplacedVMIsRedialled(t *testing.T) {
 	first := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo})
 	second := start(t, &peer.Transport{Self: ref("b", 2), Handler: echo})
 	sa := start(t, &peer.Transport{Self: ref("a", 1)})
-	for _, st := range []*started{first, second} {
+	for _, st := range []*testTransport{first, second} {
 		cn, err := sa.Open(t.Context(), st.vm())
 		assert.NilError(t, err)
 		assert.Equal(t, cn.Peer(), st.Self)
@@ -334,14 +334,14 @@
 	vm := second.vm()
 	vm.Incarnation = 3
 	_, err := sa.Open(t.Context(), vm)
-	assert.Assert(t, is[peer.NotSentError](err) && is[peer.WrongVMError](err), "%v", err)
+	assert.Assert(t, hasError[peer.NotSentError](err) && hasError[peer.WrongVMError](err), "%v", err)
 	// The older run dials in after the newer one did.
 	newer := start(t, &peer.Transport{Self: ref("a", 2)})
 	_, err = newer.Call(t.Context(), second.vm(), explain("key"))
 	assert.NilError(t, err)
 	older := start(t, &peer.Transport{Self: ref("a", 1)})
 	_, err = older.Call(t.Context(), second.vm(), explain("key"))
-	assert.Assert(t, is[peer.NotSentError](err))
+	assert.Assert(t, hasError[peer.NotSentError](err))
 	second.awaitCount(t, "PeerRefused", "StaleIncarnation", 1)
 }
 
@@ -378,7 +378,7 @@
 	assert.ErrorIs(t, <-watched, io.EOF)
 }
 
-func TestSilentStreamIsGivenUp(t *testing.T) {
+func TestSilentStreamTimesOut(t *testing.T) {
 	got := make(chan error, 1)
 	sb := start(t, &peer.Transport{Self: ref("b", 1), FrameTimeout: 50,
 		Handler: handler(func(_ context.Context, _ board.VMRef, cn *peer.Conn) {
@@ -394,7 +394,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-func TestStreamLimitRefusesTruthfully(t *testing.T) {
+func TestStreamLimitRefusesAsNotRun(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo, Limits: peer.Limits{MaxStreams: 2}})
 	sa := start(t, &peer.Transport{Self: ref("a", 1)})
 	for range 2 {
@@ -418,12 +418,12 @@
 	assert.NilError(t, err)
 	sc := start(t, &peer.Transport{Self: ref("c", 1)})
 	_, err = sc.Call(t.Context(), sb.vm(), explain("key"))
-	assert.Assert(t, is[peer.NotSentError](err))
+	assert.Assert(t, hasError[peer.NotSentError](err))
 	sb.awaitCount(t, "PeerRefused", "TooManySessions", 1)
 }
 
 // Strangers who connect and say nothing can't keep a VM out, and are closed.
-func TestSlowStrangersGiveWay(t *testing.T) {
+func TestSlowHandshakesAreEvicted(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo, HandshakeTimeout: clock.Minute,
 		Limits: peer.Limits{MaxHandshakes: 4}})
 	var strangers []net.Conn
@@ -461,12 +461,12 @@
 		from netip.AddrPort
 	}
 	got := make(chan arrival, 1)
-	sb := start(t, &peer.Transport{Self: ref("b", 1), Datagrams: func(dg *peerpb.Datagram, from netip.AddrPort) {
+	sb := start(t, &peer.Transport{Self: ref("b", 1), OnDatagram: func(dg *peerpb.Datagram, from netip.AddrPort) {
 		got <- arrival{dg, from}
 	}})
 	sa := start(t, &peer.Transport{Self: ref("a", 9)})
 	dg := &peerpb.Datagram{Body: &peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 5}}}
-	assert.NilError(t, sa.Datagram(sb.vm(), dg))
+	assert.NilError(t, sa.SendDatagram(sb.vm(), dg))
 	ar := <-got
 	assert.Equal(t, ar.from, sa.Address())
 	assert.Equal(t, ar.dg.GetFrom(), "a")
@@ -476,11 +476,11 @@
 	for ix := range rumours {
 		rumours[ix] = &peerpb.Rumour{VM: fmt.Sprintf("a rather long name of a VM %d", ix)}
 	}
-	assert.Assert(t, is[peer.SizeError](sa.Datagram(sb.vm(), &peerpb.Datagram{Rumours: rumours})))
+	assert.Assert(t, hasError[peer.SizeError](sa.SendDatagram(sb.vm(), &peerpb.Datagram{Rumours: rumours})))
 }
 
 // A VM with several IP numbers speaks from the one that it listens at.
-func TestDialsFromTheAddressThatItListensAt(t *testing.T) {
+func TestDialsFromListenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer ln.Close()
--- a/internal/peer/window.go
+++ b/internal/peer/window.go
@@ -14,63 +14,63 @@
 )
 
 type (
-	// windows remembers which datagrams were seen, as RFC 4303 section 3.4.3
+	// replayWindows remembers which datagrams were seen, as RFC 4303 section 3.4.3
 	// does, for each VM in its latest run. It is used by one goroutine.
-	windows struct {
+	replayWindows struct {
 		max  int // VMs; the one not heard for longest gives way
-		byVM map[string]*window
+		byVM map[string]*replayWindow
 	}
 
-	// window of one VM's latest run.
-	window struct {
-		incarnation uint64
-		highest     uint64
-		heard       clock.Millis
-		bits        [windowBits / wordBits]uint64 // ring, indexed by sequence number
+	// replayWindow of one VM's latest run.
+	replayWindow struct {
+		incarnation  uint64
+		highest      uint64
+		lastReceived clock.Millis
+		bits         [windowBits / wordBits]uint64 // ring, indexed by sequence number
 	}
 )
 
-// take notes a datagram and tells whether it is the first of its number.
-func (ws *windows) take(from board.VMRef, sequence uint64, now clock.Millis) verdict {
+// check notes a datagram and tells whether it is the first of its number.
+func (ws *replayWindows) check(from board.VMRef, sequence uint64, now clock.Millis) verdict {
 	wd := ws.byVM[from.ID]
 	switch {
 	case wd == nil:
 		wd = ws.add(from)
 	case from.Incarnation < wd.incarnation:
-		return droppedStale
+		return droppedStaleIncarnation
 	case from.Incarnation > wd.incarnation:
-		*wd = window{incarnation: from.Incarnation}
+		*wd = replayWindow{incarnation: from.Incarnation}
 	}
-	if !wd.take(sequence) {
+	if !wd.accept(sequence) {
 		return droppedReplayed
 	}
-	wd.heard = now
+	wd.lastReceived = now
 	return accepted
 }
 
-func (ws *windows) add(from board.VMRef) *window {
+func (ws *replayWindows) add(from board.VMRef) *replayWindow {
 	if ws.byVM == nil {
-		ws.byVM = make(map[string]*window)
+		ws.byVM = make(map[string]*replayWindow)
 	}
 	if len(ws.byVM) >= ws.max {
 		ws.evict()
 	}
-	wd := &window{incarnation: from.Incarnation}
+	wd := &replayWindow{incarnation: from.Incarnation}
 	ws.byVM[from.ID] = wd
 	return wd
 }
 
-func (ws *windows) evict() {
+func (ws *replayWindows) evict() {
 	var oldest string
 	for id, wd := range ws.byVM {
-		if oldest == "" || wd.heard < ws.byVM[oldest].heard {
+		if oldest == "" || wd.lastReceived < ws.byVM[oldest].lastReceived {
 			oldest = id
 		}
 	}
 	delete(ws.byVM, oldest)
 }
 
-func (wd *window) take(sequence uint64) bool {
+func (wd *replayWindow) accept(sequence uint64) bool {
 	if sequence > wd.highest {
 		wd.slide(sequence)
 	} else if wd.highest-sequence >= windowBits {
@@ -86,7 +86,7 @@
 
 // slide moves the window up to the new highest number and clears the numbers
 // that it newly spans.
-func (wd *window) slide(sequence uint64) {
+func (wd *replayWindow) slide(sequence uint64) {
 	if sequence-wd.highest >= windowBits {
 		clear(wd.bits[:])
 	} else {
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -38,10 +38,10 @@
 	const secret = "a secret that all VMs share"
 	tr := receiver(t, board.VMRef{ID: "b"}, secret)
 	other := receiver(t, board.VMRef{ID: "b"}, "a secret that nobody shares")
-	make1 := func(from string, inc uint64, to string, seq uint64) []byte {
+	datagramTo := func(from string, inc uint64, to string, seq uint64) []byte {
 		return sealed(t, tr, &peerpb.Datagram{From: from, Incarnation: inc, To: to, Sequence: seq})
 	}
-	word := func(body any, seq uint64) []byte {
+	broadcast := func(body any, seq uint64) []byte {
 		dg := &peerpb.Datagram{From: "a", Incarnation: 3, Sequence: seq}
 		switch body := body.(type) {
 		case *peerpb.Datagram_Usage:
@@ -51,7 +51,7 @@
 		}
 		return sealed(t, tr, dg)
 	}
-	altered := make1("a", 1, "b", 9)
+	altered := datagramTo("a", 1, "b", 9)
 	altered[2] ^= 1
 	notProto := append([]byte{0xff, 0xff}, sign(tr.id.datagramKey, []byte{0xff, 0xff})...)
 	steps := []struct {
@@ -59,24 +59,24 @@
 		raw  []byte
 		want verdict
 	}{
-		{"first", make1("a", 2, "b", 5), accepted},
-		{"same again", make1("a", 2, "b", 5), droppedReplayed},
-		{"later", make1("a", 2, "b", 300), accepted},
-		{"late, within window", make1("a", 2, "b", 45), accepted},
-		{"late twice", make1("a", 2, "b", 45), droppedReplayed},
-		{"behind window", make1("a", 2, "b", 44), droppedReplayed},
-		{"older run", make1("a", 1, "b", 400), droppedStale},
-		{"newer run", make1("a", 3, "b", 1), accepted},
-		{"run before it", make1("a", 2, "b", 500), droppedStale},
-		{"other VM has its own numbers", make1("c", 1, "b", 5), accepted},
-		{"for another", make1("a", 3, "x", 2), droppedWrongVM},
-		{"a word for all", word(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), accepted},
-		{"the same word again", word(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), droppedReplayed},
-		{"a probe for nobody", word(&peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 1}}, 7), droppedWrongVM},
+		{"first", datagramTo("a", 2, "b", 5), accepted},
+		{"same again", datagramTo("a", 2, "b", 5), droppedReplayed},
+		{"later", datagramTo("a", 2, "b", 300), accepted},
+		{"late, within window", datagramTo("a", 2, "b", 45), accepted},
+		{"late twice", datagramTo("a", 2, "b", 45), droppedReplayed},
+		{"behind window", datagramTo("a", 2, "b", 44), droppedReplayed},
+		{"older run", datagramTo("a", 1, "b", 400), droppedStaleIncarnation},
+		{"newer run", datagramTo("a", 3, "b", 1), accepted},
+		{"run before it", datagramTo("a", 2, "b", 500), droppedStaleIncarnation},
+		{"other VM has its own numbers", datagramTo("c", 1, "b", 5), accepted},
+		{"for another", datagramTo("a", 3, "x", 2), droppedWrongVM},
+		{"a word for all", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), accepted},
+		{"the same word again", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), droppedReplayed},
+		{"a probe for nobody", broadcast(&peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 1}}, 7), droppedWrongVM},
 		{"altered", altered, droppedBadMAC},
 		{"other secret", sealed(t, other, &peerpb.Datagram{From: "a", Incarnation: 3, To: "b", Sequence: 3}), droppedBadMAC},
-		{"no sender", make1("", 3, "b", 4), droppedMalformed},
-		{"no number", make1("a", 3, "b", 0), droppedMalformed},
+		{"no sender", datagramTo("", 3, "b", 4), droppedMalformed},
+		{"no number", datagramTo("a", 3, "b", 0), droppedMalformed},
 		{"not protobuf", notProto, droppedMalformed},
 		{"MAC only", sign(tr.id.datagramKey, nil), droppedMalformed},
 		{"too long", make([]byte, MaxDatagram+1), droppedMalformed},
@@ -92,12 +92,12 @@
 // windowBits behind the highest, in any order.
 func TestWindowAgainstSet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var wd window
+		var wd replayWindow
 		seen := make(map[uint64]bool)
 		var highest uint64
 		for _, seq := range rapid.SliceOf(rapid.Uint64Range(1, 1200)).Draw(rt, "sequence") {
 			want := !seen[seq] && (seq > highest || highest-seq < windowBits)
-			if got := wd.take(seq); got != want {
+			if got := wd.accept(seq); got != want {
 				rt.Fatalf("take(%d) = %v, highest %d, seen %v", seq, got, highest, seen[seq])
 			}
 			seen[seq] = true
@@ -107,17 +107,17 @@
 }
 
 func TestWindowsAreBounded(t *testing.T) {
-	ws := windows{max: 3}
+	ws := replayWindows{max: 3}
 	for ix := range 100 {
-		vd := ws.take(board.VMRef{ID: fmt.Sprint(ix), Incarnation: 1}, 1, clock.Millis(ix))
+		vd := ws.check(board.VMRef{ID: fmt.Sprint(ix), Incarnation: 1}, 1, clock.Millis(ix))
 		assert.Equal(t, vd, accepted)
 	}
 	assert.Equal(t, len(ws.byVM), 3)
-	vd := ws.take(board.VMRef{ID: "99", Incarnation: 1}, 1, 100)
+	vd := ws.check(board.VMRef{ID: "99", Incarnation: 1}, 1, 100)
 	assert.Equal(t, vd, droppedReplayed)
 }
 
-func TestDecodeKeepsToItsMessage(t *testing.T) {
+func TestDecodeReadsOneMessage(t *testing.T) {
 	one, err := encode(&peerpb.VMRef{ID: "a"}, 100)
 	assert.NilError(t, err)
 	rd := bytes.NewReader(append(one, one...))
@@ -179,13 +179,13 @@
 }
 
 func FuzzHello(f *testing.F) {
-	seed, err := encode(&peerpb.Hello{ID: "a", To: "b"}, helloLimit)
+	seed, err := encode(&peerpb.Hello{ID: "a", To: "b"}, maxHelloBytes)
 	assert.NilError(f, err)
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var hl peerpb.Hello
-		if decode(&byteReader{Reader: bytes.NewReader(raw)}, &hl, helloLimit) == nil {
-			assert.Assert(t, proto.Size(&hl) <= 2*helloLimit)
+		if decode(&byteReader{Reader: bytes.NewReader(raw)}, &hl, maxHelloBytes) == nil {
+			assert.Assert(t, proto.Size(&hl) <= 2*maxHelloBytes)
 		}
 	})
 }
--- a/internal/slope/wire.go
+++ b/internal/slope/wire.go
@@ -94,12 +94,12 @@
 	ctx, stop := context.WithCancel(ctx)
 	wv := &wireVM{scope: tally.NewTestScope("", nil), stop: stop, done: make(chan error, 1)}
 	wv.tr = &peer.Transport{
-		Self:      board.VMRef{ID: id, Incarnation: startedAt},
-		Listen:    "127.0.0.1:0",
-		Secret:    []byte(wireSecret),
-		Handler:   echo{},
-		Scope:     wv.scope,
-		IdleClose: clock.Hour,
+		Self:        board.VMRef{ID: id, Incarnation: startedAt},
+		Listen:      "127.0.0.1:0",
+		Secret:      []byte(wireSecret),
+		Handler:     echo{},
+		Scope:       wv.scope,
+		IdleTimeout: clock.Hour,
 	}
 	go func() { wv.done <- wv.tr.Run(ctx) }()
 	select {
