--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -69,7 +69,7 @@
 		Region:         "loopback",
 		FailureDomains: []string{"a", "b", "c"},
 		Hosts:          hosts(),
-		Engine:         deployment.Speed(4),
+		Engine:         deployment.ScaledEngineSettings(4),
 	}
 	if err := dp.Start(); err != nil {
 		return fmt.Errorf("start the stand-ins: %w", err)
@@ -90,7 +90,7 @@
 
 func (fl *fleet) configure() error {
 	for ix := range vmCount {
-		set, err := fl.dp.VM(fmt.Sprintf("vm-%d", ix+1), fl.dp.FailureDomains[ix])
+		set, err := fl.dp.AddVM(fmt.Sprintf("vm-%d", ix+1), fl.dp.FailureDomains[ix])
 		if err != nil {
 			return fmt.Errorf("set up a VM: %w", err)
 		}
--- a/internal/demo/stage.go
+++ b/internal/demo/stage.go
@@ -12,7 +12,7 @@
 // stand-ins up until the context ends, so that the VMs can be run, and
 // killed, by hand.
 func (fl *fleet) stage(ctx context.Context, dir string, out io.Writer) error {
-	names, err := deployment.Stage(dir, fl.sets)
+	names, err := deployment.WriteSettings(dir, fl.sets)
 	if err != nil {
 		return fmt.Errorf("write the settings: %w", err)
 	}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		nw := &standin.Network{}
 		hc := backend.NewHTTP(backend.Limits{Dial: nw.Dial})
-		set := standinengine.Settings{PrefillTokensPerSecond: 1000, KVBytesPerToken: 1, KeepPrefill: 800, Slots: 2, TPOT: 10, ChecksFencing: true}
+		set := standinengine.Settings{PrefillTokensPerSecond: 1000, KVBytesPerToken: 1, KVRetention: 800, Slots: 2, TPOT: 10, ChecksFencing: true}
 		bn := enginePair{
 			nw:  nw,
 			ec:  &engine.Client{HTTP: hc, Self: board.VMRef{ID: "vm-1", Incarnation: 7}, Scope: tally.NewTestScope("", nil)},
--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -136,7 +136,7 @@
 		Model: "model", Prefill: engines, Decode: engines, PlainService: "records", Plain: 6,
 		FailureDomains: []string{"a", "b", "c"}, Engine: set, Service: servicesim.Settings{Latency: 10, Slots: 8},
 	}
-	rg.dp.Front = rg.interceptBackend
+	rg.dp.Intercept = rg.interceptBackend
 	assert.NilError(t, rg.dp.Start())
 	t.Cleanup(func() { assert.Check(t, rg.dp.Close()) })
 	for range 5 {
@@ -192,7 +192,7 @@
 	}
 	stop := func() {
 		rg.crash(ct)
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	if end.writes < 0 {
 		stop()
@@ -235,7 +235,7 @@
 
 // addVM starts one more VM.
 func (rg *poisonRig) addVM() *testVM {
-	set, err := rg.dp.VM(fmt.Sprintf("vm-%d", len(rg.vms)+1), string(rune('a'+len(rg.vms)%3)))
+	set, err := rg.dp.AddVM(fmt.Sprintf("vm-%d", len(rg.vms)+1), string(rune('a'+len(rg.vms)%3)))
 	assert.NilError(rg.t, err)
 	rg.dp.Publish()
 	vm := &testVM{set: set}
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -105,7 +105,7 @@
 		}
 	})
 	for ix := range vms {
-		set, err := fl.dp.VM(fmt.Sprintf("vm-%d", ix+1), fl.dp.FailureDomains[ix])
+		set, err := fl.dp.AddVM(fmt.Sprintf("vm-%d", ix+1), fl.dp.FailureDomains[ix])
 		assert.NilError(t, err)
 		set.Roles = roles
 		set.Addresses.KeepFor, set.Drain.Linger = 100, 10
--- a/internal/integration/answer_test.go
+++ b/internal/integration/answer_test.go
@@ -14,9 +14,9 @@
 
 const tokenBytes = 9 // of one token of a stand-in
 
-// runnerOf waits until a decode of the key made some tokens and returns the
+// awaitRunner waits until a decode of the key made some tokens and returns the
 // VM that ordered it.
-func (fl *fleet) runnerOf(key string, tokens int) *vm {
+func (fl *fleet) awaitRunner(key string, tokens int) *vm {
 	fl.t.Helper()
 	var id string
 	eventually(fl.t, "a decode of "+key+" is under way", func() bool {
@@ -30,16 +30,16 @@
 	return fl.vm(id)
 }
 
-// asked counts what engines were asked to do for a key: prefills, transfers and
+// engineRunCount counts what engines were engineRunCount to do for a key: prefills, transfers and
 // decodes.
-func (fl *fleet) asked(key string) int {
+func (fl *fleet) engineRunCount(key string) int {
 	return len(fl.engineRuns(board.Prefill, key)) + len(fl.engineRuns(board.Decode, key))
 }
 
-// decoded counts the decodes of a key that began, and the tokens that all of
+// decodeTotals counts the decodes of a key that began, and the tokens that all of
 // them made. A transfer that was sent another way, as one that takes long is,
 // began none.
-func (fl *fleet) decoded(key string) (began, tokens int) {
+func (fl *fleet) decodeTotals(key string) (began, tokens int) {
 	for _, rec := range fl.engineRuns(board.Decode, key) {
 		began += rec.Decodes
 		tokens += rec.Tokens
@@ -51,7 +51,7 @@
 // elsewhere with its key and gets one whole answer without a seam.
 func TestVMKilledMidStream(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	var calls []*ongoing
 	for _, key := range []string{"kill-1", "kill-2", "kill-3", "kill-4"} {
 		calls = append(calls, fl.chat(fl.client(), "findings", key, 300))
@@ -59,21 +59,21 @@
 	for _, og := range calls {
 		eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
 	}
-	lost := fl.runnerOf("kill-1", 10)
+	lost := fl.awaitRunner("kill-1", 10)
 	killed := time.Now()
 	lost.kill(t)
-	results.span("a dead VM is detected", fl.holdsDead(fl.others(lost)[0], lost, killed))
+	results.recordDuration("a dead VM is detected", fl.awaitDead(fl.otherVMs(lost)[0], lost, killed))
 	for _, og := range calls {
-		assert.Check(t, og.end())
+		assert.Check(t, og.wait())
 	}
-	results.span("callers of a killed VM have their whole answers", time.Since(killed))
-	fl.check()
+	results.recordDuration("callers of a killed VM have their whole answers", time.Since(killed))
+	fl.checkInvariants()
 }
 
 // Callers leave for good; the engines are free soon after.
 func TestNothingHeldForCallersWhoLeft(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	var calls []*ongoing
 	for _, key := range []string{"gone-1", "gone-2", "gone-3"} {
 		calls = append(calls, fl.chat(fl.client(), "findings", key, 2000))
@@ -82,27 +82,27 @@
 		eventually(t, "the answer is under way", func() bool { return og.received() > 5*tokenBytes })
 	}
 	for _, og := range calls {
-		og.leave()
+		og.hangUp()
 	}
-	took := fl.awaitFree()
-	results.span("engines free after callers left (their wait is 3s)", took)
+	took := fl.awaitEnginesFree()
+	results.recordDuration("engines free after callers left (their wait is 3s)", took)
 	assert.Check(t, took < (streamWait.Std()+5*time.Second), "free after %v", took)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // A VM is killed with live decodes of callers who never come back. The others
 // free the engines.
 func TestNothingHeldForALostVM(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "lost", 2000)
 	eventually(t, "the answer is under way", func() bool { return og.received() > 5*tokenBytes })
-	lost := fl.runnerOf("lost", 5)
+	lost := fl.awaitRunner("lost", 5)
 	lost.kill(t)
-	og.leave()
-	results.span("engines free after a VM and its callers were lost", fl.awaitFree())
-	fl.check()
-	fl.note(func(hs *invariant.History) { assert.Equal(t, len(hs.Calls), 1) })
+	og.hangUp()
+	results.recordDuration("engines free after a VM and its callers were lost", fl.awaitEnginesFree())
+	fl.checkInvariants()
+	fl.updateHistory(func(hs *invariant.History) { assert.Equal(t, len(hs.Calls), 1) })
 }
 
 // A transfer takes long, as where VMs and engines are busy, and its accountant
@@ -113,8 +113,8 @@
 //	Role=Decode Decodes=1 Tokens=600 Stages=[... Decoding Ended] Outcome=Complete
 func TestMovedTransferIsNoSecondDecode(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
-	results.fault("transfers stalled")
+	fl := startFleet(t, defaultPlan())
+	results.countFault("transfers stalled")
 	for _, en := range fl.dp.Engines {
 		en.Control.Set(standin.Faults{StallTransfer: true})
 	}
@@ -126,11 +126,11 @@
 	for _, en := range fl.dp.Engines {
 		en.Control.Set(standin.Faults{})
 	}
-	assert.NilError(t, og.end())
-	began, made := fl.decoded("moved")
+	assert.NilError(t, og.wait())
+	began, made := fl.decodeTotals("moved")
 	assert.Equal(t, began, 1)
 	assert.Equal(t, made, tokens)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // Two VMs of different failure domains are killed at once, so that the record
@@ -138,7 +138,7 @@
 // engines go on with it, and each gets the rest without a second run.
 func TestRecordsLostWithTwoVMs(t *testing.T) {
 	t.Parallel()
-	pl := usual()
+	pl := defaultPlan()
 	pl.vms, pl.decode = 5, 8
 	fl := startFleet(t, pl)
 	const tokens = 600
@@ -151,15 +151,15 @@
 		eventually(t, "the answer is under way", func() bool { return og.received() > 5*tokenBytes })
 	}
 	for key := range calls {
-		asked[key] = fl.asked(key)
+		asked[key] = fl.engineRunCount(key)
 	}
 	fl.vms[0].kill(t)
 	fl.vms[3].kill(t)
 	for key, og := range calls {
-		assert.Check(t, og.end(), "%s", key)
-		began, made := fl.decoded(key)
+		assert.Check(t, og.wait(), "%s", key)
+		began, made := fl.decodeTotals(key)
 		assert.Check(t, began == 1 && made == tokens, "%s: %d decodes made %d tokens", key, began, made)
-		assert.Check(t, fl.asked(key) == asked[key], "%s: an engine was asked for it again", key)
+		assert.Check(t, fl.engineRunCount(key) == asked[key], "%s: an engine was asked for it again", key)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -21,18 +21,18 @@
 type (
 	// ongoing is a call in progress.
 	ongoing struct {
-		mu    sync.Mutex
-		call  invariant.Call
-		err   error
-		story string // what the VMs knew about it at its end, if it was not whole
-		done  chan struct{}
-		stop  context.CancelCauseFunc
+		mu          sync.Mutex
+		call        invariant.Call
+		err         error
+		explanation string // what the VMs knew about it at its end, if it was not whole
+		done        chan struct{}
+		stop        context.CancelCauseFunc
 	}
 )
 
-var errLeft = errors.New("the caller leaves")
+var errCallerLeft = errors.New("the caller leaves")
 
-func attemptOf(name, key string) bool { return strings.HasPrefix(name, customer+"/"+key+"/") }
+func isAttemptOf(name, key string) bool { return strings.HasPrefix(name, customer+"/"+key+"/") }
 
 // keyOf takes the customer and the attempt off an engine's name of a request.
 func keyOf(name string) string {
@@ -43,8 +43,8 @@
 	return name
 }
 
-// begin starts a call and notes its end.
-func (fl *fleet) begin(call invariant.Call, run func(ctx context.Context, og *ongoing) error) *ongoing {
+// startCall starts a call and notes its end.
+func (fl *fleet) startCall(call invariant.Call, run func(ctx context.Context, og *ongoing) error) *ongoing {
 	ctx, stop := context.WithCancelCause(context.Background())
 	og := &ongoing{call: call, done: make(chan struct{}), stop: stop}
 	og.call.Customer, og.call.Began = customer, time.Now()
@@ -57,44 +57,44 @@
 			story = fl.explain(call.Key)
 		}
 		og.mu.Lock()
-		og.err, og.story = err, story
+		og.err, og.explanation = err, story
 		og.call.Ended = ended
-		og.call.Outcomes = append(og.call.Outcomes, endOf(ctx, err))
+		og.call.Outcomes = append(og.call.Outcomes, outcomeOf(ctx, err))
 		done := og.call
 		og.mu.Unlock()
-		fl.note(func(hs *invariant.History) { hs.Calls = append(hs.Calls, done) })
+		fl.updateHistory(func(hs *invariant.History) { hs.Calls = append(hs.Calls, done) })
 	}()
 	fl.t.Cleanup(func() {
 		if fl.t.Failed() {
-			fl.tell(og)
-			fl.tellRuns(call.Key)
+			fl.logIncomplete(og)
+			fl.logRuns(call.Key)
 		}
-		stop(errLeft)
+		stop(errCallerLeft)
 		<-og.done
 	})
 	return og
 }
 
-// tell logs what became of a call that has no whole answer.
-func (fl *fleet) tell(og *ongoing) {
+// logIncomplete logs what became of a call that has no whole answer.
+func (fl *fleet) logIncomplete(og *ongoing) {
 	og.mu.Lock()
 	defer og.mu.Unlock()
 	if len(og.call.Outcomes) == 1 && og.err == nil {
 		return
 	}
 	if len(og.call.Outcomes) == 0 {
-		og.story = fl.explain(og.call.Key)
+		og.explanation = fl.explain(og.call.Key)
 	}
 	fl.t.Logf("%s: %d bytes, ends %v at %s, error %v\n%s", og.call.Key, len(og.call.Received), og.call.Outcomes,
-		og.call.Ended.Format(time.StampMilli), og.err, og.story)
+		og.call.Ended.Format(time.StampMilli), og.err, og.explanation)
 }
 
-// tellRuns logs what the engines and the VMs know of a key.
-func (fl *fleet) tellRuns(key string) {
+// logRuns logs what the engines and the VMs know of a key.
+func (fl *fleet) logRuns(key string) {
 	fl.t.Logf("%s:\n%s", key, fl.explain(key))
 	for _, en := range fl.dp.Engines {
 		for _, rec := range en.History().Runs {
-			if attemptOf(rec.Request, key) {
+			if isAttemptOf(rec.Request, key) {
 				fl.t.Logf("%s at %s, %s: attempt %d for %s, %d decodes began, %d tokens, %q, %v",
 					rec.Request, en.ID, rec.Role, rec.Attempt, rec.VM.ID, rec.Decodes, rec.Tokens, rec.Outcome, rec.Stages)
 			}
@@ -128,14 +128,14 @@
 	return sb.String()
 }
 
-// endOf is the end of a call in the words of the checker. A call that broke
+// outcomeOf is the end of a call in the words of the checker. A call that broke
 // off has a refusal that promises nothing, as pkg/client would make it.
-func endOf(ctx context.Context, err error) invariant.Outcome {
+func outcomeOf(ctx context.Context, err error) invariant.Outcome {
 	var rf refusal.Refusal
 	switch {
 	case err == nil:
 		return invariant.Complete{}
-	case errors.Is(context.Cause(ctx), errLeft):
+	case errors.Is(context.Cause(ctx), errCallerLeft):
 		return invariant.CallerLeft{}
 	case errors.As(err, &rf):
 		return invariant.Refused{Refusal: rf}
@@ -144,7 +144,7 @@
 	}
 }
 
-func (og *ongoing) got(text string) {
+func (og *ongoing) addReceived(text string) {
 	og.mu.Lock()
 	defer og.mu.Unlock()
 	og.call.Received += text
@@ -157,24 +157,24 @@
 	return len(og.call.Received)
 }
 
-// leave lets the caller go for good, and waits until it is gone.
-func (og *ongoing) leave() {
-	og.stop(errLeft)
+// hangUp lets the caller go for good, and waits until it is gone.
+func (og *ongoing) hangUp() {
+	og.stop(errCallerLeft)
 	<-og.done
 }
 
-// end waits for the end of the call.
-func (og *ongoing) end() error {
+// wait waits for the wait of the call.
+func (og *ongoing) wait() error {
 	<-og.done
 	og.mu.Lock()
 	defer og.mu.Unlock()
 	return og.err
 }
 
-// refusedAs waits for the end and returns the refusal, or a zero one.
-func (og *ongoing) refusedAs() refusal.Refusal {
+// waitRefusal waits for the end and returns the refusal, or a zero one.
+func (og *ongoing) waitRefusal() refusal.Refusal {
 	var rf refusal.Refusal
-	errors.As(og.end(), &rf)
+	errors.As(og.wait(), &rf)
 	return rf
 }
 
@@ -203,11 +203,11 @@
 // chatOf starts a call of a model with a note of the caller's.
 func (fl *fleet) chatOf(cl *client.Client, class, key, note string, tokens int) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: true, Request: invariant.Chat{Prompt: promptOf(note), Tokens: tokens}}
-	return fl.begin(call, func(ctx context.Context, og *ongoing) error {
+	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
 		_, err := cl.Chat(ctx, client.ChatRequest{
 			Model: model, Class: class, Key: key, MaxTokens: tokens, Idempotent: true,
 			Messages: []client.Message{{Role: "user", Content: note}},
-			OnText:   og.got,
+			OnText:   og.addReceived,
 		})
 		return err
 	})
@@ -225,9 +225,9 @@
 
 func (fl *fleet) plain(cl *client.Client, method, path, key string, idempotent bool) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: idempotent, Request: invariant.Plain{Method: method, Path: path}}
-	return fl.begin(call, func(ctx context.Context, og *ongoing) error {
+	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
 		ans, err := cl.Call(ctx, client.PlainRequest{Service: service, Method: method, Path: path, Key: key, Idempotent: idempotent})
-		og.got(string(ans.Body))
+		og.addReceived(string(ans.Body))
 		return err
 	})
 }
@@ -244,9 +244,9 @@
 
 func (fl *fleet) plainAt(vm *vm, method, path, key string, idempotent bool) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: idempotent, Request: invariant.Plain{Method: method, Path: path}}
-	return fl.begin(call, func(ctx context.Context, og *ongoing) error {
-		body, err := askAt(ctx, vm, method, "/services/"+service+path, key, nil)
-		og.got(string(body))
+	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
+		body, err := sendTo(ctx, vm, method, "/services/"+service+path, key, nil)
+		og.addReceived(string(body))
 		return err
 	})
 }
@@ -255,14 +255,14 @@
 func (fl *fleet) chatAt(vm *vm, key string, tokens int) *ongoing {
 	note := "Field notes of " + key + ". "
 	call := invariant.Call{Key: key, Idempotent: true, Request: invariant.Chat{Prompt: promptOf(note), Tokens: tokens}}
-	return fl.begin(call, func(ctx context.Context, og *ongoing) error {
-		ask, err := json.Marshal(map[string]any{
+	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
+		payload, err := json.Marshal(map[string]any{
 			"model": model, "max_tokens": tokens, "messages": []client.Message{{Role: "user", Content: note}},
 		})
 		if err != nil {
 			return err
 		}
-		body, err := askAt(ctx, vm, http.MethodPost, "/v1/chat/completions", key, ask)
+		body, err := sendTo(ctx, vm, http.MethodPost, "/v1/chat/completions", key, payload)
 		if err != nil {
 			return err
 		}
@@ -272,14 +272,14 @@
 		if err := json.Unmarshal(body, &doc); err != nil || len(doc.Choices) != 1 {
 			return fmt.Errorf("read the answer: %d choices: %w", len(doc.Choices), err)
 		}
-		og.got(doc.Choices[0].Message.Content)
+		og.addReceived(doc.Choices[0].Message.Content)
 		return nil
 	})
 }
 
-// askAt sends one request to one VM. A refusal comes back as the error.
-func askAt(ctx context.Context, vm *vm, method, path, key string, ask []byte) ([]byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+vm.set.Caller.Advertise.String()+path, bytes.NewReader(ask))
+// sendTo sends one request to one VM. A refusal comes back as the error.
+func sendTo(ctx context.Context, vm *vm, method, path, key string, payload []byte) ([]byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+vm.set.Caller.Advertise.String()+path, bytes.NewReader(payload))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/integration/configuration_test.go
+++ b/internal/integration/configuration_test.go
@@ -15,44 +15,44 @@
 	"alderdyke/pkg/template"
 )
 
-// revised is the template with another weight, by which it is told apart.
-func (fl *fleet) revised(weight int) template.Template {
+// templateWithWeight is the template with another weight, by which it is told apart.
+func (fl *fleet) templateWithWeight(weight int) template.Template {
 	tpl := fl.tpl
 	tpl.PrefillWeight = float64(weight) / 1000
 	return tpl
 }
 
-// revise publishes a revision that must be accepted and in force everywhere.
-func (fl *fleet) revise(through *vm, id string, base uint64, weight int) uint64 {
+// publishRevision publishes a revision that must be accepted and in force everywhere.
+func (fl *fleet) publishRevision(through *vm, id string, base uint64, weight int) uint64 {
 	fl.t.Helper()
-	reply := fl.publish(through, id, base, fl.revised(weight))
+	reply := fl.publish(through, id, base, fl.templateWithWeight(weight))
 	assert.Assert(fl.t, reply.Accepted, "%+v", reply)
-	fl.accepted(reply.Revision, fl.vms...)
-	results.span("a revision is in force at every VM", fl.inForce(reply.Revision, fl.vms...))
+	fl.recordAccepted(reply.Revision, fl.vms...)
+	results.recordDuration("a revision is in force at every VM", fl.awaitRevision(reply.Revision, fl.vms...))
 	return reply.Revision
 }
 
 // revision is the one in force at a VM.
-func (fl *fleet) revision(vm *vm) uint64 { return fl.sight(fl.t.Context(), vm) }
+func (fl *fleet) revision(vm *vm) uint64 { return fl.observeRevision(fl.t.Context(), vm) }
 
 // Revisions are published through each VM in turn; each is in force at every
 // VM in time, and no VM ever goes back.
-func TestRevisionsComeInForceEverywhere(t *testing.T) {
+func TestRevisionsTakeEffectAtEveryVM(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	fl.watchRevisions()
 	base := fl.revision(fl.vms[0])
 	for ix := range 12 {
-		base = fl.revise(fl.vms[ix%len(fl.vms)], fmt.Sprintf("revision-%d", ix), base, ix)
+		base = fl.publishRevision(fl.vms[ix%len(fl.vms)], fmt.Sprintf("revision-%d", ix), base, ix)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // Two operators revise one template from the same revision through two VMs:
 // one wins, the other is told so, and all VMs agree.
-func TestTwoOperatorsRace(t *testing.T) {
+func TestTwoOperatorsPublishConcurrently(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	fl.watchRevisions()
 	for round := range 8 {
 		base := fl.revision(fl.vms[0])
@@ -60,7 +60,7 @@
 		var wg sync.WaitGroup
 		for ix := range replies {
 			wg.Go(func() {
-				replies[ix] = fl.publish(fl.vms[ix], fmt.Sprintf("race-%d-%d", round, ix), base, fl.revised(10*round+ix))
+				replies[ix] = fl.publish(fl.vms[ix], fmt.Sprintf("race-%d-%d", round, ix), base, fl.templateWithWeight(10*round+ix))
 			})
 		}
 		wg.Wait()
@@ -70,16 +70,16 @@
 			won = 1
 		}
 		assert.Equal(t, replies[1-won].Current, replies[won].Revision)
-		fl.accepted(replies[won].Revision, fl.vms...)
-		fl.inForce(replies[won].Revision, fl.vms...)
+		fl.recordAccepted(replies[won].Revision, fl.vms...)
+		fl.awaitRevision(replies[won].Revision, fl.vms...)
 		for _, vm := range fl.vms {
 			got, err := vm.ops.Template(t.Context(), customer)
 			assert.NilError(t, err)
 			assert.Equal(t, got.Revision, replies[won].Revision)
-			assert.Equal(t, got.Template.PrefillWeight, fl.revised(10*round+won).PrefillWeight)
+			assert.Equal(t, got.Template.PrefillWeight, fl.templateWithWeight(10*round+won).PrefillWeight)
 		}
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The log service is out when an operator publishes, and then loses the reply
@@ -87,53 +87,53 @@
 // force once.
 func TestLogFailsAtPublish(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	fl.watchRevisions()
 	base := fl.revision(fl.vms[0])
-	results.fault("log outage")
+	results.countFault("log outage")
 	fl.dp.Logs.Set(logsim.Faults{Outage: true})
 	_, err := fl.vms[0].ops.Publish(t.Context(), operator.Publication{
-		ID: "outage", Customer: customer, Base: base, Template: fl.revised(1),
+		ID: "outage", Customer: customer, Base: base, Template: fl.templateWithWeight(1),
 	})
 	assert.Assert(t, err != nil, "accepted while the log service is out")
 	assert.Equal(t, fl.revision(fl.vms[0]), base)
 	fl.dp.Logs.Set(logsim.Faults{})
-	base = fl.revise(fl.vms[0], "outage", base, 1)
+	base = fl.publishRevision(fl.vms[0], "outage", base, 1)
 
-	results.fault("log reply lost after the append")
+	results.countFault("log reply lost after the append")
 	fl.dp.Logs.Set(logsim.Faults{LoseReplies: 1})
-	again := fl.revise(fl.vms[1], "lost-reply", base, 2)
-	same := fl.publish(fl.vms[2], "lost-reply", base, fl.revised(2))
+	again := fl.publishRevision(fl.vms[1], "lost-reply", base, 2)
+	same := fl.publish(fl.vms[2], "lost-reply", base, fl.templateWithWeight(2))
 	assert.Assert(t, same.Accepted)
 	assert.Equal(t, same.Revision, again)
 	for _, vm := range fl.vms {
 		assert.Equal(t, fl.revision(vm), again)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // A VM is cut off from the log service but not from the other VMs: it follows
 // in time.
 func TestVMCutOffFromTheLog(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	fl.watchRevisions()
 	px := fl.proxy(deployment.LogLink, fl.vms[2].set.ID)
 	px.stall(t)
 	base := fl.revision(fl.vms[0])
 	for ix := range 5 {
-		base = fl.revise(fl.vms[ix%2], fmt.Sprintf("cut-%d", ix), base, ix)
+		base = fl.publishRevision(fl.vms[ix%2], fmt.Sprintf("cut-%d", ix), base, ix)
 	}
 	px.heal(t)
-	fl.revise(fl.vms[2], "healed", base, 100)
-	fl.check()
+	fl.publishRevision(fl.vms[2], "healed", base, 100)
+	fl.checkInvariants()
 }
 
 // A VM is cut off from the log service and from all other VMs, misses
 // revisions, and is back: it never goes back and has the newest in time.
-func TestVMCutOffFromEverybody(t *testing.T) {
+func TestVMCutOffFromLogAndVMs(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	fl.watchRevisions()
 	lone, rest := fl.vms[2:], fl.vms[:2]
 	px := fl.proxy(deployment.LogLink, lone[0].set.ID)
@@ -141,59 +141,59 @@
 	fl.net.partition(lone, rest, true)
 	base := fl.revision(rest[0])
 	for ix := range 3 {
-		reply := fl.publish(rest[0], fmt.Sprintf("apart-%d", ix), base, fl.revised(ix))
+		reply := fl.publish(rest[0], fmt.Sprintf("apart-%d", ix), base, fl.templateWithWeight(ix))
 		assert.Assert(t, reply.Accepted)
 		base = reply.Revision
-		fl.accepted(base, rest...)
-		fl.inForce(base, rest...)
+		fl.recordAccepted(base, rest...)
+		fl.awaitRevision(base, rest...)
 	}
 	assert.Assert(t, fl.revision(lone[0]) < base)
 	px.heal(t)
 	fl.net.partition(lone, rest, false)
-	results.span("a VM that was cut off has the newest revision", fl.inForce(base, lone...))
-	fl.check()
+	results.recordDuration("a VM that was cut off has the newest revision", fl.awaitRevision(base, lone...))
+	fl.checkInvariants()
 }
 
 // A VM starts while the log service is out: it learns the configuration from
 // the other VMs and serves.
 func TestVMStartsDuringLogOutage(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	fl.watchRevisions()
-	base := fl.revise(fl.vms[0], "before", fl.revision(fl.vms[0]), 7)
-	results.fault("log outage")
+	base := fl.publishRevision(fl.vms[0], "before", fl.revision(fl.vms[0]), 7)
+	results.countFault("log outage")
 	fl.dp.Logs.Set(logsim.Faults{Outage: true})
 	fresh := fl.vms[2]
 	fresh.kill(t)
 	fresh.start(t)
 	began := time.Now()
-	fl.inForce(base, fresh)
-	results.span("a VM that starts during a log outage has the configuration", time.Since(began))
-	eventually(t, "the new VM serves", func() bool { return fl.recordAt(fresh, fmt.Sprint("early-", time.Now().UnixNano())).end() == nil })
-	assert.Check(t, fl.chatAt(fresh, "early-chat", 10).end())
+	fl.awaitRevision(base, fresh)
+	results.recordDuration("a VM that starts during a log outage has the configuration", time.Since(began))
+	eventually(t, "the new VM serves", func() bool { return fl.recordAt(fresh, fmt.Sprint("early-", time.Now().UnixNano())).wait() == nil })
+	assert.Check(t, fl.chatAt(fresh, "early-chat", 10).wait())
 	fl.dp.Logs.Set(logsim.Faults{})
-	fl.revise(fresh, "after", base, 8)
+	fl.publishRevision(fresh, "after", base, 8)
 	for _, vm := range fl.vms {
 		fl.awaitServing(vm)
 	}
-	assert.Check(t, fl.paymentAt(fresh, "after-the-outage").end())
-	fl.check()
+	assert.Check(t, fl.paymentAt(fresh, "after-the-outage").wait())
+	fl.checkInvariants()
 }
 
 // The log service and the VM list are both out while callers come: nothing is
 // lost.
-func TestPlatformIsOutUnderLoad(t *testing.T) {
+func TestPlatformOutageUnderLoad(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	ld := fl.startLoad("platform", 2)
 	fl.awaitCalls(20)
-	results.fault("log outage")
-	results.fault("VM list outage")
+	results.countFault("log outage")
+	results.countFault("VM list outage")
 	fl.dp.Logs.Set(logsim.Faults{Outage: true})
 	fl.dp.List.Set(listsim.Faults{Outage: true})
 	fl.awaitCalls(300)
 	for _, err := range ld.stop() {
 		t.Error(err)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/connection_test.go
+++ b/internal/integration/connection_test.go
@@ -15,7 +15,7 @@
 // each caller comes back with its key and gets one whole answer.
 func TestCallersConnectionsBreak(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	const tokens = 300
 	var calls []*ongoing
 	for ix := range 4 {
@@ -32,18 +32,18 @@
 		}
 	}
 	for ix, og := range calls {
-		assert.Check(t, og.end())
-		began, made := fl.decoded(fmt.Sprintf("break-%d", ix))
+		assert.Check(t, og.wait())
+		began, made := fl.decodeTotals(fmt.Sprintf("break-%d", ix))
 		assert.Equal(t, began, 1)
 		assert.Equal(t, made, tokens)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // Callers on a slow network get whole answers.
 func TestCallersAreSlow(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	for _, vm := range fl.vms {
 		fl.proxy(deployment.CallerLink, vm.set.ID).slow(t, 300)
 	}
@@ -53,9 +53,9 @@
 			fl.payment(fl.client(), fmt.Sprintf("slow-payment-%d", ix)))
 	}
 	for _, og := range calls {
-		assert.Check(t, og.end())
+		assert.Check(t, og.wait())
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The first VM that a payment is sent to loses the caller's connection, and
@@ -63,26 +63,26 @@
 // the caller has its answer or the truth.
 func TestPaymentAfterLostConnection(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, slowService())
+	fl := startFleet(t, slowServicePlan())
 	for ix := range 4 {
 		key := fmt.Sprintf("reconnect-%d", ix)
 		first := fl.vms[ix%len(fl.vms)]
 		og := fl.paymentAt(first, key)
 		eventually(t, "the payment runs", func() bool { return fl.serviceRuns(key) == 1 })
-		og.leave()
-		for _, vm := range fl.others(first) {
-			assert.Check(t, fl.paymentAt(vm, key).end())
+		og.hangUp()
+		for _, vm := range fl.otherVMs(first) {
+			assert.Check(t, fl.paymentAt(vm, key).wait())
 		}
 		assert.Equal(t, fl.serviceRuns(key), 1)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // A server of the plain service dies under calls: what is idempotent is
 // answered by the other, and a payment runs at most once.
 func TestPlainServerDies(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, slowService())
+	fl := startFleet(t, slowServicePlan())
 	cl := fl.client()
 	var records, payments []*ongoing
 	for ix := range 6 {
@@ -91,15 +91,15 @@
 	}
 	first := fl.dp.Services[0]
 	eventually(t, "the server is at work", func() bool { return first.History().Running > 0 })
-	results.fault("plain server died")
+	results.countFault("plain server died")
 	first.Control.Set(standin.Faults{Dead: true})
 	for _, og := range records {
-		assert.Check(t, og.end())
+		assert.Check(t, og.wait())
 	}
 	for _, og := range payments {
-		if og.end() != nil {
-			assert.Check(t, og.refusedAs().Ran == refusal.MayHaveRun)
+		if og.wait() != nil {
+			assert.Check(t, og.waitRefusal().Ran == refusal.MayHaveRun)
 		}
 	}
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/deadly_test.go
+++ b/internal/integration/deadly_test.go
@@ -26,16 +26,16 @@
 )
 
 const (
-	mostEnded   = 5 // servers that one request may end
-	deadlyTries = 8
-	deadlyNote  = "the field notes that break engines"
-	restartTime = 300 * time.Millisecond // of a server that ended
-	shortWait   = 500 * clock.Millis(1)  // after which callers try again, whatever they are told
-	longWait    = 30 * clock.Second      // they give up when they are told to wait longer
+	maxServerCrashes = 5 // servers that one request may end
+	deadlyTries      = 8
+	deadlyNote       = "the field notes that break engines"
+	restartTime      = 300 * time.Millisecond // of a server that ended
+	shortWait        = 500 * clock.Millis(1)  // after which callers try again, whatever they are told
+	longWait         = 30 * clock.Second      // they give up when they are told to wait longer
 )
 
 func deadlyPlan() plan {
-	pl := usual()
+	pl := defaultPlan()
 	pl.vms, pl.prefill, pl.decode, pl.plain = 5, 3, 6, 3
 	return pl
 }
@@ -43,7 +43,7 @@
 // clientAt is a hasty caller's library that reaches only one VM.
 func (fl *fleet) clientAt(vm *vm) *client.Client {
 	cl := fl.client()
-	cl.Wait = hasty
+	cl.Wait = waitBriefly
 	cl.HTTP = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, network, vm.set.Caller.Advertise.String())
@@ -52,9 +52,9 @@
 	return cl
 }
 
-// hasty is the Wait of a client that comes back early, and ends its call instead of a long
+// waitBriefly is the Wait of a client that comes back early, and ends its call instead of a long
 // wait.
-func hasty(ctx context.Context, span clock.Millis) error {
+func waitBriefly(ctx context.Context, span clock.Millis) error {
 	if span > longWait {
 		return context.DeadlineExceeded
 	}
@@ -64,29 +64,29 @@
 	return nil
 }
 
-func (fl *fleet) deadly(vm *vm, key string) *ongoing {
+func (fl *fleet) sendDeadly(vm *vm, key string) *ongoing {
 	return fl.chatOf(fl.clientAt(vm), "findings", key, deadlyNote, 50)
 }
 
-// tryAll sends a deadly request again and again, each time to another VM under a new key,
+// tryAllVMs sends a deadly request again and again, each time to another VM under a new key,
 // and returns the last try, which is over.
-func (fl *fleet) tryAll(send func(vm *vm, key string) *ongoing) *ongoing {
+func (fl *fleet) tryAllVMs(send func(vm *vm, key string) *ongoing) *ongoing {
 	var og *ongoing
 	for ix := range deadlyTries {
 		og = send(fl.vms[ix%len(fl.vms)], fmt.Sprintf("deadly-%d", ix))
-		og.end()
+		og.wait()
 	}
 	return og
 }
 
-// found checks that few servers ended under a request, that its last try was refused for
+// checkContained checks that few servers ended under a request, that its last try was refused for
 // that, and that other requests are served.
-func (fl *fleet) found(ended int, last *ongoing) {
+func (fl *fleet) checkContained(crashes int, last *ongoing) {
 	fl.t.Helper()
-	assert.Check(fl.t, ended <= mostEnded, "%d servers ended under it", ended)
-	assert.Check(fl.t, last.refusedAs().Reason == refusal.EndsServers, "last try: %v", last.refusedAs())
-	assert.Check(fl.t, fl.chat(fl.client(), "findings", "ordinary", 20).end())
-	fl.check()
+	assert.Check(fl.t, crashes <= maxServerCrashes, "%d servers ended under it", crashes)
+	assert.Check(fl.t, last.waitRefusal().Reason == refusal.EndsServers, "last try: %v", last.waitRefusal())
+	assert.Check(fl.t, fl.chat(fl.client(), "findings", "ordinary", 20).wait())
+	fl.checkInvariants()
 }
 
 // crash ends a server's process: its work is lost, and nobody listens until it has
@@ -101,12 +101,12 @@
 }
 
 // crashWhile crashes a server whenever a condition holds, until the test ends.
-func (fl *fleet) crashWhile(id string, ct *standin.Control, ended *atomic.Int64, holds func() bool) {
+func (fl *fleet) crashWhile(id string, ct *standin.Control, crashes *atomic.Int64, holds func() bool) {
 	var watch sync.WaitGroup
 	watch.Go(func() {
 		for clock.Sleep(fl.t.Context(), 2) {
 			if holds() {
-				ended.Add(1)
+				crashes.Add(1)
 				fl.crash(id, ct)
 			}
 		}
@@ -116,7 +116,7 @@
 
 // crashEngines crashes the engines of a role whenever a run of a deadly request is in a
 // state. It returns how often it did.
-func (fl *fleet) crashEngines(role board.Role, state func(rec *enginesim.Run) bool) (ended func() int) {
+func (fl *fleet) crashEngines(role board.Role, state func(rec *enginesim.Run) bool) (crashes func() int) {
 	var count atomic.Int64
 	for _, en := range fl.dp.Engines {
 		if en.Role != role {
@@ -137,22 +137,22 @@
 
 func importing(rec *enginesim.Run) bool { return rec.Decodes == 0 }
 
-func thirdToken(rec *enginesim.Run) bool { return rec.Tokens >= 3 }
+func pastThirdToken(rec *enginesim.Run) bool { return rec.Tokens >= 3 }
 
 // Engines end at some point of a request, whose callers try again at other VMs: what one
 // VM saw is unknown to the next. Engines that start again under their ID have ended all
 // the same.
 func TestDeadlyRequestAtAnyVM(t *testing.T) {
-	known(t)
+	skipKnownRed(t)
 	for _, tc := range []struct {
 		name   string
 		decode int  // engines
 		slow   bool // prefills and transfers, so that engines can end in the middle of one
 		crash  func(fl *fleet) (ended func() int)
 	}{
-		{"Decode", 6, false, func(fl *fleet) func() int { return fl.endUnder(fl.t, "deadly-", restartTime) }},
-		{"ThirdToken", 6, false, func(fl *fleet) func() int { return fl.crashEngines(board.Decode, thirdToken) }},
-		{"TwoEngines", 2, false, func(fl *fleet) func() int { return fl.crashEngines(board.Decode, thirdToken) }},
+		{"Decode", 6, false, func(fl *fleet) func() int { return fl.crashOnDecode(fl.t, "deadly-", restartTime) }},
+		{"ThirdToken", 6, false, func(fl *fleet) func() int { return fl.crashEngines(board.Decode, pastThirdToken) }},
+		{"TwoEngines", 2, false, func(fl *fleet) func() int { return fl.crashEngines(board.Decode, pastThirdToken) }},
 		{"Prefill", 6, true, func(fl *fleet) func() int { return fl.crashEngines(board.Prefill, prefilling) }},
 		{"Import", 6, true, func(fl *fleet) func() int { return fl.crashEngines(board.Decode, importing) }},
 	} {
@@ -164,9 +164,9 @@
 				pl.engine.PrefillTokensPerSecond, pl.engine.LinkBytesPerSecond = 100, 16<<20
 			}
 			fl := startFleet(t, pl)
-			ended := tc.crash(fl)
-			last := fl.tryAll(fl.deadly)
-			fl.found(ended(), last)
+			crashes := tc.crash(fl)
+			last := fl.tryAllVMs(fl.sendDeadly)
+			fl.checkContained(crashes(), last)
 		})
 	}
 }
@@ -176,59 +176,59 @@
 func TestDeadlyRequestWhileVMsRestart(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
-	ended := fl.endUnder(t, "deadly-", restartTime)
-	last := fl.tryAll(func(vm *vm, key string) *ongoing {
-		og := fl.deadly(vm, key)
-		og.end()
+	crashes := fl.crashOnDecode(t, "deadly-", restartTime)
+	last := fl.tryAllVMs(func(vm *vm, key string) *ongoing {
+		og := fl.sendDeadly(vm, key)
+		og.wait()
 		vm.kill(t)
 		vm.start(t)
 		fl.awaitServing(vm)
 		return og
 	})
-	fl.found(ended(), last)
+	fl.checkContained(crashes(), last)
 }
 
 // A call of a plain service ends each server that runs it.
 func TestDeadlyPlainCall(t *testing.T) {
-	known(t)
+	skipKnownRed(t)
 	for method, path := range map[string]string{http.MethodGet: "/records/deadly", http.MethodPost: "/payments/deadly"} {
 		t.Run(method, func(t *testing.T) {
 			t.Parallel()
 			fl := startFleet(t, deadlyPlan())
-			var ended atomic.Int64
+			var crashes atomic.Int64
 			for _, sv := range fl.dp.Services {
-				fl.crashWhile(sv.ID, &sv.Control, &ended, func() bool { return sv.History().Running > 0 })
+				fl.crashWhile(sv.ID, &sv.Control, &crashes, func() bool { return sv.History().Running > 0 })
 			}
-			last := fl.tryAll(func(vm *vm, key string) *ongoing {
+			last := fl.tryAllVMs(func(vm *vm, key string) *ongoing {
 				return fl.plain(fl.clientAt(vm), method, path, key, method == http.MethodGet)
 			})
-			fl.found(int(ended.Load()), last)
+			fl.checkContained(int(crashes.Load()), last)
 		})
 	}
 }
 
 // The connection of a request's caller breaks each time that an engine ended. The caller
 // comes back under its own key, and at another VM once more after it was refused.
-func TestDeadlyRequestComesBackUnderItsKey(t *testing.T) {
+func TestDeadlyRequestRetriedUnderItsKey(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
-	ended := fl.crashEngines(board.Decode, thirdToken)
+	crashes := fl.crashEngines(board.Decode, pastThirdToken)
 	var last *ongoing
 	for ix, at := range fl.vms {
-		og := fl.deadly(at, fmt.Sprintf("deadly-%d", ix))
-		for before := ended(); ; before = ended() {
-			eventually(t, "an engine or the call ends", func() bool { return ended() > before || og.over() })
-			if og.over() {
+		og := fl.sendDeadly(at, fmt.Sprintf("deadly-%d", ix))
+		for before := crashes(); ; before = crashes() {
+			eventually(t, "an engine or the call ends", func() bool { return crashes() > before || og.ended() })
+			if og.ended() {
 				break
 			}
 			px := fl.proxy(deployment.CallerLink, at.set.ID)
 			px.reset(t)
 			px.heal(t)
 		}
-		last = fl.deadly(fl.vms[(ix+1)%len(fl.vms)], fmt.Sprintf("deadly-%d", ix))
-		last.end()
+		last = fl.sendDeadly(fl.vms[(ix+1)%len(fl.vms)], fmt.Sprintf("deadly-%d", ix))
+		last.wait()
 	}
-	fl.found(ended(), last)
+	fl.checkContained(crashes(), last)
 }
 
 // The VM that runs a request is killed as an engine ends, three times. Another VM takes
@@ -236,24 +236,24 @@
 func TestDeadlyRequestIsTakenOver(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
-	ended := fl.endUnder(t, "deadly-", restartTime)
+	crashes := fl.crashOnDecode(t, "deadly-", restartTime)
 	cl := fl.client()
-	cl.Wait = hasty
+	cl.Wait = waitBriefly
 	og := fl.chatOf(cl, "findings", "deadly-own", deadlyNote, 50)
 	for before := range 3 {
-		eventually(t, "an engine or the call ends", func() bool { return ended() > before || og.over() })
-		if lost := fl.lastRunner("deadly-own"); !og.over() && lost != nil {
+		eventually(t, "an engine or the call ends", func() bool { return crashes() > before || og.ended() })
+		if lost := fl.newestRunner("deadly-own"); !og.ended() && lost != nil {
 			lost.kill(t)
 			lost.start(t)
 		}
 	}
-	og.end()
-	last := fl.tryAll(fl.deadly)
-	fl.found(ended(), last)
+	og.wait()
+	last := fl.tryAllVMs(fl.sendDeadly)
+	fl.checkContained(crashes(), last)
 }
 
-// lastRunner is the VM of the newest decode of a key.
-func (fl *fleet) lastRunner(key string) *vm {
+// newestRunner is the VM of the newest decode of a key.
+func (fl *fleet) newestRunner(key string) *vm {
 	var id string
 	newest := clock.Millis(-1)
 	for _, rec := range fl.engineRuns(board.Decode, key) {
@@ -264,7 +264,7 @@
 	return fl.vm(id)
 }
 
-func (og *ongoing) over() bool {
+func (og *ongoing) ended() bool {
 	select {
 	case <-og.done:
 		return true
@@ -275,22 +275,22 @@
 
 // Engines end by chance, twenty times, beside 120 requests, one in six of which asks what
 // others ask too. None is refused for that, and none is cut.
-func TestEnginesEndByChance(t *testing.T) {
+func TestRandomEngineCrashes(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
 			fl, rnd := startFleet(t, deadlyPlan()), rand.New(rand.NewPCG(seed, 1))
 			for round := range 20 {
-				fl.chanceRound(rnd, round)
+				fl.randomCrashRound(rnd, round)
 			}
-			fl.check()
+			fl.checkInvariants()
 		})
 	}
 }
 
-// chanceRound sends six requests, and ends one of the engines that decode them. Each has a
+// randomCrashRound sends six requests, and ends one of the engines that decode them. Each has a
 // whole answer, or is refused before its first byte for want of retries that are left.
-func (fl *fleet) chanceRound(rnd *rand.Rand, round int) {
+func (fl *fleet) randomCrashRound(rnd *rand.Rand, round int) {
 	prefix := fmt.Sprintf("chance-%d-", round)
 	var calls []*ongoing
 	for ix := range 6 {
@@ -302,16 +302,16 @@
 	}
 	var busy []*enginesim.Engine
 	eventually(fl.t, "an engine decodes", func() bool {
-		busy = slices.DeleteFunc(slices.Clone(fl.dp.Engines), func(en *enginesim.Engine) bool { return !decodes(en, prefix) })
+		busy = slices.DeleteFunc(slices.Clone(fl.dp.Engines), func(en *enginesim.Engine) bool { return !isDecoding(en, prefix) })
 		return len(busy) > 0
 	})
 	en := busy[rnd.IntN(len(busy))]
 	fl.crash(en.ID, &en.Control)
 	for _, og := range calls {
-		if og.end() == nil {
+		if og.wait() == nil {
 			continue
 		}
-		rf := og.refusedAs()
+		rf := og.waitRefusal()
 		assert.Check(fl.t, og.received() == 0 && rf.Reason == refusal.RetriesExhausted, "round %d: %d bytes, %v", round, og.received(), rf)
 	}
 }
@@ -319,7 +319,7 @@
 // The links to half of the decode engines are cut for two seconds. Calls break off there as
 // if engines had ended, again and again with the same notes, and none has: soon after the
 // links have healed all requests have whole answers.
-func TestCutLinksAreNoEnds(t *testing.T) {
+func TestCutLinksAreNotCrashes(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
 	round := 0
@@ -333,7 +333,7 @@
 	askFor := func(span time.Duration) {
 		for began := time.Now(); time.Since(began) < span; {
 			for _, og := range ask() {
-				og.end()
+				og.wait()
 			}
 		}
 	}
@@ -353,8 +353,8 @@
 	askFor(3 * time.Second)
 	for range 4 {
 		for _, og := range ask() {
-			assert.Check(t, og.end(), "%v", og.refusedAs())
+			assert.Check(t, og.wait(), "%v", og.waitRefusal())
 		}
 	}
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/engine_test.go
+++ b/internal/integration/engine_test.go
@@ -19,14 +19,14 @@
 	"alderdyke/pkg/refusal"
 )
 
-// decoderOf returns the engine that decodes the key.
-func (fl *fleet) decoderOf(key string) *enginesim.Engine {
+// awaitDecoder returns the engine that decodes the key.
+func (fl *fleet) awaitDecoder(key string) *enginesim.Engine {
 	fl.t.Helper()
 	var out *enginesim.Engine
 	eventually(fl.t, "a decode of "+key+" is under way", func() bool {
 		for _, en := range fl.dp.Engines {
 			for _, rec := range en.History().Runs {
-				if rec.Role == board.Decode && rec.Tokens > 5 && rec.Outcome == "" && attemptOf(rec.Request, key) {
+				if rec.Role == board.Decode && rec.Tokens > 5 && rec.Outcome == "" && isAttemptOf(rec.Request, key) {
 					out = en
 				}
 			}
@@ -40,51 +40,51 @@
 // elsewhere, and the caller gets one answer without a seam.
 func TestDecodeEngineDiesMidAnswer(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "dies", 300)
 	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
-	results.fault("engine died")
+	results.countFault("engine died")
 	died := time.Now()
-	fl.decoderOf("dies").Control.Set(standin.Faults{Dead: true})
-	assert.NilError(t, og.end())
-	results.span("callers of a dead engine have their whole answers", time.Since(died))
+	fl.awaitDecoder("dies").Control.Set(standin.Faults{Dead: true})
+	assert.NilError(t, og.wait())
+	results.recordDuration("callers of a dead engine have their whole answers", time.Since(died))
 	assert.Equal(t, len(fl.engineRuns(board.Decode, "dies")), 2)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The connection to the decode engine is cut in the middle of an answer: the
 // stream is opened again at the same engine, and no work is lost.
 func TestDecodeStreamIsCut(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "cut", 300)
 	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
-	px := fl.proxy(deployment.BackendLink, fl.decoderOf("cut").ID)
+	px := fl.proxy(deployment.BackendLink, fl.awaitDecoder("cut").ID)
 	px.reset(t)
 	before := og.received()
 	px.heal(t)
-	assert.NilError(t, og.end())
+	assert.NilError(t, og.wait())
 	assert.Assert(t, before < 300*tokenBytes)
 	assert.Equal(t, len(fl.engineRuns(board.Decode, "cut")), 1)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The connection to the decode engine is cut in the middle of an answer, and the
 // engine fails when the stream is opened again: its failure is not taken for the
 // rest of the answer.
-func TestEngineFailsToGoOn(t *testing.T) {
+func TestEngineFailsToResume(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "fails", 300)
 	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
-	results.fault("engine failed to go on")
-	en := fl.decoderOf("fails")
+	results.countFault("engine failed to go on")
+	en := fl.awaitDecoder("fails")
 	en.Control.Set(standin.Faults{Paths: []string{wire.ResumePath}, Fail: true})
 	px := fl.proxy(deployment.BackendLink, en.ID)
 	px.reset(t)
 	px.heal(t)
-	assert.NilError(t, og.end())
-	fl.check()
+	assert.NilError(t, og.wait())
+	fl.checkInvariants()
 }
 
 // A decode engine dies in the middle of an answer, and the first engine that is
@@ -92,55 +92,55 @@
 // that the answer is not whole.
 func TestNextEngineFails(t *testing.T) {
 	t.Parallel()
-	pl := usual()
+	pl := defaultPlan()
 	pl.decode = 3
 	fl := startFleet(t, pl)
 	og := fl.chat(fl.client(), "findings", "next", 300)
 	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
-	results.fault("engine died while others failed")
-	died := fl.decoderOf("next")
+	results.countFault("engine died while others failed")
+	died := fl.awaitDecoder("next")
 	for _, en := range fl.dp.Engines {
 		if en.Role == board.Decode && en != died {
 			en.Control.Set(standin.Faults{Paths: []string{wire.DecodePath}, Count: 1, Fail: true})
 		}
 	}
 	died.Control.Set(standin.Faults{Dead: true})
-	if err := og.end(); err != nil {
-		assert.Equal(t, og.refusedAs().Ran, refusal.MayHaveRun)
+	if err := og.wait(); err != nil {
+		assert.Equal(t, og.waitRefusal().Ran, refusal.MayHaveRun)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // An engine declines an order and says for how long it wants none. The word reached the
 // one request alone, and each load report in between had the cell send it the next one.
-func TestEngineThatAsksForRestGetsIt(t *testing.T) {
+func TestEngineRetryAfterIsHonored(t *testing.T) {
 	const rest = 5 * clock.Second
 	for _, path := range []string{wire.PrefillPath, wire.ImportPath} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			fl := startFleet(t, usual())
-			results.fault("an engine wants no orders for a while")
+			fl := startFleet(t, defaultPlan())
+			results.countFault("an engine wants no orders for a while")
 			role := board.Decode
 			if path == wire.PrefillPath {
 				role = board.Prefill
 			}
-			resting := fl.engineOf(role)
+			resting := fl.firstEngine(role)
 			resting.Control.Set(standin.Faults{Paths: []string{path}, Refuse: true, RetryAfter: rest})
 			cl := fl.client()
 			for began, ix := time.Now(), 0; time.Since(began) < rest.Std(); ix++ {
 				asked := time.Now()
-				assert.Check(t, fl.chat(cl, "findings", fmt.Sprintf("rest-%d", ix), 5).end())
+				assert.Check(t, fl.chat(cl, "findings", fmt.Sprintf("rest-%d", ix), 5).wait())
 				assert.Check(t, time.Since(asked) < rest.Std(), "the other engine wants no rest")
 			}
 			declined := resting.Control.Hits()
 			assert.Assert(t, declined > 0 && declined <= 2, "%d orders reached it", declined)
-			fl.check()
+			fl.checkInvariants()
 		})
 	}
 }
 
-// engineOf returns the first engine of a role.
-func (fl *fleet) engineOf(role board.Role) *enginesim.Engine {
+// firstEngine returns the first engine of a role.
+func (fl *fleet) firstEngine(role board.Role) *enginesim.Engine {
 	for _, en := range fl.dp.Engines {
 		if en.Role == role {
 			return en
@@ -153,8 +153,8 @@
 // there end elsewhere.
 func TestTransfersStall(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
-	results.fault("transfers stalled")
+	fl := startFleet(t, defaultPlan())
+	results.countFault("transfers stalled")
 	for _, en := range fl.dp.Engines {
 		if en.Role == board.Decode {
 			en.Control.Set(standin.Faults{StallTransfer: true})
@@ -167,30 +167,30 @@
 		calls = append(calls, fl.chat(cl, "findings", fmt.Sprintf("stall-%d", ix), 20))
 	}
 	for _, og := range calls {
-		assert.Check(t, og.end())
+		assert.Check(t, og.wait())
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The first orders to cancel take effect nowhere, or their replies are lost:
 // the engines are free all the same.
 func TestCancelsAreLost(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "cancel", 2000)
 	other := fl.chat(fl.client(), "findings", "cancel-too", 2000)
 	for _, call := range []*ongoing{og, other} {
 		eventually(t, "the answer is under way", func() bool { return call.received() > 5*tokenBytes })
 	}
-	results.fault("order to cancel lost")
+	results.countFault("order to cancel lost")
 	for ix, en := range fl.dp.Engines {
 		ft := standin.Faults{Paths: []string{"/cancel"}, Count: 2, Reset: ix%2 == 0, LoseReply: ix%2 == 1}
 		en.Control.Set(ft)
 	}
-	og.leave()
-	other.leave()
-	results.span("engines free though orders to cancel were lost", fl.awaitFree())
-	fl.check()
+	og.hangUp()
+	other.hangUp()
+	results.recordDuration("engines free though orders to cancel were lost", fl.awaitEnginesFree())
+	fl.checkInvariants()
 }
 
 // Everything at once, and twice: a VM that runs an answer is killed while the
@@ -198,7 +198,7 @@
 // of it or the truth; all others get their whole answers.
 func TestVMAndEngineDieTwice(t *testing.T) {
 	t.Parallel()
-	pl := usual()
+	pl := defaultPlan()
 	pl.vms, pl.decode = 5, 4
 	fl := startFleet(t, pl)
 	calls := make(map[string]*ongoing)
@@ -210,8 +210,8 @@
 	for range 2 {
 		before := fl.tokensMade()
 		eventually(t, "answers go on", func() bool { return fl.tokensMade() > before+200 })
-		en, lost := fl.liveDecode()
-		results.fault("engine died")
+		en, lost := fl.awaitLiveDecode()
+		results.countFault("engine died")
 		en.Control.Set(standin.Faults{Dead: true})
 		lost.kill(t)
 		for _, rec := range en.History().Runs {
@@ -219,14 +219,14 @@
 		}
 	}
 	for key, og := range calls {
-		err := og.end()
+		err := og.wait()
 		if hit[key] && err != nil {
-			assert.Check(t, og.refusedAs().Ran == refusal.MayHaveRun, "%s: %v", key, err)
+			assert.Check(t, og.waitRefusal().Ran == refusal.MayHaveRun, "%s: %v", key, err)
 			continue
 		}
 		assert.Check(t, err, "%s", key)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // tokensMade counts the tokens that decode engines made so far.
@@ -240,9 +240,9 @@
 	return made
 }
 
-// liveDecode returns an engine with a decode under way, and the VM that
+// awaitLiveDecode returns an engine with a decode under way, and the VM that
 // ordered it and is up.
-func (fl *fleet) liveDecode() (*enginesim.Engine, *vm) {
+func (fl *fleet) awaitLiveDecode() (*enginesim.Engine, *vm) {
 	fl.t.Helper()
 	var at *enginesim.Engine
 	var by *vm
@@ -252,7 +252,7 @@
 				if rec.Role == board.Decode && rec.Outcome == "" && rec.Tokens > 0 {
 					at, by = en, fl.vm(rec.VM.ID)
 				}
-				if by != nil && !by.process().over() {
+				if by != nil && !by.process().exited() {
 					return true
 				}
 			}
@@ -265,27 +265,27 @@
 // A request ends each engine that begins to decode it, as an input that breaks engines
 // does. Its caller sends it again under new keys. Once five engines have ended under it
 // no further one gets it.
-func TestRequestThatEndsItsEnginesIsFound(t *testing.T) {
+func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	const (
-		most  = 5
-		tries = 5
-		note  = "the field notes that break engines"
-		back  = 300 * time.Millisecond // until an engine starts again
+		maxCrashes = 5
+		tries      = 5
+		note       = "the field notes that break engines"
+		restart    = 300 * time.Millisecond // until an engine starts again
 	)
-	pl := usual()
+	pl := defaultPlan()
 	pl.decode = 4
 	fl := startFleet(t, pl)
-	ended := fl.endUnder(t, "deadly-", back)
+	crashes := fl.crashOnDecode(t, "deadly-", restart)
 	cl := fl.client()
 	for ix := range tries {
-		fl.chatOf(cl, "findings", fmt.Sprintf("deadly-%d", ix), note, 50).end()
+		fl.chatOf(cl, "findings", fmt.Sprintf("deadly-%d", ix), note, 50).wait()
 	}
-	assert.Assert(t, ended() <= most, "%d engines ended under it", ended())
+	assert.Assert(t, crashes() <= maxCrashes, "%d engines ended under it", crashes())
 }
 
-// endUnder has engines die as they decode a request whose key begins so, and start again
+// crashOnDecode has engines die as they decode a request whose key begins so, and start again
 // after a while. It returns how many have.
-func (fl *fleet) endUnder(t *testing.T, prefix string, back time.Duration) (ended func() int) {
+func (fl *fleet) crashOnDecode(t *testing.T, prefix string, restart time.Duration) (crashes func() int) {
 	t.Helper()
 	var count atomic.Int64
 	stop := make(chan struct{})
@@ -301,12 +301,12 @@
 					return
 				case <-time.After(2 * time.Millisecond):
 				}
-				if !decodes(en, prefix) {
+				if !isDecoding(en, prefix) {
 					continue
 				}
 				count.Add(1)
 				en.Control.Set(standin.Faults{Dead: true})
-				time.Sleep(back)
+				time.Sleep(restart)
 				en.Control.Set(standin.Faults{})
 			}
 		})
@@ -315,8 +315,8 @@
 	return func() int { return int(count.Load()) }
 }
 
-// decodes tells whether an engine decodes a request whose key begins so.
-func decodes(en *enginesim.Engine, prefix string) bool {
+// isDecoding tells whether an engine isDecoding a request whose key begins so.
+func isDecoding(en *enginesim.Engine, prefix string) bool {
 	for _, rec := range en.History().Runs {
 		if rec.Decodes > 0 && rec.Outcome == "" && strings.HasPrefix(rec.Request, customer+"/"+prefix) {
 			return true
--- a/internal/integration/fleet_test.go
+++ b/internal/integration/fleet_test.go
@@ -32,10 +32,10 @@
 	service  = "feltapp"
 
 	streamWait = 3 * clock.Second // of the model's classes
-	// heldWithin bounds how long engines may hold what no caller waits for:
+	// maxHoldAfterEnd bounds how long engines may hold what no caller waits for:
 	// the wait for the caller, the time to find that a VM is lost, and the
 	// time in which another may take its requests over.
-	heldWithin = 25 * clock.Second
+	maxHoldAfterEnd = 25 * clock.Second
 )
 
 const templateText = `
@@ -88,7 +88,7 @@
 
 var (
 	processOctet = byte(32 + os.Getpid()%192)
-	fleets       atomic.Int32
+	fleetCount   atomic.Int32
 )
 
 type (
@@ -118,9 +118,9 @@
 	}
 )
 
-// usual is a plan whose answers take seconds, so that faults find them in
+// defaultPlan is a plan whose answers take seconds, so that faults find them in
 // progress.
-func usual() plan {
+func defaultPlan() plan {
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond = 50000
 	set.LinkBytesPerSecond *= 10
@@ -146,17 +146,17 @@
 // newFleet starts the deployment without its VMs.
 func newFleet(t *testing.T, pl plan) *fleet {
 	t.Helper()
-	known(t)
+	skipKnownRed(t)
 	tpl, err := template.Parse("template.toml", []byte(templateText))
 	assert.NilError(t, err)
 	fl := &fleet{
-		t: t, net: newPeerNet(), number: int(fleets.Add(1)), tpl: tpl,
+		t: t, net: newPeerNet(), number: int(fleetCount.Add(1)), tpl: tpl,
 		proxies: make(map[deployment.Link]*proxy),
 	}
 	domains := []string{"aarhus-a", "aarhus-b", "vejle-1", "herning-1"}
 	fl.dp = &deployment.Deployment{
 		Model: model, Prefill: pl.prefill, Decode: pl.decode, PlainService: service, Plain: pl.plain,
-		FailureDomains: domains, Region: "dk-jylland", Engine: pl.engine, Service: pl.service, Front: fl.front,
+		FailureDomains: domains, Region: "dk-jylland", Engine: pl.engine, Service: pl.service, Intercept: fl.interceptLink,
 	}
 	for ix := range pl.vms {
 		fl.dp.Hosts = append(fl.dp.Hosts, loopback(fl.number, ix+1))
@@ -165,7 +165,7 @@
 	assert.NilError(t, fl.dp.Start())
 	t.Cleanup(func() { assert.Check(t, fl.dp.Close()) })
 	for ix := range pl.vms {
-		set, err := fl.dp.VM(fmt.Sprintf("vm-%d", ix+1), domains[ix%len(domains)])
+		set, err := fl.dp.AddVM(fmt.Sprintf("vm-%d", ix+1), domains[ix%len(domains)])
 		assert.NilError(t, err)
 		fl.vms = append(fl.vms, newVM(t, set, fl.seeds))
 	}
@@ -173,18 +173,18 @@
 	return fl
 }
 
-// front puts a proxy before an address, or a relay if other VMs connect there.
-func (fl *fleet) front(lk deployment.Link, addr netip.AddrPort) (netip.AddrPort, error) {
+// interceptLink puts a proxy before an address, or a relay if other VMs connect there.
+func (fl *fleet) interceptLink(lk deployment.Link, addr netip.AddrPort) (netip.AddrPort, error) {
 	if lk.Kind == deployment.PeerLink {
 		at := netip.MustParseAddrPort(fl.seeds[len(fl.vms)])
-		return at, fl.net.front(fl.t, at, addr)
+		return at, fl.net.startRelay(fl.t, at, addr)
 	}
 	px, at, err := newProxy(fl.t, fmt.Sprintf("%s of %s", lk.Kind, lk.ID), addr)
 	fl.proxies[lk] = px
 	return at, err
 }
 
-func (fl *fleet) proxy(kind deployment.Kind, id string) *proxy {
+func (fl *fleet) proxy(kind deployment.LinkKind, id string) *proxy {
 	return fl.proxies[deployment.Link{Kind: kind, ID: id}]
 }
 
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// others lists all VMs but some.
-func (fl *fleet) others(but ...*vm) []*vm {
+// otherVMs lists all VMs but some.
+func (fl *fleet) otherVMs(but ...*vm) []*vm {
 	return slices.DeleteFunc(slices.Clone(fl.vms), func(vm *vm) bool { return slices.Contains(but, vm) })
 }
 
@@ -228,10 +228,10 @@
 				vm.set.ID, st.Seats, st.Quorate, st.Fleet, st.Backends, err)
 		}
 	}()
-	eventually(fl.t, vm.set.ID+" serves", func() bool { return fl.serving(vm) })
+	eventually(fl.t, vm.set.ID+" serves", func() bool { return fl.isServing(vm) })
 }
 
-func (fl *fleet) serving(vm *vm) bool {
+func (fl *fleet) isServing(vm *vm) bool {
 	st, err := vm.ops.Status(fl.t.Context())
 	if err != nil || st.Seats == 0 || !st.Quorate {
 		return false
@@ -249,23 +249,23 @@
 		}
 	}
 	_, err = vm.ops.Template(fl.t.Context(), customer)
-	return err == nil && alive == fl.running() && reported == len(fl.dp.Services) && st.Seats >= min(len(fl.vms), 3)
+	return err == nil && alive == fl.runningVMs() && reported == len(fl.dp.Services) && st.Seats >= min(len(fl.vms), 3)
 }
 
-// running counts the VMs whose processes run.
-func (fl *fleet) running() int {
+// runningVMs counts the VMs whose processes run.
+func (fl *fleet) runningVMs() int {
 	count := 0
 	for _, vm := range fl.vms {
-		if pr := vm.process(); pr != nil && !pr.over() {
+		if pr := vm.process(); pr != nil && !pr.exited() {
 			count++
 		}
 	}
 	return count
 }
 
-// holdsDead waits until a VM holds another one dead, and returns after how
+// awaitDead waits until a VM holds another one dead, and returns after how
 // long.
-func (fl *fleet) holdsDead(vm, lost *vm, since time.Time) time.Duration {
+func (fl *fleet) awaitDead(vm, lost *vm, since time.Time) time.Duration {
 	fl.t.Helper()
 	eventually(fl.t, vm.set.ID+" holds "+lost.set.ID+" dead", func() bool { return fl.health(vm, lost) == "Dead" })
 	return time.Since(since)
@@ -293,7 +293,7 @@
 	for _, vm := range fl.vms {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				fl.sight(ctx, vm)
+				fl.observeRevision(ctx, vm)
 				select {
 				case <-ctx.Done():
 				case <-time.After(20 * time.Millisecond):
@@ -307,48 +307,48 @@
 	})
 }
 
-// sight asks a VM for the revision in force and notes it. Sightings of one VM
+// observeRevision asks a VM for the revision in force and notes it. Sightings of one VM
 // are made one after the other.
-func (fl *fleet) sight(ctx context.Context, vm *vm) uint64 {
-	vm.sighting.Lock()
-	defer vm.sighting.Unlock()
+func (fl *fleet) observeRevision(ctx context.Context, vm *vm) uint64 {
+	vm.observing.Lock()
+	defer vm.observing.Unlock()
 	ctx, stop := context.WithTimeout(ctx, 2*time.Second)
 	defer stop()
-	run := vm.run()
+	run := vm.runName()
 	reply, err := vm.ops.Template(ctx, customer)
 	if err != nil {
 		return 0
 	}
-	fl.note(func(hs *invariant.History) {
+	fl.updateHistory(func(hs *invariant.History) {
 		hs.ObservedRevisions = append(hs.ObservedRevisions, invariant.ObservedRevision{VM: run, Customer: customer, Revision: reply.Revision, At: time.Now()})
 	})
 	return reply.Revision
 }
 
-// accepted notes that a revision was accepted now and must come in force at
+// recordAccepted notes that a revision was recordAccepted now and must come in force at
 // the VMs.
-func (fl *fleet) accepted(revision uint64, vms ...*vm) {
+func (fl *fleet) recordAccepted(revision uint64, vms ...*vm) {
 	pb := invariant.Publication{Customer: customer, Revision: revision, Accepted: time.Now()}
 	for _, vm := range vms {
-		pb.VMs = append(pb.VMs, vm.run())
+		pb.VMs = append(pb.VMs, vm.runName())
 	}
-	fl.note(func(hs *invariant.History) { hs.Publications = append(hs.Publications, pb) })
+	fl.updateHistory(func(hs *invariant.History) { hs.Publications = append(hs.Publications, pb) })
 }
 
-// inForce waits until the VMs have a revision in force, and returns after how
+// awaitRevision waits until the VMs have a revision in force, and returns after how
 // long the last one had.
-func (fl *fleet) inForce(revision uint64, vms ...*vm) time.Duration {
+func (fl *fleet) awaitRevision(revision uint64, vms ...*vm) time.Duration {
 	fl.t.Helper()
 	since := time.Now()
 	for _, vm := range vms {
 		eventually(fl.t, fmt.Sprintf("%s has revision %d", vm.set.ID, revision), func() bool {
-			return fl.sight(fl.t.Context(), vm) >= revision
+			return fl.observeRevision(fl.t.Context(), vm) >= revision
 		})
 	}
 	return time.Since(since)
 }
 
-func (fl *fleet) note(write func(hs *invariant.History)) {
+func (fl *fleet) updateHistory(write func(hs *invariant.History)) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	write(&fl.hist)
@@ -359,7 +359,7 @@
 	var out []*enginesim.Run
 	for _, en := range fl.dp.Engines {
 		for _, rec := range en.History().Runs {
-			if rec.Role == role && attemptOf(rec.Request, key) {
+			if rec.Role == role && isAttemptOf(rec.Request, key) {
 				out = append(out, rec)
 			}
 		}
@@ -376,15 +376,15 @@
 	return count
 }
 
-// awaitFree waits until no engine holds anything, and returns after how long.
-func (fl *fleet) awaitFree() time.Duration {
+// awaitEnginesFree waits until no engine holds anything, and returns after how long.
+func (fl *fleet) awaitEnginesFree() time.Duration {
 	fl.t.Helper()
 	since := time.Now()
-	eventually(fl.t, "all engines are free", func() bool { return fl.unfinished() == 0 })
+	eventually(fl.t, "all engines are free", func() bool { return fl.heldByEngines() == 0 })
 	return time.Since(since)
 }
 
-func (fl *fleet) unfinished() int {
+func (fl *fleet) heldByEngines() int {
 	count := 0
 	for _, en := range fl.dp.Engines {
 		hs := en.History()
@@ -393,14 +393,14 @@
 	return count
 }
 
-// check waits until the engines are free and has the rules checked.
-func (fl *fleet) check() {
+// checkInvariants waits until the engines are free and has the rules checked.
+func (fl *fleet) checkInvariants() {
 	fl.t.Helper()
-	fl.awaitFree()
+	fl.awaitEnginesFree()
 	fl.mu.Lock()
 	hs := fl.hist
 	fl.mu.Unlock()
-	hs.MaxHoldAfterEnd = heldWithin
+	hs.MaxHoldAfterEnd = maxHoldAfterEnd
 	for _, en := range fl.dp.Engines {
 		hs.Engines = append(hs.Engines, en.History())
 	}
@@ -408,7 +408,7 @@
 		hs.Services = append(hs.Services, sv.History())
 	}
 	found := invariant.Check(hs)
-	results.checked(len(hs.Calls), len(found))
+	results.countHistory(len(hs.Calls), len(found))
 	for _, vi := range found {
 		fl.t.Error(vi)
 	}
--- a/internal/integration/leave_test.go
+++ b/internal/integration/leave_test.go
@@ -16,8 +16,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// load is callers who come again and again until stop.
-type load struct {
+// callerLoad is callers who come again and again until stop.
+type callerLoad struct {
 	fl   *fleet
 	quit chan struct{}
 	wg   sync.WaitGroup
@@ -26,23 +26,23 @@
 }
 
 // startLoad lets so many callers of each kind at the fleet.
-func (fl *fleet) startLoad(name string, each int) *load {
-	ld := &load{fl: fl, quit: make(chan struct{})}
+func (fl *fleet) startLoad(name string, each int) *callerLoad {
+	ld := &callerLoad{fl: fl, quit: make(chan struct{})}
 	for ix := range each {
 		cl := fl.client()
-		ld.keep(func(round int) *ongoing {
+		ld.callRepeatedly(func(round int) *ongoing {
 			return fl.chat(cl, "findings", fmt.Sprintf("%s-chat-%d-%d", name, ix, round), 60)
 		})
-		ld.keep(func(round int) *ongoing {
+		ld.callRepeatedly(func(round int) *ongoing {
 			return fl.chat(cl, "fieldnote", fmt.Sprintf("%s-note-%d-%d", name, ix, round), 10)
 		})
-		ld.keep(func(round int) *ongoing { return fl.record(cl, fmt.Sprintf("%s-record-%d-%d", name, ix, round)) })
-		ld.keep(func(round int) *ongoing { return fl.payment(cl, fmt.Sprintf("%s-payment-%d-%d", name, ix, round)) })
+		ld.callRepeatedly(func(round int) *ongoing { return fl.record(cl, fmt.Sprintf("%s-record-%d-%d", name, ix, round)) })
+		ld.callRepeatedly(func(round int) *ongoing { return fl.payment(cl, fmt.Sprintf("%s-payment-%d-%d", name, ix, round)) })
 	}
 	return ld
 }
 
-func (ld *load) keep(next func(round int) *ongoing) {
+func (ld *callerLoad) callRepeatedly(next func(round int) *ongoing) {
 	ld.wg.Go(func() {
 		for round := 0; ; round++ {
 			select {
@@ -52,7 +52,7 @@
 				return
 			default:
 			}
-			if err := next(round).end(); err != nil {
+			if err := next(round).wait(); err != nil {
 				ld.mu.Lock()
 				ld.errs = append(ld.errs, err)
 				ld.mu.Unlock()
@@ -62,24 +62,24 @@
 }
 
 // stop waits for the calls in progress and returns how calls failed.
-func (ld *load) stop() []error {
+func (ld *callerLoad) stop() []error {
 	close(ld.quit)
 	ld.wg.Wait()
 	return ld.errs
 }
 
-// calls counts the calls that have their end.
-func (fl *fleet) calls() int {
+// endedCalls counts the endedCalls that have their end.
+func (fl *fleet) endedCalls() int {
 	count := 0
-	fl.note(func(hs *invariant.History) { count = len(hs.Calls) })
+	fl.updateHistory(func(hs *invariant.History) { count = len(hs.Calls) })
 	return count
 }
 
 // awaitCalls waits until so many more calls have their end.
 func (fl *fleet) awaitCalls(more int) {
 	fl.t.Helper()
-	before := fl.calls()
-	eventually(fl.t, fmt.Sprintf("%d calls", more), func() bool { return fl.calls() >= before+more })
+	before := fl.endedCalls()
+	eventually(fl.t, fmt.Sprintf("%d calls", more), func() bool { return fl.endedCalls() >= before+more })
 }
 
 // stopPlanned makes a planned stop of a VM and notes it. A caller who never
@@ -89,47 +89,47 @@
 	fl.t.Helper()
 	key := "once-at-" + vm.set.ID
 	once := fl.chatAt(vm, key, 200)
-	assert.Equal(fl.t, fl.runnerOf(key, 5).set.ID, vm.set.ID)
+	assert.Equal(fl.t, fl.awaitRunner(key, 5).set.ID, vm.set.ID)
 	st := invariant.PlannedStop{VM: vm.set.ID, Began: time.Now()}
-	fl.dp.Leave(vm.set.ID)
+	fl.dp.MarkLeaving(vm.set.ID)
 	vm.terminate(fl.t)
 	select {
 	case <-vm.process().done:
 		st.Ended, st.ExitCode = time.Now(), vm.process().code
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 	}
-	results.span("a planned stop under load", time.Since(st.Began))
-	assert.Check(fl.t, once.end(), "the answer was cut off")
-	fl.note(func(hs *invariant.History) { hs.PlannedStops = append(hs.PlannedStops, st) })
+	results.recordDuration("a planned stop under load", time.Since(st.Began))
+	assert.Check(fl.t, once.wait(), "the answer was cut off")
+	fl.updateHistory(func(hs *invariant.History) { hs.PlannedStops = append(hs.PlannedStops, st) })
 }
 
 // A VM is stopped as planned while callers come: nothing is cut off, and no
 // caller who still holds its address is lost.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	ld := fl.startLoad("stop", 2)
 	long := fl.chat(fl.client(), "findings", "long", 400)
 	fl.awaitCalls(20)
-	fl.stopPlanned(fl.runnerOf("long", 5))
+	fl.stopPlanned(fl.awaitRunner("long", 5))
 	fl.awaitCalls(20)
 	for _, err := range ld.stop() {
 		t.Error(err)
 	}
-	assert.Check(t, long.end())
-	fl.check()
+	assert.Check(t, long.wait())
+	fl.checkInvariants()
 }
 
 // All VMs are replaced one after another while callers come.
 func TestRollingReplacementUnderLoad(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	ld := fl.startLoad("roll", 2)
 	fl.awaitCalls(20)
 	for _, vm := range fl.vms {
 		fl.stopPlanned(vm)
 		vm.start(t)
-		fl.dp.Return(vm.set.ID)
+		fl.dp.MarkLive(vm.set.ID)
 		for _, other := range fl.vms {
 			fl.awaitServing(other)
 		}
@@ -138,17 +138,17 @@
 	for _, err := range ld.stop() {
 		t.Error(err)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // Backend servers say that they leave, and the VM list lags by ten seconds:
 // after three seconds they are sent nothing more.
-func TestLeavingServersGetNothingNew(t *testing.T) {
+func TestLeavingServersGetNoNewWork(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	ld := fl.startLoad("leave", 3)
 	fl.awaitCalls(30)
-	results.fault("VM list lags by 10s")
+	results.countFault("VM list lags by 10s")
 	fl.dp.List.Set(listsim.Faults{Lag: 10 * clock.Second})
 	leaving := map[string]*standin.Control{fl.dp.Services[0].ID: &fl.dp.Services[0].Control}
 	seen := map[board.Role]bool{}
@@ -160,36 +160,36 @@
 	}
 	since := time.Now()
 	for id, ct := range leaving {
-		results.fault("backend server leaves")
+		results.countFault("backend server leaves")
 		ct.Set(standin.Faults{Leaving: true})
-		fl.dp.Leave(id)
-		fl.note(func(hs *invariant.History) {
+		fl.dp.MarkLeaving(id)
+		fl.updateHistory(func(hs *invariant.History) {
 			hs.LeavingServers = append(hs.LeavingServers, invariant.LeavingServer{Server: id, Since: since})
 		})
 	}
 	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
-	before := fl.declined(leaving)
+	before := fl.declinedAsLeaving(leaving)
 	fl.awaitCalls(100)
-	assert.Equal(t, fl.declined(leaving), before, "orders that leaving servers declined, before and after")
+	assert.Equal(t, fl.declinedAsLeaving(leaving), before, "orders that leaving servers declined, before and after")
 	for _, err := range ld.stop() {
 		t.Error(err)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // Backend servers leave by the VM list's word alone, and would take work: after
 // three seconds they have begun nothing more.
-func TestServersLeaveByTheList(t *testing.T) {
+func TestServersLeavingOnlyByVMList(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	ld := fl.startLoad("listed", 3)
 	fl.awaitCalls(30)
 	gone := []string{fl.dp.Services[0].ID, fl.dp.Engines[0].ID, fl.dp.Engines[len(fl.dp.Engines)-1].ID}
 	since := time.Now()
 	for _, id := range gone {
-		results.fault("backend server leaves")
-		fl.dp.Leave(id)
-		fl.note(func(hs *invariant.History) {
+		results.countFault("backend server leaves")
+		fl.dp.MarkLeaving(id)
+		fl.updateHistory(func(hs *invariant.History) {
 			hs.LeavingServers = append(hs.LeavingServers, invariant.LeavingServer{Server: id, Since: since})
 		})
 	}
@@ -198,11 +198,11 @@
 	for _, err := range ld.stop() {
 		t.Error(err)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
-// declined counts the orders that the servers declined because they leave.
-func (fl *fleet) declined(servers map[string]*standin.Control) int {
+// declinedAsLeaving counts the orders that the servers declinedAsLeaving because they leave.
+func (fl *fleet) declinedAsLeaving(servers map[string]*standin.Control) int {
 	count := 0
 	for _, en := range fl.dp.Engines {
 		if servers[en.ID] != nil {
--- a/internal/integration/main_test.go
+++ b/internal/integration/main_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	repository = "../.."
-	knownRed   = repository + "/KNOWN-RED.txt"
+	repositoryRoot = "../.."
+	knownRedFile   = repositoryRoot + "/KNOWN-RED.txt"
 )
 
 var (
@@ -35,14 +35,14 @@
 	}
 	defer os.RemoveAll(dir)
 	program = filepath.Join(dir, "alderdyke")
-	build := exec.Command("go", "build", "-o", program, repository+"/cmd/alderdyke")
+	build := exec.Command("go", "build", "-o", program, repositoryRoot+"/cmd/alderdyke")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build the program: %v\n%s", err, out)
 		return 1
 	}
 	code := m.Run()
 	if *resultsFile != "" {
-		if err := results.write(filepath.Join(repository, *resultsFile)); err != nil {
+		if err := results.write(filepath.Join(repositoryRoot, *resultsFile)); err != nil {
 			fmt.Fprintln(os.Stderr, "write the results:", err)
 			return 1
 		}
@@ -50,26 +50,26 @@
 	return code
 }
 
-// known passes over a test that is listed as failing for a known fault, unless
+// skipKnownRed passes over a test that is listed as failing for a skipKnownRed fault, unless
 // it was asked for by name, as .ci/run does after all others.
-func known(t *testing.T) {
+func skipKnownRed(t *testing.T) {
 	t.Helper()
 	if flag.Lookup("test.run").Value.String() != "" {
 		return
 	}
-	text, err := os.ReadFile(knownRed)
+	text, err := os.ReadFile(knownRedFile)
 	if err != nil && !os.IsNotExist(err) {
 		t.Fatalf("read the known faults: %v", err)
 	}
-	if line, ok := redLine(string(text), t.Name()); ok {
+	if line, ok := findKnownRed(string(text), t.Name()); ok {
 		fmt.Println("KNOWN RED:", line)
 		t.Skip(line)
 	}
 }
 
-// redLine finds the line of a test among the known faults. A line is
+// findKnownRed finds the line of a test among the known faults. A line is
 // "TestName: cause; issue", as .ci/run reads it.
-func redLine(text, test string) (line string, ok bool) {
+func findKnownRed(text, test string) (line string, ok bool) {
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, test+": ") {
 			return strings.TrimSpace(line), true
@@ -80,7 +80,7 @@
 
 // The lines that .ci/run passes over are those that a plain run of this package
 // passes over, and no others.
-func TestKnownRedIsReadAsCIReadsIt(t *testing.T) {
+func TestKnownRedLineFormat(t *testing.T) {
 	for _, tc := range []struct {
 		text string
 		want string
@@ -93,7 +93,7 @@
 		{"TestOneMore: a cause\n", ""},
 		{"", ""},
 	} {
-		line, ok := redLine(tc.text, "TestOne")
+		line, ok := findKnownRed(tc.text, "TestOne")
 		assert.Equal(t, line, tc.want, "%q", tc.text)
 		assert.Equal(t, ok, tc.want != "", "%q", tc.text)
 	}
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -11,10 +11,10 @@
 	"alderdyke/pkg/refusal"
 )
 
-// slowService is a plan whose plain calls last long enough for faults to find
+// slowServicePlan is a plan whose plain calls last long enough for faults to find
 // them running.
-func slowService() plan {
-	pl := usual()
+func slowServicePlan() plan {
+	pl := defaultPlan()
 	pl.service.Latency = 1500
 	return pl
 }
@@ -23,7 +23,7 @@
 // an answer get the same.
 func TestOneKeyThroughAllVMsAtOnce(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	for round := range 5 {
 		key := fmt.Sprintf("all-%d", round)
 		var calls []*ongoing
@@ -31,35 +31,35 @@
 			calls = append(calls, fl.paymentAt(vm, key))
 		}
 		for _, og := range calls {
-			assert.Check(t, og.end())
+			assert.Check(t, og.wait())
 		}
 		assert.Equal(t, fl.serviceRuns(key), 1)
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The VM that runs a payment is killed while the service works at it. The
 // caller asks the others again and again, and it never runs a second time.
 func TestAtMostOnceWhenItsVMIsKilled(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, slowService())
+	fl := startFleet(t, slowServicePlan())
 	first := fl.vms[0]
 	og := fl.paymentAt(first, "killed")
 	eventually(t, "the payment runs", func() bool { return fl.serviceRuns("killed") == 1 })
 	killed := time.Now()
 	first.kill(t)
-	assert.Check(t, og.end() != nil)
-	for _, vm := range fl.others(first) {
-		rf := fl.paymentAt(vm, "killed").refusedAs()
+	assert.Check(t, og.wait() != nil)
+	for _, vm := range fl.otherVMs(first) {
+		rf := fl.paymentAt(vm, "killed").waitRefusal()
 		assert.Check(t, rf.Ran != refusal.NotRun, "%v", rf)
 	}
-	for _, vm := range fl.others(first) {
-		results.span("a dead VM is detected", fl.holdsDead(vm, first, killed))
-		rf := fl.paymentAt(vm, "killed").refusedAs()
+	for _, vm := range fl.otherVMs(first) {
+		results.recordDuration("a dead VM is detected", fl.awaitDead(vm, first, killed))
+		rf := fl.paymentAt(vm, "killed").waitRefusal()
 		assert.Check(t, rf.Ran != refusal.NotRun, "%v", rf)
 	}
 	assert.Equal(t, fl.serviceRuns("killed"), 1)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The VM that was asked first is paused until the others hold it dead, the
@@ -67,37 +67,37 @@
 // payment.
 func TestAtMostOnceWhenItsVMIsPaused(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, slowService())
+	fl := startFleet(t, slowServicePlan())
 	first := fl.vms[0]
 	og := fl.paymentAt(first, "paused")
 	eventually(t, "the payment runs", func() bool { return fl.serviceRuns("paused") == 1 })
 	paused := time.Now()
 	first.pause(t)
-	for _, vm := range fl.others(first) {
-		results.span("a paused VM is held dead", fl.holdsDead(vm, first, paused))
+	for _, vm := range fl.otherVMs(first) {
+		results.recordDuration("a paused VM is held dead", fl.awaitDead(vm, first, paused))
 	}
 	var calls []*ongoing
-	for _, vm := range fl.others(first) {
+	for _, vm := range fl.otherVMs(first) {
 		calls = append(calls, fl.paymentAt(vm, "paused"))
 	}
 	for _, call := range calls {
-		assert.Check(t, call.refusedAs().Ran != refusal.NotRun)
+		assert.Check(t, call.waitRefusal().Ran != refusal.NotRun)
 	}
 	first.resume(t)
-	og.end()
+	og.wait()
 	fl.awaitServing(first)
 	for _, vm := range fl.vms {
-		fl.paymentAt(vm, "paused").end()
+		fl.paymentAt(vm, "paused").wait()
 	}
 	assert.Equal(t, fl.serviceRuns("paused"), 1)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // Many payments are asked for while a VM sleeps in the middle of asking:
 // whatever it believes when it wakes, none runs twice.
 func TestAtMostOnceThroughAPausedVM(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	first := fl.vms[0]
 	var calls []*ongoing
 	for ix := range 20 {
@@ -105,33 +105,33 @@
 	}
 	paused := time.Now()
 	first.pause(t)
-	fl.holdsDead(fl.vms[1], first, paused)
+	fl.awaitDead(fl.vms[1], first, paused)
 	for ix := range 20 {
 		calls = append(calls, fl.paymentAt(fl.vms[1+ix%2], fmt.Sprintf("sleep-%d", ix)))
 	}
 	for _, og := range calls[20:] {
-		og.end()
+		og.wait()
 	}
 	first.resume(t)
 	for _, og := range calls[:20] {
-		og.end()
+		og.wait()
 	}
-	fl.check()
+	fl.checkInvariants()
 }
 
 // The service runs a payment and its reply is lost: the caller is told that it
 // may have run, and nobody runs it again.
 func TestReplyLostAfterEffect(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
-	results.fault("reply lost after the effect")
+	fl := startFleet(t, defaultPlan())
+	results.countFault("reply lost after the effect")
 	for _, sv := range fl.dp.Services {
 		sv.Control.Set(standin.Faults{Paths: []string{"/payments/lost-reply"}, LoseReply: true})
 	}
 	for _, vm := range fl.vms {
-		rf := fl.paymentAt(vm, "lost-reply").refusedAs()
+		rf := fl.paymentAt(vm, "lost-reply").waitRefusal()
 		assert.Check(t, rf.Ran == refusal.MayHaveRun, "%v", rf)
 	}
 	assert.Equal(t, fl.serviceRuns("lost-reply"), 1)
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/pause_test.go
+++ b/internal/integration/pause_test.go
@@ -15,18 +15,18 @@
 // requests are not cut and nothing is done twice.
 func TestSuspectedVMsRequestsAreNotCut(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	const tokens = 300
 	keys := []string{"suspect-1", "suspect-2", "suspect-3"}
 	var calls []*ongoing
 	for _, key := range keys {
 		calls = append(calls, fl.chat(fl.client(), "findings", key, tokens))
 	}
-	first := fl.runnerOf(keys[0], 10)
+	first := fl.awaitRunner(keys[0], 10)
 	paused := time.Now()
 	first.pause(t)
 	eventually(t, "the VM is suspected", func() bool {
-		for _, vm := range fl.others(first) {
+		for _, vm := range fl.otherVMs(first) {
 			if fl.health(vm, first) != "Suspect" {
 				return false
 			}
@@ -34,38 +34,38 @@
 		return true
 	})
 	first.resume(t)
-	results.span("pause until every VM suspects a VM", time.Since(paused))
+	results.recordDuration("pause until every VM suspects a VM", time.Since(paused))
 	for ix, og := range calls {
-		assert.Check(t, og.end())
-		began, made := fl.decoded(keys[ix])
+		assert.Check(t, og.wait())
+		began, made := fl.decodeTotals(keys[ix])
 		assert.Equal(t, began, 1)
 		assert.Equal(t, made, tokens)
 	}
-	eventually(t, "the VM is held alive", func() bool { return fl.health(fl.others(first)[0], first) == "Alive" })
-	fl.check()
+	eventually(t, "the VM is held alive", func() bool { return fl.health(fl.otherVMs(first)[0], first) == "Alive" })
+	fl.checkInvariants()
 }
 
 // A VM stands still until it is held dead, its requests are taken over, and it
 // wakes. Every caller has one whole answer, and the engines are free.
-func TestVMWakesAfterItsRequestsWereTakenOver(t *testing.T) {
+func TestVMResumesAfterItsRequestsWereTakenOver(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	var calls []*ongoing
 	for ix := range 3 {
 		calls = append(calls, fl.chat(fl.client(), "findings", fmt.Sprintf("wake-%d", ix), 900))
 	}
-	first := fl.runnerOf("wake-0", 10)
+	first := fl.awaitRunner("wake-0", 10)
 	paused := time.Now()
 	first.pause(t)
-	for _, vm := range fl.others(first) {
-		fl.holdsDead(vm, first, paused)
+	for _, vm := range fl.otherVMs(first) {
+		fl.awaitDead(vm, first, paused)
 	}
 	first.resume(t)
 	for _, og := range calls {
-		assert.Check(t, og.end())
+		assert.Check(t, og.wait())
 	}
 	fl.awaitServing(first)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // VMs lose each other in two parts. Both serve what is idempotent; what is
@@ -73,7 +73,7 @@
 // fleet again.
 func TestPartition(t *testing.T) {
 	t.Parallel()
-	pl := usual()
+	pl := defaultPlan()
 	pl.vms = 5
 	fl := startFleet(t, pl)
 	few, many := fl.vms[:2], fl.vms[2:]
@@ -99,55 +99,55 @@
 		}
 	}
 	for ix, vm := range fl.vms {
-		assert.Check(t, fl.recordAt(vm, fmt.Sprintf("parted-record-%d", ix)).end())
-		assert.Check(t, fl.chatAt(vm, fmt.Sprintf("parted-chat-%d", ix), 10).end())
+		assert.Check(t, fl.recordAt(vm, fmt.Sprintf("parted-record-%d", ix)).wait())
+		assert.Check(t, fl.chatAt(vm, fmt.Sprintf("parted-chat-%d", ix), 10).wait())
 	}
 	for _, og := range calls {
-		og.end()
+		og.wait()
 	}
 	fl.net.partition(few, many, false)
 	healed := time.Now()
 	for _, vm := range fl.vms {
 		fl.awaitServing(vm)
 	}
-	results.span("one fleet again after a partition", time.Since(healed))
-	fl.check()
+	results.recordDuration("one fleet again after a partition", time.Since(healed))
+	fl.checkInvariants()
 }
 
 // A VM stands still until another VM, which follows its answer, reads that on
 // at the engine, and wakes. It does not take the caller, who reads elsewhere,
 // for gone.
-func TestRunnerWakesWhileItsAnswerIsReadOn(t *testing.T) {
+func TestRunnerResumesWhileAnotherVMReadsItsAnswer(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	runner, follower := fl.vms[0], fl.vms[1]
 	early := fl.chatAt(runner, "read-on", 900)
-	assert.Equal(t, fl.runnerOf("read-on", 10), runner)
+	assert.Equal(t, fl.awaitRunner("read-on", 10), runner)
 	og := fl.chatAt(follower, "read-on", 900)
 	sees := func(what string) func() bool {
 		return func() bool { return strings.Contains(fl.explainAt(follower, "read-on"), what) }
 	}
 	eventually(t, "the other VM follows", sees("Following"))
-	early.leave()
+	early.hangUp()
 	runner.pause(t)
 	eventually(t, "the other VM reads the decode on", sees("ReadOn"))
 	runner.resume(t)
-	assert.Check(t, og.end())
+	assert.Check(t, og.wait())
 	assert.Equal(t, len(fl.engineRuns(board.Decode, "read-on")), 1)
-	fl.check()
+	fl.checkInvariants()
 }
 
 // A caller's connection breaks, its VM stands still for longer than it waits for callers,
 // and the caller reads its answer on through another VM meanwhile. The VM that wakes has
 // heard nobody, and does not take that for a caller who is gone: it would cancel the
 // decode that is read, and a second one would begin.
-func TestVMThatStoodStillWaitsForItsCaller(t *testing.T) {
+func TestResumedVMWaitsForItsCaller(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	runner, other := fl.vms[0], fl.vms[1]
 	early := fl.chatAt(runner, "stood-still", 900)
-	assert.Equal(t, fl.runnerOf("stood-still", 10), runner)
-	early.leave()
+	assert.Equal(t, fl.awaitRunner("stood-still", 10), runner)
+	early.hangUp()
 	left := time.Now()
 	eventually(t, "the caller is missed", func() bool { return strings.Contains(fl.explainAt(runner, "stood-still"), "CallerLeft") })
 	time.Sleep(streamWait.Std()/4 - time.Since(left))
@@ -156,7 +156,7 @@
 	eventually(t, "the other VM reads the decode on", func() bool { return strings.Contains(fl.explainAt(other, "stood-still"), "ReadOn") })
 	time.Sleep(streamWait.Std() + 200*time.Millisecond - time.Since(left))
 	runner.resume(t)
-	assert.Check(t, og.end())
+	assert.Check(t, og.wait())
 	assert.Equal(t, len(fl.engineRuns(board.Decode, "stood-still")), 1)
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -58,11 +58,11 @@
 		file string
 		ops  operator.Client
 
-		sighting sync.Mutex // held while its revision is asked for
+		observing sync.Mutex // held while its revision is asked for
 
-		mu   sync.Mutex
-		proc *process
-		runs int
+		mu     sync.Mutex
+		proc   *process
+		starts int
 	}
 
 	// process is one run of a VM.
@@ -88,7 +88,7 @@
 }
 
 // tail returns the end of what was written, without the ends of whole answers.
-func (ou *output) tail(most int) string {
+func (ou *output) tail(limit int) string {
 	ou.mu.Lock()
 	defer ou.mu.Unlock()
 	var sb strings.Builder
@@ -98,7 +98,7 @@
 		}
 	}
 	text := sb.String()
-	return text[max(0, len(text)-most):]
+	return text[max(0, len(text)-limit):]
 }
 
 // newVM writes the settings file of a VM.
@@ -136,10 +136,10 @@
 	}()
 	vm.mu.Lock()
 	vm.proc = pr
-	vm.runs++
+	vm.starts++
 	vm.mu.Unlock()
 	t.Cleanup(func() {
-		if !pr.over() {
+		if !pr.exited() {
 			pr.cmd.Process.Signal(syscall.SIGCONT)
 			pr.cmd.Process.Kill()
 			<-pr.done
@@ -156,14 +156,14 @@
 	return vm.proc
 }
 
-// run names the VM and how often it was started.
-func (vm *vm) run() string {
+// runName names the VM and how often it was started.
+func (vm *vm) runName() string {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
-	return fmt.Sprintf("%s#%d", vm.set.ID, vm.runs)
+	return fmt.Sprintf("%s#%d", vm.set.ID, vm.starts)
 }
 
-func (pr *process) over() bool {
+func (pr *process) exited() bool {
 	select {
 	case <-pr.done:
 		return true
@@ -180,7 +180,7 @@
 // kill ends the process at once.
 func (vm *vm) kill(t *testing.T) {
 	t.Helper()
-	results.fault("VM killed (SIGKILL)")
+	results.countFault("VM killed (SIGKILL)")
 	vm.signal(t, syscall.SIGKILL)
 	<-vm.process().done
 }
@@ -188,7 +188,7 @@
 // pause freezes the process until resume.
 func (vm *vm) pause(t *testing.T) {
 	t.Helper()
-	results.fault("VM paused (SIGSTOP, SIGCONT)")
+	results.countFault("VM paused (SIGSTOP, SIGCONT)")
 	vm.signal(t, syscall.SIGSTOP)
 }
 
@@ -200,18 +200,18 @@
 // terminate begins a planned stop.
 func (vm *vm) terminate(t *testing.T) {
 	t.Helper()
-	results.fault("planned stop (SIGTERM)")
+	results.countFault("planned stop (SIGTERM)")
 	vm.signal(t, syscall.SIGTERM)
 }
 
-// patience bounds every wait for an event. It ends only tests that have
+// eventTimeout bounds every wait for an event. It ends only tests that have
 // failed.
-const patience = 60 * time.Second
+const eventTimeout = 60 * time.Second
 
 // eventually waits for a condition that others bring about.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); {
+	for end := time.Now().Add(eventTimeout); !ok(); {
 		if time.Now().After(end) {
 			t.Fatalf("never came: %s", what)
 		}
--- a/internal/integration/proxy_test.go
+++ b/internal/integration/proxy_test.go
@@ -28,7 +28,7 @@
 // newProxy starts a proxy at a free port of loopback.
 func newProxy(t *testing.T, name string, to netip.AddrPort) (*proxy, netip.AddrPort, error) {
 	srv := &toxiproxy.ApiServer{Metrics: toxiproxy.NewMetricsContainer(nil)}
-	silent(&srv.Logger)
+	silence(&srv.Logger)
 	px := &proxy{Proxy: toxiproxy.NewProxy(srv, name, "127.0.0.1:0", to.String()), name: name}
 	if err := px.Start(); err != nil {
 		return nil, netip.AddrPort{}, fmt.Errorf("start the proxy of %s: %w", name, err)
@@ -41,11 +41,11 @@
 	return px, addr, nil
 }
 
-// silent sets a logger that writes nothing, which is its zero value.
-func silent[Logger any](lg **Logger) { *lg = new(Logger) }
+// silence sets a logger that writes nothing, which is its zero value.
+func silence[Logger any](lg **Logger) { *lg = new(Logger) }
 
-// add puts one toxic into one direction.
-func (px *proxy) add(t *testing.T, kind, direction string, attributes map[string]any) {
+// addToxic puts one toxic into one direction.
+func (px *proxy) addToxic(t *testing.T, kind, direction string, attributes map[string]any) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": kind + "_" + direction, "type": kind, "stream": direction, "attributes": attributes,
@@ -58,26 +58,26 @@
 // reset cuts connections as soon as anything moves on them, until heal.
 func (px *proxy) reset(t *testing.T) {
 	t.Helper()
-	results.fault("connection reset")
+	results.countFault("connection reset")
 	for _, direction := range []string{upstream, downstream} {
-		px.add(t, "reset_peer", direction, map[string]any{"timeout": 0})
+		px.addToxic(t, "reset_peer", direction, map[string]any{"timeout": 0})
 	}
 }
 
 // stall lets nothing through, until heal.
 func (px *proxy) stall(t *testing.T) {
 	t.Helper()
-	results.fault("connection stalled")
+	results.countFault("connection stalled")
 	for _, direction := range []string{upstream, downstream} {
-		px.add(t, "timeout", direction, map[string]any{"timeout": 0})
+		px.addToxic(t, "timeout", direction, map[string]any{"timeout": 0})
 	}
 }
 
 // slow delays all that comes back, until heal.
 func (px *proxy) slow(t *testing.T, by clock.Millis) {
 	t.Helper()
-	results.fault("connection slow")
-	px.add(t, "latency", downstream, map[string]any{"latency": int64(by)})
+	results.countFault("connection slow")
+	px.addToxic(t, "latency", downstream, map[string]any{"latency": int64(by)})
 }
 
 // heal removes all toxics.
--- a/internal/integration/relay_test.go
+++ b/internal/integration/relay_test.go
@@ -15,9 +15,9 @@
 	// to the others by the address of a relay; it speaks from its own IP
 	// number, so relays can tell who speaks.
 	peerNet struct {
-		mu   sync.Mutex
-		cuts map[[2]netip.Addr]bool
-		next chan struct{} // closed when cuts change
+		mu      sync.Mutex
+		cuts    map[[2]netip.Addr]bool
+		changed chan struct{} // closed when cuts change
 	}
 
 	// relay stands before one VM's address for peers.
@@ -35,43 +35,43 @@
 )
 
 func newPeerNet() *peerNet {
-	return &peerNet{cuts: make(map[[2]netip.Addr]bool), next: make(chan struct{})}
+	return &peerNet{cuts: make(map[[2]netip.Addr]bool), changed: make(chan struct{})}
 }
 
-// cut stops or lets through all that two VMs say to each other. What is on
-// its way is held back and arrives after the end of the cut, as TCP would
+// setCut stops or lets through all that two VMs say to each other. What is on
+// its way is held back and arrives after the end of the setCut, as TCP would
 // send it again; datagrams are lost.
-func (pn *peerNet) cut(one, other *vm, off bool) {
+func (pn *peerNet) setCut(one, other *vm, off bool) {
 	va, vb := one.set.Peer.Listen.Addr(), other.set.Peer.Listen.Addr()
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
 	pn.cuts[[2]netip.Addr{va, vb}] = off
 	pn.cuts[[2]netip.Addr{vb, va}] = off
-	close(pn.next)
-	pn.next = make(chan struct{})
+	close(pn.changed)
+	pn.changed = make(chan struct{})
 }
 
 // partition cuts each VM of one side off from each of the other side, or ends
 // that.
 func (pn *peerNet) partition(side, rest []*vm, off bool) {
 	if off {
-		results.fault("partition between VMs (TCP and UDP)")
+		results.countFault("partition between VMs (TCP and UDP)")
 	}
 	for _, one := range side {
 		for _, other := range rest {
-			pn.cut(one, other, off)
+			pn.setCut(one, other, off)
 		}
 	}
 }
 
-func (pn *peerNet) state(from, to netip.Addr) (off bool, next <-chan struct{}) {
+func (pn *peerNet) cutState(from, to netip.Addr) (off bool, next <-chan struct{}) {
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
-	return pn.cuts[[2]netip.Addr{from, to}], pn.next
+	return pn.cuts[[2]netip.Addr{from, to}], pn.changed
 }
 
-// front starts the relay before one VM's address for peers.
-func (pn *peerNet) front(t *testing.T, at, to netip.AddrPort) error {
+// startRelay starts the relay before one VM's address for peers.
+func (pn *peerNet) startRelay(t *testing.T, at, to netip.AddrPort) error {
 	ln, err := net.Listen("tcp", at.String())
 	if err != nil {
 		return err
@@ -81,8 +81,8 @@
 		return err
 	}
 	rl := &relay{pn: pn, to: to, ln: ln, uc: uc, done: make(chan struct{}), conns: make(map[net.Conn]struct{})}
-	rl.wg.Go(rl.accept)
-	rl.wg.Go(rl.datagrams)
+	rl.wg.Go(rl.acceptConns)
+	rl.wg.Go(rl.forwardDatagrams)
 	t.Cleanup(func() { rl.close(t) })
 	return nil
 }
@@ -99,21 +99,21 @@
 	rl.wg.Wait()
 }
 
-func (rl *relay) accept() {
+func (rl *relay) acceptConns() {
 	for {
 		near, err := rl.ln.Accept()
 		if err != nil {
 			return
 		}
-		rl.wg.Go(func() { rl.carry(near) })
+		rl.wg.Go(func() { rl.forwardConn(near) })
 	}
 }
 
-// carry carries one connection until either end closes it.
-func (rl *relay) carry(near net.Conn) {
+// forwardConn carries one connection until either end closes it.
+func (rl *relay) forwardConn(near net.Conn) {
 	defer near.Close()
 	from := netip.MustParseAddrPort(near.RemoteAddr().String()).Addr()
-	if !rl.pass(from) {
+	if !rl.awaitUncut(from) {
 		return
 	}
 	far, err := net.Dial("tcp", rl.to.String())
@@ -121,41 +121,41 @@
 		return
 	}
 	defer far.Close()
-	if !rl.keep(near, far) {
+	if !rl.track(near, far) {
 		return
 	}
-	defer rl.forget(near, far)
+	defer rl.untrack(near, far)
 	var wg sync.WaitGroup
-	wg.Go(func() { rl.pump(far, near, from) })
-	wg.Go(func() { rl.pump(near, far, from) })
+	wg.Go(func() { rl.copyDirection(far, near, from) })
+	wg.Go(func() { rl.copyDirection(near, far, from) })
 	wg.Wait()
 }
 
-// pump copies one direction, and closes both ends when it is over.
-func (rl *relay) pump(to, from net.Conn, speaker netip.Addr) {
+// copyDirection copies one direction, and closes both ends when it is over.
+func (rl *relay) copyDirection(to, from net.Conn, sender netip.Addr) {
 	defer to.Close()
 	defer from.Close()
 	buf := make([]byte, 32<<10)
 	for {
 		got, err := from.Read(buf)
-		if got > 0 && rl.pass(speaker) {
+		if got > 0 && rl.awaitUncut(sender) {
 			if _, err := to.Write(buf[:got]); err != nil {
 				return
 			}
 		}
 		if err != nil {
 			if err == io.EOF {
-				rl.pass(speaker) // the end is held back as well
+				rl.awaitUncut(sender) // the end is held back as well
 			}
 			return
 		}
 	}
 }
 
-// pass waits while the pair is cut. It returns false when the relay ends.
-func (rl *relay) pass(from netip.Addr) bool {
+// awaitUncut waits while the pair is cut. It returns false when the relay ends.
+func (rl *relay) awaitUncut(from netip.Addr) bool {
 	for {
-		off, next := rl.pn.state(from, rl.to.Addr())
+		off, next := rl.pn.cutState(from, rl.to.Addr())
 		if !off {
 			return true
 		}
@@ -167,7 +167,7 @@
 	}
 }
 
-func (rl *relay) keep(conns ...net.Conn) bool {
+func (rl *relay) track(conns ...net.Conn) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	select {
@@ -181,7 +181,7 @@
 	return true
 }
 
-func (rl *relay) forget(conns ...net.Conn) {
+func (rl *relay) untrack(conns ...net.Conn) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	for _, cn := range conns {
@@ -189,7 +189,7 @@
 	}
 }
 
-func (rl *relay) datagrams() {
+func (rl *relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
 		got, from, err := rl.uc.ReadFromUDPAddrPort(buf)
@@ -201,7 +201,7 @@
 		if err != nil {
 			continue // a VM that is down refuses datagrams
 		}
-		if off, _ := rl.pn.state(from.Addr().Unmap(), rl.to.Addr()); !off {
+		if off, _ := rl.pn.cutState(from.Addr().Unmap(), rl.to.Addr()); !off {
 			rl.uc.WriteToUDPAddrPort(buf[:got], rl.to)
 		}
 	}
--- a/internal/integration/results_test.go
+++ b/internal/integration/results_test.go
@@ -11,33 +11,33 @@
 )
 
 // results gathers the figures of all tests of one run.
-var results = &report{faults: make(map[string]int), spans: make(map[string][]time.Duration)}
+var results = &report{faults: make(map[string]int), durations: make(map[string][]time.Duration)}
 
 type report struct {
 	mu         sync.Mutex
 	faults     map[string]int
-	spans      map[string][]time.Duration
+	durations  map[string][]time.Duration
 	histories  int
 	calls      int
 	violations int
 }
 
-// fault counts an injected fault.
-func (rp *report) fault(kind string) {
+// countFault counts an injected countFault.
+func (rp *report) countFault(kind string) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	rp.faults[kind]++
 }
 
-// span notes how long something took.
-func (rp *report) span(what string, took time.Duration) {
+// recordDuration notes how long something took.
+func (rp *report) recordDuration(what string, took time.Duration) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	rp.spans[what] = append(rp.spans[what], took)
+	rp.durations[what] = append(rp.durations[what], took)
 }
 
-// checked counts what the checker looked at and found.
-func (rp *report) checked(calls, violations int) {
+// countHistory counts what the checker looked at and found.
+func (rp *report) countHistory(calls, violations int) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	rp.histories++
@@ -56,12 +56,12 @@
 		"hold the machine's other load.\n\n")
 	fmt.Fprintf(&sb, "%d histories with %d calls were checked; %d violations were found.\n\n", rp.histories, rp.calls, rp.violations)
 	sb.WriteString("| Fault | Times injected |\n| --- | --- |\n")
-	for _, kind := range sorted(rp.faults) {
+	for _, kind := range sortedKeys(rp.faults) {
 		fmt.Fprintf(&sb, "| %s | %d |\n", kind, rp.faults[kind])
 	}
 	sb.WriteString("\n| Time | Measured | Median | Longest |\n| --- | --- | --- | --- |\n")
-	for _, what := range sorted(rp.spans) {
-		took := slices.Clone(rp.spans[what])
+	for _, what := range sortedKeys(rp.durations) {
+		took := slices.Clone(rp.durations[what])
 		slices.Sort(took)
 		fmt.Fprintf(&sb, "| %s | %d | %s | %s |\n", what, len(took), round(took[len(took)/2]), round(took[len(took)-1]))
 	}
@@ -73,7 +73,7 @@
 
 func round(took time.Duration) string { return took.Round(10 * time.Millisecond).String() }
 
-func sorted[Value any](by map[string]Value) []string {
+func sortedKeys[Value any](by map[string]Value) []string {
 	var out []string
 	for name := range by {
 		out = append(out, name)
--- a/internal/integration/signals_test.go
+++ b/internal/integration/signals_test.go
@@ -12,26 +12,26 @@
 // that are open in it: SIGHUP ended a VM ("signal: hangup"), whether it served or
 // drained. Signals that are no order to stop now change nothing, and so does a
 // second order.
-func TestSignalsEndNoAnswer(t *testing.T) {
+func TestSignalsDoNotInterruptAnswers(t *testing.T) {
 	t.Parallel()
-	fl := startFleet(t, usual())
+	fl := startFleet(t, defaultPlan())
 	vm := fl.vms[0]
 	once := fl.chatAt(vm, "signals", 200)
 	for _, stop := range []bool{false, true} {
 		if stop {
-			fl.dp.Leave(vm.set.ID)
+			fl.dp.MarkLeaving(vm.set.ID)
 			vm.terminate(t)
 		}
 		for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGPIPE, syscall.SIGHUP} {
 			vm.signal(t, sig)
 			time.Sleep(20 * time.Millisecond)
-			assert.Assert(t, !vm.process().over(), "%v ended the VM; stopping: %v", sig, stop)
+			assert.Assert(t, !vm.process().exited(), "%v ended the VM; stopping: %v", sig, stop)
 		}
 	}
 	vm.terminate(t)
 	vm.signal(t, syscall.SIGINT)
-	assert.Check(t, once.end(), "the answer was cut off")
-	eventually(t, "the VM stops", vm.process().over)
+	assert.Check(t, once.wait(), "the answer was cut off")
+	eventually(t, "the VM stops", vm.process().exited)
 	assert.Equal(t, vm.process().code, 0)
-	fl.check()
+	fl.checkInvariants()
 }
--- a/internal/integration/storm_test.go
+++ b/internal/integration/storm_test.go
@@ -24,8 +24,8 @@
 		rnd *rand.Rand
 	}
 
-	// trouble begins one fault and returns what ends it.
-	trouble func(t *testing.T) (heal func())
+	// faultStarter begins one fault and returns what ends it.
+	faultStarter func(t *testing.T) (heal func())
 )
 
 // Faults of VMs and of what is around them come together, again and again,
@@ -34,7 +34,7 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			pl := usual()
+			pl := defaultPlan()
 			pl.vms, pl.prefill, pl.decode, pl.plain = 5, 3, 4, 3
 			fl := startFleet(t, pl)
 			fl.watchRevisions()
@@ -44,23 +44,23 @@
 			fl.awaitCalls(stormCalls)
 			base := fl.revision(fl.vms[0])
 			for round := range stormRounds {
-				st.round(t)
-				base = fl.revise(fl.vms[st.rnd.IntN(len(fl.vms))], fmt.Sprintf("storm-%d", round), base, round)
+				st.runRound(t)
+				base = fl.publishRevision(fl.vms[st.rnd.IntN(len(fl.vms))], fmt.Sprintf("storm-%d", round), base, round)
 			}
 			t.Logf("after %v: the last fault is over", time.Since(began))
 			ld.stop() // refusals are allowed; the rules tell whether they are true
 			t.Logf("after %v: the last call has its end", time.Since(began))
-			fl.check()
+			fl.checkInvariants()
 		})
 	}
 }
 
-// round begins two faults, lets callers meet them, ends them, and waits until
+// runRound begins two faults, lets callers meet them, ends them, and waits until
 // the fleet is whole.
-func (st *storm) round(t *testing.T) {
+func (st *storm) runRound(t *testing.T) {
 	victim := st.fl.vms[st.rnd.IntN(len(st.fl.vms))]
-	inner := []trouble{st.kill(victim), st.pause(victim), st.cutOff(victim), st.callersCut(victim)}
-	outer := []trouble{st.engineDies(), st.engineLoses(), st.backendCut(), st.serviceLoses(), st.platformOut()}
+	inner := []faultStarter{st.kill(victim), st.pause(victim), st.cutOff(victim), st.cutCallers(victim)}
+	outer := []faultStarter{st.engineDies(), st.enginesLoseReplies(), st.cutBackend(), st.serviceLosesReplies(), st.platformOutage()}
 	one, other := st.rnd.IntN(len(inner)), st.rnd.IntN(len(outer))
 	began := time.Now()
 	first, second := inner[one](t), outer[other](t)
@@ -73,54 +73,54 @@
 	}
 }
 
-// lasts waits, in half of all cases, until the others hold a VM dead.
-func (st *storm) lasts(victim *vm, long bool, since time.Time) {
+// awaitDeadIf waits, in half of all cases, until the others hold a VM dead.
+func (st *storm) awaitDeadIf(victim *vm, long bool, since time.Time) {
 	if long {
-		st.fl.holdsDead(st.fl.others(victim)[0], victim, since)
+		st.fl.awaitDead(st.fl.otherVMs(victim)[0], victim, since)
 	}
 }
 
-func (st *storm) kill(victim *vm) trouble {
+func (st *storm) kill(victim *vm) faultStarter {
 	long := st.rnd.IntN(2) == 0
 	return func(t *testing.T) func() {
 		began := time.Now()
 		victim.kill(t)
 		return func() {
-			st.lasts(victim, long, began)
+			st.awaitDeadIf(victim, long, began)
 			victim.start(t)
 		}
 	}
 }
 
-func (st *storm) pause(victim *vm) trouble {
+func (st *storm) pause(victim *vm) faultStarter {
 	long := st.rnd.IntN(2) == 0
 	return func(t *testing.T) func() {
 		began := time.Now()
 		victim.pause(t)
 		return func() {
-			st.lasts(victim, long, began)
+			st.awaitDeadIf(victim, long, began)
 			victim.resume(t)
 		}
 	}
 }
 
 // cutOff cuts a VM off from the other VMs and from the log service.
-func (st *storm) cutOff(victim *vm) trouble {
+func (st *storm) cutOff(victim *vm) faultStarter {
 	long := st.rnd.IntN(2) == 0
 	return func(t *testing.T) func() {
 		began := time.Now()
 		px := st.fl.proxy(deployment.LogLink, victim.set.ID)
 		px.stall(t)
-		st.fl.net.partition([]*vm{victim}, st.fl.others(victim), true)
+		st.fl.net.partition([]*vm{victim}, st.fl.otherVMs(victim), true)
 		return func() {
-			st.lasts(victim, long, began)
-			st.fl.net.partition([]*vm{victim}, st.fl.others(victim), false)
+			st.awaitDeadIf(victim, long, began)
+			st.fl.net.partition([]*vm{victim}, st.fl.otherVMs(victim), false)
 			px.heal(t)
 		}
 	}
 }
 
-func (st *storm) callersCut(victim *vm) trouble {
+func (st *storm) cutCallers(victim *vm) faultStarter {
 	return func(t *testing.T) func() {
 		px := st.fl.proxy(deployment.CallerLink, victim.set.ID)
 		px.reset(t)
@@ -129,19 +129,19 @@
 }
 
 // engineDies lets an engine die and come back without what it held.
-func (st *storm) engineDies() trouble {
+func (st *storm) engineDies() faultStarter {
 	en := st.fl.dp.Engines[st.rnd.IntN(len(st.fl.dp.Engines))]
 	return func(*testing.T) func() {
-		results.fault("engine died")
+		results.countFault("engine died")
 		en.Control.Set(standin.Faults{Dead: true})
 		return func() { en.Control.Set(standin.Faults{}) }
 	}
 }
 
-// engineLoses lets all engines lose replies to orders that took effect.
-func (st *storm) engineLoses() trouble {
+// enginesLoseReplies lets all engines lose replies to orders that took effect.
+func (st *storm) enginesLoseReplies() faultStarter {
 	return func(*testing.T) func() {
-		results.fault("reply lost after the effect")
+		results.countFault("reply lost after the effect")
 		for _, en := range st.fl.dp.Engines {
 			en.Control.Set(standin.Faults{LoseReply: true, Count: 6})
 		}
@@ -153,8 +153,8 @@
 	}
 }
 
-// backendCut cuts the connections to one backend server.
-func (st *storm) backendCut() trouble {
+// cutBackend cuts the connections to one backend server.
+func (st *storm) cutBackend() faultStarter {
 	id := st.fl.dp.Engines[st.rnd.IntN(len(st.fl.dp.Engines))].ID
 	if st.rnd.IntN(2) == 0 {
 		id = st.fl.dp.Services[st.rnd.IntN(len(st.fl.dp.Services))].ID
@@ -166,10 +166,10 @@
 	}
 }
 
-// serviceLoses lets the plain service lose replies to calls that ran.
-func (st *storm) serviceLoses() trouble {
+// serviceLosesReplies lets the plain service lose replies to calls that ran.
+func (st *storm) serviceLosesReplies() faultStarter {
 	return func(*testing.T) func() {
-		results.fault("reply lost after the effect")
+		results.countFault("reply lost after the effect")
 		for _, sv := range st.fl.dp.Services {
 			sv.Control.Set(standin.Faults{LoseReply: true, Count: 6})
 		}
@@ -181,10 +181,10 @@
 	}
 }
 
-func (st *storm) platformOut() trouble {
+func (st *storm) platformOutage() faultStarter {
 	return func(*testing.T) func() {
-		results.fault("log outage")
-		results.fault("VM list outage")
+		results.countFault("log outage")
+		results.countFault("VM list outage")
 		st.fl.dp.Logs.Set(logsim.Faults{Outage: true})
 		st.fl.dp.List.Set(listsim.Faults{Outage: true})
 		return func() {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -60,7 +60,7 @@
 		return Result{}, fmt.Errorf("start the stand-ins: %w", err)
 	}
 	defer rn.dp.Close()
-	names, err := deployment.Stage(rn.Dir, rn.sets)
+	names, err := deployment.WriteSettings(rn.Dir, rn.sets)
 	if err != nil {
 		return Result{}, fmt.Errorf("write the settings: %w", err)
 	}
@@ -92,7 +92,7 @@
 		return fmt.Errorf("listen on loopback: %w", err)
 	}
 	for ix := range bd.VMs {
-		set, err := rn.dp.VM(fmt.Sprintf("vm-%d", ix+1), bd.Domains[ix%len(bd.Domains)])
+		set, err := rn.dp.AddVM(fmt.Sprintf("vm-%d", ix+1), bd.Domains[ix%len(bd.Domains)])
 		if err != nil {
 			return errors.Join(err, rn.dp.Close())
 		}
@@ -109,7 +109,7 @@
 	set.PrefillTokensPerSecond = bench.PrefillRate * float64(clock.Second)
 	set.KVBytesPerToken = kvBytes
 	set.LinkBytesPerSecond = bench.LinkRate * kvBytes * float64(clock.Second)
-	set.KeepPrefill = bench.KeepKV
+	set.KVRetention = bench.KeepKV
 	set.Slots = bench.Slots
 	set.TPOT = bench.IdleTPOT
 	set.BatchSlowdown = (bench.FullTPOT/bench.IdleTPOT - 1) / (bench.Slots - 1)
--- a/internal/logsvc/client_test.go
+++ b/internal/logsvc/client_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(tt, err)
 	assert.Equal(tt, ba.First, uint64(3))
 	assert.Equal(tt, ba.Next, uint64(5))
-	assert.Equal(tt, srv.Done().Trimmed, 3)
+	assert.Equal(tt, srv.Counts().Trimmed, 3)
 }
 
 func TestRetentionByAgeUsesTheClock(tt *testing.T) {
@@ -122,7 +122,7 @@
 			var ae *logsvc.AppendError
 			assert.Assert(tt, errors.As(err, &ae), "got %v", err)
 			assert.Equal(tt, ae.Effect, tc.effect)
-			assert.Equal(tt, srv.Done().Appends, tc.appends)
+			assert.Equal(tt, srv.Counts().Appends, tc.appends)
 		})
 	}
 }
--- a/internal/register/adapter_test.go
+++ b/internal/register/adapter_test.go
@@ -72,7 +72,7 @@
 	first.step(publishRequest("p1", 0))
 	first.runIntents(100, func() bool { return len(first.verdicts) > 0 })
 	assert.DeepEqual(tt, first.verdicts, []Verdict{{ID: "p1", Result: Published, Revision: 1, Current: 1}})
-	assert.Equal(tt, srv.Done().Lost, 1)
+	assert.Equal(tt, srv.Counts().LostReplies, 1)
 
 	second := join("vm1")
 	second.runIntents(10, func() bool { return second.inForce != nil && second.inForce.Ready })
--- a/internal/slope/fleet.go
+++ b/internal/slope/fleet.go
@@ -115,7 +115,7 @@
 		return nil, fmt.Errorf("start the stand-ins: %w", err)
 	}
 	for ix := range count {
-		set, err := rf.dp.VM(fleetVM(ix).ID, fleetVM(ix).FailureDomain)
+		set, err := rf.dp.AddVM(fleetVM(ix).ID, fleetVM(ix).FailureDomain)
 		if err != nil {
 			return nil, errors.Join(err, rf.close())
 		}
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -7,7 +7,7 @@
 //	dp := &deployment.Deployment{Model: "rapportmodel", Prefill: 3, Decode: 5, PlainService: "feltapp", Plain: 4}
 //	err := dp.Start()
 //	defer dp.Close()
-//	set, err := dp.VM("aarhus-a-1", "aarhus-a")
+//	set, err := dp.AddVM("aarhus-a-1", "aarhus-a")
 //	err = dp.Publish() // the VM list with the VMs so far
 package deployment
 
@@ -50,20 +50,20 @@
 
 // Kinds of links.
 const (
-	CallerLink  Kind = "Caller"  // callers to a VM
-	PeerLink    Kind = "Peer"    // other VMs to a VM, by TCP and UDP
-	LogLink     Kind = "Log"     // a VM to the log service
-	ListLink    Kind = "List"    // a VM to the VM list
-	BackendLink Kind = "Backend" // VMs and other engines to a backend server
+	CallerLink  LinkKind = "Caller"  // callers to a VM
+	PeerLink    LinkKind = "Peer"    // other VMs to a VM, by TCP and UDP
+	LogLink     LinkKind = "Log"     // a VM to the log service
+	ListLink    LinkKind = "List"    // a VM to the VM list
+	BackendLink LinkKind = "Backend" // VMs and other engines to a backend server
 )
 
 type (
-	// Kind of a link.
-	Kind string
+	// LinkKind of a link.
+	LinkKind string
 
 	// Link is one way by which a deployment's parts speak.
 	Link struct {
-		Kind Kind
+		Kind LinkKind
 		ID   string // of the VM, or of the backend server
 	}
 
@@ -85,21 +85,21 @@
 		// of which then listens at the usual ports of its own. Without any,
 		// VMs share 127.0.0.1 and take free ports.
 		Hosts []netip.Addr
-		// Front puts something before an address that others connect to,
+		// Intercept puts something before an address that others connect to,
 		// such as a proxy that injects faults, and returns its address. Nil
 		// leaves all addresses as they are.
-		Front func(lk Link, addr netip.AddrPort) (netip.AddrPort, error)
+		Intercept func(lk Link, addr netip.AddrPort) (netip.AddrPort, error)
 
 		Logs     *logsim.Server
 		List     *listsim.Server
 		Engines  []*enginesim.Engine
 		Services []*servicesim.Server
 
-		mu      sync.Mutex
-		doc     vmlist.Document
-		logAddr netip.AddrPort
-		lstAddr netip.AddrPort
-		servers []*http.Server
+		mu       sync.Mutex
+		doc      vmlist.Document
+		logAddr  netip.AddrPort
+		listAddr netip.AddrPort
+		servers  []*http.Server
 	}
 )
 
@@ -121,21 +121,21 @@
 	if dp.logAddr, err = dp.serve(dp.Logs); err != nil {
 		return fmt.Errorf("start the log service: %w", err)
 	}
-	if dp.lstAddr, err = dp.serve(dp.List); err != nil {
+	if dp.listAddr, err = dp.serve(dp.List); err != nil {
 		return fmt.Errorf("start the VM list: %w", err)
 	}
 	for ix := range dp.Prefill {
-		if err := dp.engine(fmt.Sprintf("%s-prefill-%d", dp.Model, ix+1), board.Prefill); err != nil {
+		if err := dp.startEngine(fmt.Sprintf("%s-prefill-%d", dp.Model, ix+1), board.Prefill); err != nil {
 			return err
 		}
 	}
 	for ix := range dp.Decode {
-		if err := dp.engine(fmt.Sprintf("%s-decode-%d", dp.Model, ix+1), board.Decode); err != nil {
+		if err := dp.startEngine(fmt.Sprintf("%s-decode-%d", dp.Model, ix+1), board.Decode); err != nil {
 			return err
 		}
 	}
 	for ix := range dp.Plain {
-		if err := dp.plain(fmt.Sprintf("%s-%d", dp.PlainService, ix+1)); err != nil {
+		if err := dp.startPlainServer(fmt.Sprintf("%s-%d", dp.PlainService, ix+1)); err != nil {
 			return err
 		}
 	}
@@ -143,39 +143,39 @@
 	return nil
 }
 
-func (dp *Deployment) engine(id string, role board.Role) error {
+func (dp *Deployment) startEngine(id string, role board.Role) error {
 	en := &enginesim.Engine{ID: id, Role: role, Settings: dp.Engine, Seed: uint64(len(dp.Engines))}
 	addr, err := dp.serve(en.Handler())
 	if err != nil {
 		return fmt.Errorf("start engine %s: %w", id, err)
 	}
 	dp.Engines = append(dp.Engines, en)
-	return dp.list(id, dp.Model, role, addr)
+	return dp.addServer(id, dp.Model, role, addr)
 }
 
-func (dp *Deployment) plain(id string) error {
+func (dp *Deployment) startPlainServer(id string) error {
 	sv := &servicesim.Server{ID: id, Settings: dp.Service}
 	addr, err := dp.serve(sv.Handler())
 	if err != nil {
 		return fmt.Errorf("start server %s: %w", id, err)
 	}
 	dp.Services = append(dp.Services, sv)
-	return dp.list(id, dp.PlainService, board.Plain, addr)
+	return dp.addServer(id, dp.PlainService, board.Plain, addr)
 }
 
-func (dp *Deployment) front(kind Kind, id string, addr netip.AddrPort) (netip.AddrPort, error) {
-	if dp.Front == nil {
+func (dp *Deployment) interceptLink(kind LinkKind, id string, addr netip.AddrPort) (netip.AddrPort, error) {
+	if dp.Intercept == nil {
 		return addr, nil
 	}
-	out, err := dp.Front(Link{Kind: kind, ID: id}, addr)
+	out, err := dp.Intercept(Link{Kind: kind, ID: id}, addr)
 	if err != nil {
 		return addr, fmt.Errorf("front %s of %s: %w", kind, id, err)
 	}
 	return out, nil
 }
 
-func (dp *Deployment) list(id, service string, role board.Role, addr netip.AddrPort) error {
-	addr, err := dp.front(BackendLink, id, addr)
+func (dp *Deployment) addServer(id, service string, role board.Role, addr netip.AddrPort) error {
+	addr, err := dp.interceptLink(BackendLink, id, addr)
 	if err != nil {
 		return err
 	}
@@ -204,9 +204,9 @@
 	return netip.MustParseAddrPort(ln.Addr().String()), nil
 }
 
-// VM returns the settings of one more entry VM and lists it. Publish makes
-// the VM list say so.
-func (dp *Deployment) VM(id, failureDomain string) (settings.Settings, error) {
+// AddVM returns the settings of one more entry AddVM and lists it. Publish makes
+// the AddVM list say so.
+func (dp *Deployment) AddVM(id, failureDomain string) (settings.Settings, error) {
 	set := settings.Default()
 	set.ID, set.FailureDomain, set.Region = id, failureDomain, dp.Region
 	set.Peer.Secret = settings.NewSecret(PeerSecret)
@@ -214,7 +214,7 @@
 	set.Log.Token = settings.NewSecret(LogToken)
 	set.VMList.Token = settings.NewSecret(ListToken)
 	set.Backends.Token = settings.NewSecret(BackendToken)
-	if err := dp.place(&set); err != nil {
+	if err := dp.setAddresses(&set); err != nil {
 		return set, fmt.Errorf("place VM %s: %w", id, err)
 	}
 	dp.mu.Lock()
@@ -230,33 +230,33 @@
 	return set, nil
 }
 
-// place sets all addresses of an entry VM.
-func (dp *Deployment) place(set *settings.Settings) error {
-	ports, err := dp.ports()
+// setAddresses sets all addresses of an entry VM.
+func (dp *Deployment) setAddresses(set *settings.Settings) error {
+	ports, err := dp.vmAddresses()
 	if err != nil {
 		return fmt.Errorf("find ports: %w", err)
 	}
 	set.Caller.Listen, set.Peer.Listen, set.Operator.Listen = ports[0], ports[1], ports[2]
 	for _, ad := range []struct {
-		kind Kind
+		kind LinkKind
 		addr netip.AddrPort
 		to   *netip.AddrPort
 	}{
 		{CallerLink, ports[0], &set.Caller.Advertise},
 		{PeerLink, ports[1], &set.Peer.Advertise},
 		{LogLink, dp.logAddr, &set.Log.Address},
-		{ListLink, dp.lstAddr, &set.VMList.Address},
+		{ListLink, dp.listAddr, &set.VMList.Address},
 	} {
-		if *ad.to, err = dp.front(ad.kind, set.ID, ad.addr); err != nil {
+		if *ad.to, err = dp.interceptLink(ad.kind, set.ID, ad.addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ports returns the addresses for callers, peers and operators of one more
+// vmAddresses returns the addresses for callers, peers and operators of one more
 // entry VM.
-func (dp *Deployment) ports() ([]netip.AddrPort, error) {
+func (dp *Deployment) vmAddresses() ([]netip.AddrPort, error) {
 	if len(dp.Hosts) == 0 {
 		return freePorts(3)
 	}
@@ -273,14 +273,14 @@
 	}, nil
 }
 
-// Leave marks an entry VM or a backend server as leaving in the VM list.
-func (dp *Deployment) Leave(id string) { dp.mark(id, vmlist.Leaving) }
+// MarkLeaving marks an entry VM or a backend server as leaving in the VM list.
+func (dp *Deployment) MarkLeaving(id string) { dp.setState(id, vmlist.Leaving) }
 
-// Return marks an entry VM that was replaced, or a backend server, as live in
+// MarkLive marks an entry VM that was replaced, or a backend server, as live in
 // the VM list.
-func (dp *Deployment) Return(id string) { dp.mark(id, vmlist.Live) }
+func (dp *Deployment) MarkLive(id string) { dp.setState(id, vmlist.Live) }
 
-func (dp *Deployment) mark(id string, state vmlist.State) {
+func (dp *Deployment) setState(id string, state vmlist.State) {
 	dp.mu.Lock()
 	for ix := range dp.doc.VMs {
 		if dp.doc.VMs[ix].ID == id {
@@ -296,8 +296,8 @@
 	dp.Publish()
 }
 
-// Remove takes an entry VM off the VM list.
-func (dp *Deployment) Remove(id string) {
+// RemoveVM takes an entry VM off the VM list.
+func (dp *Deployment) RemoveVM(id string) {
 	dp.mu.Lock()
 	var kept []vmlist.VMEntry
 	for _, vm := range dp.doc.VMs {
@@ -344,9 +344,9 @@
 	portCount = 20000
 )
 
-// dealt counts the ports that this process has tried, so that no two
+// portsTried counts the ports that this process has tried, so that no two
 // deployments of it get the same.
-var dealt atomic.Uint32
+var portsTried atomic.Uint32
 
 // freePorts finds loopback ports that are free for TCP and UDP.
 func freePorts(count int) ([]netip.AddrPort, error) {
@@ -355,16 +355,16 @@
 		if len(out) == count {
 			return out, nil
 		}
-		addr := fmt.Sprintf("%s:%d", ownHost(), firstPort+dealt.Add(1)%portCount)
-		if free(addr) {
+		addr := fmt.Sprintf("%s:%d", processHost(), firstPort+portsTried.Add(1)%portCount)
+		if isFree(addr) {
 			out = append(out, netip.MustParseAddrPort(addr))
 		}
 	}
 	return nil, fmt.Errorf("%d of %d ports: %w", len(out), count, errNoPort)
 }
 
-// free tells whether nothing listens at an address.
-func free(addr string) bool {
+// isFree tells whether nothing listens at an address.
+func isFree(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
@@ -378,9 +378,9 @@
 	return true
 }
 
-// Speed scales the paces of engines, so that a test need not wait for real
+// ScaledEngineSettings scales the paces of engines, so that a test need not wait for real
 // ones.
-func Speed(factor float64) enginesim.Settings {
+func ScaledEngineSettings(factor float64) enginesim.Settings {
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond *= factor
 	set.LinkBytesPerSecond *= factor
@@ -388,9 +388,9 @@
 	return set
 }
 
-// ownHost is a loopback IP number of this process, so that no other process
+// processHost is a loopback IP number of this process, so that no other process
 // takes a port between its choice and its use.
-func ownHost() string {
+func processHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 64+pid>>8&63, pid&255)
 }
--- a/internal/standin/deployment/ports_test.go
+++ b/internal/standin/deployment/ports_test.go
@@ -9,7 +9,7 @@
 
 // Ports are chosen long before VMs listen there, and deployments of one
 // process start side by side: no two may get the same.
-func TestPortsAreDealtOnce(t *testing.T) {
+func TestPortsAreAllocatedOnce(t *testing.T) {
 	seen := make(map[netip.AddrPort]bool)
 	for range 400 {
 		ports, err := freePorts(3)
--- a/internal/standin/deployment/stage.go
+++ b/internal/standin/deployment/stage.go
@@ -12,8 +12,8 @@
 
 // Modes of what is written for VMs.
 const (
-	folderMode = 0o755
-	fileMode   = 0o600
+	directoryMode = 0o755
+	fileMode      = 0o600
 )
 
 //go:embed settings.tmpl
@@ -21,17 +21,17 @@
 
 var settingsTemplate = template.Must(template.New("settings").Parse(settingsText))
 
-// stagedVM is what the settings file of one VM is made of.
-type stagedVM struct {
+// templateData is what the settings file of one VM is made of.
+type templateData struct {
 	settings.Settings
 	PeerSecret, OperatorToken, LogToken, ListToken, BackendToken string
 }
 
-// Stage writes the settings of VMs into a folder, each in a file named after
+// WriteSettings writes the settings of VMs into a folder, each in a file named after
 // its ID, and beside them the operators' token, so that they can be run as
 // processes of their own. It returns the names of the settings files.
-func Stage(dir string, sets []settings.Settings) ([]string, error) {
-	if err := os.MkdirAll(dir, folderMode); err != nil {
+func WriteSettings(dir string, sets []settings.Settings) ([]string, error) {
+	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return nil, fmt.Errorf("make the folder of the settings: %w", err)
 	}
 	token := filepath.Join(dir, "operator.token")
@@ -41,7 +41,7 @@
 	var names []string
 	for _, set := range sets {
 		name := filepath.Join(dir, set.ID+".toml")
-		if err := stageVM(name, set); err != nil {
+		if err := writeVMSettings(name, set); err != nil {
 			return nil, fmt.Errorf("write the settings of %s: %w", set.ID, err)
 		}
 		names = append(names, name)
@@ -49,13 +49,13 @@
 	return names, nil
 }
 
-func stageVM(name string, set settings.Settings) error {
+func writeVMSettings(name string, set settings.Settings) error {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return settingsTemplate.Execute(file, stagedVM{
+	return settingsTemplate.Execute(file, templateData{
 		Settings:      set,
 		PeerSecret:    PeerSecret,
 		OperatorToken: OperatorToken,
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -17,14 +17,14 @@
 	// prefixCache holds the newest blocks of prompts, least recently used
 	// out first. It is guarded by the engine's mutex.
 	prefixCache struct {
-		limit  int
-		lag    time.Duration
-		loss   float64
-		rng    *rand.Rand
-		blocks map[uint64]*block
-		uses   uint64
-		number uint64
-		events []stampedEvent
+		limit      int
+		lag        time.Duration
+		loss       float64
+		rng        *rand.Rand
+		blocks     map[uint64]*block
+		uses       uint64
+		lastNumber uint64
+		events     []delayedEvent
 	}
 
 	block struct {
@@ -32,7 +32,7 @@
 		tokens int
 	}
 
-	stampedEvent struct {
+	delayedEvent struct {
 		at time.Time // when it is shown
 		ev wire.CacheEvent
 	}
@@ -66,7 +66,7 @@
 			pc.evict(now)
 		}
 		pc.blocks[prefix] = &block{used: pc.uses, tokens: (ix + 1) * tokens}
-		pc.announce(wire.Stored, prefix, now)
+		pc.addEvent(wire.Stored, prefix, now)
 	}
 }
 
@@ -78,24 +78,24 @@
 			oldest, least = prefix, bl.used
 		}
 	}
-	pc.announce(wire.Evicted, oldest, now)
+	pc.addEvent(wire.Evicted, oldest, now)
 	delete(pc.blocks, oldest)
 }
 
-func (pc *prefixCache) announce(kind wire.CacheKind, prefix uint64, now time.Time) {
-	pc.number++
+func (pc *prefixCache) addEvent(kind wire.CacheKind, prefix uint64, now time.Time) {
+	pc.lastNumber++
 	if pc.loss > 0 && pc.rng.Float64() < pc.loss {
 		return
 	}
-	ev := wire.CacheEvent{Number: pc.number, Kind: kind, Prefix: prefix, Tokens: pc.blocks[prefix].tokens}
-	pc.events = append(pc.events, stampedEvent{at: now.Add(pc.lag), ev: ev})
+	ev := wire.CacheEvent{Number: pc.lastNumber, Kind: kind, Prefix: prefix, Tokens: pc.blocks[prefix].tokens}
+	pc.events = append(pc.events, delayedEvent{at: now.Add(pc.lag), ev: ev})
 	if over := len(pc.events) - maxCacheEvents; over > 0 {
 		pc.events = pc.events[over:]
 	}
 }
 
-// shown lists the events from a number on that are old enough.
-func (pc *prefixCache) shown(from uint64, now time.Time) wire.CacheEvents {
+// visibleEvents lists the events from a number on that are old enough.
+func (pc *prefixCache) visibleEvents(from uint64, now time.Time) wire.CacheEvents {
 	out := wire.CacheEvents{Next: from}
 	for _, se := range pc.events {
 		if se.at.After(now) {
@@ -116,7 +116,7 @@
 		return
 	}
 	en.mu.Lock()
-	doc := en.cache.shown(from, time.Now())
+	doc := en.cache.visibleEvents(from, time.Now())
 	en.mu.Unlock()
 	standin.WriteJSON(rw, doc)
 }
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -25,13 +25,13 @@
 		en.decline(rw, reason, 0)
 		return
 	}
-	en.stream(rw, req, rn, rn.kv.base)
+	en.streamTokens(rw, req, rn, rn.kv.base)
 }
 
 func (en *Engine) admitDecode(od wire.DecodeOrder) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.life.Err() != nil {
+	if en.ctx.Err() != nil {
 		return nil, backend.Refused
 	}
 	if en.isCancelled(od.Request, od.Attempt) {
@@ -54,7 +54,7 @@
 		want = max(min(od.MaxTokens, rn.kv.length), rn.kv.base+1)
 	}
 	rn.rec.Decodes++
-	en.enter(rn, sched.Decoding)
+	en.setStage(rn, sched.Decoding)
 	en.work.Go(func() { en.generate(rn, want) })
 	return rn, ""
 }
@@ -64,22 +64,22 @@
 func (en *Engine) generate(rn *run, want int) {
 	due := time.Now()
 	for ix := rn.kv.base; ix < want; ix++ {
-		due = due.Add(en.Control.Stretch(en.pace()))
-		if standin.Sleep(rn.life, time.Until(due)) != nil {
+		due = due.Add(en.Control.Slowed(en.timePerToken()))
+		if standin.Sleep(rn.ctx, time.Until(due)) != nil {
 			return
 		}
 		if en.Control.Faults().Pause {
-			if en.Control.Running(rn.life) != nil {
+			if en.Control.AwaitUnpaused(rn.ctx) != nil {
 				return
 			}
 			due = time.Now()
 		}
-		en.emit(rn, ix, ix == want-1)
+		en.emitToken(rn, ix, ix == want-1)
 	}
 }
 
-// pace is the time per output token of the batch as it is now.
-func (en *Engine) pace() time.Duration {
+// timePerToken is the time per output token of the batch as it is now.
+func (en *Engine) timePerToken() time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	others := -1
@@ -92,7 +92,7 @@
 	return time.Duration(float64(en.Settings.TPOT.Std()) * by)
 }
 
-func (en *Engine) emit(rn *run, index int, last bool) {
+func (en *Engine) emitToken(rn *run, index int, last bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.runs[rn.key] != rn {
@@ -105,14 +105,14 @@
 		rn.changed = make(chan struct{})
 		return
 	}
-	rn.whole = true
-	en.enter(rn, sched.Ended)
-	en.settle(rn, Complete)
-	en.report()
-	en.later(rn, en.Settings.KeepEnded.Std(), func() {
+	rn.complete = true
+	en.setStage(rn, sched.Ended)
+	en.recordOutcome(rn, Complete)
+	en.sampleLoad()
+	en.runAfter(rn, en.Settings.AnswerRetention.Std(), func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		en.finish(rn, Complete)
+		en.endRun(rn, Complete)
 	})
 }
 
@@ -123,26 +123,26 @@
 		en.decline(rw, backend.BadOrder, 0)
 		return
 	}
-	rn := en.newest(qy.Get("Request"))
+	rn := en.newestDecode(qy.Get("Request"))
 	if rn == nil || from < rn.kv.base {
 		en.decline(rw, backend.Unknown, 0)
 		return
 	}
 	if qy.Get("Take") == "true" {
-		en.handOver(rn, vmOf(req))
+		en.reassign(rn, vmOf(req))
 	}
-	en.stream(rw, req, rn, from)
+	en.streamTokens(rw, req, rn, from)
 }
 
-// handOver notes for whom the run goes on.
-func (en *Engine) handOver(rn *run, vm board.VMRef) {
+// reassign notes for whom the run goes on.
+func (en *Engine) reassign(rn *run, vm board.VMRef) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	rn.rec.VM = vm
 }
 
-// newest finds the decode of a request's highest attempt.
-func (en *Engine) newest(request string) *run {
+// newestDecode finds the decode of a request's highest attempt.
+func (en *Engine) newestDecode(request string) *run {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	var out *run
@@ -155,9 +155,9 @@
 	return out
 }
 
-// stream sends tokens from an index on, those that were made and those to
+// streamTokens sends tokens from an index on, those that were made and those to
 // come.
-func (en *Engine) stream(rw http.ResponseWriter, req *http.Request, rn *run, from int) {
+func (en *Engine) streamTokens(rw http.ResponseWriter, req *http.Request, rn *run, from int) {
 	rw.Header().Set("Content-Type", "application/x-ndjson")
 	rw.Header().Set(wire.AttemptHeader, strconv.Itoa(rn.key.attempt))
 	rw.WriteHeader(http.StatusOK)
@@ -166,22 +166,22 @@
 		return
 	}
 	for {
-		if en.Control.Running(req.Context()) != nil {
+		if en.Control.AwaitUnpaused(req.Context()) != nil {
 			return
 		}
-		en.cutIfDead()
-		tok, state, changed := en.at(rn, from)
-		if state == waits {
-			if !await(req.Context(), changed) {
+		en.abortIfDead()
+		tok, state, changed := en.tokenAt(rn, from)
+		if state == tokenPending {
+			if !awaitChange(req.Context(), changed) {
 				return
 			}
 			continue
 		}
-		if state == over && tok.Ended == "" { // resumed beyond the last token
+		if state == streamOver && tok.Ended == "" { // resumed beyond the last token
 			return
 		}
-		if tok.Ended == "" && en.Control.CutsAt(from) {
-			standin.Cut()
+		if tok.Ended == "" && en.Control.TakeStreamCut(from) {
+			standin.AbortConnection()
 		}
 		if enc.Encode(tok) != nil || flush.Flush() != nil || tok.Last || tok.Ended != "" {
 			return
@@ -193,32 +193,32 @@
 type streamState int
 
 const (
-	has streamState = iota
-	waits
-	over
+	tokenReady streamState = iota
+	tokenPending
+	streamOver
 )
 
-// at returns the token with the given index, or how to go on without it.
-func (en *Engine) at(rn *run, index int) (wire.Token, streamState, <-chan struct{}) {
+// tokenAt returns the token with the given index, or how to go on without it.
+func (en *Engine) tokenAt(rn *run, index int) (wire.Token, streamState, <-chan struct{}) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	switch {
 	case index < rn.kv.base: // made by an attempt before
-		return wire.Token{Ended: string(backend.Unknown)}, over, nil
+		return wire.Token{Ended: string(backend.Unknown)}, streamOver, nil
 	case index < rn.kv.base+len(rn.tokens):
 		index -= rn.kv.base
-		last := rn.whole && index == len(rn.tokens)-1
-		return wire.Token{Index: rn.kv.base + index, Text: rn.tokens[index], Last: last}, has, nil
-	case rn.whole:
-		return wire.Token{}, over, nil
+		last := rn.complete && index == len(rn.tokens)-1
+		return wire.Token{Index: rn.kv.base + index, Text: rn.tokens[index], Last: last}, tokenReady, nil
+	case rn.complete:
+		return wire.Token{}, streamOver, nil
 	case en.runs[rn.key] != rn:
-		return wire.Token{Ended: string(backend.Cancelled)}, over, nil
+		return wire.Token{Ended: string(backend.Cancelled)}, streamOver, nil
 	default:
-		return wire.Token{}, waits, rn.changed
+		return wire.Token{}, tokenPending, rn.changed
 	}
 }
 
-func await(ctx context.Context, changed <-chan struct{}) bool {
+func awaitChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -47,7 +47,7 @@
 	Settings struct {
 		PrefillTokensPerSecond float64
 		PrefillQueue           int          // prefills that wait or run
-		KeepPrefill            clock.Millis // how long a KV cache is kept for its transfer
+		KVRetention            clock.Millis // how long a KV cache is kept for its transfer
 		KVBytesPerToken        int64
 		LinkBytesPerSecond     float64      // in each direction, shared by all transfers
 		Slots                  int          // requests that fit a decode engine's memory
@@ -56,16 +56,16 @@
 		VaryLength             bool         // answers end early, at standin.Length
 		// Length says how long the answer to a prompt is, up to the bound that
 		// the order states; nil leaves it to VaryLength.
-		Length         func(prompt string, bound int) int
-		KeepEnded      clock.Millis // how long a finished answer can be resumed
-		KeepCancelled  clock.Millis // how long a cancelled request's orders are declined
-		CacheBlocks    int          // prefix cache, in blocks of engine.BlockBytes
-		CacheEventLag  clock.Millis // zero is none
-		CacheEventLoss float64      // part of cache events that never come; zero is none
-		LoadLag        clock.Millis // zero is none
-		LoadTime       clock.Millis // to load a model, adapter or version; zero is none
-		ChecksFencing  bool         // declines an old fencing number
-		Token          string       // bearer token asked of every call; empty asks for none
+		Length          func(prompt string, bound int) int
+		AnswerRetention clock.Millis // how long a finished answer can be resumed
+		CancelRetention clock.Millis // how long a cancelled request's orders are declined
+		CacheBlocks     int          // prefix cache, in blocks of engine.BlockBytes
+		CacheEventLag   clock.Millis // zero is none
+		CacheEventLoss  float64      // part of cache events that never come; zero is none
+		LoadLag         clock.Millis // zero is none
+		ModelLoadTime   clock.Millis // to load a model, adapter or version; zero is none
+		ChecksFencing   bool         // declines an old fencing number
+		Token           string       // bearer token asked of every call; empty asks for none
 	}
 
 	// Engine is one stand-in. Set the exported fields before the first call.
@@ -77,25 +77,25 @@
 		Control  standin.Control // faults
 		Seed     uint64          // of the gaps in cache events
 
-		once      sync.Once
-		started   time.Time
-		life      context.Context
-		end       context.CancelFunc
-		work      sync.WaitGroup
-		prefills  lane
-		egress    lane
-		ingress   lane
-		mu        sync.Mutex
-		role      board.Role
-		runs      map[runKey]*run
-		seq       uint64
-		cancelled map[string]tombstone
-		cache     prefixCache
-		loads     []stampedLoad
-		linkBytes int64
-		state     wire.OrderResult
-		fences    map[string]uint64
-		history   History
+		once       sync.Once
+		started    time.Time
+		ctx        context.Context
+		stop       context.CancelFunc
+		work       sync.WaitGroup
+		prefills   lane
+		egress     lane
+		ingress    lane
+		mu         sync.Mutex
+		role       board.Role
+		runs       map[runKey]*run
+		seq        uint64
+		cancelled  map[string]tombstone
+		cache      prefixCache
+		loads      []loadSample
+		linkBytes  int64
+		orderState wire.OrderResult
+		fences     map[string]uint64
+		history    History
 	}
 
 	runKey struct {
@@ -107,41 +107,41 @@
 	// run is what the engine holds of one request and attempt. Its fields
 	// are guarded by the engine's mutex.
 	run struct {
-		key     runKey
-		seq     uint64
-		quick   bool
-		rec     *Run
-		stage   sched.Stage
-		since   time.Time
-		life    context.Context
-		cancel  context.CancelFunc
-		done    chan struct{} // closed when the stage that an order waits for is over
-		slotAt  time.Time     // zero while it holds no memory slot
-		kv      kvCache
-		result  wire.PrefillResult
-		failure backend.Reason
-		tokens  []string // from the index kv.base on
-		whole   bool
-		changed chan struct{}
+		key        runKey
+		seq        uint64
+		quick      bool
+		rec        *Run
+		stage      sched.Stage
+		stageSince time.Time
+		ctx        context.Context
+		cancel     context.CancelFunc
+		done       chan struct{} // closed when the stage that an order waits for is over
+		slotSince  time.Time     // zero while it holds no memory slot
+		kv         kvCache
+		result     wire.PrefillResult
+		failure    backend.Reason
+		tokens     []string // from the index kv.base on
+		complete   bool
+		changed    chan struct{}
 	}
 
 	kvCache struct {
-		name   string
-		hash   uint64
-		tokens int
-		base   int // output tokens that were answered before
-		length int // of the answer, if Settings.Length says so; zero otherwise
-		bytes  int64
-		until  time.Time
-		pins   int // transfers in progress
+		name      string
+		hash      uint64
+		tokens    int
+		base      int // output tokens that were answered before
+		length    int // of the answer, if Settings.Length says so; zero otherwise
+		bytes     int64
+		expiresAt time.Time
+		pins      int // transfers in progress
 	}
 
 	tombstone struct {
-		attempt int
-		until   time.Time
+		attempt   int
+		expiresAt time.Time
 	}
 
-	stampedLoad struct {
+	loadSample struct {
 		at  time.Time
 		doc wire.LoadDoc
 	}
@@ -152,20 +152,20 @@
 	return Settings{
 		PrefillTokensPerSecond: 8000,
 		PrefillQueue:           256,
-		KeepPrefill:            800,
+		KVRetention:            800,
 		KVBytesPerToken:        128 << 10,
 		LinkBytesPerSecond:     4 << 30,
 		Slots:                  20,
 		TPOT:                   20,
-		KeepEnded:              10 * clock.Second,
-		KeepCancelled:          2 * clock.Minute,
+		AnswerRetention:        10 * clock.Second,
+		CancelRetention:        2 * clock.Minute,
 		CacheBlocks:            4096,
 	}
 }
 
 // Handler serves the engine's calls, its faults and its history.
 func (en *Engine) Handler() http.Handler {
-	en.start()
+	en.initOnce()
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PrefillPath, en.servePrefill)
 	mux.HandleFunc("POST "+wire.ImportPath, en.serveImport)
@@ -180,23 +180,23 @@
 	mux.HandleFunc("GET "+standin.HistoryPath, func(rw http.ResponseWriter, _ *http.Request) {
 		standin.WriteJSON(rw, en.History())
 	})
-	return en.Control.Wrap(en.authorized(mux))
+	return en.Control.Wrap(en.requireToken(mux))
 }
 
 // Close ends all work and waits for it.
 func (en *Engine) Close() {
-	en.start()
+	en.initOnce()
 	en.mu.Lock()
-	en.end()
+	en.stop()
 	en.mu.Unlock()
 	en.work.Wait()
 }
 
-func (en *Engine) start() {
+func (en *Engine) initOnce() {
 	en.once.Do(func() {
 		en.Settings = en.Settings.withDefaults()
 		en.started = time.Now()
-		en.life, en.end = context.WithCancel(context.Background())
+		en.ctx, en.stop = context.WithCancel(context.Background())
 		en.role = en.Role
 		en.runs = map[runKey]*run{}
 		en.cancelled = map[string]tombstone{}
@@ -210,33 +210,33 @@
 		if en.HTTP == nil {
 			en.HTTP = backend.NewHTTP(backend.Limits{})
 		}
-		en.report()
+		en.sampleLoad()
 	})
 }
 
 func (st Settings) withDefaults() Settings {
 	df := DefaultSettings()
-	fill(&st.PrefillTokensPerSecond, df.PrefillTokensPerSecond)
-	fill(&st.PrefillQueue, df.PrefillQueue)
-	fill(&st.KeepPrefill, df.KeepPrefill)
-	fill(&st.KVBytesPerToken, df.KVBytesPerToken)
-	fill(&st.LinkBytesPerSecond, df.LinkBytesPerSecond)
-	fill(&st.Slots, df.Slots)
-	fill(&st.TPOT, df.TPOT)
-	fill(&st.KeepEnded, df.KeepEnded)
-	fill(&st.KeepCancelled, df.KeepCancelled)
-	fill(&st.CacheBlocks, df.CacheBlocks)
+	setDefault(&st.PrefillTokensPerSecond, df.PrefillTokensPerSecond)
+	setDefault(&st.PrefillQueue, df.PrefillQueue)
+	setDefault(&st.KVRetention, df.KVRetention)
+	setDefault(&st.KVBytesPerToken, df.KVBytesPerToken)
+	setDefault(&st.LinkBytesPerSecond, df.LinkBytesPerSecond)
+	setDefault(&st.Slots, df.Slots)
+	setDefault(&st.TPOT, df.TPOT)
+	setDefault(&st.AnswerRetention, df.AnswerRetention)
+	setDefault(&st.CancelRetention, df.CancelRetention)
+	setDefault(&st.CacheBlocks, df.CacheBlocks)
 	return st
 }
 
-func fill[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-func (en *Engine) authorized(next http.Handler) http.Handler {
+func (en *Engine) requireToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		open := req.URL.Path == standin.HistoryPath || req.URL.Path == wire.KVPath
 		if want := en.Settings.Token; want != "" && !open && req.Header.Get("Authorization") != "Bearer "+want {
@@ -270,11 +270,11 @@
 	}
 }
 
-// admit tells why an order that begins work is declined, or "".
+// declineReason tells why an order that begins work is declined, or "".
 // The mutex is held.
-func (en *Engine) admit(role board.Role, request string, attempt int) backend.Reason {
+func (en *Engine) declineReason(role board.Role, request string, attempt int) backend.Reason {
 	switch {
-	case en.life.Err() != nil:
+	case en.ctx.Err() != nil:
 		return backend.Refused
 	case en.role != role:
 		return backend.WrongRole
@@ -289,11 +289,11 @@
 	}
 }
 
-// begin makes a run. The mutex is held.
-func (en *Engine) begin(key runKey, customer string, quick bool, vm board.VMRef) *run {
+// newRun makes a run. The mutex is held.
+func (en *Engine) newRun(key runKey, customer string, quick bool, vm board.VMRef) *run {
 	en.seq++
 	rn := &run{key: key, seq: en.seq, quick: quick, done: make(chan struct{}), changed: make(chan struct{})}
-	rn.life, rn.cancel = context.WithCancel(en.life)
+	rn.ctx, rn.cancel = context.WithCancel(en.ctx)
 	rn.rec = &Run{
 		Request: key.request, Attempt: key.attempt, Role: key.role,
 		Customer: customer, VM: vm, Quick: quick,
@@ -303,35 +303,35 @@
 	return rn
 }
 
-// enter moves a run to a stage. The mutex is held.
-func (en *Engine) enter(rn *run, stage sched.Stage) {
-	rn.stage, rn.since = stage, time.Now()
+// setStage moves a run to a stage. The mutex is held.
+func (en *Engine) setStage(rn *run, stage sched.Stage) {
+	rn.stage, rn.stageSince = stage, time.Now()
 	rn.rec.Stages = append(rn.rec.Stages, StageTime{Stage: stage, At: en.now()})
-	en.report()
+	en.sampleLoad()
 }
 
-// finish ends a run with an outcome, frees what it holds and forgets it. The
+// endRun ends a run with an outcome, frees what it holds and forgets it. The
 // mutex is held.
-func (en *Engine) finish(rn *run, oc Outcome) {
+func (en *Engine) endRun(rn *run, oc Outcome) {
 	if en.runs[rn.key] != rn {
 		return
 	}
-	en.settle(rn, oc)
+	en.recordOutcome(rn, oc)
 	delete(en.runs, rn.key)
 	rn.cancel()
-	en.report()
+	en.sampleLoad()
 }
 
-// settle records the outcome of a run and frees its memory slot, but keeps
+// recordOutcome records the outcome of a run and frees its memory slot, but keeps
 // its answer. The mutex is held.
-func (en *Engine) settle(rn *run, oc Outcome) {
+func (en *Engine) recordOutcome(rn *run, oc Outcome) {
 	if rn.rec.Outcome == "" {
 		rn.rec.Outcome = oc
 		rn.rec.EndedAt = en.now()
 	}
-	if !rn.slotAt.IsZero() {
-		rn.rec.SlotTime += clock.Of(time.Since(rn.slotAt))
-		rn.slotAt = time.Time{}
+	if !rn.slotSince.IsZero() {
+		rn.rec.SlotTime += clock.Of(time.Since(rn.slotSince))
+		rn.slotSince = time.Time{}
 	}
 	close(rn.changed)
 	rn.changed = make(chan struct{})
@@ -345,7 +345,7 @@
 func (en *Engine) slotsHeld() int {
 	held := 0
 	for _, rn := range en.runs {
-		if !rn.slotAt.IsZero() {
+		if !rn.slotSince.IsZero() {
 			held++
 		}
 	}
@@ -353,30 +353,30 @@
 }
 
 func (en *Engine) faultsChanged(ft standin.Faults) {
-	en.start()
+	en.initOnce()
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if ft.Dead {
 		for _, rn := range en.runs {
-			en.finish(rn, Lost)
+			en.endRun(rn, Lost)
 		}
 		clear(en.cancelled)
 		clear(en.fences)
 	}
-	en.report()
+	en.sampleLoad()
 }
 
-// cutIfDead drops the connection of a call that the engine died under.
-func (en *Engine) cutIfDead() {
+// abortIfDead drops the connection of a call that the engine died under.
+func (en *Engine) abortIfDead() {
 	if en.Control.Faults().Dead {
-		standin.Cut()
+		standin.AbortConnection()
 	}
 }
 
-// later runs a function after a span, unless the run or the engine ends.
-func (en *Engine) later(rn *run, dur time.Duration, fn func()) {
+// runAfter runs a function after a span, unless the run or the engine ends.
+func (en *Engine) runAfter(rn *run, dur time.Duration, fn func()) {
 	en.work.Go(func() {
-		if standin.Sleep(rn.life, dur) == nil {
+		if standin.Sleep(rn.ctx, dur) == nil {
 			fn()
 		}
 	})
@@ -386,7 +386,7 @@
 
 func (en *Engine) isCancelled(request string, attempt int) bool {
 	tb, ok := en.cancelled[request]
-	return ok && attempt <= tb.attempt && time.Now().Before(tb.until)
+	return ok && attempt <= tb.attempt && time.Now().Before(tb.expiresAt)
 }
 
 func vmOf(req *http.Request) board.VMRef {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -20,10 +20,10 @@
 	"alderdyke/internal/standin/engine"
 )
 
-func TestWholePathUnderVirtualTime(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
+func TestPrefillToDecodeInVirtualTime(t *testing.T) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		begin := time.Now()
-		bn.place("r1", "a prompt", 100)
+		bn.prefillAndImport("r1", "a prompt", 100)
 		// 100 ms of prefill, then 1000 bytes at 1000 bytes a second; the two
 		// links work at the same time, one part apart.
 		took := time.Since(begin)
@@ -43,7 +43,7 @@
 }
 
 func TestKVExpires(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		kv := bn.prefill("r1", "p", 100).KV
 		assert.Equal(t, bn.pre.History().KVKept, 1)
 		time.Sleep(810 * time.Millisecond)
@@ -58,9 +58,9 @@
 
 // A transfer that began in time ends, even if it takes longer than the KV
 // cache is kept for.
-func TestTransferKeepsItsKV(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
-		bn.place("r1", "p", 200) // 2 s on the link
+func TestTransferOutlivesKVRetention(t *testing.T) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+		bn.prefillAndImport("r1", "p", 200) // 2 s on the link
 		time.Sleep(time.Millisecond)
 		assert.Equal(t, bn.pre.History().KVKept, 0)
 	})
@@ -69,13 +69,13 @@
 func TestCancelFreesEveryStage(t *testing.T) {
 	start := map[sched.Stage]func(bn *bench) board.BackendServer{
 		wire.Queued: func(bn *bench) board.BackendServer {
-			go bn.order("other", 1000)
+			go bn.tryPrefill("other", 1000)
 			synctest.Wait()
-			go bn.order("r1", 100)
+			go bn.tryPrefill("r1", 100)
 			return bn.preSrv
 		},
 		sched.Prefilling: func(bn *bench) board.BackendServer {
-			go bn.order("r1", 1000)
+			go bn.tryPrefill("r1", 1000)
 			time.Sleep(100 * time.Millisecond)
 			return bn.preSrv
 		},
@@ -90,16 +90,16 @@
 			return bn.decSrv
 		},
 		wire.Imported: func(bn *bench) board.BackendServer {
-			bn.place("r1", "p", 100)
+			bn.prefillAndImport("r1", "p", 100)
 			return bn.decSrv
 		},
 		sched.Decoding: func(bn *bench) board.BackendServer {
-			bn.place("r1", "p", 100)
+			bn.prefillAndImport("r1", "p", 100)
 			bn.decode("r1", 100)
 			return bn.decSrv
 		},
 		sched.Ended: func(bn *bench) board.BackendServer {
-			bn.place("r1", "p", 100)
+			bn.prefillAndImport("r1", "p", 100)
 			_, err := collect(bn.baseCtx, bn.decode("r1", 3))
 			assert.NilError(bn.t, err)
 			return bn.decSrv
@@ -107,7 +107,7 @@
 	}
 	for stage, fn := range start {
 		t.Run(string(stage), func(t *testing.T) {
-			run(t, settings(), func(t *testing.T, bn *bench) {
+			withEngines(t, settings(), func(t *testing.T, bn *bench) {
 				srv := fn(bn)
 				synctest.Wait()
 				assert.Equal(t, bn.stages(srv)["r1"], stage)
@@ -117,17 +117,17 @@
 				_, held := bn.stages(srv)["r1"]
 				assert.Assert(t, !held)
 				assert.Equal(t, bn.dec.History().SlotsHeld, 0)
-				bn.declinesLateOrders(srv)
+				bn.assertLateOrdersDeclined(srv)
 			})
 		})
 	}
 }
 
-func (bn *bench) order(request string, tokens int) {
+func (bn *bench) tryPrefill(request string, tokens int) {
 	_, _ = bn.ec.Prefill(bn.baseCtx, bn.preSrv, wire.PrefillOrder{Request: request, Attempt: 1, PromptTokens: tokens})
 }
 
-func (bn *bench) declinesLateOrders(srv board.BackendServer) {
+func (bn *bench) assertLateOrdersDeclined(srv board.BackendServer) {
 	bn.t.Helper()
 	var err error
 	if srv.ID == bn.preSrv.ID {
@@ -139,7 +139,7 @@
 }
 
 func TestCancelOfAnAttemptLeavesLaterOnes(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		// The cancel order overtakes the order that it cancels.
 		assert.NilError(t, bn.ec.CancelAttempt(t.Context(), bn.preSrv, "r1", 1))
 		od := wire.PrefillOrder{Request: "r1", Attempt: 1, PromptTokens: 1}
@@ -153,9 +153,9 @@
 
 // A decode whose reader is gone goes on and holds its slot; a resumed stream
 // has no seam.
-func TestDecodeGoesOnWithoutReader(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
-		bn.place("r1", "p", 10)
+func TestDecodeContinuesWithoutReader(t *testing.T) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+		bn.prefillAndImport("r1", "p", 10)
 		st := bn.decode("r1", 50)
 		tok, err := st.Next(t.Context())
 		assert.NilError(t, err)
@@ -180,8 +180,8 @@
 	})
 }
 
-func TestQuickPassesPatient(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
+func TestQuickOvertakesPatient(t *testing.T) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		long, short := make(chan struct{}), make(chan struct{})
 		order := func(request string, quick bool, tokens int, done chan struct{}) {
 			defer close(done)
@@ -213,9 +213,9 @@
 }
 
 func TestStalledTransferHoldsOnlyItsSlot(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		kv := bn.prefill("r1", "p", 10).KV
-		bn.place("r2", "q", 10)
+		bn.prefillAndImport("r2", "q", 10)
 		bn.dec.Control.Set(standin.Faults{StallTransfer: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -242,9 +242,9 @@
 func TestSlotsAreLimitedAndBatchesSlowDown(t *testing.T) {
 	set := settings()
 	set.BatchSlowdown = 0.5
-	run(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *bench) {
 		for _, request := range []string{"r1", "r2", "r3"} {
-			bn.place(request, request, 1)
+			bn.prefillAndImport(request, request, 1)
 		}
 		kv := bn.prefill("r4", "p", 1).KV
 		err := bn.ec.Import(t.Context(), bn.decSrv, bn.importOrder("r4", kv))
@@ -261,8 +261,8 @@
 func TestSlowedEngineAndVariedLength(t *testing.T) {
 	set := settings()
 	set.VaryLength = true
-	run(t, set, func(t *testing.T, bn *bench) {
-		bn.place("r1", "p", 1)
+	withEngines(t, set, func(t *testing.T, bn *bench) {
+		bn.prefillAndImport("r1", "p", 1)
 		bn.dec.Control.Set(standin.Faults{Slowdown: 3})
 		begin := time.Now()
 		got, err := collect(t.Context(), bn.decode("r1", 50))
@@ -276,7 +276,7 @@
 func TestPrefixCacheAndItsEvents(t *testing.T) {
 	set := settings()
 	set.CacheBlocks, set.CacheEventLag, set.CacheEventLoss = 5, 1000, 0.4
-	run(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *bench) {
 		shared := strings.Repeat("s", 2*wire.BlockBytes)
 		assert.Equal(t, bn.prefill("r1", shared+strings.Repeat("a", 2*wire.BlockBytes), 400).CachedTokens, 0)
 		assert.Equal(t, bn.prefill("r2", shared+strings.Repeat("b", 2*wire.BlockBytes), 400).CachedTokens, 200)
@@ -298,9 +298,9 @@
 func TestLoadReportsLag(t *testing.T) {
 	set := settings()
 	set.LoadLag = 500
-	run(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *bench) {
 		time.Sleep(time.Second)
-		bn.place("r1", "p", 1)
+		bn.prefillAndImport("r1", "p", 1)
 		bn.dec.Control.Set(standin.Faults{Leaving: true})
 		load, err := bn.ec.Load(t.Context(), bn.decSrv)
 		assert.NilError(t, err)
@@ -324,7 +324,7 @@
 	for _, checks := range []bool{true, false} {
 		set := settings()
 		set.ChecksFencing = checks
-		run(t, set, func(t *testing.T, bn *bench) {
+		withEngines(t, set, func(t *testing.T, bn *bench) {
 			give := func(name string, fence uint64) (wire.OrderResult, error) {
 				return bn.ec.Order(t.Context(), bn.decSrv, wire.Order{Kind: wire.LoadModel, Name: name, Fence: fence})
 			}
@@ -349,8 +349,8 @@
 }
 
 func TestChangeRole(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
-		bn.place("r1", "p", 1)
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+		bn.prefillAndImport("r1", "p", 1)
 		st := bn.decode("r1", 5)
 		_, err := bn.ec.Order(t.Context(), bn.decSrv, wire.Order{Kind: wire.ChangeRole, Role: board.Prefill, Fence: 1})
 		assert.NilError(t, err)
@@ -363,8 +363,8 @@
 }
 
 func TestPauseAndDeath(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
-		bn.place("r1", "p", 1)
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+		bn.prefillAndImport("r1", "p", 1)
 		st := bn.decode("r1", 100)
 		_, err := st.Next(t.Context())
 		assert.NilError(t, err)
@@ -392,7 +392,7 @@
 
 // A KV cache whose prefill engine dies in the transfer frees the slot.
 func TestTransferFromDyingEngineFreesSlot(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		kv := bn.prefill("r1", "p", 100).KV
 		done := make(chan error, 1)
 		go func() { done <- bn.ec.Import(bn.baseCtx, bn.decSrv, bn.importOrder("r1", kv)) }()
@@ -407,9 +407,9 @@
 func TestPrefillQueueIsBounded(t *testing.T) {
 	set := settings()
 	set.PrefillQueue = 2
-	run(t, set, func(t *testing.T, bn *bench) {
-		go bn.order("r1", 1000)
-		go bn.order("r2", 1000)
+	withEngines(t, set, func(t *testing.T, bn *bench) {
+		go bn.tryPrefill("r1", 1000)
+		go bn.tryPrefill("r2", 1000)
 		synctest.Wait()
 		_, err := bn.ec.Prefill(t.Context(), bn.preSrv, wire.PrefillOrder{Request: "r3", PromptTokens: 1})
 		assert.Equal(t, reasonOf(err), backend.Full)
@@ -443,14 +443,14 @@
 	}
 }
 
-func TestTokenIsAskedOfEveryCall(t *testing.T) {
+func TestEveryCallRequiresToken(t *testing.T) {
 	set := settings()
 	set.Token = "s3cret"
-	run(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *bench) {
 		_, err := bn.ec.Load(t.Context(), bn.decSrv)
 		assert.Equal(t, reasonOf(err), backend.Unauthorized)
 		bn.ec.Token = "s3cret"
-		bn.place("r1", "p", 1)
+		bn.prefillAndImport("r1", "p", 1)
 	})
 }
 
@@ -484,7 +484,7 @@
 func (rc *recorder) WriteHeader(status int)         { rc.status = status }
 func (rc *recorder) Write(data []byte) (int, error) { return len(data), nil }
 
-func TestDecodeGoesOnAfterTokensOfAnAttemptBefore(t *testing.T) {
+func TestDecodeContinuesAfterAnsweredTokens(t *testing.T) {
 	const prompt, had, total = "field notes", 3, 7
 	tests := []struct {
 		name     string
@@ -496,7 +496,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			run(t, settings(), func(t *testing.T, bn *bench) {
+			withEngines(t, settings(), func(t *testing.T, bn *bench) {
 				res, err := bn.ec.Prefill(bn.baseCtx, bn.preSrv, wire.PrefillOrder{
 					Request: "r1", Attempt: 1, Prompt: prompt, PromptTokens: 10, Answered: tc.answered,
 				})
@@ -520,9 +520,9 @@
 	}
 }
 
-func TestDecodeRunsForWhoeverResumesItAndNotForWhoeverFollows(t *testing.T) {
-	run(t, settings(), func(t *testing.T, bn *bench) {
-		bn.place("r1", "notes", 10)
+func TestResumeReassignsDecodeButFollowDoesNot(t *testing.T) {
+	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+		bn.prefillAndImport("r1", "notes", 10)
 		bn.decode("r1", 50)
 		other := &wire.Client{HTTP: bn.hc, Self: board.VMRef{ID: "vm-2", Incarnation: 9}}
 		for _, tc := range []struct {
--- a/internal/standin/engine/history.go
+++ b/internal/standin/engine/history.go
@@ -90,13 +90,13 @@
 
 // History returns a copy of the record.
 func (en *Engine) History() History {
-	en.start()
+	en.initOnce()
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	out := en.history
 	out.Role, out.Now = en.role, en.now()
 	out.Runs = make([]*Run, len(en.history.Runs))
-	held := en.heldSlots()
+	held := en.slotTimes()
 	for ix, rec := range en.history.Runs {
 		cp := *rec
 		cp.Stages = slices.Clone(rec.Stages)
@@ -106,7 +106,7 @@
 	out.Orders = slices.Clone(en.history.Orders)
 	out.Declined = maps.Clone(en.history.Declined)
 	for _, rn := range en.runs {
-		if !rn.slotAt.IsZero() {
+		if !rn.slotSince.IsZero() {
 			out.SlotsHeld++
 		}
 		if rn.stage == sched.Prefilled {
@@ -119,13 +119,13 @@
 	return out
 }
 
-// heldSlots tells for how long the runs at present have held their memory
+// slotTimes tells for how long the runs at present have held their memory
 // slots. The mutex is held.
-func (en *Engine) heldSlots() map[*Run]clock.Millis {
+func (en *Engine) slotTimes() map[*Run]clock.Millis {
 	out := map[*Run]clock.Millis{}
 	for _, rn := range en.runs {
-		if !rn.slotAt.IsZero() {
-			out[rn.rec] = clock.Of(time.Since(rn.slotAt))
+		if !rn.slotSince.IsZero() {
+			out[rn.rec] = clock.Of(time.Since(rn.slotSince))
 		}
 	}
 	return out
@@ -135,7 +135,7 @@
 // use if a decode began from its KV cache.
 func WasteOf(hists ...History) Waste {
 	began, coming := map[string]bool{}, map[string]bool{}
-	for rec := range every(hists, board.Decode) {
+	for rec := range runsOfRole(hists, board.Decode) {
 		if rec.Decodes > 0 {
 			began[rec.KV] = true
 		}
@@ -144,7 +144,7 @@
 		}
 	}
 	var out Waste
-	for rec := range every(hists, board.Prefill) {
+	for rec := range runsOfRole(hists, board.Prefill) {
 		out.Computed += rec.ComputedTokens
 		switch {
 		case began[rec.KV]:
@@ -157,7 +157,7 @@
 	return out
 }
 
-func every(hists []History, role board.Role) iter.Seq[*Run] {
+func runsOfRole(hists []History, role board.Role) iter.Seq[*Run] {
 	return func(yield func(*Run) bool) {
 		for _, hs := range hists {
 			for _, rec := range hs.Runs {
--- a/internal/standin/engine/lane.go
+++ b/internal/standin/engine/lane.go
@@ -20,7 +20,7 @@
 	lane struct {
 		mu      sync.Mutex
 		busy    bool
-		free    time.Time // when the last turn was due to end
+		turnEnd time.Time // when the last turn was due to end
 		waiting []*turn
 	}
 
@@ -32,33 +32,33 @@
 
 	// job is a piece of work that takes as many turns as it needs.
 	job struct {
-		rn      *run
-		length  time.Duration                         // at the engine's usual pace
-		stretch func(dur time.Duration) time.Duration // how long a turn takes now
-		held    func() bool                           // tells whether the job must not go on now
-		await   func(ctx context.Context) error       // waits until it may
-		step    func(done time.Duration)              // is told of every turn; must not wait
+		rn             *run
+		length         time.Duration                         // at the engine's usual pace
+		slowed         func(dur time.Duration) time.Duration // how long a turn takes now
+		blocked        func() bool                           // tells whether the job must not go on now
+		awaitUnblocked func(ctx context.Context) error       // waits until it may
+		onProgress     func(done time.Duration)              // is told of every turn; must not wait
 	}
 )
 
-// use does a whole job. While the job is held up it leaves the lane to
+// run does a whole job. While the job is held up it leaves the lane to
 // others.
-func (ln *lane) use(jb job) error {
+func (ln *lane) run(jb job) error {
 	holds := false
 	for done := time.Duration(0); done < jb.length; {
 		if !holds {
-			if err := ln.enter(jb); err != nil {
+			if err := ln.awaitTurn(jb); err != nil {
 				return err
 			}
 		}
 		part := min(jb.length-done, quantum)
-		if err := standin.Sleep(jb.rn.life, time.Until(ln.due(jb.stretch(part)))); err != nil {
+		if err := standin.Sleep(jb.rn.ctx, time.Until(ln.nextTurnEnd(jb.slowed(part)))); err != nil {
 			ln.release()
 			return err
 		}
 		done += part
-		jb.step(done)
-		holds = done < jb.length && !jb.held() && ln.first(jb.rn)
+		jb.onProgress(done)
+		holds = done < jb.length && !jb.blocked() && ln.precedesWaiting(jb.rn)
 		if !holds {
 			ln.release()
 		}
@@ -66,34 +66,34 @@
 	return nil
 }
 
-func (ln *lane) enter(jb job) error {
-	if err := jb.await(jb.rn.life); err != nil {
+func (ln *lane) awaitTurn(jb job) error {
+	if err := jb.awaitUnblocked(jb.rn.ctx); err != nil {
 		return err
 	}
-	return ln.take(jb.rn)
+	return ln.acquire(jb.rn)
 }
 
-// first tells whether a run that holds the lane comes before all that wait.
-func (ln *lane) first(rn *run) bool {
+// precedesWaiting tells whether a run that holds the lane comes before all that wait.
+func (ln *lane) precedesWaiting(rn *run) bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	return len(ln.waiting) == 0 || compare(&turn{quick: rn.quick, seq: rn.seq}, ln.waiting[0]) < 0
+	return len(ln.waiting) == 0 || compareTurns(&turn{quick: rn.quick, seq: rn.seq}, ln.waiting[0]) < 0
 }
 
-// due tells when a turn ends. A turn that begins right after another is
+// nextTurnEnd tells when a turn ends. A turn that begins right after another is
 // measured from the other's end, so that late timers do not add up.
-func (ln *lane) due(dur time.Duration) time.Time {
+func (ln *lane) nextTurnEnd(dur time.Duration) time.Time {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	from := time.Now()
-	if late := from.Sub(ln.free); late >= 0 && late < quantum {
-		from = ln.free
+	if late := from.Sub(ln.turnEnd); late >= 0 && late < quantum {
+		from = ln.turnEnd
 	}
-	ln.free = from.Add(dur)
-	return ln.free
+	ln.turnEnd = from.Add(dur)
+	return ln.turnEnd
 }
 
-func (ln *lane) take(rn *run) error {
+func (ln *lane) acquire(rn *run) error {
 	ln.mu.Lock()
 	if !ln.busy {
 		ln.busy = true
@@ -101,20 +101,20 @@
 		return nil
 	}
 	tn := &turn{quick: rn.quick, seq: rn.seq, ready: make(chan struct{})}
-	ix, _ := slices.BinarySearchFunc(ln.waiting, tn, compare)
+	ix, _ := slices.BinarySearchFunc(ln.waiting, tn, compareTurns)
 	ln.waiting = slices.Insert(ln.waiting, ix, tn)
 	ln.mu.Unlock()
 	select {
 	case <-tn.ready:
 		return nil
-	case <-rn.life.Done():
-		ln.leave(tn)
-		return fmt.Errorf("wait for a turn: %w", rn.life.Err())
+	case <-rn.ctx.Done():
+		ln.withdraw(tn)
+		return fmt.Errorf("wait for a turn: %w", rn.ctx.Err())
 	}
 }
 
-// leave takes a turn back. If it was given meanwhile, it is passed on.
-func (ln *lane) leave(tn *turn) {
+// withdraw takes a turn back. If it was given meanwhile, it is passed on.
+func (ln *lane) withdraw(tn *turn) {
 	ln.mu.Lock()
 	ix := slices.Index(ln.waiting, tn)
 	if ix >= 0 {
@@ -138,7 +138,7 @@
 	close(tn.ready)
 }
 
-func compare(ta, tb *turn) int {
+func compareTurns(ta, tb *turn) int {
 	if ta.quick != tb.quick {
 		if ta.quick {
 			return -1
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -27,38 +27,38 @@
 func (en *Engine) cancel(od wire.CancelOrder) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.noteCancel(od)
+	en.addTombstone(od)
 	ended := 0
 	for key, rn := range en.runs {
 		if key.request == od.Request && key.attempt <= od.Attempt {
-			en.finish(rn, Cancelled)
+			en.endRun(rn, Cancelled)
 			ended++
 		}
 	}
 	return ended
 }
 
-func (en *Engine) noteCancel(od wire.CancelOrder) {
+func (en *Engine) addTombstone(od wire.CancelOrder) {
 	now := time.Now()
 	if len(en.cancelled) >= maxTombstones {
 		for request, tb := range en.cancelled {
-			if now.After(tb.until) {
+			if now.After(tb.expiresAt) {
 				delete(en.cancelled, request)
 			}
 		}
 	}
 	en.cancelled[od.Request] = tombstone{
-		attempt: max(od.Attempt, en.cancelled[od.Request].attempt),
-		until:   now.Add(en.Settings.KeepCancelled.Std()),
+		attempt:   max(od.Attempt, en.cancelled[od.Request].attempt),
+		expiresAt: now.Add(en.Settings.CancelRetention.Std()),
 	}
 }
 
 func (en *Engine) serveRunning(rw http.ResponseWriter, _ *http.Request) {
-	standin.WriteJSON(rw, en.running())
+	standin.WriteJSON(rw, en.runningReport())
 }
 
-// running lists the runs in the order of their beginning.
-func (en *Engine) running() wire.RunningReport {
+// runningReport lists the runs in the order of their beginning.
+func (en *Engine) runningReport() wire.RunningReport {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	held := slices.SortedFunc(maps.Values(en.runs), func(ra, rb *run) int { return cmp.Compare(ra.seq, rb.seq) })
@@ -66,7 +66,7 @@
 	for _, rn := range held {
 		doc.Runs = append(doc.Runs, wire.Running{
 			Request: rn.key.request, Customer: rn.rec.Customer, Attempt: rn.key.attempt, VM: rn.rec.VM,
-			Stage: rn.stage, Since: clock.Of(time.Since(rn.since)), Slot: !rn.slotAt.IsZero(), Tokens: len(rn.tokens),
+			Stage: rn.stage, Since: clock.Of(time.Since(rn.stageSince)), Slot: !rn.slotSince.IsZero(), Tokens: len(rn.tokens),
 		})
 	}
 	return doc
@@ -74,22 +74,22 @@
 
 func (en *Engine) serveOrder(rw http.ResponseWriter, req *http.Request) {
 	var od wire.Order
-	if err := standin.ReadJSON(req, standin.MaxBody, &od); err != nil || !sound(od) {
+	if err := standin.ReadJSON(req, standin.MaxBody, &od); err != nil || !validOrder(od) {
 		en.decline(rw, backend.BadOrder, 0)
 		return
 	}
-	res, ok := en.carryOut(od, vmOf(req))
+	res, ok := en.applyOrder(od, vmOf(req))
 	if !ok {
 		en.decline(rw, backend.StaleFence, 0)
 		return
 	}
-	if od.Kind != wire.ChangeRole && !res.Repeated && standin.Sleep(req.Context(), en.Settings.LoadTime.Std()) != nil {
+	if od.Kind != wire.ChangeRole && !res.Repeated && standin.Sleep(req.Context(), en.Settings.ModelLoadTime.Std()) != nil {
 		return
 	}
 	standin.WriteJSON(rw, res)
 }
 
-func sound(od wire.Order) bool {
+func validOrder(od wire.Order) bool {
 	switch od.Kind {
 	case wire.ChangeRole:
 		return od.Role == board.Prefill || od.Role == board.Decode
@@ -100,41 +100,41 @@
 	}
 }
 
-// carryOut checks the fencing number, records the order and changes the
+// applyOrder checks the fencing number, records the order and changes the
 // engine.
-func (en *Engine) carryOut(od wire.Order, vm board.VMRef) (wire.OrderResult, bool) {
+func (en *Engine) applyOrder(od wire.Order, vm board.VMRef) (wire.OrderResult, bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	ok := en.fence("Order", od.Fence) && (od.Fence != 0 || !en.Settings.ChecksFencing)
+	ok := en.acceptFence("Order", od.Fence) && (od.Fence != 0 || !en.Settings.ChecksFencing)
 	en.history.Orders = append(en.history.Orders, OrderRecord{Order: od, VM: vm, At: en.now(), Accepted: ok})
 	if !ok {
 		return wire.OrderResult{}, false
 	}
-	en.state.Role = en.role
-	before := en.state
+	en.orderState.Role = en.role
+	before := en.orderState
 	before.Repeated = true
 	switch od.Kind {
 	case wire.ChangeRole:
 		if en.role == od.Role {
 			return before, true
 		}
-		en.role, en.state.Role = od.Role, od.Role
+		en.role, en.orderState.Role = od.Role, od.Role
 	case wire.LoadModel:
-		if en.state.Model == od.Name {
+		if en.orderState.Model == od.Name {
 			return before, true
 		}
-		en.state.Model = od.Name
+		en.orderState.Model = od.Name
 	case wire.LoadVersion:
-		if en.state.Version == od.Name {
+		if en.orderState.Version == od.Name {
 			return before, true
 		}
-		en.state.Version = od.Name
+		en.orderState.Version = od.Name
 	case wire.LoadAdapter:
-		if slices.Contains(en.state.Adapters, od.Name) {
+		if slices.Contains(en.orderState.Adapters, od.Name) {
 			return before, true
 		}
-		en.state.Adapters = append(slices.Clone(en.state.Adapters), od.Name)
+		en.orderState.Adapters = append(slices.Clone(en.orderState.Adapters), od.Name)
 	}
-	en.report()
-	return en.state, true
+	en.sampleLoad()
+	return en.orderState, true
 }
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -24,12 +24,12 @@
 	}
 	rn, reason := en.admitPrefill(od, vmOf(req))
 	if reason != "" {
-		en.decline(rw, reason, en.Settings.KeepPrefill)
+		en.decline(rw, reason, en.Settings.KVRetention)
 		return
 	}
 	select {
 	case <-rn.done:
-		en.answerPrefill(rw, rn)
+		en.writePrefillResult(rw, rn)
 	case <-req.Context().Done(): // the work goes on
 	}
 }
@@ -37,17 +37,17 @@
 func (en *Engine) admitPrefill(od wire.PrefillOrder, vm board.VMRef) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	reason := en.admit(board.Prefill, od.Request, od.Attempt)
+	reason := en.declineReason(board.Prefill, od.Request, od.Attempt)
 	if reason != "" {
 		return nil, reason
 	}
-	if en.computing() >= en.Settings.PrefillQueue {
+	if en.activePrefills() >= en.Settings.PrefillQueue {
 		return nil, backend.Full
 	}
-	if !en.fence("Work", od.Fence) {
+	if !en.acceptFence("Work", od.Fence) {
 		return nil, backend.StaleFence
 	}
-	rn := en.begin(runKey{od.Request, od.Attempt, board.Prefill}, od.Customer, od.Quick, vm)
+	rn := en.newRun(runKey{od.Request, od.Attempt, board.Prefill}, od.Customer, od.Quick, vm)
 	rn.kv = kvCache{
 		name: fmt.Sprintf("%s/%s/%d/%d", en.ID, od.Request, od.Attempt, rn.seq),
 		hash: contextHash(od), tokens: od.PromptTokens, base: len(od.Answered),
@@ -57,8 +57,8 @@
 		rn.kv.length = en.Settings.Length(od.Prompt, math.MaxInt32)
 	}
 	rn.rec.KV, rn.rec.PromptHash, rn.rec.PromptTokens = rn.kv.name, rn.kv.hash, rn.kv.tokens
-	en.enter(rn, wire.Queued)
-	en.work.Go(func() { en.compute(rn, od) })
+	en.setStage(rn, wire.Queued)
+	en.work.Go(func() { en.runPrefill(rn, od) })
 	return rn, ""
 }
 
@@ -71,8 +71,8 @@
 	return standin.Hash(od.Prompt + strings.Join(od.Answered, ""))
 }
 
-// computing counts the prefills that wait or run. The mutex is held.
-func (en *Engine) computing() int {
+// activePrefills counts the prefills that wait or run. The mutex is held.
+func (en *Engine) activePrefills() int {
 	count := 0
 	for _, rn := range en.runs {
 		if rn.stage == wire.Queued || rn.stage == sched.Prefilling {
@@ -82,11 +82,11 @@
 	return count
 }
 
-// compute waits for its turn, computes what the prefix cache does not hold
+// runPrefill waits for its turn, computes what the prefix cache does not hold
 // and keeps the KV cache for a while.
-func (en *Engine) compute(rn *run, od wire.PrefillOrder) {
-	jb := en.job(rn, time.Nanosecond) // its turn has come once this is over
-	if en.prefills.use(jb) != nil {
+func (en *Engine) runPrefill(rn *run, od wire.PrefillOrder) {
+	jb := en.newJob(rn, time.Nanosecond) // its turn has come once this is over
+	if en.prefills.run(jb) != nil {
 		return
 	}
 	prefixes := wire.Prefixes(od.Prompt)
@@ -96,32 +96,32 @@
 		cached = od.PromptTokens * en.cache.match(prefixes) * wire.BlockBytes / len(od.Prompt)
 	}
 	rn.rec.CachedTokens = cached
-	en.enter(rn, sched.Prefilling)
+	en.setStage(rn, sched.Prefilling)
 	en.mu.Unlock()
 
 	todo := od.PromptTokens - cached
-	jb = en.job(rn, span(float64(todo), en.Settings.PrefillTokensPerSecond))
-	jb.step = func(done time.Duration) {
+	jb = en.newJob(rn, durationAt(float64(todo), en.Settings.PrefillTokensPerSecond))
+	jb.onProgress = func(done time.Duration) {
 		en.mu.Lock()
 		rn.rec.ComputedTokens = int(float64(todo) * float64(done) / float64(jb.length))
 		en.mu.Unlock()
 	}
-	if en.prefills.use(jb) != nil {
+	if en.prefills.run(jb) != nil {
 		return
 	}
-	en.keep(rn, prefixes, cached)
+	en.retainKV(rn, prefixes, cached)
 }
 
-// job makes a job of a run that stands still while the engine is paused.
-func (en *Engine) job(rn *run, length time.Duration) job {
+// newJob makes a newJob of a run that stands still while the engine is paused.
+func (en *Engine) newJob(rn *run, length time.Duration) job {
 	return job{
-		rn: rn, length: length, stretch: en.Control.Stretch, await: en.Control.Running,
-		held: func() bool { return en.Control.Faults().Pause }, step: func(time.Duration) {},
+		rn: rn, length: length, slowed: en.Control.Slowed, awaitUnblocked: en.Control.AwaitUnpaused,
+		blocked: func() bool { return en.Control.Faults().Pause }, onProgress: func(time.Duration) {},
 	}
 }
 
-// keep makes a computed KV cache ready for its transfer.
-func (en *Engine) keep(rn *run, prefixes []uint64, cached int) {
+// retainKV makes a computed KV cache ready for its transfer.
+func (en *Engine) retainKV(rn *run, prefixes []uint64, cached int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.runs[rn.key] != rn {
@@ -129,35 +129,35 @@
 	}
 	blocks := max(1, len(prefixes))
 	en.cache.store(prefixes, rn.kv.tokens/blocks, time.Now())
-	rn.kv.until = time.Now().Add(en.Settings.KeepPrefill.Std())
+	rn.kv.expiresAt = time.Now().Add(en.Settings.KVRetention.Std())
 	rn.result = wire.PrefillResult{
 		KV: rn.kv.name, Tokens: rn.kv.tokens, CachedTokens: cached,
-		KVBytes: rn.kv.bytes, KeptFor: en.Settings.KeepPrefill,
+		KVBytes: rn.kv.bytes, KeptFor: en.Settings.KVRetention,
 	}
-	en.enter(rn, sched.Prefilled)
+	en.setStage(rn, sched.Prefilled)
 	close(rn.done)
-	en.later(rn, en.Settings.KeepPrefill.Std(), func() { en.expire(rn) })
+	en.runAfter(rn, en.Settings.KVRetention.Std(), func() { en.expireKV(rn) })
 }
 
-// expire drops a KV cache whose time is over and that no transfer reads.
-func (en *Engine) expire(rn *run) {
-	if en.Control.Running(rn.life) != nil {
+// expireKV drops a KV cache whose time is over and that no transfer reads.
+func (en *Engine) expireKV(rn *run) {
+	if en.Control.AwaitUnpaused(rn.ctx) != nil {
 		return
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if rn.kv.pins > 0 || time.Now().Before(rn.kv.until) {
+	if rn.kv.pins > 0 || time.Now().Before(rn.kv.expiresAt) {
 		return
 	}
 	oc := Expired
 	if rn.rec.Exports > 0 {
 		oc = Complete
 	}
-	en.finish(rn, oc)
+	en.endRun(rn, oc)
 }
 
-func (en *Engine) answerPrefill(rw http.ResponseWriter, rn *run) {
-	en.cutIfDead()
+func (en *Engine) writePrefillResult(rw http.ResponseWriter, rn *run) {
+	en.abortIfDead()
 	en.mu.Lock()
 	res, ok := rn.result, rn.result.KV != ""
 	en.mu.Unlock()
@@ -168,14 +168,14 @@
 	standin.WriteJSON(rw, res)
 }
 
-// span is how long an amount of work takes at a rate per second.
-func span(amount, perSecond float64) time.Duration {
+// durationAt is how long an amount of work takes at a rate per second.
+func durationAt(amount, perSecond float64) time.Duration {
 	return time.Duration(amount / perSecond * float64(time.Second))
 }
 
-// fence checks and remembers a fencing number. Zero stands for none and is
+// acceptFence checks and remembers a fencing number. Zero stands for none and is
 // let through. The mutex is held.
-func (en *Engine) fence(kind string, number uint64) bool {
+func (en *Engine) acceptFence(kind string, number uint64) bool {
 	if number == 0 {
 		return true
 	}
@@ -188,15 +188,15 @@
 
 func (en *Engine) serveLoad(rw http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
-	en.report()
-	seen := en.lagged(time.Now().Add(-en.Settings.LoadLag.Std()))
+	en.sampleLoad()
+	seen := en.laggedLoad(time.Now().Add(-en.Settings.LoadLag.Std()))
 	en.mu.Unlock()
 	seen.doc.Age = clock.Of(time.Since(seen.at))
 	standin.WriteJSON(rw, seen.doc)
 }
 
-// report remembers the load of this moment. The mutex is held.
-func (en *Engine) report() {
+// sampleLoad remembers the load of this moment. The mutex is held.
+func (en *Engine) sampleLoad() {
 	doc := wire.LoadDoc{Role: en.role, LinkBytes: en.linkBytes, Leaving: en.Control.Faults().Leaving}
 	if en.role == board.Decode {
 		doc.Slots, doc.Running = en.Settings.Slots, en.slotsHeld()
@@ -212,13 +212,13 @@
 		}
 	}
 	now := time.Now()
-	en.loads = append(en.loads, stampedLoad{at: now, doc: doc})
-	en.lagged(now.Add(-en.Settings.LoadLag.Std()))
+	en.loads = append(en.loads, loadSample{at: now, doc: doc})
+	en.laggedLoad(now.Add(-en.Settings.LoadLag.Std()))
 }
 
-// lagged returns the load of a past moment and forgets what was before it.
+// laggedLoad returns the load of a past moment and forgets what was before it.
 // The mutex is held.
-func (en *Engine) lagged(at time.Time) stampedLoad {
+func (en *Engine) laggedLoad(at time.Time) loadSample {
 	ix := 0
 	for ix+1 < len(en.loads) && !en.loads[ix+1].at.After(at) {
 		ix++
--- a/internal/standin/engine/rig_test.go
+++ b/internal/standin/engine/rig_test.go
@@ -34,12 +34,12 @@
 // token, 1000 bytes a second on the link, 10 ms a token.
 func settings() engine.Settings {
 	return engine.Settings{
-		PrefillTokensPerSecond: 1000, KeepPrefill: 800, KVBytesPerToken: 10,
+		PrefillTokensPerSecond: 1000, KVRetention: 800, KVBytesPerToken: 10,
 		LinkBytesPerSecond: 1000, Slots: 3, TPOT: 10,
 	}
 }
 
-func run(t *testing.T, set engine.Settings, fn func(t *testing.T, bn *bench)) {
+func withEngines(t *testing.T, set engine.Settings, fn func(t *testing.T, bn *bench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		bn := &bench{t: t, nw: &standin.Network{}, baseCtx: t.Context()}
@@ -79,8 +79,8 @@
 	return wire.ImportOrder{Request: request, Customer: "c1", Attempt: 1, KV: kv, From: bn.preSrv.Address}
 }
 
-// place prefills and imports a request.
-func (bn *bench) place(request, prompt string, tokens int) {
+// prefillAndImport prefills and imports a request.
+func (bn *bench) prefillAndImport(request, prompt string, tokens int) {
 	bn.t.Helper()
 	kv := bn.prefill(request, prompt, tokens).KV
 	assert.NilError(bn.t, bn.ec.Import(bn.baseCtx, bn.decSrv, bn.importOrder(request, kv)))
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -19,7 +19,7 @@
 	"alderdyke/internal/standin"
 )
 
-var errTransfer = errors.New("KV cache did not arrive whole")
+var errIncompleteKV = errors.New("KV cache did not arrive whole")
 
 type (
 	// kvHead opens a transfer between two stand-ins. The bytes themselves
@@ -40,21 +40,21 @@
 
 // serveKV sends a kept KV cache at the pace of the link.
 func (en *Engine) serveKV(rw http.ResponseWriter, req *http.Request) {
-	rn := en.pin(req.URL.Query().Get("KV"))
+	rn := en.pinKV(req.URL.Query().Get("KV"))
 	if rn == nil {
 		en.decline(rw, backend.NoKV, 0)
 		return
 	}
-	defer en.unpin(rn)
+	defer en.unpinKV(rn)
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	defer context.AfterFunc(rn.life, cancel)()
-	tr := &run{seq: rn.seq, life: ctx, quick: req.URL.Query().Get("Quick") == "true"}
-	en.send(rw, rn, tr)
+	defer context.AfterFunc(rn.ctx, cancel)()
+	tr := &run{seq: rn.seq, ctx: ctx, quick: req.URL.Query().Get("Quick") == "true"}
+	en.sendKV(rw, rn, tr)
 }
 
-// pin finds a kept KV cache and keeps it until unpin.
-func (en *Engine) pin(name string) *run {
+// pinKV finds a kept KV cache and keeps it until unpin.
+func (en *Engine) pinKV(name string) *run {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, rn := range en.runs {
@@ -66,21 +66,21 @@
 	return nil
 }
 
-func (en *Engine) unpin(rn *run) {
+func (en *Engine) unpinKV(rn *run) {
 	en.mu.Lock()
 	rn.kv.pins--
 	en.mu.Unlock()
-	en.expire(rn)
+	en.expireKV(rn)
 }
 
-// send writes a KV cache part by part as it passes the egress link. The
+// sendKV writes a KV cache part by part as it passes the egress link. The
 // connection is written to without holding the link.
-func (en *Engine) send(rw http.ResponseWriter, rn, tr *run) {
+func (en *Engine) sendKV(rw http.ResponseWriter, rn, tr *run) {
 	enc, flush := json.NewEncoder(rw), http.NewResponseController(rw)
 	if enc.Encode(kvHead{Hash: rn.kv.hash, Tokens: rn.kv.tokens, Base: rn.kv.base, Length: rn.kv.length, Bytes: rn.kv.bytes}) != nil {
 		return
 	}
-	for part := range en.export(rn, tr) {
+	for part := range en.exportKV(rn, tr) {
 		if enc.Encode(part) != nil || flush.Flush() != nil {
 			return
 		}
@@ -91,58 +91,58 @@
 			return
 		}
 	}
-	standin.Cut()
+	standin.AbortConnection()
 }
 
-// export passes a KV cache over the egress link and tells of every part. The
+// exportKV passes a KV cache over the egress link and tells of every part. The
 // channel is closed early if the transfer was given up.
-func (en *Engine) export(rn, tr *run) <-chan kvPart {
-	jb := en.transfer(tr, rn.kv.bytes)
+func (en *Engine) exportKV(rn, tr *run) <-chan kvPart {
+	jb := en.newTransferJob(tr, rn.kv.bytes)
 	parts := make(chan kvPart, int(jb.length/quantum)+2) // has room for all
 	var sent int64
-	jb.step = func(done time.Duration) {
+	jb.onProgress = func(done time.Duration) {
 		now := min(rn.kv.bytes, int64(float64(rn.kv.bytes)*float64(done)/float64(jb.length)))
 		if now > sent {
 			parts <- kvPart{Bytes: now - sent}
-			en.addLink(sent - now)
+			en.addLinkBytes(sent - now)
 			sent = now
 		}
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.life.Err() != nil {
+	if en.ctx.Err() != nil {
 		close(parts)
 		return parts
 	}
 	en.linkBytes += rn.kv.bytes
-	en.report()
+	en.sampleLoad()
 	en.work.Go(func() {
 		defer close(parts)
-		defer func() { en.addLink(sent - rn.kv.bytes) }()
-		if en.egress.use(jb) == nil {
+		defer func() { en.addLinkBytes(sent - rn.kv.bytes) }()
+		if en.egress.run(jb) == nil {
 			parts <- kvPart{Done: true}
 		}
 	})
 	return parts
 }
 
-// transfer makes a job that takes the link for a number of bytes and stands
+// newTransferJob makes a job that takes the link for a number of bytes and stands
 // still while transfers stall.
-func (en *Engine) transfer(rn *run, bytes int64) job {
-	jb := en.job(rn, span(float64(bytes), en.Settings.LinkBytesPerSecond))
-	jb.await = en.Control.Moving
-	jb.held = func() bool {
+func (en *Engine) newTransferJob(rn *run, bytes int64) job {
+	jb := en.newJob(rn, durationAt(float64(bytes), en.Settings.LinkBytesPerSecond))
+	jb.awaitUnblocked = en.Control.AwaitUnstalled
+	jb.blocked = func() bool {
 		ft := en.Control.Faults()
 		return ft.Pause || ft.StallTransfer
 	}
 	return jb
 }
 
-func (en *Engine) addLink(by int64) {
+func (en *Engine) addLinkBytes(by int64) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.linkBytes += by
-	en.report()
+	en.sampleLoad()
 }
 
 func (en *Engine) serveImport(rw http.ResponseWriter, req *http.Request) {
@@ -161,7 +161,7 @@
 	case <-req.Context().Done(): // the work goes on
 		return
 	}
-	en.cutIfDead()
+	en.abortIfDead()
 	en.mu.Lock()
 	reason = rn.failure
 	gone := rn.stage != wire.Imported && rn.stage != sched.Decoding && rn.stage != sched.Ended
@@ -179,24 +179,24 @@
 func (en *Engine) admitImport(od wire.ImportOrder, vm board.VMRef) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	reason := en.admit(board.Decode, od.Request, od.Attempt)
+	reason := en.declineReason(board.Decode, od.Request, od.Attempt)
 	if reason != "" {
 		return nil, reason
 	}
 	if en.slotsHeld() >= en.Settings.Slots {
 		return nil, backend.Full
 	}
-	rn := en.begin(runKey{od.Request, od.Attempt, board.Decode}, od.Customer, od.Quick, vm)
-	rn.slotAt = time.Now()
+	rn := en.newRun(runKey{od.Request, od.Attempt, board.Decode}, od.Customer, od.Quick, vm)
+	rn.slotSince = time.Now()
 	rn.rec.KV = od.KV
-	en.enter(rn, sched.Transferring)
-	en.work.Go(func() { en.receive(rn, od) })
+	en.setStage(rn, sched.Transferring)
+	en.work.Go(func() { en.importKV(rn, od) })
 	return rn, ""
 }
 
-// receive fetches a KV cache into the memory slot, or frees the slot.
-func (en *Engine) receive(rn *run, od wire.ImportOrder) {
-	head, err := en.fetch(rn, od)
+// importKV fetches a KV cache into the memory slot, or frees the slot.
+func (en *Engine) importKV(rn *run, od wire.ImportOrder) {
+	head, err := en.fetchKV(rn, od)
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.runs[rn.key] != rn {
@@ -207,23 +207,23 @@
 		if de, ok := errors.AsType[backend.DeclinedError](err); ok && de.Reason == backend.NoKV {
 			rn.failure = backend.NoKV
 		}
-		en.finish(rn, TransferFailed)
+		en.endRun(rn, TransferFailed)
 		return
 	}
 	rn.kv = kvCache{hash: head.Hash, tokens: head.Tokens, base: head.Base, length: head.Length, bytes: head.Bytes}
 	rn.rec.PromptHash, rn.rec.PromptTokens = head.Hash, head.Tokens
-	en.enter(rn, wire.Imported)
+	en.setStage(rn, wire.Imported)
 	close(rn.done)
 }
 
-func (en *Engine) fetch(rn *run, od wire.ImportOrder) (kvHead, error) {
+func (en *Engine) fetchKV(rn *run, od wire.ImportOrder) (kvHead, error) {
 	qy := url.Values{"KV": {od.KV}, "Quick": {strconv.FormatBool(od.Quick)}}
 	dest := url.URL{Scheme: "http", Host: od.From, Path: wire.KVPath, RawQuery: qy.Encode()}
-	req, err := http.NewRequestWithContext(rn.life, http.MethodGet, dest.String(), nil)
+	req, err := http.NewRequestWithContext(rn.ctx, http.MethodGet, dest.String(), nil)
 	if err != nil {
 		return kvHead{}, fmt.Errorf("fetch KV cache: %w", err)
 	}
-	rsp, err := backend.Send(rn.life, en.HTTP, backend.Call{Server: od.From, Name: "KV", Request: req, FreshConnection: true})
+	rsp, err := backend.Send(rn.ctx, en.HTTP, backend.Call{Server: od.From, Name: "KV", Request: req, FreshConnection: true})
 	if err != nil {
 		return kvHead{}, fmt.Errorf("fetch KV cache: %w", err)
 	}
@@ -238,20 +238,20 @@
 	dec := json.NewDecoder(body)
 	var head kvHead
 	if err := dec.Decode(&head); err != nil {
-		return kvHead{}, fmt.Errorf("read head: %w", errTransfer)
+		return kvHead{}, fmt.Errorf("read head: %w", errIncompleteKV)
 	}
 	for left := head.Bytes; ; {
 		var part kvPart
 		if err := dec.Decode(&part); err != nil {
-			return kvHead{}, fmt.Errorf("read part: %w", errTransfer)
+			return kvHead{}, fmt.Errorf("read part: %w", errIncompleteKV)
 		}
 		if part.Done && left == 0 {
 			return head, nil
 		}
 		if part.Done || part.Bytes <= 0 || part.Bytes > left {
-			return kvHead{}, fmt.Errorf("count parts: %w", errTransfer)
+			return kvHead{}, fmt.Errorf("count parts: %w", errIncompleteKV)
 		}
-		if err := en.ingress.use(en.transfer(rn, part.Bytes)); err != nil {
+		if err := en.ingress.run(en.newTransferJob(rn, part.Bytes)); err != nil {
 			return kvHead{}, err
 		}
 		left -= part.Bytes
--- a/internal/standin/engine/transfer_test.go
+++ b/internal/standin/engine/transfer_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// receiver takes parts in no time.
-func receiver(tb testing.TB) func(text string) (kvHead, error) {
+// newReceiver takes parts in no time.
+func newReceiver(tb testing.TB) func(text string) (kvHead, error) {
 	en := &Engine{ID: "d1", Settings: Settings{LinkBytesPerSecond: 1e40}}
-	en.start()
+	en.initOnce()
 	tb.Cleanup(en.Close)
-	rn := &run{life: context.Background()}
+	rn := &run{ctx: context.Background()}
 	return func(text string) (kvHead, error) { return en.receiveParts(rn, strings.NewReader(text)) }
 }
 
 func TestReceiveParts(t *testing.T) {
-	receive := receiver(t)
+	receive := newReceiver(t)
 	cases := map[string]bool{
 		`{"Bytes":5}{"Bytes":2}{"Bytes":3}{"Done":true}`:  true,
 		`{"Bytes":0}{"Done":true}`:                        true,
@@ -35,7 +35,7 @@
 }
 
 func FuzzReceiveParts(f *testing.F) {
-	receive := receiver(f)
+	receive := newReceiver(f)
 	f.Add(`{"Bytes":5}{"Bytes":2}{"Bytes":3}{"Done":true}`)
 	f.Add(`{"Bytes":9223372036854775807}{"Bytes":1}`)
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -69,8 +69,8 @@
 		changed chan struct{}
 	}
 
-	// lostWriter cuts the connection as soon as there is a reply.
-	lostWriter struct{ http.ResponseWriter }
+	// abortingWriter cuts the connection as soon as there is a reply.
+	abortingWriter struct{ http.ResponseWriter }
 )
 
 // Set replaces the faults and begins to count anew.
@@ -80,7 +80,7 @@
 		ct.deaths++
 	}
 	ct.faults, ct.hits = ft, 0
-	ct.wake()
+	ct.notifyWaiters()
 	ct.mu.Unlock()
 	if ct.OnSet != nil {
 		ct.OnSet(ft)
@@ -101,30 +101,30 @@
 	return ct.hits
 }
 
-// Running waits while the stand-in is paused.
-func (ct *Control) Running(ctx context.Context) error {
-	return ct.while(ctx, func(ft Faults) bool { return ft.Pause })
+// AwaitUnpaused waits while the stand-in is paused.
+func (ct *Control) AwaitUnpaused(ctx context.Context) error {
+	return ct.waitWhile(ctx, func(ft Faults) bool { return ft.Pause })
 }
 
-// Moving waits while transfers stall or the stand-in is paused.
-func (ct *Control) Moving(ctx context.Context) error {
-	return ct.while(ctx, func(ft Faults) bool { return ft.Pause || ft.StallTransfer })
+// AwaitUnstalled waits while transfers stall or the stand-in is paused.
+func (ct *Control) AwaitUnstalled(ctx context.Context) error {
+	return ct.waitWhile(ctx, func(ft Faults) bool { return ft.Pause || ft.StallTransfer })
 }
 
-// Stretch returns how long work of the given length takes now.
-func (ct *Control) Stretch(dur time.Duration) time.Duration {
+// Slowed returns how long work of the given length takes now.
+func (ct *Control) Slowed(dur time.Duration) time.Duration {
 	if by := ct.Faults().Slowdown; by > 0 {
 		return time.Duration(float64(dur) * by)
 	}
 	return dur
 }
 
-// CutsAt tells whether a token stream is to be cut before the token with the
+// TakeStreamCut tells whether a token stream is to be cut before the token with the
 // given index, and counts it.
-func (ct *Control) CutsAt(index int) bool {
+func (ct *Control) TakeStreamCut(index int) bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	if ct.faults.ResetAtToken == 0 || index != ct.faults.ResetAtToken || !ct.left() {
+	if ct.faults.ResetAtToken == 0 || index != ct.faults.ResetAtToken || !ct.hitsRemain() {
 		return false
 	}
 	ct.hits++
@@ -136,11 +136,11 @@
 	return http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		switch req.URL.Path {
 		case FaultsPath:
-			ct.serve(rw, req)
+			ct.serveFaults(rw, req)
 		case HistoryPath:
 			next.ServeHTTP(rw, req)
 		default:
-			ct.fault(rw, req, next)
+			ct.handleWithFaults(rw, req, next)
 		}
 	})
 }
@@ -170,46 +170,46 @@
 	return nil
 }
 
-// Cut drops the connection of the call that is being handled.
-func Cut() { panic(http.ErrAbortHandler) }
+// AbortConnection drops the connection of the call that is being handled.
+func AbortConnection() { panic(http.ErrAbortHandler) }
 
-// fault handles a call as the faults say. A call that was received is handled
+// handleWithFaults handles a call as the faults say. A call that was received is handled
 // even if its caller has gone meanwhile.
-func (ct *Control) fault(rw http.ResponseWriter, req *http.Request, next http.Handler) {
+func (ct *Control) handleWithFaults(rw http.ResponseWriter, req *http.Request, next http.Handler) {
 	body, err := io.ReadAll(http.MaxBytesReader(rw, req.Body, MaxBody))
 	if err != nil {
 		Decline(rw, http.StatusBadRequest, backend.BadOrder, 0)
 		return
 	}
 	req.Body = io.NopCloser(bytes.NewReader(body))
-	_ = ct.Running(context.Background()) // fails only if the context ends
-	ft, hit := ct.hit(req.URL.Path)
+	_ = ct.AwaitUnpaused(context.Background()) // fails only if the context ends
+	ft, hit := ct.matchFaults(req.URL.Path)
 	if ft.Dead {
-		Cut()
+		AbortConnection()
 	}
 	rw.Header().Set(backend.ServerIncarnationHeader, ct.incarnation())
 	if !hit {
 		next.ServeHTTP(rw, req)
 		return
 	}
-	ct.delay(ft.Slow.Std())
+	ct.waitOrChange(ft.Slow.Std())
 	switch {
 	case ft.Reset:
-		Cut()
+		AbortConnection()
 	case ft.Fail:
 		rw.WriteHeader(http.StatusInternalServerError)
 	case ft.Refuse:
 		Decline(rw, http.StatusServiceUnavailable, backend.Refused, ft.RetryAfter)
 	case ft.LoseReply:
-		next.ServeHTTP(lostWriter{rw}, req)
-		Cut()
+		next.ServeHTTP(abortingWriter{rw}, req)
+		AbortConnection()
 	default:
 		next.ServeHTTP(rw, req)
 	}
 }
 
-// delay waits for a span or until the faults are changed.
-func (ct *Control) delay(dur time.Duration) {
+// waitOrChange waits for a span or until the faults are changed.
+func (ct *Control) waitOrChange(dur time.Duration) {
 	if dur <= 0 {
 		return
 	}
@@ -217,7 +217,7 @@
 	defer tm.Stop()
 	select {
 	case <-tm.C:
-	case <-ct.next():
+	case <-ct.nextChange():
 	}
 }
 
@@ -229,22 +229,22 @@
 	return strconv.FormatUint(processStart+ct.deaths, 10)
 }
 
-// hit tells the faults and whether those with Paths and Count strike a call.
-func (ct *Control) hit(path string) (Faults, bool) {
+// matchFaults tells the faults and whether those with Paths and Count strike a call.
+func (ct *Control) matchFaults(path string) (Faults, bool) {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	ft := ct.faults
 	some := ft.Refuse || ft.Fail || ft.Reset || ft.LoseReply || ft.Slow > 0
-	if !some || !ct.left() || len(ft.Paths) > 0 && !slices.Contains(ft.Paths, path) {
+	if !some || !ct.hitsRemain() || len(ft.Paths) > 0 && !slices.Contains(ft.Paths, path) {
 		return ft, false
 	}
 	ct.hits++
 	return ft, true
 }
 
-func (ct *Control) left() bool { return ct.faults.Count == 0 || ct.hits < ct.faults.Count }
+func (ct *Control) hitsRemain() bool { return ct.faults.Count == 0 || ct.hits < ct.faults.Count }
 
-func (ct *Control) serve(rw http.ResponseWriter, req *http.Request) {
+func (ct *Control) serveFaults(rw http.ResponseWriter, req *http.Request) {
 	if req.Method == http.MethodPost {
 		var ft Faults
 		if err := ReadJSON(req, maxFaults, &ft); err != nil {
@@ -256,9 +256,9 @@
 	WriteJSON(rw, ct.Faults())
 }
 
-func (ct *Control) while(ctx context.Context, held func(Faults) bool) error {
+func (ct *Control) waitWhile(ctx context.Context, held func(Faults) bool) error {
 	for {
-		changed := ct.next()
+		changed := ct.nextChange()
 		if !held(ct.Faults()) {
 			return nil
 		}
@@ -270,8 +270,8 @@
 	}
 }
 
-// next returns a channel that is closed when the faults are set again.
-func (ct *Control) next() <-chan struct{} {
+// nextChange returns a channel that is closed when the faults are set again.
+func (ct *Control) nextChange() <-chan struct{} {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	if ct.changed == nil {
@@ -280,7 +280,7 @@
 	return ct.changed
 }
 
-func (ct *Control) wake() {
+func (ct *Control) notifyWaiters() {
 	if ct.changed != nil {
 		close(ct.changed)
 	}
@@ -303,10 +303,10 @@
 }
 
 // WriteHeader cuts the connection.
-func (lostWriter) WriteHeader(int) { Cut() }
+func (abortingWriter) WriteHeader(int) { AbortConnection() }
 
 // Write cuts the connection.
-func (lostWriter) Write([]byte) (int, error) {
-	Cut()
+func (abortingWriter) Write([]byte) (int, error) {
+	AbortConnection()
 	return 0, nil
 }
