--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -39,16 +39,16 @@
 		KeepFor     clock.Millis // retention by age; zero keeps all
 	}
 
-	// Done counts what the service did.
-	Done struct {
-		Appends   int
-		Lost      int // appends whose reply was lost
-		Reads     int
-		Refused   int // calls that found an outage or a wrong token
-		BytesIn   int64
-		BytesOut  int64 // bodies only
-		Trimmed   int
-		MaxRecord int // bytes of the largest record
+	// Counts counts what the service did.
+	Counts struct {
+		Appends     int
+		LostReplies int // appends whose reply was lost
+		Reads       int
+		Refused     int // calls that found an outage or a wrong token
+		BytesIn     int64
+		BytesOut    int64 // bodies only
+		Trimmed     int
+		MaxRecord   int // bytes of the largest record
 	}
 
 	// Server is the stand-in. Set Token and Clock before the first call.
@@ -58,22 +58,22 @@
 
 		mu      sync.Mutex
 		faults  Faults
-		done    Done
+		counts  Counts
 		streams map[string]*stream
 	}
 
 	stream struct {
 		first   uint64
-		records []kept
+		records []storedRecord
 		changed chan struct{}
 	}
 
-	kept struct {
+	storedRecord struct {
 		data []byte
 		at   clock.Millis
 	}
 
-	offsetAnswer struct{ Offset uint64 }
+	appendReply struct{ Offset uint64 }
 )
 
 // Set replaces the faults.
@@ -82,15 +82,15 @@
 	defer srv.mu.Unlock()
 	srv.faults = fl
 	for _, st := range srv.streams {
-		st.wake()
+		st.notifyReaders()
 	}
 }
 
-// Done returns the counts so far.
-func (srv *Server) Done() Done {
+// Counts returns the counts so far.
+func (srv *Server) Counts() Counts {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
-	return srv.done
+	return srv.counts
 }
 
 // Trim drops all records of the stream below the offset.
@@ -99,7 +99,7 @@
 	defer srv.mu.Unlock()
 	st := srv.stream(name)
 	for st.first < below && len(st.records) > 0 {
-		srv.drop(st)
+		srv.dropOldest(st)
 	}
 }
 
@@ -108,7 +108,7 @@
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	st := srv.stream(name)
-	return st.from(st.first, len(st.records))
+	return st.recordsFrom(st.first, len(st.records))
 }
 
 // ServeHTTP serves the protocol of the log service.
@@ -127,7 +127,7 @@
 	fl := srv.faults
 	allowed := srv.Token == "" || req.Header.Get("Authorization") == "Bearer "+srv.Token
 	if fl.Outage || fl.Refuse || !allowed {
-		srv.done.Refused++
+		srv.counts.Refused++
 	}
 	srv.mu.Unlock()
 	switch {
@@ -165,7 +165,7 @@
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	srv.answer(rw, offsetAnswer{Offset: offset})
+	srv.writeReply(rw, appendReply{Offset: offset})
 }
 
 func (srv *Server) append(name string, data []byte) (offset uint64, lost bool) {
@@ -173,15 +173,15 @@
 	defer srv.mu.Unlock()
 	st := srv.stream(name)
 	offset = st.end()
-	st.records = append(st.records, kept{data: data, at: srv.now()})
-	srv.done.Appends++
-	srv.done.BytesIn += int64(len(data))
-	srv.done.MaxRecord = max(srv.done.MaxRecord, len(data))
-	srv.retain(st)
-	st.wake()
+	st.records = append(st.records, storedRecord{data: data, at: srv.now()})
+	srv.counts.Appends++
+	srv.counts.BytesIn += int64(len(data))
+	srv.counts.MaxRecord = max(srv.counts.MaxRecord, len(data))
+	srv.applyRetention(st)
+	st.notifyReaders()
 	if srv.faults.LoseReplies > 0 {
 		srv.faults.LoseReplies--
-		srv.done.Lost++
+		srv.counts.LostReplies++
 		lost = true
 	}
 	return offset, lost
@@ -190,28 +190,28 @@
 func (srv *Server) serveRead(rw http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
 	from, errFrom := strconv.ParseUint(query.Get("From"), 10, 64)
-	most, errMax := strconv.Atoi(query.Get("Max"))
+	limit, errMax := strconv.Atoi(query.Get("Max"))
 	var wait clock.Millis
 	var errWait error
 	if text := query.Get("Wait"); text != "" {
 		errWait = wait.UnmarshalText([]byte(text))
 	}
-	if errFrom != nil || errMax != nil || errWait != nil || most < 1 || wait < 0 {
+	if errFrom != nil || errMax != nil || errWait != nil || limit < 1 || wait < 0 {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	tm := time.NewTimer(min(wait, maxWait).Std())
 	defer tm.Stop()
 	for {
-		ba, changed := srv.read(req.PathValue("stream"), from, most)
+		ba, changed := srv.read(req.PathValue("stream"), from, limit)
 		if len(ba.Records) > 0 || ba.First > from {
-			srv.answer(rw, ba)
+			srv.writeReply(rw, ba)
 			return
 		}
 		select {
 		case <-changed:
 		case <-tm.C:
-			srv.answer(rw, ba)
+			srv.writeReply(rw, ba)
 			return
 		case <-req.Context().Done():
 			return
@@ -219,32 +219,32 @@
 	}
 }
 
-func (srv *Server) read(name string, from uint64, most int) (wire.Batch, <-chan struct{}) {
+func (srv *Server) read(name string, from uint64, limit int) (wire.Batch, <-chan struct{}) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	st := srv.stream(name)
-	srv.retain(st)
+	srv.applyRetention(st)
 	end := st.end() - min(uint64(srv.faults.Lag), st.end()-st.first)
 	ba := wire.Batch{First: st.first, End: end}
 	from = max(from, st.first)
 	if from < end {
-		ba.Records = st.from(from, min(most, int(end-from)))
+		ba.Records = st.recordsFrom(from, min(limit, int(end-from)))
 	}
 	ba.Next = min(from, end) + uint64(len(ba.Records))
 	return ba, st.changed
 }
 
-func (srv *Server) answer(rw http.ResponseWriter, what any) {
-	body, err := json.Marshal(what)
+func (srv *Server) writeReply(rw http.ResponseWriter, reply any) {
+	body, err := json.Marshal(reply)
 	if err != nil {
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	srv.mu.Lock()
-	if _, ok := what.(wire.Batch); ok {
-		srv.done.Reads++
+	if _, ok := reply.(wire.Batch); ok {
+		srv.counts.Reads++
 	}
-	srv.done.BytesOut += int64(len(body))
+	srv.counts.BytesOut += int64(len(body))
 	srv.mu.Unlock()
 	rw.Header().Set("Content-Type", "application/json")
 	// A caller that is gone needs no answer.
@@ -263,28 +263,28 @@
 	return st
 }
 
-func (srv *Server) retain(st *stream) {
+func (srv *Server) applyRetention(st *stream) {
 	fl := srv.faults
 	for fl.KeepRecords > 0 && len(st.records) > fl.KeepRecords {
-		srv.drop(st)
+		srv.dropOldest(st)
 	}
 	for fl.KeepFor > 0 && len(st.records) > 0 && srv.now()-st.records[0].at >= fl.KeepFor {
-		srv.drop(st)
+		srv.dropOldest(st)
 	}
 }
 
-func (srv *Server) drop(st *stream) {
+func (srv *Server) dropOldest(st *stream) {
 	st.records = st.records[1:]
 	st.first++
-	srv.done.Trimmed++
+	srv.counts.Trimmed++
 }
 
 func (srv *Server) now() clock.Millis { return clock.Or(srv.Clock).Now() }
 
 func (st *stream) end() uint64 { return st.first + uint64(len(st.records)) }
 
-func (st *stream) from(from uint64, most int) []wire.Record {
-	out := make([]wire.Record, most)
+func (st *stream) recordsFrom(from uint64, count int) []wire.Record {
+	out := make([]wire.Record, count)
 	for ix := range out {
 		offset := from + uint64(ix)
 		out[ix] = wire.Record{Offset: offset, Data: st.records[offset-st.first].data}
@@ -292,7 +292,7 @@
 	return out
 }
 
-func (st *stream) wake() {
+func (st *stream) notifyReaders() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -50,14 +50,14 @@
 
 		once     sync.Once
 		started  time.Time
-		life     context.Context
-		end      context.CancelFunc
+		ctx      context.Context
+		cancel   context.CancelFunc
 		slots    chan struct{}
 		mu       sync.Mutex
 		running  int
 		queued   int
 		runs     []*Run
-		loads    []stampedLoad
+		loads    []loadSample
 		declined map[backend.Reason]int
 	}
 
@@ -83,7 +83,7 @@
 		Declined map[backend.Reason]int
 	}
 
-	stampedLoad struct {
+	loadSample struct {
 		at  time.Time
 		doc wire.LoadDoc
 	}
@@ -105,7 +105,7 @@
 
 // Handler serves calls, the load report, faults and the history.
 func (sv *Server) Handler() http.Handler {
-	sv.start()
+	sv.initOnce()
 	return sv.Control.Wrap(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		switch {
 		case req.URL.Path == standin.HistoryPath:
@@ -113,22 +113,22 @@
 		case sv.Settings.Token != "" && req.Header.Get("Authorization") != "Bearer "+sv.Settings.Token:
 			sv.decline(rw, http.StatusUnauthorized, backend.Unauthorized)
 		case req.URL.Path == wire.LoadPath:
-			standin.WriteJSON(rw, sv.load())
+			standin.WriteJSON(rw, sv.loadReport())
 		default:
-			sv.serve(rw, req)
+			sv.serveCall(rw, req)
 		}
 	}))
 }
 
 // Close ends all runs.
 func (sv *Server) Close() {
-	sv.start()
-	sv.end()
+	sv.initOnce()
+	sv.cancel()
 }
 
 // History returns a copy of the record.
 func (sv *Server) History() History {
-	sv.start()
+	sv.initOnce()
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	out := History{
@@ -144,7 +144,7 @@
 	return out
 }
 
-func (sv *Server) start() {
+func (sv *Server) initOnce() {
 	sv.once.Do(func() {
 		df := DefaultSettings()
 		if sv.Settings.Slots == 0 {
@@ -154,19 +154,19 @@
 			sv.Settings.Queue = df.Queue
 		}
 		sv.started = time.Now()
-		sv.life, sv.end = context.WithCancel(context.Background())
+		sv.ctx, sv.cancel = context.WithCancel(context.Background())
 		sv.slots = make(chan struct{}, sv.Settings.Slots)
 		sv.declined = map[backend.Reason]int{}
 		sv.Control.OnSet = func(standin.Faults) {
 			sv.mu.Lock()
 			defer sv.mu.Unlock()
-			sv.report()
+			sv.sampleLoad()
 		}
-		sv.report()
+		sv.sampleLoad()
 	})
 }
 
-func (sv *Server) serve(rw http.ResponseWriter, req *http.Request) {
+func (sv *Server) serveCall(rw http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		sv.decline(rw, http.StatusBadRequest, backend.BadOrder)
@@ -176,24 +176,24 @@
 		sv.decline(rw, http.StatusServiceUnavailable, backend.Leaving)
 		return
 	}
-	if !sv.enter(req.Context()) {
+	if !sv.acquireSlot(req.Context()) {
 		sv.decline(rw, http.StatusServiceUnavailable, backend.Full)
 		return
 	}
 	defer func() { <-sv.slots }()
 	text := standin.Reply(req.Method, req.URL.RequestURI(), body)
-	rec := sv.begin(req, standin.Hash(string(body)))
-	whole := sv.run(rec)
+	rec := sv.recordStart(req, standin.Hash(string(body)))
+	whole := sv.execute(rec)
 	if !whole || sv.Control.Faults().Dead {
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	rw.Header().Set("Content-Type", "application/json")
 	_, _ = io.WriteString(rw, text) // the caller may be gone
 }
 
-// enter waits for a slot. It returns false if the queue is full or the caller
+// acquireSlot waits for a slot. It returns false if the queue is full or the caller
 // went before the call began.
-func (sv *Server) enter(ctx context.Context) bool {
+func (sv *Server) acquireSlot(ctx context.Context) bool {
 	sv.mu.Lock()
 	select {
 	case sv.slots <- struct{}{}:
@@ -206,23 +206,23 @@
 		return false
 	}
 	sv.queued++
-	sv.report()
+	sv.sampleLoad()
 	sv.mu.Unlock()
 	ok := false
 	select {
 	case sv.slots <- struct{}{}:
 		ok = true
 	case <-ctx.Done():
-	case <-sv.life.Done():
+	case <-sv.ctx.Done():
 	}
 	sv.mu.Lock()
 	sv.queued--
-	sv.report()
+	sv.sampleLoad()
 	sv.mu.Unlock()
 	return ok
 }
 
-func (sv *Server) begin(req *http.Request, hash uint64) *Run {
+func (sv *Server) recordStart(req *http.Request, hash uint64) *Run {
 	inc, _ := strconv.ParseUint(req.Header.Get("Alderdyke-Incarnation"), 10, 64) // zero if absent
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -232,22 +232,22 @@
 	}
 	sv.runs = append(sv.runs, rec)
 	sv.running++
-	sv.report()
+	sv.sampleLoad()
 	return rec
 }
 
-// run does the work, whether the caller is there or not. It returns false if
+// execute does the work, whether the caller is there or not. It returns false if
 // the server was closed first.
-func (sv *Server) run(rec *Run) bool {
-	err := standin.Sleep(sv.life, sv.Control.Stretch(sv.Settings.Latency.Std()))
+func (sv *Server) execute(rec *Run) bool {
+	err := standin.Sleep(sv.ctx, sv.Control.Slowed(sv.Settings.Latency.Std()))
 	if err == nil {
-		err = sv.Control.Running(sv.life)
+		err = sv.Control.AwaitUnpaused(sv.ctx)
 	}
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.running--
 	rec.EndedAt = max(1, sv.now())
-	sv.report()
+	sv.sampleLoad()
 	return err == nil
 }
 
@@ -258,29 +258,29 @@
 	standin.Decline(rw, status, reason, sv.Settings.Latency)
 }
 
-func (sv *Server) load() wire.LoadDoc {
+func (sv *Server) loadReport() wire.LoadDoc {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	sv.report()
-	seen := sv.lagged()
+	sv.sampleLoad()
+	seen := sv.laggedLoad()
 	seen.doc.Age = clock.Of(time.Since(seen.at))
 	return seen.doc
 }
 
-// report remembers the load of this moment. The mutex is held.
-func (sv *Server) report() {
+// sampleLoad remembers the load of this moment. The mutex is held.
+func (sv *Server) sampleLoad() {
 	doc := wire.LoadDoc{
 		Running: sv.running, Slots: sv.Settings.Slots, Queued: sv.queued, Leaving: sv.Control.Faults().Leaving,
 	}
-	sv.loads = append(sv.loads, stampedLoad{at: time.Now(), doc: doc})
-	sv.lagged()
+	sv.loads = append(sv.loads, loadSample{at: time.Now(), doc: doc})
+	sv.laggedLoad()
 }
 
-// lagged returns the load as it was LoadLag ago and forgets what was before.
+// laggedLoad returns the load as it was LoadLag ago and forgets what was before.
 // The mutex is held.
-func (sv *Server) lagged() stampedLoad {
+func (sv *Server) laggedLoad() loadSample {
 	at := time.Now().Add(-sv.Settings.LoadLag.Std())
-	next := slices.IndexFunc(sv.loads, func(sl stampedLoad) bool { return sl.at.After(at) })
+	next := slices.IndexFunc(sv.loads, func(sl loadSample) bool { return sl.at.After(at) })
 	if next < 0 {
 		next = len(sv.loads)
 	}
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -17,8 +17,8 @@
 	"alderdyke/internal/standin/service"
 )
 
-// run starts a server in memory with a client.
-func run(t *testing.T, sv *service.Server, fn func(t *testing.T, sc *wire.Client, srv board.BackendServer)) {
+// withServer starts a server in memory with a client.
+func withServer(t *testing.T, sv *service.Server, fn func(t *testing.T, sc *wire.Client, srv board.BackendServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		nw := &standin.Network{}
@@ -36,16 +36,16 @@
 	})
 }
 
-func call(key string) wire.Request {
+func checkRequest(key string) wire.Request {
 	return wire.Request{Method: http.MethodPost, Path: "/check?loan=3", Body: []byte("b"), Key: key}
 }
 
 // A server's own failure is its answer, and not a doubt.
-func TestOwnFailureIsAnAnswer(t *testing.T) {
+func TestServerErrorIsAnAnswer(t *testing.T) {
 	sv := &service.Server{ID: "k1", Settings: service.Settings{Latency: 5}}
-	run(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
+	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
 		sv.Control.Set(standin.Faults{Fail: true})
-		rsp, err := sc.Call(t.Context(), srv, call("k"))
+		rsp, err := sc.Call(t.Context(), srv, checkRequest("k"))
 		assert.NilError(t, err)
 		assert.Equal(t, rsp.Status, http.StatusInternalServerError)
 		assert.Equal(t, len(rsp.Body), 0)
@@ -54,7 +54,7 @@
 }
 
 // The outcome of a call is held against the server's own record of what ran.
-func TestOutcomesAgainstHistory(t *testing.T) {
+func TestOutcomesMatchHistory(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults standin.Faults
@@ -74,11 +74,11 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			sv := &service.Server{ID: "k1", Settings: service.Settings{Latency: 5}}
-			run(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
+			withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
 				sv.Control.Set(tc.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				rsp, err := sc.Call(ctx, srv, call("k"))
+				rsp, err := sc.Call(ctx, srv, checkRequest("k"))
 				oc, _ := backend.OutcomeOf(err)
 				assert.Equal(t, oc, tc.want, "%v", err)
 				if err == nil {
@@ -92,9 +92,9 @@
 
 func TestRepeatedKeyIsRecorded(t *testing.T) {
 	sv := &service.Server{ID: "k1"}
-	run(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
+	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
 		for range 2 {
-			_, err := sc.Call(t.Context(), srv, call("k"))
+			_, err := sc.Call(t.Context(), srv, checkRequest("k"))
 			assert.NilError(t, err)
 		}
 		runs := sv.History().RunsOf("k")
@@ -104,12 +104,12 @@
 	})
 }
 
-func TestWorkGoesOnWithoutCaller(t *testing.T) {
+func TestRunContinuesWithoutCaller(t *testing.T) {
 	sv := &service.Server{ID: "k1", Settings: service.Settings{Latency: 500}}
-	run(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
+	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		_, err := sc.Call(ctx, srv, call("k"))
+		_, err := sc.Call(ctx, srv, checkRequest("k"))
 		assert.Assert(t, !backend.NotRun(err))
 		assert.Equal(t, sv.History().Running, 1)
 		time.Sleep(500 * time.Millisecond)
@@ -120,13 +120,13 @@
 
 func TestQueueIsBoundedAndLoadLags(t *testing.T) {
 	sv := &service.Server{ID: "k1", Settings: service.Settings{Latency: 1000, Slots: 1, Queue: 1, LoadLag: 300}}
-	run(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
+	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
 		time.Sleep(time.Second)
 		for range 2 {
-			go func() { _, _ = sc.Call(t.Context(), srv, call("k")) }()
+			go func() { _, _ = sc.Call(t.Context(), srv, checkRequest("k")) }()
 		}
 		synctest.Wait()
-		_, err := sc.Call(t.Context(), srv, call("k2"))
+		_, err := sc.Call(t.Context(), srv, checkRequest("k2"))
 		_, reason := backend.OutcomeOf(err)
 		assert.Equal(t, reason, backend.Full)
 		load, err := sc.Load(t.Context(), srv)
@@ -145,7 +145,7 @@
 // Faults can be set from another process.
 func TestFaultsEndpoint(t *testing.T) {
 	sv := &service.Server{ID: "k1"}
-	run(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
+	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
 		rq := wire.Request{Method: http.MethodPost, Path: standin.FaultsPath, Body: []byte(`{"Refuse":true,"Count":1,"Slow":"10ms","Paths":["/a"]}`)}
 		rsp, err := sc.Call(t.Context(), srv, rq)
 		assert.NilError(t, err)
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -11,7 +11,7 @@
 )
 
 // Every token shows whether it belongs to the whole prompt and to its place.
-func TestAnswersTellPromptsAndPlacesApart(t *testing.T) {
+func TestAnswerTokensDifferByPromptAndIndex(t *testing.T) {
 	long := strings.Repeat("weld photograph ", 100)
 	seen := map[string]bool{}
 	for _, prompt := range []string{"", "a", long, long + ".", "." + long} {
@@ -34,7 +34,7 @@
 	assert.Equal(t, standin.Length(7, 0), 0)
 }
 
-func TestReplyTellsCallsApart(t *testing.T) {
+func TestRepliesDifferByCall(t *testing.T) {
 	seen := map[string]bool{}
 	for _, call := range [][3]string{{"GET", "/a", ""}, {"POST", "/a", ""}, {"GET", "/b", ""}, {"GET", "/a", "x"}} {
 		seen[standin.Reply(call[0], call[1], []byte(call[2]))] = true
@@ -43,11 +43,11 @@
 	assert.Equal(t, standin.Reply("get", "/a", nil), standin.Reply("GET", "/a", nil))
 }
 
-func TestCountedCutOfStreams(t *testing.T) {
+func TestStreamCutsAreCounted(t *testing.T) {
 	var ct standin.Control
-	assert.Assert(t, !ct.CutsAt(0))
+	assert.Assert(t, !ct.TakeStreamCut(0))
 	ct.Set(standin.Faults{ResetAtToken: 3, Count: 2})
-	got := []bool{ct.CutsAt(2), ct.CutsAt(3), ct.CutsAt(3), ct.CutsAt(3)}
+	got := []bool{ct.TakeStreamCut(2), ct.TakeStreamCut(3), ct.TakeStreamCut(3), ct.TakeStreamCut(3)}
 	assert.DeepEqual(t, got, []bool{false, true, true, false})
 }
 
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -27,14 +27,14 @@
 	Faults struct {
 		Outage bool         // every call breaks off
 		Lag    clock.Millis // the list is as old as this
-		NoTag  bool         // the list is always sent whole
+		NoETag bool         // the list is always sent whole
 	}
 
-	// Done counts what the service did.
-	Done struct {
-		Fetches int // lists sent whole
-		Same    int // answers that only said that the list did not change
-		Refused int // calls that found an outage or a wrong token
+	// Counts counts what the service did.
+	Counts struct {
+		Fetches     int // lists sent whole
+		NotModified int // answers that only said that the list did not change
+		Refused     int // calls that found an outage or a wrong token
 	}
 
 	// Server is the stand-in. Set Token and Clock before the first call.
@@ -42,13 +42,13 @@
 		Token string       // expected bearer token; empty accepts all
 		Clock clock.Source // nil means the process's clock
 
-		mu     sync.Mutex
-		faults Faults
-		done   Done
-		states []state // oldest first
+		mu        sync.Mutex
+		faults    Faults
+		counts    Counts
+		revisions []revision // oldest first
 	}
 
-	state struct {
+	revision struct {
 		at  clock.Millis
 		doc wire.Document
 	}
@@ -61,11 +61,11 @@
 	srv.faults = fl
 }
 
-// Done returns the counts so far.
-func (srv *Server) Done() Done {
+// Counts returns the counts so far.
+func (srv *Server) Counts() Counts {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
-	return srv.done
+	return srv.counts
 }
 
 // Put replaces the list from now on. The document must not be written to
@@ -73,13 +73,13 @@
 func (srv *Server) Put(doc wire.Document) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
-	srv.states = append(srv.states, state{at: srv.now(), doc: doc})
+	srv.revisions = append(srv.revisions, revision{at: srv.now(), doc: doc})
 }
 
 // ServeHTTP serves the list as of Lag ago; the first list that was put counts
 // as having stood always.
 func (srv *Server) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
-	doc, tag, outage, allowed := srv.look(req)
+	doc, tag, outage, allowed := srv.selectList(req)
 	switch {
 	case outage:
 		panic(http.ErrAbortHandler)
@@ -102,28 +102,28 @@
 	_ = json.NewEncoder(rw).Encode(doc)
 }
 
-// look finds the list to send and its tag, the number of its state.
-func (srv *Server) look(req *http.Request) (doc wire.Document, tag string, outage, allowed bool) {
+// selectList finds the list to send and its tag, the number of its state.
+func (srv *Server) selectList(req *http.Request) (doc wire.Document, tag string, outage, allowed bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	allowed = srv.Token == "" || req.Header.Get("Authorization") == "Bearer "+srv.Token
 	if srv.faults.Outage || !allowed {
-		srv.done.Refused++
+		srv.counts.Refused++
 		return doc, "", srv.faults.Outage, allowed
 	}
 	asOf := srv.now() - srv.faults.Lag
-	for ix, st := range srv.states {
+	for ix, st := range srv.revisions {
 		if ix == 0 || st.at <= asOf {
 			doc, tag = st.doc, fmt.Sprintf("%q", strconv.Itoa(ix))
 		}
 	}
-	if srv.faults.NoTag {
+	if srv.faults.NoETag {
 		tag = ""
 	}
 	if tag != "" && req.Header.Get("If-None-Match") == tag {
-		srv.done.Same++
+		srv.counts.NotModified++
 	} else {
-		srv.done.Fetches++
+		srv.counts.Fetches++
 	}
 	return doc, tag, false, true
 }
--- a/internal/vmlist/vmlist_test.go
+++ b/internal/vmlist/vmlist_test.go
@@ -87,7 +87,7 @@
 	_, err = cl.Fetch(context.Background())
 	var te *vmlist.TooLargeError
 	assert.Assert(tt, errors.As(err, &te))
-	assert.DeepEqual(tt, srv.Done(), standin.Done{Fetches: 1, Refused: 2})
+	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 1, Refused: 2})
 }
 
 func TestBadEntries(tt *testing.T) {
@@ -144,17 +144,17 @@
 	}
 	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM()}})
 	assert.DeepEqual(tt, fetch(), fetch())
-	assert.DeepEqual(tt, srv.Done(), standin.Done{Fetches: 1, Same: 1})
+	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 1, NotModified: 1})
 
 	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM()}, Servers: []vmlist.ServerEntry{entryServer()}})
 	assert.Equal(tt, len(fetch().Servers), 1)
 	assert.Equal(tt, len(fetch().Servers), 1)
-	assert.DeepEqual(tt, srv.Done(), standin.Done{Fetches: 2, Same: 2})
+	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 2, NotModified: 2})
 
-	srv.Set(standin.Faults{NoTag: true})
+	srv.Set(standin.Faults{NoETag: true})
 	fetch()
 	fetch()
-	assert.DeepEqual(tt, srv.Done(), standin.Done{Fetches: 4, Same: 2})
+	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 4, NotModified: 2})
 }
 
 // A list that can't be used leaves no tag behind, so that it is read whole
@@ -169,5 +169,5 @@
 		var ee *vmlist.EntryError
 		assert.Assert(tt, errors.As(err, &ee))
 	}
-	assert.DeepEqual(tt, srv.Done(), standin.Done{Fetches: 2})
+	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 2})
 }
