--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -202,7 +202,7 @@
 	}
 }
 
-func (ch *Charger) now() clock.Millis { return clock.Or(ch.Clock).Now() }
+func (ch *Charger) now() clock.Millis { return clock.OrBoottime(ch.Clock).Now() }
 
 // record counts a request, and tells when a customer's quota is used up, and when it
 // has been free again for a while.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -25,11 +25,11 @@
 
 // Exit codes.
 const (
-	Done    = 0 // it was done
-	Failed  = 1 // it was not done; trying again may help
-	Usage   = 2 // the command line is wrong
-	Refused = 3 // settings, a template or a publication was not accepted
-	InDoubt = 4 // a publication may have taken effect; repeat it with the same ID
+	ExitOK      = 0 // it was done
+	ExitFailed  = 1 // it was not done; trying again may help
+	ExitUsage   = 2 // the command line is wrong
+	ExitRefused = 3 // settings, a template or a publication was not accepted
+	ExitInDoubt = 4 // a publication may have taken effect; repeat it with the same ID
 )
 
 // Environment variables.
@@ -53,7 +53,7 @@
 
 	// usageError is a command line that can't be understood.
 	usageError struct {
-		problem string
+		message string
 	}
 
 	// refusedError is a publication that was decided against.
@@ -68,7 +68,7 @@
 	}
 )
 
-func (ue usageError) Error() string { return ue.problem }
+func (ue usageError) Error() string { return ue.message }
 
 func (re refusedError) Error() string {
 	return fmt.Sprintf("not accepted: %s; revision %d is in force; revise the template from it and publish with --base %d",
@@ -85,10 +85,10 @@
 	st := streams{out: stdout, err: stderr}
 	cm, err := pg.parse(args)
 	if err == nil {
-		err = pg.do(ctx, cm, st)
+		err = pg.execute(ctx, cm, st)
 	}
 	if err == nil {
-		return Done
+		return ExitOK
 	}
 	fmt.Fprintln(stderr, err)
 	if ue := (usageError{}); errors.As(err, &ue) {
@@ -107,14 +107,14 @@
 	)
 	switch {
 	case errors.As(err, &ue):
-		return Usage
+		return ExitUsage
 	case errors.As(err, &re), errors.As(err, &pe):
-		return Refused
+		return ExitRefused
 	case errors.As(err, &fa) && fa.Reason == operator.InvalidTemplate:
-		return Refused
+		return ExitRefused
 	case errors.As(err, &fa) && fa.Reason == operator.InDoubt:
-		return InDoubt
+		return ExitInDoubt
 	default:
-		return Failed
+		return ExitFailed
 	}
 }
--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -16,8 +16,8 @@
 	"alderdyke/pkg/template"
 )
 
-// do carries out a command.
-func (pg Program) do(ctx context.Context, cm command, st streams) error {
+// execute carries out a command.
+func (pg Program) execute(ctx context.Context, cm command, st streams) error {
 	switch cm := cm.(type) {
 	case helpCommand:
 		_, err := fmt.Fprintln(st.out, cm.text)
@@ -45,9 +45,9 @@
 	case traceCommand:
 		return traceRequest(cm, st)
 	case lossesCommand:
-		return losses(cm, st)
+		return countLosses(cm, st)
 	case orderCommand:
-		return giveOrder(ctx, cm, st)
+		return sendOrder(ctx, cm, st)
 	case drainCommand:
 		return drain(ctx, cm, st)
 	default:
@@ -81,7 +81,7 @@
 			all = append(all, problemsOf(file, err)...)
 			continue
 		}
-		found := clashes(file, tpl, byCustomer, byHash)
+		found := findConflicts(file, tpl, byCustomer, byHash)
 		if len(found) == 0 {
 			fmt.Fprintf(st.out, "%s: valid template of customer %s\n", file, tpl.Customer)
 		}
@@ -90,9 +90,9 @@
 	return all.Err()
 }
 
-// clashes finds what a template has in common with those before it and must
+// findConflicts finds what a template has in common with those before it and must
 // not have.
-func clashes(file string, tpl template.Template, byCustomer, byHash map[string]string) place.Errors {
+func findConflicts(file string, tpl template.Template, byCustomer, byHash map[string]string) place.Errors {
 	var found place.Errors
 	if other, taken := byCustomer[tpl.Customer]; taken {
 		found = append(found, place.Error{File: file, Key: "Customer", Value: tpl.Customer, Mend: "keep one template for each customer; " + other + " is one already"})
@@ -193,12 +193,12 @@
 		fmt.Fprintln(st.out, ln)
 	}
 	fmt.Fprintf(st.out, "%s: %s\n", cm.request, verdict)
-	notePassed(tr.Passed, st)
+	reportSkipped(tr.Passed, st)
 	return nil
 }
 
-// losses reads log files and tells what became of the generations.
-func losses(cm lossesCommand, st streams) error {
+// countLosses reads log files and tells what became of the generations.
+func countLosses(cm lossesCommand, st streams) error {
 	var ls trace.Losses
 	if err := readLogs(&ls, cm.files); err != nil {
 		return err
@@ -206,11 +206,11 @@
 	for _, lo := range ls.Table() {
 		fmt.Fprintln(st.out, lo)
 	}
-	notePassed(ls.Passed, st)
+	reportSkipped(ls.Passed, st)
 	return nil
 }
 
-func notePassed(lines int, st streams) {
+func reportSkipped(lines int, st streams) {
 	if lines > 0 {
 		fmt.Fprintf(st.err, "%d lines are no log lines of a VM, or are cut off, and were passed over\n", lines)
 	}
@@ -239,7 +239,7 @@
 	return show(st.out, cm.json, rep, showExplain)
 }
 
-func giveOrder(ctx context.Context, cm orderCommand, st streams) error {
+func sendOrder(ctx context.Context, cm orderCommand, st streams) error {
 	rep, err := cm.client.Order(ctx, cm.order)
 	if err != nil {
 		return fmt.Errorf("order %s: %w", cm.order.Server, err)
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -71,7 +71,7 @@
 	subcommand struct {
 		name, help string
 		positional []string // names; one in brackets is optional
-		more       bool     // any number of arguments may follow
+		variadic   bool     // any number of arguments may follow
 		flags      func(sc *flaggy.Subcommand, op *options)
 	}
 )
@@ -92,14 +92,14 @@
 
 var subcommands = []subcommand{
 	{name: "run", help: "Run one entry VM until it is told to stop (SIGINT or SIGTERM begins a planned stop).", positional: []string{"SETTINGS"}},
-	{name: "check", help: "Check a settings file and any number of templates, without starting anything.", positional: []string{"SETTINGS", "[TEMPLATE...]"}, more: true},
+	{name: "check", help: "Check a settings file and any number of templates, without starting anything.", positional: []string{"SETTINGS", "[TEMPLATE...]"}, variadic: true},
 	{name: "publish", help: "Publish a customer's template.", positional: []string{"TEMPLATE"}, flags: publishFlags},
 	{name: "templates", help: "List the templates in force, or print one of them as TOML.", positional: []string{"[CUSTOMER]"}, flags: readFlags},
 	{name: "status", help: "Show how a VM is and what it sees.", flags: readFlags},
 	{name: "explain", help: "Tell what became of a request, from any VM.", positional: []string{"CUSTOMER", "KEY"}, flags: readFlags},
-	{name: "trace", help: "Tell what became of a request from log files of VMs, without asking any.", positional: []string{"REQUEST", "FILE"}, more: true},
-	{name: "losses", help: "Count from log files of VMs what became of the generations: in time, late and why, refused, lost; and when.", positional: []string{"FILE"}, more: true},
-	{name: "order", help: "Have a model engine load something: load-model, load-adapter or load-version, and its name. Ask the VM that accounts for the engine; any other one names it.", positional: []string{"SERVER", "KIND"}, more: true, flags: clientFlags},
+	{name: "trace", help: "Tell what became of a request from log files of VMs, without asking any.", positional: []string{"REQUEST", "FILE"}, variadic: true},
+	{name: "losses", help: "Count from log files of VMs what became of the generations: in time, late and why, refused, lost; and when.", positional: []string{"FILE"}, variadic: true},
+	{name: "order", help: "Have a model engine load something: load-model, load-adapter or load-version, and its name. Ask the VM that accounts for the engine; any other one names it.", positional: []string{"SERVER", "KIND"}, variadic: true, flags: clientFlags},
 	{name: "drain", help: "Begin a planned stop of a VM; no request in progress is cut off.", flags: clientFlags},
 	{name: "demo", help: "Run three entry VMs, stand-ins for all they speak to, and some callers, in this process. With DIR: run only the stand-ins, and write there the settings for three VMs to be run by hand.", positional: []string{"[DIR]"}},
 }
@@ -150,7 +150,7 @@
 	if err := checkPositional(name, op, pr.TrailingArguments); err != nil {
 		return nil, err
 	}
-	return pg.build(name, op, pr.TrailingArguments)
+	return pg.buildCommand(name, op, pr.TrailingArguments)
 }
 
 // newParser makes a parser that never prints or exits by itself.
@@ -223,15 +223,15 @@
 				return usageError{fmt.Sprintf("%s needs %s", name, want)}
 			}
 		}
-		if len(more) > 0 && !sub.more {
+		if len(more) > 0 && !sub.variadic {
 			return usageError{fmt.Sprintf("%s takes no argument %.40q", name, more[0])}
 		}
 	}
 	return nil
 }
 
-// build makes the command that the options describe.
-func (pg Program) build(name string, op *options, more []string) (command, error) {
+// buildCommand makes the command that the options describe.
+func (pg Program) buildCommand(name string, op *options, more []string) (command, error) {
 	switch name {
 	case "run":
 		return runCommand{file: op.first}, nil
@@ -259,7 +259,7 @@
 	case "explain":
 		return explainCommand{client: cl, customer: op.first, key: op.second, json: op.json}, nil
 	case "order":
-		return order(cl, op, more)
+		return parseOrder(cl, op, more)
 	case "drain":
 		return drainCommand{client: cl}, nil
 	default:
@@ -274,7 +274,7 @@
 	"load-version": engine.LoadVersion,
 }
 
-func order(cl operator.Client, op *options, more []string) (command, error) {
+func parseOrder(cl operator.Client, op *options, more []string) (command, error) {
 	kind, ok := orderKinds[op.second]
 	if !ok {
 		return nil, usageError{fmt.Sprintf("there is no order %.40q; write load-model, load-adapter or load-version", op.second)}
@@ -304,19 +304,19 @@
 
 // token reads the operators' token. An error never shows it.
 func (pg Program) token(file string) (settings.Secret, error) {
-	word, from := pg.Getenv(TokenVariable), TokenVariable
+	value, from := pg.Getenv(TokenVariable), TokenVariable
 	if file != "" {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return settings.Secret{}, fmt.Errorf("read the operators' token: %w", err)
 		}
-		word, from = string(text), file
+		value, from = string(text), file
 	}
-	if word == "" {
+	if value == "" {
 		return settings.Secret{}, usageError{"give the operators' token with --token-file FILE or in " + TokenVariable}
 	}
 	var token settings.Secret
-	if err := token.UnmarshalText([]byte(strings.TrimSpace(word))); err != nil {
+	if err := token.UnmarshalText([]byte(strings.TrimSpace(value))); err != nil {
 		return settings.Secret{}, usageError{fmt.Sprintf("the token in %s can't be one: %v", from, err)}
 	}
 	return token, nil
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -304,7 +304,7 @@
 
 func (ec *Client) client() *http.Client { return ec.httpClient.Client(ec.HTTP) }
 
-func (ec *Client) now() clock.Millis { return clock.Or(ec.Clock).Now() }
+func (ec *Client) now() clock.Millis { return clock.OrBoottime(ec.Clock).Now() }
 
 // count counts the outcome of a call by its reason, and logs an order that is in
 // doubt.
--- a/internal/entry/start.go
+++ b/internal/entry/start.go
@@ -24,7 +24,7 @@
 // wall clock at the start as the incarnation. Requests do not block on a slow reader of
 // the log.
 func Run(ctx context.Context, set settings.Settings) error {
-	out := event.NewBounded(os.Stderr, event.DefaultBacklog)
+	out := event.NewBoundedWriter(os.Stderr, event.DefaultBacklog)
 	defer out.Close() // the error is ignored, because there is no other place to report it
 	mt := metrics.New(set.ID)
 	defer mt.Close()
@@ -40,7 +40,7 @@
 			Writer:     out,
 		}},
 	}
-	go out.TellDropped(ctx, vm.Log)
+	go out.ReportDropped(ctx, vm.Log)
 	if err := vm.Run(ctx); err != nil {
 		return fmt.Errorf("run VM %s: %w", set.ID, err)
 	}
--- a/internal/event/bench_test.go
+++ b/internal/event/bench_test.go
@@ -12,7 +12,7 @@
 // BenchmarkLine is the cost of one line of a request, to a writer that takes
 // it at once.
 func BenchmarkLine(b *testing.B) {
-	out := event.NewBounded(log.IOWriter{Writer: io.Discard}, event.DefaultBacklog)
+	out := event.NewBoundedWriter(log.IOWriter{Writer: io.Discard}, event.DefaultBacklog)
 	defer out.Close()
 	lg := event.Logger{Out: &log.Logger{Writer: out}, VM: "vm-1"}
 	for b.Loop() {
--- a/internal/event/bounded_test.go
+++ b/internal/event/bounded_test.go
@@ -10,23 +10,23 @@
 	"alderdyke/internal/event"
 )
 
-// stuck is a writer that does not get rid of its lines until it is released.
-type stuck struct {
+// stuckWriter is a writer that does not get rid of its lines until it is released.
+type stuckWriter struct {
 	release chan struct{}
 	lines   int
 }
 
-func (st *stuck) Write(line []byte) (int, error) {
+func (st *stuckWriter) Write(line []byte) (int, error) {
 	<-st.release
 	st.lines++
 	return len(line), nil
 }
 
 // Logging never waits for a writer that is stuck; what is dropped is counted.
-func TestBoundedDropsRatherThanWaits(t *testing.T) {
+func TestBoundedWriterDropsWhenFull(t *testing.T) {
 	const lines, backlog = 100, 10
-	to := &stuck{release: make(chan struct{})}
-	bo := event.NewBounded(to, backlog)
+	to := &stuckWriter{release: make(chan struct{})}
+	bo := event.NewBoundedWriter(to, backlog)
 	lg := event.Logger{Out: &log.Logger{Writer: bo}}
 	for range lines {
 		lg.Log(event.Started)
@@ -40,27 +40,27 @@
 }
 
 // A log that nobody takes any more does not hold a process that is to end.
-func TestBoundedCloseIsBounded(t *testing.T) {
+func TestBoundedWriterCloseTimesOut(t *testing.T) {
 	for _, lines := range []int{1, 100} {
-		to := &stuck{release: make(chan struct{})}
-		bo := event.NewBounded(to, 10)
+		to := &stuckWriter{release: make(chan struct{})}
+		bo := event.NewBoundedWriter(to, 10)
 		lg := event.Logger{Out: &log.Logger{Writer: bo}}
 		for range lines {
 			lg.Log(event.Started)
 		}
-		assert.ErrorIs(t, bo.Close(), event.ErrUnread)
+		assert.ErrorIs(t, bo.Close(), event.ErrFlushTimeout)
 		close(to.release)
 	}
 }
 
-// broken is a writer whose reader is gone.
-type broken struct{}
+// brokenWriter is a writer whose reader is gone.
+type brokenWriter struct{}
 
-func (broken) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (brokenWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 // Lines that can't be written are counted, and Close tells why.
-func TestBoundedCountsWhatCannotBeWritten(t *testing.T) {
-	bo := event.NewBounded(broken{}, 0)
+func TestBoundedWriterCountsFailedWrites(t *testing.T) {
+	bo := event.NewBoundedWriter(brokenWriter{}, 0)
 	lg := event.Logger{Out: &log.Logger{Writer: bo}}
 	for range 3 {
 		lg.Log(event.Started)
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -15,15 +15,15 @@
 	"alderdyke/internal/event"
 )
 
-const page = "../../docs/EVENTS.md"
+const eventsPage = "../../docs/EVENTS.md"
 
 var (
-	nameForm = regexp.MustCompile(`^([A-Z][a-z0-9]*|[A-Z]+)+$`)
-	levels   = map[event.Level]string{event.Info: "Info", event.Warn: "Warn", event.Error: "Error"}
+	namePattern = regexp.MustCompile(`^([A-Z][a-z0-9]*|[A-Z]+)+$`)
+	levels      = map[event.Level]string{event.Info: "Info", event.Warn: "Warn", event.Error: "Error"}
 )
 
-// rendered writes the page from the catalogue.
-func rendered() string {
+// renderPage writes the page from the catalogue.
+func renderPage() string {
 	var sb strings.Builder
 	sb.WriteString(`# Events
 
@@ -47,11 +47,11 @@
 
 func TestPageEqualsCatalogue(t *testing.T) {
 	if golden.FlagUpdate() {
-		assert.NilError(t, os.WriteFile(page, []byte(rendered()), 0o644))
+		assert.NilError(t, os.WriteFile(eventsPage, []byte(renderPage()), 0o644))
 	}
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(eventsPage)
 	assert.NilError(t, err)
-	assert.Equal(t, string(text), rendered(), "run: go test ./internal/event -update")
+	assert.Equal(t, string(text), renderPage(), "run: go test ./internal/event -update")
 }
 
 func TestCatalogue(t *testing.T) {
@@ -61,7 +61,7 @@
 		assert.Assert(t, !names[ev.Name], "name %s stands twice", ev.Name)
 		numbers[ev.Number], names[ev.Name] = true, true
 		assert.Assert(t, ev.Number >= 1000 && ev.Number <= 9999, "%d", ev.Number)
-		assert.Assert(t, nameForm.MatchString(ev.Name), "%s", ev.Name)
+		assert.Assert(t, namePattern.MatchString(ev.Name), "%s", ev.Name)
 		assert.Assert(t, levels[ev.Level] != "", "%s", ev.Name)
 		assert.Assert(t, ev.Meaning != "" && ev.Action != "", "%s", ev.Name)
 		assert.Assert(t, !strings.ContainsAny(ev.Meaning+ev.Action, "|\n"), "%s breaks the table", ev.Name)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -82,8 +82,8 @@
 func (fl *Fleet) Prepare() {
 	dt := &membership.Detector{Self: fl.Self, Rand: fl.Rand, Settings: fl.Settings}
 	fl.peers = &peer.Transport{Self: fl.Self.VMRef, Listen: fl.Self.Peer, Secret: fl.Secret,
-		Datagrams: fl.heard, Scope: fl.Scope, Log: fl.Log, Clock: clock.Or(fl.Clock)}
-	fl.members = actor.New[membership.Event, membership.Intent](clock.Or(fl.Clock), membership.Tick{}, tick)
+		Datagrams: fl.heard, Scope: fl.Scope, Log: fl.Log, Clock: clock.OrBoottime(fl.Clock)}
+	fl.members = actor.New[membership.Event, membership.Intent](clock.OrBoottime(fl.Clock), membership.Tick{}, tick)
 	fl.members.Step = dt.Step
 	fl.members.Do = fl.carryOut
 	fl.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -65,7 +65,7 @@
 // would probe each of them, and name it to callers until it is suspect.
 func (ne *Neighbours) sweep(ctx context.Context) {
 	for clock.Sleep(ctx, sweepEvery) {
-		gone := ne.goneVMs(clock.Or(ne.Clock).Now())
+		gone := ne.goneVMs(clock.OrBoottime(ne.Clock).Now())
 		if _, whole := ne.Others(); !whole || ne.Rank() != 0 {
 			continue // this VM may be the one that is cut off, or others see to it
 		}
--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -180,7 +180,7 @@
 
 // client is a caller's library that knows all VMs.
 func (fl *fleet) client() *client.Client {
-	cl := &client.Client{APIKey: apiKey, Idle: 10 * clock.Second}
+	cl := &client.Client{APIKey: apiKey, IdleTimeout: 10 * clock.Second}
 	for _, vm := range fl.vms {
 		cl.Bootstrap = append(cl.Bootstrap, vm.set.Caller.Advertise.String())
 	}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	maxReply      = 64 << 20 // bytes
+	maxReplyBytes = 64 << 20 // bytes
 	clientTimeout = 100 * clock.Second
 )
 
-// direct connects to the VM itself, whatever the environment says of other
+// directTransport connects to the VM itself, whatever the environment says of other
 // ways, so that the token goes nowhere else.
-var direct http.RoundTripper = &http.Transport{MaxIdleConns: 4, IdleConnTimeout: idleTimeout.Std()}
+var directTransport http.RoundTripper = &http.Transport{MaxIdleConns: 4, IdleConnTimeout: idleTimeout.Std()}
 
 // Client asks one VM on behalf of an operator. It is an immutable value. All
 // its errors are a [Fault].
@@ -117,20 +117,20 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.Token.Reveal())
 	req.Header.Set("Content-Type", mediaJSON)
-	resp, err := direct.RoundTrip(req)
+	resp, err := directTransport.RoundTrip(req)
 	if err != nil {
-		return sendFault(err)
+		return transportFault(err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return Fault{Reason: BadReply, Detail: "read the reply: " + err.Error()}
 	}
 	return readReply(resp.StatusCode, text, out)
 }
 
-// sendFault tells a request that was never sent from one that may have been.
-func sendFault(err error) Fault {
+// transportFault tells a request that was never sent from one that may have been.
+func transportFault(err error) Fault {
 	var oe *net.OpError
 	if errors.As(err, &oe) && oe.Op == "dial" {
 		return Fault{Reason: Unreachable, Detail: err.Error()}
--- a/internal/operator/export_test.go
+++ b/internal/operator/export_test.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// CloseIdle closes the client's idle connections.
-func CloseIdle() { direct.(*http.Transport).CloseIdleConnections() }
+// CloseIdleConnections closes the client's idle connections.
+func CloseIdleConnections() { directTransport.(*http.Transport).CloseIdleConnections() }
 
 // ReadOrder reads an order from a request.
 var ReadOrder = readOrder
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -30,11 +30,11 @@
 	mediaTOML = "application/toml"
 )
 
-const maxOrder = 4 << 10 // bytes of an order
+const maxOrderBytes = 4 << 10 // bytes of an order
 
 var (
-	idForm    = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
-	orderName = regexp.MustCompile(`^[!-~]{1,128}$`)
+	idPattern        = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+	orderNamePattern = regexp.MustCompile(`^[!-~]{1,128}$`)
 )
 
 // publish puts a template in force, or tells why not.
@@ -50,7 +50,7 @@
 	ver, err := srv.Backend.Publish(limit, pub)
 	fields := []event.Field{event.F("Customer", pub.Customer), event.F("PublicationID", pub.ID), event.F("Base", pub.Base)}
 	if err != nil {
-		srv.unpublished(ctx, err, fields)
+		srv.refusePublication(ctx, err, fields)
 		return
 	}
 	status, ev := iris.StatusOK, event.PublicationAccepted
@@ -60,12 +60,12 @@
 		fields = append(fields, event.F("Reason", ver.Reason))
 	}
 	srv.Log.Log(ev, append(fields, event.F("Revision", ver.Revision), event.F("Current", ver.Current))...)
-	reply(ctx, status, PublishReply{PublicationID: pub.ID, Verdict: ver})
+	writeReply(ctx, status, PublishReply{PublicationID: pub.ID, Verdict: ver})
 }
 
-// unpublished says of a publication without a verdict whether it may still
+// refusePublication says of a publication without a verdict whether it may still
 // take effect.
-func (srv *Server) unpublished(ctx iris.Context, err error, fields []event.Field) {
+func (srv *Server) refusePublication(ctx iris.Context, err error, fields []event.Field) {
 	var rf refusal.Refusal
 	if errors.As(err, &rf) && rf.Ran == refusal.NotRun {
 		srv.Log.Log(event.PublicationRefused, append(fields, event.F("Reason", string(rf.Reason)))...)
@@ -128,7 +128,7 @@
 }
 
 func parseID(text string) (string, error) {
-	if !idForm.MatchString(text) {
+	if !idPattern.MatchString(text) {
 		return "", Fault{Reason: BadRequest, Detail: "write the PublicationID as 1 to 64 letters, digits, dots, dashes or underscores"}
 	}
 	return text, nil
@@ -181,7 +181,7 @@
 		list.Revisions = append(list.Revisions, Revision{Customer: customer, Revision: tp.Revision})
 	}
 	slices.SortFunc(list.Revisions, func(ra, rb Revision) int { return cmp.Compare(ra.Customer, rb.Customer) })
-	reply(ctx, iris.StatusOK, list)
+	writeReply(ctx, iris.StatusOK, list)
 }
 
 // template shows one template in force.
@@ -192,19 +192,19 @@
 		srv.refuse(ctx, Fault{Reason: UnknownCustomer, Detail: fmt.Sprintf("no template of customer %.40q is in force", customer)})
 		return
 	}
-	reply(ctx, iris.StatusOK, TemplateReply{Revision: tp.Revision, Template: tp.Template})
+	writeReply(ctx, iris.StatusOK, TemplateReply{Revision: tp.Revision, Template: tp.Template})
 }
 
 // status shows the VM and what it sees.
 func (srv *Server) status(ctx iris.Context) {
-	limit, cancel := context.WithTimeout(ctx.Request().Context(), askTimeout.Std())
+	limit, cancel := context.WithTimeout(ctx.Request().Context(), queryTimeout.Std())
 	defer cancel()
-	reply(ctx, iris.StatusOK, srv.Backend.Status(limit))
+	writeReply(ctx, iris.StatusOK, srv.Backend.Status(limit))
 }
 
 // explain tells what became of a request.
 func (srv *Server) explain(ctx iris.Context) {
-	limit, cancel := context.WithTimeout(ctx.Request().Context(), askTimeout.Std())
+	limit, cancel := context.WithTimeout(ctx.Request().Context(), queryTimeout.Std())
 	defer cancel()
 	customer, key := ctx.Params().Get("customer"), ctx.Params().Get("key")
 	lines, err := srv.Backend.Explain(limit, customer, key)
@@ -212,7 +212,7 @@
 		srv.refuse(ctx, Fault{Reason: Unavailable, Detail: "the VMs can't be asked: " + err.Error()})
 		return
 	}
-	reply(ctx, iris.StatusOK, ExplainReply{Customer: customer, Key: key, Lines: lines})
+	writeReply(ctx, iris.StatusOK, ExplainReply{Customer: customer, Key: key, Lines: lines})
 }
 
 // order has a model engine load something.
@@ -227,7 +227,7 @@
 	var fa Fault
 	switch {
 	case err == nil:
-		reply(ctx, iris.StatusOK, rep)
+		writeReply(ctx, iris.StatusOK, rep)
 	case errors.As(err, &fa):
 		srv.refuse(ctx, fa)
 	default:
@@ -237,7 +237,7 @@
 
 // readOrder reads an order from a request. The error is a Fault.
 func readOrder(wr http.ResponseWriter, req *http.Request) (Order, error) {
-	text, err := io.ReadAll(http.MaxBytesReader(wr, req.Body, maxOrder))
+	text, err := io.ReadAll(http.MaxBytesReader(wr, req.Body, maxOrderBytes))
 	if err != nil {
 		return Order{}, bodyFault(err)
 	}
@@ -252,7 +252,7 @@
 	default:
 		return Order{}, Fault{Reason: BadRequest, Detail: fmt.Sprintf("Kind is %.40q; write LoadModel, LoadAdapter or LoadVersion", string(od.Kind))}
 	}
-	if od.Server == "" || !orderName.MatchString(od.Name) {
+	if od.Server == "" || !orderNamePattern.MatchString(od.Name) {
 		return Order{}, Fault{Reason: BadRequest, Detail: "name the Server, and give a Name of 1 to 128 printed characters"}
 	}
 	return od, nil
@@ -265,5 +265,5 @@
 		return
 	}
 	srv.Log.Log(event.DrainAsked, event.F("From", ctx.Request().RemoteAddr))
-	reply(ctx, iris.StatusAccepted, DrainReply{Draining: true})
+	writeReply(ctx, iris.StatusAccepted, DrainReply{Draining: true})
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -56,8 +56,8 @@
 	BadReply        Reason = "BadReply"    // made by the client: the reply can't be read
 )
 
-// statuses are the HTTP statuses of the reasons.
-var statuses = map[Reason]int{
+// httpStatuses are the HTTP httpStatuses of the reasons.
+var httpStatuses = map[Reason]int{
 	MissingToken:    http.StatusUnauthorized,
 	WrongToken:      http.StatusUnauthorized,
 	BadRequest:      http.StatusBadRequest,
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,29 +34,29 @@
 type (
 	// fakeVM decides publications as one log with one reader would.
 	fakeVM struct {
-		mu       sync.Mutex
-		inForce  board.Templates
-		verdicts map[string]operator.Verdict
-		fail     error
-		drained  int
-		ordered  []operator.Order
-		asked    [2]string
+		mu        sync.Mutex
+		inForce   board.Templates
+		verdicts  map[string]operator.Verdict
+		fail      error
+		drained   int
+		ordered   []operator.Order
+		explained [2]string
 	}
 
-	// lines is a log writer that a test reads.
-	lines struct {
+	// lineBuffer is a log writer that a test reads.
+	lineBuffer struct {
 		mu  sync.Mutex
 		buf bytes.Buffer
 	}
 )
 
-func (ln *lines) Write(text []byte) (int, error) {
+func (ln *lineBuffer) Write(text []byte) (int, error) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.buf.Write(text)
 }
 
-func (ln *lines) String() string {
+func (ln *lineBuffer) String() string {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.buf.String()
@@ -88,7 +88,7 @@
 }
 
 func (vm *fakeVM) Explain(_ context.Context, customer, key string) ([]operator.ExplainLine, error) {
-	vm.asked = [2]string{customer, key}
+	vm.explained = [2]string{customer, key}
 	return []operator.ExplainLine{{VM: "aarhus-a-1", Since: 5, Event: event.RequestAccepted.Number, Text: "accepted"}}, vm.fail
 }
 
@@ -102,10 +102,10 @@
 	return vm.fail
 }
 
-// started runs a server for the length of the test.
-func started(t *testing.T) (*fakeVM, operator.Client, tally.TestScope, *lines) {
+// startServer runs a server for the length of the test.
+func startServer(t *testing.T) (*fakeVM, operator.Client, tally.TestScope, *lineBuffer) {
 	vm := &fakeVM{inForce: board.Templates{ByCustomer: map[string]board.ActiveTemplate{}, Ready: true, Applied: 9}, verdicts: map[string]operator.Verdict{}}
-	scope, out := tally.NewTestScope("", nil), &lines{}
+	scope, out := tally.NewTestScope("", nil), &lineBuffer{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	srv := &operator.Server{
@@ -119,12 +119,12 @@
 	t.Cleanup(func() {
 		cancel()
 		assert.NilError(t, <-ended)
-		operator.CloseIdle()
+		operator.CloseIdleConnections()
 	})
 	return vm, operator.Client{Address: ln.Addr().String(), Token: srv.Token}, scope, out
 }
 
-func sample(t *testing.T) (template.Template, string) {
+func sampleTemplate(t *testing.T) (template.Template, string) {
 	text, err := os.ReadFile("../../examples/kedelsyn.toml")
 	assert.NilError(t, err)
 	tpl, err := template.Parse("kedelsyn.toml", text)
@@ -139,9 +139,9 @@
 }
 
 func TestPublish(t *testing.T) {
-	vm, cl, _, out := started(t)
+	vm, cl, _, out := startServer(t)
 	ctx := t.Context()
-	tpl, _ := sample(t)
+	tpl, _ := sampleTemplate(t)
 
 	first := operator.Publication{ID: "one", Customer: "kedelsyn", Template: tpl}
 	rep, err := cl.Publish(ctx, first)
@@ -184,8 +184,8 @@
 	assert.Assert(t, !strings.Contains(out.String(), token))
 }
 
-func TestAsk(t *testing.T) {
-	vm, cl, _, _ := started(t)
+func TestStatusExplainDrain(t *testing.T) {
+	vm, cl, _, _ := startServer(t)
 	ctx := t.Context()
 	st, err := cl.Status(ctx)
 	assert.NilError(t, err)
@@ -194,7 +194,7 @@
 	for _, key := range []string{"simple", "a/b c%2F?x=1", "ključ", "a//b", "a+b"} {
 		rep, err := cl.Explain(ctx, "kedelsyn", key)
 		assert.NilError(t, err, key)
-		assert.Equal(t, vm.asked, [2]string{"kedelsyn", key})
+		assert.Equal(t, vm.explained, [2]string{"kedelsyn", key})
 		assert.Equal(t, rep.Key, key)
 		assert.Equal(t, rep.Lines[0].Event, event.RequestAccepted.Number)
 	}
@@ -207,8 +207,8 @@
 }
 
 func TestRefusals(t *testing.T) {
-	_, cl, scope, out := started(t)
-	_, text := sample(t)
+	_, cl, scope, out := startServer(t)
+	_, text := sampleTemplate(t)
 	bearer := "Bearer " + token
 	for name, tc := range map[string]struct {
 		method, path, auth, media, body string
@@ -244,7 +244,7 @@
 				req.Header.Set("Authorization", tc.auth)
 			}
 			req.Header.Set("Content-Type", tc.media)
-			before := counted(scope, string(tc.reason))
+			before := refusalCount(scope, string(tc.reason))
 			resp, err := http.DefaultClient.Do(req)
 			assert.NilError(t, err)
 			defer http.DefaultClient.CloseIdleConnections()
@@ -259,15 +259,15 @@
 			assert.NilError(t, json.Unmarshal(body, &fa), "%s", body)
 			assert.Equal(t, fa.Reason, tc.reason)
 			assert.Equal(t, len(fa.Problems) > 0, tc.reason == operator.InvalidTemplate)
-			assert.Equal(t, counted(scope, string(tc.reason)), before+1)
+			assert.Equal(t, refusalCount(scope, string(tc.reason)), before+1)
 		})
 	}
 	assert.Assert(t, strings.Contains(out.String(), `"OperatorRejected"`))
 	assert.Assert(t, !strings.Contains(out.String(), token), "shows a token")
 }
 
-// counted reads the counter of one reason.
-func counted(scope tally.TestScope, reason string) int64 {
+// refusalCount reads the counter of one reason.
+func refusalCount(scope tally.TestScope, reason string) int64 {
 	for _, ct := range scope.Snapshot().Counters() {
 		if ct.Name() == "Refusals" && ct.Tags()["Reason"] == reason {
 			return ct.Value()
@@ -280,7 +280,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	cl := operator.Client{Address: ln.Addr().String(), Token: settings.NewSecret(token)}
-	tpl, _ := sample(t)
+	tpl, _ := sampleTemplate(t)
 
 	// A connection that breaks after the request was sent.
 	go func() {
@@ -310,13 +310,13 @@
 	assert.ErrorIs(t, srv.Run(t.Context()), net.ErrClosed)
 }
 
-func TestNoToken(t *testing.T) {
+func TestHandlerRequiresToken(t *testing.T) {
 	_, err := (&operator.Server{}).Handler()
 	assert.ErrorContains(t, err, "token")
 }
 
 func TestOrders(t *testing.T) {
-	vm, cl, _, _ := started(t)
+	vm, cl, _, _ := startServer(t)
 	od := operator.Order{Server: "e-1", Kind: engine.LoadAdapter, Name: "boilers"}
 	rep, err := cl.Order(t.Context(), od)
 	assert.NilError(t, err)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -26,12 +26,12 @@
 	idleTimeout    = clock.Minute
 	publishTimeout = clock.Minute
 	orderTimeout   = 80 * clock.Second // of which the engine may take a minute
-	askTimeout     = 20 * clock.Second
+	queryTimeout   = 20 * clock.Second
 	stopTimeout    = 5 * clock.Second
-	maxHeader      = 16 << 10 // bytes
+	maxHeaderBytes = 16 << 10 // bytes
 
-	rejectedFirst = 10           // rejected requests that are logged one by one
-	rejectedEvery = clock.Second // after that, one line in this span
+	rejectedLogBurst    = 10           // rejected requests that are logged one by one
+	rejectedLogInterval = clock.Second // after that, one line in this span
 )
 
 // Server serves operators. Set the exported fields before Run.
@@ -43,7 +43,7 @@
 	Scope    tally.Scope  // of its own, such as a subscope Operator, for the counters Requests and Refusals; nil: not counted
 	Log      event.Logger
 
-	rejected rate.Sometimes
+	rejectedLog rate.Sometimes
 }
 
 // Run serves until the context ends, then lets the requests in progress end
@@ -60,7 +60,7 @@
 		ReadTimeout:       readTimeout.Std(),
 		WriteTimeout:      writeTimeout.Std(),
 		IdleTimeout:       idleTimeout.Std(),
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.New(io.Discard, "", 0), // its lines are no events of the catalogue
 	}
 	served := make(chan error, 1)
@@ -89,7 +89,7 @@
 	if srv.Scope == nil {
 		srv.Scope = tally.NoopScope
 	}
-	srv.rejected = rate.Sometimes{First: rejectedFirst, Interval: rejectedEvery.Std()}
+	srv.rejectedLog = rate.Sometimes{First: rejectedLogBurst, Interval: rejectedLogInterval.Std()}
 
 	app := iris.New()
 	app.Logger().SetOutput(io.Discard).SetLevel("disable")
@@ -128,7 +128,7 @@
 	if header == "" {
 		fa = Fault{Reason: MissingToken, Detail: "send the operators' token as Authorization: Bearer TOKEN"}
 	}
-	srv.rejected.Do(func() {
+	srv.rejectedLog.Do(func() {
 		srv.Log.Log(event.OperatorRejected, event.F("From", ctx.Request().RemoteAddr), event.F("Reason", string(fa.Reason)))
 	})
 	ctx.Header("WWW-Authenticate", "Bearer")
@@ -138,12 +138,12 @@
 // refuse ends a request with a fault and counts it.
 func (srv *Server) refuse(ctx iris.Context, fa Fault) {
 	srv.Scope.Tagged(map[string]string{"Reason": string(fa.Reason)}).Counter("Refusals").Inc(1)
-	reply(ctx, statuses[fa.Reason], fa)
+	writeReply(ctx, httpStatuses[fa.Reason], fa)
 	ctx.StopExecution()
 }
 
-// reply writes a JSON reply.
-func reply(ctx iris.Context, status int, body any) {
+// writeReply writes a JSON writeReply.
+func writeReply(ctx iris.Context, status int, body any) {
 	ctx.StatusCode(status)
 	_ = ctx.JSON(body) // the operator's connection broke; there is nobody to tell
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -178,7 +178,7 @@
 		if tr.Scope == nil {
 			tr.Scope = tally.NoopScope
 		}
-		tr.Clock = clock.Or(tr.Clock)
+		tr.Clock = clock.OrBoottime(tr.Clock)
 		tr.count = newCounters(tr.Scope)
 		tr.setDefaults()
 		tr.seen.max = tr.Limits.MaxWindows
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -113,7 +113,7 @@
 	})
 }
 
-func (gd *Guard) now() clock.Millis { return clock.Or(gd.Clock).Now() }
+func (gd *Guard) now() clock.Millis { return clock.OrBoottime(gd.Clock).Now() }
 
 // HasSuspects reports whether there is evidence against any request. While there is
 // none, requests need no mark.
--- a/internal/relay/first_test.go
+++ b/internal/relay/first_test.go
@@ -18,7 +18,7 @@
 // told to come back immediately instead of after the default time.
 func TestFirstRequestGetsRetryAfter(t *testing.T) {
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2))}
-	req := &relay.Request{ID: "r-1", Method: http.MethodGet, Host: "h", URI: "/x", Path: "/x", Header: http.Header{}, Arrived: clock.Or(nil).Now()}
+	req := &relay.Request{ID: "r-1", Method: http.MethodGet, Host: "h", URI: "/x", Path: "/x", Header: http.Header{}, Arrived: clock.OrBoottime(nil).Now()}
 	rf := refusalOf(t, rl.Serve(t.Context(), httptest.NewRecorder(), req))
 	assert.Equal(t, rf.Reason, refusal.Starting)
 	assert.Equal(t, rf.RetryAfter, relay.DefaultStartRetryAfter)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -315,7 +315,7 @@
 
 // execute charges a request to its customer and serves it to its end.
 func (rl *Relay) execute(ctx context.Context, wr http.ResponseWriter, ex *exchange) error {
-	ctx, stop := clock.WithDeadline(ctx, clock.Or(rl.Clock), ex.deadline)
+	ctx, stop := clock.WithDeadline(ctx, clock.OrBoottime(rl.Clock), ex.deadline)
 	defer stop()
 	if err := rl.charge(ctx, ex); err != nil {
 		return err
@@ -377,7 +377,7 @@
 	return refusal.Refusal{Ran: refusal.NotRun, Reason: why, RetryAfter: after, Detail: detail}
 }
 
-func (rl *Relay) now() clock.Millis { return clock.Or(rl.Clock).Now() }
+func (rl *Relay) now() clock.Millis { return clock.OrBoottime(rl.Clock).Now() }
 
 // timeLeft returns the time until the request's deadline.
 func (rl *Relay) timeLeft(ex *exchange) clock.Millis { return max(0, ex.deadline-rl.now()) }
--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func (ke *Keeper) now() clock.Millis { return clock.Or(ke.Clock).Now() }
+func (ke *Keeper) now() clock.Millis { return clock.OrBoottime(ke.Clock).Now() }
 
 // tick decides once, and orders what is due if the lease is held.
 func (ke *Keeper) tick(ctx context.Context) {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -242,7 +242,7 @@
 
 func (sc *Client) client() *http.Client { return sc.made.Client(sc.HTTP) }
 
-func (sc *Client) now() clock.Millis { return clock.Or(sc.Clock).Now() }
+func (sc *Client) now() clock.Millis { return clock.OrBoottime(sc.Clock).Now() }
 
 func (sc *Client) count(srv board.BackendServer, name string, err error) {
 	oc := backend.Count(sc.Scope, "ServiceCalls", name, err)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -17,11 +17,11 @@
 )
 
 type (
-	// reader reads a whole file of at most the given length.
-	reader func(path string, most int64) ([]byte, error)
+	// fileReader reads a whole file of at most the given length.
+	fileReader func(path string, maxBytes int64) ([]byte, error)
 
-	// source is a secret with the two keys that may set it.
-	source struct {
+	// secretSource is a secret with the two keys that may set it.
+	secretSource struct {
 		key      string // such as Peer.Secret
 		secret   *Secret
 		file     string
@@ -34,14 +34,14 @@
 // [place.Errors] with all problems.
 func Load(path string) (Settings, error) { return load(path, readFile) }
 
-func load(path string, read reader) (Settings, error) {
+func load(path string, read fileReader) (Settings, error) {
 	text, err := read(path, maxFile)
 	if err != nil {
 		return Settings{}, place.Errors{{File: path, Mend: "give a file that can be read: " + err.Error()}}
 	}
 	set := Default()
 	check := func() place.Errors {
-		set = set.withAdvertised()
+		set = set.withAdvertiseDefaults()
 		es := set.readSecrets(filepath.Dir(path), read)
 		return append(es, set.problems()...)
 	}
@@ -51,8 +51,8 @@
 	return set, nil
 }
 
-func (set *Settings) sources() []source {
-	return []source{
+func (set *Settings) secretSources() []secretSource {
+	return []secretSource{
 		{"Peer.Secret", &set.Peer.Secret, set.Peer.SecretFile, true},
 		{"Operator.Token", &set.Operator.Token, set.Operator.TokenFile, true},
 		{"Log.Token", &set.Log.Token, set.Log.TokenFile, false},
@@ -62,9 +62,9 @@
 }
 
 // readSecrets puts the secrets that are in files of their own in place.
-func (set *Settings) readSecrets(dir string, read reader) place.Errors {
+func (set *Settings) readSecrets(dir string, read fileReader) place.Errors {
 	var es place.Errors
-	for _, src := range set.sources() {
+	for _, src := range set.secretSources() {
 		if src.file == "" {
 			continue
 		}
@@ -79,7 +79,7 @@
 	return es
 }
 
-func (src source) read(dir string, read reader) error {
+func (src secretSource) read(dir string, read fileReader) error {
 	path := src.file
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
@@ -94,18 +94,18 @@
 	return nil
 }
 
-func readFile(path string, most int64) ([]byte, error) {
+func readFile(path string, maxBytes int64) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("open: %w", err)
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, most+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("read: %w", err)
 	}
-	if int64(len(text)) > most {
-		return nil, fmt.Errorf("the file holds more than %d bytes", most)
+	if int64(len(text)) > maxBytes {
+		return nil, fmt.Errorf("the file holds more than %d bytes", maxBytes)
 	}
 	return text, nil
 }
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// hidden is what a secret shows of itself.
-const hidden = "***"
+// redacted is what a secret shows of itself.
+const redacted = "***"
 
 // MinSecret is the least length of a secret, in bytes.
 const MinSecret = 16
@@ -49,30 +49,30 @@
 
 // Format writes "***" whatever the verb.
 func (Secret) Format(state fmt.State, _ rune) {
-	_, _ = state.Write([]byte(hidden)) // fmt gives no way to report it
+	_, _ = state.Write([]byte(redacted)) // fmt gives no way to report it
 }
 
 // String returns "***".
-func (Secret) String() string { return hidden }
+func (Secret) String() string { return redacted }
 
 // MarshalText returns "***", or nothing if the secret is not set.
 func (sc Secret) MarshalText() ([]byte, error) {
 	if sc.IsZero() {
 		return nil, nil
 	}
-	return []byte(hidden), nil
+	return []byte(redacted), nil
 }
 
 // UnmarshalText sets the secret. The error never shows the text.
 func (sc *Secret) UnmarshalText(text []byte) error {
-	word := string(text)
-	if len(word) < MinSecret {
+	value := string(text)
+	if len(value) < MinSecret {
 		return fmt.Errorf("write at least %d characters, made at random", MinSecret)
 	}
-	if strings.ContainsFunc(word, func(ch rune) bool { return ch <= ' ' || ch > '~' }) {
+	if strings.ContainsFunc(value, func(ch rune) bool { return ch <= ' ' || ch > '~' }) {
 		return errors.New("write printable ASCII characters without spaces")
 	}
-	*sc = NewSecret(word)
+	*sc = NewSecret(value)
 	return nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// withAdvertised fills the advertised addresses that are not set.
-func (set Settings) withAdvertised() Settings {
+// withAdvertiseDefaults fills the advertised addresses that are not set.
+func (set Settings) withAdvertiseDefaults() Settings {
 	if !set.Caller.Advertise.IsValid() {
 		set.Caller.Advertise = set.Caller.Listen
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,21 +20,21 @@
 
 const (
 	exampleFile = "../../examples/entry.toml"
-	word        = "a-secret-of-some-length"
+	testSecret  = "a-secret-of-some-length"
 )
 
-// from reads files from a map.
-func from(files map[string]string) reader {
-	return func(path string, most int64) ([]byte, error) {
+// readerFrom reads files readerFrom a map.
+func readerFrom(files map[string]string) fileReader {
+	return func(path string, maxBytes int64) ([]byte, error) {
 		text, ok := files[path]
-		if !ok || int64(len(text)) > most {
+		if !ok || int64(len(text)) > maxBytes {
 			return nil, fmt.Errorf("open %s: %w", path, fs.ErrNotExist)
 		}
 		return []byte(text), nil
 	}
 }
 
-func example(t testing.TB) string {
+func exampleText(t testing.TB) string {
 	text, err := os.ReadFile(exampleFile)
 	assert.NilError(t, err)
 	return string(text)
@@ -54,7 +54,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "entry.toml")
 	for name, text := range map[string]string{
-		"entry.toml": example(t), "peer.secret": word + "\n", "operator.token": "another-" + word,
+		"entry.toml": exampleText(t), "peer.secret": testSecret + "\n", "operator.token": "another-" + testSecret,
 	} {
 		assert.NilError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
@@ -71,8 +71,8 @@
 	assert.Equal(t, set.ID, "aarhus-a-1")
 	assert.Equal(t, set.Caller.Advertise, netip.MustParseAddrPort("10.1.1.1:8080"))
 	assert.Equal(t, len(set.Peer.Seeds), 3)
-	assert.Assert(t, set.Peer.Secret.Equal(word))
-	assert.Assert(t, set.Operator.Token.Equal("another-"+word))
+	assert.Assert(t, set.Peer.Secret.Equal(testSecret))
+	assert.Assert(t, set.Operator.Token.Equal("another-"+testSecret))
 	assert.Assert(t, set.Log.Token.IsZero())
 	assert.NilError(t, set.Validate())
 
@@ -100,7 +100,7 @@
 		"missing secret":     {`SecretFile = "peer.secret"`, "", []string{"Peer.Secret"}},
 		"short secret":       {`SecretFile = "peer.secret"`, `Secret = "tooshort"`, []string{"Peer.Secret"}},
 		"secret of no text":  {`SecretFile = "peer.secret"`, `Secret = 1234567890123456`, []string{"Peer.Secret"}},
-		"secret twice":       {`SecretFile = "peer.secret"`, `Secret = "` + word + "\"\nSecretFile = 'peer.secret'", []string{"Peer.SecretFile"}},
+		"secret twice":       {`SecretFile = "peer.secret"`, `Secret = "` + testSecret + "\"\nSecretFile = 'peer.secret'", []string{"Peer.SecretFile"}},
 		"missing file":       {`"operator.token"`, `"other.token"`, []string{"Operator.TokenFile"}},
 		"short secret file":  {`"operator.token"`, `"short.token"`, []string{"Operator.TokenFile"}},
 		"span without unit":  {`HeaderTimeout = "10s"`, "HeaderTimeout = 10", []string{"Limits.HeaderTimeout"}},
@@ -113,14 +113,14 @@
 		"no TOML":            {"[Log]", "[Log", []string{""}},
 		"all at once":        {"Count = 3", "Count = 0\nX = 1\n[Operator.Y]", []string{"Addresses.Count", "Addresses.X", "Operator.Y"}},
 		"twice":              {"Count = 3", "Count = 3\nCount = 3", []string{"Addresses.Count"}},
-		"secret as a number": {`SecretFile = "peer.secret"`, `Secret = ["` + word + `"]`, []string{"Peer.Secret"}},
+		"secret as a number": {`SecretFile = "peer.secret"`, `Secret = ["` + testSecret + `"]`, []string{"Peer.Secret"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := example(t)
+			text := exampleText(t)
 			assert.Assert(t, strings.Contains(text, tc.old))
 			text = strings.Replace(text, tc.old, tc.new, 1)
-			_, err := load("etc/entry.toml", from(map[string]string{
-				"etc/entry.toml": text, "etc/" + secrets: word, "etc/operator.token": word, "etc/short.token": "short",
+			_, err := load("etc/entry.toml", readerFrom(map[string]string{
+				"etc/entry.toml": text, "etc/" + secrets: testSecret, "etc/operator.token": testSecret, "etc/short.token": "short",
 			}))
 			keys, all := problemsOf(err)
 			assert.DeepEqual(t, keys, tc.want)
@@ -128,38 +128,38 @@
 				assert.Assert(t, pe.File == "etc/entry.toml" && pe.Mend != "", "%+v", pe)
 				assert.Assert(t, pe.Line > 0 || pe.Key == "ID", "%+v", pe)
 			}
-			for _, secret := range []string{word, "tooshort", "1234567890123456"} {
+			for _, secret := range []string{testSecret, "tooshort", "1234567890123456"} {
 				assert.Assert(t, !strings.Contains(err.Error(), secret), "shows a secret: %v", err)
 			}
 		})
 	}
 }
 
-func TestSecretShowsNothing(t *testing.T) {
+func TestSecretIsRedacted(t *testing.T) {
 	set := Default()
-	set.Peer.Secret = NewSecret(word)
-	inside := struct{ secret Secret }{NewSecret(word)}
+	set.Peer.Secret = NewSecret(testSecret)
+	inside := struct{ secret Secret }{NewSecret(testSecret)}
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s", "%q", "%x", "%d", "%T %v", "%p"} {
 		for _, value := range []any{set, &set, set.Peer, set.Peer.Secret, &set.Peer.Secret, inside} {
 			shown := fmt.Sprintf(verb, value)
-			assert.Assert(t, !strings.Contains(shown, word), "%s: %s", verb, shown)
-			assert.Assert(t, !strings.Contains(shown, fmt.Sprintf("%x", word)), "%s: %s", verb, shown)
+			assert.Assert(t, !strings.Contains(shown, testSecret), "%s: %s", verb, shown)
+			assert.Assert(t, !strings.Contains(shown, fmt.Sprintf("%x", testSecret)), "%s: %s", verb, shown)
 		}
 	}
 	assert.Equal(t, fmt.Sprint(set.Peer.Secret), "***")
 
 	text, err := json.Marshal(set)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(string(text), `"Secret":"***"`) && !strings.Contains(string(text), word))
+	assert.Assert(t, strings.Contains(string(text), `"Secret":"***"`) && !strings.Contains(string(text), testSecret))
 	text, err = toml.Marshal(set)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(string(text), "***") && !strings.Contains(string(text), word))
+	assert.Assert(t, strings.Contains(string(text), "***") && !strings.Contains(string(text), testSecret))
 }
 
 func TestSecretEqual(t *testing.T) {
-	assert.Assert(t, NewSecret(word).Equal(word))
-	assert.Assert(t, !NewSecret(word).Equal(word+"x"))
-	assert.Assert(t, !NewSecret(word).Equal(""))
+	assert.Assert(t, NewSecret(testSecret).Equal(testSecret))
+	assert.Assert(t, !NewSecret(testSecret).Equal(testSecret+"x"))
+	assert.Assert(t, !NewSecret(testSecret).Equal(""))
 	assert.Assert(t, !Secret{}.Equal(""), "a secret that is not set must let nobody in")
 }
 
@@ -186,24 +186,24 @@
 }
 
 // A port that the system chooses is fine for what listens, as in a test.
-func TestValidateChosenPorts(t *testing.T) {
+func TestValidateAllowsPortZero(t *testing.T) {
 	set := Default()
 	set.ID, set.FailureDomain, set.Region = "vm-1", "fd-1", "r-1"
 	chosen := netip.MustParseAddrPort("127.0.0.1:0")
 	set.Caller.Listen, set.Peer.Listen, set.Operator.Listen = chosen, chosen, chosen
 	set.Log.Address = netip.MustParseAddrPort("127.0.0.1:1")
 	set.VMList.Address = set.Log.Address
-	set.Peer.Secret, set.Operator.Token = NewSecret(word), NewSecret(word)
+	set.Peer.Secret, set.Operator.Token = NewSecret(testSecret), NewSecret(testSecret)
 	assert.NilError(t, set.Validate())
 	set.Drain.Linger = -clock.Second
 	assert.ErrorContains(t, set.Validate(), "Drain.Linger")
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(example(f))
+	f.Add(exampleText(f))
 	f.Add("Peer = {Secret = 'x', Seeds = ['1.2.3.4:5', 6]}\n[Log]\nAddress = 'h:1'")
 	f.Fuzz(func(t *testing.T, text string) {
-		set, err := load("f", from(map[string]string{"f": text, "peer.secret": word, "operator.token": word}))
+		set, err := load("f", readerFrom(map[string]string{"f": text, "peer.secret": testSecret, "operator.token": testSecret}))
 		if keys, _ := problemsOf(err); err != nil && len(keys) == 0 {
 			t.Fatalf("error without a problem: %v", err)
 		}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -9,12 +9,12 @@
 	"alderdyke/pkg/place"
 )
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // Validate tells what is wrong with the settings. The error is nil or a
 // [place.Errors] with all problems, by their keys. Secrets must be in place.
 func (set Settings) Validate() error {
-	es := set.withAdvertised().problems()
+	es := set.withAdvertiseDefaults().problems()
 	return es.Err()
 }
 
@@ -27,7 +27,7 @@
 	set.checkAddresses(&es)
 	set.checkLimits(&es)
 	set.checkSpans(&es)
-	for _, src := range set.sources() {
+	for _, src := range set.secretSources() {
 		if src.required && src.secret.IsZero() && src.file == "" {
 			es.Add(src.key, "", fmt.Sprintf("write a secret of at least %d characters, or set %sFile", MinSecret, src.key))
 		}
@@ -59,14 +59,14 @@
 	}
 	checkAddress(es, "Log.Address", set.Log.Address)
 	checkAddress(es, "VMList.Address", set.VMList.Address)
-	checkTarget(es, "Log.Address", set.Log.Address)
-	checkTarget(es, "VMList.Address", set.VMList.Address)
+	checkDialable(es, "Log.Address", set.Log.Address)
+	checkDialable(es, "VMList.Address", set.VMList.Address)
 	checkAdvertised(es, "Caller", set.Caller.Listen, set.Caller.Advertise)
 	checkAdvertised(es, "Peer", set.Peer.Listen, set.Peer.Advertise)
 	for ix, seed := range set.Peer.Seeds {
 		key := fmt.Sprintf("Peer.Seeds[%d]", ix)
 		checkAddress(es, key, seed)
-		checkTarget(es, key, seed)
+		checkDialable(es, key, seed)
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 func checkName(es *place.Errors, key, name string) {
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		es.Add(key, fmt.Sprintf("%.40q", name),
 			"write 1 to 63 lower-case letters, digits, dots, dashes or underscores, with a letter or digit first")
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// checkTarget refuses an address that nobody can connect to.
-func checkTarget(es *place.Errors, key string, addr netip.AddrPort) {
+// checkDialable refuses an address that nobody can connect to.
+func checkDialable(es *place.Errors, key string, addr netip.AddrPort) {
 	if !addr.IsValid() {
 		return
 	}
@@ -118,7 +118,7 @@
 	if !listen.IsValid() || (advertise == listen && listen.Port() == 0 && !listen.Addr().IsUnspecified()) {
 		return
 	}
-	checkTarget(es, table+".Advertise", advertise)
+	checkDialable(es, table+".Advertise", advertise)
 }
 
 func checkSpan(es *place.Errors, key string, span, least, most clock.Millis) {
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -279,7 +279,7 @@
 	srv.done.Trimmed++
 }
 
-func (srv *Server) now() clock.Millis { return clock.Or(srv.Clock).Now() }
+func (srv *Server) now() clock.Millis { return clock.OrBoottime(srv.Clock).Now() }
 
 func (st *stream) end() uint64 { return st.first + uint64(len(st.records)) }
 
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -128,4 +128,4 @@
 	return doc, tag, false, true
 }
 
-func (srv *Server) now() clock.Millis { return clock.Or(srv.Clock).Now() }
+func (srv *Server) now() clock.Millis { return clock.OrBoottime(srv.Clock).Now() }
--- a/internal/topic/follower.go
+++ b/internal/topic/follower.go
@@ -224,7 +224,7 @@
 	}
 }
 
-func (fo *Follower) now() clock.Millis { return clock.Or(fo.Clock).Now() }
+func (fo *Follower) now() clock.Millis { return clock.OrBoottime(fo.Clock).Now() }
 
 // Run follows the topic until the context is cancelled.
 func (fo *Follower) Run(ctx context.Context) {
--- a/pkg/client/addresses.go
+++ b/pkg/client/addresses.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	askTimeout   = 5 * time.Second
-	maxAddresses = 64 << 10 // bytes of an answer about addresses
+	addressesTimeout  = 5 * time.Second
+	maxAddressesBytes = 64 << 10 // bytes of an answer about addresses
 )
 
 type (
-	// book is the addresses that the client uses, best first.
-	book struct {
+	// addressBook is the addresses that the client uses, best first.
+	addressBook struct {
 		mu    sync.Mutex
 		addrs []string
 		until clock.Millis
@@ -35,45 +35,45 @@
 	}
 )
 
-// pick returns the address to try next. It asks the fleet for addresses when
+// pickAddress returns the address to try next. It asks the fleet for addresses when
 // it has none or has kept them for long enough. While nobody answers it goes
 // on with those that it has.
-func (cl *Client) pick(ctx context.Context) (string, error) {
-	if addr, ok := cl.book.first(cl.now()); ok {
+func (cl *Client) pickAddress(ctx context.Context) (string, error) {
+	if addr, ok := cl.addresses.best(cl.now()); ok {
 		return addr, nil
 	}
-	known := slices.Concat(cl.book.all(), cl.Bootstrap)
+	known := slices.Concat(cl.addresses.all(), cl.Bootstrap)
 	tried := map[string]bool{}
 	for _, addr := range known {
 		if tried[addr] {
 			continue
 		}
 		tried[addr] = true
-		got, err := cl.ask(ctx, addr)
+		got, err := cl.fetchAddresses(ctx, addr)
 		var rf refusal.Refusal
 		switch {
 		case err == nil:
-			cl.book.store(got, cl.now())
+			cl.addresses.store(got, cl.now())
 			return got.Addresses[0].Address, nil
-		case errors.As(err, &rf) && !local(rf.Reason):
+		case errors.As(err, &rf) && !isVMLocal(rf.Reason):
 			return "", err
 		case ctx.Err() != nil:
 			return "", fmt.Errorf("ask for addresses: %w", ctx.Err())
 		}
 	}
-	cl.book.fallBack(cl.Bootstrap)
-	return cl.book.all()[0], nil
+	cl.addresses.addFallbacks(cl.Bootstrap)
+	return cl.addresses.all()[0], nil
 }
 
-// ask asks one VM which addresses to use.
-func (cl *Client) ask(ctx context.Context, addr string) (addressesBody, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// fetchAddresses asks one VM which addresses to use.
+func (cl *Client) fetchAddresses(ctx context.Context, addr string) (addressesBody, error) {
+	ctx, cancel := context.WithTimeout(ctx, addressesTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/addresses", nil)
 	if err != nil {
 		return addressesBody{}, fmt.Errorf("ask %s for addresses: %w", addr, err)
 	}
-	cl.header(req)
+	cl.setAuthorization(req)
 	resp, err := cl.hc.Do(req)
 	if err != nil {
 		return addressesBody{}, fmt.Errorf("ask %s for addresses: %w", addr, err)
@@ -82,7 +82,7 @@
 	if rf, ok := refusalOf(resp); ok {
 		return addressesBody{}, fmt.Errorf("ask %s for addresses: %w", addr, rf)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAddresses))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAddressesBytes))
 	if err != nil {
 		return addressesBody{}, fmt.Errorf("read the addresses of %s: %w", addr, err)
 	}
@@ -105,7 +105,7 @@
 	return body, nil
 }
 
-func (bk *book) first(now clock.Millis) (string, bool) {
+func (bk *addressBook) best(now clock.Millis) (string, bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	if len(bk.addrs) == 0 || now >= bk.until {
@@ -114,13 +114,13 @@
 	return bk.addrs[0], true
 }
 
-func (bk *book) all() []string {
+func (bk *addressBook) all() []string {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	return slices.Clone(bk.addrs)
 }
 
-func (bk *book) store(body addressesBody, now clock.Millis) {
+func (bk *addressBook) store(body addressesBody, now clock.Millis) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	bk.addrs = bk.addrs[:0]
@@ -130,8 +130,8 @@
 	bk.until = now + body.KeepFor
 }
 
-// fallBack adds addresses that are not known yet at the end.
-func (bk *book) fallBack(addrs []string) {
+// addFallbacks adds addresses that are not known yet at the end.
+func (bk *addressBook) addFallbacks(addrs []string) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	for _, addr := range addrs {
@@ -143,7 +143,7 @@
 
 // demote puts an address that failed at the end and returns how many there
 // are.
-func (bk *book) demote(addr string) int {
+func (bk *addressBook) demote(addr string) int {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	if ix := slices.Index(bk.addrs, addr); ix >= 0 {
@@ -152,8 +152,8 @@
 	return len(bk.addrs)
 }
 
-// expire makes the next pick ask again.
-func (bk *book) expire() {
+// expire makes the next pickAddress fetch the addresses again.
+func (bk *addressBook) expire() {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	bk.until = 0
--- a/pkg/client/chat.go
+++ b/pkg/client/chat.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxLine = 4 << 20 // bytes of one line of a stream
-	noEvent = -1      // last event ID before the first event
+	maxLineBytes = 4 << 20 // bytes of one line of a stream
+	noEventID    = -1      // last event ID before the first event
 )
 
 type (
@@ -58,17 +58,17 @@
 	}
 
 	chatCall struct {
-		cs   *course
-		req  ChatRequest
-		body []byte
-		last int // ID of the last event
-		text strings.Builder
-		ans  ChatAnswer
+		cs     *callState
+		req    ChatRequest
+		body   []byte
+		lastID int // ID of the last event
+		text   strings.Builder
+		ans    ChatAnswer
 	}
 
 	// sseEvent is one server-sent event.
 	sseEvent struct {
-		id   int // noEvent if it has none
+		id   int // noEventID if it has none
 		name string
 		data string
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return ChatAnswer{}, fmt.Errorf("%w: %w", errNotRun("the request can't be encoded"), err)
 	}
-	cc := &chatCall{cs: &course{key: req.Key}, req: req, body: body, last: noEvent}
+	cc := &chatCall{cs: &callState{key: req.Key}, req: req, body: body, lastID: noEventID}
 	if err := cl.run(ctx, cc.cs, cc); err != nil {
 		return ChatAnswer{}, fmt.Errorf("chat completion: %w", err)
 	}
@@ -104,8 +104,8 @@
 	return cc.ans, nil
 }
 
-func (cc *chatCall) begun() bool      { return cc.last != noEvent }
-func (cc *chatCall) idempotent() bool { return cc.req.Idempotent }
+func (cc *chatCall) partDelivered() bool { return cc.lastID != noEventID }
+func (cc *chatCall) idempotent() bool    { return cc.req.Idempotent }
 
 func (cc *chatCall) request(ctx context.Context, addr string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
@@ -115,8 +115,8 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerKey, cc.cs.key)
-	if cc.last != noEvent {
-		req.Header.Set(headerLastID, strconv.Itoa(cc.last))
+	if cc.lastID != noEventID {
+		req.Header.Set(headerLastID, strconv.Itoa(cc.lastID))
 	}
 	if cc.req.Class != "" {
 		req.Header.Set(headerClass, cc.req.Class)
@@ -133,13 +133,13 @@
 		return broken{err: fmt.Errorf("status %d without a stream or a refusal", resp.StatusCode)}
 	}
 	sc := bufio.NewScanner(resp.Body)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineBytes)
 	for {
 		ev, err := nextEvent(sc)
 		if err != nil {
 			return broken{err: err}
 		}
-		oc, err := cc.take(ev)
+		oc, err := cc.handleEvent(ev)
 		if err != nil {
 			return broken{err: err}
 		}
@@ -149,8 +149,8 @@
 	}
 }
 
-// take takes one event in; the outcome is nil while the answer goes on.
-func (cc *chatCall) take(ev sseEvent) (outcome, error) {
+// handleEvent takes one event in; the outcome is nil while the answer goes on.
+func (cc *chatCall) handleEvent(ev sseEvent) (outcome, error) {
 	switch {
 	case ev.name == "refusal":
 		rf, err := parseRefusal([]byte(ev.data))
@@ -160,10 +160,10 @@
 		return refused{rf}, nil
 	case ev.name != "" || ev.data == "":
 		return nil, nil
-	case ev.id == noEvent:
+	case ev.id == noEventID:
 		return nil, errors.New("a chunk has no event ID")
-	case ev.id > cc.last+1:
-		return nil, fmt.Errorf("event %d came where %d was due", ev.id, cc.last+1)
+	case ev.id > cc.lastID+1:
+		return nil, fmt.Errorf("event %d came where %d was due", ev.id, cc.lastID+1)
 	}
 	var ck chatChunk
 	if err := json.Unmarshal([]byte(ev.data), &ck); err != nil {
@@ -172,21 +172,21 @@
 	if len(ck.Choices) != 1 {
 		return nil, fmt.Errorf("chunk %d has %d choices", ev.id, len(ck.Choices))
 	}
-	if ev.id > cc.last {
-		cc.last = ev.id
-		cc.add(ck.Choices[0].Delta.Content)
+	if ev.id > cc.lastID {
+		cc.lastID = ev.id
+		cc.appendText(ck.Choices[0].Delta.Content)
 	}
 	if end := ck.Choices[0].FinishReason; end != nil {
-		if ev.id < cc.last { // the end of another answer, which is shorter
-			return nil, fmt.Errorf("the answer ends with event %d, and event %d came before", ev.id, cc.last)
+		if ev.id < cc.lastID { // the end of another answer, which is shorter
+			return nil, fmt.Errorf("the answer ends with event %d, and event %d came before", ev.id, cc.lastID)
 		}
 		cc.ans.FinishReason, cc.ans.Tokens = *end, ck.Usage.CompletionTokens
-		return whole{}, nil
+		return completed{}, nil
 	}
 	return nil, nil
 }
 
-func (cc *chatCall) add(text string) {
+func (cc *chatCall) appendText(text string) {
 	if text == "" {
 		return
 	}
@@ -199,12 +199,12 @@
 // nextEvent reads one event. The end of the stream is an error: an answer
 // ends with an event of its own.
 func nextEvent(sc *bufio.Scanner) (sseEvent, error) {
-	ev := sseEvent{id: noEvent}
+	ev := sseEvent{id: noEventID}
 	var data []string
 	for sc.Scan() {
 		line := sc.Text()
 		if line == "" {
-			if ev.id != noEvent || ev.name != "" || data != nil {
+			if ev.id != noEventID || ev.name != "" || data != nil {
 				ev.data = strings.Join(data, "\n")
 				return ev, nil
 			}
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -18,12 +18,12 @@
 
 // Presets of a Client's fields.
 const (
-	presetAttempts = 24
-	presetIdle     = 45 * clock.Second
-	presetPause    = clock.Millis(200)
-	maxPause       = 10 * clock.Second
-	maxDoublings   = 10
-	dialTimeout    = 3 * time.Second
+	defaultAttempts    = 24
+	defaultIdleTimeout = 45 * clock.Second
+	defaultBackoff     = clock.Millis(200)
+	maxBackoff         = 10 * clock.Second
+	maxDoublings       = 10
+	dialTimeout        = 3 * time.Second
 )
 
 type (
@@ -37,18 +37,18 @@
 		// uses no proxy. It must neither follow redirects nor have a Timeout.
 		HTTP *http.Client
 
-		Attempts int          // tries of one call; zero stands for 24
-		Idle     clock.Millis // silence after which a connection counts as broken; zero stands for 45s
-		Pause    clock.Millis // wait after every address failed, doubled each time up to 10s; zero stands for 200ms
-		Clock    clock.Source // nil stands for the process's clock
+		Attempts    int          // tries of one call; zero stands for 24
+		IdleTimeout clock.Millis // silence after which a connection counts as broken; zero stands for 45s
+		Backoff     clock.Millis // wait after every address failed, doubled each time up to 10s; zero stands for 200ms
+		Clock       clock.Source // nil stands for the process's clock
 
 		// Wait waits for a span or until the context ends. Nil stands for a
 		// timer.
 		Wait func(ctx context.Context, span clock.Millis) error
 
-		once sync.Once
-		hc   *http.Client
-		book book
+		once      sync.Once
+		hc        *http.Client
+		addresses addressBook
 	}
 
 	// call is one request to the fleet: *chatCall or *plainCall.
@@ -57,38 +57,38 @@
 		request(ctx context.Context, addr string) (*http.Request, error)
 		// read reads the response to its end.
 		read(resp *http.Response) outcome
-		// begun tells whether a part of the answer was handed on already.
-		begun() bool
+		// partDelivered tells whether a part of the answer was handed on already.
+		partDelivered() bool
 		// idempotent tells whether the request may run more than once.
 		idempotent() bool
 	}
 
-	// outcome of one try: whole, refused or broken.
+	// outcome of one attempt: completed, refused or broken.
 	outcome interface{ outcome() }
 
-	whole   struct{}
-	refused struct{ rf refusal.Refusal }
-	broken  struct {
+	completed struct{}
+	refused   struct{ rf refusal.Refusal }
+	broken    struct {
 		sent bool // the request may have reached the VM
 		err  error
 	}
 
-	// course is the state of one call over its tries.
-	course struct {
-		key     string
-		own     bool // the key is the application's
-		inDoubt bool // a try broke that may have reached a VM
-		failed  int  // tries in a row that got no further
-		rounds  int  // times that every address had failed
+	// callState is the state of one call over its tries.
+	callState struct {
+		key            string
+		callerKey      bool // the key is the application's
+		inDoubt        bool // a try broke that may have reached a VM
+		failedAttempts int  // tries in a row that got no further
+		failedRounds   int  // times that every address had failed
 	}
 )
 
-func (whole) outcome()   {}
-func (refused) outcome() {}
-func (broken) outcome()  {}
+func (completed) outcome() {}
+func (refused) outcome()   {}
+func (broken) outcome()    {}
 
-// header sets what all requests to the fleet carry.
-func (cl *Client) header(req *http.Request) {
+// setAuthorization sets what all requests to the fleet carry.
+func (cl *Client) setAuthorization(req *http.Request) {
 	req.Header.Set("Authorization", "Bearer "+cl.APIKey)
 }
 
@@ -113,79 +113,79 @@
 
 // run tries the call until it has its one end. The error wraps a
 // refusal.Refusal.
-func (cl *Client) run(ctx context.Context, cs *course, cc call) error {
+func (cl *Client) run(ctx context.Context, cs *callState, cc call) error {
 	cl.init()
 	if err := checkBootstrap(cl.Bootstrap); err != nil {
 		return err
 	}
-	if cs.own = cs.key != ""; !cs.own {
+	if cs.callerKey = cs.key != ""; !cs.callerKey {
 		cs.key = rand.Text()
 	}
 	var last error
-	for left := orPreset(cl.Attempts, presetAttempts) - 1; left >= 0; left-- {
-		addr, err := cl.pick(ctx)
+	for left := orDefault(cl.Attempts, defaultAttempts) - 1; left >= 0; left-- {
+		addr, err := cl.pickAddress(ctx)
 		if err != nil {
-			return cs.end(err)
+			return cs.finalError(err)
 		}
-		switch oc := cl.try(ctx, addr, cc).(type) {
-		case whole:
+		switch oc := cl.attempt(ctx, addr, cc).(type) {
+		case completed:
 			return nil
 		case refused:
-			last = fmt.Errorf("answer of %s: %w", addr, cs.truth(oc.rf))
-			if left == 0 || !cs.again(oc.rf, cc) {
+			last = fmt.Errorf("answer of %s: %w", addr, cs.adjustRefusal(oc.rf))
+			if left == 0 || !cs.shouldRetry(oc.rf, cc) {
 				return last
 			}
 			cs.rekey(cc)
-			err = cl.afterRefusal(ctx, cs, addr, oc.rf)
+			err = cl.delayAfterRefusal(ctx, cs, addr, oc.rf)
 		case broken:
 			cs.inDoubt = cs.inDoubt || oc.sent
 			last = fmt.Errorf("try at %s: %w", addr, oc.err)
 			if left > 0 {
-				err = cl.afterBreak(ctx, cs, addr)
+				err = cl.delayAfterBreak(ctx, cs, addr)
 			}
 		}
 		if err != nil {
-			return cs.end(errors.Join(err, last))
+			return cs.finalError(errors.Join(err, last))
 		}
 	}
-	return cs.end(last)
+	return cs.finalError(last)
 }
 
-// truth is what a refusal of one try says about the whole call.
-func (cs *course) truth(rf refusal.Refusal) refusal.Refusal {
+// adjustRefusal is what a refusal of one try says about the whole call.
+func (cs *callState) adjustRefusal(rf refusal.Refusal) refusal.Refusal {
 	if rf.Ran != refusal.NotRun || cs.inDoubt {
 		return rf.WithRan(refusal.MayHaveRun)
 	}
 	return rf
 }
 
-// again tells whether the call goes on after what a VM said. After "not run"
+// shouldRetry tells whether the call goes on after what a VM said. After "not run"
 // it may: with a fresh key, or in doubt with the same one, which the fleet
 // runs once at most. After "may have run" only an idempotent request starts
 // anew, and not with the application's key, which stands for that end. A request that
 // ends its servers is left to the application: the fault is in the request.
-func (cs *course) again(said refusal.Refusal, cc call) bool {
+func (cs *callState) shouldRetry(said refusal.Refusal, cc call) bool {
 	switch {
 	case said.RetryAfter <= 0, said.Reason == refusal.EndsServers:
 		return false
 	case said.Ran == refusal.NotRun:
-		return cs.inDoubt || !cc.begun()
+		return cs.inDoubt || !cc.partDelivered()
 	default:
-		return cc.idempotent() && !cs.own && !cc.begun()
+		return cc.idempotent() && !cs.callerKey && !cc.partDelivered()
 	}
 }
 
 // rekey takes a fresh key where the old one may stand for a refusal and a
 // second run is either impossible or allowed.
-func (cs *course) rekey(cc call) {
-	if !cs.own && !cc.begun() && (!cs.inDoubt || cc.idempotent()) {
+func (cs *callState) rekey(cc call) {
+	if !cs.callerKey && !cc.partDelivered() && (!cs.inDoubt || cc.idempotent()) {
 		cs.key = rand.Text()
 	}
 }
 
-// local tells whether the reason lies with the one VM and comes before
+// isVMLocal tells whether the reason lies with the one VM and comes before
 // anything runs, so that another VM may know better.
-func local(reason refusal.Reason) bool {
+func isVMLocal(reason refusal.Reason) bool {
 	switch reason {
 	case refusal.Draining, refusal.Starting, refusal.TooManyConnections:
 		return true
@@ -194,13 +194,13 @@
 	}
 }
 
-// end is the refusal of a call that got neither an answer nor a final
+// finalError is the refusal of a call that got neither an answer nor a final
 // refusal.
-func (cs *course) end(err error) error {
+func (cs *callState) finalError(err error) error {
 	var rf refusal.Refusal
 	if errors.As(err, &rf) {
-		if truth := cs.truth(rf); truth != rf {
-			return fmt.Errorf("%w: %v", truth, err)
+		if adjusted := cs.adjustRefusal(rf); adjusted != rf {
+			return fmt.Errorf("%w: %v", adjusted, err)
 		}
 		return err
 	}
@@ -208,30 +208,30 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		rf.Reason = refusal.DeadlinePassed
 	}
-	return fmt.Errorf("%w: %w", cs.truth(rf), err)
+	return fmt.Errorf("%w: %w", cs.adjustRefusal(rf), err)
 }
 
-func (cl *Client) afterRefusal(ctx context.Context, cs *course, addr string, rf refusal.Refusal) error {
-	if local(rf.Reason) && cl.book.demote(addr) > cs.failed+1 {
-		cs.failed++
+func (cl *Client) delayAfterRefusal(ctx context.Context, cs *callState, addr string, rf refusal.Refusal) error {
+	if isVMLocal(rf.Reason) && cl.addresses.demote(addr) > cs.failedAttempts+1 {
+		cs.failedAttempts++
 		return nil // another VM can be asked at once
 	}
-	cs.failed = 0
+	cs.failedAttempts = 0
 	return cl.wait(ctx, rf.RetryAfter)
 }
 
-func (cl *Client) afterBreak(ctx context.Context, cs *course, addr string) error {
+func (cl *Client) delayAfterBreak(ctx context.Context, cs *callState, addr string) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	cs.failed++
-	if known := cl.book.demote(addr); cs.failed < known {
+	cs.failedAttempts++
+	if known := cl.addresses.demote(addr); cs.failedAttempts < known {
 		return nil
 	}
-	cs.failed = 0
-	cl.book.expire()
-	pause := min(orPreset(cl.Pause, presetPause)<<min(cs.rounds, maxDoublings), maxPause)
-	cs.rounds++
+	cs.failedAttempts = 0
+	cl.addresses.expire()
+	pause := min(orDefault(cl.Backoff, defaultBackoff)<<min(cs.failedRounds, maxDoublings), maxBackoff)
+	cs.failedRounds++
 	return cl.wait(ctx, pause)
 }
 
@@ -255,9 +255,9 @@
 	}
 }
 
-func (cl *Client) now() clock.Millis { return clock.Or(cl.Clock).Now() }
+func (cl *Client) now() clock.Millis { return clock.OrBoottime(cl.Clock).Now() }
 
-func orPreset[Number ~int | ~int64](value, preset Number) Number {
+func orDefault[Number ~int | ~int64](value, preset Number) Number {
 	if value <= 0 {
 		return preset
 	}
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -30,15 +30,15 @@
 	// asked, and then the last one for ever.
 	fleet struct {
 		*Client
-		mu     sync.Mutex
-		steps  []step
-		asks   int      // for addresses
-		vms    []string // asked, by request
-		keys   []string
-		lasts  []string
-		waits  []clock.Millis
-		list   []string
-		manual clock.Manual
+		mu              sync.Mutex
+		steps           []step
+		addressRequests int      // for addresses
+		vms             []string // asked, by request
+		keys            []string
+		lastIDs         []string
+		waits           []clock.Millis
+		list            []string
+		manual          clock.Manual
 	}
 )
 
@@ -64,7 +64,7 @@
 	fl.mu.Lock()
 	if req.URL.Path == "/v1/addresses" {
 		defer fl.mu.Unlock()
-		fl.asks++
+		fl.addressRequests++
 		var body addressesBody
 		for _, addr := range fl.list {
 			body.Addresses = append(body.Addresses, struct{ Address string }{addr})
@@ -76,7 +76,7 @@
 	do := fl.steps[min(len(fl.vms), len(fl.steps)-1)]
 	fl.vms = append(fl.vms, req.Host)
 	fl.keys = append(fl.keys, req.Header.Get(headerKey))
-	fl.lasts = append(fl.lasts, req.Header.Get(headerLastID))
+	fl.lastIDs = append(fl.lastIDs, req.Header.Get(headerLastID))
 	fl.mu.Unlock()
 	do(wr, req)
 }
@@ -109,8 +109,8 @@
 }
 
 var (
-	breaks = stream(0, "!")
-	done   = stream(0, "ok", ".")
+	brokenStream   = stream(0, "!")
+	completeAnswer = stream(0, "ok", ".")
 )
 
 func TestResumesAtAnotherVM(t *testing.T) {
@@ -121,13 +121,13 @@
 	assert.Equal(t, ans.Text, "weld 7 has pits")
 	assert.Equal(t, strings.Join(pieces, ""), ans.Text)
 	assert.Equal(t, ans.Tokens, 7)
-	assert.DeepEqual(t, fl.lasts, []string{"", "1", "2"})
+	assert.DeepEqual(t, fl.lastIDs, []string{"", "1", "2"})
 	assert.DeepEqual(t, fl.keys, []string{ans.Key, ans.Key, ans.Key})
 	assert.DeepEqual(t, fl.vms, fl.list)
 	assert.Equal(t, len(fl.waits), 0)
 }
 
-func TestOneTruthfulEnd(t *testing.T) {
+func TestChatOutcomes(t *testing.T) {
 	no, may := refusal.NotRun, refusal.MayHaveRun
 	for name, tc := range map[string]struct {
 		steps    []step
@@ -138,25 +138,25 @@
 		sameKeys bool
 		waits    int
 	}{
-		"answer":                         {steps: []step{done}, tries: 1, sameKeys: true},
-		"not run, then answer":           {steps: []step{refuse(no, refusal.QueueFull, 100), done}, tries: 2, waits: 1},
-		"not run, own key":               {steps: []step{refuse(no, refusal.QueueFull, 100), done}, own: true, tries: 2, sameKeys: true, waits: 1},
+		"answer":                         {steps: []step{completeAnswer}, tries: 1, sameKeys: true},
+		"not run, then answer":           {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, tries: 2, waits: 1},
+		"not run, own key":               {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, own: true, tries: 2, sameKeys: true, waits: 1},
 		"not run, of no use":             {steps: []step{refuse(no, refusal.BadRequest, 0)}, ran: no, tries: 1, sameKeys: true},
 		"not run, ends servers":          {steps: []step{refuse(no, refusal.EndsServers, 300000)}, ran: no, tries: 1, sameKeys: true},
 		"not run for ever":               {steps: []step{refuse(no, refusal.QueueFull, 100)}, ran: no, tries: 6, waits: 5},
 		"may have run":                   {steps: []step{refuse(may, refusal.VMLost, 100)}, ran: may, tries: 1, sameKeys: true},
-		"may have run, idempotent":       {steps: []step{refuse(may, refusal.VMLost, 100), done}, idem: true, tries: 2, waits: 1},
+		"may have run, idempotent":       {steps: []step{refuse(may, refusal.VMLost, 100), completeAnswer}, idem: true, tries: 2, waits: 1},
 		"may have run, idempotent, own":  {steps: []step{refuse(may, refusal.VMLost, 100)}, idem: true, own: true, ran: may, tries: 1, sameKeys: true},
-		"break, then not run":            {steps: []step{breaks, refuse(no, refusal.BadRequest, 0)}, ran: may, tries: 2, sameKeys: true},
-		"break, then not run, then done": {steps: []step{breaks, refuse(no, refusal.HomeUnreachable, 100), done}, tries: 3, sameKeys: true, waits: 1},
-		"break, then may have run":       {steps: []step{breaks, refuse(may, refusal.KeyInDoubt, 100)}, ran: may, tries: 2, sameKeys: true},
-		"breaks for ever":                {steps: []step{breaks}, ran: may, tries: 6, sameKeys: true, waits: 1},
-		"leaving VM":                     {steps: []step{refuse(no, refusal.Draining, 100), done}, tries: 2},
+		"break, then not run":            {steps: []step{brokenStream, refuse(no, refusal.BadRequest, 0)}, ran: may, tries: 2, sameKeys: true},
+		"break, then not run, then done": {steps: []step{brokenStream, refuse(no, refusal.HomeUnreachable, 100), completeAnswer}, tries: 3, sameKeys: true, waits: 1},
+		"break, then may have run":       {steps: []step{brokenStream, refuse(may, refusal.KeyInDoubt, 100)}, ran: may, tries: 2, sameKeys: true},
+		"breaks for ever":                {steps: []step{brokenStream}, ran: may, tries: 6, sameKeys: true, waits: 1},
+		"leaving VM":                     {steps: []step{refuse(no, refusal.Draining, 100), completeAnswer}, tries: 2},
 		"all leaving":                    {steps: []step{refuse(no, refusal.Draining, 100)}, ran: no, tries: 6, waits: 1},
 		"text, then refusal":             {steps: []step{stream(0, "a", "!"), refuse(may, refusal.VMLost, 100)}, idem: true, ran: may, tries: 2, sameKeys: true},
-		"gap in the events":              {steps: []step{stream(1, "b", "."), done}, tries: 2, sameKeys: true},
+		"gap in the events":              {steps: []step{stream(1, "b", "."), completeAnswer}, tries: 2, sameKeys: true},
 		"end without final event":        {steps: []step{stream(0, "ok"), stream(1, ".")}, tries: 2, sameKeys: true},
-		"not of the protocol":            {steps: []step{func(http.ResponseWriter, *http.Request) {}, done}, tries: 2, sameKeys: true},
+		"not of the protocol":            {steps: []step{func(http.ResponseWriter, *http.Request) {}, completeAnswer}, tries: 2, sameKeys: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fl := newFleet(t, 3, tc.steps...)
@@ -183,11 +183,11 @@
 	}
 }
 
-func TestNobodyThere(t *testing.T) {
+func TestNoVMReachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, ln.Close())
-	cl := &Client{Bootstrap: []string{ln.Addr().String()}, Attempts: 3, Pause: 1}
+	cl := &Client{Bootstrap: []string{ln.Addr().String()}, Attempts: 3, Backoff: 1}
 	_, err = cl.Chat(t.Context(), ChatRequest{})
 	var rf refusal.Refusal
 	assert.Assert(t, errors.As(err, &rf))
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestSilentConnectionIsBroken(t *testing.T) {
+func TestIdleConnectionTimesOut(t *testing.T) {
 	silent := func(wr http.ResponseWriter, req *http.Request) {
 		stream(0, "ok")(wr, req)
 		_ = http.NewResponseController(wr).Flush()
@@ -209,7 +209,7 @@
 	}
 	mute := func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }
 	fl := newFleet(t, 2, mute, silent, stream(1, "."))
-	fl.Idle = 50
+	fl.IdleTimeout = 50
 	ans, err := fl.Chat(t.Context(), ChatRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, ans.Text, "ok")
@@ -232,7 +232,7 @@
 		wr.WriteHeader(http.StatusConflict)
 		_, _ = io.WriteString(wr, req.Method+" "+req.URL.RequestURI()+" "+req.Header.Get("X-In"))
 	}
-	fl := newFleet(t, 2, breaks, answered)
+	fl := newFleet(t, 2, brokenStream, answered)
 	req := PlainRequest{Service: "kiosk api", Method: http.MethodPut, Path: "/status?x=1", Header: http.Header{"x-in": {"1"}}}
 	ans, err := fl.Call(t.Context(), req)
 	assert.NilError(t, err)
@@ -247,17 +247,17 @@
 	assert.Equal(t, len(fl.vms), 3, "never repeated")
 }
 
-func TestAddressesAreKept(t *testing.T) {
-	fl := newFleet(t, 2, done)
+func TestAddressesAreCached(t *testing.T) {
+	fl := newFleet(t, 2, completeAnswer)
 	for range 3 {
 		_, err := fl.Chat(t.Context(), ChatRequest{})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, fl.asks, 1)
+	assert.Equal(t, fl.addressRequests, 1)
 	fl.manual.Advance(30 * clock.Second)
 	_, err := fl.Chat(t.Context(), ChatRequest{})
 	assert.NilError(t, err)
-	assert.Equal(t, fl.asks, 2)
+	assert.Equal(t, fl.addressRequests, 2)
 }
 
 func ExampleClient_Chat() {
@@ -281,7 +281,7 @@
 // example serves one whole answer at its own address.
 func (fl *fleet) example() http.HandlerFunc {
 	return func(wr http.ResponseWriter, req *http.Request) {
-		fl.list[0], fl.steps = req.Host, []step{done}
+		fl.list[0], fl.steps = req.Host, []step{completeAnswer}
 		fl.serve(wr, req)
 	}
 }
@@ -294,14 +294,14 @@
 		if body, err := parseAddresses([]byte(text)); err == nil {
 			assert.Assert(t, len(body.Addresses) > 0 && body.KeepFor > 0)
 		}
-		cc := &chatCall{cs: &course{}, last: noEvent}
+		cc := &chatCall{cs: &callState{}, lastID: noEventID}
 		resp := &http.Response{
 			StatusCode: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}},
 			Body: io.NopCloser(strings.NewReader(text)),
 		}
 		switch oc := cc.read(resp).(type) {
-		case whole:
-			assert.Assert(t, cc.begun())
+		case completed:
+			assert.Assert(t, cc.partDelivered())
 		case refused:
 			assert.Assert(t, oc.rf.Ran == refusal.NotRun || oc.rf.Ran == refusal.MayHaveRun)
 			assert.Assert(t, oc.rf.Reason != "" && oc.rf.RetryAfter >= 0)
@@ -313,18 +313,18 @@
 
 // A VM sent the end of a shorter answer to a call that has more of another one.
 // It was taken for the end of what the call has.
-func TestEndOfAShorterAnswerIsNotTaken(t *testing.T) {
+func TestEndOfShorterAnswerIsRejected(t *testing.T) {
 	fl := newFleet(t, 2, stream(0, "weld ", "7 ", "has ", "!"), stream(1, "."), stream(3, "pits", "."))
 	ans, err := fl.Chat(t.Context(), ChatRequest{Model: "m"})
 	assert.NilError(t, err)
 	assert.Equal(t, ans.Text, "weld 7 has pits")
-	assert.DeepEqual(t, fl.lasts, []string{"", "2", "2"})
+	assert.DeepEqual(t, fl.lastIDs, []string{"", "2", "2"})
 }
 
 // A response named another request than the one that was sent, as where a proxy
 // mixes up its connections. It was taken for the answer, or for its rest, since
 // it was framed like one.
-func TestResponseToAnotherRequestIsNotTaken(t *testing.T) {
+func TestResponseToOtherRequestIsRejected(t *testing.T) {
 	other := func(do step) step {
 		return func(wr http.ResponseWriter, req *http.Request) {
 			wr.Header().Set(headerKey, "other")
@@ -338,9 +338,9 @@
 		}
 	}
 	for name, steps := range map[string][]step{
-		"its begin": {other(stream(0, "not ", "this", ".")), own(done)},
+		"its begin": {other(stream(0, "not ", "this", ".")), own(completeAnswer)},
 		"its rest":  {own(stream(0, "o", "!")), other(stream(1, "ther", ".")), own(stream(1, "k", "."))},
-		"a refusal": {other(refuse(refusal.NotRun, refusal.BadRequest, 0)), own(done)},
+		"a refusal": {other(refuse(refusal.NotRun, refusal.BadRequest, 0)), own(completeAnswer)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fl := newFleet(t, 3, steps...)
--- a/pkg/client/plain.go
+++ b/pkg/client/plain.go
@@ -11,7 +11,7 @@
 	"alderdyke/pkg/clock"
 )
 
-const maxAnswer = 64 << 20 // bytes of a plain service's answer
+const maxAnswerBytes = 64 << 20 // bytes of a plain service's answer
 
 type (
 	// PlainRequest is a call of a plain service.
@@ -36,7 +36,7 @@
 	}
 
 	plainCall struct {
-		cs  *course
+		cs  *callState
 		req PlainRequest
 		ans PlainAnswer
 	}
@@ -45,7 +45,7 @@
 // Call calls a plain service and returns its whole answer, or an error that
 // wraps a refusal.Refusal.
 func (cl *Client) Call(ctx context.Context, req PlainRequest) (PlainAnswer, error) {
-	pc := &plainCall{cs: &course{key: req.Key}, req: req}
+	pc := &plainCall{cs: &callState{key: req.Key}, req: req}
 	if _, err := pc.request(ctx, "192.0.2.1:1"); err != nil {
 		return PlainAnswer{}, fmt.Errorf("%w: %w", errNotRun("the request can't be made"), err)
 	}
@@ -56,8 +56,8 @@
 	return pc.ans, nil
 }
 
-func (pc *plainCall) begun() bool      { return false }
-func (pc *plainCall) idempotent() bool { return pc.req.Idempotent }
+func (pc *plainCall) partDelivered() bool { return false }
+func (pc *plainCall) idempotent() bool    { return pc.req.Idempotent }
 
 func (pc *plainCall) request(ctx context.Context, addr string) (*http.Request, error) {
 	at := "http://" + addr + "/services/" + url.PathEscape(pc.req.Service) + pc.req.Path
@@ -79,13 +79,13 @@
 	if resp.Header.Get(headerRefusal) != "" {
 		return broken{err: fmt.Errorf("status %d with a refusal that can't be read", resp.StatusCode)}
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return broken{err: fmt.Errorf("read the answer: %w", err)}
 	}
-	if len(data) > maxAnswer {
-		return broken{err: fmt.Errorf("the answer is above %d bytes", maxAnswer)}
+	if len(data) > maxAnswerBytes {
+		return broken{err: fmt.Errorf("the answer is above %d bytes", maxAnswerBytes)}
 	}
 	pc.ans = PlainAnswer{Status: resp.StatusCode, Header: resp.Header, Body: data}
-	return whole{}
+	return completed{}
 }
--- a/pkg/client/try.go
+++ b/pkg/client/try.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	headerRefusal  = "Alderdyke-Refusal"
-	headerClass    = "Alderdyke-Class"
-	headerDeadline = "Alderdyke-Deadline"
-	headerKey      = "Idempotency-Key"
-	headerLastID   = "Last-Event-ID"
-	maxRefusal     = 16 << 10 // bytes of a refusal
+	headerRefusal   = "Alderdyke-Refusal"
+	headerClass     = "Alderdyke-Class"
+	headerDeadline  = "Alderdyke-Deadline"
+	headerKey       = "Idempotency-Key"
+	headerLastID    = "Last-Event-ID"
+	maxRefusalBytes = 16 << 10 // bytes of a refusal
 )
 
 var (
-	errIdle     = errors.New("connection silent for too long")
-	errOtherKey = errors.New("the response is to another request")
+	errIdleTimeout = errors.New("connection silent for too long")
+	errKeyMismatch = errors.New("the response is to another request")
 )
 
-// watched is a response body that breaks when nothing comes for too long.
-type watched struct {
+// watchedBody is a response body that breaks when nothing comes for too long.
+type watchedBody struct {
 	io.ReadCloser
 	tm   *time.Timer
 	idle time.Duration
 }
 
 // Read reads and starts the silence anew.
-func (wt watched) Read(buf []byte) (int, error) {
+func (wt watchedBody) Read(buf []byte) (int, error) {
 	got, err := wt.ReadCloser.Read(buf)
 	wt.tm.Reset(wt.idle)
 	return got, err
 }
 
-// try sends the request once and reads what comes back.
-func (cl *Client) try(ctx context.Context, addr string, cc call) outcome {
+// attempt sends the request once and reads what comes back.
+func (cl *Client) attempt(ctx context.Context, addr string, cc call) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	idle := orPreset(cl.Idle, presetIdle).Std()
-	tm := time.AfterFunc(idle, func() { cancel(errIdle) })
+	idle := orDefault(cl.IdleTimeout, defaultIdleTimeout).Std()
+	tm := time.AfterFunc(idle, func() { cancel(errIdleTimeout) })
 	defer tm.Stop()
 	tm.Stop()
 
@@ -60,27 +60,27 @@
 	if err != nil {
 		return broken{err: err}
 	}
-	cl.header(req)
+	cl.setAuthorization(req)
 	resp, err := cl.hc.Do(req)
 	if err != nil {
-		return broken{sent: sent.Load(), err: cause(ctx, err)}
+		return broken{sent: sent.Load(), err: withCause(ctx, err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if key := resp.Header.Get(headerKey); key != "" && key != req.Header.Get(headerKey) {
-		return broken{sent: true, err: errOtherKey}
+		return broken{sent: true, err: errKeyMismatch}
 	}
-	resp.Body = watched{ReadCloser: resp.Body, tm: tm, idle: idle}
+	resp.Body = watchedBody{ReadCloser: resp.Body, tm: tm, idle: idle}
 	if rf, ok := refusalOf(resp); ok {
 		return refused{rf}
 	}
 	oc := cc.read(resp)
 	if br, ok := oc.(broken); ok {
-		return broken{sent: true, err: cause(ctx, br.err)}
+		return broken{sent: true, err: withCause(ctx, br.err)}
 	}
 	return oc
 }
 
-func cause(ctx context.Context, err error) error {
+func withCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", context.Cause(ctx), err)
 	}
@@ -93,7 +93,7 @@
 	if resp.Header.Get(headerRefusal) == "" {
 		return refusal.Refusal{}, false
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	if err != nil {
 		return refusal.Refusal{}, false
 	}
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -28,7 +28,7 @@
 	Hour          = 60 * Minute
 )
 
-var start = time.Now()
+var processStart = time.Now()
 
 type (
 	// Millis is a point on a monotonic clock or a span, in milliseconds.
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// Or returns the source, or the boot clock in place of nil, which is what a
+// OrBoottime returns the source, or the boot clock in place of nil, which is what a
 // Clock field that was not set stands for.
-func Or(src Source) Source {
+func OrBoottime(src Source) Source {
 	if src == nil {
 		return Boottime{}
 	}
@@ -87,7 +87,7 @@
 }
 
 // Now tells the time since the process started.
-func (Monotonic) Now() Millis { return Of(time.Since(start)) }
+func (Monotonic) Now() Millis { return Of(time.Since(processStart)) }
 
 // Now tells the point that the clock was moved to.
 func (mn *Manual) Now() Millis { return Millis(mn.now.Load()) }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -42,11 +42,11 @@
 	}
 }
 
-func TestOr(t *testing.T) {
+func TestOrBoottime(t *testing.T) {
 	var mn clock.Manual
 	mn.Advance(5)
-	assert.Equal(t, clock.Or(&mn).Now(), clock.Millis(5))
-	assert.Equal(t, clock.Or(nil), clock.Source(clock.Boottime{}))
+	assert.Equal(t, clock.OrBoottime(&mn).Now(), clock.Millis(5))
+	assert.Equal(t, clock.OrBoottime(nil), clock.Source(clock.Boottime{}))
 }
 
 func FuzzUnmarshalText(f *testing.F) {
--- a/pkg/clock/deadline.go
+++ b/pkg/clock/deadline.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// recheck is how often a deadline looks at its clock: a timer alone is late by as
+// recheckInterval is how often a deadline looks at its clock: a timer alone is late by as
 // long as the machine was suspended.
-const recheck = 400 * Millis(1)
+const recheckInterval = 400 * Millis(1)
 
 // WithDeadline returns a context that ends at a point of the source, or within half a
 // second of that after the machine was suspended. Its cause is then a
@@ -21,37 +21,37 @@
 func WithDeadlineCause(parent context.Context, src Source, at Millis, cause error) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	var timer *time.Timer
-	look := func() {
+	check := func() {
 		left := at - src.Now()
 		switch {
 		case ctx.Err() != nil:
 		case left <= 0:
-			cancel(overdue{cause})
+			cancel(overdueError{cause})
 		default:
-			timer.Reset(min(left, recheck).Std())
+			timer.Reset(min(left, recheckInterval).Std())
 		}
 	}
-	timer = time.AfterFunc(Hour.Std(), look)
-	look()
+	timer = time.AfterFunc(Hour.Std(), check)
+	check()
 	return ctx, func() {
 		cancel(context.Canceled)
 		timer.Stop()
 	}
 }
 
-// overdue is the cause of a context whose point passed.
-type overdue struct{ cause error }
+// overdueError is the cause of a context whose point passed.
+type overdueError struct{ cause error }
 
 // Error is the cause's own text.
-func (od overdue) Error() string { return od.cause.Error() }
+func (od overdueError) Error() string { return od.cause.Error() }
 
 // Unwrap returns the cause.
-func (od overdue) Unwrap() error { return od.cause }
+func (od overdueError) Unwrap() error { return od.cause }
 
 // Overdue tells whether a context ended since its time, or that of one it came
 // from, was over.
 func Overdue(ctx context.Context) bool {
 	cause := context.Cause(ctx)
-	_, own := errors.AsType[overdue](cause)
+	_, own := errors.AsType[overdueError](cause)
 	return own || errors.Is(cause, context.DeadlineExceeded)
 }
--- a/pkg/clock/deadline_test.go
+++ b/pkg/clock/deadline_test.go
@@ -14,13 +14,13 @@
 	"alderdyke/pkg/clock"
 )
 
-// jumping is a clock that a test may set forward beside the timers.
-type jumping struct {
+// jumpingClock is a clock that a test may set forward beside the timers.
+type jumpingClock struct {
 	start time.Time
 	ahead atomic.Int64
 }
 
-func (jp *jumping) Now() clock.Millis {
+func (jp *jumpingClock) Now() clock.Millis {
 	return clock.Of(time.Since(jp.start)) + clock.Millis(jp.ahead.Load())
 }
 
@@ -38,7 +38,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				jp := &jumping{start: time.Now()}
+				jp := &jumpingClock{start: time.Now()}
 				time.AfterFunc(500*time.Millisecond, func() { jp.ahead.Store(int64(tc.ahead)) })
 				ctx, stop := clock.WithDeadline(t.Context(), jp, tc.at)
 				defer stop()
@@ -55,7 +55,7 @@
 
 func TestStoppedDeadlineIsNotOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := clock.WithDeadline(t.Context(), &jumping{start: time.Now()}, clock.Second)
+		ctx, stop := clock.WithDeadline(t.Context(), &jumpingClock{start: time.Now()}, clock.Second)
 		assert.Assert(t, !clock.Overdue(ctx))
 		stop()
 		time.Sleep(2 * time.Second)
@@ -64,10 +64,10 @@
 	})
 }
 
-func TestDeadlineHasItsCause(t *testing.T) {
+func TestWithDeadlineCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		why := errors.New("the request's deadline passed")
-		ctx, stop := clock.WithDeadlineCause(t.Context(), &jumping{start: time.Now()}, clock.Second, why)
+		ctx, stop := clock.WithDeadlineCause(t.Context(), &jumpingClock{start: time.Now()}, clock.Second, why)
 		defer stop()
 		<-ctx.Done()
 		assert.Assert(t, clock.Overdue(ctx))
@@ -77,7 +77,7 @@
 }
 
 // The boot clock is the kernel's own that counts while the machine is suspended.
-func TestBoottimeIsTheBootClock(t *testing.T) {
+func TestBoottimeMatchesKernel(t *testing.T) {
 	boot := func() clock.Millis {
 		var ts unix.Timespec
 		assert.NilError(t, unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts))
--- a/pkg/template/parse.go
+++ b/pkg/template/parse.go
@@ -21,14 +21,14 @@
 // [place.Errors] with all problems of the text.
 func Parse(name string, text []byte) (Template, error) {
 	if len(text) > MaxText {
-		return Template{}, place.Errors{tooLong(name)}
+		return Template{}, place.Errors{tooLongError(name)}
 	}
 	var tp Template
 	check := func() place.Errors { return tp.problems() }
 	if err := place.Decode(name, text, &tp, check); err != nil {
 		return Template{}, err
 	}
-	return tp.normal(), nil
+	return tp.normalized(), nil
 }
 
 // Marshal writes the template as TOML that [Parse] reads.
@@ -44,7 +44,7 @@
 // anything after the template, is an error. The error is a [place.Errors].
 func DecodeJSON(name string, text []byte) (Template, error) {
 	if len(text) > MaxText {
-		return Template{}, place.Errors{tooLong(name)}
+		return Template{}, place.Errors{tooLongError(name)}
 	}
 	var tp Template
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -58,7 +58,7 @@
 	if err := tp.Validate(); err != nil {
 		return Template{}, err
 	}
-	return tp.normal(), nil
+	return tp.normalized(), nil
 }
 
 // HashKey returns the form in which a template holds an API key.
@@ -67,8 +67,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// normal gives equal templates equal values, however they were written.
-func (tp Template) normal() Template {
+// normalized gives equal templates equal values, however they were written.
+func (tp Template) normalized() Template {
 	for ix := range tp.Classes {
 		if len(tp.Classes[ix].Paths) == 0 {
 			tp.Classes[ix].Paths = nil
@@ -77,7 +77,7 @@
 	return tp
 }
 
-func tooLong(name string) place.Error {
+func tooLongError(name string) place.Error {
 	return place.Error{File: name, Mend: fmt.Sprintf("write at most %d bytes", MaxText)}
 }
 
--- a/pkg/template/parse_test.go
+++ b/pkg/template/parse_test.go
@@ -18,7 +18,7 @@
 	"alderdyke/pkg/template"
 )
 
-func sound() template.Template {
+func validTemplate() template.Template {
 	return template.Template{
 		Customer:      "kedelsyn",
 		KeyHashes:     []string{template.HashKey("a key")},
@@ -86,7 +86,7 @@
 		}, []string{"Classes[2].Share"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tp := sound()
+			tp := validTemplate()
 			tc.change(&tp, &tp.Classes[0], &tp.Classes[1])
 			err := tp.Validate()
 			assert.DeepEqual(t, keysOf(err), tc.want)
@@ -98,8 +98,8 @@
 	}
 }
 
-func TestParsePlaces(t *testing.T) {
-	text, err := template.Marshal(sound())
+func TestParseReportsLines(t *testing.T) {
+	text, err := template.Marshal(validTemplate())
 	assert.NilError(t, err)
 	broken := strings.ReplaceAll(string(text), "TTFT = '20s'", "TTFT = 20\nTtft = '1s'")
 	broken = strings.ReplaceAll(broken, "StreamWait = '1m0s'", "StreamWait = '1h0m0s'")
@@ -135,7 +135,7 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		tp := sound().
+		tp := validTemplate().
 			WithPrefillWeight(rapid.Float64Range(0, 1).Draw(rt, "weight")).
 			WithKeyHash(template.HashKey(rapid.String().Draw(rt, "key")))
 		cl := tp.Classes[0].
@@ -158,8 +158,8 @@
 	})
 }
 
-func TestDecodeJSONRefuses(t *testing.T) {
-	text, err := json.Marshal(sound())
+func TestDecodeJSONRejects(t *testing.T) {
+	text, err := json.Marshal(validTemplate())
 	assert.NilError(t, err)
 	for name, bad := range map[string]string{
 		"unknown key": strings.Replace(string(text), `"Customer"`, `"Colour":1,"Customer"`, 1),
@@ -180,8 +180,8 @@
 }
 
 // With methods leave the value that they are called on as it was.
-func TestWithCopies(t *testing.T) {
-	tp, want := sound(), sound()
+func TestWithMethodsCopy(t *testing.T) {
+	tp, want := validTemplate(), validTemplate()
 	other := tp.WithCustomer("other").
 		WithClass(tp.Classes[0].WithShare(0.1)).
 		WithClass(template.Class{Name: "new"}).
@@ -217,7 +217,7 @@
 }
 
 func FuzzDecodeJSON(f *testing.F) {
-	text, err := json.Marshal(sound())
+	text, err := json.Marshal(validTemplate())
 	assert.NilError(f, err)
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/pkg/template/validate.go
+++ b/pkg/template/validate.go
@@ -19,20 +19,20 @@
 	MaxSpan      = 24 * clock.Hour // of any target, deadline or wait
 	MaxTokens    = 1 << 20         // output tokens of one request
 
-	// shareSlack forgives the rounding of shares that are meant to add up to 1.
-	shareSlack = 1e-9
+	// shareTolerance forgives the rounding of shares that are meant to add up to 1.
+	shareTolerance = 1e-9
 
 	nameMend = "write 1 to 63 lower-case letters, digits, dots, dashes or underscores, with a letter or digit first"
 )
 
 var (
-	nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
-	hashForm = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	pathForm = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,254}$`)
+	namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	pathPattern = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,254}$`)
 )
 
-// usage is what the classes of one service add up to.
-type usage struct {
+// serviceUsage is what the classes of one service add up to.
+type serviceUsage struct {
 	share float64
 	plain bool           // the first class of the service has paths
 	paths map[string]int // path to the class that claims it
@@ -44,19 +44,19 @@
 
 func (tp Template) problems() place.Errors {
 	var es place.Errors
-	if !nameForm.MatchString(tp.Customer) {
+	if !namePattern.MatchString(tp.Customer) {
 		es.Add("Customer", quoteName(tp.Customer), nameMend)
 	}
 	tp.checkKeyHashes(&es)
-	if !between(tp.PrefillWeight, 0, 1) {
-		es.Add("PrefillWeight", number(tp.PrefillWeight), "write a number from 0 to 1")
+	if !inRange(tp.PrefillWeight, 0, 1) {
+		es.Add("PrefillWeight", formatNumber(tp.PrefillWeight), "write a number from 0 to 1")
 	}
 	if len(tp.Classes) == 0 || len(tp.Classes) > MaxClasses {
 		es.Add("Classes", fmt.Sprintf("%d classes", len(tp.Classes)), fmt.Sprintf("write 1 to %d classes", MaxClasses))
 		return es
 	}
 	seen := map[string]bool{}
-	services := map[string]*usage{}
+	services := map[string]*serviceUsage{}
 	for ix, cl := range tp.Classes {
 		at := fmt.Sprintf("Classes[%d].", ix)
 		if seen[cl.Name] {
@@ -65,7 +65,7 @@
 		seen[cl.Name] = true
 		cl.check(at, &es)
 		if services[cl.Service] == nil {
-			services[cl.Service] = &usage{plain: len(cl.Paths) > 0, paths: map[string]int{}}
+			services[cl.Service] = &serviceUsage{plain: len(cl.Paths) > 0, paths: map[string]int{}}
 		}
 		services[cl.Service].add(at, ix, cl, &es)
 	}
@@ -80,7 +80,7 @@
 	}
 	for ix, hash := range tp.KeyHashes {
 		key := fmt.Sprintf("KeyHashes[%d]", ix)
-		if !hashForm.MatchString(hash) {
+		if !hashPattern.MatchString(hash) {
 			es.Add(key, "", "write the SHA-256 of the API key as 64 lower-case hexadecimal digits")
 		}
 		if slices.Contains(tp.KeyHashes[:ix], hash) {
@@ -91,17 +91,17 @@
 
 // check looks at one class by itself.
 func (cl Class) check(at string, es *place.Errors) {
-	if !nameForm.MatchString(cl.Name) {
+	if !namePattern.MatchString(cl.Name) {
 		es.Add(at+"Name", quoteName(cl.Name), nameMend)
 	}
-	if !nameForm.MatchString(cl.Service) {
+	if !namePattern.MatchString(cl.Service) {
 		es.Add(at+"Service", quoteName(cl.Service), nameMend)
 	}
 	if cl.Urgency != Patient && cl.Urgency != Quick {
 		es.Add(at+"Urgency", quoteName(string(cl.Urgency)), `write "Patient" or "Quick"`)
 	}
-	if !between(cl.Share, math.SmallestNonzeroFloat64, 1) {
-		es.Add(at+"Share", number(cl.Share), "write a number above 0 and up to 1")
+	if !inRange(cl.Share, math.SmallestNonzeroFloat64, 1) {
+		es.Add(at+"Share", formatNumber(cl.Share), "write a number above 0 and up to 1")
 	}
 	cl.checkTimes(at, es)
 	cl.checkPaths(at, es)
@@ -109,8 +109,8 @@
 }
 
 func (cl Class) checkTimes(at string, es *place.Errors) {
-	positive(at+"TTFT", cl.TTFT, es)
-	positive(at+"Deadline", cl.Deadline, es)
+	checkPositive(at+"TTFT", cl.TTFT, es)
+	checkPositive(at+"Deadline", cl.Deadline, es)
 	if cl.TTFT > cl.Deadline && cl.Deadline > 0 {
 		es.Add(at+"TTFT", cl.TTFT.String(), fmt.Sprintf("write at most the Deadline of %v", cl.Deadline))
 	}
@@ -127,7 +127,7 @@
 		es.Add(at+"Paths", fmt.Sprintf("%d paths", len(cl.Paths)), fmt.Sprintf("write at most %d paths", MaxPaths))
 	}
 	for ix, path := range cl.Paths {
-		if !pathForm.MatchString(path) || strings.Contains(path, "//") || strings.Contains(path, "/.") {
+		if !pathPattern.MatchString(path) || strings.Contains(path, "//") || strings.Contains(path, "/.") {
 			es.Add(fmt.Sprintf("%sPaths[%d]", at, ix), quoteName(path),
 				"write a path prefix such as /records, without a query or dot segments")
 		}
@@ -145,14 +145,14 @@
 		}
 		return
 	}
-	positive(at+"TPOT", cl.TPOT, es)
+	checkPositive(at+"TPOT", cl.TPOT, es)
 	if cl.MaxTokens < 1 || cl.MaxTokens > MaxTokens {
 		es.Add(at+"MaxTokens", fmt.Sprint(cl.MaxTokens), fmt.Sprintf("write a whole number from 1 to %d", MaxTokens))
 	}
 }
 
 // add adds a class to what its service is used for.
-func (us *usage) add(at string, ix int, cl Class, es *place.Errors) {
+func (us *serviceUsage) add(at string, ix int, cl Class, es *place.Errors) {
 	if us.plain != (len(cl.Paths) > 0) {
 		es.Add(at+"Paths", "", fmt.Sprintf("give all classes of service %s paths, or none", quoteName(cl.Service)))
 	}
@@ -164,22 +164,22 @@
 	}
 	before := us.share
 	us.share += cl.Share
-	if cl.Share <= 1 && before <= 1+shareSlack && us.share > 1+shareSlack {
-		es.Add(at+"Share", number(cl.Share),
+	if cl.Share <= 1 && before <= 1+shareTolerance && us.share > 1+shareTolerance {
+		es.Add(at+"Share", formatNumber(cl.Share),
 			fmt.Sprintf("lower the shares of service %s, which add up to more than 1", quoteName(cl.Service)))
 	}
 }
 
-func positive(key string, span clock.Millis, es *place.Errors) {
+func checkPositive(key string, span clock.Millis, es *place.Errors) {
 	if span <= 0 || span > MaxSpan {
 		es.Add(key, span.String(), fmt.Sprintf("write a span above zero and up to %v, such as 400ms", MaxSpan))
 	}
 }
 
-// between is false for a value that is no number.
-func between(value, low, high float64) bool { return value >= low && value <= high }
+// inRange is false for a value that is no number.
+func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
-func number(value float64) string { return fmt.Sprintf("%g", value) }
+func formatNumber(value float64) string { return fmt.Sprintf("%g", value) }
 
 // quoteName shows a short part of a name only.
 func quoteName(name string) string { return fmt.Sprintf("%.40q", name) }
