--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -65,7 +65,7 @@
 // would probe each of them, and name it to callers until it is suspect.
 func (mb *Member) sweepEntries(ctx context.Context) {
 	for clock.Sleep(ctx, sweepInterval) {
-		gone := mb.expiredEntries(clock.Or(mb.Clock).Now())
+		gone := mb.expiredEntries(clock.OrBoottime(mb.Clock).Now())
 		if _, whole := mb.Others(); !whole || mb.Rank() != 0 {
 			continue // this VM may be the one that is cut off, or others see to it
 		}
