--- a/internal/event/bench_test.go
+++ b/internal/event/bench_test.go
@@ -9,8 +9,8 @@
 	"alderdyke/internal/event"
 )
 
-// BenchmarkLine is the cost of one line of a request, to a writer that takes
-// it at once.
+// BenchmarkLine measures the cost of one log line of a request, with a writer
+// that never blocks.
 func BenchmarkLine(b *testing.B) {
 	out := event.NewBoundedWriter(log.IOWriter{Writer: io.Discard}, event.DefaultBacklog)
 	defer out.Close()
--- a/internal/event/bounded.go
+++ b/internal/event/bounded.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	// DefaultBacklog is how many lines may wait to be written. The busiest second
-	// of a VM writes about a hundred.
+	// DefaultBacklog is the default queue length in lines. A VM writes about a
+	// hundred lines in its busiest second.
 	DefaultBacklog = 4096
-	// closeTimeout bounds the wait for lines to be written at the end: who reads
-	// them may have stopped to, and a process that waits for that is killed.
+	// closeTimeout bounds how long Close waits for queued lines to be written. The
+	// reader of the log may have stopped reading, and a process that waits for it
+	// is killed.
 	closeTimeout = 200 * clock.Millis(1)
-	// dropReportInterval is how often dropped lines are told.
+	// dropReportInterval is the interval at which dropped lines are reported.
 	dropReportInterval = 5 * clock.Second
 )
 
-// ErrFlushTimeout tells that lines were left when a [BoundedWriter] was closed.
-var ErrFlushTimeout = errors.New("lines of the log were not taken in time")
+// ErrFlushTimeout is returned by [BoundedWriter.Close] if queued lines could not
+// be written in time.
+var ErrFlushTimeout = errors.New("queued log lines were not written in time")
 
-// BoundedWriter writes lines without ever making who logs wait: lines wait in a
-// queue, and those that find it full are dropped and counted. Make it with
-// [NewBoundedWriter].
+// BoundedWriter writes log lines asynchronously and never blocks the caller. Lines
+// wait in a bounded queue; lines that do not fit are dropped and counted. Create it
+// with [NewBoundedWriter].
 type BoundedWriter struct {
 	lines   chan []byte
-	done    chan struct{} // closed when all lines were written
-	lastErr error         // the last failure to write, once done is closed
+	done    chan struct{} // closed when all queued lines were written
+	lastErr error         // of the last failed write; may be read once done is closed
 	dropped atomic.Int64
 }
 
-// NewBoundedWriter makes a writer whose queue holds so many lines; zero means
-// DefaultBacklog.
+// NewBoundedWriter returns a writer to the given one, with a queue of backlog
+// lines. Zero means DefaultBacklog.
 func NewBoundedWriter(to io.Writer, backlog int) *BoundedWriter {
 	if backlog <= 0 {
 		backlog = DefaultBacklog
@@ -50,7 +52,7 @@
 
 // WriteEntry implements [log.Writer].
 func (bo *BoundedWriter) WriteEntry(en *log.Entry) (int, error) {
-	line := append([]byte(nil), en.Value()...) // the entry is used again
+	line := append([]byte(nil), en.Value()...) // copied because the logger reuses the entry
 	select {
 	case bo.lines <- line:
 	default:
@@ -59,8 +61,8 @@
 	return len(line), nil
 }
 
-// write writes the lines that come. One that can't be written is lost, and
-// counts as dropped.
+// write writes the queued lines. A line whose write fails is lost and counted as
+// dropped.
 func (bo *BoundedWriter) write(to io.Writer) {
 	defer close(bo.done)
 	for line := range bo.lines {
@@ -69,15 +71,15 @@
 		}
 		if _, err := to.Write(line); err != nil {
 			bo.dropped.Add(1)
-			bo.lastErr = fmt.Errorf("write a line of the log: %w", err)
+			bo.lastErr = fmt.Errorf("write a log line: %w", err)
 		}
 	}
 }
 
-// TakeDropped returns how many lines were dropped since it was asked last.
+// TakeDropped returns the number of lines dropped since its last call.
 func (bo *BoundedWriter) TakeDropped() int64 { return bo.dropped.Swap(0) }
 
-// ReportDropped says now and then how many lines were dropped, until the context
+// ReportDropped periodically logs the number of dropped lines until the context
 // ends.
 func (bo *BoundedWriter) ReportDropped(ctx context.Context, lg Logger) {
 	for clock.Sleep(ctx, dropReportInterval) {
@@ -87,8 +89,8 @@
 	}
 }
 
-// Close writes the lines that wait, as far as they are taken in time. Lines that
-// come later are lost.
+// Close flushes the queued lines for a limited time. Lines that are logged later
+// are lost.
 func (bo *BoundedWriter) Close() error {
 	late := time.After(closeTimeout.Std())
 	select {
--- a/internal/event/bounded_test.go
+++ b/internal/event/bounded_test.go
@@ -10,7 +10,7 @@
 	"alderdyke/internal/event"
 )
 
-// stuckWriter is a writer that does not get rid of its lines until it is released.
+// stuckWriter blocks each write until it is released.
 type stuckWriter struct {
 	release chan struct{}
 	lines   int
@@ -22,7 +22,7 @@
 	return len(line), nil
 }
 
-// Logging never waits for a writer that is stuck; what is dropped is counted.
+// Logging never blocks on a stuck writer, and dropped lines are counted.
 func TestBoundedWriterDropsWhenFull(t *testing.T) {
 	const lines, backlog = 100, 10
 	to := &stuckWriter{release: make(chan struct{})}
@@ -39,7 +39,7 @@
 	assert.Equal(t, to.lines, lines-int(dropped))
 }
 
-// A log that nobody takes any more does not hold a process that is to end.
+// A log that is no longer read does not delay the exit of the process.
 func TestBoundedWriterCloseTimesOut(t *testing.T) {
 	for _, lines := range []int{1, 100} {
 		to := &stuckWriter{release: make(chan struct{})}
@@ -53,12 +53,12 @@
 	}
 }
 
-// brokenWriter is a writer whose reader is gone.
+// brokenWriter is a writer whose reader has closed the pipe.
 type brokenWriter struct{}
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// Lines that can't be written are counted, and Close tells why.
+// Lines that can't be written are counted, and Close returns the cause.
 func TestBoundedWriterCountsFailedWrites(t *testing.T) {
 	bo := event.NewBoundedWriter(brokenWriter{}, 0)
 	lg := event.Logger{Out: &log.Logger{Writer: bo}}
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,12 +1,12 @@
-// Package event is the catalogue of numbered log events and counters.
+// Package event is the catalogue of numbered log events.
 //
 // Every line that alderdyke logs is one of the events below, so that an
-// operator can look its number up in docs/EVENTS.md. Each package keeps its
-// events in a file of this package named after it, within its own range of
-// numbers, and registers them in [Catalogue]. A test holds docs/EVENTS.md
-// against the catalogue.
+// operator can look up its number in docs/EVENTS.md. The events of a package are
+// in a file of this package named after it, have their own range of numbers, and
+// are registered in [Catalogue]. A test checks docs/EVENTS.md against the
+// catalogue.
 //
-// Fields never hold a prompt, an answer or a secret.
+// Fields never contain a prompt, an answer or a secret.
 //
 // # Usage
 //
@@ -19,7 +19,7 @@
 	"github.com/phuslu/log"
 )
 
-// Levels of an event.
+// Levels of an event, least severe first.
 const (
 	Info Level = iota
 	Warn
@@ -29,35 +29,35 @@
 var catalogue []Event
 
 type (
-	// Level tells how much an event wants an operator's attention.
+	// Level is the severity of an event.
 	Level int
 
 	// Event is one entry of the catalogue.
 	Event struct {
 		Number  int
-		Name    string // Pascal case
+		Name    string // in Pascal case
 		Level   Level
 		Meaning string // what happened
-		Action  string // what the operator does; "none" if the system mends it
+		Action  string // what the operator should do; "none" if the system recovers by itself
 	}
 
-	// Field is one named value of a log line.
+	// Field is a named value of a log line.
 	Field struct {
 		Name  string
 		Value any
 	}
 
-	// Logger writes events. The zero value drops them.
+	// Logger writes events. The zero value discards them.
 	Logger struct {
 		Out *log.Logger
 		VM  string // written with every line
 	}
 )
 
-// F makes a field.
+// F returns a field with the given name and value.
 func F(name string, value any) Field { return Field{Name: name, Value: value} }
 
-// Log writes one event.
+// Log writes one event. Its meaning is the message of the line.
 func (lg Logger) Log(ev Event, fields ...Field) {
 	if lg.Out == nil {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// Catalogue returns all events in the order of their numbers.
+// Catalogue returns all events, sorted by number.
 func Catalogue() []Event {
 	all := slices.Clone(catalogue)
 	slices.SortFunc(all, func(ea, eb Event) int { return ea.Number - eb.Number })
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -22,17 +22,17 @@
 	levels      = map[event.Level]string{event.Info: "Info", event.Warn: "Warn", event.Error: "Error"}
 )
 
-// renderPage writes the page from the catalogue.
+// renderPage returns the page that documents the catalogue.
 func renderPage() string {
 	var sb strings.Builder
 	sb.WriteString(`# Events
 
 Every line that alderdyke logs is one of these events, as one JSON object on
 standard error with the fields Event (the number), Name and VM. Fields never
-hold a prompt, an answer or a secret.
+contain a prompt, an answer or a secret.
 
-This page is written from the catalogue in internal/event and held against it
-by a test. After a change there, run:
+This page is generated from the catalogue in internal/event, and a test checks
+that it is up to date. After a change there, run:
 
     go test ./internal/event -update
 
@@ -57,8 +57,8 @@
 func TestCatalogue(t *testing.T) {
 	numbers, names := map[int]bool{}, map[string]bool{}
 	for _, ev := range event.Catalogue() {
-		assert.Assert(t, !numbers[ev.Number], "number %d stands twice", ev.Number)
-		assert.Assert(t, !names[ev.Name], "name %s stands twice", ev.Name)
+		assert.Assert(t, !numbers[ev.Number], "number %d is used twice", ev.Number)
+		assert.Assert(t, !names[ev.Name], "name %s is used twice", ev.Name)
 		numbers[ev.Number], names[ev.Name] = true, true
 		assert.Assert(t, ev.Number >= 1000 && ev.Number <= 9999, "%d", ev.Number)
 		assert.Assert(t, namePattern.MatchString(ev.Name), "%s", ev.Name)
@@ -76,5 +76,5 @@
 	for _, want := range []string{`"level":"warn"`, `"Event":1102`, `"Name":"RequestRefused"`, `"VM":"vm-1"`, `"Reason":"QueueFull"`} {
 		assert.Assert(t, strings.Contains(out.String(), want), "%s not in %s", want, out.String())
 	}
-	event.Logger{}.Log(event.Started) // the zero Logger drops it
+	event.Logger{}.Log(event.Started) // the zero Logger discards it
 }
