--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	maxReplyBytes = 64 << 20 // bytes
+	maxReplyBytes = 64 << 20
 	clientTimeout = 100 * clock.Second
 )
 
-// directTransport connects to the VM itself, whatever the environment says of other
-// ways, so that the token goes nowhere else.
+// directTransport connects to the VM directly and ignores proxy settings of the
+// environment, so that the token is sent to no other host.
 var directTransport http.RoundTripper = &http.Transport{MaxIdleConns: 4, IdleConnTimeout: idleTimeout.Std()}
 
-// Client asks one VM on behalf of an operator. It is an immutable value. All
+// Client sends an operator's requests to one VM. It is an immutable value. All
 // its errors are a [Fault].
 type Client struct {
-	Address string // "IP:port" of the VM's address for operators
+	Address string // "IP:port" of the VM's operator address
 	Token   settings.Secret
 }
 
-// Publish publishes a template. An empty ID is not allowed: keep the ID, and
-// after InDoubt publish again with it. A reply that is not accepted is no
+// Publish publishes a template. The ID must not be empty: keep it, and after
+// InDoubt publish again with the same ID. A reply that is not accepted is not an
 // error.
 func (cl Client) Publish(ctx context.Context, pub Publication) (PublishReply, error) {
 	body, err := json.Marshal(pub.Template)
@@ -71,22 +71,22 @@
 	return out, err
 }
 
-// Status tells how the VM is and what it sees.
+// Status returns the state of the VM and its view of the fleet.
 func (cl Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	err := cl.call(ctx, http.MethodGet, "/status", nil, &out)
 	return out, err
 }
 
-// Explain tells what became of a request, asked of all VMs through this one.
+// Explain returns the history of a request, which this VM collects from all VMs.
 func (cl Client) Explain(ctx context.Context, customer, key string) (ExplainReply, error) {
 	var out ExplainReply
 	err := cl.call(ctx, http.MethodGet, "/explain/"+url.PathEscape(customer)+"/"+url.PathEscape(key), nil, &out)
 	return out, err
 }
 
-// Order has a model engine load something. After InDoubt it may be given
-// again.
+// Order orders a model engine to load something. After InDoubt the order may be
+// sent again.
 func (cl Client) Order(ctx context.Context, od Order) (OrderReply, error) {
 	body, err := json.Marshal(od)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return cl.call(ctx, http.MethodPost, "/drain", nil, &out)
 }
 
-// call sends one request and reads the reply into out.
+// call sends one request and decodes the reply into out.
 func (cl Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	limit, cancel := context.WithTimeout(ctx, clientTimeout.Std())
 	defer cancel()
@@ -129,7 +129,8 @@
 	return readReply(resp.StatusCode, text, out)
 }
 
-// transportFault tells a request that was never sent from one that may have been.
+// transportFault distinguishes a request that was never sent from one that may
+// have been.
 func transportFault(err error) Fault {
 	var oe *net.OpError
 	if errors.As(err, &oe) && oe.Op == "dial" {
@@ -138,7 +139,7 @@
 	return Fault{Reason: BadReply, Detail: "the connection broke: " + err.Error()}
 }
 
-// readReply reads a success or a decided publication into out; anything else
+// readReply decodes a success or a decided publication into out; anything else
 // is a Fault.
 func readReply(status int, text []byte, out any) error {
 	if status/100 == 2 || status == http.StatusConflict {
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -30,14 +30,14 @@
 	mediaTOML = "application/toml"
 )
 
-const maxOrderBytes = 4 << 10 // bytes of an order
+const maxOrderBytes = 4 << 10
 
 var (
 	idPattern        = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 	orderNamePattern = regexp.MustCompile(`^[!-~]{1,128}$`)
 )
 
-// publish puts a template in force, or tells why not.
+// publish publishes a template and replies with the verdict.
 func (srv *Server) publish(ctx iris.Context) {
 	pub, err := readPublication(ctx.ResponseWriter(), ctx.Request(), ctx.Params().Get("customer"))
 	var fa Fault
@@ -63,8 +63,8 @@
 	writeReply(ctx, status, PublishReply{PublicationID: pub.ID, Verdict: ver})
 }
 
-// refusePublication says of a publication without a verdict whether it may still
-// take effect.
+// refusePublication replies to a publication without a verdict, and states
+// whether it may still take effect.
 func (srv *Server) refusePublication(ctx iris.Context, err error, fields []event.Field) {
 	var rf refusal.Refusal
 	if errors.As(err, &rf) && rf.Ran == refusal.NotRun {
@@ -142,8 +142,8 @@
 	return Fault{Reason: BadRequest, Detail: "the body can't be read: " + err.Error()}
 }
 
-// decodeTemplate reads a template by its media type, or by its first byte if
-// the type says nothing of it. The error is a Fault.
+// decodeTemplate decodes a template by its media type, or by its first byte if
+// the type does not identify the format. The error is a Fault.
 func decodeTemplate(contentType string, text []byte) (template.Template, error) {
 	media, _, err := mime.ParseMediaType(contentType)
 	if contentType != "" && err != nil {
@@ -154,7 +154,7 @@
 	case mediaJSON:
 		decode = template.DecodeJSON
 	case mediaTOML:
-	case "", "text/plain", "application/x-www-form-urlencoded", "application/octet-stream": // what common clients send unasked
+	case "", "text/plain", "application/x-www-form-urlencoded", "application/octet-stream": // defaults of common clients
 		if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
 			decode = template.DecodeJSON
 		}
@@ -184,7 +184,7 @@
 	writeReply(ctx, iris.StatusOK, list)
 }
 
-// template shows one template in force.
+// template returns one template in force.
 func (srv *Server) template(ctx iris.Context) {
 	customer := ctx.Params().Get("customer")
 	tp, ok := srv.Backend.Templates().ByCustomer[customer]
@@ -195,14 +195,14 @@
 	writeReply(ctx, iris.StatusOK, TemplateReply{Revision: tp.Revision, Template: tp.Template})
 }
 
-// status shows the VM and what it sees.
+// status returns the state of the VM and its view of the fleet.
 func (srv *Server) status(ctx iris.Context) {
 	limit, cancel := context.WithTimeout(ctx.Request().Context(), queryTimeout.Std())
 	defer cancel()
 	writeReply(ctx, iris.StatusOK, srv.Backend.Status(limit))
 }
 
-// explain tells what became of a request.
+// explain returns the history of a request.
 func (srv *Server) explain(ctx iris.Context) {
 	limit, cancel := context.WithTimeout(ctx.Request().Context(), queryTimeout.Std())
 	defer cancel()
@@ -215,7 +215,7 @@
 	writeReply(ctx, iris.StatusOK, ExplainReply{Customer: customer, Key: key, Lines: lines})
 }
 
-// order has a model engine load something.
+// order orders a model engine to load something.
 func (srv *Server) order(ctx iris.Context) {
 	limit, cancel := context.WithTimeout(ctx.Request().Context(), orderTimeout.Std())
 	defer cancel()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,18 +1,18 @@
-// Package operator speaks to operators: over HTTP, on an address of its own
-// and with a token of its own.
+// Package operator is the HTTP interface for operators. It has its own address
+// and its own token.
 //
 //	POST /templates/{customer}?Base=N&PublicationID=ID&Again=B   publish a template (TOML or JSON)
 //	GET  /templates                                      customers and revisions in force
 //	GET  /templates/{customer}                           one template in force
-//	GET  /status                                         this VM and what it sees
-//	GET  /explain/{customer}/{key}                       what became of a request
-//	POST /orders                                         have a model engine load something
+//	GET  /status                                         state of this VM and its view of the fleet
+//	GET  /explain/{customer}/{key}                       history of a request
+//	POST /orders                                         order a model engine to load something
 //	POST /drain                                          begin a planned stop
 //	GET  /metrics                                        counters, in the Prometheus text format
 //
-// Replies are JSON with keys in Pascal case. A reply that is no success is a
-// [Fault], but for a template that was not accepted, which is a
-// [PublishReply] with status 409.
+// Replies are JSON with keys in Pascal case. An unsuccessful reply is a [Fault],
+// except for a template that was not accepted, whose reply is a [PublishReply]
+// with status 409.
 //
 // # Usage
 //
@@ -47,16 +47,16 @@
 	UnknownCustomer Reason = "UnknownCustomer"
 	UnknownPath     Reason = "UnknownPath"
 	WrongMethod     Reason = "WrongMethod"
-	Unavailable     Reason = "Unavailable" // nothing took effect; try again later
+	Unavailable     Reason = "Unavailable" // nothing took effect; retry later
 	UnknownServer   Reason = "UnknownServer"
-	Elsewhere       Reason = "Elsewhere"   // another VM gives orders to the engine; ask that one
-	NotOrdered      Reason = "NotOrdered"  // the engine did not carry the order out
+	Elsewhere       Reason = "Elsewhere"   // another VM gives orders to the engine; send the order to that one
+	NotOrdered      Reason = "NotOrdered"  // the engine did not execute the order
 	InDoubt         Reason = "InDoubt"     // the publication may take effect; repeat it with the same ID
-	Unreachable     Reason = "Unreachable" // made by the client: no request was sent
-	BadReply        Reason = "BadReply"    // made by the client: the reply can't be read
+	Unreachable     Reason = "Unreachable" // set by the client: no request was sent
+	BadReply        Reason = "BadReply"    // set by the client: the reply can't be read
 )
 
-// httpStatuses are the HTTP httpStatuses of the reasons.
+// httpStatuses maps each reason to its HTTP status.
 var httpStatuses = map[Reason]int{
 	MissingToken:    http.StatusUnauthorized,
 	WrongToken:      http.StatusUnauthorized,
@@ -75,42 +75,42 @@
 }
 
 type (
-	// Backend is the VM as operators see it. Its methods may be called by
-	// several goroutines.
+	// Backend is the interface of a VM for operators. Its methods may be called
+	// concurrently.
 	Backend interface {
 		// Publish appends a template to the log and waits for the verdict.
 		// A publication with an ID that was decided before gets the same
-		// verdict again. An error that is a refusal.Refusal which says
-		// NotRun promises that nothing took effect; after any other error
-		// the publication may still take effect.
+		// verdict again. An error that is a refusal.Refusal with NotRun
+		// guarantees that nothing took effect; after any other error the
+		// publication may still take effect.
 		Publish(ctx context.Context, pub Publication) (Verdict, error)
-		// Templates returns the configuration in force; never nil.
+		// Templates returns the templates in force; never nil.
 		Templates() *board.Templates
-		// Status tells how the VM is.
+		// Status returns the state of the VM and its view of the fleet.
 		Status(ctx context.Context) Status
-		// Explain asks all VMs what became of a request. An empty list
-		// means that none of them knows it.
+		// Explain collects the history of a request from all VMs. An empty
+		// list means that none of them has a record of it.
 		Explain(ctx context.Context, customer, key string) ([]ExplainLine, error)
-		// Order has a model engine load something and waits for the outcome.
-		// The error is a Fault.
+		// Order orders a model engine to load something and waits for the
+		// outcome. The error is a Fault.
 		Order(ctx context.Context, od Order) (OrderReply, error)
 		// Drain begins the planned stop and does not wait for its end. A
-		// second call changes nothing.
+		// second call has no effect.
 		Drain(ctx context.Context) error
 	}
 
-	// Publication is a template that an operator wants in force.
+	// Publication is a template that an operator publishes.
 	Publication struct {
-		ID       string // of the operator's choice; the same ID takes effect at most once
+		ID       string // chosen by the operator; publications with the same ID take effect at most once
 		Customer string
 		Base     uint64 // revision that the template was revised from; 0 for a new customer
 		Template template.Template
-		// Again says that the ID was published before without a certain
-		// verdict, here or at another VM.
+		// Again states that the ID was published before, here or at another
+		// VM, and its verdict is not known for certain.
 		Again bool
 	}
 
-	// Verdict is what became of a publication.
+	// Verdict is the outcome of a publication.
 	Verdict struct {
 		Accepted bool
 		Revision uint64 // of the publication, if it was accepted
@@ -130,10 +130,10 @@
 		Revision uint64
 	}
 
-	// TemplateList is all customers' revisions in force.
+	// TemplateList lists the revisions in force of all customers.
 	TemplateList struct {
-		Ready     bool       // false until the VM has learned the configuration
-		Applied   uint64     // log offset up to which the VM learned it
+		Ready     bool       // false until the VM has received the configuration
+		Applied   uint64     // log offset up to which the VM has applied it
 		Revisions []Revision // sorted by customer
 	}
 
@@ -143,52 +143,52 @@
 		Template template.Template
 	}
 
-	// Order is what an operator wants a model engine to load. Given again
-	// it changes nothing.
+	// Order is an operator's order to a model engine to load something. Orders
+	// are idempotent.
 	Order struct {
 		Server string
 		Kind   engine.OrderKind // LoadModel, LoadAdapter or LoadVersion
 		Name   string
 	}
 
-	// OrderReply says that an order was carried out.
+	// OrderReply reports that an order was executed.
 	OrderReply struct {
 		Order
-		VM string // that gave it
+		VM string // that sent the order to the engine
 	}
 
-	// DrainReply says that a planned stop has begun.
+	// DrainReply reports that a planned stop has begun.
 	DrainReply struct {
 		Draining bool
 	}
 
-	// ExplainReply is what the VMs know about a request.
+	// ExplainReply is the history of a request, collected from the VMs.
 	ExplainReply struct {
 		Customer string
 		Key      string
-		Lines    []ExplainLine // in the order of time
+		Lines    []ExplainLine // in chronological order
 	}
 
-	// ExplainLine is one step in a request's life.
+	// ExplainLine is one step in the history of a request.
 	ExplainLine struct {
 		VM    string
 		Since clock.Millis // since the request arrived at that VM
 		Event int          // number of the event in the catalogue
-		Text  string       // never holds a prompt, an answer or a secret
+		Text  string       // never contains a prompt, an answer or a secret
 	}
 
-	// Reason of a Fault. Each has a counter.
+	// Reason of a Fault. Each has its own counter.
 	Reason string
 
-	// Fault is a reply that is no success. The client returns it as an error.
+	// Fault is an unsuccessful reply. The client returns it as an error.
 	Fault struct {
 		Reason   Reason
-		Detail   string        // a few words for a person
+		Detail   string        // a short explanation for humans
 		Problems []place.Error `json:",omitempty"` // of an invalid template
 	}
 )
 
-// Error writes the reason, the detail and one line for each problem.
+// Error returns the reason, the detail and one line for each problem.
 func (fa Fault) Error() string {
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "%s: %s", fa.Reason, fa.Detail)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -32,7 +32,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 type (
-	// fakeVM decides publications as one log with one reader would.
+	// fakeVM decides publications like a log with a single reader.
 	fakeVM struct {
 		mu        sync.Mutex
 		inForce   board.Templates
@@ -43,7 +43,7 @@
 		explained [2]string
 	}
 
-	// lineBuffer is a log writer that a test reads.
+	// lineBuffer collects log lines for a test.
 	lineBuffer struct {
 		mu  sync.Mutex
 		buf bytes.Buffer
@@ -102,7 +102,7 @@
 	return vm.fail
 }
 
-// startServer runs a server for the length of the test.
+// startServer runs a server until the end of the test.
 func startServer(t *testing.T) (*fakeVM, operator.Client, tally.TestScope, *lineBuffer) {
 	vm := &fakeVM{inForce: board.Templates{ByCustomer: map[string]board.ActiveTemplate{}, Ready: true, Applied: 9}, verdicts: map[string]operator.Verdict{}}
 	scope, out := tally.NewTestScope("", nil), &lineBuffer{}
@@ -148,8 +148,8 @@
 	assert.NilError(t, err)
 	assert.Equal(t, rep, operator.PublishReply{PublicationID: "one", Verdict: operator.Verdict{Accepted: true, Revision: 1, Current: 1}})
 
-	// The same publication again gets the same verdict; another from the
-	// same base loses and is told what is in force.
+	// The same publication again gets the same verdict; another one from the
+	// same base is rejected with the revision in force.
 	rep, err = cl.Publish(ctx, first)
 	assert.NilError(t, err)
 	assert.Assert(t, rep.Accepted && rep.Revision == 1)
@@ -220,7 +220,7 @@
 		"metrics":            {"GET", "/metrics", bearer, "", "", 200, ""},
 		"no token":           {"GET", "/status", "", "", "", 401, operator.MissingToken},
 		"wrong token":        {"GET", "/status", bearer + "x", "", "", 401, operator.WrongToken},
-		"token of no kind":   {"GET", "/status", token, "", "", 401, operator.WrongToken},
+		"token, no Bearer":   {"GET", "/status", token, "", "", 401, operator.WrongToken},
 		"empty token":        {"GET", "/status", "Bearer ", "", "", 401, operator.WrongToken},
 		"unknown, no token":  {"GET", "/nothing", "", "", "", 401, operator.MissingToken},
 		"metrics, no token":  {"GET", "/metrics", "", "", "", 401, operator.MissingToken},
@@ -263,10 +263,10 @@
 		})
 	}
 	assert.Assert(t, strings.Contains(out.String(), `"OperatorRejected"`))
-	assert.Assert(t, !strings.Contains(out.String(), token), "shows a token")
+	assert.Assert(t, !strings.Contains(out.String(), token), "a token was logged")
 }
 
-// refusalCount reads the counter of one reason.
+// refusalCount returns the value of the counter of one reason.
 func refusalCount(scope tally.TestScope, reason string) int64 {
 	for _, ct := range scope.Snapshot().Counters() {
 		if ct.Name() == "Refusals" && ct.Tags()["Reason"] == reason {
@@ -282,7 +282,7 @@
 	cl := operator.Client{Address: ln.Addr().String(), Token: settings.NewSecret(token)}
 	tpl, _ := sampleTemplate(t)
 
-	// A connection that breaks after the request was sent.
+	// The connection breaks after the request was sent.
 	go func() {
 		conn, err := ln.Accept()
 		if err == nil {
@@ -301,7 +301,7 @@
 	assert.Equal(t, reasonOf(err), operator.BadRequest)
 }
 
-// What Run returns still unwraps to the cause.
+// The error of Run unwraps to its cause.
 func TestRunFails(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/operator/order_test.go
+++ b/internal/operator/order_test.go
@@ -10,8 +10,8 @@
 	"alderdyke/internal/operator"
 )
 
-// Whatever is sent, what comes out is an order that an engine may be given,
-// or a Fault.
+// For any input, readOrder returns an order that may be sent to an engine, or a
+// Fault.
 func FuzzReadOrder(f *testing.F) {
 	f.Add(`{"Server":"e-1","Kind":"LoadModel","Name":"m-2"}`)
 	f.Add(`{"Server":"e-1","Kind":"ChangeRole","Name":"m-2"}`)
--- a/internal/operator/reply_test.go
+++ b/internal/operator/reply_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Whatever a VM answers, the reply is read whole or ends in a Fault with a
-// reason, and only a success or a decided publication is read.
+// For any reply of a VM, readReply decodes it completely or returns a Fault with a
+// reason. Only a success or a decided publication is decoded.
 func FuzzReadReply(f *testing.F) {
 	f.Add(http.StatusOK, `{"Accepted":true,"Revision":7}`)
 	f.Add(http.StatusConflict, `{"Accepted":false}`)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -25,13 +25,13 @@
 	writeTimeout   = 90 * clock.Second
 	idleTimeout    = clock.Minute
 	publishTimeout = clock.Minute
-	orderTimeout   = 80 * clock.Second // of which the engine may take a minute
+	orderTimeout   = 80 * clock.Second // the engine alone may take a minute
 	queryTimeout   = 20 * clock.Second
 	stopTimeout    = 5 * clock.Second
-	maxHeaderBytes = 16 << 10 // bytes
+	maxHeaderBytes = 16 << 10
 
-	rejectedLogBurst    = 10           // rejected requests that are logged one by one
-	rejectedLogInterval = clock.Second // after that, one line in this span
+	rejectedLogBurst    = 10           // rejected requests that are logged individually
+	rejectedLogInterval = clock.Second // after these, one line per interval
 )
 
 // Server serves operators. Set the exported fields before Run.
@@ -39,15 +39,15 @@
 	Listener net.Listener
 	Token    settings.Secret // required
 	Backend  Backend
-	Metrics  http.Handler // page of the counters; nil: there is none
-	Scope    tally.Scope  // of its own, such as a subscope Operator, for the counters Requests and Refusals; nil: not counted
+	Metrics  http.Handler // serves the metrics page; nil: no such page
+	Scope    tally.Scope  // a separate one, such as a subscope Operator, for the counters Requests and Refusals; nil: not counted
 	Log      event.Logger
 
 	rejectedLog rate.Sometimes
 }
 
-// Run serves until the context ends, then lets the requests in progress end
-// for a few seconds. It closes the listener.
+// Run serves until the context ends, then gives the requests in progress
+// a few seconds to complete. It closes the listener.
 func (srv *Server) Run(ctx context.Context) error {
 	place := oops.In("operator").With("Listen", srv.Listener.Addr().String())
 	handler, err := srv.Handler()
@@ -61,7 +61,7 @@
 		WriteTimeout:      writeTimeout.Std(),
 		IdleTimeout:       idleTimeout.Std(),
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          log.New(io.Discard, "", 0), // its lines are no events of the catalogue
+		ErrorLog:          log.New(io.Discard, "", 0), // net/http's lines are not events of the catalogue
 	}
 	served := make(chan error, 1)
 	go func() { served <- hs.Serve(srv.Listener) }()
@@ -75,13 +75,13 @@
 	if err := hs.Shutdown(stop); err != nil {
 		err = errors.Join(err, hs.Close())
 		<-served
-		return place.Wrapf(err, "end requests of operators")
+		return place.Wrapf(err, "shut down the operators' server")
 	}
 	<-served
 	return nil
 }
 
-// Handler returns what Run serves.
+// Handler returns the handler that Run serves.
 func (srv *Server) Handler() (http.Handler, error) {
 	if srv.Token.IsZero() {
 		return nil, errors.New("no token is set for operators")
@@ -115,7 +115,7 @@
 	return app, nil
 }
 
-// authorize lets only those with the token go on.
+// authorize rejects requests that do not carry the token.
 func (srv *Server) authorize(ctx iris.Context) {
 	srv.Scope.Counter("Requests").Inc(1)
 	header := ctx.GetHeader("Authorization")
@@ -135,15 +135,15 @@
 	srv.refuse(ctx, fa)
 }
 
-// refuse ends a request with a fault and counts it.
+// refuse replies with a fault and counts it.
 func (srv *Server) refuse(ctx iris.Context, fa Fault) {
 	srv.Scope.Tagged(map[string]string{"Reason": string(fa.Reason)}).Counter("Refusals").Inc(1)
 	writeReply(ctx, httpStatuses[fa.Reason], fa)
 	ctx.StopExecution()
 }
 
-// writeReply writes a JSON writeReply.
+// writeReply writes a JSON reply.
 func writeReply(ctx iris.Context, status int, body any) {
 	ctx.StatusCode(status)
-	_ = ctx.JSON(body) // the operator's connection broke; there is nobody to tell
+	_ = ctx.JSON(body) // fails only if the operator's connection broke, so the error can't be reported
 }
