--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,9 +1,9 @@
-// Package cli is the command line of alderdyke.
+// Package cli implements the command line of alderdyke.
 //
-// The subcommands run, check and demo need no VM; publish, templates, status,
-// explain, order and drain ask one VM at its address for operators. Problems go to
-// the standard error, results to the standard output, and the exit code tells
-// which it was.
+// The subcommands run, check, demo, trace and losses need no running VM; publish,
+// templates, status, explain, order and drain send a request to one VM's operator
+// address. Errors go to standard error and results to standard output, and the
+// exit code tells them apart.
 //
 // # Usage
 //
@@ -25,43 +25,43 @@
 
 // Exit codes.
 const (
-	ExitOK      = 0 // it was done
-	ExitFailed  = 1 // it was not done; trying again may help
-	ExitUsage   = 2 // the command line is wrong
+	ExitOK      = 0 // success
+	ExitFailed  = 1 // failure; a retry may help
+	ExitUsage   = 2 // invalid command line
 	ExitRefused = 3 // settings, a template or a publication was not accepted
 	ExitInDoubt = 4 // a publication may have taken effect; repeat it with the same ID
 )
 
 // Environment variables.
 const (
-	// AddressVariable holds the VM's address for operators.
+	// AddressVariable names the variable with the VM's operator address.
 	AddressVariable = "ALDERDYKE_ADDRESS"
-	// TokenVariable holds the operators' token.
+	// TokenVariable names the variable with the operators' token.
 	TokenVariable = "ALDERDYKE_TOKEN"
 )
 
 type (
-	// Program is the command line and what it starts. Set the exported
-	// fields before Main.
+	// Program is the command line and the functions that it calls. Set the
+	// exported fields before Main.
 	Program struct {
 		Run func(ctx context.Context, set settings.Settings) error // runs an entry VM until the context ends
-		// Demo runs the demonstration; with a folder, only its stand-ins.
+		// Demo runs the demonstration; with a directory, only its stand-ins.
 		Demo    func(ctx context.Context, dir string, out io.Writer) error
 		Version string
-		Getenv  func(key string) string // os.Getenv if nil
+		Getenv  func(key string) string // nil: os.Getenv
 	}
 
-	// usageError is a command line that can't be understood.
+	// usageError reports an invalid command line.
 	usageError struct {
 		message string
 	}
 
-	// refusedError is a publication that was decided against.
+	// refusedError reports a publication that was rejected.
 	refusedError struct {
 		reply operator.PublishReply
 	}
 
-	// streams are where a command writes its results.
+	// streams are the outputs of a command.
 	streams struct {
 		out io.Writer
 		err io.Writer
@@ -75,9 +75,9 @@
 		re.reply.Reason, re.reply.Current, re.reply.Current)
 }
 
-// Main carries out one command line, without the program's name, and returns
-// the exit code. When the context ends, what runs is stopped in an orderly
-// way.
+// Main executes one command line, given without the program's name, and returns
+// the exit code. When the context ends, a running VM or demonstration is stopped
+// gracefully.
 func (pg Program) Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	if pg.Getenv == nil {
 		pg.Getenv = os.Getenv
@@ -97,7 +97,7 @@
 	return exitCode(err)
 }
 
-// exitCode tells the exit code of an error.
+// exitCode returns the exit code of an error.
 func exitCode(err error) int {
 	var (
 		ue usageError
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -28,7 +28,7 @@
 	hoaluaFile   = "../../examples/hoalua.toml"
 )
 
-// vmStub answers an operator with what the test set.
+// vmStub replies to operators with the values set by the test.
 type vmStub struct {
 	verdict   operator.Verdict
 	fail      error
@@ -67,7 +67,7 @@
 	return vm.fail
 }
 
-// terminal runs command lines against a stub.
+// terminal runs command lines against a vmStub.
 type terminal struct {
 	vm       *vmStub
 	program  cli.Program
@@ -97,11 +97,11 @@
 	var out, errs bytes.Buffer
 	code := tm.program.Main(t.Context(), args, &out, &errs)
 	tm.out, tm.err = out.String(), errs.String()
-	assert.Assert(t, !strings.Contains(tm.out+tm.err, token), "shows the token")
+	assert.Assert(t, !strings.Contains(tm.out+tm.err, token), "the output contains the token")
 	return code
 }
 
-// settingsFile writes the example settings with their secrets.
+// settingsFile writes the example settings, after a change, and their secrets.
 func settingsFile(t *testing.T, change func(text string) string) string {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../examples/entry.toml")
@@ -171,7 +171,7 @@
 	assert.Equal(t, tm.run(t, "check", sound, kedelsynFile, hoaluaFile, kedelsynFile), cli.ExitRefused)
 	assert.Assert(t, strings.Contains(tm.err, "Customer = kedelsyn") && strings.Contains(tm.err, "KeyHashes[0]"), tm.err)
 
-	// The problems of all files come together.
+	// The problems of all files are reported together.
 	broken := settingsFile(t, func(text string) string { return strings.Replace(text, "Count = 3", "Count = 0", 1) })
 	assert.Equal(t, tm.run(t, "check", broken, broken, "/nonexistent"), cli.ExitRefused)
 	for _, want := range []string{"Addresses.Count", "Classes", "/nonexistent"} {
--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -16,7 +16,7 @@
 	"alderdyke/pkg/template"
 )
 
-// execute carries out a command.
+// execute executes a command.
 func (pg Program) execute(ctx context.Context, cm command, st streams) error {
 	switch cm := cm.(type) {
 	case helpCommand:
@@ -51,14 +51,14 @@
 	case drainCommand:
 		return drain(ctx, cm, st)
 	default:
-		return fmt.Errorf("command %T is not known", cm)
+		return fmt.Errorf("unknown command %T", cm)
 	}
 }
 
 func (pg Program) run(ctx context.Context, cm runCommand) error {
 	set, err := settings.Load(cm.file)
 	if err != nil {
-		return err // its lines name the file already
+		return err // already names the file
 	}
 	if err := pg.Run(ctx, set); err != nil {
 		return fmt.Errorf("run VM %s: %w", set.ID, err)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// check looks at all files and reports all their problems together.
+// check checks all files and reports the problems of all of them together.
 func check(cm checkCommand, st streams) error {
 	var all place.Errors
 	if _, err := settings.Load(cm.file); err != nil {
@@ -90,17 +90,17 @@
 	return all.Err()
 }
 
-// findConflicts finds what a template has in common with those before it and must
-// not have.
+// findConflicts reports the customer and the API keys that a template shares with
+// earlier templates and must not share.
 func findConflicts(file string, tpl template.Template, byCustomer, byHash map[string]string) place.Errors {
 	var found place.Errors
 	if other, taken := byCustomer[tpl.Customer]; taken {
-		found = append(found, place.Error{File: file, Key: "Customer", Value: tpl.Customer, Mend: "keep one template for each customer; " + other + " is one already"})
+		found = append(found, place.Error{File: file, Key: "Customer", Value: tpl.Customer, Mend: "keep one template for each customer; " + other + " is already one"})
 	}
 	byCustomer[tpl.Customer] = file
 	for ix, hash := range tpl.KeyHashes {
 		if other, taken := byHash[hash]; taken {
-			found = append(found, place.Error{File: file, Key: fmt.Sprintf("KeyHashes[%d]", ix), Mend: "give each customer API keys of its own; " + other + " has this one already"})
+			found = append(found, place.Error{File: file, Key: fmt.Sprintf("KeyHashes[%d]", ix), Mend: "give each customer its own API keys; " + other + " already has this one"})
 		}
 		byHash[hash] = file
 	}
@@ -115,8 +115,8 @@
 	return place.Errors{{File: file, Mend: err.Error()}}
 }
 
-// readTemplate reads one template; one byte more than is allowed tells one
-// that is too long.
+// readTemplate reads one template. It reads one byte more than is allowed, so that
+// a template that is too long is detected.
 func readTemplate(file string) (template.Template, error) {
 	fl, err := os.Open(file)
 	if err != nil {
@@ -133,9 +133,9 @@
 func publish(ctx context.Context, cm publishCommand, st streams) error {
 	tpl, err := readTemplate(cm.file)
 	if err != nil {
-		return err // its lines name the file already
+		return err // already names the file
 	}
-	again := cm.id != "" // an ID is given to repeat a publication in doubt
+	again := cm.id != "" // the ID flag is given only to repeat a publication in doubt
 	if !again {
 		cm.id = uuid.NewString()
 	}
@@ -144,7 +144,7 @@
 	})
 	var fa operator.Fault
 	if errors.As(err, &fa) && fa.Reason == operator.InDoubt {
-		return fmt.Errorf("publish %s: %w\nrepeat it so: alderdyke publish %s --base %d --id %s", cm.file, err, cm.file, cm.base, cm.id)
+		return fmt.Errorf("publish %s: %w\nrepeat it with: alderdyke publish %s --base %d --id %s", cm.file, err, cm.file, cm.base, cm.id)
 	}
 	if err != nil {
 		return fmt.Errorf("publish %s: %w", cm.file, err)
@@ -174,12 +174,12 @@
 func status(ctx context.Context, cm statusCommand, st streams) error {
 	rep, err := cm.client.Status(ctx)
 	if err != nil {
-		return fmt.Errorf("ask for the status: %w", err)
+		return fmt.Errorf("get the status: %w", err)
 	}
 	return show(st.out, cm.json, rep, showStatus)
 }
 
-// traceRequest reads log files and tells what became of a request.
+// traceRequest reads log files and prints the history and the outcome of a request.
 func traceRequest(cm traceCommand, st streams) error {
 	tr := trace.Trace{Request: cm.request}
 	if err := readLogs(&tr, cm.files); err != nil {
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// countLosses reads log files and tells what became of the generations.
+// countLosses reads log files and prints the outcomes of the generations.
 func countLosses(cm lossesCommand, st streams) error {
 	var ls trace.Losses
 	if err := readLogs(&ls, cm.files); err != nil {
@@ -212,7 +212,7 @@
 
 func reportSkipped(lines int, st streams) {
 	if lines > 0 {
-		fmt.Fprintf(st.err, "%d lines are no log lines of a VM, or are cut off, and were passed over\n", lines)
+		fmt.Fprintf(st.err, "skipped %d lines that are not log lines of a VM or are truncated\n", lines)
 	}
 }
 
@@ -220,7 +220,7 @@
 	for _, name := range names {
 		file, err := os.Open(name)
 		if err != nil {
-			return fmt.Errorf("open a log: %w", err)
+			return fmt.Errorf("open a log file: %w", err)
 		}
 		err = to.Read(file)
 		file.Close()
@@ -234,7 +234,7 @@
 func explain(ctx context.Context, cm explainCommand, st streams) error {
 	rep, err := cm.client.Explain(ctx, cm.customer, cm.key)
 	if err != nil {
-		return fmt.Errorf("ask for request %q: %w", cm.key, err)
+		return fmt.Errorf("explain request %q: %w", cm.key, err)
 	}
 	return show(st.out, cm.json, rep, showExplain)
 }
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -58,7 +58,7 @@
 		order  operator.Order
 	}
 
-	// options are all that flags and positional arguments can set.
+	// options holds the values of all flags and positional arguments.
 	options struct {
 		help, version, json bool
 		first, second       string // positional arguments
@@ -67,10 +67,10 @@
 		id                  string
 	}
 
-	// subcommand is one subcommand as the command line shows it.
+	// subcommand declares one subcommand.
 	subcommand struct {
 		name, help string
-		positional []string // names; one in brackets is optional
+		positional []string // names; a name in brackets is optional
 		variadic   bool     // any number of arguments may follow
 		flags      func(sc *flaggy.Subcommand, op *options)
 	}
@@ -120,7 +120,7 @@
 	sc.String(&op.id, "i", "id", "ID of the publication, to repeat one that is in doubt; made up if not given.")
 }
 
-// parse understands a command line.
+// parse parses a command line.
 func (pg Program) parse(args []string) (command, error) {
 	op := &options{}
 	pr, byName := newParser(op)
@@ -153,7 +153,7 @@
 	return pg.buildCommand(name, op, pr.TrailingArguments)
 }
 
-// newParser makes a parser that never prints or exits by itself.
+// newParser returns a parser that neither prints nor exits.
 func newParser(op *options) (*flaggy.Parser, map[string]*flaggy.Subcommand) {
 	pr := flaggy.NewParser("alderdyke")
 	pr.Description = "Routes requests between callers and separate prefill and decode pools of language-model engines."
@@ -180,8 +180,8 @@
 	return pr, byName
 }
 
-// checkFlags refuses flags that the subcommand does not have, and a last flag
-// without its value.
+// checkFlags rejects flags that the subcommand does not have, and a last flag
+// without a value.
 func checkFlags(sub *flaggy.Subcommand, args []string) error {
 	for ix, arg := range args {
 		if arg == "--" {
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// checkPositional refuses missing and surplus arguments.
+// checkPositional rejects missing and surplus arguments.
 func checkPositional(name string, op *options, more []string) error {
 	for _, sub := range subcommands {
 		if sub.name != name {
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// buildCommand makes the command that the options describe.
+// buildCommand returns the command for the parsed options.
 func (pg Program) buildCommand(name string, op *options, more []string) (command, error) {
 	switch name {
 	case "run":
@@ -267,7 +267,7 @@
 	}
 }
 
-// orderKinds are the kinds of orders as the command line writes them.
+// orderKinds maps the kinds of orders as written on the command line.
 var orderKinds = map[string]engine.OrderKind{
 	"load-model":   engine.LoadModel,
 	"load-adapter": engine.LoadAdapter,
@@ -285,7 +285,7 @@
 	return orderCommand{client: cl, order: operator.Order{Server: op.first, Kind: kind, Name: more[0]}}, nil
 }
 
-// client makes the client from flags and environment.
+// client creates the client from the flags and the environment.
 func (pg Program) client(op *options) (operator.Client, error) {
 	address := op.address
 	if address == "" {
@@ -302,7 +302,7 @@
 	return operator.Client{Address: address, Token: token}, nil
 }
 
-// token reads the operators' token. An error never shows it.
+// token reads the operators' token. Its errors never contain the token.
 func (pg Program) token(file string) (settings.Secret, error) {
 	value, from := pg.Getenv(TokenVariable), TokenVariable
 	if file != "" {
@@ -317,7 +317,7 @@
 	}
 	var token settings.Secret
 	if err := token.UnmarshalText([]byte(strings.TrimSpace(value))); err != nil {
-		return settings.Secret{}, usageError{fmt.Sprintf("the token in %s can't be one: %v", from, err)}
+		return settings.Secret{}, usageError{fmt.Sprintf("the token in %s is not valid: %v", from, err)}
 	}
 	return token, nil
 }
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -11,10 +11,10 @@
 	"alderdyke/pkg/template"
 )
 
-// padding is the space between two columns.
+// padding is the number of spaces between two columns.
 const padding = 2
 
-// show writes a reply as JSON or by the given function.
+// show writes a reply as JSON, or as text with the given function.
 func show[Reply any](out io.Writer, asJSON bool, rep Reply, plain func(out io.Writer, rep Reply) error) error {
 	if !asJSON {
 		tw := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
@@ -34,11 +34,11 @@
 	return nil
 }
 
-// showTemplate writes a template so that it can be revised and published.
+// showTemplate writes a template in a form that can be revised and published.
 func showTemplate(out io.Writer, rep operator.TemplateReply) error {
 	text, err := template.Marshal(rep.Template)
 	if err != nil {
-		return fmt.Errorf("show the template in force: %w", err)
+		return fmt.Errorf("encode the template in force: %w", err)
 	}
 	_, err = fmt.Fprintf(out, "# Revision %d; publish a revised one with --base %d\n%s", rep.Revision, rep.Revision, text)
 	return err
@@ -46,7 +46,7 @@
 
 func showTemplates(out io.Writer, list operator.TemplateList) error {
 	if !list.Ready {
-		fmt.Fprintln(out, "The VM has not learned the configuration yet.")
+		fmt.Fprintln(out, "The VM has not received the configuration yet.")
 	}
 	fmt.Fprintf(out, "CUSTOMER\tREVISION\n")
 	for _, rev := range list.Revisions {
