--- a/internal/settings/bytes.go
+++ b/internal/settings/bytes.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Sizes that are used often.
+// Common sizes.
 const (
 	KiB Bytes = 1 << 10
 	MiB       = 1 << 10 * KiB
@@ -22,7 +22,7 @@
 // Bytes is a size in bytes, written as 512B, 64KiB, 8MiB or 1GiB.
 type Bytes int64
 
-// String writes the size in the largest unit that holds it whole.
+// String returns the size as a whole number of the largest possible unit.
 func (by Bytes) String() string {
 	for _, un := range units {
 		if by != 0 && by%un.size == 0 {
@@ -32,10 +32,10 @@
 	return strconv.FormatInt(int64(by), 10) + "B"
 }
 
-// MarshalText writes the form that UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (by Bytes) MarshalText() ([]byte, error) { return []byte(by.String()), nil }
 
-// UnmarshalText reads a size such as "8MiB".
+// UnmarshalText parses a size such as "8MiB".
 func (by *Bytes) UnmarshalText(text []byte) error {
 	for _, un := range units {
 		digits, ok := strings.CutSuffix(string(text), un.suffix)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,17 +10,17 @@
 	"alderdyke/pkg/place"
 )
 
-// Bounds of files, in bytes.
+// Size limits of files, in bytes.
 const (
 	maxFile       = 256 << 10
 	maxSecretFile = 4 << 10
 )
 
 type (
-	// fileReader reads a whole file of at most the given length.
+	// fileReader reads a whole file of at most maxBytes.
 	fileReader func(path string, maxBytes int64) ([]byte, error)
 
-	// secretSource is a secret with the two keys that may set it.
+	// secretSource is a secret that is set by its key or by a file.
 	secretSource struct {
 		key      string // such as Peer.Secret
 		secret   *Secret
@@ -29,8 +29,8 @@
 	}
 )
 
-// Load reads the settings of one VM, and the files that hold its secrets.
-// Paths of those files are relative to the settings file. The error is a
+// Load reads the settings of one VM and the files that contain its secrets. The
+// paths of these files are relative to the settings file. The error is a
 // [place.Errors] with all problems.
 func Load(path string) (Settings, error) { return load(path, readFile) }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// readSecrets puts the secrets that are in files of their own in place.
+// readSecrets reads the secrets that are stored in files.
 func (set *Settings) readSecrets(dir string, read fileReader) place.Errors {
 	var es place.Errors
 	for _, src := range set.secretSources() {
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// redacted is what a secret shows of itself.
+// redacted replaces a secret in all output.
 const redacted = "***"
 
-// MinSecret is the least length of a secret, in bytes.
+// MinSecret is the minimum length of a secret, in bytes.
 const MinSecret = 16
 
-// Secret is a token or key. It shows itself as "***" in every format verb, in
-// JSON and in TOML; only [Secret.Reveal] gives the text. The zero Secret is
-// not set, and shows itself as empty in JSON and TOML.
+// Secret is a token or key. It is printed as "***" by every format verb, in JSON
+// and in TOML; only [Secret.Reveal] returns the text. The zero Secret is not set,
+// and is empty in JSON and TOML.
 type Secret struct {
-	text *string // behind a pointer, so that fmt can't print it from within an unexported field
+	text *string // a pointer, so that fmt can't print the text if the Secret is in an unexported field
 }
 
-// NewSecret makes a secret. An empty text gives the zero Secret.
+// NewSecret returns a secret. An empty text gives the zero Secret.
 func NewSecret(text string) Secret {
 	if text == "" {
 		return Secret{}
@@ -37,19 +37,19 @@
 	return *sc.text
 }
 
-// IsZero tells whether no secret is set.
+// IsZero reports whether the secret is not set.
 func (sc Secret) IsZero() bool { return sc.text == nil }
 
-// Equal compares with what a peer presented, in a time that depends on
-// neither. A secret that is not set equals nothing.
+// Equal compares the secret with what a peer presented, in a time that does not
+// depend on the content of either. A secret that is not set equals nothing.
 func (sc Secret) Equal(presented string) bool {
 	want, got := sha256.Sum256([]byte(sc.Reveal())), sha256.Sum256([]byte(presented))
 	return subtle.ConstantTimeCompare(want[:], got[:]) == 1 && !sc.IsZero()
 }
 
-// Format writes "***" whatever the verb.
+// Format writes "***" for every verb.
 func (Secret) Format(state fmt.State, _ rune) {
-	_, _ = state.Write([]byte(redacted)) // fmt gives no way to report it
+	_, _ = state.Write([]byte(redacted)) // a Formatter can't return an error
 }
 
 // String returns "***".
@@ -63,7 +63,7 @@
 	return []byte(redacted), nil
 }
 
-// UnmarshalText sets the secret. The error never shows the text.
+// UnmarshalText sets the secret. The error never contains the text.
 func (sc *Secret) UnmarshalText(text []byte) error {
 	value := string(text)
 	if len(value) < MinSecret {
@@ -76,5 +76,5 @@
 	return nil
 }
 
-// Concealed keeps the value out of reports of problems.
+// Concealed marks the type so that problem reports omit the value.
 func (Secret) Concealed() {}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,19 +1,19 @@
-// Package settings reads what one VM is told before it starts: its place, its
+// Package settings reads the settings of one VM: its identity and location, its
 // addresses, its secrets and its limits.
 //
-// Settings come from one TOML file. All problems of the file are found before
-// anything listens and are reported together as [place.Errors], each with
-// file, line, key, value and mend. Addresses are IP numbers; host names are
-// never looked up. examples/entry.toml shows every key.
+// Settings come from one TOML file. All problems of the file are found before the
+// VM listens, and are reported together as [place.Errors], each with file, line,
+// key, value and suggested fix. Addresses are IP addresses with a port; host names
+// are never resolved. examples/entry.toml shows every key.
 //
 // # Usage
 //
 //	set, err := settings.Load("/etc/alderdyke/entry.toml")
 //	if err != nil {
-//		fmt.Fprintln(os.Stderr, err) // one problem a line
+//		fmt.Fprintln(os.Stderr, err) // one problem per line
 //	}
 //
-// A program that needs no file starts from [Default] and calls
+// A program that uses no settings file starts from [Default] and calls
 // [Settings.Validate].
 package settings
 
@@ -23,7 +23,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Levels of logging.
+// Log levels.
 const (
 	LevelInfo  Level = "Info"
 	LevelWarn  Level = "Warn"
@@ -31,8 +31,8 @@
 )
 
 type (
-	// Settings is all that one VM is told. It is a value; do not write to
-	// Peer.Seeds of a shared one.
+	// Settings are the settings of one VM. It is a value; do not modify Peer.Seeds
+	// of a shared one.
 	Settings struct {
 		ID            string // unique among the VMs; a VM that replaces another may keep its ID
 		FailureDomain string
@@ -52,23 +52,23 @@
 		Logging   Logging
 	}
 
-	// Caller is where callers connect.
+	// Caller sets the address for callers.
 	Caller struct {
 		Listen    netip.AddrPort
-		Advertise netip.AddrPort // what callers are told; Listen if it is not set
+		Advertise netip.AddrPort // the address that callers are given; Listen if not set
 	}
 
-	// Peer is where the other entry VMs connect, by TCP and by UDP at the
-	// same port.
+	// Peer sets the address for other entry VMs, which is used for TCP and UDP
+	// with the same port.
 	Peer struct {
 		Listen     netip.AddrPort
-		Advertise  netip.AddrPort // what other VMs are told; Listen if it is not set
+		Advertise  netip.AddrPort // the address that other VMs are given; Listen if not set
 		Secret     Secret         // shared by all VMs of the fleet
 		SecretFile string
-		Seeds      []netip.AddrPort // peer addresses to join by; may hold this VM's own
+		Seeds      []netip.AddrPort // peer addresses for joining the fleet; may include this VM's own
 	}
 
-	// Operator is where operators connect.
+	// Operator sets the address for operators.
 	Operator struct {
 		Listen    netip.AddrPort
 		Token     Secret
@@ -90,58 +90,58 @@
 		TokenFile string
 	}
 
-	// Backends is how this VM speaks to backend servers.
+	// Backends sets how this VM connects to backend servers.
 	Backends struct {
 		Token     Secret // not set: no token is sent
 		TokenFile string
 	}
 
-	// Limits bound what one VM takes on.
+	// Limits bound the load that one VM accepts.
 	Limits struct {
 		MaxBody         Bytes        // of one request; 4MiB by default
 		MaxHeader       Bytes        // of one request's headers; 16KiB by default
 		MaxConnections  int          // of callers; 2048 by default
 		MaxStreams      int          // requests in progress at once; 4096 by default
-		MaxAnswerMemory Bytes        // all answers that are kept after their end; 16MiB by default
-		HeaderTimeout   clock.Millis // until a request's headers are whole; 10s by default
-		BodyTimeout     clock.Millis // until a request's body is whole; 1m by default
+		MaxAnswerMemory Bytes        // of all completed answers that are kept; 16MiB by default
+		HeaderTimeout   clock.Millis // until a request's headers are complete; 10s by default
+		BodyTimeout     clock.Millis // until a request's body is complete; 1m by default
 		IdleTimeout     clock.Millis // of a connection without a request; 2m by default
 	}
 
-	// Addresses is the answer to callers who ask which addresses to use.
+	// Addresses sets the response to callers that request the addresses to use.
 	Addresses struct {
-		KeepFor clock.Millis // how long a caller may keep the answer; 30s by default
-		Count   int          // how many addresses the answer holds; 3 by default
+		KeepFor clock.Millis // how long a caller may cache the response; 30s by default
+		Count   int          // number of addresses in the response; 3 by default
 	}
 
-	// Answers is how long what ended is remembered.
+	// Answers sets how long completed answers are kept.
 	Answers struct {
-		KeepFor clock.Millis // for callers who send the same key again; 10m by default
+		KeepFor clock.Millis // for callers that send the same key again; 10m by default
 	}
 
-	// Drain is the planned stop. It cuts off nothing: it lasts until the
+	// Drain sets the planned stop. It interrupts no request: it lasts until the
 	// last request in progress has ended, however long that takes.
 	Drain struct {
-		Linger    clock.Millis // beyond Addresses.KeepFor, until the callers' address closes; 5s by default
-		WarnEvery clock.Millis // a stop that lasts longer is logged each time; 1m by default
+		Linger    clock.Millis // after Addresses.KeepFor, until the callers' address closes; 5s by default
+		WarnEvery clock.Millis // interval of warnings while a stop lasts longer than this; 1m by default
 	}
 
-	// Roles is how the roles of model engines follow the load.
+	// Roles sets how the roles of model engines are adapted to the load.
 	Roles struct {
-		Enabled bool         // false: engines keep their roles; operators' orders are still given; true by default
-		Dwell   clock.Millis // least span between two changes in a cell; a role must have had an engine to spare for three times as long; 5m by default
+		Enabled bool         // false: engines keep their roles, but operators' orders are still sent; true by default
+		Dwell   clock.Millis // minimum time between two changes in a cell; a role must have had a spare engine for three times as long; 5m by default
 	}
 
-	// Logging is what goes to standard error.
+	// Logging sets what is logged to standard error.
 	Logging struct {
-		Level Level // least level that is written; Info by default
+		Level Level // minimum level that is logged; Info by default
 	}
 
-	// Level of logging.
+	// Level is a log level.
 	Level string
 )
 
-// Default returns settings with all defaults and nothing else.
+// Default returns settings with all defaults and no other values.
 func Default() Settings {
 	return Settings{
 		Log: Log{Stream: "alderdyke"},
@@ -163,7 +163,7 @@
 	}
 }
 
-// withAdvertiseDefaults fills the advertised addresses that are not set.
+// withAdvertiseDefaults sets the advertised addresses that are not set.
 func (set Settings) withAdvertiseDefaults() Settings {
 	if !set.Caller.Advertise.IsValid() {
 		set.Caller.Advertise = set.Caller.Listen
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,7 +23,7 @@
 	testSecret  = "a-secret-of-some-length"
 )
 
-// readerFrom reads files readerFrom a map.
+// readerFrom returns a reader of the files in a map.
 func readerFrom(files map[string]string) fileReader {
 	return func(path string, maxBytes int64) ([]byte, error) {
 		text, ok := files[path]
@@ -40,7 +40,7 @@
 	return string(text)
 }
 
-// problemsOf lists the problems as "key" or, with places, "line key".
+// problemsOf returns the problems and their keys.
 func problemsOf(err error) (keys []string, all place.Errors) {
 	if errors.As(err, &all) {
 		for _, pe := range all {
@@ -83,37 +83,37 @@
 func TestLoadProblems(t *testing.T) {
 	const secrets = "peer.secret"
 	for name, tc := range map[string]struct {
-		old, new string // what is changed in the example
+		old, new string // replacement in the example
 		want     []string
 	}{
-		"unknown key":        {`Stream = "alderdyke"`, `Stream = "alderdyke"` + "\nSteam = 1", []string{"Log.Steam"}},
-		"unknown table":      {"[Drain]", "[Drian]", []string{"Drian"}},
-		"letter case":        {"MaxBody =", "maxbody =", []string{"Limits.maxbody"}},
-		"host name":          {`"10.1.9.1:8600"`, `"log.internal:8600"`, []string{"Log.Address"}},
-		"host name of seed":  {`"10.1.2.1:7946"`, `"vm-2:7946"`, []string{"Peer.Seeds[1]"}},
-		"no port":            {`"10.1.9.2:8700"`, `"10.1.9.2"`, []string{"VMList.Address"}},
-		"unreachable seed":   {`"10.1.2.1:7946"`, `"0.0.0.0:7946"`, []string{"Peer.Seeds[1]"}},
-		"listen everywhere":  {`"10.1.1.1:8080"`, `"0.0.0.0:8080"`, []string{"Caller.Advertise"}},
-		"same port twice":    {`"10.1.1.1:9090"`, `"10.1.1.1:8080"`, []string{"Operator.Listen"}},
-		"no name":            {`ID = "aarhus-a-1"`, "", []string{"ID"}},
-		"bad name":           {`Region = "dk-jylland"`, `Region = "DK Jylland"`, []string{"Region"}},
-		"missing secret":     {`SecretFile = "peer.secret"`, "", []string{"Peer.Secret"}},
-		"short secret":       {`SecretFile = "peer.secret"`, `Secret = "tooshort"`, []string{"Peer.Secret"}},
-		"secret of no text":  {`SecretFile = "peer.secret"`, `Secret = 1234567890123456`, []string{"Peer.Secret"}},
-		"secret twice":       {`SecretFile = "peer.secret"`, `Secret = "` + testSecret + "\"\nSecretFile = 'peer.secret'", []string{"Peer.SecretFile"}},
-		"missing file":       {`"operator.token"`, `"other.token"`, []string{"Operator.TokenFile"}},
-		"short secret file":  {`"operator.token"`, `"short.token"`, []string{"Operator.TokenFile"}},
-		"span without unit":  {`HeaderTimeout = "10s"`, "HeaderTimeout = 10", []string{"Limits.HeaderTimeout"}},
-		"negative span":      {`HeaderTimeout = "10s"`, `HeaderTimeout = "-10s"`, []string{"Limits.HeaderTimeout"}},
-		"span too long":      {`KeepFor = "30s"`, `KeepFor = "2h"`, []string{"Addresses.KeepFor"}},
-		"size without unit":  {`MaxBody = "4MiB"`, `MaxBody = "4"`, []string{"Limits.MaxBody"}},
-		"size too large":     {`MaxBody = "4MiB"`, `MaxBody = "99999999999GiB"`, []string{"Limits.MaxBody"}},
-		"count zero":         {"MaxStreams = 4096", "MaxStreams = 0", []string{"Limits.MaxStreams"}},
-		"level":              {`Level = "Info"`, `Level = "info"`, []string{"Logging.Level"}},
-		"no TOML":            {"[Log]", "[Log", []string{""}},
-		"all at once":        {"Count = 3", "Count = 0\nX = 1\n[Operator.Y]", []string{"Addresses.Count", "Addresses.X", "Operator.Y"}},
-		"twice":              {"Count = 3", "Count = 3\nCount = 3", []string{"Addresses.Count"}},
-		"secret as a number": {`SecretFile = "peer.secret"`, `Secret = ["` + testSecret + `"]`, []string{"Peer.Secret"}},
+		"unknown key":         {`Stream = "alderdyke"`, `Stream = "alderdyke"` + "\nSteam = 1", []string{"Log.Steam"}},
+		"unknown table":       {"[Drain]", "[Drian]", []string{"Drian"}},
+		"letter case":         {"MaxBody =", "maxbody =", []string{"Limits.maxbody"}},
+		"host name":           {`"10.1.9.1:8600"`, `"log.internal:8600"`, []string{"Log.Address"}},
+		"host name of seed":   {`"10.1.2.1:7946"`, `"vm-2:7946"`, []string{"Peer.Seeds[1]"}},
+		"no port":             {`"10.1.9.2:8700"`, `"10.1.9.2"`, []string{"VMList.Address"}},
+		"unreachable seed":    {`"10.1.2.1:7946"`, `"0.0.0.0:7946"`, []string{"Peer.Seeds[1]"}},
+		"listen everywhere":   {`"10.1.1.1:8080"`, `"0.0.0.0:8080"`, []string{"Caller.Advertise"}},
+		"same port twice":     {`"10.1.1.1:9090"`, `"10.1.1.1:8080"`, []string{"Operator.Listen"}},
+		"no name":             {`ID = "aarhus-a-1"`, "", []string{"ID"}},
+		"bad name":            {`Region = "dk-jylland"`, `Region = "DK Jylland"`, []string{"Region"}},
+		"missing secret":      {`SecretFile = "peer.secret"`, "", []string{"Peer.Secret"}},
+		"short secret":        {`SecretFile = "peer.secret"`, `Secret = "tooshort"`, []string{"Peer.Secret"}},
+		"secret not a string": {`SecretFile = "peer.secret"`, `Secret = 1234567890123456`, []string{"Peer.Secret"}},
+		"secret twice":        {`SecretFile = "peer.secret"`, `Secret = "` + testSecret + "\"\nSecretFile = 'peer.secret'", []string{"Peer.SecretFile"}},
+		"missing file":        {`"operator.token"`, `"other.token"`, []string{"Operator.TokenFile"}},
+		"short secret file":   {`"operator.token"`, `"short.token"`, []string{"Operator.TokenFile"}},
+		"span without unit":   {`HeaderTimeout = "10s"`, "HeaderTimeout = 10", []string{"Limits.HeaderTimeout"}},
+		"negative span":       {`HeaderTimeout = "10s"`, `HeaderTimeout = "-10s"`, []string{"Limits.HeaderTimeout"}},
+		"span too long":       {`KeepFor = "30s"`, `KeepFor = "2h"`, []string{"Addresses.KeepFor"}},
+		"size without unit":   {`MaxBody = "4MiB"`, `MaxBody = "4"`, []string{"Limits.MaxBody"}},
+		"size too large":      {`MaxBody = "4MiB"`, `MaxBody = "99999999999GiB"`, []string{"Limits.MaxBody"}},
+		"count zero":          {"MaxStreams = 4096", "MaxStreams = 0", []string{"Limits.MaxStreams"}},
+		"level":               {`Level = "Info"`, `Level = "info"`, []string{"Logging.Level"}},
+		"invalid TOML":        {"[Log]", "[Log", []string{""}},
+		"several problems":    {"Count = 3", "Count = 0\nX = 1\n[Operator.Y]", []string{"Addresses.Count", "Addresses.X", "Operator.Y"}},
+		"key twice":           {"Count = 3", "Count = 3\nCount = 3", []string{"Addresses.Count"}},
+		"secret as an array":  {`SecretFile = "peer.secret"`, `Secret = ["` + testSecret + `"]`, []string{"Peer.Secret"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := exampleText(t)
@@ -129,7 +129,7 @@
 				assert.Assert(t, pe.Line > 0 || pe.Key == "ID", "%+v", pe)
 			}
 			for _, secret := range []string{testSecret, "tooshort", "1234567890123456"} {
-				assert.Assert(t, !strings.Contains(err.Error(), secret), "shows a secret: %v", err)
+				assert.Assert(t, !strings.Contains(err.Error(), secret), "the error contains a secret: %v", err)
 			}
 		})
 	}
@@ -160,7 +160,7 @@
 	assert.Assert(t, NewSecret(testSecret).Equal(testSecret))
 	assert.Assert(t, !NewSecret(testSecret).Equal(testSecret+"x"))
 	assert.Assert(t, !NewSecret(testSecret).Equal(""))
-	assert.Assert(t, !Secret{}.Equal(""), "a secret that is not set must let nobody in")
+	assert.Assert(t, !Secret{}.Equal(""), "a secret that is not set must not authenticate anyone")
 }
 
 func TestBytes(t *testing.T) {
@@ -185,7 +185,7 @@
 	})
 }
 
-// A port that the system chooses is fine for what listens, as in a test.
+// Port 0, with which the system chooses the port, is valid for listening, as in tests.
 func TestValidateAllowsPortZero(t *testing.T) {
 	set := Default()
 	set.ID, set.FailureDomain, set.Region = "vm-1", "fd-1", "r-1"
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,8 +11,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Validate tells what is wrong with the settings. The error is nil or a
-// [place.Errors] with all problems, by their keys. Secrets must be in place.
+// Validate checks the settings. The error is nil or a [place.Errors] with all
+// problems, by their keys. Secrets must be loaded already.
 func (set Settings) Validate() error {
 	es := set.withAdvertiseDefaults().problems()
 	return es.Err()
@@ -53,7 +53,7 @@
 	for _, ln := range listen {
 		checkAddress(es, ln.key, ln.addr)
 		if other := seen[ln.addr]; other != "" && ln.addr.IsValid() && ln.addr.Port() != 0 {
-			es.Add(ln.key, ln.addr.String(), "choose another port; "+other+" has it already")
+			es.Add(ln.key, ln.addr.String(), "choose another port; "+other+" already has it")
 		}
 		seen[ln.addr] = ln.key
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkDialable refuses an address that nobody can connect to.
+// checkDialable rejects an address that can't be connected to.
 func checkDialable(es *place.Errors, key string, addr netip.AddrPort) {
 	if !addr.IsValid() {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// checkAdvertised leaves port 0 alone while the port is chosen on listening.
+// checkAdvertised accepts port 0 if the port is chosen when listening.
 func checkAdvertised(es *place.Errors, table string, listen, advertise netip.AddrPort) {
 	if !listen.IsValid() || (advertise == listen && listen.Port() == 0 && !listen.Addr().IsUnspecified()) {
 		return
