--- a/pkg/template/parse.go
+++ b/pkg/template/parse.go
@@ -14,10 +14,10 @@
 	"alderdyke/pkg/place"
 )
 
-// MaxText bounds the text of one template, in bytes.
+// MaxText is the maximum length of the text of one template, in bytes.
 const MaxText = 256 << 10
 
-// Parse reads a template from TOML and validates it. The error is a
+// Parse parses a template from TOML and validates it. The error is a
 // [place.Errors] with all problems of the text.
 func Parse(name string, text []byte) (Template, error) {
 	if len(text) > MaxText {
@@ -31,17 +31,17 @@
 	return tp.normalized(), nil
 }
 
-// Marshal writes the template as TOML that [Parse] reads.
+// Marshal encodes the template as TOML that [Parse] parses.
 func Marshal(tp Template) ([]byte, error) {
 	text, err := toml.Marshal(tp)
 	if err != nil {
-		return nil, fmt.Errorf("write template of %q as TOML: %w", tp.Customer, err)
+		return nil, fmt.Errorf("encode template of customer %q as TOML: %w", tp.Customer, err)
 	}
 	return text, nil
 }
 
-// DecodeJSON reads a template from JSON and validates it. An unknown key, or
-// anything after the template, is an error. The error is a [place.Errors].
+// DecodeJSON decodes a template from JSON and validates it. Unknown keys and data
+// after the template are errors. The error is a [place.Errors].
 func DecodeJSON(name string, text []byte) (Template, error) {
 	if len(text) > MaxText {
 		return Template{}, place.Errors{tooLongError(name)}
@@ -61,13 +61,14 @@
 	return tp.normalized(), nil
 }
 
-// HashKey returns the form in which a template holds an API key.
+// HashKey returns the hash by which a template identifies an API key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// normalized gives equal templates equal values, however they were written.
+// normalized returns the template in a normal form, so that templates that mean the
+// same have equal values however they were written.
 func (tp Template) normalized() Template {
 	for ix := range tp.Classes {
 		if len(tp.Classes[ix].Paths) == 0 {
--- a/pkg/template/parse_test.go
+++ b/pkg/template/parse_test.go
@@ -92,7 +92,7 @@
 			assert.DeepEqual(t, keysOf(err), tc.want)
 			assert.Equal(t, err == nil, tc.want == nil)
 			if err != nil {
-				assert.Assert(t, !strings.Contains(err.Error(), "sk-secret"), "shows what may be an API key")
+				assert.Assert(t, !strings.Contains(err.Error(), "sk-secret"), "the error contains a value that may be an API key")
 			}
 		})
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-// With methods leave the value that they are called on as it was.
+// With methods do not modify the value that they are called on.
 func TestWithMethodsCopy(t *testing.T) {
 	tp, want := validTemplate(), validTemplate()
 	other := tp.WithCustomer("other").
--- a/pkg/template/template.go
+++ b/pkg/template/template.go
@@ -1,9 +1,9 @@
-// Package template holds what an operator says about one customer: which
-// requests may wait, which must be quick, which are not idempotent, and how
-// much capacity each may claim.
+// Package template holds an operator's settings for one customer: which requests
+// may wait, which must be answered quickly, which are not idempotent, and which
+// share of the capacity each class may claim.
 //
-// A [Template] is an immutable value: the With methods return changed copies
-// and slices must not be written to once the value is shared.
+// A [Template] is an immutable value: the With methods return changed copies,
+// and its slices must not be modified once the value is shared.
 //
 // # Usage
 //
@@ -17,22 +17,22 @@
 	"alderdyke/pkg/clock"
 )
 
-// Urgency of a class.
+// Urgencies of a class.
 const (
-	// Patient requests may wait in a queue up to their target.
+	// Patient requests may wait in a queue up to their latency target.
 	Patient Urgency = "Patient"
-	// Quick requests are answered at once or refused at once.
+	// Quick requests are never queued: they are served immediately or refused.
 	Quick Urgency = "Quick"
 )
 
 type (
-	// Urgency tells whether requests of a class may wait.
+	// Urgency states whether requests of a class may wait.
 	Urgency string
 
-	// Template is all that an operator has set for one customer.
+	// Template holds an operator's settings for one customer.
 	Template struct {
 		Customer  string
-		KeyHashes []string // hex SHA-256 of each API key that speaks for the customer
+		KeyHashes []string // hex SHA-256 of each API key that authenticates the customer
 
 		// PrefillWeight weighs wasted prefill against goodput, from 0 (only
 		// goodput counts) to 1 (only wasted prefill counts).
@@ -41,33 +41,33 @@
 		Classes []Class
 	}
 
-	// Class sets how one kind of the customer's requests is handled.
+	// Class sets how one class of the customer's requests is handled.
 	Class struct {
 		Name    string
 		Service string  // the model service or plain service that serves it
 		Urgency Urgency // Patient or Quick
 
 		// Paths are the path prefixes of a plain service that belong to the
-		// class; empty for a model service, whose requests name their class
-		// or get the first class of their service.
+		// class. They are empty for a model service: its requests name their
+		// class, or get the first class of their service.
 		Paths []string `toml:",omitempty" json:",omitempty"`
 
 		Idempotent bool // false: runs at most once, never repeated
 
-		TTFT     clock.Millis // target: time to first token, or to the whole answer of a plain service
+		TTFT     clock.Millis // target: time to first token, or to the complete answer of a plain service
 		TPOT     clock.Millis `toml:",omitempty" json:",omitempty"` // target: time per output token; zero for a plain service
-		Deadline clock.Millis // from arrival to the end, after which the request is refused
+		Deadline clock.Millis // measured from the arrival of a request, which is refused afterwards
 
-		// StreamWait is how long a running request waits for a caller who
-		// lost the connection, before it is cancelled.
+		// StreamWait is how long a running request waits for a disconnected
+		// caller to reconnect before it is cancelled.
 		StreamWait clock.Millis
 
-		// Share is the part of the service's capacity that the class may
-		// claim while others want theirs, above 0 and up to 1. What others
-		// leave unused is lent.
+		// Share is the fraction of the service's capacity that the class may
+		// claim under contention, above 0 and up to 1. Unused shares are lent
+		// to other classes.
 		Share float64
 
-		MaxTokens int `toml:",omitempty" json:",omitempty"` // bound of output tokens for one request; zero for a plain service
+		MaxTokens int `toml:",omitempty" json:",omitempty"` // maximum output tokens of one request; zero for a plain service
 	}
 )
 
@@ -86,7 +86,7 @@
 	return tp
 }
 
-// WithKeyHash returns the template with one more API key, given by its hash;
+// WithKeyHash returns the template with an additional API key, given by its hash;
 // see [HashKey].
 func (tp Template) WithKeyHash(hash string) Template {
 	if !slices.Contains(tp.KeyHashes, hash) {
@@ -95,7 +95,7 @@
 	return tp
 }
 
-// WithoutKeyHash returns the template without an API key.
+// WithoutKeyHash returns the template without the API key with the given hash.
 func (tp Template) WithoutKeyHash(hash string) Template {
 	tp.KeyHashes = slices.DeleteFunc(slices.Clone(tp.KeyHashes), func(old string) bool { return old == hash })
 	return tp
@@ -108,8 +108,8 @@
 	return tp
 }
 
-// WithClass returns the template with the class added, or put in place of the
-// one with the same name.
+// WithClass returns the template with the class added. A class with the same name
+// is replaced.
 func (tp Template) WithClass(cl Class) Template {
 	classes := slices.Clone(tp.Classes)
 	ix := slices.IndexFunc(classes, func(old Class) bool { return old.Name == cl.Name })
--- a/pkg/template/validate.go
+++ b/pkg/template/validate.go
@@ -11,15 +11,15 @@
 	"alderdyke/pkg/place"
 )
 
-// Bounds of what a template may set.
+// Limits of a template's values.
 const (
 	MaxClasses   = 64
 	MaxKeyHashes = 64
 	MaxPaths     = 64
-	MaxSpan      = 24 * clock.Hour // of any target, deadline or wait
+	MaxSpan      = 24 * clock.Hour // of targets, deadlines and waits
 	MaxTokens    = 1 << 20         // output tokens of one request
 
-	// shareTolerance forgives the rounding of shares that are meant to add up to 1.
+	// shareTolerance allows for rounding errors in shares that should add up to 1.
 	shareTolerance = 1e-9
 
 	nameMend = "write 1 to 63 lower-case letters, digits, dots, dashes or underscores, with a letter or digit first"
@@ -31,15 +31,15 @@
 	pathPattern = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,254}$`)
 )
 
-// serviceUsage is what the classes of one service add up to.
+// serviceUsage accumulates the classes of one service.
 type serviceUsage struct {
 	share float64
 	plain bool           // the first class of the service has paths
 	paths map[string]int // path to the class that claims it
 }
 
-// Validate tells what is wrong with the template. The error is nil or a
-// [place.Errors] with all problems, by their keys.
+// Validate checks the template. The error is nil or a [place.Errors] with all
+// problems, by their keys.
 func (tp Template) Validate() error { return tp.problems().Err() }
 
 func (tp Template) problems() place.Errors {
@@ -60,7 +60,7 @@
 	for ix, cl := range tp.Classes {
 		at := fmt.Sprintf("Classes[%d].", ix)
 		if seen[cl.Name] {
-			es.Add(at+"Name", quoteName(cl.Name), "choose another name; a class has it already")
+			es.Add(at+"Name", quoteName(cl.Name), "choose another name; a class already has it")
 		}
 		seen[cl.Name] = true
 		cl.check(at, &es)
@@ -72,7 +72,7 @@
 	return es
 }
 
-// checkKeyHashes never shows a value: it may be the key itself, not its hash.
+// checkKeyHashes never reports a value: it may be the API key itself, not its hash.
 func (tp Template) checkKeyHashes(es *place.Errors) {
 	if len(tp.KeyHashes) == 0 || len(tp.KeyHashes) > MaxKeyHashes {
 		es.Add("KeyHashes", fmt.Sprintf("%d hashes", len(tp.KeyHashes)),
@@ -84,12 +84,12 @@
 			es.Add(key, "", "write the SHA-256 of the API key as 64 lower-case hexadecimal digits")
 		}
 		if slices.Contains(tp.KeyHashes[:ix], hash) {
-			es.Add(key, "", "remove this hash; the list holds it already")
+			es.Add(key, "", "remove this hash; the list already contains it")
 		}
 	}
 }
 
-// check looks at one class by itself.
+// check validates one class by itself.
 func (cl Class) check(at string, es *place.Errors) {
 	if !namePattern.MatchString(cl.Name) {
 		es.Add(at+"Name", quoteName(cl.Name), nameMend)
@@ -134,7 +134,7 @@
 	}
 }
 
-// checkTokens holds the settings that only a model's classes have.
+// checkTokens checks the settings that only classes of a model service have.
 func (cl Class) checkTokens(at string, es *place.Errors) {
 	if len(cl.Paths) > 0 {
 		if cl.TPOT != 0 {
@@ -151,14 +151,14 @@
 	}
 }
 
-// add adds a class to what its service is used for.
+// add adds a class to the usage of its service.
 func (us *serviceUsage) add(at string, ix int, cl Class, es *place.Errors) {
 	if us.plain != (len(cl.Paths) > 0) {
 		es.Add(at+"Paths", "", fmt.Sprintf("give all classes of service %s paths, or none", quoteName(cl.Service)))
 	}
 	for px, path := range cl.Paths {
 		if other, taken := us.paths[path]; taken {
-			es.Add(fmt.Sprintf("%sPaths[%d]", at, px), quoteName(path), fmt.Sprintf("choose another path; Classes[%d] has it already", other))
+			es.Add(fmt.Sprintf("%sPaths[%d]", at, px), quoteName(path), fmt.Sprintf("choose another path; Classes[%d] already has it", other))
 		}
 		us.paths[path] = ix
 	}
@@ -176,10 +176,10 @@
 	}
 }
 
-// inRange is false for a value that is no number.
+// inRange reports whether low <= value <= high; it is false for NaN.
 func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
 func formatNumber(value float64) string { return fmt.Sprintf("%g", value) }
 
-// quoteName shows a short part of a name only.
+// quoteName quotes a name and truncates it to 40 characters.
 func quoteName(name string) string { return fmt.Sprintf("%.40q", name) }
