--- a/pkg/client/addresses.go
+++ b/pkg/client/addresses.go
@@ -18,11 +18,11 @@
 
 const (
 	addressesTimeout  = 5 * time.Second
-	maxAddressesBytes = 64 << 10 // bytes of an answer about addresses
+	maxAddressesBytes = 64 << 10
 )
 
 type (
-	// addressBook is the addresses that the client uses, best first.
+	// addressBook caches the addresses that the client uses, best first.
 	addressBook struct {
 		mu    sync.Mutex
 		addrs []string
@@ -35,9 +35,9 @@
 	}
 )
 
-// pickAddress returns the address to try next. It asks the fleet for addresses when
-// it has none or has kept them for long enough. While nobody answers it goes
-// on with those that it has.
+// pickAddress returns the address to try next. It fetches addresses from the fleet
+// if it has none or the cached ones have expired. If no VM responds, it continues
+// with the addresses that it has.
 func (cl *Client) pickAddress(ctx context.Context) (string, error) {
 	if addr, ok := cl.addresses.best(cl.now()); ok {
 		return addr, nil
@@ -58,33 +58,33 @@
 		case errors.As(err, &rf) && !isVMLocal(rf.Reason):
 			return "", err
 		case ctx.Err() != nil:
-			return "", fmt.Errorf("ask for addresses: %w", ctx.Err())
+			return "", fmt.Errorf("fetch addresses: %w", ctx.Err())
 		}
 	}
 	cl.addresses.addFallbacks(cl.Bootstrap)
 	return cl.addresses.all()[0], nil
 }
 
-// fetchAddresses asks one VM which addresses to use.
+// fetchAddresses requests from one VM the addresses to use.
 func (cl *Client) fetchAddresses(ctx context.Context, addr string) (addressesBody, error) {
 	ctx, cancel := context.WithTimeout(ctx, addressesTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/addresses", nil)
 	if err != nil {
-		return addressesBody{}, fmt.Errorf("ask %s for addresses: %w", addr, err)
+		return addressesBody{}, fmt.Errorf("fetch addresses from %s: %w", addr, err)
 	}
 	cl.setAuthorization(req)
 	resp, err := cl.hc.Do(req)
 	if err != nil {
-		return addressesBody{}, fmt.Errorf("ask %s for addresses: %w", addr, err)
+		return addressesBody{}, fmt.Errorf("fetch addresses from %s: %w", addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if rf, ok := refusalOf(resp); ok {
-		return addressesBody{}, fmt.Errorf("ask %s for addresses: %w", addr, rf)
+		return addressesBody{}, fmt.Errorf("fetch addresses from %s: %w", addr, rf)
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAddressesBytes))
 	if err != nil {
-		return addressesBody{}, fmt.Errorf("read the addresses of %s: %w", addr, err)
+		return addressesBody{}, fmt.Errorf("read addresses from %s: %w", addr, err)
 	}
 	return parseAddresses(data)
 }
@@ -95,7 +95,7 @@
 		return addressesBody{}, fmt.Errorf("parse addresses: %w", err)
 	}
 	if len(body.Addresses) == 0 || body.KeepFor <= 0 {
-		return addressesBody{}, errors.New("parse addresses: none, or kept for no time")
+		return addressesBody{}, errors.New("parse addresses: the list is empty, or KeepFor is not positive")
 	}
 	for _, addr := range body.Addresses {
 		if _, err := netip.ParseAddrPort(addr.Address); err != nil {
@@ -130,7 +130,7 @@
 	bk.until = now + body.KeepFor
 }
 
-// addFallbacks adds addresses that are not known yet at the end.
+// addFallbacks appends the addresses that are not in the book.
 func (bk *addressBook) addFallbacks(addrs []string) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
@@ -141,8 +141,8 @@
 	}
 }
 
-// demote puts an address that failed at the end and returns how many there
-// are.
+// demote moves an address that failed to the end and returns the number of
+// addresses.
 func (bk *addressBook) demote(addr string) int {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
--- a/pkg/client/chat.go
+++ b/pkg/client/chat.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxLineBytes = 4 << 20 // bytes of one line of a stream
-	noEventID    = -1      // last event ID before the first event
+	maxLineBytes = 4 << 20 // of one line of a stream
+	noEventID    = -1      // lastID before the first event
 )
 
 type (
@@ -30,26 +30,26 @@
 	ChatRequest struct {
 		Model     string
 		Messages  []Message
-		MaxTokens int // zero stands for the class's bound
+		MaxTokens int // zero means the maximum of the class
 
-		Class    string       // name of the class; empty stands for the model's first
-		Deadline clock.Millis // zero stands for the class's, and is never above it
+		Class    string       // name of the class; empty means the model's first
+		Deadline clock.Millis // zero means the deadline of the class, which is also the maximum
 
-		// Key names the request. An application that may itself start
-		// again sets one and sends the same; otherwise each call makes its
+		// Key identifies the request. An application that may restart sets a
+		// key and sends the same one again; otherwise each call generates its
 		// own.
 		Key string
 
-		// Idempotent lets the call start anew after a refusal that says
-		// MayHaveRun, as long as no text came.
+		// Idempotent lets the call retry after a refusal with MayHaveRun, as
+		// long as no text was received.
 		Idempotent bool
 
 		// OnText, if set, is called with each piece of the answer, in order
-		// and once.
+		// and exactly once.
 		OnText func(text string)
 	}
 
-	// ChatAnswer is a model's whole answer.
+	// ChatAnswer is a model's complete answer.
 	ChatAnswer struct {
 		Text         string
 		FinishReason string
@@ -61,7 +61,7 @@
 		cs     *callState
 		req    ChatRequest
 		body   []byte
-		lastID int // ID of the last event
+		lastID int // ID of the last event received
 		text   strings.Builder
 		ans    ChatAnswer
 	}
@@ -84,7 +84,7 @@
 	}
 )
 
-// Chat sends a request to a model service and returns its whole answer, or an
+// Chat sends a request to a model service and returns its complete answer, or an
 // error that wraps a refusal.Refusal.
 func (cl *Client) Chat(ctx context.Context, req ChatRequest) (ChatAnswer, error) {
 	body, err := json.Marshal(struct {
@@ -149,7 +149,7 @@
 	}
 }
 
-// handleEvent takes one event in; the outcome is nil while the answer goes on.
+// handleEvent handles one event. The outcome is nil while the answer continues.
 func (cc *chatCall) handleEvent(ev sseEvent) (outcome, error) {
 	switch {
 	case ev.name == "refusal":
@@ -163,7 +163,7 @@
 	case ev.id == noEventID:
 		return nil, errors.New("a chunk has no event ID")
 	case ev.id > cc.lastID+1:
-		return nil, fmt.Errorf("event %d came where %d was due", ev.id, cc.lastID+1)
+		return nil, fmt.Errorf("received event %d, expected event %d", ev.id, cc.lastID+1)
 	}
 	var ck chatChunk
 	if err := json.Unmarshal([]byte(ev.data), &ck); err != nil {
@@ -177,8 +177,8 @@
 		cc.appendText(ck.Choices[0].Delta.Content)
 	}
 	if end := ck.Choices[0].FinishReason; end != nil {
-		if ev.id < cc.lastID { // the end of another answer, which is shorter
-			return nil, fmt.Errorf("the answer ends with event %d, and event %d came before", ev.id, cc.lastID)
+		if ev.id < cc.lastID { // the end of a different, shorter answer
+			return nil, fmt.Errorf("the answer ends with event %d, but event %d was received before", ev.id, cc.lastID)
 		}
 		cc.ans.FinishReason, cc.ans.Tokens = *end, ck.Usage.CompletionTokens
 		return completed{}, nil
@@ -196,8 +196,8 @@
 	}
 }
 
-// nextEvent reads one event. The end of the stream is an error: an answer
-// ends with an event of its own.
+// nextEvent reads one event. The end of the stream is an error, because an answer
+// ends with a final event.
 func nextEvent(sc *bufio.Scanner) (sseEvent, error) {
 	ev := sseEvent{id: noEventID}
 	var data []string
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -16,7 +16,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Presets of a Client's fields.
+// Defaults and limits of a Client.
 const (
 	defaultAttempts    = 24
 	defaultIdleTimeout = 45 * clock.Second
@@ -28,22 +28,21 @@
 
 type (
 	// Client calls the fleet on behalf of one customer. Set the exported
-	// fields before the first call; any number of goroutines may call.
+	// fields before the first call. It is safe for concurrent use.
 	Client struct {
-		Bootstrap []string // "IP:port" of some VMs, asked while no others are known
+		Bootstrap []string // "IP:port" of some VMs, used while no other addresses are known
 		APIKey    string
 
-		// HTTP sends the requests. Nil stands for a client of its own that
+		// HTTP sends the requests. If nil, the client creates its own, which
 		// uses no proxy. It must neither follow redirects nor have a Timeout.
 		HTTP *http.Client
 
-		Attempts    int          // tries of one call; zero stands for 24
-		IdleTimeout clock.Millis // silence after which a connection counts as broken; zero stands for 45s
-		Backoff     clock.Millis // wait after every address failed, doubled each time up to 10s; zero stands for 200ms
-		Clock       clock.Source // nil stands for the process's clock
+		Attempts    int          // maximum attempts of one call; zero means 24
+		IdleTimeout clock.Millis // time without data after which a connection counts as broken; zero means 45s
+		Backoff     clock.Millis // delay after all addresses failed, doubled each time up to 10s; zero means 200ms
+		Clock       clock.Source // nil means the process's clock
 
-		// Wait waits for a span or until the context ends. Nil stands for a
-		// timer.
+		// Wait waits for a span or until the context ends. Nil means a timer.
 		Wait func(ctx context.Context, span clock.Millis) error
 
 		once      sync.Once
@@ -53,13 +52,14 @@
 
 	// call is one request to the fleet: *chatCall or *plainCall.
 	call interface {
-		// request makes the HTTP request for one try.
+		// request creates the HTTP request for one attempt.
 		request(ctx context.Context, addr string) (*http.Request, error)
-		// read reads the response to its end.
+		// read reads the complete response.
 		read(resp *http.Response) outcome
-		// partDelivered tells whether a part of the answer was handed on already.
+		// partDelivered reports whether the application already received a part
+		// of the answer.
 		partDelivered() bool
-		// idempotent tells whether the request may run more than once.
+		// idempotent reports whether the request may run more than once.
 		idempotent() bool
 	}
 
@@ -73,13 +73,13 @@
 		err  error
 	}
 
-	// callState is the state of one call over its tries.
+	// callState is the state of one call across its attempts.
 	callState struct {
 		key            string
-		callerKey      bool // the key is the application's
-		inDoubt        bool // a try broke that may have reached a VM
-		failedAttempts int  // tries in a row that got no further
-		failedRounds   int  // times that every address had failed
+		callerKey      bool // the application set the key
+		inDoubt        bool // a broken attempt may have reached a VM
+		failedAttempts int  // consecutive attempts without progress
+		failedRounds   int  // times that all addresses had failed
 	}
 )
 
@@ -87,7 +87,7 @@
 func (refused) outcome()   {}
 func (broken) outcome()    {}
 
-// setAuthorization sets what all requests to the fleet carry.
+// setAuthorization sets the header that all requests to the fleet carry.
 func (cl *Client) setAuthorization(req *http.Request) {
 	req.Header.Set("Authorization", "Bearer "+cl.APIKey)
 }
@@ -105,13 +105,13 @@
 	})
 }
 
-// Close closes idle connections. Calls in progress go on.
+// Close closes idle connections. Calls in progress continue.
 func (cl *Client) Close() {
 	cl.init()
 	cl.hc.CloseIdleConnections()
 }
 
-// run tries the call until it has its one end. The error wraps a
+// run attempts the call until it has an outcome. The error wraps a
 // refusal.Refusal.
 func (cl *Client) run(ctx context.Context, cs *callState, cc call) error {
 	cl.init()
@@ -131,7 +131,7 @@
 		case completed:
 			return nil
 		case refused:
-			last = fmt.Errorf("answer of %s: %w", addr, cs.adjustRefusal(oc.rf))
+			last = fmt.Errorf("response of %s: %w", addr, cs.adjustRefusal(oc.rf))
 			if left == 0 || !cs.shouldRetry(oc.rf, cc) {
 				return last
 			}
@@ -139,7 +139,7 @@
 			err = cl.delayAfterRefusal(ctx, cs, addr, oc.rf)
 		case broken:
 			cs.inDoubt = cs.inDoubt || oc.sent
-			last = fmt.Errorf("try at %s: %w", addr, oc.err)
+			last = fmt.Errorf("attempt at %s: %w", addr, oc.err)
 			if left > 0 {
 				err = cl.delayAfterBreak(ctx, cs, addr)
 			}
@@ -151,7 +151,7 @@
 	return cs.finalError(last)
 }
 
-// adjustRefusal is what a refusal of one try says about the whole call.
+// adjustRefusal converts the refusal of one attempt to a refusal of the whole call.
 func (cs *callState) adjustRefusal(rf refusal.Refusal) refusal.Refusal {
 	if rf.Ran != refusal.NotRun || cs.inDoubt {
 		return rf.WithRan(refusal.MayHaveRun)
@@ -159,11 +159,12 @@
 	return rf
 }
 
-// shouldRetry tells whether the call goes on after what a VM said. After "not run"
-// it may: with a fresh key, or in doubt with the same one, which the fleet
-// runs once at most. After "may have run" only an idempotent request starts
-// anew, and not with the application's key, which stands for that end. A request that
-// ends its servers is left to the application: the fault is in the request.
+// shouldRetry reports whether the call is retried after a VM's refusal. After NotRun
+// it may be retried: with a new key, or, if an earlier attempt is in doubt, with the
+// same key, which the fleet runs at most once. After MayHaveRun only an idempotent
+// request is retried, and never with a key set by the application, because that key
+// stands for the refused run. A request that crashes its servers is not retried,
+// because the fault is in the request: the application has to decide.
 func (cs *callState) shouldRetry(said refusal.Refusal, cc call) bool {
 	switch {
 	case said.RetryAfter <= 0, said.Reason == refusal.EndsServers:
@@ -175,16 +176,16 @@
 	}
 }
 
-// rekey takes a fresh key where the old one may stand for a refusal and a
-// second run is either impossible or allowed.
+// rekey generates a new key if the old one may be recorded as refused and a second
+// run is either impossible or allowed.
 func (cs *callState) rekey(cc call) {
 	if !cs.callerKey && !cc.partDelivered() && (!cs.inDoubt || cc.idempotent()) {
 		cs.key = rand.Text()
 	}
 }
 
-// isVMLocal tells whether the reason lies with the one VM and comes before
-// anything runs, so that another VM may know better.
+// isVMLocal reports whether the reason concerns only the VM that refused and applies
+// before anything runs, so that another VM may accept the request.
 func isVMLocal(reason refusal.Reason) bool {
 	switch reason {
 	case refusal.Draining, refusal.Starting, refusal.TooManyConnections:
@@ -194,7 +195,7 @@
 	}
 }
 
-// finalError is the refusal of a call that got neither an answer nor a final
+// finalError returns the error of a call that got neither an answer nor a final
 // refusal.
 func (cs *callState) finalError(err error) error {
 	var rf refusal.Refusal
@@ -214,7 +215,7 @@
 func (cl *Client) delayAfterRefusal(ctx context.Context, cs *callState, addr string, rf refusal.Refusal) error {
 	if isVMLocal(rf.Reason) && cl.addresses.demote(addr) > cs.failedAttempts+1 {
 		cs.failedAttempts++
-		return nil // another VM can be asked at once
+		return nil // another VM can be tried immediately
 	}
 	cs.failedAttempts = 0
 	return cl.wait(ctx, rf.RetryAfter)
@@ -235,8 +236,8 @@
 	return cl.wait(ctx, pause)
 }
 
-// wait waits for the span and up to a quarter more, so that callers who were
-// refused together do not come back together.
+// wait waits for the span plus a jitter of up to a quarter, so that clients that were
+// refused together do not retry together.
 func (cl *Client) wait(ctx context.Context, span clock.Millis) error {
 	span += clock.Millis(mrand.Int64N(int64(span)/4 + 1))
 	if cl.Wait != nil {
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -23,17 +23,17 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 type (
-	// step is what a VM does with one request of the call.
+	// step handles one request of the call at a VM.
 	step func(wr http.ResponseWriter, req *http.Request)
 
-	// fleet is VMs on loopback that take the steps in turn, whichever is
-	// asked, and then the last one for ever.
+	// fleet simulates VMs on loopback. Requests to any of them execute the steps
+	// in order; the last step repeats forever.
 	fleet struct {
 		*Client
 		mu              sync.Mutex
 		steps           []step
-		addressRequests int      // for addresses
-		vms             []string // asked, by request
+		addressRequests int
+		vms             []string // VM of each request
 		keys            []string
 		lastIDs         []string
 		waits           []clock.Millis
@@ -81,7 +81,7 @@
 	do(wr, req)
 }
 
-// stream sends token events from an ID on; "." is the final event and "!"
+// stream sends token events starting at an ID; "." is the final event and "!"
 // breaks the connection.
 func stream(from int, parts ...string) step {
 	return func(wr http.ResponseWriter, _ *http.Request) {
@@ -141,22 +141,22 @@
 		"answer":                         {steps: []step{completeAnswer}, tries: 1, sameKeys: true},
 		"not run, then answer":           {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, tries: 2, waits: 1},
 		"not run, own key":               {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, own: true, tries: 2, sameKeys: true, waits: 1},
-		"not run, of no use":             {steps: []step{refuse(no, refusal.BadRequest, 0)}, ran: no, tries: 1, sameKeys: true},
-		"not run, ends servers":          {steps: []step{refuse(no, refusal.EndsServers, 300000)}, ran: no, tries: 1, sameKeys: true},
-		"not run for ever":               {steps: []step{refuse(no, refusal.QueueFull, 100)}, ran: no, tries: 6, waits: 5},
+		"not run, no retry":              {steps: []step{refuse(no, refusal.BadRequest, 0)}, ran: no, tries: 1, sameKeys: true},
+		"not run, crashes servers":       {steps: []step{refuse(no, refusal.EndsServers, 300000)}, ran: no, tries: 1, sameKeys: true},
+		"always not run":                 {steps: []step{refuse(no, refusal.QueueFull, 100)}, ran: no, tries: 6, waits: 5},
 		"may have run":                   {steps: []step{refuse(may, refusal.VMLost, 100)}, ran: may, tries: 1, sameKeys: true},
 		"may have run, idempotent":       {steps: []step{refuse(may, refusal.VMLost, 100), completeAnswer}, idem: true, tries: 2, waits: 1},
 		"may have run, idempotent, own":  {steps: []step{refuse(may, refusal.VMLost, 100)}, idem: true, own: true, ran: may, tries: 1, sameKeys: true},
 		"break, then not run":            {steps: []step{brokenStream, refuse(no, refusal.BadRequest, 0)}, ran: may, tries: 2, sameKeys: true},
 		"break, then not run, then done": {steps: []step{brokenStream, refuse(no, refusal.HomeUnreachable, 100), completeAnswer}, tries: 3, sameKeys: true, waits: 1},
 		"break, then may have run":       {steps: []step{brokenStream, refuse(may, refusal.KeyInDoubt, 100)}, ran: may, tries: 2, sameKeys: true},
-		"breaks for ever":                {steps: []step{brokenStream}, ran: may, tries: 6, sameKeys: true, waits: 1},
-		"leaving VM":                     {steps: []step{refuse(no, refusal.Draining, 100), completeAnswer}, tries: 2},
-		"all leaving":                    {steps: []step{refuse(no, refusal.Draining, 100)}, ran: no, tries: 6, waits: 1},
+		"always breaks":                  {steps: []step{brokenStream}, ran: may, tries: 6, sameKeys: true, waits: 1},
+		"draining VM":                    {steps: []step{refuse(no, refusal.Draining, 100), completeAnswer}, tries: 2},
+		"all draining":                   {steps: []step{refuse(no, refusal.Draining, 100)}, ran: no, tries: 6, waits: 1},
 		"text, then refusal":             {steps: []step{stream(0, "a", "!"), refuse(may, refusal.VMLost, 100)}, idem: true, ran: may, tries: 2, sameKeys: true},
 		"gap in the events":              {steps: []step{stream(1, "b", "."), completeAnswer}, tries: 2, sameKeys: true},
 		"end without final event":        {steps: []step{stream(0, "ok"), stream(1, ".")}, tries: 2, sameKeys: true},
-		"not of the protocol":            {steps: []step{func(http.ResponseWriter, *http.Request) {}, completeAnswer}, tries: 2, sameKeys: true},
+		"unexpected response":            {steps: []step{func(http.ResponseWriter, *http.Request) {}, completeAnswer}, tries: 2, sameKeys: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fl := newFleet(t, 3, tc.steps...)
@@ -278,7 +278,7 @@
 	// Output: ok
 }
 
-// example serves one whole answer at its own address.
+// example serves one complete answer at its own address.
 func (fl *fleet) example() http.HandlerFunc {
 	return func(wr http.ResponseWriter, req *http.Request) {
 		fl.list[0], fl.steps = req.Host, []step{completeAnswer}
@@ -311,8 +311,8 @@
 	})
 }
 
-// A VM sent the end of a shorter answer to a call that has more of another one.
-// It was taken for the end of what the call has.
+// The final event of a shorter answer must not end a call that has already received
+// more events of another answer.
 func TestEndOfShorterAnswerIsRejected(t *testing.T) {
 	fl := newFleet(t, 2, stream(0, "weld ", "7 ", "has ", "!"), stream(1, "."), stream(3, "pits", "."))
 	ans, err := fl.Chat(t.Context(), ChatRequest{Model: "m"})
@@ -321,9 +321,8 @@
 	assert.DeepEqual(t, fl.lastIDs, []string{"", "2", "2"})
 }
 
-// A response named another request than the one that was sent, as where a proxy
-// mixes up its connections. It was taken for the answer, or for its rest, since
-// it was framed like one.
+// A response to another request, as from a proxy that mixes up its connections, must
+// not be accepted as the answer or its rest, although it has the same format.
 func TestResponseToOtherRequestIsRejected(t *testing.T) {
 	other := func(do step) step {
 		return func(wr http.ResponseWriter, req *http.Request) {
@@ -338,9 +337,9 @@
 		}
 	}
 	for name, steps := range map[string][]step{
-		"its begin": {other(stream(0, "not ", "this", ".")), own(completeAnswer)},
-		"its rest":  {own(stream(0, "o", "!")), other(stream(1, "ther", ".")), own(stream(1, "k", "."))},
-		"a refusal": {other(refuse(refusal.NotRun, refusal.BadRequest, 0)), own(completeAnswer)},
+		"beginning": {other(stream(0, "not ", "this", ".")), own(completeAnswer)},
+		"rest":      {own(stream(0, "o", "!")), other(stream(1, "ther", ".")), own(stream(1, "k", "."))},
+		"refusal":   {other(refuse(refusal.NotRun, refusal.BadRequest, 0)), own(completeAnswer)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fl := newFleet(t, 3, steps...)
--- a/pkg/client/doc.go
+++ b/pkg/client/doc.go
@@ -1,16 +1,15 @@
 // Package client calls alderdyke on behalf of one customer.
 //
-// A [Client] asks the fleet which VMs to use, keeps that answer for as long
-// as it holds, and sends each request to one of them. When a connection
-// breaks it goes on at another VM with the same request key and the last
-// event that it has, so that nothing runs twice and no text is lost or
-// doubled.
+// A [Client] fetches the addresses of VMs from the fleet, caches them for as long
+// as they are valid, and sends each request to one of them. When a connection
+// breaks, the client continues at another VM with the same request key and the ID
+// of the last event received, so that nothing runs twice and no text is lost or
+// duplicated.
 //
-// Every call ends in exactly one of two ways: with the whole answer, or with
-// an error that wraps a refusal.Refusal. The refusal's Ran is NotRun only if
-// no VM can have run the request for this call: once a connection broke with
-// the request on it, a later "not run" of another VM is passed on as
-// MayHaveRun.
+// Every call has exactly one of two outcomes: the complete answer, or an error that
+// wraps a refusal.Refusal. The refusal's Ran is NotRun only if no VM can have run
+// the request for this call: once a connection broke after the request may have
+// been sent on it, a later NotRun of another VM is returned as MayHaveRun.
 //
 // # Usage
 //
--- a/pkg/client/plain.go
+++ b/pkg/client/plain.go
@@ -11,25 +11,25 @@
 	"alderdyke/pkg/clock"
 )
 
-const maxAnswerBytes = 64 << 20 // bytes of a plain service's answer
+const maxAnswerBytes = 64 << 20 // of a plain service's answer
 
 type (
-	// PlainRequest is a call of a plain service.
+	// PlainRequest is a request to a plain service.
 	PlainRequest struct {
 		Service string
 		Method  string
-		Path    string // escaped, with its leading slash and its query
+		Path    string // escaped, with leading slash and query
 		Header  http.Header
 		Body    []byte
 
-		Deadline   clock.Millis // as of ChatRequest
-		Key        string       // as of ChatRequest
-		Idempotent bool         // as of ChatRequest
+		Deadline   clock.Millis // as in ChatRequest
+		Key        string       // as in ChatRequest
+		Idempotent bool         // as in ChatRequest
 	}
 
-	// PlainAnswer is a plain service's whole answer, whatever its status.
+	// PlainAnswer is a plain service's complete answer, whatever its status.
 	PlainAnswer struct {
-		Status int // of HTTP
+		Status int // HTTP status
 		Header http.Header
 		Body   []byte
 		Key    string
@@ -42,8 +42,8 @@
 	}
 )
 
-// Call calls a plain service and returns its whole answer, or an error that
-// wraps a refusal.Refusal.
+// Call sends a request to a plain service and returns its complete answer, or an
+// error that wraps a refusal.Refusal.
 func (cl *Client) Call(ctx context.Context, req PlainRequest) (PlainAnswer, error) {
 	pc := &plainCall{cs: &callState{key: req.Key}, req: req}
 	if _, err := pc.request(ctx, "192.0.2.1:1"); err != nil {
@@ -77,14 +77,14 @@
 
 func (pc *plainCall) read(resp *http.Response) outcome {
 	if resp.Header.Get(headerRefusal) != "" {
-		return broken{err: fmt.Errorf("status %d with a refusal that can't be read", resp.StatusCode)}
+		return broken{err: fmt.Errorf("status %d with an unreadable refusal", resp.StatusCode)}
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return broken{err: fmt.Errorf("read the answer: %w", err)}
 	}
 	if len(data) > maxAnswerBytes {
-		return broken{err: fmt.Errorf("the answer is above %d bytes", maxAnswerBytes)}
+		return broken{err: fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)}
 	}
 	pc.ans = PlainAnswer{Status: resp.StatusCode, Header: resp.Header, Body: data}
 	return completed{}
--- a/pkg/client/try.go
+++ b/pkg/client/try.go
@@ -20,29 +20,30 @@
 	headerDeadline  = "Alderdyke-Deadline"
 	headerKey       = "Idempotency-Key"
 	headerLastID    = "Last-Event-ID"
-	maxRefusalBytes = 16 << 10 // bytes of a refusal
+	maxRefusalBytes = 16 << 10
 )
 
 var (
-	errIdleTimeout = errors.New("connection silent for too long")
-	errKeyMismatch = errors.New("the response is to another request")
+	errIdleTimeout = errors.New("no data was received within the idle timeout")
+	errKeyMismatch = errors.New("the response belongs to another request")
 )
 
-// watchedBody is a response body that breaks when nothing comes for too long.
+// watchedBody is a response body with an idle timeout: the request is cancelled if no
+// read completes in time.
 type watchedBody struct {
 	io.ReadCloser
 	tm   *time.Timer
 	idle time.Duration
 }
 
-// Read reads and starts the silence anew.
+// Read reads and restarts the idle timeout.
 func (wt watchedBody) Read(buf []byte) (int, error) {
 	got, err := wt.ReadCloser.Read(buf)
 	wt.tm.Reset(wt.idle)
 	return got, err
 }
 
-// attempt sends the request once and reads what comes back.
+// attempt sends the request once and reads the response.
 func (cl *Client) attempt(ctx context.Context, addr string, cc call) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -87,8 +88,8 @@
 	return err
 }
 
-// refusalOf reads a refusal that came as the whole response. One that can't
-// be read is no refusal: the body then breaks for the caller too.
+// refusalOf reads a refusal that is the whole response. An unreadable one is not
+// treated as a refusal, because the call then classifies the response as broken.
 func refusalOf(resp *http.Response) (refusal.Refusal, bool) {
 	if resp.Header.Get(headerRefusal) == "" {
 		return refusal.Refusal{}, false
@@ -107,7 +108,7 @@
 	return rf, err == nil
 }
 
-// parseRefusal reads a refusal; anything but a plain NotRun is MayHaveRun.
+// parseRefusal parses a refusal. Any Ran other than NotRun becomes MayHaveRun.
 func parseRefusal(data []byte) (refusal.Refusal, error) {
 	var rf refusal.Refusal
 	if err := json.Unmarshal(data, &rf); err != nil {
