--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,10 +1,11 @@
-// Package clock holds the one time type of alderdyke: whole milliseconds.
+// Package clock defines the time type that all of alderdyke uses: whole
+// milliseconds.
 //
 // A [Millis] is either a point on a monotonic clock or a span between two
-// points. Points of different processes are never compared; what crosses the
-// network is always a span. Decisions take the point as a parameter, so that
-// the same code runs in a process, in a test and in a benchmark. A process goes
-// by [Boottime], which counts also while the machine is suspended.
+// points. Points of different processes are never compared; only spans cross the
+// network. Code that decides takes the point as a parameter, so that the same code
+// runs in a process, in a test and in a benchmark. A process uses [Boottime], which
+// also counts while the machine is suspended.
 //
 // # Usage
 //
@@ -21,7 +22,7 @@
 	"time"
 )
 
-// Spans that are used often.
+// Common spans.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
@@ -34,37 +35,37 @@
 	// Millis is a point on a monotonic clock or a span, in milliseconds.
 	Millis int64
 
-	// Source tells the current point in time.
+	// Source returns the current point in time.
 	Source interface {
 		Now() Millis
 	}
 
-	// Monotonic is the runtime's monotonic clock, by which timers go: it stands
+	// Monotonic is the runtime's monotonic clock, which timers use. It stops
 	// while the machine is suspended. It counts from the start of the process,
 	// so its points mean nothing to another process.
 	Monotonic struct{}
 
-	// Manual is a clock that a test or a benchmark moves by hand. The zero
-	// value stands at zero and is ready to use.
+	// Manual is a clock that a test or a benchmark advances explicitly. The zero
+	// value is at zero and ready to use.
 	Manual struct {
 		now atomic.Int64
 	}
 )
 
-// Of converts a standard duration, rounding toward zero.
+// Of converts a [time.Duration] to milliseconds, rounding toward zero.
 func Of(dur time.Duration) Millis { return Millis(dur / time.Millisecond) }
 
-// Std converts to a standard duration.
+// Std converts to a [time.Duration].
 func (ms Millis) Std() time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// String writes the span as [time.Duration] does.
+// String formats the span as [time.Duration] does.
 func (ms Millis) String() string { return ms.Std().String() }
 
-// MarshalText writes the form that UnmarshalText reads.
+// MarshalText returns the form that UnmarshalText parses.
 func (ms Millis) MarshalText() ([]byte, error) { return []byte(ms.String()), nil }
 
-// UnmarshalText reads a span such as "250ms" or "1m30s". A span finer than
-// a millisecond is refused rather than rounded.
+// UnmarshalText parses a span such as "250ms" or "1m30s". A span finer than
+// a millisecond is rejected rather than rounded.
 func (ms *Millis) UnmarshalText(text []byte) error {
 	dur, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// OrBoottime returns the source, or the boot clock in place of nil, which is what a
-// Clock field that was not set stands for.
+// OrBoottime returns the source, or [Boottime] if it is nil. A Clock field that is
+// not set therefore means the boot clock.
 func OrBoottime(src Source) Source {
 	if src == nil {
 		return Boottime{}
@@ -86,11 +87,11 @@
 	return src
 }
 
-// Now tells the time since the process started.
+// Now returns the time since the process started.
 func (Monotonic) Now() Millis { return Of(time.Since(processStart)) }
 
-// Now tells the point that the clock was moved to.
+// Now returns the point that the clock was advanced to.
 func (mn *Manual) Now() Millis { return Millis(mn.now.Load()) }
 
-// Advance moves the clock forward by a span and returns the new point.
+// Advance advances the clock by a span and returns the new point.
 func (mn *Manual) Advance(by Millis) Millis { return Millis(mn.now.Add(int64(by))) }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -34,7 +34,7 @@
 		err := ms.UnmarshalText([]byte(tc.text))
 		if tc.err != "" {
 			assert.ErrorContains(t, err, tc.err, "%q", tc.text)
-			assert.Equal(t, ms, clock.Millis(7), "%q was refused and yet changed the span", tc.text)
+			assert.Equal(t, ms, clock.Millis(7), "%q was rejected but changed the span", tc.text)
 			continue
 		}
 		assert.NilError(t, err, "%q", tc.text)
--- a/pkg/clock/deadline_test.go
+++ b/pkg/clock/deadline_test.go
@@ -14,7 +14,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// jumpingClock is a clock that a test may set forward beside the timers.
+// jumpingClock is a clock that a test can advance without the timers.
 type jumpingClock struct {
 	start time.Time
 	ahead atomic.Int64
@@ -34,7 +34,7 @@
 		{"in time", 4 * clock.Second, 0, 4 * time.Second},
 		{"passed", -1, 0, 0},
 		{"passed while the machine was suspended", 20 * clock.Second, clock.Minute, 800 * time.Millisecond},
-		{"nearer since", 4 * clock.Second, 2 * clock.Second, 2 * time.Second},
+		{"clock jumps closer to the deadline", 4 * clock.Second, 2 * clock.Second, 2 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -76,7 +76,7 @@
 	})
 }
 
-// The boot clock is the kernel's own that counts while the machine is suspended.
+// Boottime reads the kernel's clock that also counts while the machine is suspended.
 func TestBoottimeMatchesKernel(t *testing.T) {
 	boot := func() clock.Millis {
 		var ts unix.Timespec
--- a/pkg/clock/sleep.go
+++ b/pkg/clock/sleep.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Sleep waits for a span unless the context ends, and tells whether the
-// context did not. A span of zero or less does not wait.
+// Sleep waits for a span or until the context ends, and reports whether the full span
+// elapsed. A span of zero or less does not wait, and returns whether the context is
+// still active.
 func Sleep(ctx context.Context, span Millis) bool {
 	if span <= 0 {
 		return ctx.Err() == nil
