--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -16,17 +16,17 @@
 	"alderdyke/pkg/refusal"
 )
 
-// acceptRetryPause is how long nothing is accepted after a failure.
+// acceptRetryPause is the pause after a failed accept.
 const acceptRetryPause = 100 * time.Millisecond
 
-// pendingHandshakes holds the connections that have not proved the secret yet, the
-// oldest first. The oldest gives way to a new one: a VM needs a few
-// milliseconds for its handshake, a slow stranger all that it can get.
+// pendingHandshakes holds the connections that have not authenticated yet, the oldest
+// first. A new connection evicts the oldest: a VM needs a few milliseconds for its
+// handshake, while a slow stranger takes as long as it may.
 type pendingHandshakes struct {
 	conns []net.Conn
 }
 
-// add takes a connection and returns the one that gives way, if any.
+// add adds a connection and returns the one that it evicts, if any.
 func (hs *pendingHandshakes) add(cn net.Conn, limit int) net.Conn {
 	hs.conns = append(hs.conns, cn)
 	if len(hs.conns) <= limit {
@@ -53,8 +53,8 @@
 	hs.conns = nil
 }
 
-// acceptLoop takes connections until the listener is closed. Other failures,
-// such as too many open files, pass.
+// acceptLoop accepts connections until the listener is closed. Other errors, such as too
+// many open files, are temporary.
 func (tr *Transport) acceptLoop(ln net.Listener) error {
 	for {
 		raw, err := ln.Accept()
@@ -69,7 +69,7 @@
 	}
 }
 
-// acceptBackoff waits before the next try of what just failed.
+// acceptBackoff waits before the next accept after a failed one.
 func (tr *Transport) acceptBackoff() {
 	tm := time.NewTimer(acceptRetryPause)
 	defer tm.Stop()
@@ -79,7 +79,7 @@
 	}
 }
 
-// admit starts the handshake and makes room for it.
+// admit starts the handshake, and evicts the oldest pending one if there are too many.
 func (tr *Transport) admit(raw net.Conn) {
 	tr.mu.Lock()
 	if tr.stopped {
@@ -96,7 +96,7 @@
 	}
 }
 
-// serveConn serves one connection for as long as it lasts.
+// serveConn serves one connection until it ends.
 func (tr *Transport) serveConn(raw net.Conn) {
 	ss, reason, err := tr.accept(raw)
 	tr.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// accept makes a session of a connection, or tells why not.
+// accept establishes a session on a connection, or returns the reason for refusing it.
 func (tr *Transport) accept(raw net.Conn) (*session, string, error) {
 	if err := tr.setHandshakeDeadline(raw); err != nil {
 		return nil, refusedHandshake, err
@@ -143,14 +143,14 @@
 	}
 	from := board.VMRef{ID: hl.GetID(), Incarnation: hl.GetIncarnation()}
 	if hl.GetTo() != tr.Self.ID {
-		// The hello tells the other side whom it reached.
+		// The hello informs the other side which VM it reached.
 		err := errors.Join(WrongVMError{Want: board.VMRef{ID: hl.GetTo()}, Got: tr.Self}, tr.sendHello(tc, from.ID))
 		return nil, refusedWrongVM, err
 	}
 	return tr.addAccepted(tc, wr, from)
 }
 
-// isUntrusted tells a wrong key on either side from other failures.
+// isUntrusted reports whether a handshake failed because of a wrong key on either side.
 func isUntrusted(err error) bool {
 	var ue UntrustedError
 	var alert tls.AlertError
@@ -161,8 +161,7 @@
 	return errors.As(err, &remote) && remote.Op == "remote error"
 }
 
-// addAccepted checks the limits, answers the hello and enters the session into the
-// list.
+// addAccepted checks the limits, answers the hello and adds the session to the list.
 func (tr *Transport) addAccepted(tc *tls.Conn, wr *trackedConn, from board.VMRef) (*session, string, error) {
 	if reason, err := tr.checkLimits(from); err != nil {
 		return nil, reason, err
@@ -189,8 +188,8 @@
 	return ss, "", nil
 }
 
-// checkLimits refuses sessions over the limit and those of a VM's older run, and
-// gives up the sessions of the runs before this one.
+// checkLimits refuses sessions over the limit and those of an earlier incarnation of a
+// VM, and abandons the sessions of the incarnations before this one.
 func (tr *Transport) checkLimits(from board.VMRef) (string, error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -220,7 +219,7 @@
 	return "", nil
 }
 
-// serveSession hands the session's streams to the handler until it ends.
+// serveSession passes the session's streams to the handler until it ends.
 func (tr *Transport) serveSession(ss *session) {
 	defer func() {
 		ss.close()
@@ -251,7 +250,7 @@
 	tr.Handler.Serve(ss.ctx, ss.peer, cn)
 }
 
-// refuseStream tells the peer that the stream was not looked at.
+// refuseStream informs the peer that the stream was not processed.
 func (tr *Transport) refuseStream(ss *session, cn *Conn) {
 	tr.count.refused[refusedManyStreams].Inc(1)
 	tr.warnLimited(event.PeerLimit, event.F("Peer", ss.peer.ID), event.F("Limit", tr.Limits.MaxStreams))
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -16,7 +16,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// Headers of one TCP segment over IPv4 with timestamps, in bytes.
+// segmentHeaders is the size of the headers of one TCP segment over IPv4 with
+// timestamps, in bytes.
 const segmentHeaders = 52
 
 func benchStart(tb testing.TB, tr *peer.Transport) *peer.Transport {
@@ -44,7 +45,7 @@
 	return 0
 }
 
-// memoryInUse is the memory of heap and stacks after garbage collection.
+// memoryInUse returns the memory of heap and stacks after garbage collection.
 func memoryInUse() (bytes float64, goroutines int) {
 	runtime.GC()
 	runtime.GC()
@@ -53,14 +54,14 @@
 	return float64(ms.HeapAlloc + ms.StackInuse), runtime.NumGoroutine()
 }
 
-// benchHub serves the other VMs of a benchmark and dials none.
+// benchHub serves the other VMs of a benchmark and dials none itself.
 func benchHub(tb testing.TB, clk clock.Source) *peer.Transport {
 	return benchStart(tb, &peer.Transport{Self: ref("hub", 1), Handler: echo, Clock: clk,
 		Limits: peer.Limits{MaxSessions: 1 << 12, MaxStreams: 1 << 12}})
 }
 
-// BenchmarkIdleSession reports the memory of one session without streams,
-// both sides together, and its goroutines.
+// BenchmarkIdleSession reports the memory of one session without streams, both sides
+// together, and the number of its goroutines.
 func BenchmarkIdleSession(b *testing.B) {
 	const spokes = 300
 	for b.Loop() {
@@ -84,7 +85,7 @@
 	}
 }
 
-// awaitQuiescence waits until goroutines that end by themselves have ended.
+// awaitQuiescence waits until all goroutines that end by themselves have ended.
 func awaitQuiescence() {
 	for last := -1; last != runtime.NumGoroutine(); {
 		last = runtime.NumGoroutine()
@@ -92,8 +93,8 @@
 	}
 }
 
-// BenchmarkOpenStream reports the memory of one stream at rest, both sides
-// together, its handler's goroutine included.
+// BenchmarkOpenStream reports the memory of one idle stream, both sides together, its
+// handler's goroutine included.
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 1000
 	for b.Loop() {
@@ -122,8 +123,8 @@
 	}
 }
 
-// BenchmarkCall reports time, allocations and bytes of one small call on a
-// session that exists.
+// BenchmarkCall reports time, allocations and bytes of one small call on an existing
+// session.
 func BenchmarkCall(b *testing.B) {
 	scope := tally.NewTestScope("", nil)
 	hub := benchHub(b, nil)
@@ -144,7 +145,7 @@
 	b.ReportMetric(float64(sent)/float64(calls), "TCP-B/call")
 }
 
-// BenchmarkDatagram reports the cost of one probe, sent and checked.
+// BenchmarkDatagram reports the cost of sending and checking one probe.
 func BenchmarkDatagram(b *testing.B) {
 	scope := tally.NewTestScope("", nil)
 	hub := benchHub(b, nil)
@@ -161,10 +162,10 @@
 	b.ReportMetric(float64(value(scope, "PeerDatagramBytesSent"))/float64(sends), "UDP-B/datagram")
 }
 
-// broadcastVMs is how many other VMs hear a word in the benchmark of one.
+// broadcastVMs is how many other VMs receive a message in BenchmarkWord.
 const broadcastVMs = 88
 
-// usageDatagram makes a word of the usual size: six engines with two runs each.
+// usageDatagram makes a message of the usual size: six engines with two runs each.
 func usageDatagram() *peerpb.Datagram {
 	us := &peerpb.Usage{}
 	for ix := range 6 {
@@ -173,8 +174,8 @@
 	return &peerpb.Datagram{Body: &peerpb.Datagram_Usage{Usage: us}}
 }
 
-// BenchmarkWord reports what it costs to tell a word to all others, each by a
-// datagram of its own and all by the same.
+// BenchmarkWord reports the cost of sending a message to all other VMs, once as a
+// separate datagram for each and once as the same datagram for all.
 func BenchmarkWord(b *testing.B) {
 	hub := benchHub(b, nil)
 	tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1)})
@@ -200,8 +201,8 @@
 	})
 }
 
-// A session sends nothing without streams, and one ping for each span of
-// silence with streams, from the side that dialled only.
+// A session sends nothing without streams; with streams it sends one ping for each period
+// of silence, and only the side that dialled does.
 func TestIdleTraffic(t *testing.T) {
 	clk := new(clock.Manual)
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo, Clock: clk})
@@ -231,7 +232,7 @@
 			return false
 		})
 	}
-	ping(1) // its reply comes after all that was sent before
+	ping(1) // the reply arrives after everything that was sent before
 	before, beforePings := wire(), pings()
 	ping(beforePings + 4)
 	perPing := (wire() - before) / (pings() - beforePings)
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -14,12 +14,12 @@
 	"alderdyke/internal/peer/peerpb"
 )
 
-// pastDeadline as a deadline ends all waiting at once.
+// pastDeadline is a deadline that ends all reads and writes at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Conn is one stream of frames. Send may be called from several goroutines,
-// Recv from one at a time, and both beside each other. After an error of
-// either nothing is left but Close.
+// Conn is one stream of frames. Send may be called from several goroutines, Recv from
+// one at a time, and both concurrently. After an error of either, only Close may be
+// called.
 type Conn struct {
 	ss      *session
 	st      *yamux.Stream
@@ -38,12 +38,11 @@
 	return cn
 }
 
-// Peer is the VM at the other end, in the run that it is in.
+// Peer returns the VM at the other end, with its incarnation.
 func (cn *Conn) Peer() board.VMRef { return cn.ss.peer }
 
-// Send writes one frame. Only a frame that is too large is known not to have
-// left ([NotSentError] around a [SizeError]); any other error is a
-// [BrokenError].
+// Send writes one frame. If the frame is too large, it was certainly not sent
+// ([NotSentError] around a [SizeError]); any other error is a [BrokenError].
 func (cn *Conn) Send(fr *peerpb.Frame) error {
 	raw, err := encode(fr, cn.limit)
 	if err != nil {
@@ -63,13 +62,13 @@
 		return nil, cn.brokenError(err)
 	}
 	cn.setReadDeadline(time.Time{})
-	cn.st.Shrink() // a stream at rest holds no buffer
+	cn.st.Shrink() // an idle stream holds no buffer
 	return &fr, nil
 }
 
-// Close ends the stream in both directions; the peer's Recv returns io.EOF
-// after the frames that were sent. More than one call does no harm. The error
-// tells that the peer could not be told, which it learns by itself in time.
+// Close ends the stream in both directions; the peer's Recv returns io.EOF after the
+// frames that were sent. It may be called more than once. An error means that the peer
+// could not be notified; the peer then detects the loss itself.
 func (cn *Conn) Close() error {
 	cn.detach()
 	cn.unblock()
@@ -79,25 +78,25 @@
 	return nil
 }
 
-// Watch returns a context that ends when the peer closes the stream or is
-// lost. It is for a side that expects no more frames, and reads the stream
-// until then: a frame that comes ends the context too.
+// Watch returns a context that ends when the peer closes the stream or is lost. It is
+// for a side that expects no more frames, and reads the stream until then: a received
+// frame ends the context too.
 func (cn *Conn) Watch(ctx context.Context) (context.Context, context.CancelFunc) {
 	watched, cancel := context.WithCancelCause(ctx)
 	go func() {
 		_, err := cn.Recv()
 		if err == nil {
-			err = errors.New("frame where none was due")
+			err = errors.New("unexpected frame")
 		}
 		cancel(err)
 	}()
 	return watched, func() { cancel(context.Canceled) }
 }
 
-// setFirstFrameDeadline bounds the wait for the first frame.
+// setFirstFrameDeadline limits the wait for the first frame.
 func (cn *Conn) setFirstFrameDeadline() { cn.setReadDeadline(time.Now().Add(cn.timeout)) }
 
-// setReadDeadline sets when reading gives up, unless everything has ended already.
+// setReadDeadline sets the read deadline, unless the stream has ended already.
 func (cn *Conn) setReadDeadline(until time.Time) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -106,7 +105,7 @@
 	}
 }
 
-// unblock wakes whoever reads or writes.
+// unblock ends pending reads and writes.
 func (cn *Conn) unblock() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -120,8 +119,8 @@
 	return cn.ended
 }
 
-// brokenError names the cause of a failed read or write. A session that is lost
-// looks to a reader like the end of the stream; it must not be told as that.
+// brokenError returns the error of a failed read or write with its cause. To a reader,
+// a lost session looks like the end of the stream; it must not be reported as that.
 func (cn *Conn) brokenError(err error) error {
 	switch {
 	case cn.ss.mux.IsClosed():
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -5,12 +5,12 @@
 // Reasons for which a connection or stream of another VM is refused; each has
 // a counter.
 const (
-	refusedHandshake        = "Handshake"         // broke off, too slow or not TLS
-	refusedUntrusted        = "Untrusted"         // does not hold the secret
-	refusedManyHandshakes   = "TooManyHandshakes" // pushed out by later connections
+	refusedHandshake        = "Handshake"         // aborted, too slow or not TLS
+	refusedUntrusted        = "Untrusted"         // does not have the secret
+	refusedManyHandshakes   = "TooManyHandshakes" // evicted by later connections
 	refusedHello            = "BadHello"
 	refusedWrongVM          = "WrongVM"
-	refusedStaleIncarnation = "StaleIncarnation" // a newer run of the VM is connected
+	refusedStaleIncarnation = "StaleIncarnation" // a newer incarnation of the VM is connected
 	refusedManySessions     = "TooManySessions"
 	refusedManyStreams      = "TooManyStreams"
 )
@@ -35,14 +35,14 @@
 )
 
 type (
-	// verdict on a datagram.
+	// verdict is the reason for dropping a datagram, or accepted.
 	verdict string
 
 	counters struct {
 		refused, dropped                     map[string]tally.Counter
 		dialed, dialFailed, lost, idle       tally.Counter
 		sessions                             tally.Gauge
-		bytesIn, bytesOut                    tally.Counter // on the wire of TCP, TLS included
+		bytesIn, bytesOut                    tally.Counter // of TCP payload, TLS included
 		datagramsIn, datagramsOut            tally.Counter
 		datagramBytesIn, datagramBytesOut    tally.Counter
 		streamsOpened, streamsServed, pinged tally.Counter
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// MaxDatagram is the largest datagram, in bytes, its MAC included; it
-	// fits the usual MTU with room for tunnels.
+	// MaxDatagram is the largest datagram, in bytes, including its MAC; it fits
+	// the usual MTU with headroom for tunnels.
 	MaxDatagram = 1200
 
 	macSize = 16 // bytes; HMAC-SHA256, truncated
 )
 
-// SendDatagram sends one datagram to the VM. It sets From, Incarnation, To and
-// Sequence in the message, which must not be shared with another call. There
-// is no word of whether it arrives. An encoded message of more than
-// MaxDatagram less 16 bytes is a [SizeError].
+// SendDatagram sends one datagram to the VM. It sets From, Incarnation, To and Sequence
+// in the message, which must not be shared with another call. Delivery is not
+// acknowledged. If the encoded message is larger than MaxDatagram less 16 bytes, the
+// error is a [SizeError].
 func (tr *Transport) SendDatagram(vm board.VM, dg *peerpb.Datagram) error {
 	dg.To = vm.ID
 	uc, raw, err := tr.seal(dg)
@@ -35,10 +35,10 @@
 	return tr.write(uc, vm, raw)
 }
 
-// Broadcast sends one datagram to each of the VMs, as [Transport.SendDatagram]
-// does, but encodes and signs it once: a word of 300 bytes to 88 VMs takes
-// 0.29 ms in place of 0.85 ms (BenchmarkWord), in which a small VM does nothing
-// else. The message must be one that is meant for all alike.
+// Broadcast sends one datagram to each of the VMs, as [Transport.SendDatagram] does, but
+// encodes and signs it once: a message of 300 bytes to 88 VMs takes 0.29 ms instead of
+// 0.85 ms (BenchmarkWord), during which a small VM does nothing else. The message must be
+// one that names no single receiver.
 func (tr *Transport) Broadcast(vms []board.VM, dg *peerpb.Datagram) error {
 	dg.To = ""
 	uc, raw, err := tr.seal(dg)
@@ -52,8 +52,8 @@
 	return errors.Join(errs...)
 }
 
-// seal encodes and signs a message of this VM, and returns the socket to send
-// it by; there is none before Run.
+// seal encodes and signs a message of this VM, and returns the socket to send it on.
+// Before Run there is no socket, which is an error.
 func (tr *Transport) seal(dg *peerpb.Datagram) (*net.UDPConn, []byte, error) {
 	tr.init()
 	uc := tr.udp.Load()
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// datagramLoop reads until the socket is closed. Errors that the kernel
-// reports for earlier sends, such as a closed port, are passed over.
+// datagramLoop reads until the socket is closed. It ignores errors that the kernel
+// reports for earlier sends, such as a closed port.
 func (tr *Transport) datagramLoop(uc *net.UDPConn) error {
 	buf := make([]byte, MaxDatagram+1)
 	for {
@@ -111,8 +111,8 @@
 	}
 }
 
-// checkDatagram accepts a datagram that is authentic, meant for this VM and
-// new.
+// checkDatagram accepts a datagram that is authentic, addressed to this VM and not
+// received before.
 func (tr *Transport) checkDatagram(raw []byte) (*peerpb.Datagram, verdict) {
 	dg, vd := unseal(tr.id.datagramKey, raw)
 	if vd != accepted {
@@ -125,8 +125,8 @@
 	return dg, tr.replays.check(from, dg.GetSequence(), tr.Clock.Now())
 }
 
-// isBroadcast tells whether a datagram names no receiver and needs none: what one
-// VM has, or read, is the same whoever hears it.
+// isBroadcast reports whether a datagram names no receiver and is of a kind that needs
+// none: a report of what one VM uses or has read, which is the same for every receiver.
 func isBroadcast(dg *peerpb.Datagram) bool {
 	switch dg.GetBody().(type) {
 	case *peerpb.Datagram_Usage, *peerpb.Datagram_TopicNews, *peerpb.Datagram_TopicPiece, *peerpb.Datagram_RequestEnd:
@@ -147,7 +147,7 @@
 	return append(raw, sign(key, raw)...), nil
 }
 
-// unseal looks at the content only after the MAC was found right.
+// unseal decodes the content only after the MAC was verified.
 func unseal(key, raw []byte) (*peerpb.Datagram, verdict) {
 	if len(raw) <= macSize || len(raw) > MaxDatagram {
 		return nil, droppedMalformed
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -17,12 +17,12 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxOpenAttempts bounds how often Open looks for a session: the cached one may
-// have died, and a dial that others began may have been meant for an address
-// that the VM has left.
+// maxOpenAttempts limits how often Open looks for a session: the cached one may be
+// closed, and a dial started by another caller may go to an address that the VM no longer
+// has.
 const maxOpenAttempts = 3
 
-// dial is one attempt to reach a VM, shared by all who wait for it.
+// dial is one attempt to reach a VM, shared by all callers that wait for it.
 type dial struct {
 	address string
 	done    chan struct{}
@@ -42,9 +42,9 @@
 	}
 }
 
-// Call opens a stream, sends one frame, returns the first frame that comes
-// back and closes the stream. A [NotSentError] tells that the VM never saw
-// the frame; after any other error it may have.
+// Call opens a stream, sends one frame, returns the first frame that is received and
+// closes the stream. After a [NotSentError] the VM never received the frame; after any
+// other error it may have.
 func (tr *Transport) Call(ctx context.Context, vm board.VM, ask *peerpb.Frame) (*peerpb.Frame, error) {
 	cn, err := tr.Open(ctx, vm)
 	if err != nil {
@@ -61,9 +61,9 @@
 	return reply, nil
 }
 
-// Open opens a stream to the VM, and dials it first if there is no session.
-// The context bounds the stream for its whole life: when it ends, Send and
-// Recv fail. Close the stream in any case. All errors are a [NotSentError].
+// Open opens a stream to the VM, and dials the VM first if there is no session. The
+// context applies to the stream for its whole lifetime: when it ends, Send and Recv fail.
+// The caller must close the stream. All errors are a [NotSentError].
 func (tr *Transport) Open(ctx context.Context, vm board.VM) (*Conn, error) {
 	fail := func(step Step, err error) (*Conn, error) {
 		return nil, NotSentError{VM: vm.ID, Step: step, Err: err}
@@ -100,8 +100,8 @@
 	}
 }
 
-// session returns a session that may be used and counts the caller among its
-// users, until openStream.
+// session returns a usable session and adds the caller to its pendingOpens, which
+// openStream removes again.
 func (tr *Transport) session(ctx context.Context, vm board.VM) (*session, Step, error) {
 	for range maxOpenAttempts {
 		ss, dl := tr.sessionOrDial(vm)
@@ -123,8 +123,8 @@
 	return nil, StepDial, ErrSessionLost
 }
 
-// sessionOrDial returns a usable session, or else the dial to wait for, or
-// neither if the transport has stopped.
+// sessionOrDial returns a usable session, or else the dial to wait for, or neither if
+// the transport has stopped.
 func (tr *Transport) sessionOrDial(vm board.VM) (*session, *dial) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -148,12 +148,13 @@
 	return nil, dl
 }
 
-// isCurrentFor tells whether the session reaches the VM as it is now known.
+// isCurrentFor reports whether the session is open and reaches the VM at its current
+// address and incarnation.
 func (ss *session) isCurrentFor(vm board.VM) bool {
 	return !ss.mux.IsClosed() && ss.dialed == vm.Peer && ss.peer.Incarnation >= vm.Incarnation
 }
 
-// covers tells whether an earlier dial also stands for this one.
+// covers reports whether an earlier dial can be used instead of a new one.
 func (tr *Transport) covers(dl *dial, vm board.VM) bool {
 	if !dl.isDone() {
 		return true
@@ -161,7 +162,7 @@
 	return dl.address == vm.Peer && tr.Clock.Now()-dl.failedAt <= tr.RedialAfter
 }
 
-// dial reaches the VM and stores the session, or the error.
+// dial connects to the VM and stores the session, or the error.
 func (tr *Transport) dial(dl *dial, vm board.VM) {
 	ss, step, err := tr.connect(tr.runCtx, vm)
 	tr.mu.Lock()
@@ -203,8 +204,8 @@
 	return ss, "", nil
 }
 
-// localAddress is the IP number that the VM listens at, so that a VM with several
-// is known to the others by one. Nil leaves the choice to the system.
+// localAddress is the IP address that the VM listens on, so that the other VMs see only
+// one address of a VM with several. Nil leaves the choice to the system.
 func (tr *Transport) localAddress() net.Addr {
 	listen, err := netip.ParseAddrPort(tr.Listen)
 	if err != nil || listen.Addr().IsUnspecified() {
@@ -239,8 +240,8 @@
 	return ss, "", nil
 }
 
-// openStream opens a stream for a caller that session counted. After a
-// silence the peer is asked first whether it is there.
+// openStream opens a stream for a caller that session counted. If nothing was received
+// for KeepAlive, it first checks with a ping that the peer is still reachable.
 func (tr *Transport) openStream(ctx context.Context, ss *session) (*yamux.Stream, error) {
 	defer func() {
 		tr.mu.Lock()
--- a/internal/peer/export_test.go
+++ b/internal/peer/export_test.go
@@ -1,6 +1,6 @@
 package peer
 
-// Waiting tells whether a ping has no reply yet.
+// Waiting reports whether a ping has no reply yet.
 func (tr *Transport) Waiting() bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -23,5 +23,5 @@
 	return sum
 }
 
-// Sweep looks after all sessions once, as the transport does by itself.
+// Sweep checks all sessions once, as the transport does periodically.
 func (tr *Transport) Sweep() { tr.sweep() }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// encode writes a message with its length before it.
+// encode encodes a message with its length as a prefix.
 func encode(msg proto.Message, limit int) ([]byte, error) {
 	if size := proto.Size(msg); size > limit {
 		return nil, SizeError{Size: size, Limit: limit}
@@ -22,8 +22,8 @@
 	return buf.Bytes(), nil
 }
 
-// decode reads one message with its length before it, and no byte more. The
-// error is io.EOF if there is no message.
+// decode reads one message with its length as a prefix, and no byte more. The error is
+// io.EOF if there is no message.
 func decode(rd protodelim.Reader, msg proto.Message, limit int) error {
 	err := protodelim.UnmarshalOptions{MaxSize: int64(limit)}.UnmarshalFrom(rd, msg)
 	var tooLarge *protodelim.SizeTooLargeError
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// byteReader reads single bytes without reading ahead, so that nothing is
-// buffered for a stream at rest. OnBody, if set, is called once the first
-// byte of a message has come.
+// byteReader reads single bytes without reading ahead, so that nothing is buffered for
+// an idle stream. If set, onFirstByte is called once the first byte of a message was
+// read.
 type byteReader struct {
 	io.Reader
 	onFirstByte func()
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -12,11 +12,11 @@
 	"alderdyke/internal/peer/peerpb"
 )
 
-// maxHelloBytes bounds the hello, in bytes.
+// maxHelloBytes limits the encoded hello.
 const maxHelloBytes = 1 << 10
 
-// clientHandshake proves the secret to the VM that was dialled, learns whom it
-// reached, and returns that. The deadline on the connection bounds it.
+// clientHandshake authenticates to the VM that was dialled, and returns the VM that it
+// reached. The deadline on the connection limits it.
 func (tr *Transport) clientHandshake(ctx context.Context, tc *tls.Conn, to string) (board.VMRef, Step, error) {
 	if err := tc.HandshakeContext(ctx); err != nil {
 		return board.VMRef{}, StepHandshake, fmt.Errorf("TLS handshake: %w", err)
@@ -48,23 +48,23 @@
 		return nil, fmt.Errorf("read hello: %w", err)
 	}
 	if hl.GetID() == "" {
-		return nil, errors.New("read hello: no VM named")
+		return nil, errors.New("read hello: VM ID is empty")
 	}
 	return &hl, nil
 }
 
-// setHandshakeDeadline sets the time by which handshake and hello must be over.
+// setHandshakeDeadline sets the time by which handshake and hello must be complete.
 func (tr *Transport) setHandshakeDeadline(cn net.Conn) error {
 	if err := cn.SetDeadline(time.Now().Add(tr.HandshakeTimeout.Std())); err != nil {
-		return fmt.Errorf("bound handshake: %w", err)
+		return fmt.Errorf("set handshake deadline: %w", err)
 	}
 	return nil
 }
 
-// clearHandshakeDeadline lifts what bound set.
+// clearHandshakeDeadline removes the deadline that setHandshakeDeadline set.
 func clearHandshakeDeadline(cn net.Conn) error {
 	if err := cn.SetDeadline(time.Time{}); err != nil {
-		return fmt.Errorf("end handshake: %w", err)
+		return fmt.Errorf("clear handshake deadline: %w", err)
 	}
 	return nil
 }
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -20,7 +20,7 @@
 	infoDatagram = "alderdyke peer datagram key 1"
 )
 
-// identity is what a VM derives from the shared secret.
+// identity holds the keys and TLS settings that a VM derives from the shared secret.
 type identity struct {
 	server, client *tls.Config
 	datagramKey    []byte
@@ -58,8 +58,8 @@
 	return id, nil
 }
 
-// selfSigned makes a certificate that only carries the public key; its dates
-// are not looked at, so the clocks of the VMs don't matter.
+// selfSigned creates a certificate that only carries the public key; its dates are not
+// checked, so the clocks of the VMs don't matter.
 func selfSigned(key ed25519.PrivateKey) (tls.Certificate, error) {
 	tpl := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
@@ -68,13 +68,13 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tpl, tpl, key.Public(), key)
 	if err != nil {
-		return tls.Certificate{}, fmt.Errorf("make certificate: %w", err)
+		return tls.Certificate{}, fmt.Errorf("create certificate: %w", err)
 	}
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, nil
 }
 
-// pinPublicKey accepts exactly one public key. TLS itself proves that the other end
-// holds the private key to it.
+// pinPublicKey accepts exactly one public key. TLS itself verifies that the other end has
+// the private key for it.
 func pinPublicKey(want ed25519.PublicKey) func(tls.ConnectionState) error {
 	return func(cs tls.ConnectionState) error {
 		if len(cs.PeerCertificates) == 0 || cs.NegotiatedProtocol != alpnProtocol {
--- a/internal/peer/rig_test.go
+++ b/internal/peer/rig_test.go
@@ -37,7 +37,7 @@
 	}
 })
 
-// testTransport is a transport that runs until the test ends, or until stop.
+// testTransport is a transport that runs until the test ends, or until stop is called.
 type testTransport struct {
 	*peer.Transport
 	scope tally.TestScope
@@ -54,8 +54,8 @@
 	if tr.Secret == nil {
 		tr.Secret = secret
 	}
-	// A busy machine must not change a verdict: where a test is not about a
-	// timeout, none ends it.
+	// A busy machine must not change a result: unless a test is about a timeout, none
+	// may fire.
 	for _, span := range []*clock.Millis{&tr.DialTimeout, &tr.HandshakeTimeout, &tr.PingTimeout, &tr.FrameTimeout} {
 		if *span == 0 {
 			*span = clock.Minute
@@ -85,7 +85,7 @@
 	return board.VMRef{ID: id, Incarnation: incarnation}
 }
 
-// vm is the VM as the others know it.
+// vm returns the VM as the other VMs know it.
 func (st *testTransport) vm() board.VM {
 	return board.VM{VMRef: st.Self, Peer: st.Address().String()}
 }
@@ -103,25 +103,25 @@
 	return snap.Value()
 }
 
-// awaitCount waits until a counter that another goroutine moves has a value.
+// awaitCount waits until a counter that another goroutine changes has a value.
 func (st *testTransport) awaitCount(t *testing.T, name, reason string, want int64) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%s %s = %d", name, reason, want), func() bool { return st.counted(name, reason) == want })
 }
 
-// eventually waits for a condition that other goroutines bring about. The
-// bound only ends a test that has failed.
+// eventually waits for a condition that other goroutines bring about. The timeout only
+// ends a test that has already failed.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition not reached: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// hasError tells whether the error holds one of the type.
+// hasError reports whether the error wraps one of the type.
 func hasError[T error](err error) bool {
 	var as T
 	return errors.As(err, &as)
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// acceptBacklog bounds streams of one session that the peer has not taken
-	// yet; it is also the size of two buffers in each session.
+	// acceptBacklog limits the streams of one session that the peer has not
+	// accepted yet; it is also the size of two buffers in each session.
 	acceptBacklog = 64
-	// halfClosedTimeout is how long a stream may stay open at one side only.
+	// halfClosedTimeout is how long a stream may stay open on one side only.
 	halfClosedTimeout = 30 * time.Second
 )
 
@@ -42,8 +42,8 @@
 		idleSince    clock.Millis
 	}
 
-	// trackedConn is the TCP connection below TLS. It remembers when the peer was
-	// last heard and counts bytes.
+	// trackedConn is the TCP connection below TLS. It records when it last read data
+	// from the peer, and counts bytes.
 	trackedConn struct {
 		net.Conn
 		clock    clock.Source
@@ -58,7 +58,7 @@
 	return wr
 }
 
-// Read notes that the peer was heard.
+// Read records when data was read from the peer, and counts it.
 func (tc *trackedConn) Read(buf []byte) (int, error) {
 	got, err := tc.Conn.Read(buf)
 	if got > 0 {
@@ -79,8 +79,8 @@
 	return tc.clock.Now() - clock.Millis(tc.lastRead.Load())
 }
 
-// muxConfig has yamux's own keepalive off: pings are sent by the sweep, from
-// one side and only while streams are open.
+// muxConfig disables yamux's own keepalive: the sweep sends pings, from one side and only
+// while streams are open.
 func (tr *Transport) muxConfig() *yamux.Config {
 	return &yamux.Config{
 		AcceptBacklog:          acceptBacklog,
@@ -93,21 +93,21 @@
 	}
 }
 
-// abort closes the session without a word to the peer. It does not wait for
-// a peer that reads nothing.
+// abort closes the session without notifying the peer. It does not wait for a peer that
+// does not read.
 func (ss *session) abort() {
 	_ = ss.tcp.Conn.Close()
 	_ = ss.mux.Close()
 	ss.cancel(ErrSessionLost)
 }
 
-// close says goodbye.
+// close closes the session and notifies the peer.
 func (ss *session) close() {
 	_ = ss.mux.Close()
 	ss.cancel(ErrSessionLost)
 }
 
-// ping tells whether the peer answers.
+// ping returns nil if the peer answers.
 func (ss *session) ping(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() {
@@ -125,8 +125,8 @@
 	}
 }
 
-// sweepLoop looks after all sessions, so that none needs a goroutine or a
-// timer of its own for it.
+// sweepLoop checks all sessions periodically, so that none needs a goroutine or a timer
+// of its own.
 func (tr *Transport) sweepLoop(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -155,8 +155,8 @@
 	tr.count.sessions.Update(float64(len(tr.sessions)))
 }
 
-// checkSession drops, closes or pings one session. Closing and pinging may block and
-// are left to goroutines.
+// checkSession removes, closes or pings one session. Closing and pinging may block, so
+// they run in goroutines.
 func (tr *Transport) checkSession(ss *session, now clock.Millis) {
 	streams := ss.mux.NumStreams()
 	switch {
@@ -176,7 +176,7 @@
 	}
 	keep := tr.IdleTimeout
 	if ss.dialed == "" {
-		keep *= 2 // the side that dialled goes first
+		keep *= 2 // the side that dialled closes first
 	}
 	if !ss.retired && now-ss.idleSince < keep {
 		return
@@ -212,15 +212,15 @@
 	}
 }
 
-// abandon gives up a session whose peer is silent; tr.mu is held.
+// abandon gives up a session whose peer doesn't answer; tr.mu is held.
 func (tr *Transport) abandon(ss *session) {
 	tr.recordLoss(ss)
 	tr.removeSession(ss)
 	tr.group.Go(ss.abort)
 }
 
-// removeClosed takes a closed session off the lists. Streams that are still open
-// tell that the peer broke it off. tr.mu is held.
+// removeClosed removes a closed session from the lists. If streams are still open, the
+// peer broke the session off. tr.mu is held.
 func (tr *Transport) removeClosed(ss *session) {
 	if _, known := tr.sessions[ss]; known && !tr.stopped && ss.mux.NumStreams() > 0 {
 		tr.recordLoss(ss)
@@ -233,7 +233,7 @@
 	tr.Log.Log(event.PeerSessionLost, event.F("Peer", ss.peer.ID), event.F("Incarnation", ss.peer.Incarnation))
 }
 
-// removeSession takes a session off the lists; tr.mu is held.
+// removeSession removes a session from the lists; tr.mu is held.
 func (tr *Transport) removeSession(ss *session) {
 	ss.cancel(ErrSessionLost)
 	delete(tr.sessions, ss)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -20,7 +20,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// What the zero value of a field of [Transport] or [Limits] stands for.
+// Defaults for the zero values of the fields of [Transport] and [Limits].
 const (
 	DefaultMaxFrame         = 4 << 20
 	DefaultMaxSessions      = 512
@@ -40,27 +40,27 @@
 const (
 	sweepInterval = 250 * time.Millisecond
 	warnInterval  = 10 * time.Second
-	// maxListenAttempts bounds the search for a port that is free for TCP and UDP,
-	// if any port will do.
+	// maxListenAttempts limits the search for a port that is free for both TCP and
+	// UDP, if any port will do.
 	maxListenAttempts = 16
 )
 
 type (
-	// Transport carries frames and datagrams between this VM and the others.
-	// Set the exported fields before Run and leave them alone after it.
+	// Transport carries frames and datagrams between this VM and the others. Set the
+	// exported fields before Run and don't change them afterwards.
 	Transport struct {
 		Self   board.VMRef
 		Listen string // "IP:port" for TCP and UDP; port 0 takes a free one
 		Secret []byte // shared by all VMs, at least 16 bytes
 
-		// Handler serves the streams that other VMs open; nil refuses them.
+		// Handler serves the streams that other VMs open; if it is nil, they are refused.
 		Handler Handler
-		// OnDatagram gets each datagram that is authentic and new, one at a
-		// time; it must not block. Nil drops them.
+		// OnDatagram receives each datagram that is authentic and new, one at a time;
+		// it must not block. Nil drops them.
 		OnDatagram func(dg *peerpb.Datagram, from netip.AddrPort)
 
 		Scope tally.Scope  // nil counts nothing
-		Log   event.Logger // the zero value drops the lines
+		Log   event.Logger // the zero value logs nothing
 		Clock clock.Source // nil is the process's boot clock
 
 		Limits Limits
@@ -71,7 +71,7 @@
 		PingTimeout      clock.Millis // wait for the reply to a ping, and for any write
 		IdleTimeout      clock.Millis // how long a session without streams is kept
 		FrameTimeout     clock.Millis // from a frame's first byte to its last, and from a new stream to its first frame
-		RedialAfter      clock.Millis // how long a failed dial answers for the next ones
+		RedialAfter      clock.Millis // how long a failed dial is reported to later callers without a new dial
 
 		once        sync.Once
 		ready       chan struct{}
@@ -89,41 +89,41 @@
 		runCtx   context.Context // nil before Run
 		stopped  bool
 		dialed   map[string]*session // dialled sessions by VM ID
-		dials    map[string]*dial    // dials in progress or just failed, by VM ID
+		dials    map[string]*dial    // dials in progress or recently failed, by VM ID
 		sessions map[*session]struct{}
 		pending  pendingHandshakes
 	}
 
-	// Limits bound what other VMs, and whoever reaches the port, can take.
+	// Limits bound what other VMs, and anyone who reaches the port, can use.
 	Limits struct {
 		MaxFrame         int // bytes of one encoded frame
-		MaxSessions      int // sessions that others dialled
+		MaxSessions      int // sessions that other VMs dialled
 		MaxStreams       int // open streams on one session that another VM dialled
 		MaxHandshakes    int // connections that have not proved the secret yet
-		MaxReplayWindows int // VMs whose datagrams are remembered
+		MaxReplayWindows int // VMs whose sequence numbers are remembered
 	}
 
 	// Handler serves streams that other VMs open.
 	Handler interface {
-		// Serve is called in a goroutine of its own for each stream; no
-		// frame was read yet. The stream is closed when Serve returns. The
-		// context ends with the session or the transport. Serve learns that
-		// the peer closed only the stream from Recv, or through Watch.
+		// Serve is called in a goroutine of its own for each stream, before any
+		// frame is read. The stream is closed when Serve returns. The context ends
+		// with the session or the transport. If the peer closes only the stream,
+		// Serve learns that from Recv, or through Watch.
 		Serve(ctx context.Context, from board.VMRef, cn *Conn)
 	}
 )
 
-// Run listens and serves until the context ends, or until a listener fails.
-// It returns when all goroutines of the transport have ended, those of
-// Handler included. A Transport runs once.
+// Run listens and serves until the context ends, or until a listener fails. It returns
+// when all goroutines of the transport have ended, including those of Handler. A
+// Transport can run only once.
 func (tr *Transport) Run(ctx context.Context) error {
 	tr.init()
 	id, err := newIdentity(tr.Secret)
 	if err != nil {
 		return fmt.Errorf("peer transport: %w", err)
 	}
-	// Sessions end before their contexts do, so that no stream seems to end
-	// in good order only because its handler heeds the context.
+	// Sessions end before their contexts do, so that no stream seems to end normally
+	// only because its handler obeys the context.
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	ln, uc, err := tr.listen(ctx)
@@ -162,7 +162,7 @@
 	return tr.ready
 }
 
-// Address is where the transport listens; the zero value before Ready.
+// Address returns the address that the transport listens on; the zero value before Ready.
 func (tr *Transport) Address() netip.AddrPort {
 	ap, _ := tr.address.Load().(netip.AddrPort)
 	return ap
@@ -210,7 +210,7 @@
 	orSpan(&tr.RedialAfter, DefaultRedialAfter)
 }
 
-// listen takes the same port for TCP and UDP.
+// listen listens on the same port for TCP and UDP.
 func (tr *Transport) listen(ctx context.Context) (net.Listener, *net.UDPConn, error) {
 	want, err := netip.ParseAddrPort(tr.Listen)
 	if err != nil {
@@ -241,8 +241,8 @@
 	return ln, uc, nil
 }
 
-// spawn runs a function in a goroutine that Run waits for; it tells whether
-// it did, which it does not once the transport stops.
+// spawn runs a function in a goroutine that Run waits for, and reports whether it did;
+// it doesn't once the transport stops.
 func (tr *Transport) spawn(fn func()) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -253,8 +253,8 @@
 	return true
 }
 
-// stop closes all that is open and waits for the goroutines. Errors of
-// closing are of no use to anyone any more.
+// stop closes everything that is open and waits for the goroutines. Errors of closing
+// are ignored, since nobody could act on them any more.
 func (tr *Transport) stop(ln net.Listener, uc *net.UDPConn, cancel context.CancelFunc) {
 	tr.mu.Lock()
 	tr.stopped = true
@@ -273,8 +273,8 @@
 	tr.group.Wait()
 }
 
-// warnLimited logs an event that strangers or a faulty VM could cause at will,
-// at most once in warnInterval.
+// warnLimited logs an event that strangers or a faulty VM could cause at will, at most
+// once in warnInterval.
 func (tr *Transport) warnLimited(ev event.Event, fields ...event.Field) {
 	if tr.warnLimiter.Allow() {
 		tr.Log.Log(ev, fields...)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -98,12 +98,12 @@
 		cause   func(error) bool
 		timeout clock.Millis
 	}{
-		"wrong VM":          {board.VM{VMRef: ref("x", 1), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
-		"older run answers": {board.VM{VMRef: ref("b", 5), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
-		"wrong secret":      {other.vm(), peer.StepHandshake, hasError[peer.UntrustedError], 0},
-		"nobody listens":    {gone.vm(), peer.StepDial, hasError[*net.OpError], 0},
-		"mute listener":     {board.VM{VMRef: ref("e", 1), Peer: mute.Addr().String()}, peer.StepHandshake, hasError[net.Error], 200},
-		"name for address":  {board.VM{VMRef: ref("f", 1), Peer: "localhost:1"}, peer.StepDial, nil, 0},
+		"wrong VM":                     {board.VM{VMRef: ref("x", 1), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
+		"older incarnation answers":    {board.VM{VMRef: ref("b", 5), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
+		"wrong secret":                 {other.vm(), peer.StepHandshake, hasError[peer.UntrustedError], 0},
+		"nobody listens":               {gone.vm(), peer.StepDial, hasError[*net.OpError], 0},
+		"silent listener":              {board.VM{VMRef: ref("e", 1), Peer: mute.Addr().String()}, peer.StepHandshake, hasError[net.Error], 200},
+		"host name instead of address": {board.VM{VMRef: ref("f", 1), Peer: "localhost:1"}, peer.StepDial, nil, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -139,8 +139,8 @@
 	assert.ErrorContains(t, tr.Run(t.Context()), "listen address")
 }
 
-// A peer that stops breaks streams as a lost session, not as their end, and
-// the next call is known not to have been sent.
+// If a peer stops, its streams fail with a lost session and not with an end of file, and
+// the next call is reported as not sent.
 func TestSessionLossDuringCall(t *testing.T) {
 	asked := make(chan struct{})
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: handler(func(ctx context.Context, _ board.VMRef, cn *peer.Conn) {
@@ -162,8 +162,8 @@
 	assert.Assert(t, hasError[peer.NotSentError](err))
 }
 
-// freezer is a TCP relay that can stop passing bytes with both connections
-// left open, as when a VM is paused or a link goes silent.
+// freezer is a TCP relay that can stop forwarding bytes while both connections stay
+// open, as when a VM is paused or a link goes silent.
 type freezer struct {
 	net.Listener
 	mu     sync.Mutex
@@ -265,8 +265,7 @@
 	sb.awaitCount(t, "PeerSessionsLost", "", 1)
 }
 
-// A session that went silent while idle is found out before a frame is put
-// on it.
+// A session that went silent while idle is detected before a frame is sent on it.
 func TestStaleSessionIsCheckedFirst(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo})
 	fz := newFreezer(t, sb.vm().Peer)
@@ -290,7 +289,7 @@
 	sa := start(t, &peer.Transport{Self: ref("a", 1), Clock: clk, IdleTimeout: 1000})
 	_, err := sa.Call(t.Context(), sb.vm(), explain("1"))
 	assert.NilError(t, err)
-	eventually(t, "idle close", func() bool {
+	eventually(t, "idle session closed", func() bool {
 		clk.Advance(500)
 		sa.Sweep()
 		return sa.counted("PeerSessionsIdle", "") == 1
@@ -329,13 +328,13 @@
 		assert.Equal(t, cn.Peer(), st.Self)
 		cn.Close()
 	}
-	// The session to the run before does not serve for the next one at the
-	// same address.
+	// The session to the earlier incarnation is not used for the next one at the same
+	// address.
 	vm := second.vm()
 	vm.Incarnation = 3
 	_, err := sa.Open(t.Context(), vm)
 	assert.Assert(t, hasError[peer.NotSentError](err) && hasError[peer.WrongVMError](err), "%v", err)
-	// The older run dials in after the newer one did.
+	// The older incarnation dials after the newer one did.
 	newer := start(t, &peer.Transport{Self: ref("a", 2)})
 	_, err = newer.Call(t.Context(), second.vm(), explain("key"))
 	assert.NilError(t, err)
@@ -422,7 +421,7 @@
 	sb.awaitCount(t, "PeerRefused", "TooManySessions", 1)
 }
 
-// Strangers who connect and say nothing can't keep a VM out, and are closed.
+// Strangers that connect and send nothing can't keep a VM out, and are disconnected.
 func TestSlowHandshakesAreEvicted(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo, HandshakeTimeout: clock.Minute,
 		Limits: peer.Limits{MaxHandshakes: 4}})
@@ -440,7 +439,7 @@
 		_, err := cn.Read(make([]byte, 1))
 		assert.Assert(t, err != nil)
 	}
-	eventually(t, "crowded out", func() bool { return sb.counted("PeerRefused", "TooManyHandshakes") >= 8 })
+	eventually(t, "evicted handshakes", func() bool { return sb.counted("PeerRefused", "TooManyHandshakes") >= 8 })
 }
 
 func TestSlowHandshakeIsClosed(t *testing.T) {
@@ -451,8 +450,8 @@
 	_, err = cn.Write([]byte{0x16, 0x03})
 	assert.NilError(t, err)
 	_, err = io.ReadAll(cn) // until the VM closes it
-	_ = err                 // a reset is as good as an end
-	eventually(t, "count", func() bool { return sb.counted("PeerRefused", "Handshake") == 1 })
+	_ = err                 // a reset is as good as an end of file
+	eventually(t, "refused handshake counted", func() bool { return sb.counted("PeerRefused", "Handshake") == 1 })
 }
 
 func TestDatagramArrives(t *testing.T) {
@@ -479,7 +478,7 @@
 	assert.Assert(t, hasError[peer.SizeError](sa.SendDatagram(sb.vm(), &peerpb.Datagram{Rumours: rumours})))
 }
 
-// A VM with several IP numbers speaks from the one that it listens at.
+// A VM with several IP addresses dials from the one that it listens on.
 func TestDialsFromListenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/peer/window.go
+++ b/internal/peer/window.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// windowBits is how far behind the highest sequence number a datagram
-	// may come. A VM numbers its datagrams to all others in one row, so the
-	// window has to span what it sends elsewhere in the meantime.
+	// windowBits is how far behind the highest sequence number a datagram may be. A VM
+	// uses one sequence for its datagrams to all others, so the window must cover what
+	// it sends to other VMs in the meantime.
 	windowBits = 256
 	wordBits   = 64
 )
 
 type (
-	// replayWindows remembers which datagrams were seen, as RFC 4303 section 3.4.3
-	// does, for each VM in its latest run. It is used by one goroutine.
+	// replayWindows records which datagrams were received, as in RFC 4303 section
+	// 3.4.3, for each VM in its latest incarnation. It is used by one goroutine.
 	replayWindows struct {
-		max  int // VMs; the one not heard for longest gives way
+		max  int // VMs; the one with the oldest datagram is evicted
 		byVM map[string]*replayWindow
 	}
 
-	// replayWindow of one VM's latest run.
+	// replayWindow belongs to one VM's latest incarnation.
 	replayWindow struct {
 		incarnation  uint64
 		highest      uint64
@@ -30,7 +30,7 @@
 	}
 )
 
-// check notes a datagram and tells whether it is the first of its number.
+// check records a datagram and drops it if its number is not new.
 func (ws *replayWindows) check(from board.VMRef, sequence uint64, now clock.Millis) verdict {
 	wd := ws.byVM[from.ID]
 	switch {
@@ -84,8 +84,8 @@
 	return true
 }
 
-// slide moves the window up to the new highest number and clears the numbers
-// that it newly spans.
+// slide moves the window up to the new highest number and clears the numbers that it now
+// covers in addition.
 func (wd *replayWindow) slide(sequence uint64) {
 	if sequence-wd.highest >= windowBits {
 		clear(wd.bits[:])
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -16,7 +16,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// receiver makes a transport that can check datagrams without running.
+// receiver makes a transport that can check datagrams but does not run.
 func receiver(tb testing.TB, self board.VMRef, secret string) *Transport {
 	tb.Helper()
 	tr := &Transport{Self: self}
@@ -60,23 +60,23 @@
 		want verdict
 	}{
 		{"first", datagramTo("a", 2, "b", 5), accepted},
-		{"same again", datagramTo("a", 2, "b", 5), droppedReplayed},
+		{"duplicate", datagramTo("a", 2, "b", 5), droppedReplayed},
 		{"later", datagramTo("a", 2, "b", 300), accepted},
 		{"late, within window", datagramTo("a", 2, "b", 45), accepted},
-		{"late twice", datagramTo("a", 2, "b", 45), droppedReplayed},
-		{"behind window", datagramTo("a", 2, "b", 44), droppedReplayed},
-		{"older run", datagramTo("a", 1, "b", 400), droppedStaleIncarnation},
-		{"newer run", datagramTo("a", 3, "b", 1), accepted},
-		{"run before it", datagramTo("a", 2, "b", 500), droppedStaleIncarnation},
-		{"other VM has its own numbers", datagramTo("c", 1, "b", 5), accepted},
-		{"for another", datagramTo("a", 3, "x", 2), droppedWrongVM},
-		{"a word for all", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), accepted},
-		{"the same word again", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), droppedReplayed},
-		{"a probe for nobody", broadcast(&peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 1}}, 7), droppedWrongVM},
+		{"late duplicate", datagramTo("a", 2, "b", 45), droppedReplayed},
+		{"before window", datagramTo("a", 2, "b", 44), droppedReplayed},
+		{"older incarnation", datagramTo("a", 1, "b", 400), droppedStaleIncarnation},
+		{"newer incarnation", datagramTo("a", 3, "b", 1), accepted},
+		{"incarnation before it", datagramTo("a", 2, "b", 500), droppedStaleIncarnation},
+		{"other VM has its own sequence", datagramTo("c", 1, "b", 5), accepted},
+		{"for another VM", datagramTo("a", 3, "x", 2), droppedWrongVM},
+		{"broadcast", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), accepted},
+		{"duplicate broadcast", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), droppedReplayed},
+		{"probe without receiver", broadcast(&peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 1}}, 7), droppedWrongVM},
 		{"altered", altered, droppedBadMAC},
 		{"other secret", sealed(t, other, &peerpb.Datagram{From: "a", Incarnation: 3, To: "b", Sequence: 3}), droppedBadMAC},
 		{"no sender", datagramTo("", 3, "b", 4), droppedMalformed},
-		{"no number", datagramTo("a", 3, "b", 0), droppedMalformed},
+		{"no sequence number", datagramTo("a", 3, "b", 0), droppedMalformed},
 		{"not protobuf", notProto, droppedMalformed},
 		{"MAC only", sign(tr.id.datagramKey, nil), droppedMalformed},
 		{"too long", make([]byte, MaxDatagram+1), droppedMalformed},
@@ -88,8 +88,8 @@
 	}
 }
 
-// A window accepts each number once, and all numbers that are less than
-// windowBits behind the highest, in any order.
+// A window accepts each number once, and all numbers that are less than windowBits behind
+// the highest, in any order.
 func TestWindowAgainstSet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var wd replayWindow
@@ -155,8 +155,8 @@
 	})
 }
 
-// No bytes of a stranger get past the MAC, and no signed bytes are accepted
-// twice or break the receiver.
+// Bytes without a valid MAC are never accepted, and signed bytes are neither accepted
+// twice nor make the receiver fail.
 func FuzzCheckDatagram(f *testing.F) {
 	tr := receiver(f, board.VMRef{ID: "b"}, "a secret that all VMs share")
 	good := sealed(f, tr, &peerpb.Datagram{From: "a", Incarnation: 1, To: "b", Sequence: 1})
