--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -7,15 +7,16 @@
 	"alderdyke/internal/rendezvous"
 )
 
-// Addresses lists where callers may connect besides this VM, at most so many.
+// Addresses lists the addresses of other VMs that callers may connect to, up to
+// limit of them.
 //
-// Callers use a bounded number of addresses and choose among them by chance. If
-// all VMs named the same ones, of 295 the first 63 would have nearly all
-// callers, and be in one or two failure domains. So each VM names others, as its
-// own ID ranks them, and as many of each failure domain as of the next, its own
-// first: what is lost with a domain is one in as many as there are domains of
-// what any caller knows. A VM's choice stays while the fleet does, since callers
-// leave connections to addresses that they are not told again.
+// Callers use a limited number of addresses and choose among them at random. If
+// every VM returned the same ones, the first 63 of 295 VMs would get nearly all
+// callers, and those may be in one or two failure domains. Each VM therefore ranks
+// the others by its own ID and takes equally many from each failure domain, starting
+// with its own, so the loss of a failure domain costs any caller only that domain's
+// share of its addresses. A VM's selection stays the same while the fleet does,
+// because callers close connections to addresses that are no longer listed.
 func (mb *Member) Addresses(limit int) []string {
 	return selectAddresses(mb.Self, mb.View().VMs, limit)
 }
--- a/internal/fleet/ask.go
+++ b/internal/fleet/ask.go
@@ -13,11 +13,11 @@
 	"alderdyke/pkg/clock"
 )
 
-// errNotScheduler tells that the asked VM is no scheduler any more.
-var errNotScheduler = errors.New("the VM is no scheduler")
+// errNotScheduler reports that the VM is not a scheduler any more.
+var errNotScheduler = errors.New("the VM is not a scheduler")
 
-// pendingRequests are the pendingRequests of one kind of this VM that wait for their answers. The zero
-// value has none.
+// pendingRequests tracks this VM's requests of one kind that have no reply yet. The
+// zero value is empty and ready to use.
 type pendingRequests[A any] struct {
 	mu         sync.Mutex
 	lastNumber uint64
@@ -36,8 +36,8 @@
 	return pr.lastNumber, ch
 }
 
-// deliver hands an answer to who waits for it. One that comes late, or twice, is
-// dropped.
+// deliver passes a reply to the caller that waits for it. Late and duplicate replies
+// are dropped.
 func (pr *pendingRequests[A]) deliver(number uint64, ans A) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -53,39 +53,39 @@
 	delete(pr.waiting, number)
 }
 
-// call sends an ask by its number and waits for its answer, once: who gets none
-// asks another VM.
+// call sends a request under a new number and waits for its reply. It doesn't resend:
+// a caller without a reply requests from another VM.
 func (pr *pendingRequests[A]) call(ctx context.Context, send func(number uint64) error) (A, error) {
 	var none A
 	number, answer := pr.register()
 	defer pr.remove(number)
 	if err := send(number); err != nil {
-		return none, fmt.Errorf("ask: %w", err)
+		return none, fmt.Errorf("send the request: %w", err)
 	}
 	select {
 	case ans := <-answer:
 		return ans, nil
 	case <-ctx.Done():
-		return none, fmt.Errorf("wait for the answer: %w", ctx.Err())
+		return none, fmt.Errorf("wait for the reply: %w", ctx.Err())
 	}
 }
 
-// requestPlacement asks a VM for a place.
+// requestPlacement requests a placement from a VM.
 func (fl *Fleet) requestPlacement(ctx context.Context, vm board.VM, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	return fl.placementRequests.call(ctx, func(number uint64) error {
 		return fl.peers.SendDatagram(vm, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: placementRequestToWire(number, ask)}})
 	})
 }
 
-// handlePlacementRequest answers an ask. It goes to where the ask came from: the asker may be
-// too new to be known here.
+// handlePlacementRequest answers a placement request. The reply goes to the address
+// that the request came from, since the sender may be too new to be known here.
 func (fl *Fleet) handlePlacementRequest(vm string, from netip.AddrPort, pa *peerpb.PlaceAsk) {
 	if fl.OnPlacementRequest == nil {
 		return
 	}
 	answer := placementReplyToWire(pa.GetNumber(), fl.OnPlacementRequest(vm, placementRequestFromWire(pa)))
 	to := board.VM{VMRef: board.VMRef{ID: vm}, Peer: from.String()}
-	// The asker asks the next VM if the answer is lost.
+	// If the reply is lost, the sender requests from the next VM.
 	_ = fl.peers.SendDatagram(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAnswer{PlaceAnswer: answer}})
 }
 
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -9,8 +9,8 @@
 	"alderdyke/internal/event"
 )
 
-// BenchmarkView is what a VM of 295 does with a new view of the fleet, in which
-// one other VM has changed.
+// BenchmarkView measures how a VM of 295 processes a new view of the fleet in which one
+// other VM has changed.
 func BenchmarkView(bb *testing.B) {
 	vms := largeFleet(295, 6)
 	slices.SortFunc(vms, func(va, vb board.VM) int { return strings.Compare(va.ID, vb.ID) })
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet keeps one VM's view of the others: which run, which leave and
-// where callers reach them. It joins membership, which decides, with the
-// transport between VMs.
+// Package fleet maintains one VM's view of the other VMs: which of them are alive,
+// which are leaving and at which addresses callers reach them. It connects membership,
+// which makes these decisions, with the transport between VMs.
 //
 // # Usage
 //
@@ -33,30 +33,32 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxTickInterval is the longest span between two decisions of membership.
+// maxTickInterval is the longest time between two membership steps.
 const maxTickInterval = 100 * clock.Millis(1)
 
-// Fleet is one VM's view of the others. Set the exported fields before Run.
+// Fleet is one VM's view of the other VMs. Set the exported fields before Run.
 type Fleet struct {
-	Self     board.VM // Peer is where it listens
+	Self     board.VM // Peer is the address that it listens on
 	Secret   []byte
 	Rand     *rand.Rand
 	Settings membership.Settings
 	Clock    clock.Source
 	Log      event.Logger
 	Scope    tally.Scope
-	// OnUsage hears what another VM has at model engines; nil drops it.
+	// OnUsage receives another VM's usage report; nil drops it.
 	OnUsage func(vm string, rp usage.Report)
-	// OnPlacementRequest chooses engines for a request of another VM; nil answers no asks.
+	// OnPlacementRequest selects engines for a request of another VM; nil ignores
+	// placement requests.
 	OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply
-	// OnQuotaRequest answers another VM, which is in one of its lives, as a keeper of the
-	// customers' quotas; nil answers no asks.
+	// OnQuotaRequest answers a request of another VM, whose incarnation is life, as
+	// a keeper of the customers' quotas; nil ignores quota requests.
 	OnQuotaRequest func(vm string, life uint64, ask quota.Request) quota.Response
-	// OnViewChange hears of each new view of the fleet; nil drops it.
+	// OnViewChange receives each new view of the fleet; nil drops it.
 	OnViewChange func(view *board.Fleet)
-	// OnCrash hears at which server's end a request was there; nil drops it.
+	// OnCrash receives reports of a server that ended while it had a request; nil
+	// drops them.
 	OnCrash func(en suspect.Crash)
-	// OnTopicUpdate hears what another VM read of a topic; nil drops it.
+	// OnTopicUpdate receives what another VM read of a topic; nil drops it.
 	OnTopicUpdate func(nw topic.Update)
 
 	view              atomic.Pointer[board.Fleet]
@@ -64,13 +66,13 @@
 	placementRequests pendingRequests[usage.PlacementReply]
 	quotaRequests     pendingRequests[quota.Response]
 	keepers           atomic.Pointer[keepers]
-	latestUsage       map[string]messageOrder // by VM: the newest word on usage that was heard
+	latestUsage       map[string]messageOrder // by VM: order of its newest usage report
 	reassemblies      map[string]*reassembly  // by topic
 	members           *actor.Actor[membership.Event, membership.Intent]
 	peers             *peer.Transport
 }
 
-// View is the VMs as this one sees them; never nil.
+// View returns the VMs as this one sees them; never nil.
 func (fl *Fleet) View() *board.Fleet {
 	if vw := fl.view.Load(); vw != nil {
 		return vw
@@ -78,7 +80,8 @@
 	return &board.Fleet{Self: fl.Self.VMRef, VMs: []board.VM{fl.Self}}
 }
 
-// Prepare makes the fleet ready to be told events. Run does it by itself.
+// Prepare initializes the fleet so that it can receive events. Run calls it if it was
+// not called before.
 func (fl *Fleet) Prepare() {
 	dt := &membership.Detector{Self: fl.Self, Rand: fl.Rand, Settings: fl.Settings}
 	fl.peers = &peer.Transport{Self: fl.Self.VMRef, Listen: fl.Self.Peer, Secret: fl.Secret,
@@ -89,7 +92,7 @@
 	fl.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 }
 
-// Run follows the fleet until the context ends, or the transport fails.
+// Run maintains the view until the context ends or the transport fails.
 func (fl *Fleet) Run(ctx context.Context) error {
 	if fl.members == nil {
 		fl.Prepare()
@@ -101,7 +104,7 @@
 	return nil
 }
 
-// SetListed tells which VMs there may be.
+// SetListed sets which VMs may exist.
 func (fl *Fleet) SetListed(ctx context.Context, vms []board.VM) {
 	fl.members.Tell(ctx, membership.Listed{VMs: vms})
 }
@@ -109,7 +112,7 @@
 // Leave announces a planned stop.
 func (fl *Fleet) Leave(ctx context.Context) { fl.members.Tell(ctx, membership.Leave{}) }
 
-// handleDatagram takes a datagram. The transport calls it for one at a time.
+// handleDatagram dispatches a datagram. The transport calls it for one at a time.
 func (fl *Fleet) handleDatagram(dg *peerpb.Datagram, from netip.AddrPort) {
 	fl.broadcaster().Forward(dg)
 	switch {
@@ -134,15 +137,15 @@
 	default:
 		select {
 		case fl.members.Events <- membership.Received{Datagram: dg}:
-		default: // a full backlog drops it, as the network may
+		default: // a full queue drops it, as the network may
 		}
 	}
 }
 
-// messageOrder orders the words of one VM.
+// messageOrder orders the messages of one VM.
 type messageOrder struct{ incarnation, sequence uint64 }
 
-// handleUsage takes a VM's word unless a newer one came before.
+// handleUsage accepts a VM's usage report unless a newer one was received before.
 func (fl *Fleet) handleUsage(dg *peerpb.Datagram) {
 	order, last := messageOrder{dg.GetIncarnation(), dg.GetSequence()}, fl.latestUsage[dg.GetFrom()]
 	old := order.incarnation < last.incarnation || order.incarnation == last.incarnation && order.sequence < last.sequence
@@ -168,8 +171,8 @@
 	}
 }
 
-// handleFragment takes a piece of a large record, and the record as news once it is
-// whole.
+// handleFragment adds a fragment of a large record, and passes the record on as an
+// update once it is complete.
 func (fl *Fleet) handleFragment(tp *peerpb.TopicPiece) {
 	if fl.reassemblies == nil {
 		fl.reassemblies = make(map[string]*reassembly)
@@ -179,7 +182,7 @@
 	}
 	rec, whole, err := fl.reassemblies[tp.GetTopic()].add(tp)
 	if err != nil {
-		// What was read is of no use; the gap has this VM read for itself.
+		// The record can't be used; this VM notices the gap and reads the store itself.
 		fl.Log.Log(event.NewsUnreadable, event.F("Topic", tp.GetTopic()), event.F("Offset", tp.GetOffset()), event.F("Error", err.Error()))
 		return
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// freePort finds a port that is free for TCP and was so for UDP just now.
+// freePort returns an address whose port is free for TCP and is probably free for UDP.
 func freePort(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,8 +32,8 @@
 	return ln.Addr().String()
 }
 
-// VMs that are listed to each other see each other live, hear each other's
-// words, and see one leave.
+// VMs that are listed to each other see each other alive, receive each other's messages,
+// and see one leave.
 func TestThreeVMsExchangeMessages(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -45,9 +45,9 @@
 		vms = append(vms, self)
 		fl := &fleet.Fleet{Self: self, Secret: []byte("sixteen bytes or more"), Rand: rand.New(rand.NewPCG(uint64(ix), 2)),
 			OnUsage:       func(vm string, rp usage.Report) { received <- fmt.Sprintf("usage of %s: %d", vm, len(rp.Runs)) },
-			OnTopicUpdate: func(nw topic.Update) { received <- fmt.Sprintf("news of %s: %d", nw.Topic, nw.Next) },
+			OnTopicUpdate: func(nw topic.Update) { received <- fmt.Sprintf("update of %s: %d", nw.Topic, nw.Next) },
 			OnCrash: func(en suspect.Crash) {
-				received <- fmt.Sprintf("end of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Concurrent)
+				received <- fmt.Sprintf("crash of %s: %v %v %d", en.Server, en.Mark, en.Answered, en.Concurrent)
 			}}
 		fl.Prepare()
 		fleets = append(fleets, fl)
@@ -56,7 +56,7 @@
 	for _, fl := range fleets {
 		fl.SetListed(ctx, vms)
 	}
-	eventually(t, "all see all", func() bool {
+	eventually(t, "all VMs see all VMs", func() bool {
 		for _, fl := range fleets {
 			for _, vm := range fl.View().VMs {
 				if vm.Health != board.Alive || vm.Incarnation != 7 || vm.Caller == "" {
@@ -70,17 +70,17 @@
 		return true
 	})
 	seen := map[string]bool{}
-	eventually(t, "words are heard", func() bool {
+	eventually(t, "messages are received", func() bool {
 		fleets[0].ReportUsage(usage.Report{Runs: []usage.Run{{Engine: "e", Tokens: 1}}})
 		fleets[0].BroadcastUpdate(topic.Update{Topic: "t", Next: 3})
 		fleets[0].BroadcastCrash(suspect.Crash{Mark: suspect.Mark{1, 2}, Server: "s", Answered: true, Concurrent: 7})
 		for len(received) > 0 {
 			seen[<-received] = true
 		}
-		return seen["usage of vm-0: 1"] && seen["news of t: 3"] && seen["end of s: 010200000000 true 7"]
+		return seen["usage of vm-0: 1"] && seen["update of t: 3"] && seen["crash of s: 010200000000 true 7"]
 	})
 	fleets[1].Leave(ctx)
-	eventually(t, "one leaves", func() bool {
+	eventually(t, "one VM is leaving", func() bool {
 		vm, _ := fleets[0].View().VM("vm-1")
 		return vm.Leaving
 	})
@@ -96,8 +96,8 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(20*time.Millisecond))
 }
 
-// A scheduler is asked over the wire, also by a VM that it does not know; who is
-// silent is not waited for.
+// A scheduler answers placement requests over the network, also those of a VM that it
+// doesn't know. A request to a VM that is not a scheduler fails at once.
 func TestPlacementRequestToScheduler(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -125,7 +125,7 @@
 	}
 	eventually(t, "a large fleet has three schedulers", func() bool { mb, _ := asker(); return mb != nil })
 	mb, vms := asker()
-	eventually(t, "one answers", func() bool {
+	eventually(t, "a scheduler answers", func() bool {
 		within, end := context.WithTimeout(ctx, time.Second)
 		defer end()
 		ans, err := mb.Ask(within, vms[0], usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "m"}})
@@ -135,7 +135,7 @@
 	assert.Assert(t, err != nil)
 }
 
-// memoryStore is a store of one topic in memory.
+// memoryStore is an in-memory store of one topic.
 type memoryStore struct {
 	mu   sync.Mutex
 	recs []topic.Record
@@ -163,7 +163,7 @@
 	defer ms.mu.Unlock()
 	offset := uint64(len(ms.recs))
 	if at != nil && *at != offset {
-		return 0, &logsvc.AppendError{Stream: name, Effect: logsvc.NotAppended, Err: errors.New("it has moved on")}
+		return 0, &logsvc.AppendError{Stream: name, Effect: logsvc.NotAppended, Err: errors.New("the topic ends elsewhere")}
 	}
 	ms.recs = append(ms.recs, topic.Record{Key: key, Value: value, Offset: offset})
 	return offset, nil
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -31,16 +31,16 @@
 const (
 	simEngineCount  = 16
 	simEngineMemory = 10000
-	// simRunsPerEngine is how many runs of simPrompt tokens, and what they grow by, an
-	// engine holds.
+	// simRunsPerEngine is how many runs of simPrompt tokens, including the tokens
+	// that they generate, fit into an engine.
 	simRunsPerEngine = 3
 	simPrompt        = 2500
-	// simMeanGap is the mean time between two requests: a fifth more than the engines
-	// bear, so that requests wait for places at all times.
+	// simMeanGap is the mean time between two requests: a fifth more requests than
+	// the engines can serve, so that some always wait for places.
 	simMeanGap = 17 * time.Millisecond
-	// simMaxRun is the longest run; the mean is half of it and 100 ms.
+	// simMaxRun is the longest run; the mean is half of it plus 100 ms.
 	simMaxRun = 1800 * time.Millisecond
-	// handoverSeeds is how many times each fault is played.
+	// handoverSeeds is how many times each fault is simulated.
 	handoverSeeds = 1
 )
 
@@ -55,30 +55,30 @@
 		mu         sync.Mutex
 		engines    map[string]*simEngine
 		number     uint64
-		declinedAt []clock.Millis // by engines that had no room
+		declinedAt []clock.Millis // when an engine without capacity declined
 		refused    []simRefusal
 	}
 
 	// simEngine is a decode engine.
 	simEngine struct {
-		held      map[string]*time.Timer // reservations, with what lets them lapse, and runs
-		freeSince clock.Millis           // since when it has had room
+		held      map[string]*time.Timer // reservations, with the timer that expires them, and runs
+		freeSince clock.Millis           // since when it has had capacity
 	}
 
-	// simRefusal is a request that found no place.
+	// simRefusal is a request that was refused because it found no place.
 	simRefusal struct {
 		at         clock.Millis
 		waited     clock.Millis
-		engineFree clock.Millis // for how long an engine had had room by then
+		engineFree clock.Millis // for how long some engine had had capacity by then
 	}
 
-	// simServers is the engines as one VM reaches them.
+	// simServers is the engines as one VM accesses them.
 	simServers struct {
 		ps *placementSim
 		vm *simVM
 	}
 
-	// simBody is an answer that ends with its run.
+	// simBody is a response body that ends with its run.
 	simBody struct {
 		ctx   context.Context
 		parts []string
@@ -95,7 +95,7 @@
 	return ps
 }
 
-// startVM starts a further life of a VM.
+// startVM starts a further incarnation of a VM.
 func (ps *placementSim) startVM(ctx context.Context, ix int) *simVM {
 	rl := &relay.Relay{Clock: ps.clock, Rand: rand.New(rand.NewPCG(ps.seed, uint64(ix))),
 		Settings: relay.Settings{Budget: retry.Settings{Burst: 3, Refill: 0.001, Ratio: 0.1, BaseBackoff: 1}}}
@@ -113,7 +113,7 @@
 	return vm
 }
 
-// configure gives a relay one route to the engines.
+// configure gives a relay one route and the engines behind it.
 func (ps *placementSim) configure(rl *relay.Relay) {
 	engines := &route.Engines{Memory: simEngineMemory, Hold: 2 * clock.Second}
 	tb, err := route.New(1, []route.Route{{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream,
@@ -129,7 +129,7 @@
 	rl.SetBackends(rl.Clock.Now(), list)
 }
 
-// generateRequests sends requests to VMs that live and are not frozen, for a span.
+// generateRequests sends requests to VMs that are alive and not frozen, for a duration.
 func (ps *placementSim) generateRequests(ctx context.Context, span time.Duration) {
 	until := time.Now().Add(span)
 	for number := uint64(0); time.Now().Before(until) && ctx.Err() == nil; number++ {
@@ -138,7 +138,7 @@
 		}
 		list := ps.running()
 		if len(list) == 0 {
-			return // the play is over
+			return // the simulation is over
 		}
 		vm := list[int(ps.chance("vm", number)*float64(len(list)))]
 		if !vm.frozenSince(ps.clock.Now()) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// serve carries one request, and notes how it ended if it found no place.
+// serve serves one request, and records a refusal if it found no place.
 func (ps *placementSim) serve(vm *simVM, number uint64) {
 	ps.mu.Lock()
 	rl := ps.relays[vm]
@@ -160,7 +160,7 @@
 	}
 }
 
-// recordRefusal notes a refusal, but for one of a VM that was frozen meanwhile.
+// recordRefusal records a refusal, unless the VM was frozen in the meantime.
 func (ps *placementSim) recordRefusal(vm *simVM, came clock.Millis) {
 	if vm.frozenSince(came) {
 		return
@@ -177,7 +177,7 @@
 	ps.refused = append(ps.refused, rf)
 }
 
-// reserve reserves a place at an engine for a span; false if it has none.
+// reserve reserves a place at an engine for a duration; false if it has none.
 func (ps *placementSim) reserve(engine string, life clock.Millis) (id string, ok bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -192,7 +192,7 @@
 	return id, true
 }
 
-// startRun makes a run of a reservation.
+// startRun turns a reservation into a run.
 func (ps *placementSim) startRun(engine, id string) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -213,28 +213,28 @@
 	delete(en.held, id)
 }
 
-// travel is one way to an engine; false if the VM died or the call ended.
+// travel is one direction to or from an engine; false if the VM stopped or the call ended.
 func (sv simServers) travel(ctx context.Context) bool {
 	return sv.vm.waitResumed() && clock.Sleep(ctx, 1) && sv.vm.waitResumed()
 }
 
 func (sv simServers) Reserve(ctx context.Context, bs board.BackendServer, _ int, life clock.Millis) (string, error) {
 	if !sv.travel(ctx) {
-		return "", backend.NotSentError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is gone")}
+		return "", backend.NotSentError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is stopped")}
 	}
 	id, ok := sv.ps.reserve(bs.ID, life)
 	if !ok {
 		return "", backend.DeclinedError{Server: bs.ID, Call: "Reserve", Reason: backend.Full}
 	}
 	if !sv.travel(ctx) {
-		return "", backend.InDoubtError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is gone")}
+		return "", backend.InDoubtError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is stopped")}
 	}
 	return id, nil
 }
 
 func (sv simServers) Send(ctx context.Context, bs board.BackendServer, req *relay.Request, op relay.Options) (*http.Response, error) {
 	if !sv.travel(ctx) || !sv.ps.startRun(bs.ID, op.Reservation) {
-		return nil, backend.NotSentError{Server: bs.ID, Call: "Decode", Err: errors.New("the VM is gone")}
+		return nil, backend.NotSentError{Server: bs.ID, Call: "Decode", Err: errors.New("the VM is stopped")}
 	}
 	span := 100*time.Millisecond + time.Duration(sv.ps.chance("run "+req.ID, 0)*float64(simMaxRun))
 	body := &simBody{ctx: ctx, parts: []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, end: time.After(span),
@@ -244,7 +244,7 @@
 
 func (sv simServers) Prefill(ctx context.Context, bs board.BackendServer, req *relay.Request, _ clock.Millis) (relay.Handle, error) {
 	if !sv.travel(ctx) || !clock.Sleep(ctx, 20) || !sv.travel(ctx) {
-		return relay.Handle{}, backend.NotSentError{Server: bs.ID, Call: "Prefill", Err: errors.New("the VM is gone")}
+		return relay.Handle{}, backend.NotSentError{Server: bs.ID, Call: "Prefill", Err: errors.New("the VM is stopped")}
 	}
 	return relay.Handle{Server: bs, ID: req.ID}, nil
 }
@@ -261,10 +261,10 @@
 func (sv simServers) Ended(context.Context, board.BackendServer) bool { return false }
 
 func (sv simServers) Move(context.Context, board.BackendServer, board.BackendServer, string, bool) (relay.Handle, error) {
-	return relay.Handle{}, errors.New("no run is moved here")
+	return relay.Handle{}, errors.New("runs can't be moved in this simulation")
 }
 
-// Read gives the first event at once and the last one when the run ends.
+// Read returns the first event at once and the last one when the run ends.
 func (sb *simBody) Read(data []byte) (int, error) {
 	if len(sb.parts) == 0 {
 		return 0, io.EOF
@@ -288,45 +288,46 @@
 	return nil
 }
 
-// restart starts a further life of a VM, whose last one ends here if it lives.
+// restart starts a further incarnation of a VM and stops the previous one.
 func (ps *placementSim) restart(ctx context.Context, vm *simVM) {
 	vm.stop()
 	ps.startVM(ctx, slices.Index(allNames(), vm.self.ID))
 }
 
-// violations tells what was not as it must be, if all was well again from a point
-// on: each kind once, with how often and when first.
+// violations lists the violated requirements if the fleet had recovered by a time: each
+// kind once, with the number of occurrences and the first one.
 func (ps *placementSim) violations(recovered clock.Millis) []string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var vi violations
 	for _, at := range ps.declinedAt {
-		vi.recordIf(at >= recovered, at, "a place was given twice")
+		vi.recordIf(at >= recovered, at, "a place was assigned twice")
 	}
 	waited := false
 	for _, rf := range ps.refused {
 		waited = waited || rf.at >= recovered
-		vi.recordIf(rf.at >= recovered && rf.engineFree > maxUnusedHealthy, rf.at, "a request was refused, and a place unused for longer than one that is not taken")
-		vi.recordIf(rf.engineFree > maxUnusedFaulty, rf.at, "a request was refused, and a place lost for longer than its term")
-		vi.recordIf(rf.waited > maxRequestWait, rf.at, "a request waited for too long")
+		vi.recordIf(rf.at >= recovered && rf.engineFree > maxUnusedHealthy, rf.at, "a request was refused while a place was unused for longer than an assignment counts")
+		vi.recordIf(rf.engineFree > maxUnusedFaulty, rf.at, "a request was refused while a place was lost for longer than a usage report counts")
+		vi.recordIf(rf.waited > maxRequestWait, rf.at, "a request waited too long")
 	}
 	vi.recordIf(!waited, recovered, "no request waited for a place")
 	return vi.list()
 }
 
 const (
-	// maxUnusedHealthy is how long a place is unused while requests want one: one that was
-	// given and is not taken counts for so long.
+	// maxUnusedHealthy is how long a place may be unused while requests wait for one:
+	// a place that was assigned but not taken counts as used for that long.
 	maxUnusedHealthy = 300 * clock.Millis(1)
-	// maxUnusedFaulty is the same whatever failed: what a VM had counts until its word is
-	// stale, and the next ask follows.
+	// maxUnusedFaulty is the same limit during any fault: a failed VM's runs count
+	// until its last usage report expires, and then the next request follows.
 	maxUnusedFaulty = usage.ReportTTL + maxUnusedHealthy
-	// maxRequestWait is how long a request may wait in vain: its own span, an ask of each
-	// scheduler, and an engine that declines.
+	// maxRequestWait is how long a request may wait in vain: its own limit, one
+	// request to each scheduler, and an engine that declines.
 	maxRequestWait = relay.DefaultPlaceWait + 100*clock.Millis(1)
 
-	// agreeWithin is how long after that all name the same schedulers: a VM that was
-	// frozen when another one died finds out by a probe of its own, the last in a round.
+	// agreeWithin is how long after that all VMs name the same schedulers: a VM that
+	// was frozen when another one died detects that by a probe of its own, which may
+	// be the last one in a round.
 	agreeWithin = netVMs*probeInterval + probeDeadline
 
 	// A fault begins faultStart after the start and lasts for faultDuration. The
@@ -337,7 +338,7 @@
 	observationTime = 3 * time.Second
 )
 
-// fault is something that fails, until the function that it returns is called.
+// fault is a failure that lasts until the function that begin returns is called.
 type fault struct {
 	name  string
 	begin func(ctx context.Context, ps *placementSim) (end func())
@@ -345,57 +346,57 @@
 
 var faults = []fault{
 	{"none", func(context.Context, *placementSim) func() { return func() {} }},
-	{"the first is frozen", func(_ context.Context, ps *placementSim) func() { return ps.scheduler(0).freeze() }},
-	{"all three are frozen", func(_ context.Context, ps *placementSim) func() {
+	{"first VM frozen", func(_ context.Context, ps *placementSim) func() { return ps.scheduler(0).freeze() }},
+	{"first three VMs frozen", func(_ context.Context, ps *placementSim) func() {
 		return runAll(ps.scheduler(0).freeze(), ps.scheduler(1).freeze(), ps.scheduler(2).freeze())
 	}},
-	{"the first hears nobody", func(_ context.Context, ps *placementSim) func() {
+	{"first VM receives nothing", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
 		return ps.block(namesExcept(first), []string{first})
 	}},
-	{"nobody hears the first", func(_ context.Context, ps *placementSim) func() {
+	{"first VM reaches no other", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
 		return ps.block([]string{first}, namesExcept(first))
 	}},
-	{"half do not reach the first", func(_ context.Context, ps *placementSim) func() {
+	{"half of the VMs do not reach the first", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
 		return ps.block(namesExcept(first)[:netVMs/2], []string{first})
 	}},
-	{"the first is slow", func(_ context.Context, ps *placementSim) func() {
+	{"first VM slow", func(_ context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0).self.ID
 		ps.slowDown(first, 40*time.Millisecond)
 		return func() { ps.slowDown(first, 0) }
 	}},
-	{"the first is killed", func(_ context.Context, ps *placementSim) func() {
+	{"first VM killed", func(_ context.Context, ps *placementSim) func() {
 		ps.scheduler(0).stop()
 		return func() {}
 	}},
-	{"the first is killed and starts later", func(ctx context.Context, ps *placementSim) func() {
+	{"first VM killed, restarted later", func(ctx context.Context, ps *placementSim) func() {
 		first := ps.scheduler(0)
 		first.stop()
 		return func() { ps.restart(ctx, first) }
 	}},
-	{"the first starts again at once under its name", func(ctx context.Context, ps *placementSim) func() {
+	{"first VM restarted at once under its name", func(ctx context.Context, ps *placementSim) func() {
 		ps.restart(ctx, ps.scheduler(0))
 		return func() {}
 	}},
-	{"the first is killed while the second is frozen", func(_ context.Context, ps *placementSim) func() {
+	{"first VM killed while the second is frozen", func(_ context.Context, ps *placementSim) func() {
 		thaw := ps.scheduler(1).freeze()
 		ps.scheduler(0).stop()
 		return thaw
 	}},
-	{"two believe that they are first", func(_ context.Context, ps *placementSim) func() {
+	{"partition with a first VM on each side", func(_ context.Context, ps *placementSim) func() {
 		one, two := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		return runAll(ps.block(one, two), ps.block(two, one))
 	}},
-	{"half of the VMs are lost", func(_ context.Context, ps *placementSim) func() {
+	{"half of the VMs killed", func(_ context.Context, ps *placementSim) func() {
 		one, _ := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		for _, name := range one {
 			ps.vm(name).stop()
 		}
 		return func() {}
 	}},
-	{"half of the VMs are lost and start again", func(ctx context.Context, ps *placementSim) func() {
+	{"half of the VMs killed, restarted later", func(ctx context.Context, ps *placementSim) func() {
 		one, _ := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		for _, name := range one {
 			ps.vm(name).stop()
@@ -406,25 +407,25 @@
 			}
 		}
 	}},
-	{"half of the VMs start again at once", func(ctx context.Context, ps *placementSim) func() {
+	{"half of the VMs restarted at once", func(ctx context.Context, ps *placementSim) func() {
 		one, _ := ps.halves(ps.scheduler(0), ps.scheduler(1))
 		for _, name := range one {
 			ps.restart(ctx, ps.vm(name))
 		}
 		return func() {}
 	}},
-	{"a tenth of the datagrams is lost", func(_ context.Context, ps *placementSim) func() {
+	{"a tenth of the datagrams lost", func(_ context.Context, ps *placementSim) func() {
 		ps.setLoss(0.1)
 		return func() { ps.setLoss(0) }
 	}},
 }
 
-// scheduler is one of the VMs that choose for all; 0 is the one that all ask.
+// scheduler returns one of the schedulers; rank 0 is the one that gets the requests.
 func (sn *simNet) scheduler(rank int) *simVM {
 	return sn.vm(sn.running()[0].fl.Schedulers()[rank].ID)
 }
 
-// halves divides the VMs so that two of them stand apart.
+// halves divides the VMs into two halves with one of the given VMs in each.
 func (sn *simNet) halves(first, second *simVM) (one, two []string) {
 	for ix, name := range namesExcept(first.self.ID, second.self.ID) {
 		if ix%2 == 0 {
@@ -436,7 +437,7 @@
 	return append(one, first.self.ID), append(two, second.self.ID)
 }
 
-// namesExcept lists the names of all VMs but some.
+// namesExcept lists the names of all VMs except some.
 func namesExcept(but ...string) []string {
 	return slices.DeleteFunc(allNames(), func(name string) bool { return slices.Contains(but, name) })
 }
@@ -449,9 +450,9 @@
 	}
 }
 
-// combinedFaults is faults that begin one after the other and end together, drawn by the seed
-// from those after which all VMs live again.
-var combinedFaults = fault{"some at once", func(ctx context.Context, ps *placementSim) func() {
+// combinedFaults is faults that begin one after the other and end together, drawn by the
+// seed from those after which all VMs are alive again.
+var combinedFaults = fault{"combined", func(ctx context.Context, ps *placementSim) func() {
 	var list []fault
 	for _, fa := range faults {
 		if !losesVMs(fa.name) {
@@ -466,10 +467,10 @@
 	return runAll(ends...)
 }}
 
-// losesVMs tells of faults that leave fewer VMs. Of two of them less than half of
-// the fleet lives, and no VM takes what it hears for whole.
+// losesVMs reports whether a fault leaves fewer VMs. After two such faults less than half
+// of the fleet is alive, and no VM trusts its view of the others to be complete.
 func losesVMs(name string) bool {
-	return name == "half of the VMs are lost" || name == "the first is killed" || name == "the first is killed while the second is frozen"
+	return name == "half of the VMs killed" || name == "first VM killed" || name == "first VM killed while the second is frozen"
 }
 
 const (
@@ -477,13 +478,13 @@
 	// combinedFaultGap the time from one to the next.
 	combinedFaultCount = 3
 	combinedFaultGap   = 600 * time.Millisecond
-	// combinedFaultSeeds is how many times that is played.
+	// combinedFaultSeeds is how many times such a combination is simulated.
 	combinedFaultSeeds = 4
 )
 
-// runPlacementSim plays a fault in the middle of requests for more places than there
-// are, and tells what was not as it must be. All VMs start at once. Alter changes
-// a VM before it starts; nil changes none.
+// runPlacementSim simulates a fault while there are requests for more places than exist,
+// and lists the violated requirements. All VMs start at once. Alter changes a VM before it
+// starts; nil changes none.
 func runPlacementSim(t *testing.T, seed uint64, fa fault, alter func(vm *simVM)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -509,9 +510,9 @@
 	return out
 }
 
-// Whatever becomes of those that choose for all, a place is given to one request
-// at a time once the fault is over, no place is lost for longer than its term, and
-// no request waits for longer than it may.
+// Whichever schedulers fail, a place is assigned to one request at a time once the fault
+// is over, no place is lost for longer than a usage report counts, and no request waits
+// longer than its limit.
 func TestPlacementHandover(t *testing.T) {
 	for _, fa := range faults {
 		for seed := range uint64(handoverSeeds) {
@@ -523,7 +524,7 @@
 	}
 }
 
-// The same with several faults at once.
+// The same holds with several faults at once.
 func TestPlacementHandoverCombinedFaults(t *testing.T) {
 	for seed := range uint64(combinedFaultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -533,16 +534,16 @@
 	}
 }
 
-// The check notices VMs that choose by themselves, and a scheduler that goes on
-// with what it heard first.
+// The simulation detects VMs that all select engines themselves, and a scheduler that
+// keeps using the first reports that it received.
 func TestPlacementSimDetectsFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		alter func(vm *simVM)
 		want  string
 	}{
-		{"all believe that they are first", func(vm *simVM) { vm.alwaysFirst = true }, "a place was given twice"},
-		{"schedulers go on with the first runs that they hear of", func(vm *simVM) {
+		{"all VMs act as first scheduler", func(vm *simVM) { vm.alwaysFirst = true }, "a place was assigned twice"},
+		{"schedulers keep the first runs reported to them", func(vm *simVM) {
 			first, hear := make(map[string]usage.Report), vm.fl.OnUsage
 			vm.fl.OnUsage = func(other string, rp usage.Report) {
 				if _, heard := first[other]; !heard && len(rp.Runs) > 0 {
@@ -551,7 +552,7 @@
 				rp.Runs = first[other].Runs
 				hear(other, rp)
 			}
-		}, "a place lost for longer than its term"},
+		}, "a place was lost for longer than a usage report counts"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := strings.Join(runPlacementSim(t, 0, faults[0], tc.alter), "\n")
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -12,35 +12,35 @@
 	"alderdyke/pkg/clock"
 )
 
-// Causes for which the lease can't be read or swapped.
+// Errors for which the lease can't be read or swapped.
 var (
-	errNotJoined    = errors.New("this VM has not joined the others yet")
-	errUnknownVM    = errors.New("this VM does not see such a VM")
-	errLeaseChanged = errors.New("the lease has moved on")
+	errNotJoined    = errors.New("this VM has not joined the fleet yet")
+	errUnknownVM    = errors.New("the VM is not in this VM's view of the fleet")
+	errLeaseChanged = errors.New("the lease has changed since it was read")
 )
 
-// leaseEntry is the lease as it stands in the topic.
+// leaseEntry is the lease as stored in the topic.
 type leaseEntry struct {
 	ID    string
-	Era   uint64 // of the store, as far as who wrote it knew
+	Era   uint64 // of the store, as the writer knew it
 	Value json.RawMessage
 }
 
-// leaseView is what a VM knows of the lease on orders.
+// leaseView is the lease on orders to engines as one VM has read it.
 type leaseView struct {
 	entry    register.Entry
-	end      uint64       // where the topic ended when it was read last
-	restored bool         // the store came back from an older copy, and was not listed since
-	duration clock.Millis // that a lease lasts
+	end      uint64       // position after the last record at the last read
+	restored bool         // the store was restored from an older copy, and the topic was not listed since
+	duration clock.Millis // of a lease
 }
 
-// WithRestore is the view after the store came back from an older copy.
+// WithRestore returns the view after the store was restored from an older copy.
 func (lv leaseView) WithRestore() leaseView {
 	lv.restored = true
 	return lv
 }
 
-// WithSnapshot is the view after a listing of the topic.
+// WithSnapshot returns the view after a listing of the whole topic.
 func (lv leaseView) WithSnapshot(recs []topic.Record) (leaseView, error) {
 	if lv.restored {
 		lv.restored = false
@@ -54,10 +54,11 @@
 	return lv, all
 }
 
-// withUnknownHolder has the lease count as another VM's, which is waited out, where the older
-// copy has none: the record by which it is held may be gone, also one that this VM never
-// saw, and whoever holds it by that has stopped when one more would have ended. Where the
-// copy has one, that one is later than what is known, and is waited out too.
+// withUnknownHolder assumes that another VM holds the lease, so that its duration is
+// waited out, if the older copy has no lease. The record by which the lease is held may be
+// lost, even one that this VM never read, and its holder has stopped by the time that a
+// further lease would have ended. If the copy has a lease, that one has a later position
+// than the known one and is waited out too.
 func (lv leaseView) withUnknownHolder(recs []topic.Record) leaseView {
 	if containsKey(recs, LeaseKey) {
 		return lv
@@ -66,24 +67,24 @@
 	return lv
 }
 
-// unknownHolderEntry is a lease that any VM may hold, and none knows as its own.
+// unknownHolderEntry is a lease that any VM may hold and that no VM recognizes as its own.
 func (lv leaseView) unknownHolderEntry(revision uint64) register.Entry {
 	// Two fields of plain types always marshal.
 	value, _ := json.Marshal(register.Lease{Holder: "unknown", Duration: lv.duration})
 	return register.Entry{Key: LeaseKey, Revision: revision, Value: value}
 }
 
-// WithEnd is the view after all up to a position was read. A listing leaves out keys that
-// were removed, so the topic may end beyond its last record.
+// WithEnd returns the view after everything before the position end was read. A listing
+// leaves out keys that were removed, so the topic may end beyond its last record.
 func (lv leaseView) WithEnd(end uint64) leaseView {
 	lv.end = max(lv.end, end)
 	return lv
 }
 
-// WithRecord is the view after a further record of the topic. A record of the lease
-// that can't be read changes nothing but the end. One whose writer knew an earlier era
-// than it stands in was swapped for a lease that the store does not have any more, or is
-// of the older copy itself: whoever wrote it does not go by it, and all wait it out.
+// WithRecord returns the view after a further record of the topic. An unreadable lease
+// record changes only the end. If a lease record's writer knew an earlier era than the one
+// that the record is in, it replaced a lease that the store no longer has, or it belongs to
+// the older copy itself: its writer does not rely on it, and all VMs wait out its duration.
 func (lv leaseView) WithRecord(rec topic.Record) (leaseView, error) {
 	lv = lv.WithEnd(rec.Offset + 1)
 	if rec.Key != LeaseKey {
@@ -104,20 +105,20 @@
 	return lv, nil
 }
 
-// Swap is the record that replaces the lease if its revision is still base, and where
-// the topic has to end for it.
+// Swap returns the record that replaces the lease if its revision is still base, and the
+// position at which the topic must end for it.
 func (lv leaseView) Swap(base uint64, id string, value []byte) (data []byte, at uint64, err error) {
 	if lv.entry.Revision != base {
 		return nil, 0, errLeaseChanged
 	}
 	data, err = json.Marshal(leaseEntry{ID: id, Era: topic.EraOf(lv.end), Value: value})
 	if err != nil {
-		return nil, 0, fmt.Errorf("write the lease: %w", err)
+		return nil, 0, fmt.Errorf("encode the lease: %w", err)
 	}
 	return data, lv.end, nil
 }
 
-// Read returns the lease on orders. It may be late, which Swap notices.
+// Read returns the lease on orders. It may be outdated, which Swap detects.
 func (mb *Member) Read(context.Context) (register.Entry, error) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -127,9 +128,9 @@
 	return mb.lease.entry, nil
 }
 
-// Swap replaces the lease on orders if its revision is still base. The topic
-// holds more than the lease, so a swap fails now and then although the lease
-// has not moved; the holder then tries again.
+// Swap replaces the lease on orders if its revision is still base. The topic holds
+// more than the lease, so a swap sometimes fails although the lease has not changed;
+// the holder then retries.
 func (mb *Member) Swap(ctx context.Context, base uint64, id string, value []byte) error {
 	read := mb.Topic.Next()
 	mb.mu.Lock()
@@ -141,7 +142,7 @@
 	}
 	offset, err := mb.Store.Append(ctx, mb.TopicName, LeaseKey, data, &end)
 	if err != nil {
-		mb.Topic.Refresh() // perhaps what was read is late
+		mb.Topic.Refresh() // what was read may be outdated
 		return err
 	}
 	mb.applyRecord(topic.Record{Key: LeaseKey, Value: data, Offset: offset})
--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -17,42 +17,42 @@
 	"alderdyke/pkg/clock"
 )
 
-// The explorer walks every course of a small world: VMs that all want the lease on
-// orders, each at the pace of its own way to the store, and a store that comes back from
-// older copies. The VMs are the project's own [leaseView] and [register.Holder]. After
-// each step no two VMs may give orders, and no token may be below one that was used.
+// The explorer enumerates all executions of a small world: VMs that all want the lease on
+// orders, each with its own link to the store, and a store that is restored from older
+// copies. The VMs use the real [leaseView] and [register.Holder]. After each step no two
+// VMs may give orders, and no token may be lower than one that was used before.
 
 const (
-	// exploreTick is one step of the world. It divides the spans of a lease.
+	// exploreTick is one step of the world. It divides the durations of a lease.
 	exploreTick  = clock.Second
 	exploreLease = 4 * clock.Second
 )
 
-// How a VM is tied to the store during a tick.
+// State of a VM's link to the store during a tick.
 const (
 	linkWhole     = iota
-	linkNoReplies // what it writes arrives a tick later, what it is answered does not
+	linkNoReplies // its writes arrive a tick later, the replies to them are lost
 	linkCut       // nothing arrives
-	linkFrozen    // the VM itself does nothing
+	linkFrozen    // the VM itself does not run
 	links
 )
 
 type (
-	// exploreLimits bound a world.
+	// exploreLimits limits the events of a world.
 	exploreLimits struct {
-		calm, ticks             int // steps in which nothing happens, and those after
+		calm, ticks             int // ticks without events, and ticks with events after them
 		restores, others        int
-		changes                 int // of the ways to the store, each VM's
+		changes                 int // of the link to the store, for each VM
 		vms, restarts, releases int
 	}
 
-	// exploreOmissions are parts of the design that are left out, to show that the walk
-	// finds what they prevent.
+	// exploreOmissions are safeguards that are left out, to show that the search
+	// finds the violations that they prevent.
 	exploreOmissions struct {
-		noRestoreNotice bool // a return of the store is not told
-		noEra           bool // positions are offsets alone
-		acceptOldEra    bool // a write that was sent in an earlier era counts
-		noInitialWait   bool // where no lease is seen at first, there is none
+		noRestoreNotice bool // VMs don't detect a restore of the store
+		noEra           bool // positions are plain offsets
+		acceptOldEra    bool // a write that was sent in an earlier era is accepted
+		noInitialWait   bool // a VM that has read no lease assumes that there is none
 	}
 
 	exploreRecord struct {
@@ -60,16 +60,16 @@
 		enc string
 	}
 
-	// exploreVM is one VM. Its holder is never changed, only replaced.
+	// exploreVM is one VM. Its holder is immutable and is replaced by each step.
 	exploreVM struct {
 		view     leaseView
 		ho       *register.Holder
-		next     uint64 // position that it reads from; zero: it has listed nothing
+		next     uint64 // position to read from; zero: it has listed nothing yet
 		listed   bool
 		releases bool // it does not want the lease any more
 		link     int
 		changes  int
-		inFlight *exploreAppend // on its way to the store
+		inFlight *exploreAppend // write on its way to the store
 	}
 
 	exploreAppend struct {
@@ -78,7 +78,7 @@
 		at   uint64
 	}
 
-	// exploreWorld is never changed; a step makes a new one.
+	// exploreWorld is immutable; each step makes a new one.
 	exploreWorld struct {
 		now      clock.Millis
 		era      uint64
@@ -88,11 +88,11 @@
 		others   int
 		starts   int
 		releases int
-		token    uint64 // highest that was used
+		token    uint64 // highest one that was used
 		history  *exploreHistory
 	}
 
-	// exploreHistory is how a world came about, newest first.
+	// exploreHistory is the steps that led to a world, newest first.
 	exploreHistory struct {
 		step    string
 		earlier *exploreHistory
@@ -105,15 +105,16 @@
 		stack     []exploreWorld
 		buf       []byte
 		violation string
-		coverage  map[string]int // what the walk came by
+		coverage  map[string]int // how often each rare case occurred
 	}
 
-	// minSource makes every span of chance the shortest one, which is the one that
+	// minSource makes every random duration the shortest one, which is the one that
 	// may be too short.
 	minSource struct{}
 )
 
-// Uint64 is a number that makes the least of any span of milliseconds, at the first draw.
+// Uint64 returns a number that yields the minimum of any range of milliseconds, at the
+// first draw.
 func (minSource) Uint64() uint64 { return 1 << 32 }
 
 func exploreLeases(lim exploreLimits, broken exploreOmissions) *leaseExplorer {
@@ -134,14 +135,14 @@
 	return le
 }
 
-// newVM is a VM that just started.
+// newVM returns a VM that has just started.
 func (le *leaseExplorer) newVM(name string) exploreVM {
 	ho := &register.Holder{Resource: LeaseKey, Self: name, Rand: rand.New(minSource{}), Duration: exploreLease, Lapses: true, Lossy: !le.omit.noInitialWait}
 	return exploreVM{ho: ho, view: leaseView{duration: exploreLease}}
 }
 
-// step makes each world that may follow within a tick: what happens to the store, then
-// each VM in turn, with each state of its way to the store.
+// step makes each world that may follow within a tick: first the events of the store, then
+// each VM in turn, with each state of its link to the store.
 func (le *leaseExplorer) step(wo exploreWorld) {
 	wo.now += exploreTick
 	for _, next := range le.storeSteps(wo) {
@@ -163,21 +164,21 @@
 	return wo.now <= clock.Millis(le.lim.calm)*exploreTick
 }
 
-// storeSteps is what may happen to the store: nothing, another's record, a return from a
-// copy of any age.
+// storeSteps returns the worlds after each possible event of the store: none, a record of
+// another key, a restore from a copy of any age.
 func (le *leaseExplorer) storeSteps(wo exploreWorld) []exploreWorld {
 	out := []exploreWorld{wo}
 	if le.calm(wo) {
 		return out
 	}
 	if wo.others < le.lim.others {
-		next := wo.withStep("another record is written")
+		next := wo.withStep("a record of another key is written")
 		next.others++
 		out = append(out, next.withRecord(exploreRecord{rec: topic.Record{Key: vmKeyPrefix + "x", Value: []byte("{}")}, enc: "o"}))
 	}
 	if wo.restores < le.lim.restores {
 		for kept := range wo.log {
-			next := wo.withStep(fmt.Sprintf("the store comes back with %d of %d records", kept, len(wo.log)))
+			next := wo.withStep(fmt.Sprintf("the store is restored with %d of %d records", kept, len(wo.log)))
 			next.restores++
 			next.era++
 			next.log = wo.log[:kept:kept]
@@ -187,7 +188,7 @@
 	return out
 }
 
-// vmSteps is what may happen to one VM within a tick.
+// vmSteps returns the worlds after each possible event of one VM within a tick.
 func (le *leaseExplorer) vmSteps(wo exploreWorld, ix int) []exploreWorld {
 	if le.calm(wo) {
 		return []exploreWorld{le.runVM(wo, ix)}
@@ -201,13 +202,13 @@
 		next := wo
 		if link != vm.link {
 			vm.changes++
-			next = next.withStep(fmt.Sprintf("vm%d: its way to the store is now %s", ix, [links]string{"whole", "mute", "cut", "frozen"}[link]))
+			next = next.withStep(fmt.Sprintf("vm%d: its link to the store is now %s", ix, [links]string{"whole", "without replies", "cut", "frozen"}[link]))
 		}
 		vm.link = link
 		out = append(out, le.runVM(next.withVM(ix, vm), ix))
 	}
 	if wo.starts < le.lim.restarts {
-		next := wo.withStep(fmt.Sprintf("vm%d starts again", ix))
+		next := wo.withStep(fmt.Sprintf("vm%d restarts", ix))
 		next.starts++
 		out = append(out, le.runVM(next.withVM(ix, le.newVM(fmt.Sprint("vm", ix, "-", next.starts))), ix))
 	}
@@ -221,7 +222,7 @@
 	return out
 }
 
-// runVM lands what was on its way, has the VM read, and hands its holder the time.
+// runVM applies the VM's write in flight, lets it read, and passes the time to its holder.
 func (le *leaseExplorer) runVM(wo exploreWorld, ix int) exploreWorld {
 	wo = le.applyInFlight(wo, ix)
 	vm := wo.vms[ix]
@@ -249,7 +250,7 @@
 	return wo
 }
 
-// send writes what a holder appends, as the register of leases does.
+// send writes what a holder appends, as the lease register does.
 func (le *leaseExplorer) send(vm exploreVM, in register.LeaseAppend) exploreVM {
 	rec, err := register.Parse(0, in.Data)
 	if err != nil {
@@ -259,13 +260,13 @@
 	pub := rec.(register.Publish)
 	data, at, err := vm.view.Swap(pub.Base, pub.ID, pub.Value)
 	if err != nil {
-		return vm // the lease has moved on; the holder finds out by reading
+		return vm // the lease has changed; the holder detects that when it reads
 	}
 	vm.inFlight = &exploreAppend{id: pub.ID, data: data, at: at}
 	return vm
 }
 
-// applyInFlight has the store take what a VM wrote a tick before, if it fits.
+// applyInFlight applies the write that a VM sent in the last tick, if its offset matches.
 func (le *leaseExplorer) applyInFlight(wo exploreWorld, ix int) exploreWorld {
 	vm := wo.vms[ix]
 	fl := vm.inFlight
@@ -275,8 +276,8 @@
 	}
 	late := !le.omit.noEra && topic.EraOf(fl.at) != wo.era
 	if late {
-		le.coverage["a write of an earlier era fits"]++
-		wo = wo.withStep(fmt.Sprintf("vm%d: its write of an earlier era happens to fit", ix))
+		le.coverage["offset of an earlier era's write matches"]++
+		wo = wo.withStep(fmt.Sprintf("vm%d: the offset of its write of an earlier era happens to match", ix))
 	}
 	data := fl.data
 	if le.omit.acceptOldEra {
@@ -293,19 +294,19 @@
 	return wo.withVM(ix, vm)
 }
 
-// withEra is a record of the lease as if it had been written in an era.
+// withEra returns a lease record as if it had been written in an era.
 func withEra(data []byte, era uint64) []byte {
 	var en leaseEntry
 	if json.Unmarshal(data, &en) != nil {
 		return nil
 	}
 	en.Era = era
-	// What was read from JSON marshals.
+	// Data that was decoded from JSON can be encoded again.
 	data, _ = json.Marshal(en)
 	return data
 }
 
-// read has a VM read the store as topic.Follower does.
+// read lets a VM read the store as topic.Follower does.
 func (le *leaseExplorer) read(wo exploreWorld, vm exploreVM) exploreVM {
 	recs, end := le.records(wo), le.position(wo, len(wo.log))
 	if vm.listed && topic.EraOf(vm.next) == topic.EraOf(end) && vm.next <= end {
@@ -317,14 +318,14 @@
 	}
 	if vm.listed && !le.omit.noRestoreNotice {
 		vm.view = vm.view.WithRestore()
-		le.coverage["a VM sees a return"]++
+		le.coverage["a VM detects a restore"]++
 	}
 	vm.view, _ = vm.view.WithSnapshot(newest(recs))
 	vm.listed, vm.next, vm.view = true, end, vm.view.WithEnd(end)
 	return vm
 }
 
-// newest is the newest record of each key.
+// newest returns the newest record of each key.
 func newest(recs []topic.Record) (out []topic.Record) {
 	for ix, rec := range recs {
 		if !containsKey(recs[ix+1:], rec.Key) {
@@ -334,12 +335,12 @@
 	return out
 }
 
-// checkInvariants holds a world against what must never be.
+// checkInvariants records a violation of the invariants in a world.
 func (le *leaseExplorer) checkInvariants(wo exploreWorld) exploreWorld {
 	var holders []int
 	for ix, vm := range wo.vms {
 		if vm.link == linkFrozen {
-			continue // it looks at the time before it orders, when it goes on
+			continue // it checks the time before it orders once it resumes
 		}
 		token, may := vm.ho.MayOrder(wo.now)
 		if !may {
@@ -355,7 +356,7 @@
 		le.fail(wo, fmt.Sprintf("%d VMs may order", len(holders)))
 	}
 	if len(holders) > 0 && wo.restores > 0 {
-		le.coverage["orders after a return"]++
+		le.coverage["orders after a restore"]++
 	}
 	return wo
 }
@@ -370,7 +371,7 @@
 	}
 }
 
-// String tells a story from its begin.
+// String lists the steps, oldest first.
 func (es *exploreHistory) String() string {
 	var lines []string
 	for ; es != nil; es = es.earlier {
@@ -384,7 +385,7 @@
 	return wo
 }
 
-// position is that of an offset in the store.
+// position returns the position of an offset in the store.
 func (le *leaseExplorer) position(wo exploreWorld, offset int) uint64 {
 	if le.omit.noEra {
 		return uint64(offset)
@@ -392,7 +393,7 @@
 	return topic.Position(wo.era, uint64(offset))
 }
 
-// records are the store's records at their positions.
+// records returns the store's records with their positions.
 func (le *leaseExplorer) records(wo exploreWorld) []topic.Record {
 	out := make([]topic.Record, len(wo.log))
 	for ix, er := range wo.log {
@@ -446,8 +447,8 @@
 	return encodeHolder(buf, reflect.ValueOf(vm.ho).Elem())
 }
 
-// encodeHolder writes what a holder knows, which nothing outside its package may read
-// otherwise.
+// encodeHolder encodes the state of a holder by reflection, since its fields are not
+// accessible outside its package.
 func encodeHolder(buf []byte, val reflect.Value) []byte {
 	for ix := range val.NumField() {
 		switch fld := val.Field(ix); fld.Kind() {
@@ -478,15 +479,15 @@
 }
 
 var leaseWorlds = map[string]exploreLimits{
-	"from the start":   {vms: 2, ticks: 10, restores: 1, others: 1, changes: 1},
-	"one return":       {vms: 2, calm: 6, ticks: 8, restores: 1, changes: 2},
-	"offsets that fit": {vms: 2, calm: 6, ticks: 5, restores: 1, others: 1, changes: 2},
-	"two returns":      {vms: 2, calm: 6, ticks: 7, restores: 2, changes: 1},
-	"a VM starts":      {vms: 2, calm: 6, ticks: 6, restores: 1, changes: 1, restarts: 1},
+	"from the start":     {vms: 2, ticks: 10, restores: 1, others: 1, changes: 1},
+	"one restore":        {vms: 2, calm: 6, ticks: 8, restores: 1, changes: 2},
+	"offsets that match": {vms: 2, calm: 6, ticks: 5, restores: 1, others: 1, changes: 2},
+	"two restores":       {vms: 2, calm: 6, ticks: 7, restores: 2, changes: 1},
+	"a VM restarts":      {vms: 2, calm: 6, ticks: 6, restores: 1, changes: 1, restarts: 1},
 }
 
-// No course of a small world lets two VMs order, or a token go back, while the store
-// comes back from copies of any age.
+// In no execution of a small world do two VMs give orders or does a token decrease, even
+// if the store is restored from copies of any age.
 func TestLeaseSurvivesStoreRestores(t *testing.T) {
 	t.Parallel()
 	for name, lim := range leaseWorlds {
@@ -495,32 +496,32 @@
 			le := exploreLeases(lim, exploreOmissions{})
 			t.Logf("%d states, %v", len(le.seen), le.coverage)
 			assert.Equal(t, le.violation, "")
-			// The walk must have met what it is meant for.
-			for _, what := range []string{"a write of an earlier era fits", "a VM sees a return", "orders after a return"} {
+			// The search must have covered the cases that it is meant for.
+			for _, what := range []string{"offset of an earlier era's write matches", "a VM detects a restore", "orders after a restore"} {
 				assert.Assert(t, le.coverage[what] > 100, "%s: %d", what, le.coverage[what])
 			}
 		})
 	}
 }
 
-// Each part of the design is needed: without it the walk finds two VMs that order, or a
-// token that goes back.
+// Each safeguard is needed: without it the search finds two VMs that give orders, or a
+// token that decreases.
 func TestLeaseNeedsEachSafeguard(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name, world string
 		broken      exploreOmissions
 	}{
-		{"a return is told", "one return", exploreOmissions{noRestoreNotice: true}},
-		{"positions have an era", "one return", exploreOmissions{noEra: true}},
-		{"a write tells its era", "one return", exploreOmissions{acceptOldEra: true}},
-		{"a lease that is not seen is waited out", "a VM starts", exploreOmissions{noInitialWait: true}},
+		{"restores are detected", "one restore", exploreOmissions{noRestoreNotice: true}},
+		{"positions have an era", "one restore", exploreOmissions{noEra: true}},
+		{"writes carry their era", "one restore", exploreOmissions{acceptOldEra: true}},
+		{"an unseen lease is waited out", "a VM restarts", exploreOmissions{noInitialWait: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			le := exploreLeases(leaseWorlds[tc.world], tc.broken)
-			assert.Assert(t, le.violation != "", "not caught in %d states", len(le.seen))
-			t.Logf("caught after %d states: %s", len(le.seen), le.violation)
+			assert.Assert(t, le.violation != "", "not detected in %d states", len(le.seen))
+			t.Logf("detected after %d states: %s", len(le.seen), le.violation)
 		})
 	}
 }
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -13,8 +13,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// storeAfterRemoval is a store whose topic ends with the removal of an entry, which a listing
-// does not name.
+// storeAfterRemoval is a store whose topic ends with the removal of an entry, which a
+// listing does not contain.
 type storeAfterRemoval struct{ end uint64 }
 
 func (st storeAfterRemoval) Newest(context.Context, string) ([]topic.Record, uint64, error) {
@@ -33,9 +33,9 @@
 	return st.end, nil
 }
 
-// A VM that lists the topic after an entry was removed from its end takes the lease like
-// any other. It went by the last record that it saw, which is not where the topic ends
-// then, and was turned away until some VM wrote something else.
+// A VM that lists the topic after its last entry was removed takes the lease like any
+// other VM. The topic then ends beyond the last record of the listing: a VM that appends
+// after that record is rejected until some VM writes another record.
 func TestLeaseAfterRemovedEntry(t *testing.T) {
 	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, Store: storeAfterRemoval{end: 9}, LeaseDuration: 4 * clock.Second}
 	mb.Prepare()
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -12,10 +12,10 @@
 	board.Left:    event.VMLeft,
 }
 
-// LogChanges writes what changed between two views of the fleet. A VM that is
-// only listed and was never heard of is no news.
+// LogChanges logs the differences between two views of the fleet. A VM that is only
+// listed and from which no message was ever received is not logged.
 func LogChanges(lg event.Logger, old, now *board.Fleet) {
-	// Both views are sorted by ID, so that one walk finds all (BenchmarkView).
+	// Both views are sorted by ID, so one pass over each suffices (BenchmarkView).
 	walk := vmWalk{vms: old.VMs}
 	for _, after := range now.VMs {
 		before, known := walk.find(after.ID)
@@ -41,8 +41,8 @@
 	}
 }
 
-// vmWalk finds VMs in a list that is sorted by ID, when they are asked for in
-// that order too.
+// vmWalk finds VMs in a list that is sorted by ID. The IDs must be looked up in
+// ascending order.
 type vmWalk struct{ vms []board.VM }
 
 func (vw *vmWalk) find(id string) (board.VM, bool) {
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -26,27 +26,27 @@
 	// LeaseKey is the key of the lease on orders to engines.
 	LeaseKey = "lease/roles"
 
-	secretKey   = "secret" // that the VMs prove themselves to each other with
+	secretKey   = "secret" // shared by the VMs to authenticate each other
 	vmKeyPrefix = "vm/"
 )
 
 const (
 	// secretBytes is the length of the secret.
 	secretBytes = 32
-	// topicReadWait is how long a read of the fleet's topic waits for a
-	// change: it changes when VMs start and leases are taken.
+	// topicReadWait is how long a read of the fleet's topic waits for a change: the
+	// topic changes only when VMs start and leases are taken.
 	topicReadWait = 8 * clock.Second
-	// topicReadPause lets the VMs that start together be read at once.
+	// topicReadPause lets one read return the entries of VMs that start together.
 	topicReadPause = clock.Second
 	// topicStandbyAfter is longer than a read and its pause, and
 	// topicSelfReadAfter than that and the read of the second in line.
 	topicStandbyAfter  = 10 * clock.Second
 	topicSelfReadAfter = 12 * clock.Second
-	// maxProposalDelay is the span over which VMs that start together spread
-	// their proposals of a secret. The first is known to all after one write
-	// and one read, 10 ms: of 300 VMs eight write, in place of all.
+	// maxProposalDelay is the time over which VMs that start together spread their
+	// proposals of a secret. The first proposal reaches all VMs after one write and
+	// one read, about 10 ms, so 8 of 300 VMs write instead of all.
 	maxProposalDelay = 400 * clock.Millis(1)
-	// writeRetryPause is the pause before a write is tried again.
+	// writeRetryPause is the pause before a failed write is tried again.
 	writeRetryPause = 500 * clock.Millis(1)
 )
 
@@ -60,45 +60,45 @@
 		Append(ctx context.Context, name, key string, value []byte, at *uint64) (uint64, error)
 	}
 
-	// Member joins this VM to the others: a topic of the store tells who
-	// there is, and membership who lives. Set the exported fields before
+	// Member makes this VM a member of the fleet: a topic of the store lists the VMs,
+	// and membership detects which of them are alive. Set the exported fields before
 	// Prepare.
 	Member struct {
 		Self          board.VM // without its incarnation
-		TopicName     string   // of the topic
+		TopicName     string   // the fleet's own topic
 		Store         Store
 		Log           event.Logger
 		Clock         clock.Source
-		LeaseDuration clock.Millis // that the lease on orders lasts
+		LeaseDuration clock.Millis // of the lease on orders
 
-		Ready              func() bool // tells whether this VM takes requests
+		Ready              func() bool // reports whether this VM accepts requests
 		OnUsage            func(vm string, rp usage.Report)
 		OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply // chooses engines for a request of another VM
-		OnQuotaRequest     func(vm string, life uint64, ask quota.Request) quota.Response   // answers as the keeper of the customers' quotas
-		OnCrash            func(en suspect.Crash)                                           // hears at which server's end a request was there
-		OnSchedulersChange func()                                                           // hears that other VMs are the schedulers now
-		OnTopicUpdate      func(nw topic.Update)                                            // hears what others read of any topic
-		OnFleetSize        func(vms int)                                                    // hears how many VMs there are
-		OnRewrite          func(kind string)                                                // hears what this VM wrote again: Secret or Entry; may be nil
-
-		// Topic follows the topic; it is there from Prepare on.
+		OnQuotaRequest     func(vm string, life uint64, ask quota.Request) quota.Response   // answers as a keeper of the customers' quotas
+		OnCrash            func(en suspect.Crash)                                           // receives reports of a server that ended while it had a request
+		OnSchedulersChange func()                                                           // is called when other VMs have become the schedulers
+		OnTopicUpdate      func(nw topic.Update)                                            // receives what other VMs read of any topic
+		OnFleetSize        func(vms int)                                                    // receives the number of serving VMs
+		OnRewrite          func(kind string)                                                // receives what this VM wrote again: Secret or Entry; may be nil
+
+		// Topic follows the fleet's topic; Prepare sets it.
 		Topic *topic.Follower
 
 		mu            sync.Mutex
 		fleet         *Fleet // nil until the secret is known
-		stopFleet     func() // ends the fleet
+		stopFleet     func() // stops the fleet and waits until its address is free
 		joinedEra     uint64 // era of the store in which the fleet was joined
-		secret        []byte // in the topic
+		secret        []byte // as the topic has it
 		listed        map[string]vmEntry
 		entryRemoved  bool                    // this VM's entry was removed
-		deadSince     map[string]clock.Millis // VMs with an entry, to since when they are dead or away
+		deadSince     map[string]clock.Millis // by listed VM: since when it is dead or has left
 		lease         leaseView               // on orders to engines
 		readSignal    chan struct{}
-		rankedView    *board.Fleet // the view that rank was worked out for
+		rankedView    *board.Fleet // view for which rank was computed
 		rank          int
-		countedView   *board.Fleet // the view that size was worked out for
+		countedView   *board.Fleet // view for which vmCount was computed
 		vmCount       int
-		schedulersKey string // names of the VMs that are
+		schedulersKey string // names of the VMs that are schedulers
 	}
 
 	// vmEntry is a VM's entry in the topic.
@@ -111,7 +111,7 @@
 	}
 )
 
-// Prepare makes the topic's follower.
+// Prepare creates the follower of the fleet's topic.
 func (mb *Member) Prepare() {
 	mb.lease.duration = mb.LeaseDuration
 	mb.listed, mb.readSignal = make(map[string]vmEntry), make(chan struct{}, 1)
@@ -120,7 +120,7 @@
 		OnSnapshot: mb.applySnapshot, OnChange: mb.applyRecord, OnCaughtUp: mb.signalRead, OnStoreRestored: mb.storeRestored}
 }
 
-// lacksSecret tells that this VM can't join the others yet.
+// lacksSecret reports that this VM can't join the fleet yet.
 func (mb *Member) lacksSecret() bool {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -141,7 +141,7 @@
 	mb.Log.Log(event.EntryUnreadable, event.F("Key", key), event.F("Error", err.Error()))
 }
 
-// applyEntry takes one record that does not speak of the lease. The lock is held.
+// applyEntry applies one record to all state but the lease. The lock is held.
 func (mb *Member) applyEntry(rec topic.Record) {
 	switch name, isVM := strings.CutPrefix(rec.Key, vmKeyPrefix); {
 	case rec.Key == secretKey:
@@ -161,7 +161,7 @@
 	}
 }
 
-// signalRead tells the fleet who is listed now.
+// signalRead makes Run pass the listed VMs to the fleet.
 func (mb *Member) signalRead() {
 	select {
 	case mb.readSignal <- struct{}{}:
@@ -185,15 +185,15 @@
 	}
 }
 
-// fleetAndSecret is the fleet, or the secret that it is to be joined with.
+// fleetAndSecret returns the fleet, if it was joined, and the secret as the topic has it.
 func (mb *Member) fleetAndSecret() (*Fleet, []byte) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	return mb.fleet, mb.secret
 }
 
-// join starts membership once the secret is known, and proposes a secret if
-// there is none.
+// join starts membership once the secret is known, and proposes a secret if there is
+// none.
 func (mb *Member) join(ctx context.Context) *Fleet {
 	fl, secret := mb.fleetAndSecret()
 	switch {
@@ -207,7 +207,7 @@
 		mb.proposeSecret(ctx, fl.Secret)
 		return fl
 	default:
-		mb.leaveFleet(fl) // another fleet was there before
+		mb.leaveFleet(fl) // another fleet existed before this one
 	}
 	fl = &Fleet{Self: mb.nextSelf(), Secret: secret, Log: mb.Log, OnUsage: mb.OnUsage, OnPlacementRequest: mb.OnPlacementRequest, OnTopicUpdate: mb.OnTopicUpdate, OnCrash: mb.OnCrash, OnQuotaRequest: mb.OnQuotaRequest, OnViewChange: mb.handleViewChange,
 		Settings: membership.Settings{ProbeInterval: probeInterval, ProbeTimeout: probeInterval, ProbeDeadline: probeDeadline},
@@ -219,7 +219,7 @@
 	mb.fleet, mb.joinedEra = fl, topic.EraOf(mb.lease.end)
 	mb.stopFleet = func() {
 		stop()
-		<-ended // its address is free then
+		<-ended // the address is free after that
 	}
 	mb.mu.Unlock()
 	go func() {
@@ -233,24 +233,24 @@
 }
 
 const (
-	// probeInterval is how often one VM is probed: of six, each is probed about
-	// every 300 ms by some other.
+	// probeInterval is how often a VM probes another one: in a fleet of six, each is
+	// probed about every 300 ms by some other.
 	probeInterval = 300 * clock.Millis(1)
-	// probeDeadline without an acknowledgement makes a VM suspect, and takes
-	// it out of the addresses for callers.
+	// probeDeadline is the time without an acknowledgement after which a VM becomes
+	// suspect and is no longer listed in the addresses for callers.
 	probeDeadline = 700 * clock.Millis(1)
 )
 
 func newSecret() []byte {
 	secret := make([]byte, secretBytes)
-	_, _ = rand.Read(secret) // never fails, as its documentation says
+	_, _ = rand.Read(secret) // never returns an error, as its documentation says
 	return secret
 }
 
-// proposeSecret writes a secret, a new one or that of this VM's fleet, if the topic still ends
-// where it was read. The VM whose write comes first wins, and each waits for a span of
-// chance in which the topic may bring another's. A write that fails is tried again at the
-// next reading; that the store is away is told by the topic's follower.
+// proposeSecret writes a secret, a new one or that of this VM's fleet, if the topic still
+// ends where it was read. The first write wins; each VM first waits for a random time, in
+// which another VM's secret may arrive. A failed write is tried again at the next read. The
+// topic's follower logs that the store is unreachable.
 func (mb *Member) proposeSecret(ctx context.Context, secret []byte) {
 	wait := clock.Millis(mathrand.Int64N(int64(maxProposalDelay)))
 	if !clock.Sleep(ctx, wait) || !mb.secretNeedsWrite(secret) {
@@ -266,17 +266,17 @@
 	}
 }
 
-// nextSelf is this VM, with an incarnation above any earlier one.
+// nextSelf returns this VM with an incarnation above any earlier one.
 func (mb *Member) nextSelf() board.VM {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
-	// The time of day may jump back between two starts.
+	// The wall clock may jump back between two starts.
 	vm := mb.Self
 	vm.Incarnation = max(uint64(time.Now().UnixMilli()), mb.listed[vm.ID].Incarnation+1)
 	return vm
 }
 
-// listedVMs are the listed VMs.
+// listedVMs returns the VMs that the topic lists.
 func (mb *Member) listedVMs() []board.VM {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -288,7 +288,7 @@
 	return out
 }
 
-// View is the fleet as this VM sees it; without a fleet, itself alone.
+// View returns the fleet as this VM sees it; an empty one before it has joined.
 func (mb *Member) View() *board.Fleet {
 	if fl := mb.currentFleet(); fl != nil {
 		return fl.View()
@@ -296,7 +296,7 @@
 	return &board.Fleet{}
 }
 
-// currentFleet is the fleet; nil before the secret is known.
+// currentFleet returns the fleet; nil before the secret is known.
 func (mb *Member) currentFleet() *Fleet {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -310,21 +310,21 @@
 	}
 }
 
-// BroadcastUpdate passes on to the others what was read of a topic.
+// BroadcastUpdate forwards to the other VMs what was read of a topic.
 func (mb *Member) BroadcastUpdate(nw topic.Update) {
 	if fl := mb.currentFleet(); fl != nil {
 		fl.BroadcastUpdate(nw)
 	}
 }
 
-// BroadcastCrash tells the others at which server's end a request was there.
+// BroadcastCrash reports to the other VMs a server that ended while it had a request.
 func (mb *Member) BroadcastCrash(en suspect.Crash) {
 	if fl := mb.currentFleet(); fl != nil {
 		fl.BroadcastCrash(en)
 	}
 }
 
-// Secret is what the VMs of the fleet share; empty before it is known.
+// Secret returns the secret that the VMs of the fleet share; empty before it is known.
 func (mb *Member) Secret() []byte {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -334,15 +334,15 @@
 	return mb.secret
 }
 
-// ReportUsage tells the others what this VM has at the engines.
+// ReportUsage reports to the other VMs this VM's runs and requests at the engines.
 func (mb *Member) ReportUsage(rp usage.Report) {
 	if fl := mb.currentFleet(); fl != nil {
 		fl.ReportUsage(rp)
 	}
 }
 
-// handleViewChange takes a new view of the fleet. VMs that become schedulers are told at
-// once what this one has at the engines.
+// handleViewChange processes a new view of the fleet. VMs that become schedulers get this
+// VM's usage report at once.
 func (mb *Member) handleViewChange(view *board.Fleet) {
 	mb.OnFleetSize(len(view.Serving()))
 	key := ""
@@ -359,13 +359,13 @@
 	}
 }
 
-// Others are the VMs that live besides this one, as it sees them. Whole is
-// false while it sees less than half of the fleet live: then those that it
-// takes for dead may be, and it may be the one that is cut off.
+// Others returns the IDs of the other VMs that this one sees alive. Whole is false
+// while it sees less than half of the fleet alive: then the VMs that it considers dead
+// may be alive, and this VM may be the one that is partitioned.
 func (mb *Member) Others() (ids []string, whole bool) {
 	view := mb.View()
 	if len(view.VMs) == 0 {
-		return nil, false // it has not joined them yet
+		return nil, false // this VM has not joined the fleet yet
 	}
 	all := 0
 	for _, vm := range view.VMs {
--- a/internal/fleet/neighbours_test.go
+++ b/internal/fleet/neighbours_test.go
@@ -11,8 +11,8 @@
 	"alderdyke/internal/topic"
 )
 
-// A VM that sees less than half of the others live may be the one that is cut
-// off, and does not know what the others have.
+// A VM that sees less than half of the others alive may be the one that is partitioned,
+// and then doesn't have the others' state.
 func TestOthersDuringPartition(t *testing.T) {
 	vm := func(id string, health board.Health) board.VM {
 		return board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health}
@@ -23,9 +23,9 @@
 		ids   int
 		whole bool
 	}{
-		{"all live", []board.VM{vm("me", board.Alive), vm("b", board.Alive), vm("c", board.Alive)}, 2, true},
+		{"all alive", []board.VM{vm("me", board.Alive), vm("b", board.Alive), vm("c", board.Alive)}, 2, true},
 		{"some died", []board.VM{vm("me", board.Alive), vm("b", board.Alive), vm("c", board.Dead), vm("d", board.Suspect)}, 1, true},
-		{"cut off", []board.VM{vm("me", board.Alive), vm("b", board.Suspect), vm("c", board.Dead), vm("d", board.Dead)}, 0, false},
+		{"partitioned", []board.VM{vm("me", board.Alive), vm("b", board.Suspect), vm("c", board.Dead), vm("d", board.Dead)}, 0, false},
 		{"the others have left", []board.VM{vm("me", board.Alive), vm("b", board.Left), vm("c", board.Left)}, 0, true},
 		{"not joined", nil, 0, false},
 	} {
@@ -40,8 +40,8 @@
 	}
 }
 
-// The entry of a VM goes once it has been dead, or away, for long without a
-// break; one that comes back starts anew.
+// The entry of a VM expires once it has been dead, or has left, for long enough without
+// interruption; for a VM that returns, the time starts again.
 func TestExpiredEntries(t *testing.T) {
 	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, fleet: &Fleet{},
 		listed: map[string]vmEntry{"me": {}, "dead": {}, "left": {}, "back": {}, "suspect": {}}}
@@ -64,7 +64,7 @@
 	assert.DeepEqual(t, mb.expiredEntries(3000+entryRetention), []string{"back", "dead", "left"})
 }
 
-// A VM whose own entry was removed learns of it once.
+// A VM whose own entry was removed is notified of it once.
 func TestOwnEntryIsRemoved(t *testing.T) {
 	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, listed: make(map[string]vmEntry)}
 	mb.applyRecord(topic.Record{Key: "vm/me", Value: []byte(`{"Incarnation":4}`), Offset: 1})
@@ -76,7 +76,7 @@
 	assert.Assert(t, !mb.takeEntryRemoved())
 }
 
-// A VM that leaves, or that knows no other, is behind all that read for others.
+// A VM that leaves, or that knows no other VM, ranks behind all readers.
 func TestRank(t *testing.T) {
 	vm := func(id string, health board.Health, leaving bool) board.VM {
 		return board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health, Leaving: leaving}
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -22,33 +22,33 @@
 )
 
 const (
-	// netVMs is a fleet that is large enough for schedulers.
+	// netVMs is the size of a fleet that is large enough for schedulers.
 	netVMs = maxDirectVMs + 3
-	// netDomains is its failure domains.
+	// netDomains is the number of its failure domains.
 	netDomains = 4
-	// inboxDatagrams bounds what waits for a VM that is frozen.
+	// inboxDatagrams limits the datagrams that are queued for a frozen VM.
 	inboxDatagrams = 4096
 )
 
 type (
-	// simNet carries the datagrams of a simulated fleet in virtual time. Its
-	// delays and losses follow from the seed and each datagram's sender and number,
-	// not from the order in which goroutines run.
+	// simNet carries the datagrams of a simulated fleet in virtual time. Delays and
+	// losses are derived from the seed and each datagram's sender and number, so they
+	// don't depend on the order in which goroutines run.
 	simNet struct {
 		seed  uint64
 		clock bubbleClock
 
 		mu          sync.Mutex
-		vms         map[string]*simVM        // the newest life of each name
-		lives       map[string]uint64        // incarnation of the newest life
+		vms         map[string]*simVM        // newest incarnation of each name
+		lives       map[string]uint64        // newest incarnation of each name
 		blocked     map[[2]string]bool       // datagrams from the first to the second are lost
 		extraDelay  map[string]time.Duration // added to each datagram from and to a VM
-		loss        float64                  // part of the datagrams that is lost, while others overtake each other
+		loss        float64                  // fraction of datagrams lost; the others may be reordered
 		lastArrival map[[2]string]time.Time  // when the last datagram from the first to the second arrives
 	}
 
-	// simVM is one life of a VM: the project's own membership, wire forms, choice
-	// of schedulers and of readers, before the simulated network.
+	// simVM is one incarnation of a VM: the real membership, message encoding and
+	// selection of schedulers and readers, on the simulated network.
 	simVM struct {
 		net  *simNet
 		self board.VM
@@ -58,15 +58,15 @@
 		mb   *Member
 
 		inbox       chan []byte
-		alwaysFirst bool // it believes that it is the first scheduler
+		alwaysFirst bool // it always considers itself the first scheduler
 
 		mu        sync.Mutex
 		sequence  uint64        // of the last datagram
-		resumed   chan struct{} // closed when a frozen VM goes on; nil: it is not frozen
-		resumedAt clock.Millis  // when it last went on
+		resumed   chan struct{} // closed when a frozen VM resumes; nil: it is not frozen
+		resumedAt clock.Millis  // when it last resumed
 	}
 
-	// simHandlers is what a VM does with others' words; a nil field drops them.
+	// simHandlers handles other VMs' messages; a nil field drops them.
 	simHandlers struct {
 		usage func(vm string, rp usage.Report)
 		place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
@@ -74,20 +74,20 @@
 		news  func(nw topic.Update)
 	}
 
-	// violations are what was not as it must be, by kind. The zero value has none.
+	// violations counts violated requirements, by kind. The zero value is empty.
 	violations struct {
 		kinds []string
 		count map[string]int
 		first map[string]clock.Millis
 	}
 
-	// bubbleClock counts from the start of a synctest bubble.
+	// bubbleClock measures the time since the start of a synctest bubble.
 	bubbleClock struct{ start time.Time }
 )
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
 
-// recordIf notes a violation if there is one.
+// recordIf records a violation if is is true.
 func (vi *violations) recordIf(is bool, at clock.Millis, kind string) {
 	if !is {
 		return
@@ -102,7 +102,7 @@
 	vi.count[kind]++
 }
 
-// list tells each kind with how often it was, and when first.
+// list lists each kind with the number of occurrences and the time of the first one.
 func (vi *violations) list() (out []string) {
 	for _, kind := range vi.kinds {
 		out = append(out, fmt.Sprintf("%s: %d times, first at %v", kind, vi.count[kind], vi.first[kind]))
@@ -116,17 +116,17 @@
 		lastArrival: make(map[[2]string]time.Time)}
 }
 
-// chance is a number in [0,1) that follows from the seed and the key.
+// chance returns a number in [0,1) that is derived from the seed and the key.
 func (sn *simNet) chance(key string, number uint64) float64 {
 	raw := binary.LittleEndian.AppendUint64([]byte(key), sn.seed)
 	raw = binary.LittleEndian.AppendUint64(raw, number)
 	return float64(xxhash.Sum64(raw)>>11) / (1 << 53)
 }
 
-// vmName is the name of a VM of the fleet.
+// vmName returns the name of a VM of the fleet.
 func vmName(ix int) string { return fmt.Sprintf("vm-%02d", ix) }
 
-// listedVMs is the VMs as the store lists them.
+// listedVMs returns the VMs as the store lists them.
 func listedVMs() []board.VM {
 	out := make([]board.VM, 0, netVMs)
 	for ix := range netVMs {
@@ -136,7 +136,7 @@
 	return out
 }
 
-// newVM makes a further life of a VM, which is not started yet.
+// newVM makes a further incarnation of a VM and doesn't start it yet.
 func (sn *simNet) newVM(ctx context.Context, ix int, handlers simHandlers) *simVM {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
@@ -153,7 +153,7 @@
 	vm.mb.fleet = vm.fl
 	step := vm.fl.members.Step
 	vm.fl.members.Step = func(_ clock.Millis, ev membership.Event) []membership.Intent {
-		vm.waitResumed() // the span of a freeze is a pause to membership
+		vm.waitResumed() // to membership, a freeze is a pause
 		return step(sn.clock.Now(), ev)
 	}
 	vm.fl.members.Do = vm.handleIntent
@@ -174,7 +174,8 @@
 	vm.fl.SetListed(vm.ctx, listedVMs())
 }
 
-// handleIntent sends by the simulated network, and leaves all else to the fleet.
+// handleIntent sends over the simulated network, and passes all other intents to the
+// fleet.
 func (vm *simVM) handleIntent(in membership.Intent) {
 	if send, ok := in.(membership.Send); ok {
 		vm.send(send.To.ID, send.Datagram)
@@ -183,7 +184,7 @@
 	vm.fl.handleIntent(in)
 }
 
-// waitResumed waits while the VM is frozen, and tells whether it still lives.
+// waitResumed waits while the VM is frozen, and reports whether it is still running.
 func (vm *simVM) waitResumed() bool {
 	for vm.ctx.Err() == nil {
 		vm.mu.Lock()
@@ -200,8 +201,8 @@
 	return false
 }
 
-// freeze stops a VM until the function that it returns is called: what comes
-// waits, and nothing leaves.
+// freeze pauses a VM until the function that it returns is called: received datagrams are
+// queued, and none are sent.
 func (vm *simVM) freeze() (thaw func()) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -215,7 +216,7 @@
 	}
 }
 
-// frozenSince tells whether the VM is frozen, or was after a point.
+// frozenSince reports whether the VM is frozen now or was frozen after a time.
 func (vm *simVM) frozenSince(at clock.Millis) bool {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -223,7 +224,7 @@
 }
 
 // send sends a datagram as the transport does: numbered, encoded, and without
-// word of whether it arrives.
+// acknowledgement.
 func (vm *simVM) send(to string, dg *peerpb.Datagram) {
 	if !vm.waitResumed() {
 		return
@@ -240,8 +241,8 @@
 	vm.net.transmit(vm.self.ID, to, number, raw)
 }
 
-// transmit takes a millisecond or two, and what slow VMs add. Datagrams of one VM to
-// another arrive in order unless some are lost.
+// transmit takes one to two milliseconds plus the extra delay of slow VMs. Datagrams from
+// one VM to another arrive in order unless some are lost.
 func (sn *simNet) transmit(from, to string, number uint64, raw []byte) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
@@ -258,7 +259,7 @@
 	time.AfterFunc(time.Until(at), func() { sn.deliver(to, raw) })
 }
 
-// deliver hands a datagram to the life that a VM has by then.
+// deliver delivers a datagram to the incarnation that the VM has on arrival.
 func (sn *simNet) deliver(to string, raw []byte) {
 	if vm := sn.vm(to); vm != nil && vm.ctx.Err() == nil {
 		select {
@@ -274,7 +275,7 @@
 	return sn.vms[name]
 }
 
-// receiveLoop takes datagrams one at a time.
+// receiveLoop handles datagrams one at a time.
 func (vm *simVM) receiveLoop() {
 	for {
 		select {
@@ -293,8 +294,8 @@
 	}
 }
 
-// handleDatagram answers an ask and passes news on by the simulated network, and leaves
-// all else to the fleet.
+// handleDatagram answers placement requests and forwards messages over the simulated
+// network, and passes everything else to the fleet.
 func (vm *simVM) handleDatagram(dg *peerpb.Datagram) {
 	if ask := dg.GetPlaceAsk(); ask != nil {
 		answer := placementReplyToWire(ask.GetNumber(), vm.fl.OnPlacementRequest(dg.GetFrom(), placementRequestFromWire(ask)))
@@ -311,7 +312,7 @@
 	vm.fl.handleDatagram(dg, netip.AddrPort{})
 }
 
-// Before is the VMs that are asked for a place.
+// Before lists the VMs to request a placement from.
 func (vm *simVM) Before() (vms []string, here bool) {
 	if vm.alwaysFirst {
 		return nil, true
@@ -319,7 +320,7 @@
 	return vm.mb.Before()
 }
 
-// Ask asks a VM for a place by the simulated network.
+// Ask requests a placement from a VM over the simulated network.
 func (vm *simVM) Ask(ctx context.Context, to string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	if !slices.ContainsFunc(vm.fl.Schedulers(), func(other board.VM) bool { return other.ID == to }) {
 		return usage.PlacementReply{}, errNotScheduler
@@ -335,7 +336,7 @@
 	}
 }
 
-// reportUsage tells the schedulers what this VM has at the engines.
+// reportUsage sends this VM's usage report to the schedulers.
 func (vm *simVM) reportUsage(rp usage.Report) {
 	for _, to := range vm.fl.Schedulers() {
 		if to.ID != vm.self.ID {
@@ -344,7 +345,7 @@
 	}
 }
 
-// block loses what goes from some VMs to others; back has it carried again.
+// block drops datagrams from some VMs to others until the returned function is called.
 func (sn *simNet) block(from, to []string) (back func()) {
 	set := func(lost bool) {
 		sn.mu.Lock()
@@ -361,14 +362,14 @@
 	return func() { set(false) }
 }
 
-// slowDown adds a span to each datagram from and to a VM.
+// slowDown sets a delay that is added to each datagram from and to a VM.
 func (sn *simNet) slowDown(vm string, span time.Duration) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
 	sn.extraDelay[vm] = span
 }
 
-// drawDistinct is some of the numbers below a count, each once, that follow from the seed.
+// drawDistinct returns distinct numbers below a count, derived from the seed.
 func (sn *simNet) drawDistinct(some, count int) (out []int) {
 	for number := uint64(0); len(out) < some; number++ {
 		if at := int(sn.chance("drawn", number) * float64(count)); !slices.Contains(out, at) {
@@ -378,14 +379,14 @@
 	return out
 }
 
-// setLoss loses a part of all datagrams, and lets others overtake each other.
+// setLoss sets the fraction of datagrams that is lost; the others may then be reordered.
 func (sn *simNet) setLoss(part float64) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
 	sn.loss = part
 }
 
-// allNames is the names of all VMs.
+// allNames returns the names of all VMs.
 func allNames() []string {
 	var out []string
 	for ix := range netVMs {
@@ -394,7 +395,7 @@
 	return out
 }
 
-// running lists the VMs that live.
+// running lists the VMs that are running.
 func (sn *simNet) running() []*simVM {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
@@ -407,8 +408,8 @@
 	return out
 }
 
-// schedulerDisagreements tells of VMs that name other schedulers than the first VM does, or ones
-// that do not live.
+// schedulerDisagreements lists VMs that name other schedulers than the first VM does, and
+// schedulers that are not running.
 func (sn *simNet) schedulerDisagreements() (out []string) {
 	list := sn.running()
 	key := list[0].fl.schedulersKey()
@@ -419,7 +420,7 @@
 	}
 	for rank := range schedulerCount {
 		if vm := sn.scheduler(rank); vm.ctx.Err() != nil {
-			out = append(out, fmt.Sprintf("%s is a scheduler and does not live", vm.self.ID))
+			out = append(out, fmt.Sprintf("%s is a scheduler and not alive", vm.self.ID))
 		}
 	}
 	return out
--- a/internal/fleet/pieces.go
+++ b/internal/fleet/pieces.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxFragments bounds the datagrams of one record: a configuration of 30
-	// routes deflates to two of them, and a larger one than fits into 16 is
-	// read from the store by each VM.
+	// maxFragments limits the datagrams of one record: a configuration of 30
+	// routes deflates to two of them. Each VM reads a record that doesn't fit into
+	// 16 from the store.
 	maxFragments = 16
-	// maxRecordBytes bounds a record once it is inflated: the store's own bound.
+	// maxRecordBytes limits an inflated record; the store has the same limit.
 	maxRecordBytes = 256 << 10
 )
 
-// reassembly are the parts of the record that a topic's reader passes on just now.
-// The zero value has none.
+// reassembly collects the fragments of the record that a topic's reader is sending.
+// The zero value is empty and ready to use.
 type reassembly struct {
 	key      string
 	offset   uint64
@@ -28,7 +28,7 @@
 	received int
 }
 
-// fragmentRecord makes the pieces of a record; none if it is too large.
+// fragmentRecord splits a record into fragments; none if it is too large.
 func fragmentRecord(name string, rec topic.Record) ([]*peerpb.TopicPiece, error) {
 	var packed bytes.Buffer
 	wr, err := flate.NewWriter(&packed, flate.DefaultCompression)
@@ -54,12 +54,12 @@
 	return out, nil
 }
 
-// add adds a piece and returns the record if it is whole. Pieces of an older
-// record are dropped: who misses it notices the gap.
+// add adds a fragment and returns the record once it is complete. Fragments of an older
+// record are dropped: a VM that misses that record notices the gap.
 func (ra *reassembly) add(tp *peerpb.TopicPiece) (rec topic.Record, whole bool, err error) {
 	count := tp.GetCount()
 	if count == 0 || count > maxFragments || tp.GetIndex() >= count {
-		return rec, false, fmt.Errorf("piece %d of %d", tp.GetIndex(), count)
+		return rec, false, fmt.Errorf("invalid fragment %d of %d", tp.GetIndex(), count)
 	}
 	if tp.GetOffset() < ra.offset {
 		return rec, false, nil
@@ -68,7 +68,7 @@
 		*ra = reassembly{key: tp.GetKey(), offset: tp.GetOffset(), parts: make([][]byte, count)}
 	}
 	if ra.parts[tp.GetIndex()] != nil {
-		return rec, false, nil // it came before
+		return rec, false, nil // a duplicate
 	}
 	ra.parts[tp.GetIndex()] = tp.GetData()
 	if ra.received++; ra.received < len(ra.parts) {
@@ -87,7 +87,7 @@
 		return nil, fmt.Errorf("inflate a record: %w", err)
 	}
 	if len(value) > maxRecordBytes {
-		return nil, fmt.Errorf("a record of more than %d bytes", maxRecordBytes)
+		return nil, fmt.Errorf("inflated record is larger than %d bytes", maxRecordBytes)
 	}
 	return value, nil
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -12,15 +12,16 @@
 	"alderdyke/pkg/clock"
 )
 
-// keeperRankKey ranks the VMs for keeping the customers' quotas.
+// keeperRankKey is the rendezvous key by which VMs are ranked as keepers.
 const keeperRankKey = "quotas"
 
-// keepers is the VM that keeps each shard of the customers' quotas.
+// keepers holds the ID of the VM that keeps each shard of the customers' quotas.
 type keepers [quota.Shards]string
 
-// selectKeepers chooses by a view of the fleet. Each VM stands for one shard only, so that
-// the loss of a keeper moves no other shard. VMs whose views differ may choose
-// different keepers: what those give out is the parts that they were lent.
+// selectKeepers selects the keepers from a view of the fleet. Each VM is a candidate for
+// one shard only, so that the loss of a keeper moves no other shard. VMs with different
+// views may select different keepers, but a keeper grants only from the parts that VMs
+// have lent it.
 func selectKeepers(view *board.Fleet) *keepers {
 	fit := eligible(view)
 	var ks keepers
@@ -39,8 +40,8 @@
 	return &ks
 }
 
-// substitute is the VM that keeps a shard which no VM stands for: the most preferred
-// one that keeps no other, or else the most preferred one; empty: there is none.
+// substitute returns the VM that keeps a shard without candidates: the highest-ranked VM
+// that keeps no other shard, or else the highest-ranked one; empty if there is none.
 func (ks keepers) substitute(top []board.VM) string {
 	for _, vm := range top {
 		if !slices.Contains(ks[:], vm.ID) {
@@ -53,8 +54,8 @@
 	return top[0].ID
 }
 
-// Keepers is the VM that keeps each shard of the customers' quotas; empty before this
-// VM has joined the others.
+// Keepers returns the ID of the VM that keeps each shard of the customers' quotas; empty
+// IDs before this VM has joined the fleet.
 func (mb *Member) Keepers() [quota.Shards]string {
 	fl := mb.currentFleet()
 	if fl == nil {
@@ -66,9 +67,9 @@
 	return keepers{}
 }
 
-// VMs is how many VMs there are that have not left as planned, also those that are
-// dead for now: their parts of the customers' limits are nobody else's. It is 0
-// before this VM has joined the others, and is asked for with each request.
+// VMs returns the number of VMs that have not left as planned, dead ones included,
+// because no other VM may use their parts of the customers' limits. It is 0 before this
+// VM has joined the fleet. The count is cached for each view, since every request calls VMs.
 func (mb *Member) VMs() int {
 	view := mb.View()
 	mb.mu.Lock()
@@ -82,7 +83,7 @@
 	return mb.vmCount
 }
 
-// countVMs counts the VMs of a view, and those that are listed and not in it yet. The
+// countVMs counts the VMs of a view, and those that are listed but not in it yet. The
 // lock is held.
 func (mb *Member) countVMs(view *board.Fleet) int {
 	count := 0
@@ -99,7 +100,7 @@
 	return count
 }
 
-// AskQuota asks a VM as the keeper of the customers' quotas.
+// AskQuota sends a quota request to a keeper and waits for the response.
 func (mb *Member) AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error) {
 	fl, to, err := mb.resolvePeer(vm)
 	if err != nil {
@@ -110,14 +111,14 @@
 	})
 }
 
-// TellQuota tells it what needs no answer.
+// TellQuota sends a keeper a request that needs no response.
 func (mb *Member) TellQuota(vm string, ask quota.Request) {
 	if fl, to, err := mb.resolvePeer(vm); err == nil {
-		_ = fl.peers.SendDatagram(to, quotaRequestToWire(0, ask)) // what is lost was the customer's, and comes in anew
+		_ = fl.peers.SendDatagram(to, quotaRequestToWire(0, ask)) // lost tokens were the customer's and are refilled
 	}
 }
 
-// resolvePeer finds a VM that this one sees.
+// resolvePeer returns the fleet and a VM of its current view.
 func (mb *Member) resolvePeer(vm string) (*Fleet, board.VM, error) {
 	fl := mb.currentFleet()
 	if fl == nil {
@@ -130,7 +131,7 @@
 	return fl, to, nil
 }
 
-// handleQuotaRequest answers an ask, to where it came from.
+// handleQuotaRequest answers a quota request, to the address that it came from.
 func (fl *Fleet) handleQuotaRequest(dg *peerpb.Datagram, from netip.AddrPort) {
 	if fl.OnQuotaRequest == nil {
 		return
@@ -144,7 +145,7 @@
 		return
 	}
 	to := board.VM{VMRef: board.VMRef{ID: dg.GetFrom()}, Peer: from.String()}
-	_ = fl.peers.SendDatagram(to, quotaResponseToWire(qa.GetNumber(), ans)) // the asker goes on without it
+	_ = fl.peers.SendDatagram(to, quotaResponseToWire(qa.GetNumber(), ans)) // the requesting VM continues without it
 }
 
 func quotaRequestToWire(number uint64, ask quota.Request) *peerpb.Datagram {
@@ -153,7 +154,7 @@
 		Customer: ask.Customer, Need: ask.Need, Ahead: ask.Credit, Back: ask.Returned, Release: ask.Release, Slack: ask.LendsSlack}}}
 }
 
-// quotaRequestFromWire reads an ask. What is no number of tokens is none.
+// quotaRequestFromWire decodes a request. Invalid numbers of tokens become 0.
 func quotaRequestFromWire(qa *peerpb.QuotaAsk) quota.Request {
 	return quota.Request{Shard: int(qa.GetShard()), Sequence: qa.GetSerial(), KeeperID: qa.GetKeeper(), KeeperTime: clock.Millis(qa.GetHeard()), Customer: qa.GetCustomer(),
 		Need: nonNegative(qa.GetNeed()), Credit: nonNegative(qa.GetAhead()), Returned: nonNegative(qa.GetBack()),
@@ -171,9 +172,9 @@
 		Credit: nonNegative(qa.GetCredit()), Wait: clock.Millis(qa.GetWait()), InDebt: qa.GetOwes()}
 }
 
-// nonNegative reads a number of tokens.
+// nonNegative returns a number of tokens, or 0 if it is negative or NaN.
 func nonNegative(val float64) float64 {
-	if val >= 0 { // neither below zero nor not a number
+	if val >= 0 { // false for negative numbers and for NaN
 		return val
 	}
 	return 0
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -12,7 +12,7 @@
 	"alderdyke/internal/quota"
 )
 
-// quotaView is a fleet of so many VMs that live.
+// quotaView is a view of a fleet of the given number of VMs, all alive.
 func quotaView(fleet, vms int) *board.Fleet {
 	view := &board.Fleet{}
 	for ix := range vms {
@@ -22,7 +22,7 @@
 	return view
 }
 
-// withDead has a VM be dead.
+// withDead returns the view with one VM dead.
 func withDead(view *board.Fleet, id string) *board.Fleet {
 	out := &board.Fleet{}
 	for _, vm := range view.VMs {
@@ -34,8 +34,9 @@
 	return out
 }
 
-// The shards have two keepers where there are two VMs, and the loss of one keeper moves
-// its own shard alone, but for fleets in which all VMs stand for the same shard.
+// The shards have two different keepers if there are two VMs, and the loss of one keeper
+// moves only its own shard, except in fleets whose VMs are all candidates for the same
+// shard.
 func TestKeeperSelection(t *testing.T) {
 	assert.Equal(t, *selectKeepers(&board.Fleet{}), keepers{})
 	one := *selectKeepers(quotaView(0, 1))
@@ -61,15 +62,15 @@
 	}
 }
 
-// An ask and its answer are on the wire what they were, and one of a shard that there is
-// not is not answered.
+// A request and its response are unchanged by encoding and decoding, and a request for an
+// invalid shard is not processed.
 func TestQuotaOnTheWire(t *testing.T) {
 	ask := quota.Request{Shard: 1, Sequence: 7, KeeperID: 8, KeeperTime: 9, Customer: "c", Need: 10, Credit: 11, Returned: 12, Release: true, LendsSlack: true}
 	assert.Equal(t, quotaRequestFromWire(quotaRequestToWire(3, ask).GetQuotaAsk()), ask)
 	ans := quota.Response{KeeperID: 1, Time: 2, Known: true, Granted: true, Credit: 3, Wait: 4, InDebt: true}
 	assert.Equal(t, quotaResponseFromWire(quotaResponseToWire(3, ans).GetQuotaAnswer()), ans)
 	fl := &Fleet{OnQuotaRequest: func(string, uint64, quota.Request) quota.Response {
-		t.Error("the shard is none")
+		t.Error("a request for an invalid shard was processed")
 		return quota.Response{}
 	}}
 	fl.handleQuotaRequest(&peerpb.Datagram{Body: &peerpb.Datagram_QuotaAsk{QuotaAsk: &peerpb.QuotaAsk{Shard: quota.Shards}}}, netip.AddrPort{})
--- a/internal/fleet/readers.go
+++ b/internal/fleet/readers.go
@@ -8,9 +8,9 @@
 	"alderdyke/internal/topic"
 )
 
-// Rank is this VM's place among those that read the store for the others: 0 is
-// the first of those that live. It is asked for several times a second and worked
-// out once for each view of the fleet.
+// Rank returns this VM's rank among those that read the store for the fleet; 0 is the
+// first of the VMs that are alive. It is cached for each view of the fleet, since it is
+// called several times a second.
 func (mb *Member) Rank() int {
 	view := mb.View()
 	mb.mu.Lock()
@@ -21,7 +21,7 @@
 	return mb.rank
 }
 
-// rankInView is the place in a view. Those that are not among the first are alike.
+// rankInView returns the rank in a view. All VMs that are not readers have the same rank.
 func (mb *Member) rankInView(view *board.Fleet) int {
 	first := rendezvous.Top(mb.TopicName, view.VMs, topic.MaxReaders, eligible(view))
 	if len(first) <= 1 {
@@ -29,13 +29,13 @@
 	}
 	rank := slices.IndexFunc(first, func(vm board.VM) bool { return vm.ID == mb.Self.ID })
 	if rank < 0 {
-		return topic.MaxReaders // it is behind all that read, or leaves
+		return topic.MaxReaders // it is not among the readers, or is leaving
 	}
 	return rank
 }
 
-// ownTopicRank is the same for the project's own topic, which is where a VM that
-// knows no other learns of them.
+// ownTopicRank is Rank for the fleet's own topic. A VM that knows no other VM has rank 0
+// there, because it learns about the others from that topic.
 func (mb *Member) ownTopicRank() int {
 	if others, _ := mb.Others(); len(others) == 0 {
 		return 0
--- a/internal/fleet/readers_test.go
+++ b/internal/fleet/readers_test.go
@@ -26,12 +26,12 @@
 	// between two records. Every other record repeats the key's last value.
 	simKeys       = 12
 	simMeanChange = 80 * time.Millisecond
-	// simRetained is how many records the store keeps behind the newest: 2 s of them, so
-	// that who misses more has to read a listing.
+	// simRetained is how many records the store retains: 2 s of them, so that a VM
+	// that misses more has to read a listing.
 	simRetained = 25
-	// simLargeValue is how long some of the values are, so that they go in pieces.
+	// simLargeValue is the size of some of the values, so that they are fragmented.
 	simLargeValue = 3000
-	// maxPropagation is the span in which a change must be known everywhere.
+	// maxPropagation is the time within which all VMs must have a change.
 	maxPropagation = 2 * clock.Second
 )
 
@@ -45,11 +45,11 @@
 
 		mu          sync.Mutex
 		recs        []topic.Record
-		writtenAt   []clock.Millis          // when the records came
+		writtenAt   []clock.Millis          // when the records were written
 		unreachable map[string]bool         // VMs that the store does not answer
-		storeDelay  map[string]clock.Millis // how much longer it takes to answer a VM
+		storeDelay  map[string]clock.Millis // additional time that it takes to answer a VM
 		vi          violations
-		checkFrom   clock.Millis // from when on changes must be known in time; zero: not now
+		checkFrom   clock.Millis // when the check of propagation begins; zero: not now
 		reads       int
 		mutate      func(sf *simFollower) // changes a follower before it starts; may be nil
 	}
@@ -63,7 +63,7 @@
 		startedAt clock.Millis
 
 		mu    sync.Mutex
-		known map[string]int // by key: the newest value that this process was told
+		known map[string]int // by key: the newest value that this process received
 	}
 )
 
@@ -72,7 +72,7 @@
 		storeDelay: make(map[string]clock.Millis)}
 }
 
-// valueOf is the number that a value says.
+// valueOf returns the number that a record's value contains.
 func valueOf(rec topic.Record) int {
 	number, _, _ := strings.Cut(string(rec.Value), " ")
 	value, err := strconv.Atoi(number)
@@ -82,7 +82,7 @@
 	return value
 }
 
-// write appends records for as long as the context lasts.
+// write appends records until the context ends.
 func (rs *readerSim) write(ctx context.Context) {
 	values := make(map[string]int)
 	for number := uint64(0); ctx.Err() == nil; number++ {
@@ -102,7 +102,7 @@
 	}
 }
 
-// noise is text that does not deflate to a datagram.
+// noise returns text that doesn't deflate to one datagram.
 func (rs *readerSim) noise(number uint64) string {
 	out := make([]byte, 0, simLargeValue)
 	for len(out) < simLargeValue {
@@ -111,7 +111,7 @@
 	return string(out)
 }
 
-// sendToStore is a call's way to the store, and back with what it holds by then.
+// sendToStore simulates the request of a call to the store, which may be unreachable.
 func (sf *simFollower) sendToStore(ctx context.Context) error {
 	if !sf.vm.waitResumed() || !clock.Sleep(ctx, 2) {
 		return context.Canceled
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Newest is the store's listing as this process gets it.
+// Newest returns the store's listing as this process receives it.
 func (sf *simFollower) Newest(ctx context.Context, _ string) ([]topic.Record, uint64, error) {
 	if err := sf.sendToStore(ctx); err != nil {
 		return nil, 0, err
@@ -145,7 +145,7 @@
 	return out, next, sf.receiveReply(ctx)
 }
 
-// Read is the store's records from an offset on.
+// Read returns the store's records from an offset on.
 func (sf *simFollower) Read(ctx context.Context, _ string, from uint64, _ clock.Millis) ([]topic.Record, uint64, error) {
 	if err := sf.sendToStore(ctx); err != nil {
 		return nil, 0, err
@@ -161,7 +161,7 @@
 	return out, next, sf.receiveReply(ctx)
 }
 
-// receiveReply is the way of an answer, which may be slower than news.
+// receiveReply simulates the reply of the store, which may be slower than updates.
 func (sf *simFollower) receiveReply(ctx context.Context) error {
 	sf.rs.mu.Lock()
 	span := clock.Millis(2 + 20*sf.rs.chance("store "+sf.vm.self.ID, uint64(len(sf.rs.recs))))
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// apply notes a record that this process is apply.
+// apply records a value that this process received.
 func (sf *simFollower) apply(rec topic.Record) {
 	value := valueOf(rec)
 	sf.mu.Lock()
@@ -182,17 +182,17 @@
 	sf.mu.Unlock()
 	sf.rs.mu.Lock()
 	defer sf.rs.mu.Unlock()
-	sf.rs.vi.recordIf(older, sf.rs.clock.Now(), "something older was told after something newer")
+	sf.rs.vi.recordIf(older, sf.rs.clock.Now(), "an older value was delivered after a newer one")
 }
 
-// isNew tells whether a record says more than is known.
+// isNew reports whether a record differs from the known value.
 func (sf *simFollower) isNew(rec topic.Record) bool {
 	sf.mu.Lock()
 	defer sf.mu.Unlock()
 	return sf.known[rec.Key] != valueOf(rec)
 }
 
-// startVM starts a further life of a VM.
+// startVM starts a further incarnation of a VM.
 func (rs *readerSim) startVM(ctx context.Context, ix int) {
 	sf := &simFollower{rs: rs, startedAt: rs.clock.Now(), known: make(map[string]int)}
 	sf.vm = rs.newVM(ctx, ix, simHandlers{news: func(nw topic.Update) { sf.fo.Receive(nw) }})
@@ -208,7 +208,7 @@
 	go sf.fo.Run(sf.vm.ctx)
 }
 
-// broadcastUpdate passes on what was read by one VM of each group.
+// broadcastUpdate sends what was read to one VM of each group, which forwards it.
 func (vm *simVM) broadcastUpdate(nw topic.Update) {
 	msgs, err := updateToWire(nw)
 	if err != nil {
@@ -227,8 +227,8 @@
 	}
 }
 
-// watch looks every 20 ms, while that is due, whether some VM does not know a
-// change that is older than it may be.
+// watch checks every 20 ms, from checkFrom on, whether some VM lacks a change that is
+// older than maxPropagation.
 func (rs *readerSim) watch(ctx context.Context) {
 	for clock.Sleep(ctx, 20) {
 		rs.mu.Lock()
@@ -262,67 +262,67 @@
 	sf.mu.Lock()
 	defer sf.mu.Unlock()
 	for key, value := range required {
-		rs.vi.recordIf(sf.known[key] < value, now, "a change was not known in time")
+		rs.vi.recordIf(sf.known[key] < value, now, "a change was not delivered in time")
 	}
 }
 
-// readFault is something that fails, until the function that it returns is called.
+// readFault is a failure that lasts until the function that begin returns is called.
 type readFault struct {
 	name string
-	// strict has each change known in time by all VMs also while the fault lasts:
-	// each still reaches the store.
+	// strict requires that all VMs get each change in time even while the fault
+	// lasts, since each still reaches the store.
 	strict bool
 	begin  func(ctx context.Context, rs *readerSim) (end func())
 }
 
 var readFaults = []readFault{
 	{"none", true, func(context.Context, *readerSim) func() { return func() {} }},
-	{"the first is frozen", true, func(_ context.Context, rs *readerSim) func() { return rs.reader(0).freeze() }},
-	{"the first two are frozen", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM frozen", true, func(_ context.Context, rs *readerSim) func() { return rs.reader(0).freeze() }},
+	{"first two VMs frozen", true, func(_ context.Context, rs *readerSim) func() {
 		return runAll(rs.reader(0).freeze(), rs.reader(1).freeze())
 	}},
-	{"the first hears nobody", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM receives nothing", true, func(_ context.Context, rs *readerSim) func() {
 		first := rs.reader(0).self.ID
 		return rs.block(namesExcept(first), []string{first})
 	}},
-	{"nobody hears the first", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM reaches no other", true, func(_ context.Context, rs *readerSim) func() {
 		first := rs.reader(0).self.ID
 		return rs.block([]string{first}, namesExcept(first))
 	}},
-	{"half do not hear the first", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM does not reach half of the others", true, func(_ context.Context, rs *readerSim) func() {
 		first := rs.reader(0).self.ID
 		return rs.block([]string{first}, namesExcept(first)[:netVMs/2])
 	}},
-	{"the first is slow", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM slow", true, func(_ context.Context, rs *readerSim) func() {
 		first := rs.reader(0).self.ID
 		rs.slowDown(first, 100*time.Millisecond)
 		return func() { rs.slowDown(first, 0) }
 	}},
-	{"the first is killed", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM killed", true, func(_ context.Context, rs *readerSim) func() {
 		rs.reader(0).stop()
 		return func() {}
 	}},
-	{"the first is killed and starts later", true, func(ctx context.Context, rs *readerSim) func() {
+	{"first VM killed, restarted later", true, func(ctx context.Context, rs *readerSim) func() {
 		first := rs.reader(0)
 		first.stop()
 		return func() { rs.restart(ctx, first) }
 	}},
-	{"the first starts again at once under its name", true, func(ctx context.Context, rs *readerSim) func() {
+	{"first VM restarted at once under its name", true, func(ctx context.Context, rs *readerSim) func() {
 		rs.restart(ctx, rs.reader(0))
 		return func() {}
 	}},
-	{"two believe that they are first", true, func(_ context.Context, rs *readerSim) func() {
+	{"partition with a first VM on each side", true, func(_ context.Context, rs *readerSim) func() {
 		one, two := rs.halves(rs.reader(0), rs.reader(1))
 		return runAll(rs.block(one, two), rs.block(two, one))
 	}},
-	{"half of the VMs are lost", true, func(_ context.Context, rs *readerSim) func() {
+	{"half of the VMs killed", true, func(_ context.Context, rs *readerSim) func() {
 		one, _ := rs.halves(rs.reader(0), rs.reader(1))
 		for _, name := range one {
 			rs.vm(name).stop()
 		}
 		return func() {}
 	}},
-	{"half of the VMs are lost and start again", true, func(ctx context.Context, rs *readerSim) func() {
+	{"half of the VMs killed, restarted later", true, func(ctx context.Context, rs *readerSim) func() {
 		one, _ := rs.halves(rs.reader(0), rs.reader(1))
 		for _, name := range one {
 			rs.vm(name).stop()
@@ -333,42 +333,42 @@
 			}
 		}
 	}},
-	{"half of the VMs start again at once", true, func(ctx context.Context, rs *readerSim) func() {
+	{"half of the VMs restarted at once", true, func(ctx context.Context, rs *readerSim) func() {
 		one, _ := rs.halves(rs.reader(0), rs.reader(1))
 		for _, name := range one {
 			rs.restart(ctx, rs.vm(name))
 		}
 		return func() {}
 	}},
-	{"a tenth of the datagrams is lost", true, func(_ context.Context, rs *readerSim) func() {
+	{"a tenth of the datagrams lost", true, func(_ context.Context, rs *readerSim) func() {
 		rs.setLoss(0.1)
 		return func() { rs.setLoss(0) }
 	}},
-	{"the first is cut off from the store", true, func(_ context.Context, rs *readerSim) func() {
+	{"first VM can't reach the store", true, func(_ context.Context, rs *readerSim) func() {
 		return rs.blockStore(rs.reader(0).self.ID)
 	}},
-	{"the store answers the first slowly", true, func(_ context.Context, rs *readerSim) func() {
+	{"store slow for the first VM", true, func(_ context.Context, rs *readerSim) func() {
 		return rs.delayStore(rs.reader(0).self.ID)
 	}},
-	{"the store answers all slowly", false, func(_ context.Context, rs *readerSim) func() {
+	{"store slow for all VMs", false, func(_ context.Context, rs *readerSim) func() {
 		return rs.delayStore(allNames()...)
 	}},
-	{"all in line are cut off from the store", false, func(_ context.Context, rs *readerSim) func() {
+	{"no reader can reach the store", false, func(_ context.Context, rs *readerSim) func() {
 		var names []string
 		for rank := range topic.MaxReaders {
 			names = append(names, rs.reader(rank).self.ID)
 		}
 		return rs.blockStore(names...)
 	}},
-	{"a third is cut off from the store", false, func(_ context.Context, rs *readerSim) func() {
+	{"a third of the VMs can't reach the store", false, func(_ context.Context, rs *readerSim) func() {
 		return rs.blockStore(allNames()[:netVMs/3]...)
 	}},
-	{"the store is away", false, func(_ context.Context, rs *readerSim) func() { return rs.blockStore(allNames()...) }},
+	{"store unreachable for all VMs", false, func(_ context.Context, rs *readerSim) func() { return rs.blockStore(allNames()...) }},
 }
 
-// combinedReadFaults is faults that begin one after the other and end together, drawn by the
-// seed from those after which all VMs live again.
-var combinedReadFaults = readFault{"some at once", false, func(ctx context.Context, rs *readerSim) func() {
+// combinedReadFaults is faults that begin one after the other and end together, drawn by
+// the seed from those after which all VMs are alive again.
+var combinedReadFaults = readFault{"combined", false, func(ctx context.Context, rs *readerSim) func() {
 	var list []readFault
 	for _, fa := range readFaults {
 		if !losesVMs(fa.name) {
@@ -383,8 +383,8 @@
 	return runAll(ends...)
 }}
 
-// reader is one of the VMs that read for all, as they see themselves; another one
-// where none sees itself there.
+// reader returns one of the VMs that read for all, by their own view; another VM if none
+// has that rank in its own view.
 func (rs *readerSim) reader(rank int) *simVM {
 	list := rs.running()
 	for _, vm := range list {
@@ -395,7 +395,7 @@
 	return list[rank]
 }
 
-// blockStore cuts VMs off from the store.
+// blockStore makes the store unreachable for VMs.
 func (rs *readerSim) blockStore(names ...string) (back func()) {
 	set := func(away bool) {
 		rs.mu.Lock()
@@ -408,7 +408,7 @@
 	return func() { set(false) }
 }
 
-// delayStore has the store answer VMs after most of a second.
+// delayStore makes the store answer VMs after most of a second.
 func (rs *readerSim) delayStore(names ...string) (back func()) {
 	set := func(span clock.Millis) {
 		rs.mu.Lock()
@@ -421,21 +421,21 @@
 	return func() { set(0) }
 }
 
-// restart starts a further life of a VM, whose last one ends here if it lives.
+// restart starts a further incarnation of a VM and stops the previous one.
 func (rs *readerSim) restart(ctx context.Context, vm *simVM) {
 	vm.stop()
 	rs.startVM(ctx, slices.Index(allNames(), vm.self.ID))
 }
 
-// setCheckFrom has changes known in time from a point on; zero: not for now.
+// setCheckFrom sets when the check of propagation begins; zero suspends it.
 func (rs *readerSim) setCheckFrom(at clock.Millis) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.checkFrom = at
 }
 
-// runReaderSim plays a fault while the topic changes, and tells what was not as it
-// must be. All VMs start at once.
+// runReaderSim simulates a fault while the topic changes, and lists the violated
+// requirements. All VMs start at once.
 func runReaderSim(t *testing.T, seed uint64, fa readFault, mutant func(sf *simFollower)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -466,12 +466,12 @@
 	return out
 }
 
-// readRecoveryTime is how long after a fault of the store all know all again: the
-// longest pause of a VM far behind, and a read.
+// readRecoveryTime is how long after a fault of the store all VMs are up to date again:
+// the longest pause of a VM that is far behind, and a read.
 const readRecoveryTime = 3 * time.Second
 
-// Whatever becomes of those that read for all, each VM knows each change in time,
-// and no process is told something older after something newer.
+// Whichever readers fail, each VM gets each change in time, and no process receives an
+// older value after a newer one.
 func TestReaderHandover(t *testing.T) {
 	for _, fa := range readFaults {
 		for seed := range uint64(handoverSeeds) {
@@ -483,7 +483,7 @@
 	}
 }
 
-// The same with several faults at once.
+// The same holds with several faults at once.
 func TestReaderHandoverCombinedFaults(t *testing.T) {
 	for seed := range uint64(combinedFaultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -493,8 +493,8 @@
 	}
 }
 
-// The check notices followers that take each record that they hear, and ones that
-// take news for whole that leave something out.
+// The simulation detects followers that apply every received record, and followers that
+// assume that updates have no gaps.
 func TestReaderSimDetectsFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -502,20 +502,20 @@
 		mutant func(sf *simFollower)
 		want   string
 	}{
-		{"each record is taken", "two believe that they are first", func(sf *simFollower) {
+		{"every received record is applied", "partition with a first VM on each side", func(sf *simFollower) {
 			sf.vm.fl.OnTopicUpdate = func(nw topic.Update) {
 				for _, rec := range nw.Records {
 					sf.apply(rec)
 				}
 				sf.fo.Receive(nw)
 			}
-		}, "something older was told after something newer"},
-		{"news are taken for whole", "a tenth of the datagrams is lost", func(sf *simFollower) {
+		}, "an older value was delivered after a newer one"},
+		{"updates are assumed to be without gaps", "a tenth of the datagrams lost", func(sf *simFollower) {
 			sf.vm.fl.OnTopicUpdate = func(nw topic.Update) {
 				nw.From = 0
 				sf.fo.Receive(nw)
 			}
-		}, "a change was not known in time"},
+		}, "a change was not delivered in time"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := slices.IndexFunc(readFaults, func(fa readFault) bool { return fa.name == tc.fault })
--- a/internal/fleet/returned.go
+++ b/internal/fleet/returned.go
@@ -8,21 +8,21 @@
 	"alderdyke/internal/topic"
 )
 
-// storeRestored notes that the store came back from an older copy. What the fleet wrote since
-// is gone there, and is written again: its secret by whichever VM comes first, and by
-// each VM its own entry. Nobody is forgotten for want of an entry.
+// storeRestored records that the store was restored from an older copy. What the fleet
+// wrote since that copy is missing there and is written again: the secret by whichever VM
+// is first, and each entry by its own VM. No VM is dropped because its entry is missing.
 func (mb *Member) storeRestored() {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	mb.lease = mb.lease.WithRestore()
 }
 
-// applySnapshot takes a listing of the topic.
+// applySnapshot applies a listing of the whole topic.
 func (mb *Member) applySnapshot(recs []topic.Record) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	if mb.lease.restored {
-		mb.secret = nil // unless the listing has one
+		mb.secret = nil // unless the snapshot contains one
 		mb.entryRemoved = mb.entryRemoved || !containsKey(recs, vmKeyPrefix+mb.Self.ID)
 	}
 	var err error
@@ -34,7 +34,7 @@
 	}
 }
 
-// reportRewrite tells what this VM wrote again.
+// reportRewrite logs and reports what this VM wrote again.
 func (mb *Member) reportRewrite(kind string) {
 	mb.Log.Log(event.WrittenAgain, event.F("Kind", kind), event.F("Era", topic.EraOf(mb.Topic.Next())))
 	if mb.OnRewrite != nil {
@@ -46,7 +46,7 @@
 	return slices.ContainsFunc(recs, func(rec topic.Record) bool { return rec.Key == key })
 }
 
-// secretNeedsWrite tells whether a secret is still to be written.
+// secretNeedsWrite reports whether a secret must still be written to the topic.
 func (mb *Member) secretNeedsWrite(secret []byte) bool {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -56,9 +56,10 @@
 	return bytes.Equal(mb.fleet.Secret, secret) && !bytes.Equal(mb.secret, secret)
 }
 
-// joinedBeforeRestore tells whether this VM's fleet is older than the store's newest copy. Its
-// secret then stands: a VM that started in between found none, and made a fleet of its
-// own, which it leaves when it sees that another was there.
+// joinedBeforeRestore reports whether this VM joined its fleet before the store was last
+// restored. The fleet's secret then stands: a VM that started in the meantime found no
+// secret and created a fleet of its own, which it leaves when it sees that another fleet
+// existed before.
 func (mb *Member) joinedBeforeRestore() bool {
 	era := topic.EraOf(mb.Topic.Next())
 	mb.mu.Lock()
@@ -66,7 +67,7 @@
 	return mb.joinedEra < era
 }
 
-// leaveFleet ends a fleet, to join another one.
+// leaveFleet stops a fleet so that this VM can join another one.
 func (mb *Member) leaveFleet(fl *Fleet) {
 	mb.mu.Lock()
 	quit := mb.stopFleet
--- a/internal/fleet/returned_test.go
+++ b/internal/fleet/returned_test.go
@@ -13,8 +13,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// A store that came back without the record of the lease must not give the lease to a
-// second VM while the first goes by that record: all wait until it is surely over.
+// A store that was restored without the lease record must not give the lease to a second
+// VM while the first still relies on that record: all VMs wait until it has certainly
+// ended.
 func TestLeaseLostByStore(t *testing.T) {
 	data := func(id string) []byte {
 		value, err := json.Marshal(register.Lease{Holder: id, Duration: 4 * clock.Second})
@@ -26,12 +27,12 @@
 	vmRecord := topic.Record{Key: vmKeyPrefix + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
 	for _, tc := range []struct {
 		name    string
-		older   []topic.Record // what the copy has
+		older   []topic.Record // contents of the copy
 		dropped bool
 	}{
-		{"all is gone", nil, true},
-		{"the lease is gone", []topic.Record{vmRecord}, false},
-		{"an older lease is there", []topic.Record{vmRecord, {Key: LeaseKey, Value: data("another"), Offset: topic.Position(1, 4)}}, false},
+		{"all records lost", nil, true},
+		{"lease lost", []topic.Record{vmRecord}, false},
+		{"older lease restored", []topic.Record{vmRecord, {Key: LeaseKey, Value: data("another"), Offset: topic.Position(1, 4)}}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, LeaseDuration: 4 * clock.Second}
@@ -41,10 +42,10 @@
 			ho := &register.Holder{Resource: LeaseKey, Self: "me", Rand: rand.New(rand.NewPCG(1, 1)), Duration: 4 * clock.Second}
 			ho.Step(0, register.LeaseWanted{Hold: true})
 			ho.Step(0, register.LeaseObserved{Entry: before, Known: true})
-			now := 20 * clock.Second // that lease is long over
+			now := 20 * clock.Second // that lease ended long before
 			mb.storeRestored()
 			mb.applySnapshot(tc.older)
-			assert.Assert(t, mb.lease.entry.Revision > before.Revision, "a fencing token never goes back")
+			assert.Assert(t, mb.lease.entry.Revision > before.Revision, "a fencing token must not decrease")
 			assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: mb.lease.entry, Known: true})))
 			assert.Assert(t, !appends(ho.Step(now+4*clock.Second, register.LeaseTick{})))
 			assert.Assert(t, appends(ho.Step(now+7*clock.Second, register.LeaseTick{})))
@@ -62,8 +63,8 @@
 	return false
 }
 
-// A VM that had seen no lease may be the one that was cut off while another took it: what
-// the store lost is waited out by it too.
+// A VM that has seen no lease may have been partitioned while another VM took it, so it
+// also waits out a lease that the store may have lost.
 func TestUnseenLeaseLostByStore(t *testing.T) {
 	mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, LeaseDuration: 4 * clock.Second}
 	mb.Prepare()
--- a/internal/fleet/schedulers.go
+++ b/internal/fleet/schedulers.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// schedulerCount is how many VMs of a large fleet choose engines for all: one
-	// that all ask, and two that know the same and are asked when it does not
-	// answer. They are ranked without regard to failure domains, so that the next
-	// in line is always one that was told before.
+	// schedulerCount is how many VMs of a large fleet select engines for all VMs: one
+	// that receives all requests, and two standbys with the same data for when it does
+	// not answer. Failure domains don't count in their ranking, so that the next in line
+	// is always a VM that has received usage reports before.
 	schedulerCount = 3
-	// schedulerRankKey ranks them.
+	// schedulerRankKey is the rendezvous key by which they are ranked.
 	schedulerRankKey = "schedulers"
 )
 
-// schedulers is the VMs that choose engines for all, in the order in which they
-// are asked; none in a fleet that is small enough for all to tell all.
+// schedulers holds the VMs that select engines for all VMs, in the order in which they
+// are tried; none in a fleet small enough for every VM to send its reports to all others.
 type schedulers struct {
 	vms []board.VM
-	key string // of the VMs' names, to tell whether they changed
+	key string // names of the VMs, to detect changes
 }
 
-// selectSchedulers chooses by a view of the fleet. The fleet's size counts also the
-// VMs that are dead for now, so that it does not change with each fault.
+// selectSchedulers selects the schedulers from a view of the fleet. The fleet's size
+// includes dead VMs, so that it does not change with each failure.
 func selectSchedulers(view *board.Fleet) *schedulers {
 	size := 0
 	for ix := range view.VMs {
@@ -45,18 +45,18 @@
 	return sc
 }
 
-// isKnown tells whether a VM was heard of, and is not only listed.
+// isKnown reports whether a VM has been in contact, and is not only listed.
 func isKnown(view *board.Fleet, vm *board.VM) bool {
 	return vm.Incarnation != 0 || vm.ID == view.Self.ID
 }
 
-// eligible tells of a VM whether it may do for all what one or a few do: it
-// lives and stays.
+// eligible returns a predicate for the VMs that may act for the whole fleet: those that
+// are alive and not leaving.
 func eligible(view *board.Fleet) func(vm *board.VM) bool {
 	return func(vm *board.VM) bool { return isKnown(view, vm) && vm.Health == board.Alive && !vm.Leaving }
 }
 
-// Schedulers is the VMs that choose engines for all; none in a small fleet.
+// Schedulers returns the VMs that select engines for all VMs; none in a small fleet.
 func (fl *Fleet) Schedulers() []board.VM {
 	if sc := fl.schedulers.Load(); sc != nil {
 		return sc.vms
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// schedulersKey names them.
+// schedulersKey returns the names of the schedulers as one string.
 func (fl *Fleet) schedulersKey() string {
 	if sc := fl.schedulers.Load(); sc != nil {
 		return sc.key
@@ -72,8 +72,9 @@
 	return ""
 }
 
-// Before lists the VMs that are asked for a place before this one chooses by
-// itself, and tells whether it may: it is a scheduler too, or all VMs tell all.
+// Before lists the VMs to request a placement from before this VM selects engines itself.
+// The second result reports whether it may do that: it is a scheduler too, or all VMs
+// receive all usage reports.
 func (mb *Member) Before() (vms []string, here bool) {
 	fl := mb.currentFleet()
 	if fl == nil {
@@ -89,7 +90,7 @@
 	return vms, len(list) == 0
 }
 
-// Ask asks a scheduler for a place.
+// Ask requests a placement from a scheduler.
 func (mb *Member) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	fl := mb.currentFleet()
 	if fl == nil {
--- a/internal/fleet/schedulers_test.go
+++ b/internal/fleet/schedulers_test.go
@@ -16,8 +16,8 @@
 	return out
 }
 
-// In a small fleet each VM chooses engines by itself; in a large one three VMs
-// do for all, and all VMs name the same.
+// In a small fleet each VM selects engines itself; in a large one three VMs do for all,
+// and all VMs name the same three.
 func TestSchedulerSelection(t *testing.T) {
 	for _, tc := range []struct{ vms, want int }{{1, 0}, {7, 0}, {maxDirectVMs + 1, 0}, {maxDirectVMs + 2, 3}, {295, 3}, {1000, 3}} {
 		vms := largeFleet(tc.vms, 6)
@@ -28,9 +28,9 @@
 	}
 }
 
-// When the first is dead or leaves, those behind it move up and one more that
-// was told nothing yet comes last. Others that die change nothing, and a fleet
-// of which many died is still a large one.
+// When the first scheduler is dead or leaves, those behind it move up, and a VM without
+// any reports yet becomes the last. The death of other VMs changes nothing, and a fleet in
+// which many died still counts as large.
 func TestSchedulersMoveUp(t *testing.T) {
 	vms := largeFleet(60, 6)
 	view := &board.Fleet{Self: vms[0].VMRef, VMs: vms}
@@ -53,8 +53,8 @@
 	assert.DeepEqual(t, schedulerIDs(selectSchedulers(view)), after)
 }
 
-// A scheduler asks those before it and then chooses by itself; all others ask in
-// order.
+// A scheduler requests from those before it and then selects engines itself; all other
+// VMs request from the schedulers in order.
 func TestSchedulersBeforeSelf(t *testing.T) {
 	vms := largeFleet(60, 6)
 	view := &board.Fleet{Self: vms[0].VMRef, VMs: vms}
@@ -72,5 +72,5 @@
 	}
 	mb := &Member{}
 	asked, here := mb.Before()
-	assert.Assert(t, len(asked) == 0 && here, "a VM that has not joined is on its own")
+	assert.Assert(t, len(asked) == 0 && here, "a VM that has not joined selects engines itself")
 }
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -12,13 +12,13 @@
 	"alderdyke/internal/suspect"
 )
 
-// maxDirectVMs is how many VMs this one tells a word by itself. In a larger fleet one
-// VM of each group passes it on, which takes less time (BenchmarkWord) and fewer
-// crossings between failure domains, where bytes cost most.
+// maxDirectVMs is the largest number of VMs to which this VM sends a message itself. In a
+// larger fleet one VM of each group forwards it, which takes less time (BenchmarkWord) and
+// crosses failure domains less often, where traffic costs most.
 const maxDirectVMs = 32
 
-// Broadcaster sends words to the VMs of a fleet. Words between VMs may be lost, and are
-// renewed.
+// Broadcaster sends messages to the VMs of a fleet. Messages may be lost, and their
+// senders repeat them.
 type Broadcaster struct {
 	Self  string // ID of this VM
 	View  func() *board.Fleet
@@ -29,10 +29,10 @@
 	return Broadcaster{Self: fl.Self.ID, View: fl.View, Peers: fl.peers}
 }
 
-// Broadcast sends words, in their order, to each VM that lives. In a large fleet
-// they go to one VM of each group, drawn anew for each call, which passes them
-// on: one that is lost, or dead and not known to be, costs its group these words
-// alone.
+// Broadcast sends messages, in their order, to each other VM that is alive. In a large
+// fleet it sends them to one VM of each group, picked at random for each call, which
+// forwards them. If that VM is dead but not yet detected as such, or the datagram is lost,
+// its group misses only these messages.
 func (br Broadcaster) Broadcast(msgs ...*peerpb.Datagram) {
 	living := br.alive(func(vm board.VM) bool { return vm.ID != br.Self })
 	if len(living) <= maxDirectVMs {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Forward sends a word to the group that its sender named, if it named one.
+// Forward sends a message to the group that its sender named, if any.
 func (br Broadcaster) Forward(msg *peerpb.Datagram) {
 	gr, from := msg.GetForward(), msg.GetFrom()
 	if gr == nil {
@@ -60,10 +60,10 @@
 	}), []*peerpb.Datagram{msg})
 }
 
-// BroadcastCrash tells all VMs that live at which server's end a request was there.
+// BroadcastCrash reports a server that ended while it had a request to all VMs alive.
 func (br Broadcaster) BroadcastCrash(en suspect.Crash) { br.Broadcast(crashToWire(en)) }
 
-// SendCrash tells one VM of an end. Words between VMs may be lost.
+// SendCrash reports a crash to one VM. The message may be lost.
 func (br Broadcaster) SendCrash(vm board.VM, en suspect.Crash) {
 	_ = br.Peers.SendDatagram(vm, crashToWire(en))
 }
@@ -74,7 +74,7 @@
 	}
 }
 
-// alive lists the VMs that live and are wanted.
+// alive lists the VMs that are alive and match the predicate.
 func (br Broadcaster) alive(want func(vm board.VM) bool) []board.VM {
 	var out []board.VM
 	for _, vm := range br.View().VMs {
@@ -85,16 +85,16 @@
 	return out
 }
 
-// group is VMs of one failure domain that hear a word by one of them.
+// group is VMs of one failure domain that get a message through one of them.
 type group struct {
 	vms  []board.VM
 	wire *peerpb.Group
 }
 
-// groupsOf divides VMs into groups of at most the square root of their number,
-// which makes what the sender sends about what one that passes on does. The
-// groups of a domain join without a gap, so that a VM that the sender does not
-// know yet belongs to one of them too.
+// groupsOf divides VMs into groups of at most the square root of their number, so that
+// the sender and a forwarding VM send about equally many messages. The groups of a failure
+// domain cover all IDs without a gap, so that a VM that the sender does not know yet
+// belongs to one of them too.
 func groupsOf(vms []board.VM) []group {
 	maxSize := int(math.Ceil(math.Sqrt(float64(len(vms)))))
 	sorted := slices.Clone(vms)
@@ -114,7 +114,7 @@
 	return out
 }
 
-// groupsOfDomain divides the VMs of one domain, sorted by ID, evenly.
+// groupsOfDomain divides the VMs of one failure domain, sorted by ID, evenly.
 func groupsOfDomain(vms []board.VM, maxSize int) []group {
 	parts := (len(vms) + maxSize - 1) / maxSize
 	out := make([]group, 0, parts)
@@ -131,8 +131,8 @@
 	return out
 }
 
-// inGroup tells whether a VM belongs to a group. The last group of a domain has
-// no upper end.
+// inGroup reports whether a VM belongs to a group. The last group of a failure domain has
+// no upper bound.
 func inGroup(gr *peerpb.Group, vm board.VM) bool {
 	return vm.FailureDomain == gr.GetFailureDomain() && vm.ID > gr.GetAfter() && (gr.GetUpTo() == "" || vm.ID <= gr.GetUpTo())
 }
--- a/internal/fleet/spread_test.go
+++ b/internal/fleet/spread_test.go
@@ -10,7 +10,7 @@
 	"alderdyke/internal/board"
 )
 
-// largeFleet is VMs of domains of about the same size.
+// largeFleet returns VMs in failure domains of about the same size.
 func largeFleet(count, domains int) []board.VM {
 	out := make([]board.VM, 0, count)
 	for ix := range count {
@@ -21,9 +21,9 @@
 	return out
 }
 
-// Each VM is in exactly one group, and so is one that the sender does not know;
-// neither the sender nor one that passes on sends more than twice the square
-// root of the fleet, but for one group more a domain.
+// Each VM is in exactly one group, and so is one that the sender does not know. Neither
+// the sender nor a forwarding VM sends more messages than twice the square root of the
+// fleet, apart from one more group for each failure domain.
 func TestGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 9).Draw(t, "domains")
@@ -51,8 +51,8 @@
 	})
 }
 
-// Of a large fleet each VM names others, of all failure domains alike, so that
-// callers spread over all VMs and lose little with a domain.
+// In a large fleet each VM lists others, equally many of each failure domain, so that
+// callers spread over all VMs and lose few addresses with a failure domain.
 func TestAddressesSpread(t *testing.T) {
 	const most = 63
 	vms := largeFleet(295, 6)
@@ -79,8 +79,8 @@
 	}
 }
 
-// The choice stays when others come and go, and names nobody who leaves or does
-// not answer.
+// The selection stays nearly the same when other VMs fail or leave, and contains no VM
+// that is leaving or not alive.
 func TestAddressesAreStable(t *testing.T) {
 	vms := largeFleet(295, 6)
 	before := selectAddresses(vms[0], vms, 63)
@@ -99,7 +99,7 @@
 	assert.Assert(t, stay >= 60, "%d of 63 stay", stay)
 }
 
-// A small fleet names all.
+// In a small fleet each VM lists all others.
 func TestAddressesOfASmallFleet(t *testing.T) {
 	vms := largeFleet(7, 4)
 	assert.Equal(t, len(selectAddresses(vms[0], vms, 63)), 6)
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -11,18 +11,17 @@
 )
 
 const (
-	// sweepInterval is how often the VM that reads for all looks for entries of VMs
-	// that are gone,
-	// and each VM whether its own entry went.
+	// sweepInterval is how often the first reader looks for expired entries, and each
+	// VM checks whether its own entry was removed.
 	sweepInterval = 10 * clock.Second
-	// entryRetention is how long a VM must be dead, or have left, before its entry
-	// goes: restarts, power cuts and partitions are over within a minute, and
-	// a VM that comes back later writes its entry anew.
+	// entryRetention is how long a VM must be dead, or have left, before its entry is
+	// removed: restarts, power failures and partitions end within a minute, and a VM
+	// that returns later writes its entry again.
 	entryRetention = 2 * clock.Minute
 )
 
-// maintainEntry keeps this VM's entry in the topic once it takes requests. That the
-// store is away is told by the topic's follower.
+// maintainEntry keeps this VM's entry in the topic once it accepts requests. The topic's
+// follower logs that the store is unreachable.
 func (mb *Member) maintainEntry(ctx context.Context, self board.VM) {
 	value, err := json.Marshal(vmEntry{Incarnation: self.Incarnation, FailureDomain: self.FailureDomain,
 		Region: self.Region, Callers: self.Caller, Peers: self.Peer})
@@ -32,7 +31,7 @@
 	}
 	for written, again := false, false; ; {
 		if written && mb.takeEntryRemoved() {
-			written, again = false, true // others took this VM for gone, or the store lost it
+			written, again = false, true // other VMs removed the entry as expired, or the store lost it
 		}
 		pause := sweepInterval
 		if !written {
@@ -51,8 +50,7 @@
 	}
 }
 
-// takeEntryRemoved tells whether this VM's entry was removed since it was asked
-// for last.
+// takeEntryRemoved reports whether this VM's entry was removed since the last call.
 func (mb *Member) takeEntryRemoved() bool {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -61,27 +59,27 @@
 	return dropped
 }
 
-// sweepEntries removes the entries of VMs that are gone for good: a VM that starts
-// would probe each of them, and name it to callers until it is suspect.
+// sweepEntries removes the entries of VMs that will not return: a VM that starts would
+// probe each of them, and list it to callers until it is suspect.
 func (mb *Member) sweepEntries(ctx context.Context) {
 	for clock.Sleep(ctx, sweepInterval) {
 		gone := mb.expiredEntries(clock.Or(mb.Clock).Now())
 		if _, whole := mb.Others(); !whole || mb.Rank() != 0 {
-			continue // this VM may be the one that is cut off, or others see to it
+			continue // this VM may be the one that is partitioned, or another VM removes the entries
 		}
 		for _, name := range gone {
 			_, err := mb.Store.Append(ctx, mb.TopicName, vmKeyPrefix+name, nil, nil)
 			fields := []event.Field{event.F("Other", name)}
 			if err != nil {
-				fields = append(fields, event.F("Error", err.Error())) // tried again at the next look
+				fields = append(fields, event.F("Error", err.Error())) // tried again in the next round
 			}
 			mb.Log.Log(event.VMEntryRemoved, fields...)
 		}
 	}
 }
 
-// expiredEntries lists the VMs with an entry that have been dead, or away as planned,
-// for so long that the entry is to go.
+// expiredEntries lists the VMs with an entry that have been dead, or have left, for at
+// least entryRetention.
 func (mb *Member) expiredEntries(now clock.Millis) []string {
 	view := mb.View()
 	mb.mu.Lock()
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -14,25 +14,25 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxUpdateBytes bounds the keys and values of one message; the rest of a datagram
-// is left for the names and numbers around them.
+// maxUpdateBytes limits the keys and values of one message; the rest of a datagram is
+// reserved for the names and numbers around them.
 const maxUpdateBytes = peer.MaxDatagram - 300
 
-// ReportUsage tells the schedulers what this VM has at model engines; in a small
-// fleet, all VMs.
+// ReportUsage sends this VM's runs and requests at the engines to the schedulers; in a
+// small fleet, to all VMs.
 func (fl *Fleet) ReportUsage(rp usage.Report) {
 	to := fl.Schedulers()
 	if len(to) == 0 {
 		to = fl.broadcaster().alive(func(board.VM) bool { return true })
 	}
 	to = slices.DeleteFunc(slices.Clone(to), func(vm board.VM) bool { return vm.ID == fl.Self.ID })
-	// A message that is too long or lost is as good as none: the others then
-	// reserve what a run may come to.
+	// If a message is too long or lost, the other VMs reserve the most that each run
+	// may use.
 	fl.broadcaster().sendTo(to, []*peerpb.Datagram{{Body: &peerpb.Datagram_Usage{Usage: usageToWire(rp)}}})
 }
 
-// BroadcastUpdate passes on to all VMs that live what this one read of a topic. Whoever
-// misses a part notices the gap at the next.
+// BroadcastUpdate forwards to all VMs alive what this one read of a topic. A VM that
+// misses a part notices the gap at the next update.
 func (fl *Fleet) BroadcastUpdate(nw topic.Update) {
 	msgs, err := updateToWire(nw)
 	if err != nil {
@@ -42,7 +42,7 @@
 	fl.broadcaster().Broadcast(msgs...)
 }
 
-// BroadcastCrash tells all VMs that live at which server's end a request was there.
+// BroadcastCrash reports a server that ended while it had a request to all VMs alive.
 func (fl *Fleet) BroadcastCrash(en suspect.Crash) { fl.broadcaster().BroadcastCrash(en) }
 
 func crashToWire(en suspect.Crash) *peerpb.Datagram {
@@ -51,7 +51,7 @@
 		Age: uint32(max(0, en.Age)), Forgiven: en.Retracted}}}
 }
 
-// CrashFromWire reads an end; one without a whole mark or a server says nothing.
+// CrashFromWire decodes a crash; false if its mark is incomplete or the server is missing.
 func CrashFromWire(re *peerpb.RequestEnd) (suspect.Crash, bool) {
 	if len(re.GetMark()) != len(suspect.Mark{}) || re.GetServer() == "" {
 		return suspect.Crash{}, false
@@ -60,9 +60,9 @@
 		Age: clock.Millis(re.GetAge()), Retracted: re.GetForgiven()}, true
 }
 
-// updateToWire splits news into messages. A record that is larger than a message
-// goes in pieces; one that is too large for that is left out, so that the others
-// see a gap and read for themselves.
+// updateToWire splits an update into messages. A record that is larger than a message is
+// sent in fragments; one that is too large for that is left out, so that the other VMs
+// see a gap and read it from the store themselves.
 func updateToWire(nw topic.Update) ([]*peerpb.Datagram, error) {
 	sp := updateSplitter{topic: nw.Topic, outageEnded: uint32(nw.OutageEndedAgo), availableFor: millisToWire(nw.AvailableFor)}
 	sp.begin(nw.From)
@@ -84,13 +84,13 @@
 	return sp.out, nil
 }
 
-// updateSplitter makes the messages of one piece of news, in order.
+// updateSplitter builds the messages of one update, in order.
 type updateSplitter struct {
 	topic        string
 	outageEnded  uint32
 	availableFor uint32
 	part         *peerpb.TopicNews
-	size         int // of the part's keys and values
+	size         int // of the part's keys and values, in bytes
 	out          []*peerpb.Datagram
 }
 
@@ -118,7 +118,7 @@
 	sp.out = append(sp.out, &peerpb.Datagram{Body: &peerpb.Datagram_TopicNews{TopicNews: sp.part}})
 }
 
-// millisToWire bounds a span by what its field holds, which is 49 days.
+// millisToWire caps a duration at the range of its field, which is 49 days.
 func millisToWire(span clock.Millis) uint32 { return uint32(min(span, math.MaxUint32)) }
 
 func updateFromWire(tn *peerpb.TopicNews) topic.Update {
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -33,8 +33,8 @@
 	assert.DeepEqual(t, usageFromWire(usageToWire(rp)), rp)
 }
 
-// However news are split, each message fits a datagram, and whoever hears all of
-// them knows every record, or of a gap where one is too large for pieces.
+// However an update is split, each message fits a datagram, and a VM that receives all of
+// them has every record, or a gap where a record is too large for fragments.
 func TestUpdateOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := uint64(rapid.IntRange(0, 5).Draw(t, "from"))
@@ -46,7 +46,7 @@
 				size = 2 * maxFragments * maxUpdateBytes
 				large++
 			}
-			value := make([]byte, size) // of bytes that do not deflate
+			value := make([]byte, size) // incompressible
 			noise := rand.NewChaCha8([32]byte{byte(ix)})
 			_, _ = noise.Read(value)
 			want[nw.Next] = string(value)
@@ -80,8 +80,8 @@
 	})
 }
 
-// A configuration of the usual size, larger than a datagram, is passed on: the
-// VMs need not each read it, and one that is cut off from the store has it too.
+// A configuration of the usual size, larger than a datagram, is sent in fragments, so that
+// the VMs need not each read it, and one that can't reach the store gets it too.
 func TestLargeRecordIsFragmented(t *testing.T) {
 	var text strings.Builder
 	for ix := range 40 {
@@ -95,13 +95,14 @@
 	fl := &Fleet{OnTopicUpdate: func(nw topic.Update) { got = append(got, nw.Records...) }}
 	for _, msg := range msgs {
 		fl.handleDatagram(msg, netip.AddrPort{})
-		fl.handleDatagram(msg, netip.AddrPort{}) // twice, as the network may bring it
+		fl.handleDatagram(msg, netip.AddrPort{}) // the network may duplicate it
 	}
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, string(got[0].Value), text.String())
 }
 
-// What is no piece of a record is told, and harms nothing.
+// Malformed fragments are reported as errors and change nothing; fragments of an older
+// record are dropped.
 func TestMalformedFragments(t *testing.T) {
 	for _, tp := range []*peerpb.TopicPiece{
 		{Topic: "t"}, {Topic: "t", Index: 2, Count: 2}, {Topic: "t", Count: 1 << 30}, {Topic: "t", Count: 1, Data: []byte("no deflate")},
@@ -116,8 +117,8 @@
 	assert.Assert(t, !whole && err == nil)
 }
 
-// The newest word of a VM stays, whichever comes first, and a VM that starts
-// again is heard at once.
+// The newest report of a VM counts, in whatever order they arrive, and a VM that restarts
+// is accepted at once.
 func TestReorderedUsageReports(t *testing.T) {
 	var reports []string
 	fl := &Fleet{Self: board.VM{VMRef: board.VMRef{ID: "me"}}, OnUsage: func(vm string, rp usage.Report) {
