--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -11,11 +11,11 @@
 	"alderdyke/internal/standin"
 )
 
-const maxCacheEvents = 4096 // that are kept
+const maxCacheEvents = 4096 // number of newest events that are kept
 
 type (
-	// prefixCache holds the newest blocks of prompts, least recently used
-	// out first. It is guarded by the engine's mutex.
+	// prefixCache holds blocks of prompts and evicts the least recently used
+	// one when it is full. It is guarded by the engine's mutex.
 	prefixCache struct {
 		limit      int
 		lag        time.Duration
@@ -33,12 +33,12 @@
 	}
 
 	delayedEvent struct {
-		at time.Time // when it is shown
+		at time.Time // when it becomes visible
 		ev wire.CacheEvent
 	}
 )
 
-// match tells how many blocks from the start are cached, and uses them.
+// match returns how many blocks from the start are cached, and marks them as used.
 func (pc *prefixCache) match(prefixes []uint64) int {
 	pc.uses++
 	for ix, prefix := range prefixes {
@@ -51,7 +51,8 @@
 	return len(prefixes)
 }
 
-// store adds the blocks of a prompt, each of which saves as many tokens.
+// store adds the blocks of a prompt, each of which holds the given number of
+// tokens.
 func (pc *prefixCache) store(prefixes []uint64, tokens int, now time.Time) {
 	if pc.blocks == nil {
 		pc.blocks = map[uint64]*block{}
@@ -94,7 +95,7 @@
 	}
 }
 
-// visibleEvents lists the events from a number on that are old enough.
+// visibleEvents returns the events from a number on whose delay has passed.
 func (pc *prefixCache) visibleEvents(from uint64, now time.Time) wire.CacheEvents {
 	out := wire.CacheEvents{Next: from}
 	for _, se := range pc.events {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -2,16 +2,17 @@
 // demonstrations.
 //
 // It serves the calls of package internal/engine as a prefill or a decode
-// engine: a prefill queue with priorities and a prefix cache of limited
-// memory, KV caches that are kept for a short time, transfers that share a
-// link of limited rate, a few memory slots, tokens that come at a pace that
-// falls with the size of the batch, load reports and cache events that lag.
-// Its answers follow from the whole prompt, as [standin.Answer] says. It runs
-// on real time, and so on virtual time inside a testing/synctest bubble.
+// engine. It simulates a prefill queue with priorities, a prefix cache of
+// limited memory, KV caches that expire after a short time, transfers that
+// share a link of limited rate, a limited number of memory slots, token
+// generation that slows down with the size of the batch, and load reports and
+// cache events that lag. Its answers depend on the whole prompt, see
+// [standin.Answer]. It uses package time, and thus virtual time inside a
+// testing/synctest bubble.
 //
-// Work goes on when the connection that ordered it breaks: memory stays held
-// until the run ends, expires or is cancelled. [Engine.History] records every
-// run for checkers of invariants.
+// Work continues when the connection of the call that started it breaks:
+// memory stays allocated until the run ends, expires or is cancelled.
+// [Engine.History] records every run for checkers of invariants.
 //
 // # Usage
 //
@@ -39,43 +40,44 @@
 	"alderdyke/pkg/clock"
 )
 
-const maxTombstones = 1 << 16
+const maxTombstones = 1 << 16 // number of tombstones at which expired ones are removed
 
 type (
-	// Settings paces an engine. Zero fields hold the defaults of
-	// DefaultSettings, except where a comment says otherwise.
+	// Settings configures the speed and capacity of an engine. For a zero
+	// field the value of DefaultSettings is used, unless its comment says
+	// otherwise.
 	Settings struct {
 		PrefillTokensPerSecond float64
-		PrefillQueue           int          // prefills that wait or run
+		PrefillQueue           int          // maximum number of waiting and running prefills
 		KVRetention            clock.Millis // how long a KV cache is kept for its transfer
 		KVBytesPerToken        int64
-		LinkBytesPerSecond     float64      // in each direction, shared by all transfers
-		Slots                  int          // requests that fit a decode engine's memory
-		TPOT                   clock.Millis // of a decode that is alone in its batch
-		BatchSlowdown          float64      // added part of TPOT for each other decode; zero adds nothing
-		VaryLength             bool         // answers end early, at standin.Length
-		// Length says how long the answer to a prompt is, up to the bound that
-		// the order states; nil leaves it to VaryLength.
+		LinkBytesPerSecond     float64      // rate in each direction, shared by all transfers
+		Slots                  int          // memory slots of a decode engine, one per request
+		TPOT                   clock.Millis // time per output token of a decode that is alone in its batch
+		BatchSlowdown          float64      // fraction of TPOT added for each other decode; zero adds none
+		VaryLength             bool         // answers have the length standin.Length
+		// Length returns the length of the answer to a prompt, which is also
+		// limited by MaxTokens of the decode order; if nil, VaryLength applies.
 		Length          func(prompt string, bound int) int
 		AnswerRetention clock.Millis // how long a finished answer can be resumed
-		CancelRetention clock.Millis // how long a cancelled request's orders are declined
-		CacheBlocks     int          // prefix cache, in blocks of engine.BlockBytes
-		CacheEventLag   clock.Millis // zero is none
-		CacheEventLoss  float64      // part of cache events that never come; zero is none
-		LoadLag         clock.Millis // zero is none
-		ModelLoadTime   clock.Millis // to load a model, adapter or version; zero is none
-		ChecksFencing   bool         // declines an old fencing number
-		Token           string       // bearer token asked of every call; empty asks for none
+		CancelRetention clock.Millis // how long orders of a cancelled request are declined
+		CacheBlocks     int          // size of the prefix cache, in blocks of engine.BlockBytes
+		CacheEventLag   clock.Millis // delay of cache events; zero means none
+		CacheEventLoss  float64      // fraction of cache events that are lost; zero means none
+		LoadLag         clock.Millis // age of load reports; zero means none
+		ModelLoadTime   clock.Millis // time to load a model, adapter or version; zero means none
+		ChecksFencing   bool         // declines fencing numbers lower than an earlier one
+		Token           string       // bearer token that every call must have; empty accepts all
 	}
 
-	// Engine is one stand-in. Set the exported fields before the first call.
+	// Engine is a stand-in. Set the exported fields before the first call.
 	Engine struct {
 		ID       string
-		Role     board.Role // at the start; an order may change it
+		Role     board.Role // initial role; an order can change it
 		Settings Settings
-		HTTP     *http.Client    // fetches KV caches; nil makes one
+		HTTP     *http.Client    // fetches KV caches; a default client if nil
 		Control  standin.Control // faults
-		Seed     uint64          // of the gaps in cache events
+		Seed     uint64          // seed for choosing the cache events that are lost
 
 		once       sync.Once
 		started    time.Time
@@ -104,8 +106,8 @@
 		role    board.Role
 	}
 
-	// run is what the engine holds of one request and attempt. Its fields
-	// are guarded by the engine's mutex.
+	// run is the state of one attempt of one request. Its fields are guarded
+	// by the engine's mutex.
 	run struct {
 		key        runKey
 		seq        uint64
@@ -115,12 +117,12 @@
 		stageSince time.Time
 		ctx        context.Context
 		cancel     context.CancelFunc
-		done       chan struct{} // closed when the stage that an order waits for is over
+		done       chan struct{} // closed when the stage that a call waits for has ended
 		slotSince  time.Time     // zero while it holds no memory slot
 		kv         kvCache
 		result     wire.PrefillResult
 		failure    backend.Reason
-		tokens     []string // from the index kv.base on
+		tokens     []string // output tokens from index kv.base on
 		complete   bool
 		changed    chan struct{}
 	}
@@ -129,11 +131,11 @@
 		name      string
 		hash      uint64
 		tokens    int
-		base      int // output tokens that were answered before
-		length    int // of the answer, if Settings.Length says so; zero otherwise
+		base      int // number of output tokens that earlier attempts generated
+		length    int // length of the answer if Settings.Length is set; zero otherwise
 		bytes     int64
 		expiresAt time.Time
-		pins      int // transfers in progress
+		pins      int // number of transfers in progress
 	}
 
 	tombstone struct {
@@ -147,7 +149,7 @@
 	}
 )
 
-// DefaultSettings are those of an engine with twenty memory slots.
+// DefaultSettings returns the settings of an engine with twenty memory slots.
 func DefaultSettings() Settings {
 	return Settings{
 		PrefillTokensPerSecond: 8000,
@@ -163,7 +165,8 @@
 	}
 }
 
-// Handler serves the engine's calls, its faults and its history.
+// Handler returns a handler that serves the engine's calls, its faults and its
+// history.
 func (en *Engine) Handler() http.Handler {
 	en.initOnce()
 	mux := http.NewServeMux()
@@ -183,7 +186,7 @@
 	return en.Control.Wrap(en.requireToken(mux))
 }
 
-// Close ends all work and waits for it.
+// Close aborts all work and waits until it has ended.
 func (en *Engine) Close() {
 	en.initOnce()
 	en.mu.Lock()
@@ -247,7 +250,8 @@
 	})
 }
 
-// decline counts and says that an order did not begin. The mutex is not held.
+// decline answers that an order was not started, and counts it. The caller
+// does not hold the mutex.
 func (en *Engine) decline(rw http.ResponseWriter, reason backend.Reason, after clock.Millis) {
 	en.mu.Lock()
 	en.history.Declined[reason]++
@@ -270,8 +274,8 @@
 	}
 }
 
-// declineReason tells why an order that begins work is declined, or "".
-// The mutex is held.
+// declineReason returns why an order that starts work is declined, or "" if it
+// is not. The caller holds the mutex.
 func (en *Engine) declineReason(role board.Role, request string, attempt int) backend.Reason {
 	switch {
 	case en.ctx.Err() != nil:
@@ -289,7 +293,7 @@
 	}
 }
 
-// newRun makes a run. The mutex is held.
+// newRun adds a run and its record. The caller holds the mutex.
 func (en *Engine) newRun(key runKey, customer string, quick bool, vm board.VMRef) *run {
 	en.seq++
 	rn := &run{key: key, seq: en.seq, quick: quick, done: make(chan struct{}), changed: make(chan struct{})}
@@ -303,15 +307,15 @@
 	return rn
 }
 
-// setStage moves a run to a stage. The mutex is held.
+// setStage moves a run to a stage. The caller holds the mutex.
 func (en *Engine) setStage(rn *run, stage sched.Stage) {
 	rn.stage, rn.stageSince = stage, time.Now()
 	rn.rec.Stages = append(rn.rec.Stages, StageTime{Stage: stage, At: en.now()})
 	en.sampleLoad()
 }
 
-// endRun ends a run with an outcome, frees what it holds and forgets it. The
-// mutex is held.
+// endRun ends a run with an outcome, releases its resources and removes it. The
+// caller holds the mutex.
 func (en *Engine) endRun(rn *run, oc Outcome) {
 	if en.runs[rn.key] != rn {
 		return
@@ -322,8 +326,8 @@
 	en.sampleLoad()
 }
 
-// recordOutcome records the outcome of a run and frees its memory slot, but keeps
-// its answer. The mutex is held.
+// recordOutcome records the outcome of a run and frees its memory slot, but
+// keeps its answer. The caller holds the mutex.
 func (en *Engine) recordOutcome(rn *run, oc Outcome) {
 	if rn.rec.Outcome == "" {
 		rn.rec.Outcome = oc
@@ -366,14 +370,15 @@
 	en.sampleLoad()
 }
 
-// abortIfDead drops the connection of a call that the engine died under.
+// abortIfDead closes the connection of the current call if the engine has died
+// meanwhile.
 func (en *Engine) abortIfDead() {
 	if en.Control.Faults().Dead {
 		standin.AbortConnection()
 	}
 }
 
-// runAfter runs a function after a span, unless the run or the engine ends.
+// runAfter calls fn after a delay, unless the run or the engine ends first.
 func (en *Engine) runAfter(rn *run, dur time.Duration, fn func()) {
 	en.work.Go(func() {
 		if standin.Sleep(rn.ctx, dur) == nil {
@@ -390,6 +395,6 @@
 }
 
 func vmOf(req *http.Request) board.VMRef {
-	inc, _ := strconv.ParseUint(req.Header.Get(wire.IncarnationHeader), 10, 64) // zero if absent
+	inc, _ := strconv.ParseUint(req.Header.Get(wire.IncarnationHeader), 10, 64) // zero if the header is absent
 	return board.VMRef{ID: req.Header.Get(wire.VMHeader), Incarnation: inc}
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -24,8 +24,8 @@
 	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		begin := time.Now()
 		bn.prefillAndImport("r1", "a prompt", 100)
-		// 100 ms of prefill, then 1000 bytes at 1000 bytes a second; the two
-		// links work at the same time, one part apart.
+		// 100 ms of prefill, then 1000 bytes at 1000 bytes per second. The two
+		// links transfer concurrently, the second one part behind the first.
 		took := time.Since(begin)
 		assert.Assert(t, took >= 1100*time.Millisecond && took <= 1120*time.Millisecond, "%v", took)
 		begin = time.Now()
@@ -56,8 +56,8 @@
 	})
 }
 
-// A transfer that began in time ends, even if it takes longer than the KV
-// cache is kept for.
+// A transfer that starts before the KV cache expires completes, even if it takes
+// longer than the retention of the KV cache.
 func TestTransferOutlivesKVRetention(t *testing.T) {
 	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		bn.prefillAndImport("r1", "p", 200) // 2 s on the link
@@ -140,7 +140,7 @@
 
 func TestCancelOfAnAttemptLeavesLaterOnes(t *testing.T) {
 	withEngines(t, settings(), func(t *testing.T, bn *bench) {
-		// The cancel order overtakes the order that it cancels.
+		// The cancel order arrives before the order that it cancels.
 		assert.NilError(t, bn.ec.CancelAttempt(t.Context(), bn.preSrv, "r1", 1))
 		od := wire.PrefillOrder{Request: "r1", Attempt: 1, PromptTokens: 1}
 		_, err := bn.ec.Prefill(t.Context(), bn.preSrv, od)
@@ -151,8 +151,8 @@
 	})
 }
 
-// A decode whose reader is gone goes on and holds its slot; a resumed stream
-// has no seam.
+// A decode whose reader has disconnected continues and holds its slot. A resumed
+// stream continues with the next token, without a gap or a repetition.
 func TestDecodeContinuesWithoutReader(t *testing.T) {
 	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		bn.prefillAndImport("r1", "p", 10)
@@ -174,7 +174,7 @@
 		assert.DeepEqual(t, append([]string{tok.Text}, rest...), standin.Answer("p", 50))
 		assert.Equal(t, bn.dec.History().SlotsHeld, 0)
 
-		time.Sleep(11 * time.Second) // the answer is kept for 10 s
+		time.Sleep(11 * time.Second) // the answer is retained for 10 s
 		_, err = bn.ec.Resume(t.Context(), bn.decSrv, "r1", 1)
 		assert.Equal(t, reasonOf(err), backend.Unknown)
 	})
@@ -196,10 +196,10 @@
 		begin := time.Now()
 		go order("short", true, 10, short) // 10 ms of prefill, 100 ms on the link
 		<-short
-		// Each of the three lanes lets a part of the long one end first.
+		// On each of the three lanes it waits for at most one part of the long one.
 		took := time.Since(begin)
 		assert.Assert(t, took <= 150*time.Millisecond, "%v", took)
-		time.Sleep(2 * time.Second) // now the long one is on the link
+		time.Sleep(2 * time.Second) // the long one is now on the link
 
 		again := make(chan struct{})
 		begin = time.Now()
@@ -223,7 +223,7 @@
 		oc, _ := backend.OutcomeOf(err)
 		assert.Equal(t, oc, backend.InDoubt)
 		assert.Equal(t, bn.dec.History().SlotsHeld, 2)
-		_, err = collect(t.Context(), bn.decode("r2", 5)) // goes on meanwhile
+		_, err = collect(t.Context(), bn.decode("r2", 5)) // continues meanwhile
 		assert.NilError(t, err)
 		err = bn.ec.Import(t.Context(), bn.decSrv, bn.importOrder("r1", kv))
 		assert.Equal(t, reasonOf(err), backend.Duplicate)
@@ -254,7 +254,7 @@
 		begin := time.Now()
 		_, err = collect(t.Context(), bn.decode("r3", 10))
 		assert.NilError(t, err)
-		assert.Equal(t, time.Since(begin), 200*time.Millisecond) // twice the pace of one
+		assert.Equal(t, time.Since(begin), 200*time.Millisecond) // twice the time per token of a single decode
 	})
 }
 
@@ -282,11 +282,11 @@
 		assert.Equal(t, bn.prefill("r2", shared+strings.Repeat("b", 2*wire.BlockBytes), 400).CachedTokens, 200)
 		page, err := bn.ec.CacheEvents(t.Context(), bn.preSrv, 0)
 		assert.NilError(t, err)
-		assert.Equal(t, len(page.Events), 0) // late
+		assert.Equal(t, len(page.Events), 0) // delayed by the lag
 		time.Sleep(1100 * time.Millisecond)
 		page, err = bn.ec.CacheEvents(t.Context(), bn.preSrv, 0)
 		assert.NilError(t, err)
-		// Seven happened: six stored, one evicted. Some never come.
+		// There were seven events: six stored, one evicted. Some are lost.
 		assert.Assert(t, len(page.Events) > 0 && len(page.Events) < 7, "%v", page)
 		again, err := bn.ec.CacheEvents(t.Context(), bn.preSrv, page.Next)
 		assert.NilError(t, err)
@@ -312,7 +312,7 @@
 		assert.Equal(t, load.Running, 1)
 		assert.Equal(t, load.Slots, 3)
 		assert.Assert(t, load.Leaving)
-		// Leaving cuts nothing off, but takes nothing new.
+		// A leaving engine finishes its runs, but accepts no new ones.
 		err = bn.ec.Import(t.Context(), bn.decSrv, bn.importOrder("r2", "kv"))
 		assert.Equal(t, reasonOf(err), backend.Leaving)
 		_, err = collect(t.Context(), bn.decode("r1", 5))
@@ -356,7 +356,7 @@
 		assert.NilError(t, err)
 		err = bn.ec.Import(t.Context(), bn.decSrv, bn.importOrder("r2", "kv"))
 		assert.Equal(t, reasonOf(err), backend.WrongRole)
-		got, err := collect(t.Context(), st) // what runs is not cut off
+		got, err := collect(t.Context(), st) // a running decode is not aborted
 		assert.NilError(t, err)
 		assert.Equal(t, len(got), 5)
 	})
@@ -390,7 +390,7 @@
 	})
 }
 
-// A KV cache whose prefill engine dies in the transfer frees the slot.
+// The slot is freed if the prefill engine dies during the transfer.
 func TestTransferFromDyingEngineFreesSlot(t *testing.T) {
 	withEngines(t, settings(), func(t *testing.T, bn *bench) {
 		kv := bn.prefill("r1", "p", 100).KV
@@ -464,7 +464,7 @@
 		en := &engine.Engine{ID: "e", Role: board.Prefill, Settings: engine.Settings{PrefillTokensPerSecond: 1e12}}
 		defer en.Close()
 		ctx, cancel := context.WithCancel(t.Context())
-		cancel() // no handler may wait
+		cancel() // so that no handler blocks
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, paths[uint(path)%uint(len(paths))], strings.NewReader(body))
 		assert.NilError(t, err)
 		rec := &recorder{header: http.Header{}}
--- a/internal/standin/engine/history.go
+++ b/internal/standin/engine/history.go
@@ -15,24 +15,24 @@
 
 // Outcomes of a run.
 const (
-	Complete       Outcome = "Complete"       // prefill: exported whole at least once; decode: the last token was made
-	Expired        Outcome = "Expired"        // the KV cache was never exported whole
+	Complete       Outcome = "Complete"       // prefill: completely exported at least once; decode: the last token was generated
+	Expired        Outcome = "Expired"        // the KV cache was never completely exported
 	Cancelled      Outcome = "Cancelled"      // by a cancel order
-	TransferFailed Outcome = "TransferFailed" // the KV cache did not arrive
+	TransferFailed Outcome = "TransferFailed" // the KV cache did not arrive completely
 	Lost           Outcome = "Lost"           // the engine died
 )
 
 type (
-	// Outcome of a run; empty while it goes on.
+	// Outcome says how a run ended; it is empty until then.
 	Outcome string
 
-	// StageTime tells when a run entered a stage.
+	// StageTime records when a run entered a stage.
 	StageTime struct {
 		Stage sched.Stage
 		At    clock.Millis // since the engine started
 	}
 
-	// Run is the record of one run of one request's attempt.
+	// Run is the record of one run of one attempt of a request.
 	Run struct {
 		Request        string
 		Attempt        int
@@ -40,21 +40,22 @@
 		Customer       string
 		VM             board.VMRef
 		Quick          bool
-		KV             string // names the KV cache at the prefill engine
+		KV             string // name of the KV cache at the prefill engine
 		PromptHash     uint64
 		PromptTokens   int
 		CachedTokens   int // of a prefill
 		ComputedTokens int // of a prefill
-		Exports        int // of a prefill: how often its KV cache left whole
-		Decodes        int // of a decode: how often it began
-		Tokens         int // of a decode: how many were made
+		Exports        int // of a prefill: how often its KV cache was completely exported
+		Decodes        int // of a decode: how often it was started
+		Tokens         int // of a decode: number of tokens generated
 		Stages         []StageTime
-		EndedAt        clock.Millis // since the engine started; zero while it goes on
-		SlotTime       clock.Millis // for how long it held a memory slot
+		EndedAt        clock.Millis // since the engine started; zero until then
+		SlotTime       clock.Millis // how long it held a memory slot
 		Outcome        Outcome
 	}
 
-	// OrderRecord is one order to the engine itself.
+	// OrderRecord is the record of one order to change the engine's role,
+	// model, adapters or version.
 	OrderRecord struct {
 		wire.Order
 		VM       board.VMRef
@@ -62,33 +63,33 @@
 		Accepted bool
 	}
 
-	// History is the record of all that an engine did. It outlives its death
-	// by a fault.
+	// History is the record of all runs and orders of an engine. It survives
+	// the engine's death by a fault.
 	History struct {
 		Server   string
-		Role     board.Role // at present
+		Role     board.Role // current role
 		Started  time.Time
 		Now      clock.Millis // since the engine started
 		Runs     []*Run
 		Orders   []OrderRecord
 		Declined map[backend.Reason]int
-		// SlotsHeld, KVKept and Unfinished are what the engine holds at
-		// present: memory slots, KV caches that wait for their transfer, and
+		// SlotsHeld, KVKept and Unfinished count what the engine currently
+		// holds: memory slots, KV caches that wait for their transfer, and
 		// all runs that have not ended.
 		SlotsHeld  int
 		KVKept     int
 		Unfinished int
 	}
 
-	// Waste is the prefill work of some engines and what became of it.
+	// Waste is the amount of prefill work of some engines, by how it was used.
 	Waste struct {
 		Computed int // tokens
-		Wasted   int // tokens whose decode never began
-		Pending  int // tokens whose prefill or transfer still goes on
+		Wasted   int // tokens whose decode never started
+		Pending  int // tokens whose prefill or transfer is still in progress
 	}
 )
 
-// History returns a copy of the record.
+// History returns a copy of the record so far.
 func (en *Engine) History() History {
 	en.initOnce()
 	en.mu.Lock()
@@ -119,8 +120,8 @@
 	return out
 }
 
-// slotTimes tells for how long the runs at present have held their memory
-// slots. The mutex is held.
+// slotTimes returns how long the current runs have held their memory slots.
+// The caller holds the mutex.
 func (en *Engine) slotTimes() map[*Run]clock.Millis {
 	out := map[*Run]clock.Millis{}
 	for _, rn := range en.runs {
@@ -131,8 +132,9 @@
 	return out
 }
 
-// WasteOf joins the histories of prefill and decode engines. A prefill is of
-// use if a decode began from its KV cache.
+// WasteOf combines the histories of prefill and decode engines and sums up
+// their prefill work. A prefill is wasted if no decode started from its KV
+// cache and none can start any more.
 func WasteOf(hists ...History) Waste {
 	began, coming := map[string]bool{}, map[string]bool{}
 	for rec := range runsOfRole(hists, board.Decode) {
--- a/internal/standin/engine/lane.go
+++ b/internal/standin/engine/lane.go
@@ -10,17 +10,17 @@
 	"alderdyke/internal/standin"
 )
 
-// quantum is how long one turn on a lane lasts at most. Whoever has a higher
-// priority waits no longer than this.
+// quantum is the maximum duration of one turn on a lane, and so the maximum
+// time that work with a higher priority waits for work with a lower one.
 const quantum = 5 * time.Millisecond
 
 type (
-	// lane is something that one piece of work uses at a time, such as a
-	// link. Turns go to quick work first, then to the oldest.
+	// lane schedules a resource that one job uses at a time, such as a link.
+	// Turns are granted to quick runs first, then to the oldest run.
 	lane struct {
 		mu      sync.Mutex
 		busy    bool
-		turnEnd time.Time // when the last turn was due to end
+		turnEnd time.Time // scheduled end of the last turn
 		waiting []*turn
 	}
 
@@ -30,19 +30,19 @@
 		ready chan struct{}
 	}
 
-	// job is a piece of work that takes as many turns as it needs.
+	// job is work that is done in as many turns as it needs.
 	job struct {
 		rn             *run
-		length         time.Duration                         // at the engine's usual pace
-		slowed         func(dur time.Duration) time.Duration // how long a turn takes now
-		blocked        func() bool                           // tells whether the job must not go on now
-		awaitUnblocked func(ctx context.Context) error       // waits until it may
-		onProgress     func(done time.Duration)              // is told of every turn; must not wait
+		length         time.Duration                         // duration at the engine's normal speed
+		slowed         func(dur time.Duration) time.Duration // returns how long a turn takes at the current speed
+		blocked        func() bool                           // reports whether the job must not continue now
+		awaitUnblocked func(ctx context.Context) error       // waits until the job may continue
+		onProgress     func(done time.Duration)              // called after every turn; must not block
 	}
 )
 
-// run does a whole job. While the job is held up it leaves the lane to
-// others.
+// run executes a job to its end. It releases the lane to other jobs while the
+// job is blocked.
 func (ln *lane) run(jb job) error {
 	holds := false
 	for done := time.Duration(0); done < jb.length; {
@@ -73,15 +73,17 @@
 	return ln.acquire(jb.rn)
 }
 
-// precedesWaiting tells whether a run that holds the lane comes before all that wait.
+// precedesWaiting reports whether a run that holds the lane has priority over
+// all that wait for it.
 func (ln *lane) precedesWaiting(rn *run) bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return len(ln.waiting) == 0 || compareTurns(&turn{quick: rn.quick, seq: rn.seq}, ln.waiting[0]) < 0
 }
 
-// nextTurnEnd tells when a turn ends. A turn that begins right after another is
-// measured from the other's end, so that late timers do not add up.
+// nextTurnEnd returns when the next turn ends. A turn that starts immediately
+// after another is timed from the scheduled end of the other, so that the
+// delays of late timers do not accumulate.
 func (ln *lane) nextTurnEnd(dur time.Duration) time.Time {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -113,7 +115,8 @@
 	}
 }
 
-// withdraw takes a turn back. If it was given meanwhile, it is passed on.
+// withdraw removes a turn from the queue. If the turn was granted meanwhile, it
+// is released for the next in the queue.
 func (ln *lane) withdraw(tn *turn) {
 	ln.mu.Lock()
 	ix := slices.Index(ln.waiting, tn)
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -23,7 +23,8 @@
 	standin.WriteJSON(rw, wire.CancelResult{Ended: en.cancel(od)})
 }
 
-// cancel ends the runs of a request and buries its attempts.
+// cancel ends the runs of a request up to an attempt and adds a tombstone, so
+// that late orders of these attempts are declined.
 func (en *Engine) cancel(od wire.CancelOrder) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -57,7 +58,7 @@
 	standin.WriteJSON(rw, en.runningReport())
 }
 
-// runningReport lists the runs in the order of their beginning.
+// runningReport lists the runs in the order in which they began.
 func (en *Engine) runningReport() wire.RunningReport {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// applyOrder checks the fencing number, records the order and changes the
-// engine.
+// applyOrder checks the fencing number, records the order and applies it to
+// the engine. It returns false if the fencing number is not accepted.
 func (en *Engine) applyOrder(od wire.Order, vm board.VMRef) (wire.OrderResult, bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -30,7 +30,7 @@
 	select {
 	case <-rn.done:
 		en.writePrefillResult(rw, rn)
-	case <-req.Context().Done(): // the work goes on
+	case <-req.Context().Done(): // the work continues without the caller
 	}
 }
 
@@ -62,8 +62,9 @@
 	return rn, ""
 }
 
-// contextHash is the hash that the answer follows from. Tokens that were
-// answered before and are not those of this prompt lead to another answer.
+// contextHash returns the hash that the answer is derived from. Tokens of
+// earlier attempts that do not belong to the answer to this prompt result in a
+// different answer.
 func contextHash(od wire.PrefillOrder) uint64 {
 	if slices.Equal(od.Answered, standin.Answer(od.Prompt, len(od.Answered))) {
 		return standin.Hash(od.Prompt)
@@ -71,7 +72,8 @@
 	return standin.Hash(od.Prompt + strings.Join(od.Answered, ""))
 }
 
-// activePrefills counts the prefills that wait or run. The mutex is held.
+// activePrefills returns the number of waiting and running prefills. The caller
+// holds the mutex.
 func (en *Engine) activePrefills() int {
 	count := 0
 	for _, rn := range en.runs {
@@ -82,10 +84,10 @@
 	return count
 }
 
-// runPrefill waits for its turn, computes what the prefix cache does not hold
-// and keeps the KV cache for a while.
+// runPrefill waits for its turn, simulates the computation of the tokens that
+// the prefix cache does not hold, and retains the KV cache for its transfer.
 func (en *Engine) runPrefill(rn *run, od wire.PrefillOrder) {
-	jb := en.newJob(rn, time.Nanosecond) // its turn has come once this is over
+	jb := en.newJob(rn, time.Nanosecond) // ends as soon as it has had its first turn
 	if en.prefills.run(jb) != nil {
 		return
 	}
@@ -112,7 +114,7 @@
 	en.retainKV(rn, prefixes, cached)
 }
 
-// newJob makes a newJob of a run that stands still while the engine is paused.
+// newJob returns a job of a run that is blocked while the engine is paused.
 func (en *Engine) newJob(rn *run, length time.Duration) job {
 	return job{
 		rn: rn, length: length, slowed: en.Control.Slowed, awaitUnblocked: en.Control.AwaitUnpaused,
@@ -120,7 +122,7 @@
 	}
 }
 
-// retainKV makes a computed KV cache ready for its transfer.
+// retainKV makes a computed KV cache available for its transfer until it expires.
 func (en *Engine) retainKV(rn *run, prefixes []uint64, cached int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -139,7 +141,8 @@
 	en.runAfter(rn, en.Settings.KVRetention.Std(), func() { en.expireKV(rn) })
 }
 
-// expireKV drops a KV cache whose time is over and that no transfer reads.
+// expireKV drops a KV cache whose retention is over unless a transfer is
+// reading it.
 func (en *Engine) expireKV(rn *run) {
 	if en.Control.AwaitUnpaused(rn.ctx) != nil {
 		return
@@ -161,20 +164,21 @@
 	en.mu.Lock()
 	res, ok := rn.result, rn.result.KV != ""
 	en.mu.Unlock()
-	if !ok { // it had begun, so it is not declined
+	if !ok { // it had started, so it must not be declined
 		rw.WriteHeader(http.StatusGone)
 		return
 	}
 	standin.WriteJSON(rw, res)
 }
 
-// durationAt is how long an amount of work takes at a rate per second.
+// durationAt returns how long an amount of work takes at a rate per second.
 func durationAt(amount, perSecond float64) time.Duration {
 	return time.Duration(amount / perSecond * float64(time.Second))
 }
 
-// acceptFence checks and remembers a fencing number. Zero stands for none and is
-// let through. The mutex is held.
+// acceptFence checks a fencing number and records it if it is the highest so
+// far. Zero means that there is none, and is accepted. The caller holds the
+// mutex.
 func (en *Engine) acceptFence(kind string, number uint64) bool {
 	if number == 0 {
 		return true
@@ -195,7 +199,7 @@
 	standin.WriteJSON(rw, seen.doc)
 }
 
-// sampleLoad remembers the load of this moment. The mutex is held.
+// sampleLoad records the current load. The caller holds the mutex.
 func (en *Engine) sampleLoad() {
 	doc := wire.LoadDoc{Role: en.role, LinkBytes: en.linkBytes, Leaving: en.Control.Faults().Leaving}
 	if en.role == board.Decode {
@@ -216,8 +220,8 @@
 	en.laggedLoad(now.Add(-en.Settings.LoadLag.Std()))
 }
 
-// laggedLoad returns the load of a past moment and forgets what was before it.
-// The mutex is held.
+// laggedLoad returns the load at a past time and discards older samples. The
+// caller holds the mutex.
 func (en *Engine) laggedLoad(at time.Time) loadSample {
 	ix := 0
 	for ix+1 < len(en.loads) && !en.loads[ix+1].at.After(at) {
--- a/internal/standin/engine/rig_test.go
+++ b/internal/standin/engine/rig_test.go
@@ -17,7 +17,8 @@
 	"alderdyke/internal/standin/engine"
 )
 
-// bench is one prefill and one decode engine in memory, with a client.
+// bench holds one prefill and one decode engine on an in-memory network, and a
+// client.
 type bench struct {
 	t       *testing.T
 	nw      *standin.Network
@@ -30,8 +31,8 @@
 	baseCtx context.Context
 }
 
-// settings makes round figures: 1000 prompt tokens a second, 10 bytes a
-// token, 1000 bytes a second on the link, 10 ms a token.
+// settings returns settings with round figures: 1000 prompt tokens per second,
+// 10 bytes per token, 1000 bytes per second on the link, 10 ms per output token.
 func settings() engine.Settings {
 	return engine.Settings{
 		PrefillTokensPerSecond: 1000, KVRetention: 800, KVBytesPerToken: 10,
@@ -59,7 +60,7 @@
 	ls := bn.nw.Listen(addr)
 	go func() { _ = hs.Serve(ls) }()
 	bn.t.Cleanup(func() {
-		en.Control.Set(standin.Faults{}) // nothing may wait for ever
+		en.Control.Set(standin.Faults{}) // so that nothing blocks forever
 		_ = hs.Close()
 		en.Close()
 	})
@@ -79,7 +80,7 @@
 	return wire.ImportOrder{Request: request, Customer: "c1", Attempt: 1, KV: kv, From: bn.preSrv.Address}
 }
 
-// prefillAndImport prefills and imports a request.
+// prefillAndImport runs the prefill of a request and imports its KV cache.
 func (bn *bench) prefillAndImport(request, prompt string, tokens int) {
 	bn.t.Helper()
 	kv := bn.prefill(request, prompt, tokens).KV
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -19,16 +19,17 @@
 	"alderdyke/internal/standin"
 )
 
-var errIncompleteKV = errors.New("KV cache did not arrive whole")
+var errIncompleteKV = errors.New("KV cache did not arrive completely")
 
 type (
-	// kvHead opens a transfer between two stand-ins. The bytes themselves
-	// are not sent, only how many of them have passed the link.
+	// kvHead is the first message of a transfer between two stand-ins. The
+	// bytes themselves are not sent, only the number of bytes that have passed
+	// the link.
 	kvHead struct {
 		Hash   uint64
 		Tokens int
-		Base   int // output tokens that were answered before
-		Length int // of the answer; zero if the prompt does not say
+		Base   int // number of output tokens that earlier attempts generated
+		Length int // length of the answer; zero if the prompt does not determine it
 		Bytes  int64
 	}
 
@@ -38,7 +39,7 @@
 	}
 )
 
-// serveKV sends a kept KV cache at the pace of the link.
+// serveKV sends a retained KV cache at the rate of the link.
 func (en *Engine) serveKV(rw http.ResponseWriter, req *http.Request) {
 	rn := en.pinKV(req.URL.Query().Get("KV"))
 	if rn == nil {
@@ -53,7 +54,8 @@
 	en.sendKV(rw, rn, tr)
 }
 
-// pinKV finds a kept KV cache and keeps it until unpin.
+// pinKV returns the run of a retained KV cache, which then does not expire
+// before unpinKV, or nil.
 func (en *Engine) pinKV(name string) *run {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -73,8 +75,8 @@
 	en.expireKV(rn)
 }
 
-// sendKV writes a KV cache part by part as it passes the egress link. The
-// connection is written to without holding the link.
+// sendKV writes a KV cache part by part as it passes the egress link. It does
+// not hold the link while it writes to the connection.
 func (en *Engine) sendKV(rw http.ResponseWriter, rn, tr *run) {
 	enc, flush := json.NewEncoder(rw), http.NewResponseController(rw)
 	if enc.Encode(kvHead{Hash: rn.kv.hash, Tokens: rn.kv.tokens, Base: rn.kv.base, Length: rn.kv.length, Bytes: rn.kv.bytes}) != nil {
@@ -94,11 +96,12 @@
 	standin.AbortConnection()
 }
 
-// exportKV passes a KV cache over the egress link and tells of every part. The
-// channel is closed early if the transfer was given up.
+// exportKV passes a KV cache over the egress link and sends every part to the
+// returned channel. The channel is closed without a last part that is marked
+// as done if the transfer is aborted.
 func (en *Engine) exportKV(rn, tr *run) <-chan kvPart {
 	jb := en.newTransferJob(tr, rn.kv.bytes)
-	parts := make(chan kvPart, int(jb.length/quantum)+2) // has room for all
+	parts := make(chan kvPart, int(jb.length/quantum)+2) // buffers all parts, so that onProgress does not block
 	var sent int64
 	jb.onProgress = func(done time.Duration) {
 		now := min(rn.kv.bytes, int64(float64(rn.kv.bytes)*float64(done)/float64(jb.length)))
@@ -126,8 +129,8 @@
 	return parts
 }
 
-// newTransferJob makes a job that takes the link for a number of bytes and stands
-// still while transfers stall.
+// newTransferJob returns a job that uses the link for a number of bytes and is
+// blocked while transfers are stalled.
 func (en *Engine) newTransferJob(rn *run, bytes int64) job {
 	jb := en.newJob(rn, durationAt(float64(bytes), en.Settings.LinkBytesPerSecond))
 	jb.awaitUnblocked = en.Control.AwaitUnstalled
@@ -158,7 +161,7 @@
 	}
 	select {
 	case <-rn.done:
-	case <-req.Context().Done(): // the work goes on
+	case <-req.Context().Done(): // the work continues without the caller
 		return
 	}
 	en.abortIfDead()
@@ -194,13 +197,14 @@
 	return rn, ""
 }
 
-// importKV fetches a KV cache into the memory slot, or frees the slot.
+// importKV fetches a KV cache into the memory slot. It frees the slot if that
+// fails.
 func (en *Engine) importKV(rn *run, od wire.ImportOrder) {
 	head, err := en.fetchKV(rn, od)
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.runs[rn.key] != rn {
-		return // cancelled meanwhile
+		return // cancelled in the meantime
 	}
 	if err != nil {
 		rn.failure = backend.TransferFailed
@@ -231,9 +235,9 @@
 	return en.receiveParts(rn, bufio.NewReader(rsp.Body))
 }
 
-// receiveParts takes the parts of a KV cache off the ingress link. The link
-// is free between two parts, so that quick work gets at least every other
-// turn there.
+// receiveParts passes the parts of a KV cache over the ingress link. The link
+// is released between two parts, so that quick runs get at least every second
+// turn on it.
 func (en *Engine) receiveParts(rn *run, body io.Reader) (kvHead, error) {
 	dec := json.NewDecoder(body)
 	var head kvHead
--- a/internal/standin/engine/transfer_test.go
+++ b/internal/standin/engine/transfer_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// newReceiver takes parts in no time.
+// newReceiver returns a function that receives a transfer over a link of
+// practically unlimited rate.
 func newReceiver(tb testing.TB) func(text string) (kvHead, error) {
 	en := &Engine{ID: "d1", Settings: Settings{LinkBytesPerSecond: 1e40}}
 	en.initOnce()
@@ -41,7 +42,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		head, err := receive(text)
 		if err == nil && (head.Bytes < 0 || !strings.Contains(strings.ToLower(text), "done")) {
-			t.Fatalf("took %q", text)
+			t.Fatalf("accepted %q", text)
 		}
 	})
 }
