--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -1,6 +1,6 @@
 // Package deployment starts the stand-ins of one deployment on loopback: the
 // platform's log service and VM list, model engines and plain services. Entry
-// VMs then run against it, in this process or in their own.
+// VMs then connect to them, from this process or from processes of their own.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	err := dp.Start()
 //	defer dp.Close()
 //	set, err := dp.AddVM("aarhus-a-1", "aarhus-a")
-//	err = dp.Publish() // the VM list with the VMs so far
+//	dp.Publish() // the VM list then contains the VMs added so far
 package deployment
 
 import (
@@ -32,7 +32,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Tokens and secrets of a deployment on loopback.
+// Tokens and secrets that all deployments on loopback use.
 const (
 	BackendToken  = "backend-token-of-the-stand-ins"
 	LogToken      = "log-token-of-the-stand-ins"
@@ -41,14 +41,14 @@
 	PeerSecret    = "a-secret-that-all-stand-in-vms-share"
 )
 
-// Ports of an entry VM that has an IP number of its own.
+// Ports of an entry VM that has its own IP address.
 const (
 	callerPort   = 8080
 	peerPort     = 7946
 	operatorPort = 9090
 )
 
-// Kinds of links.
+// Kinds of links between the parts of a deployment.
 const (
 	CallerLink  LinkKind = "Caller"  // callers to a VM
 	PeerLink    LinkKind = "Peer"    // other VMs to a VM, by TCP and UDP
@@ -58,36 +58,36 @@
 )
 
 type (
-	// LinkKind of a link.
+	// LinkKind says which parts of a deployment a link connects.
 	LinkKind string
 
-	// Link is one way by which a deployment's parts speak.
+	// Link is a network connection between parts of a deployment.
 	Link struct {
 		Kind LinkKind
-		ID   string // of the VM, or of the backend server
+		ID   string // ID of the VM or of the backend server
 	}
 
-	// Deployment is the stand-ins around some entry VMs. Set the exported
-	// fields before Start.
+	// Deployment holds the stand-ins that some entry VMs connect to. Set the
+	// exported fields up to Intercept before Start, which sets the others.
 	Deployment struct {
 		Model        string // name of the model service
-		Prefill      int    // prefill engines
-		Decode       int    // decode engines
-		PlainService string
-		Plain        int // servers of the plain service
+		Prefill      int    // number of prefill engines
+		Decode       int    // number of decode engines
+		PlainService string // name of the plain service
+		Plain        int    // number of servers of the plain service
 
-		FailureDomains []string // dealt to backend servers in turn
+		FailureDomains []string // assigned to backend servers in turn
 		Region         string
 		Engine         enginesim.Settings
 		Service        servicesim.Settings
 
-		// Hosts are IP numbers of loopback, dealt to entry VMs in turn, each
-		// of which then listens at the usual ports of its own. Without any,
-		// VMs share 127.0.0.1 and take free ports.
+		// Hosts are loopback addresses, one for each entry VM. A VM then
+		// listens on the default ports of its own address. If Hosts is empty,
+		// all VMs use one loopback address of this process and free ports.
 		Hosts []netip.Addr
-		// Intercept puts something before an address that others connect to,
-		// such as a proxy that injects faults, and returns its address. Nil
-		// leaves all addresses as they are.
+		// Intercept puts an intermediary, such as a proxy that injects faults,
+		// in front of an address that others connect to, and returns the
+		// intermediary's address. Nil leaves all addresses unchanged.
 		Intercept func(lk Link, addr netip.AddrPort) (netip.AddrPort, error)
 
 		Logs     *logsim.Server
@@ -104,11 +104,11 @@
 )
 
 var (
-	errNoHost = errors.New("no IP number is left in Hosts")
-	errNoPort = errors.New("no more are free")
+	errNoHost = errors.New("more entry VMs than addresses in Hosts")
+	errNoPort = errors.New("too few free ports")
 )
 
-// Start opens all stand-ins.
+// Start starts all stand-ins and publishes the VM list.
 func (dp *Deployment) Start() error {
 	if len(dp.FailureDomains) == 0 {
 		dp.FailureDomains = []string{"domain-a"}
@@ -169,7 +169,7 @@
 	}
 	out, err := dp.Intercept(Link{Kind: kind, ID: id}, addr)
 	if err != nil {
-		return addr, fmt.Errorf("front %s of %s: %w", kind, id, err)
+		return addr, fmt.Errorf("intercept %s link of %s: %w", kind, id, err)
 	}
 	return out, nil
 }
@@ -204,8 +204,8 @@
 	return netip.MustParseAddrPort(ln.Addr().String()), nil
 }
 
-// AddVM returns the settings of one more entry AddVM and lists it. Publish makes
-// the AddVM list say so.
+// AddVM adds an entry VM to the deployment and returns its settings. The VM
+// list contains it after the next Publish.
 func (dp *Deployment) AddVM(id, failureDomain string) (settings.Settings, error) {
 	set := settings.Default()
 	set.ID, set.FailureDomain, set.Region = id, failureDomain, dp.Region
@@ -215,7 +215,7 @@
 	set.VMList.Token = settings.NewSecret(ListToken)
 	set.Backends.Token = settings.NewSecret(BackendToken)
 	if err := dp.setAddresses(&set); err != nil {
-		return set, fmt.Errorf("place VM %s: %w", id, err)
+		return set, fmt.Errorf("assign addresses to VM %s: %w", id, err)
 	}
 	dp.mu.Lock()
 	defer dp.mu.Unlock()
@@ -230,7 +230,7 @@
 	return set, nil
 }
 
-// setAddresses sets all addresses of an entry VM.
+// setAddresses sets all addresses in the settings of an entry VM.
 func (dp *Deployment) setAddresses(set *settings.Settings) error {
 	ports, err := dp.vmAddresses()
 	if err != nil {
@@ -254,8 +254,8 @@
 	return nil
 }
 
-// vmAddresses returns the addresses for callers, peers and operators of one more
-// entry VM.
+// vmAddresses returns the addresses on which the next entry VM listens for
+// callers, peers and operators.
 func (dp *Deployment) vmAddresses() ([]netip.AddrPort, error) {
 	if len(dp.Hosts) == 0 {
 		return freePorts(3)
@@ -296,7 +296,7 @@
 	dp.Publish()
 }
 
-// RemoveVM takes an entry VM off the VM list.
+// RemoveVM removes an entry VM from the VM list.
 func (dp *Deployment) RemoveVM(id string) {
 	dp.mu.Lock()
 	var kept []vmlist.VMEntry
@@ -310,7 +310,7 @@
 	dp.Publish()
 }
 
-// Publish makes the VM list hold what was added and changed.
+// Publish replaces the VM list by one with all additions and changes so far.
 func (dp *Deployment) Publish() {
 	dp.mu.Lock()
 	defer dp.mu.Unlock()
@@ -321,7 +321,7 @@
 	dp.List.Put(doc)
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (dp *Deployment) Close() error {
 	var err error
 	for _, srv := range dp.servers {
@@ -337,18 +337,18 @@
 }
 
 const (
-	// firstPort and portCount bound the ports that VMs get: below those that
-	// the kernel gives to whoever asks for any, so that none is given away
-	// between its choice and its use.
+	// firstPort and portCount bound the ports of VMs. They lie below the
+	// kernel's ephemeral ports, so that the kernel does not assign a port to
+	// another socket between its choice here and its use by a VM.
 	firstPort = 10000
 	portCount = 20000
 )
 
 // portsTried counts the ports that this process has tried, so that no two
-// deployments of it get the same.
+// deployments of the process get the same port.
 var portsTried atomic.Uint32
 
-// freePorts finds loopback ports that are free for TCP and UDP.
+// freePorts returns loopback addresses whose ports are free for TCP and UDP.
 func freePorts(count int) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
 	for range portCount {
@@ -360,10 +360,10 @@
 			out = append(out, netip.MustParseAddrPort(addr))
 		}
 	}
-	return nil, fmt.Errorf("%d of %d ports: %w", len(out), count, errNoPort)
+	return nil, fmt.Errorf("found %d of %d ports: %w", len(out), count, errNoPort)
 }
 
-// isFree tells whether nothing listens at an address.
+// isFree reports whether an address can be listened on with TCP and UDP.
 func isFree(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -378,8 +378,9 @@
 	return true
 }
 
-// ScaledEngineSettings scales the paces of engines, so that a test need not wait for real
-// ones.
+// ScaledEngineSettings returns the default settings of engines with all speeds
+// multiplied by factor, so that a test does not wait as long as with real
+// engines.
 func ScaledEngineSettings(factor float64) enginesim.Settings {
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond *= factor
@@ -388,8 +389,8 @@
 	return set
 }
 
-// processHost is a loopback IP number of this process, so that no other process
-// takes a port between its choice and its use.
+// processHost returns a loopback address that depends on the process ID, so
+// that other processes do not take a port between its choice and its use.
 func processHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 64+pid>>8&63, pid&255)
--- a/internal/standin/deployment/stage.go
+++ b/internal/standin/deployment/stage.go
@@ -1,7 +1,7 @@
 package deployment
 
 import (
-	_ "embed" // for the template of the settings
+	_ "embed" // embeds the settings template
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,7 +10,7 @@
 	"alderdyke/internal/settings"
 )
 
-// Modes of what is written for VMs.
+// File modes of the directory and the files written for VMs.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o600
@@ -21,22 +21,23 @@
 
 var settingsTemplate = template.Must(template.New("settings").Parse(settingsText))
 
-// templateData is what the settings file of one VM is made of.
+// templateData is the data from which the settings file of one VM is generated.
 type templateData struct {
 	settings.Settings
 	PeerSecret, OperatorToken, LogToken, ListToken, BackendToken string
 }
 
-// WriteSettings writes the settings of VMs into a folder, each in a file named after
-// its ID, and beside them the operators' token, so that they can be run as
-// processes of their own. It returns the names of the settings files.
+// WriteSettings writes the settings of VMs to a directory, each to a file
+// named after the VM's ID, and the operator token to a file beside them, so
+// that the VMs can run as processes of their own. It returns the names of the
+// settings files.
 func WriteSettings(dir string, sets []settings.Settings) ([]string, error) {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
-		return nil, fmt.Errorf("make the folder of the settings: %w", err)
+		return nil, fmt.Errorf("create the directory of the settings: %w", err)
 	}
 	token := filepath.Join(dir, "operator.token")
 	if err := os.WriteFile(token, []byte(OperatorToken+"\n"), fileMode); err != nil {
-		return nil, fmt.Errorf("write the operators' token: %w", err)
+		return nil, fmt.Errorf("write the operator token: %w", err)
 	}
 	var names []string
 	for _, set := range sets {
