--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,10 +1,10 @@
 // Package service is a stand-in for the server of a plain service, for tests,
 // benchmarks and demonstrations.
 //
-// It answers every call, on any path, with [standin.Reply], after a time that
-// can be set, with a few calls at once. It never suppresses a repeated call:
-// its history shows how often each key ran. Work goes on when the connection
-// of its call breaks.
+// It answers every call, on any path, with [standin.Reply], after a
+// configurable latency. The number of concurrent runs is limited. A repeated
+// call runs again, so that the history shows how often each key ran. A run
+// continues after the connection of its call breaks.
 //
 // # Usage
 //
@@ -32,17 +32,17 @@
 )
 
 type (
-	// Settings paces a server. Slots and Queue of zero hold the defaults of
-	// DefaultSettings.
+	// Settings configures the speed and capacity of a server. If Slots or
+	// Queue is zero, the value of DefaultSettings is used.
 	Settings struct {
-		Latency clock.Millis // of one run
-		Slots   int          // runs at once
-		Queue   int          // calls that wait for a slot
-		LoadLag clock.Millis
-		Token   string // bearer token asked of every call; empty asks for none
+		Latency clock.Millis // duration of one run
+		Slots   int          // maximum number of concurrent runs
+		Queue   int          // maximum number of calls that wait for a slot
+		LoadLag clock.Millis // age of load reports
+		Token   string       // bearer token that every call must have; empty accepts all
 	}
 
-	// Server is one stand-in. Set the exported fields before the first call.
+	// Server is a stand-in. Set the exported fields before the first call.
 	Server struct {
 		ID       string
 		Settings Settings
@@ -67,12 +67,12 @@
 		Method   string
 		Path     string
 		BodyHash uint64
-		VM       board.VMRef  // for whom
+		VM       board.VMRef  // VM that sent the call
 		At       clock.Millis // since the server started
-		EndedAt  clock.Millis // zero while it goes on
+		EndedAt  clock.Millis // zero while it runs
 	}
 
-	// History is the record of all that a server did.
+	// History is the record of all calls of a server.
 	History struct {
 		Server   string
 		Started  time.Time
@@ -89,10 +89,10 @@
 	}
 )
 
-// DefaultSettings are those of a server with eight slots.
+// DefaultSettings returns the settings of a server with eight slots.
 func DefaultSettings() Settings { return Settings{Slots: 8, Queue: 64} }
 
-// RunsOf lists the runs of a key.
+// RunsOf returns the runs of a key.
 func (hs History) RunsOf(key string) []Run {
 	var out []Run
 	for _, rec := range hs.Runs {
@@ -103,7 +103,8 @@
 	return out
 }
 
-// Handler serves calls, the load report, faults and the history.
+// Handler returns a handler that serves calls, the load report, the faults and
+// the history.
 func (sv *Server) Handler() http.Handler {
 	sv.initOnce()
 	return sv.Control.Wrap(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
@@ -120,13 +121,13 @@
 	}))
 }
 
-// Close ends all runs.
+// Close aborts all runs.
 func (sv *Server) Close() {
 	sv.initOnce()
 	sv.cancel()
 }
 
-// History returns a copy of the record.
+// History returns a copy of the record so far.
 func (sv *Server) History() History {
 	sv.initOnce()
 	sv.mu.Lock()
@@ -188,11 +189,11 @@
 		standin.AbortConnection()
 	}
 	rw.Header().Set("Content-Type", "application/json")
-	_, _ = io.WriteString(rw, text) // the caller may be gone
+	_, _ = io.WriteString(rw, text) // fails if the caller has disconnected
 }
 
-// acquireSlot waits for a slot. It returns false if the queue is full or the caller
-// went before the call began.
+// acquireSlot waits for a slot. It returns false if the queue is full, or if
+// the caller disconnects or the server is closed before a slot is free.
 func (sv *Server) acquireSlot(ctx context.Context) bool {
 	sv.mu.Lock()
 	select {
@@ -223,7 +224,7 @@
 }
 
 func (sv *Server) recordStart(req *http.Request, hash uint64) *Run {
-	inc, _ := strconv.ParseUint(req.Header.Get("Alderdyke-Incarnation"), 10, 64) // zero if absent
+	inc, _ := strconv.ParseUint(req.Header.Get("Alderdyke-Incarnation"), 10, 64) // zero if the header is absent
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	rec := &Run{
@@ -236,8 +237,8 @@
 	return rec
 }
 
-// execute does the work, whether the caller is there or not. It returns false if
-// the server was closed first.
+// execute simulates the work of a run, which continues if the caller
+// disconnects. It returns false if the server is closed first.
 func (sv *Server) execute(rec *Run) bool {
 	err := standin.Sleep(sv.ctx, sv.Control.Slowed(sv.Settings.Latency.Std()))
 	if err == nil {
@@ -267,7 +268,7 @@
 	return seen.doc
 }
 
-// sampleLoad remembers the load of this moment. The mutex is held.
+// sampleLoad records the current load. The caller holds the mutex.
 func (sv *Server) sampleLoad() {
 	doc := wire.LoadDoc{
 		Running: sv.running, Slots: sv.Settings.Slots, Queued: sv.queued, Leaving: sv.Control.Faults().Leaving,
@@ -276,8 +277,8 @@
 	sv.laggedLoad()
 }
 
-// laggedLoad returns the load as it was LoadLag ago and forgets what was before.
-// The mutex is held.
+// laggedLoad returns the load as it was LoadLag ago and discards older samples.
+// The caller holds the mutex.
 func (sv *Server) laggedLoad() loadSample {
 	at := time.Now().Add(-sv.Settings.LoadLag.Std())
 	next := slices.IndexFunc(sv.loads, func(sl loadSample) bool { return sl.at.After(at) })
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -17,7 +17,8 @@
 	"alderdyke/internal/standin/service"
 )
 
-// withServer starts a server in memory with a client.
+// withServer runs fn in virtual time with a server on an in-memory network and
+// a client.
 func withServer(t *testing.T, sv *service.Server, fn func(t *testing.T, sc *wire.Client, srv board.BackendServer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,7 +41,8 @@
 	return wire.Request{Method: http.MethodPost, Path: "/check?loan=3", Body: []byte("b"), Key: key}
 }
 
-// A server's own failure is its answer, and not a doubt.
+// A status 500 of the server itself is its answer and leaves no doubt about
+// the outcome.
 func TestServerErrorIsAnAnswer(t *testing.T) {
 	sv := &service.Server{ID: "k1", Settings: service.Settings{Latency: 5}}
 	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
@@ -53,7 +55,8 @@
 	})
 }
 
-// The outcome of a call is held against the server's own record of what ran.
+// The outcome that the client reports agrees with the server's own record of
+// runs.
 func TestOutcomesMatchHistory(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -68,7 +71,7 @@
 		{"leaving", standin.Faults{Leaving: true}, backend.Declined, 0},
 		{"dead", standin.Faults{Dead: true}, backend.InDoubt, 0},
 		{"slow", standin.Faults{Slow: 5000}, backend.InDoubt, 0},
-		{"slow in the middle", standin.Faults{Slowdown: 1000}, backend.InDoubt, 1},
+		{"slow while it runs", standin.Faults{Slowdown: 1000}, backend.InDoubt, 1},
 		{"paused", standin.Faults{Pause: true}, backend.InDoubt, 0},
 	}
 	for _, tc := range cases {
@@ -142,7 +145,7 @@
 	})
 }
 
-// Faults can be set from another process.
+// Faults can be set over HTTP, so that another process can do so.
 func TestFaultsEndpoint(t *testing.T) {
 	sv := &service.Server{ID: "k1"}
 	withServer(t, sv, func(t *testing.T, sc *wire.Client, srv board.BackendServer) {
