--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -1,5 +1,6 @@
 // Package logsvc is a small in-memory stand-in for the platform's log
-// service, with faults that a test sets. It records what it did.
+// service, with faults that a test can inject. It counts its calls and their
+// effects.
 //
 // # Usage
 //
@@ -28,33 +29,34 @@
 )
 
 type (
-	// Faults is what goes wrong. The zero value is a healthy service.
+	// Faults describes the faults of the service. The zero value is a healthy
+	// service.
 	Faults struct {
-		Outage      bool         // every call breaks off without an effect
-		Refuse      bool         // every call is answered with 503, without an effect
-		Slow        clock.Millis // passes before each call takes effect
-		LoseReplies int          // so many appends take effect and break off
-		Lag         int          // reads don't see so many of the newest records
-		KeepRecords int          // retention by count; zero keeps all
+		Outage      bool         // closes the connection of every call, without an effect
+		Refuse      bool         // answers every call with status 503, without an effect
+		Slow        clock.Millis // delay before each call takes effect
+		LoseReplies int          // number of appends that take effect but get no reply
+		Lag         int          // number of newest records that reads do not return
+		KeepRecords int          // retention by number of records; zero keeps all
 		KeepFor     clock.Millis // retention by age; zero keeps all
 	}
 
-	// Counts counts what the service did.
+	// Counts holds the number of calls and the amount of data so far.
 	Counts struct {
 		Appends     int
-		LostReplies int // appends whose reply was lost
+		LostReplies int // appends that took effect but got no reply
 		Reads       int
-		Refused     int // calls that found an outage or a wrong token
+		Refused     int // calls that failed because of an outage or a wrong token
 		BytesIn     int64
-		BytesOut    int64 // bodies only
+		BytesOut    int64 // response bodies only
 		Trimmed     int
-		MaxRecord   int // bytes of the largest record
+		MaxRecord   int // size of the largest record, in bytes
 	}
 
 	// Server is the stand-in. Set Token and Clock before the first call.
 	Server struct {
 		Token string       // expected bearer token; empty accepts all
-		Clock clock.Source // for retention by age; nil means the process's clock
+		Clock clock.Source // for retention by age; nil uses the process's clock
 
 		mu      sync.Mutex
 		faults  Faults
@@ -86,14 +88,14 @@
 	}
 }
 
-// Counts returns the counts so far.
+// Counts returns the number of calls and the amount of data so far.
 func (srv *Server) Counts() Counts {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return srv.counts
 }
 
-// Trim drops all records of the stream below the offset.
+// Trim removes all records of the stream below the offset.
 func (srv *Server) Trim(name string, below uint64) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// Records returns all kept records of the stream.
+// Records returns all records of the stream that retention has not removed.
 func (srv *Server) Records(name string) []wire.Record {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -247,7 +249,7 @@
 	srv.counts.BytesOut += int64(len(body))
 	srv.mu.Unlock()
 	rw.Header().Set("Content-Type", "application/json")
-	// A caller that is gone needs no answer.
+	// Write fails only if the caller has disconnected, who needs no answer.
 	_, _ = rw.Write(body)
 }
 
