--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,5 +1,5 @@
 // Package vmlist is a small stand-in for the platform's VM list, with faults
-// that a test sets.
+// that a test can inject.
 //
 // # Usage
 //
@@ -23,24 +23,25 @@
 )
 
 type (
-	// Faults is what goes wrong. The zero value is a healthy service.
+	// Faults describes the faults of the service. The zero value is a healthy
+	// service.
 	Faults struct {
-		Outage bool         // every call breaks off
-		Lag    clock.Millis // the list is as old as this
-		NoETag bool         // the list is always sent whole
+		Outage bool         // closes the connection of every call
+		Lag    clock.Millis // age of the list that is served
+		NoETag bool         // sends no ETag, so that the list is always sent whole
 	}
 
-	// Counts counts what the service did.
+	// Counts holds the number of calls by their result.
 	Counts struct {
-		Fetches     int // lists sent whole
-		NotModified int // answers that only said that the list did not change
-		Refused     int // calls that found an outage or a wrong token
+		Fetches     int // responses with the whole list
+		NotModified int // responses without a list because it is unchanged
+		Refused     int // calls that failed because of an outage or a wrong token
 	}
 
 	// Server is the stand-in. Set Token and Clock before the first call.
 	Server struct {
 		Token string       // expected bearer token; empty accepts all
-		Clock clock.Source // nil means the process's clock
+		Clock clock.Source // nil uses the process's clock
 
 		mu        sync.Mutex
 		faults    Faults
@@ -61,14 +62,14 @@
 	srv.faults = fl
 }
 
-// Counts returns the counts so far.
+// Counts returns the number of calls by their result so far.
 func (srv *Server) Counts() Counts {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return srv.counts
 }
 
-// Put replaces the list from now on. The document must not be written to
+// Put replaces the list from now on. The caller must not modify the document
 // afterwards.
 func (srv *Server) Put(doc wire.Document) {
 	srv.mu.Lock()
@@ -76,8 +77,8 @@
 	srv.revisions = append(srv.revisions, revision{at: srv.now(), doc: doc})
 }
 
-// ServeHTTP serves the list as of Lag ago; the first list that was put counts
-// as having stood always.
+// ServeHTTP serves the list as it was Lag ago. The first list is served for
+// all times before it was put.
 func (srv *Server) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
 	doc, tag, outage, allowed := srv.selectList(req)
 	switch {
@@ -98,11 +99,13 @@
 		}
 	}
 	rw.Header().Set("Content-Type", "application/json")
-	// A caller that is gone needs no answer.
+	// Encoding fails only if the caller has disconnected, who needs no answer.
 	_ = json.NewEncoder(rw).Encode(doc)
 }
 
-// selectList finds the list to send and its tag, the number of its state.
+// selectList returns the list to send and its ETag, which is the number of its
+// revision, and reports whether there is an outage and whether the token is
+// right.
 func (srv *Server) selectList(req *http.Request) (doc wire.Document, tag string, outage, allowed bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
