--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -16,50 +16,50 @@
 	"alderdyke/pkg/clock"
 )
 
-// Paths that faults never touch.
+// Paths that are served regardless of faults.
 const (
-	FaultsPath  = "/faults"  // GET reads the faults, POST replaces them
-	HistoryPath = "/history" // GET reads what ran
+	FaultsPath  = "/faults"  // GET returns the faults, POST replaces them
+	HistoryPath = "/history" // GET returns the record of runs
 )
 
-// MaxBody bounds the body of one call to a stand-in, in bytes.
+// MaxBody is the maximum body size of a call to a stand-in, in bytes.
 const MaxBody = 16 << 20
 
-// processStart is the incarnation of servers that did not die yet.
+// processStart is the incarnation of servers that have not died yet.
 var processStart = uint64(time.Now().UnixMilli())
 
-const maxFaults = 64 << 10 // bytes of a faults document
+const maxFaults = 64 << 10 // maximum size of a faults document, in bytes
 
 type (
-	// Faults is what is wrong with a stand-in. The zero value is a healthy
-	// one.
+	// Faults describes the faults of a stand-in. The zero value is a healthy
+	// stand-in.
 	Faults struct {
 		// Paths limits Refuse, Fail, Reset, LoseReply and Slow to these paths;
-		// empty is all.
+		// if empty, they apply to all paths.
 		Paths []string
 		// Count limits Refuse, Fail, Reset, LoseReply, Slow and ResetAtToken
-		// to this many calls; zero is all.
+		// to this many calls; zero means no limit.
 		Count int
 
-		Pause         bool         // nothing moves, as if the process were frozen; calls are handled afterwards
-		Dead          bool         // all connections are cut and what was held is lost
-		Refuse        bool         // declines calls, truthfully
-		RetryAfter    clock.Millis // that a refused call names; zero is none
-		Fail          bool         // answers 500 without a word of what became of the call, which has no effect
-		Reset         bool         // cuts the connection before the call has an effect
-		LoseReply     bool         // cuts the connection after the call had its effect
-		Slow          clock.Millis // before the call is handled, or until the faults are set again
-		Slowdown      float64      // all work takes this many times as long; 0 is 1
-		StallTransfer bool         // KV transfers stand still
-		ResetAtToken  int          // cuts a token stream before this token; 0 does not
-		Leaving       bool         // takes no new work and reports so
+		Pause         bool         // suspends all work, as if the process were stopped; calls are handled afterwards
+		Dead          bool         // closes all connections and discards all state
+		Refuse        bool         // declines calls without running them
+		RetryAfter    clock.Millis // delay that a refusal suggests; zero suggests none
+		Fail          bool         // answers status 500 without stating the outcome; the call has no effect
+		Reset         bool         // closes the connection before the call takes effect
+		LoseReply     bool         // closes the connection after the call took effect
+		Slow          clock.Millis // delay before the call is handled; ends early if the faults are set again
+		Slowdown      float64      // factor by which all work takes longer; zero means 1
+		StallTransfer bool         // stalls KV transfers
+		ResetAtToken  int          // closes a token stream before the token with this index; zero disables it
+		Leaving       bool         // accepts no new work and reports that it is leaving
 	}
 
-	// Control sets the faults of one stand-in while it runs. The zero value
-	// is a healthy stand-in's.
+	// Control holds the faults of one stand-in, which can be changed while it
+	// runs. The zero value injects no faults.
 	Control struct {
-		// OnSet is called, without locks held, whenever the faults changed.
-		// Set it before the first call.
+		// OnSet is called, without locks held, whenever the faults have been
+		// set. It must be assigned before the first call.
 		OnSet func(Faults)
 
 		mu      sync.Mutex
@@ -69,11 +69,11 @@
 		changed chan struct{}
 	}
 
-	// abortingWriter cuts the connection as soon as there is a reply.
+	// abortingWriter aborts the connection instead of sending a reply.
 	abortingWriter struct{ http.ResponseWriter }
 )
 
-// Set replaces the faults and begins to count anew.
+// Set replaces the faults and resets the count of affected calls.
 func (ct *Control) Set(ft Faults) {
 	ct.mu.Lock()
 	if ft.Dead && !ct.faults.Dead {
@@ -87,31 +87,33 @@
 	}
 }
 
-// Faults returns the faults that are set.
+// Faults returns the current faults.
 func (ct *Control) Faults() Faults {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.faults
 }
 
-// Hits tells how many calls the faults with Paths and Count struck since they were set.
+// Hits returns how many calls were affected by the faults that Paths and Count
+// limit since they were set.
 func (ct *Control) Hits() int {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.hits
 }
 
-// AwaitUnpaused waits while the stand-in is paused.
+// AwaitUnpaused blocks while the stand-in is paused. It fails if the context ends.
 func (ct *Control) AwaitUnpaused(ctx context.Context) error {
 	return ct.waitWhile(ctx, func(ft Faults) bool { return ft.Pause })
 }
 
-// AwaitUnstalled waits while transfers stall or the stand-in is paused.
+// AwaitUnstalled blocks while transfers are stalled or the stand-in is paused.
+// It fails if the context ends.
 func (ct *Control) AwaitUnstalled(ctx context.Context) error {
 	return ct.waitWhile(ctx, func(ft Faults) bool { return ft.Pause || ft.StallTransfer })
 }
 
-// Slowed returns how long work of the given length takes now.
+// Slowed returns how long work of the given duration takes under Slowdown.
 func (ct *Control) Slowed(dur time.Duration) time.Duration {
 	if by := ct.Faults().Slowdown; by > 0 {
 		return time.Duration(float64(dur) * by)
@@ -119,8 +121,8 @@
 	return dur
 }
 
-// TakeStreamCut tells whether a token stream is to be cut before the token with the
-// given index, and counts it.
+// TakeStreamCut reports whether a token stream must be aborted before the
+// token with the given index, and counts the call if so.
 func (ct *Control) TakeStreamCut(index int) bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -131,7 +133,8 @@
 	return true
 }
 
-// Wrap puts the faults before a handler and serves FaultsPath.
+// Wrap returns a handler that serves FaultsPath and passes all other calls to
+// next. It injects the faults into all of these except those to HistoryPath.
 func (ct *Control) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		switch req.URL.Path {
@@ -145,8 +148,8 @@
 	})
 }
 
-// Decline answers that the call did not begin. A span of zero names no time
-// to try again.
+// Decline answers that the call was not started. A positive after is sent as
+// the delay before a retry.
 func Decline(rw http.ResponseWriter, status int, reason backend.Reason, after clock.Millis) {
 	rw.Header().Set(backend.DeclinedHeader, string(reason))
 	if after > 0 {
@@ -155,13 +158,13 @@
 	rw.WriteHeader(status)
 }
 
-// WriteJSON answers with a JSON document.
+// WriteJSON sends a JSON document as the response.
 func WriteJSON(rw http.ResponseWriter, doc any) {
 	rw.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(rw).Encode(doc) // the caller may be gone
+	_ = json.NewEncoder(rw).Encode(doc) // fails if the caller has disconnected
 }
 
-// ReadJSON reads a JSON document up to a bound in bytes.
+// ReadJSON decodes the JSON body of a call into doc. It reads at most bound bytes.
 func ReadJSON(req *http.Request, bound int64, doc any) error {
 	dec := json.NewDecoder(http.MaxBytesReader(nil, req.Body, bound))
 	if err := dec.Decode(doc); err != nil {
@@ -170,11 +173,11 @@
 	return nil
 }
 
-// AbortConnection drops the connection of the call that is being handled.
+// AbortConnection closes the connection of the call that is being handled.
 func AbortConnection() { panic(http.ErrAbortHandler) }
 
-// handleWithFaults handles a call as the faults say. A call that was received is handled
-// even if its caller has gone meanwhile.
+// handleWithFaults applies the faults to a call and passes it to next. A call
+// that was received is handled even if its caller has disconnected meanwhile.
 func (ct *Control) handleWithFaults(rw http.ResponseWriter, req *http.Request, next http.Handler) {
 	body, err := io.ReadAll(http.MaxBytesReader(rw, req.Body, MaxBody))
 	if err != nil {
@@ -182,7 +185,7 @@
 		return
 	}
 	req.Body = io.NopCloser(bytes.NewReader(body))
-	_ = ct.AwaitUnpaused(context.Background()) // fails only if the context ends
+	_ = ct.AwaitUnpaused(context.Background()) // fails only if the context ends, which this one never does
 	ft, hit := ct.matchFaults(req.URL.Path)
 	if ft.Dead {
 		AbortConnection()
@@ -208,7 +211,7 @@
 	}
 }
 
-// waitOrChange waits for a span or until the faults are changed.
+// waitOrChange waits for a duration or until the faults are set again.
 func (ct *Control) waitOrChange(dur time.Duration) {
 	if dur <= 0 {
 		return
@@ -221,15 +224,16 @@
 	}
 }
 
-// incarnation is that of the server which the stand-in plays: it starts with the
-// process, and anew after each death.
+// incarnation returns the incarnation of the simulated server. It is the start
+// time of the process, incremented on each death.
 func (ct *Control) incarnation() string {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return strconv.FormatUint(processStart+ct.deaths, 10)
 }
 
-// matchFaults tells the faults and whether those with Paths and Count strike a call.
+// matchFaults returns the faults and reports whether those that Paths and Count
+// limit apply to a call. It counts the call if they do.
 func (ct *Control) matchFaults(path string) (Faults, bool) {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -270,7 +274,7 @@
 	}
 }
 
-// nextChange returns a channel that is closed when the faults are set again.
+// nextChange returns a channel that is closed when the faults are next set.
 func (ct *Control) nextChange() <-chan struct{} {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -287,7 +291,7 @@
 	ct.changed = make(chan struct{})
 }
 
-// Sleep waits for a span or the end of the context.
+// Sleep waits for a duration. It fails if the context ends first.
 func Sleep(ctx context.Context, dur time.Duration) error {
 	if dur <= 0 {
 		return nil
@@ -302,10 +306,10 @@
 	}
 }
 
-// WriteHeader cuts the connection.
+// WriteHeader aborts the connection.
 func (abortingWriter) WriteHeader(int) { AbortConnection() }
 
-// Write cuts the connection.
+// Write aborts the connection.
 func (abortingWriter) Write([]byte) (int, error) {
 	AbortConnection()
 	return 0, nil
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -10,7 +10,7 @@
 
 type (
 	// Network connects clients and servers in memory, so that real HTTP runs
-	// under virtual time. The zero value is ready to use.
+	// in virtual time. The zero value is ready to use.
 	Network struct {
 		mu        sync.Mutex
 		listeners map[string]*listener
@@ -27,7 +27,7 @@
 	address string
 )
 
-// Listen opens an address.
+// Listen returns a listener on an address and replaces an earlier one there.
 func (nw *Network) Listen(addr string) net.Listener {
 	ls := &listener{nw: nw, address: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
 	nw.mu.Lock()
@@ -39,8 +39,8 @@
 	return ls
 }
 
-// Dial connects to an address. An address that nobody listens on refuses the
-// connection.
+// Dial connects to an address. The connection is refused if there is no
+// listener on the address.
 func (nw *Network) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	nw.mu.Lock()
 	ls := nw.listeners[addr]
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,9 +1,9 @@
-// Package standin holds what the stand-ins for backend servers share: answers
-// that can be checked token by token, faults that a test sets, and a network
-// in memory.
+// Package standin holds the code that the stand-ins for backend servers
+// share: answers that can be verified token by token, faults that a test
+// injects, and an in-memory network.
 //
-// Stand-ins take the place of backend servers in tests, benchmarks and
-// demonstrations. The router never imports them.
+// Stand-ins simulate backend servers in tests, benchmarks and demonstrations.
+// The router never imports them.
 //
 // # Usage
 //
@@ -20,11 +20,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a whole prompt, from which its answer follows.
+// Hash returns the hash of a whole prompt. The answer to the prompt is derived
+// from it.
 func Hash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Answer returns the first n tokens that every stand-in gives for a prompt.
-// Each depends on the whole prompt and its index.
+// Answer returns the first n tokens of the answer that every stand-in
+// generates for a prompt. Each token depends on the whole prompt and on the
+// token's index.
 func Answer(prompt string, n int) []string {
 	out := make([]string, n)
 	for ix := range out {
@@ -41,8 +43,9 @@
 	return fmt.Sprintf("%08x ", uint32(xxhash.Sum64(buf[:])))
 }
 
-// Length returns how many tokens an answer has at an engine that varies the
-// length: from 1 to the bound, by the prompt's hash.
+// Length returns the number of tokens in an answer of an engine that varies
+// the length: a value from 1 to bound that depends on the prompt's hash. It
+// returns 0 if bound is less than 1.
 func Length(hash uint64, bound int) int {
 	if bound < 1 {
 		return 0
@@ -50,8 +53,8 @@
 	return 1 + int((hash>>17)%uint64(bound))
 }
 
-// Reply returns the body that every stand-in of a plain service gives for a
-// call.
+// Reply returns the response body that every stand-in for a plain service
+// sends for a call.
 func Reply(method, path string, body []byte) string {
 	dg := xxhash.New()
 	_, _ = dg.WriteString(strings.ToUpper(method) + " " + path + "\n") // never fails
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -10,13 +10,13 @@
 	"alderdyke/internal/standin"
 )
 
-// Every token shows whether it belongs to the whole prompt and to its place.
+// Every token is specific to the whole prompt and to its index.
 func TestAnswerTokensDifferByPromptAndIndex(t *testing.T) {
 	long := strings.Repeat("weld photograph ", 100)
 	seen := map[string]bool{}
 	for _, prompt := range []string{"", "a", long, long + ".", "." + long} {
 		for _, tok := range standin.Answer(prompt, 200) {
-			assert.Assert(t, !seen[tok], "%q twice", tok)
+			assert.Assert(t, !seen[tok], "token %q occurs twice", tok)
 			seen[tok] = true
 		}
 	}
