--- a/cmd/alderbench/plot.go
+++ b/cmd/alderbench/plot.go
@@ -72,7 +72,7 @@
 		pts := make(plotter.XYs, len(loads))
 		for ix, load := range loads {
 			pts[ix].X = load
-			pts[ix].Y = cv.value(rp.results[point{dp, load, po, bench.NoFault, -1, sets[0].name}])
+			pts[ix].Y = cv.value(rp.results[runKey{dp, load, po, bench.NoFault, -1, seedSets[0].name}])
 		}
 		lines = append(lines, string(po), pts)
 	}
@@ -87,7 +87,7 @@
 	pts := make(plotter.XYs, len(weights))
 	names := make([]string, len(weights))
 	for ix, weight := range weights {
-		rs := rp.results[point{dp, weightLoad, bench.Cell, bench.NoFault, weight, sets[0].name}]
+		rs := rp.results[runKey{dp, weightLoad, bench.Cell, bench.NoFault, weight, seedSets[0].name}]
 		pts[ix].X = 100 * rs.WastedShare()
 		pts[ix].Y = rs.Goodput(bench.PatientWork)
 		names[ix] = fmt.Sprintf(" %.2f", weight)
--- a/cmd/alderbench/report.go
+++ b/cmd/alderbench/report.go
@@ -25,12 +25,12 @@
 		bench.Oracle, bench.Cell, bench.Shares, bench.Optimistic,
 		bench.TwoChoices, bench.LeastLoad, bench.RoundRobin,
 	}
-	sharing = []bench.Policy{bench.Cell, bench.Shares, bench.Optimistic}
-	faults  = []bench.Fault{
+	sharingPolicies = []bench.Policy{bench.Cell, bench.Shares, bench.Optimistic}
+	faults          = []bench.Fault{
 		bench.NoFault, bench.LostWorker, bench.SlowLink, bench.LaggingReport,
 		bench.PausedOwner, bench.DeadOwner,
 	}
-	sets = []seedSet{{"A", []uint64{1, 2, 3}}, {"B", []uint64{1001, 1002, 1003}}}
+	seedSets = []seedSet{{"A", []uint64{1, 2, 3}}, {"B", []uint64{1001, 1002, 1003}}}
 )
 
 type (
@@ -39,8 +39,8 @@
 		seeds []uint64
 	}
 
-	// point names one cell of the tables.
-	point struct {
+	// runKey names one cell of the tables.
+	runKey struct {
 		deployment string
 		load       float64
 		policy     bench.Policy
@@ -53,37 +53,37 @@
 	report struct {
 		workers int
 		mu      sync.Mutex
-		results map[point]bench.Result
+		results map[runKey]bench.Result
 	}
 )
 
 func newReport(workers int) *report {
-	return &report{workers: workers, results: make(map[point]bench.Result)}
+	return &report{workers: workers, results: make(map[runKey]bench.Result)}
 }
 
 func deployments() []bench.Deployment { return []bench.Deployment{bench.Kedelsyn(), bench.HoaLua()} }
 
-// points lists all that is run.
-func points() []point {
-	var all []point
+// runKeys lists all that is run.
+func runKeys() []runKey {
+	var all []runKey
 	for _, dp := range deployments() {
-		for _, set := range sets {
+		for _, set := range seedSets {
 			for _, load := range loads {
 				for _, po := range policies {
-					all = append(all, point{dp.Name, load, po, bench.NoFault, -1, set.name})
+					all = append(all, runKey{dp.Name, load, po, bench.NoFault, -1, set.name})
 				}
 			}
 		}
 		for _, fault := range faults[1:] {
 			for _, load := range loads {
-				all = append(all, point{dp.Name, load, bench.Cell, fault, -1, sets[0].name})
+				all = append(all, runKey{dp.Name, load, bench.Cell, fault, -1, seedSets[0].name})
 			}
-			for _, po := range sharing[1:] {
-				all = append(all, point{dp.Name, faultLoad, po, fault, -1, sets[0].name})
+			for _, po := range sharingPolicies[1:] {
+				all = append(all, runKey{dp.Name, faultLoad, po, fault, -1, seedSets[0].name})
 			}
 		}
 		for _, weight := range weights {
-			all = append(all, point{dp.Name, weightLoad, bench.Cell, bench.NoFault, weight, sets[0].name})
+			all = append(all, runKey{dp.Name, weightLoad, bench.Cell, bench.NoFault, weight, seedSets[0].name})
 		}
 	}
 	return all
@@ -92,7 +92,7 @@
 func (rp *report) run() {
 	var grp errgroup.Group
 	grp.SetLimit(max(1, rp.workers))
-	for _, pt := range points() {
+	for _, pt := range runKeys() {
 		grp.Go(func() error {
 			rs := pt.run()
 			rp.mu.Lock()
@@ -104,13 +104,13 @@
 	_ = grp.Wait() // no run returns an error
 }
 
-func (pt point) run() bench.Result {
+func (pt runKey) run() bench.Result {
 	dps := deployments()
 	dp := dps[slices.IndexFunc(dps, func(dp bench.Deployment) bool { return dp.Name == pt.deployment })]
 	if pt.weight >= 0 {
-		dp = dp.WithWeight(pt.weight)
+		dp = dp.WithPrefillWeight(pt.weight)
 	}
-	set := sets[slices.IndexFunc(sets, func(set seedSet) bool { return set.name == pt.set })]
+	set := seedSets[slices.IndexFunc(seedSets, func(set seedSet) bool { return set.name == pt.set })]
 	var runs []bench.Result
 	for _, seed := range set.seeds {
 		runs = append(runs, bench.Run(bench.Setup{
@@ -138,7 +138,7 @@
 counts refusals as not run of requests that an engine had been sent.
 `)
 	for _, dp := range deployments() {
-		for _, set := range sets {
+		for _, set := range seedSets {
 			fmt.Fprintf(&buf, "\n## %s, seeds %s\n\n", dp.Name, set.name)
 			rp.loadTable(&buf, dp.Name, set.name)
 		}
@@ -166,10 +166,10 @@
 		"Messages a request", "Unended", "Untrue")
 	for _, load := range loads {
 		for _, po := range policies {
-			rs := rp.results[point{dp, load, po, bench.NoFault, -1, set}]
+			rs := rp.results[runKey{dp, load, po, bench.NoFault, -1, set}]
 			fmt.Fprintf(buf, "| %.1f | %s | %s | %s | %s | %s | %s | %.1f | %d | %d |\n", load, po, goodput(rs),
 				quantiles(rs, true, bench.QuickWork), quantiles(rs, true, bench.PatientWork),
-				quantiles(rs, false, bench.QuickWork), quantiles(rs, false, bench.PatientWork), messages(rs), rs.Unended, rs.Untrue)
+				quantiles(rs, false, bench.QuickWork), quantiles(rs, false, bench.PatientWork), messages(rs), rs.Unended, rs.FalseNotRun)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 
 // messages are those between VMs, for one request.
 func messages(rs bench.Result) float64 {
-	return float64(rs.Messages) / float64(rs.Arrived)
+	return float64(rs.Messages) / float64(rs.Arrivals)
 }
 
 func quantiles(rs bench.Result, ttft bool, wk bench.Work) string {
@@ -197,8 +197,8 @@
 	header(buf, "Load", "Policy", "Refusals", "More attempts", "Offered")
 	for _, load := range loads[2:] {
 		for _, po := range policies {
-			rs := rp.results[point{dp, load, po, bench.NoFault, -1, sets[0].name}]
-			fmt.Fprintf(buf, "| %.1f | %s | %s | %d | %d |\n", load, po, reasons(rs), rs.Retried,
+			rs := rp.results[runKey{dp, load, po, bench.NoFault, -1, seedSets[0].name}]
+			fmt.Fprintf(buf, "| %.1f | %s | %s | %d | %d |\n", load, po, reasons(rs), rs.Retries,
 				rs.Offered[bench.QuickWork]+rs.Offered[bench.PatientWork])
 		}
 	}
@@ -225,8 +225,8 @@
 		"Quick TTFT 50/95/99", "Refusals", "Unended", "Untrue")
 	for _, load := range loads {
 		for _, fault := range faults {
-			for _, po := range sharing {
-				rs, ok := rp.results[point{dp, load, po, fault, -1, sets[0].name}]
+			for _, po := range sharingPolicies {
+				rs, ok := rp.results[runKey{dp, load, po, fault, -1, seedSets[0].name}]
 				if !ok || (fault == bench.NoFault && load != faultLoad) {
 					continue
 				}
@@ -235,7 +235,7 @@
 					name = "none"
 				}
 				fmt.Fprintf(buf, "| %.1f | %s | %s | %s | %s | %s | %d | %d |\n", load, name, po, goodput(rs),
-					quantiles(rs, true, bench.QuickWork), reasons(rs), rs.Unended, rs.Untrue)
+					quantiles(rs, true, bench.QuickWork), reasons(rs), rs.Unended, rs.FalseNotRun)
 			}
 		}
 	}
@@ -244,7 +244,7 @@
 func (rp *report) weightTable(buf *bytes.Buffer, dp string) {
 	header(buf, "PrefillWeight", "Quick", "Patient", "Both", "Wasted", "Places used")
 	for _, weight := range weights {
-		rs := rp.results[point{dp, weightLoad, bench.Cell, bench.NoFault, weight, sets[0].name}]
+		rs := rp.results[runKey{dp, weightLoad, bench.Cell, bench.NoFault, weight, seedSets[0].name}]
 		fmt.Fprintf(buf, "| %.2f | %s |\n", weight, goodput(rs))
 	}
 }
--- a/cmd/alderload/main.go
+++ b/cmd/alderload/main.go
@@ -44,12 +44,12 @@
 		return fmt.Errorf("there is no deployment %q; choose kedelsyn or hoalua", name)
 	}
 	span := clock.Millis(seconds) * clock.Second
-	rn := &load.Run{Deployment: bd, Load: offered, Seed: seed, Span: span, From: span / 6, Dir: dir}
-	rs, err := rn.Do(signals.Listen().Terminal(), os.Stdout)
+	rn := &load.Run{Deployment: bd, Load: offered, Seed: seed, Span: span, MeasureFrom: span / 6, Dir: dir}
+	rs, err := rn.Execute(signals.Listen().Terminal(), os.Stdout)
 	if err != nil {
 		return fmt.Errorf("run the load: %w", err)
 	}
-	sim := bench.Run(bench.Setup{Deployment: bd, Load: offered, Policy: bench.Cell, Seed: seed, Span: span, From: span / 6})
+	sim := bench.Run(bench.Setup{Deployment: bd, Load: offered, Policy: bench.Cell, Seed: seed, Span: span, MeasureFrom: span / 6})
 	fmt.Printf("\n%s at %.1f of capacity, seed %d, %d s\n", bd.Name, offered, seed, seconds)
 	rs.Print(os.Stdout, sim)
 	return nil
--- a/cmd/alderslope/main.go
+++ b/cmd/alderslope/main.go
@@ -36,7 +36,7 @@
 }
 
 func run(ctx context.Context, folder string, names []string) error {
-	studies, err := slope.Named(names)
+	studies, err := slope.StudiesNamed(names)
 	if err != nil {
 		return fmt.Errorf("choose the studies: %w", err)
 	}
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -36,29 +36,29 @@
 type (
 	// outcome is what became of the callers' requests.
 	outcome struct {
-		mu       sync.Mutex
-		classes  map[string]*classOutcome
-		refusals map[refusal.Reason]int
-		wrong    []string // answers that are not what the engines made
+		mu           sync.Mutex
+		classes      map[string]*classOutcome
+		refusals     map[refusal.Reason]int
+		wrongAnswers []string // answers that are not what the engines made
 	}
 
 	classOutcome struct {
-		sent    int
-		whole   int
-		inTime  int
-		targets clock.Millis
+		sent     int
+		complete int
+		inTime   int
+		target   clock.Millis
 	}
 
-	// visit is one caller's request.
-	visit struct {
+	// callerRequest is one caller's request.
+	callerRequest struct {
 		class  string
 		target clock.Millis // to the first text, or to the whole answer of a plain service
 		call   func(ctx context.Context, first func()) error
 	}
 )
 
-// callers lets all callers at the fleet at once and waits for their ends.
-func (fl *fleet) callers(ctx context.Context) *outcome {
+// runCallers lets all callers at the fleet at once and waits for their ends.
+func (fl *fleet) runCallers(ctx context.Context) *outcome {
 	oc := &outcome{classes: make(map[string]*classOutcome), refusals: make(map[refusal.Reason]int)}
 	cl := &client.Client{APIKey: APIKey}
 	for _, set := range fl.sets {
@@ -66,31 +66,31 @@
 	}
 	defer cl.Close()
 	var wg sync.WaitGroup
-	for _, vi := range visits(cl, oc) {
+	for _, vi := range callerRequests(cl, oc) {
 		wg.Go(func() { oc.run(ctx, vi) })
 	}
 	wg.Wait()
 	return oc
 }
 
-func visits(cl *client.Client, oc *outcome) []visit {
-	var out []visit
+func callerRequests(cl *client.Client, oc *outcome) []callerRequest {
+	var out []callerRequest
 	for ix := range findingsCallers {
 		note := strings.Repeat(fmt.Sprintf("Weld %d, pressure log of boiler %d. ", ix, ix*7), 200)
-		out = append(out, oc.chat(cl, findings, note, findingsTokens, 20*clock.Second))
+		out = append(out, oc.chatRequest(cl, findings, note, findingsTokens, 20*clock.Second))
 	}
 	for ix := range fieldnoteCallers {
-		out = append(out, oc.chat(cl, fieldnote, fmt.Sprintf("Valve class of boiler %d?", ix), fieldnoteTokens, clock.Second))
+		out = append(out, oc.chatRequest(cl, fieldnote, fmt.Sprintf("Valve class of boiler %d?", ix), fieldnoteTokens, clock.Second))
 	}
 	for ix := range recordsCallers {
-		out = append(out, oc.plain(cl, fmt.Sprintf("/records/boiler-%d", ix)))
+		out = append(out, oc.plainRequest(cl, fmt.Sprintf("/records/boiler-%d", ix)))
 	}
 	return out
 }
 
-// chat is a caller who checks the answer token by token.
-func (oc *outcome) chat(cl *client.Client, class, note string, tokens int, target clock.Millis) visit {
-	return visit{class: class, target: target, call: func(ctx context.Context, first func()) error {
+// chatRequest is a caller who checks the answer token by token.
+func (oc *outcome) chatRequest(cl *client.Client, class, note string, tokens int, target clock.Millis) callerRequest {
+	return callerRequest{class: class, target: target, call: func(ctx context.Context, first func()) error {
 		var once sync.Once
 		ans, err := cl.Chat(ctx, client.ChatRequest{
 			Model:     Model,
@@ -104,27 +104,27 @@
 		}
 		prompt := fmt.Sprintf(`[{"role":"user","content":%q}]`, note)
 		if want := strings.Join(standin.Answer(prompt, tokens), ""); ans.Text != want {
-			oc.fault(fmt.Sprintf("%s: %d bytes differ from what the engines make", class, len(ans.Text)))
+			oc.addWrongAnswer(fmt.Sprintf("%s: %d bytes differ from what the engines make", class, len(ans.Text)))
 		}
 		return nil
 	}}
 }
 
-func (oc *outcome) plain(cl *client.Client, path string) visit {
-	return visit{class: records, target: clock.Second, call: func(ctx context.Context, first func()) error {
-		ans, err := cl.Call(ctx, client.PlainRequest{Service: Plain, Method: http.MethodGet, Path: path})
+func (oc *outcome) plainRequest(cl *client.Client, path string) callerRequest {
+	return callerRequest{class: records, target: clock.Second, call: func(ctx context.Context, first func()) error {
+		ans, err := cl.Call(ctx, client.PlainRequest{Service: PlainService, Method: http.MethodGet, Path: path})
 		if err != nil {
 			return fmt.Errorf("call the plain service: %w", err)
 		}
 		first()
 		if want := standin.Reply(http.MethodGet, path, nil); string(ans.Body) != want {
-			oc.fault(records + ": the answer belongs to another request")
+			oc.addWrongAnswer(records + ": the answer belongs to another request")
 		}
 		return nil
 	}}
 }
 
-func (oc *outcome) run(ctx context.Context, vi visit) {
+func (oc *outcome) run(ctx context.Context, vi callerRequest) {
 	var src clock.Monotonic
 	start := src.Now()
 	var took clock.Millis
@@ -133,28 +133,28 @@
 	defer oc.mu.Unlock()
 	co := oc.classes[vi.class]
 	if co == nil {
-		co = &classOutcome{targets: vi.target}
+		co = &classOutcome{target: vi.target}
 		oc.classes[vi.class] = co
 	}
 	co.sent++
 	var rf refusal.Refusal
 	switch {
 	case err == nil:
-		co.whole++
+		co.complete++
 		if took <= vi.target {
 			co.inTime++
 		}
 	case errors.As(err, &rf):
 		oc.refusals[rf.Reason]++
 	default:
-		oc.wrong = append(oc.wrong, vi.class+": "+err.Error())
+		oc.wrongAnswers = append(oc.wrongAnswers, vi.class+": "+err.Error())
 	}
 }
 
-func (oc *outcome) fault(text string) {
+func (oc *outcome) addWrongAnswer(text string) {
 	oc.mu.Lock()
 	defer oc.mu.Unlock()
-	oc.wrong = append(oc.wrong, text)
+	oc.wrongAnswers = append(oc.wrongAnswers, text)
 }
 
 // print writes goodput by class, wasted prefill, refusals and wrong answers.
@@ -163,7 +163,7 @@
 	fmt.Fprintln(tw, "class\tsent\twhole\tin time\ttarget")
 	for _, name := range []string{findings, fieldnote, records} {
 		if co := oc.classes[name]; co != nil {
-			fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%s\n", name, co.sent, co.whole, co.inTime, co.targets)
+			fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%s\n", name, co.sent, co.complete, co.inTime, co.target)
 		}
 	}
 	tw.Flush()
@@ -179,7 +179,7 @@
 	}
 	slices.Sort(reasons)
 	fmt.Fprintf(out, "refusals: %s\n", orNone(reasons))
-	fmt.Fprintf(out, "wrong answers: %s\n", orNone(oc.wrong))
+	fmt.Fprintf(out, "wrong answers: %s\n", orNone(oc.wrongAnswers))
 }
 
 func orNone(list []string) string {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -34,16 +34,16 @@
 
 // What the demonstration is made of.
 const (
-	Model   = "rapportmodel"
-	Plain   = "feltapp"
-	APIKey  = "kedelsyn-demo-key" // of the customer kedelsyn in examples
-	vmCount = 3
+	Model        = "rapportmodel"
+	PlainService = "feltapp"
+	APIKey       = "kedelsyn-demo-key" // of the customer kedelsyn in examples
+	vmCount      = 3
 
-	addressesKeep = 2 * clock.Second
-	drainLinger   = 1 * clock.Second
+	addressKeepFor = 2 * clock.Second
+	drainLinger    = 1 * clock.Second
 
-	readyWithin = 20 * clock.Second
-	readyPoll   = 50 * clock.Millis(1)
+	readyTimeout = 20 * clock.Second
+	readyPoll    = 50 * clock.Millis(1)
 )
 
 var errNotReady = errors.New("the VMs did not learn the configuration in time")
@@ -64,7 +64,7 @@
 		Model:          Model,
 		Prefill:        2,
 		Decode:         2,
-		PlainService:   Plain,
+		PlainService:   PlainService,
 		Plain:          2,
 		Region:         "loopback",
 		FailureDomains: []string{"a", "b", "c"},
@@ -80,11 +80,11 @@
 		return err
 	}
 	if dir != "" {
-		return fl.stage(ctx, dir, out)
+		return fl.writeSettings(ctx, dir, out)
 	}
 	gr, ctx := errgroup.WithContext(ctx)
 	fl.start(ctx, gr)
-	gr.Go(func() error { return fl.play(ctx, out) })
+	gr.Go(func() error { return fl.showCallers(ctx, out) })
 	return gr.Wait()
 }
 
@@ -94,7 +94,7 @@
 		if err != nil {
 			return fmt.Errorf("set up a VM: %w", err)
 		}
-		set.Addresses.KeepFor = addressesKeep
+		set.Addresses.KeepFor = addressKeepFor
 		set.Drain.Linger = drainLinger
 		fl.sets = append(fl.sets, set)
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// play publishes the template, runs the callers and prints the outcome.
-func (fl *fleet) play(ctx context.Context, out io.Writer) error {
+// showCallers publishes the template, runs the callers and prints the outcome.
+func (fl *fleet) showCallers(ctx context.Context, out io.Writer) error {
 	if err := fl.publish(ctx); err != nil {
 		return err
 	}
@@ -131,9 +131,9 @@
 		return err
 	}
 	fmt.Fprintf(out, "three VMs serve; customers' template is in force\n\n")
-	outcome := fl.callers(ctx)
+	outcome := fl.runCallers(ctx)
 	outcome.print(out, fl.dp)
-	fl.invite(out)
+	fl.printInstructions(out)
 	<-ctx.Done()
 	return nil
 }
@@ -144,7 +144,7 @@
 	if err != nil {
 		return fmt.Errorf("read the template: %w", err)
 	}
-	ctx, stop := context.WithTimeoutCause(ctx, readyWithin.Std(), errNotReady)
+	ctx, stop := context.WithTimeoutCause(ctx, readyTimeout.Std(), errNotReady)
 	defer stop()
 	for {
 		reply, err := fl.operator(0).Publish(ctx, operator.Publication{ID: "demo", Customer: tpl.Customer, Template: tpl})
@@ -174,7 +174,7 @@
 
 // awaitSeats waits until every VM knows that all keep request keys.
 func (fl *fleet) awaitSeats(ctx context.Context) error {
-	ctx, stop := context.WithTimeoutCause(ctx, readyWithin.Std(), errNotReady)
+	ctx, stop := context.WithTimeoutCause(ctx, readyTimeout.Std(), errNotReady)
 	defer stop()
 	for ix := range fl.sets {
 		for {
@@ -195,8 +195,8 @@
 	return operator.Client{Address: set.Operator.Listen.String(), Token: set.Operator.Token}
 }
 
-// invite tells how to try the deployment by hand.
-func (fl *fleet) invite(out io.Writer) {
+// printInstructions tells how to try the deployment by hand.
+func (fl *fleet) printInstructions(out io.Writer) {
 	caller, op := fl.sets[0].Caller.Listen, fl.sets[0].Operator.Listen
 	fmt.Fprintf(out, `
 Try it by hand (Ctrl-C stops):
@@ -209,7 +209,7 @@
   alderdyke status --operator %s
   alderdyke explain --operator %s kedelsyn note-1
   (operator token: %s)
-`, APIKey, caller, APIKey, Model, caller, APIKey, caller, Plain, op, op, deployment.OperatorToken)
+`, APIKey, caller, APIKey, Model, caller, APIKey, caller, PlainService, op, op, deployment.OperatorToken)
 }
 
 // hosts are the VMs' IP numbers, so that each has the usual ports.
--- a/internal/demo/stage.go
+++ b/internal/demo/stage.go
@@ -8,10 +8,10 @@
 	"alderdyke/internal/standin/deployment"
 )
 
-// stage writes the settings of the VMs into the folder and keeps the
+// writeSettings writes the settings of the VMs into the folder and keeps the
 // stand-ins up until the context ends, so that the VMs can be run, and
 // killed, by hand.
-func (fl *fleet) stage(ctx context.Context, dir string, out io.Writer) error {
+func (fl *fleet) writeSettings(ctx context.Context, dir string, out io.Writer) error {
 	names, err := deployment.Stage(dir, fl.sets)
 	if err != nil {
 		return fmt.Errorf("write the settings: %w", err)
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	tokenBytes = 4 // ASCII bytes that count as one token
-	lengthMark = "answer tokens "
+	tokenBytes         = 4 // ASCII bytes that count as one token
+	answerLengthPrefix = "answer tokens "
 )
 
 type (
-	// callers are the clients of all customers, one at each VM, so that an
+	// customerClients are the clients of all customers, one at each VM, so that an
 	// arrival goes to the VM that the bench sends it to.
-	callers struct {
+	customerClients struct {
 		model string
 		byVM  []map[string]*client.Client // by customer
 	}
 
-	// end is what became of one call.
-	end struct {
-		whole  bool
-		right  bool // the answer is the one that the engines make for the prompt
-		first  clock.Millis
-		tpot   float64 // milliseconds between tokens
-		reason refusal.Reason
+	// callResult is what became of one call.
+	callResult struct {
+		complete bool
+		correct  bool // the answer is the one that the engines make for the prompt
+		ttft     clock.Millis
+		tpot     float64 // milliseconds between tokens
+		reason   refusal.Reason
 	}
 
-	// watch times the pieces of one answer.
-	watch struct {
+	// answerTimer times the pieces of one answer.
+	answerTimer struct {
 		src   clock.Monotonic
 		start clock.Millis
 
@@ -49,8 +49,8 @@
 	}
 )
 
-func newCallers(sets []settings.Settings, bd bench.Deployment) *callers {
-	cs := &callers{model: bd.Service}
+func newCustomerClients(sets []settings.Settings, bd bench.Deployment) *customerClients {
+	cs := &customerClients{model: bd.Service}
 	for _, set := range sets {
 		own := make(map[string]*client.Client)
 		for _, cl := range bd.Classes {
@@ -65,7 +65,7 @@
 	return cs
 }
 
-func (cs *callers) close() {
+func (cs *customerClients) close() {
 	for _, own := range cs.byVM {
 		for _, cl := range own {
 			cl.Close()
@@ -74,31 +74,31 @@
 }
 
 // call sends one arrival and follows it to its end.
-func (cs *callers) call(ctx context.Context, number int, arr bench.Arrival) end {
+func (cs *customerClients) call(ctx context.Context, number int, arr bench.Arrival) callResult {
 	msgs := messages(number, arr)
-	wt := &watch{}
+	wt := &answerTimer{}
 	wt.start = wt.src.Now()
 	ans, err := cs.byVM[arr.VM][arr.Class.Customer].Chat(ctx, client.ChatRequest{
 		Model:     cs.model,
 		Class:     arr.Class.Name,
 		Messages:  msgs,
-		MaxTokens: arr.Class.Max,
-		OnText:    func(string) { wt.piece() },
+		MaxTokens: arr.Class.MaxTokens,
+		OnText:    func(string) { wt.recordText() },
 	})
 	if err != nil {
 		var rf refusal.Refusal
 		errors.As(err, &rf)
-		return end{reason: rf.Reason}
+		return callResult{reason: rf.Reason}
 	}
-	return end{
-		whole: true,
-		right: ans.Text == strings.Join(standin.Answer(prompt(msgs), arr.Output), ""),
-		first: wt.first - wt.start,
-		tpot:  float64(wt.last-wt.first) / float64(max(1, ans.Tokens-1)),
+	return callResult{
+		complete: true,
+		correct:  ans.Text == strings.Join(standin.Answer(canonicalPrompt(msgs), arr.Output), ""),
+		ttft:     wt.first - wt.start,
+		tpot:     float64(wt.last-wt.first) / float64(max(1, ans.Tokens-1)),
 	}
 }
 
-func (wt *watch) piece() {
+func (wt *answerTimer) recordText() {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	wt.last = wt.src.Now()
@@ -113,20 +113,20 @@
 	var msgs []client.Message
 	tokens := arr.Prompt
 	if arr.Prefix != 0 {
-		msgs = append(msgs, client.Message{Role: "system", Content: filler(fmt.Sprintf("prefix %d ", arr.Prefix), bench.PrefixTokens)})
+		msgs = append(msgs, client.Message{Role: "system", Content: fillerText(fmt.Sprintf("prefix %d ", arr.Prefix), bench.PrefixTokens)})
 		tokens -= bench.PrefixTokens
 	}
-	head := fmt.Sprintf("%s%d; request %d: ", lengthMark, arr.Output, number)
-	return append(msgs, client.Message{Role: "user", Content: filler(head, tokens)})
+	head := fmt.Sprintf("%s%d; request %d: ", answerLengthPrefix, arr.Output, number)
+	return append(msgs, client.Message{Role: "user", Content: fillerText(head, tokens)})
 }
 
-func filler(head string, tokens int) string {
+func fillerText(head string, tokens int) string {
 	want := max(len(head), tokens*tokenBytes)
 	return (head + strings.Repeat("field note. ", want/12+1))[:want]
 }
 
-// prompt is the canonical form in which the engines see the messages.
-func prompt(msgs []client.Message) string {
+// canonicalPrompt is the canonical form in which the engines see the messages.
+func canonicalPrompt(msgs []client.Message) string {
 	var parts []string
 	for _, ms := range msgs {
 		parts = append(parts, fmt.Sprintf(`{"role":%q,"content":%q}`, ms.Role, ms.Content))
@@ -134,9 +134,9 @@
 	return "[" + strings.Join(parts, ",") + "]"
 }
 
-// lengthIn reads how long the answer to a prompt is to be.
-func lengthIn(prompt string, bound int) int {
-	_, rest, ok := strings.Cut(prompt, lengthMark)
+// answerLength reads how long the answer to a prompt is to be.
+func answerLength(prompt string, bound int) int {
+	_, rest, ok := strings.Cut(prompt, answerLengthPrefix)
 	if !ok {
 		return bound
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	rn := &load.Run{Deployment: bench.Kedelsyn(), Load: 0.8, Seed: 1, Span: clock.Minute, Dir: "live"}
-//	rs, err := rn.Do(ctx, os.Stdout) // prints which VMs to start, and waits for them
+//	rs, err := rn.Execute(ctx, os.Stdout) // prints which VMs to start, and waits for them
 package load
 
 import (
@@ -32,30 +32,30 @@
 
 // Spans and sizes of a run.
 const (
-	readyWithin = 3 * clock.Minute
-	readyPoll   = 200 * clock.Millis(1)
-	kvBytes     = 128 << 10 // of one prompt token
-	addressKeep = 10 * clock.Minute
-	streamWait  = 5 * clock.Second
+	readyTimeout   = 3 * clock.Minute
+	readyPoll      = 200 * clock.Millis(1)
+	kvBytes        = 128 << 10 // of one prompt token
+	addressKeepFor = 10 * clock.Minute
+	streamWait     = 5 * clock.Second
 )
 
 var errNotReady = errors.New("the VMs did not form a fleet in time; were they started?")
 
-// Run is one run. Set the fields before Do.
+// Run is one run. Set the fields before Execute.
 type Run struct {
-	Deployment bench.Deployment
-	Load       float64 // offered, as a part of capacity
-	Seed       uint64
-	Span       clock.Millis // of arrivals
-	From       clock.Millis // arrivals before are not measured
-	Dir        string       // for the settings files
+	Deployment  bench.Deployment
+	Load        float64 // offered, as a part of capacity
+	Seed        uint64
+	Span        clock.Millis // of arrivals
+	MeasureFrom clock.Millis // arrivals before are not measured
+	Dir         string       // for the settings files
 
 	dp   *deployment.Deployment
 	sets []settings.Settings
 }
 
-// Do writes the settings, waits for the VMs, offers the load and measures.
-func (rn *Run) Do(ctx context.Context, out io.Writer) (Result, error) {
+// Execute writes the settings, waits for the VMs, offers the load and measures.
+func (rn *Run) Execute(ctx context.Context, out io.Writer) (Result, error) {
 	if err := rn.start(); err != nil {
 		return Result{}, fmt.Errorf("start the stand-ins: %w", err)
 	}
@@ -68,11 +68,11 @@
 	for _, name := range names {
 		fmt.Fprintf(out, "  alderdyke run %s\n", name)
 	}
-	if err := rn.ready(ctx); err != nil {
+	if err := rn.awaitReady(ctx); err != nil {
 		return Result{}, err
 	}
 	fmt.Fprintln(out, "the VMs serve; the load begins")
-	return rn.offer(ctx)
+	return rn.offerLoad(ctx)
 }
 
 func (rn *Run) start() error {
@@ -83,7 +83,7 @@
 		Decode:         bd.Decodes,
 		FailureDomains: bd.Domains,
 		Region:         "loopback",
-		Engine:         pace(),
+		Engine:         engineSettings(),
 	}
 	for ix := range bd.VMs {
 		rn.dp.Hosts = append(rn.dp.Hosts, netip.AddrFrom4([4]byte{127, 0, 0, byte(ix + 1)}))
@@ -96,34 +96,34 @@
 		if err != nil {
 			return errors.Join(err, rn.dp.Close())
 		}
-		set.Addresses.KeepFor = addressKeep
+		set.Addresses.KeepFor = addressKeepFor
 		rn.sets = append(rn.sets, set)
 	}
 	rn.dp.Publish()
 	return nil
 }
 
-// pace is the bench's engine as a stand-in in real time.
-func pace() enginesim.Settings {
+// engineSettings is the bench's engine as a stand-in in real time.
+func engineSettings() enginesim.Settings {
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond = bench.PrefillRate * float64(clock.Second)
 	set.KVBytesPerToken = kvBytes
 	set.LinkBytesPerSecond = bench.LinkRate * kvBytes * float64(clock.Second)
-	set.KeepPrefill = bench.KeepKV
+	set.KeepPrefill = bench.KVCacheTTL
 	set.Slots = bench.Slots
 	set.TPOT = bench.IdleTPOT
 	set.BatchSlowdown = (bench.FullTPOT/bench.IdleTPOT - 1) / (bench.Slots - 1)
 	set.LoadLag = bench.ReportLag
-	set.Length = lengthIn
+	set.Length = answerLength
 	return set
 }
 
-// ready waits until the VMs form one fleet and have all templates.
-func (rn *Run) ready(ctx context.Context) error {
-	ctx, stop := context.WithTimeoutCause(ctx, readyWithin.Std(), errNotReady)
+// awaitReady waits until the VMs form one fleet and have all templates.
+func (rn *Run) awaitReady(ctx context.Context) error {
+	ctx, stop := context.WithTimeoutCause(ctx, readyTimeout.Std(), errNotReady)
 	defer stop()
 	for _, set := range rn.sets {
-		for !rn.formed(ctx, set) {
+		for !rn.inFullFleet(ctx, set) {
 			if !clock.Sleep(ctx, readyPoll) {
 				return fmt.Errorf("wait for %s: %w", set.ID, context.Cause(ctx))
 			}
@@ -137,24 +137,24 @@
 	return nil
 }
 
-func (rn *Run) formed(ctx context.Context, set settings.Settings) bool {
-	st, err := operatorOf(set).Status(ctx)
+func (rn *Run) inFullFleet(ctx context.Context, set settings.Settings) bool {
+	st, err := operatorClient(set).Status(ctx)
 	return err == nil && st.Quorate && st.Seats == len(rn.sets) && len(st.Fleet) == len(rn.sets)
 }
 
-func operatorOf(set settings.Settings) operator.Client {
+func operatorClient(set settings.Settings) operator.Client {
 	return operator.Client{Address: set.Operator.Listen.String(), Token: set.Operator.Token}
 }
 
 func (rn *Run) publish(ctx context.Context, tpl template.Template) error {
 	pub := operator.Publication{ID: "load-" + tpl.Customer, Customer: tpl.Customer, Template: tpl}
-	reply, err := operatorOf(rn.sets[0]).Publish(ctx, pub)
+	reply, err := operatorClient(rn.sets[0]).Publish(ctx, pub)
 	if err != nil {
 		return fmt.Errorf("publish the template of %s: %w", tpl.Customer, err)
 	}
 	for _, set := range rn.sets {
 		for {
-			got, err := operatorOf(set).Template(ctx, tpl.Customer)
+			got, err := operatorClient(set).Template(ctx, tpl.Customer)
 			if err == nil && got.Revision >= reply.Revision {
 				break
 			}
@@ -177,7 +177,7 @@
 			tpl = template.Template{
 				Customer:      cl.Customer,
 				KeyHashes:     []string{template.HashKey(apiKey(cl.Customer))},
-				PrefillWeight: cl.Weight,
+				PrefillWeight: cl.PrefillWeight,
 			}
 		}
 		byName[cl.Customer] = tpl.WithClass(template.Class{
@@ -190,7 +190,7 @@
 			Deadline:   cl.Deadline,
 			StreamWait: streamWait,
 			Share:      cl.Share,
-			MaxTokens:  cl.Max,
+			MaxTokens:  cl.MaxTokens,
 		})
 	}
 	slices.Sort(names)
@@ -203,13 +203,13 @@
 
 func apiKey(customer string) string { return "load-key-of-" + customer }
 
-// offer sends each arrival when its time has come, whatever became of those
+// offerLoad sends each arrival when its time has come, whatever became of those
 // before it, and waits for all ends.
-func (rn *Run) offer(ctx context.Context) (Result, error) {
+func (rn *Run) offerLoad(ctx context.Context) (Result, error) {
 	arrivals := rn.Deployment.Arrivals(rn.Seed, rn.Load, rn.Span)
 	slices.SortFunc(arrivals, func(aa, ab bench.Arrival) int { return int(aa.At - ab.At) })
 	mt := newMeter()
-	cs := newCallers(rn.sets, rn.Deployment)
+	cs := newCustomerClients(rn.sets, rn.Deployment)
 	defer cs.close()
 	var wg sync.WaitGroup
 	var src clock.Monotonic
@@ -218,7 +218,7 @@
 		if !clock.Sleep(ctx, start+arr.At-src.Now()) {
 			return Result{}, fmt.Errorf("offer the load: %w", context.Cause(ctx))
 		}
-		measured := arr.At >= rn.From
+		measured := arr.At >= rn.MeasureFrom
 		wg.Go(func() {
 			end := cs.call(ctx, ix, arr)
 			if measured {
--- a/internal/load/meter.go
+++ b/internal/load/meter.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	histogramMost   = 600_000 // milliseconds
+	histogramMax    = 600_000 // milliseconds
 	histogramDigits = 3
 )
 
 type (
-	// Result is what a run measured, of the arrivals after Run.From; prefill
+	// Result is what a run measured, of the arrivals after Run.MeasureFrom; prefill
 	// is of the whole run.
 	Result struct {
-		Offered  map[bench.Work]int
-		Met      map[bench.Work]int // both targets met and the answer whole
-		Whole    map[bench.Work]int
-		Wrong    int // answers that are not what the engines make for the prompt
-		Refused  map[refusal.Reason]int
-		TTFT     map[bench.Work]*hdrhistogram.Histogram
-		Computed int // prompt tokens
-		Wasted   int // of them, those whose decode never began
-		Held     int // memory slots that engines still hold
+		Offered      map[bench.Work]int
+		Met          map[bench.Work]int // both targets met and the answer whole
+		Complete     map[bench.Work]int
+		WrongAnswers int // answers that are not what the engines make for the prompt
+		Refused      map[refusal.Reason]int
+		TTFT         map[bench.Work]*hdrhistogram.Histogram
+		Computed     int // prompt tokens
+		Wasted       int // of them, those whose decode never began
+		SlotsHeld    int // memory slots that engines still hold
 	}
 
 	meter struct {
@@ -44,34 +44,34 @@
 
 func newMeter() *meter {
 	mt := &meter{rs: Result{
-		Offered: make(map[bench.Work]int),
-		Met:     make(map[bench.Work]int),
-		Whole:   make(map[bench.Work]int),
-		Refused: make(map[refusal.Reason]int),
-		TTFT:    make(map[bench.Work]*hdrhistogram.Histogram),
+		Offered:  make(map[bench.Work]int),
+		Met:      make(map[bench.Work]int),
+		Complete: make(map[bench.Work]int),
+		Refused:  make(map[refusal.Reason]int),
+		TTFT:     make(map[bench.Work]*hdrhistogram.Histogram),
 	}}
 	for _, wk := range []bench.Work{bench.QuickWork, bench.PatientWork} {
-		mt.rs.TTFT[wk] = hdrhistogram.New(1, histogramMost, histogramDigits)
+		mt.rs.TTFT[wk] = hdrhistogram.New(1, histogramMax, histogramDigits)
 	}
 	return mt
 }
 
-func (mt *meter) add(arr bench.Arrival, en end) {
+func (mt *meter) add(arr bench.Arrival, en callResult) {
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
 	wk := arr.Class.Work
 	mt.rs.Offered[wk]++
-	if !en.whole {
+	if !en.complete {
 		mt.rs.Refused[en.reason]++
 		return
 	}
-	mt.rs.Whole[wk]++
-	if !en.right {
-		mt.rs.Wrong++
+	mt.rs.Complete[wk]++
+	if !en.correct {
+		mt.rs.WrongAnswers++
 		return
 	}
-	mt.rs.TTFT[wk].RecordValue(max(1, int64(en.first)))
-	if en.first <= arr.Class.TTFT && en.tpot <= float64(arr.Class.TPOT) {
+	mt.rs.TTFT[wk].RecordValue(max(1, int64(en.ttft)))
+	if en.ttft <= arr.Class.TTFT && en.tpot <= float64(arr.Class.TPOT) {
 		mt.rs.Met[wk]++
 	}
 }
@@ -82,7 +82,7 @@
 	var hists []enginesim.History
 	for _, en := range dp.Engines {
 		hs := en.History()
-		mt.rs.Held += hs.SlotsHeld
+		mt.rs.SlotsHeld += hs.SlotsHeld
 		hists = append(hists, hs)
 	}
 	waste := enginesim.WasteOf(hists...)
@@ -111,8 +111,8 @@
 		fmt.Fprintf(tw, "%s TTFT 50/95/99 (ms)\t%s\t%s\n", wk, quantiles(rs.TTFT[wk]), quantiles(sim.TTFT[wk]))
 	}
 	fmt.Fprintf(tw, "wasted prefill\t%.4f\t%.4f\n", rs.WastedShare(), sim.WastedShare())
-	fmt.Fprintf(tw, "wrong answers\t%d\t\n", rs.Wrong)
-	fmt.Fprintf(tw, "slots held at the end\t%d\t\n", rs.Held)
+	fmt.Fprintf(tw, "wrong answers\t%d\t\n", rs.WrongAnswers)
+	fmt.Fprintf(tw, "slots held at the end\t%d\t\n", rs.SlotsHeld)
 	reasons := maps.Clone(rs.Refused)
 	for reason := range sim.Refused {
 		reasons[reason] += 0
--- a/internal/sched/bench/arrivals.go
+++ b/internal/sched/bench/arrivals.go
@@ -16,10 +16,10 @@
 	// PrefillRate and LinkRate are in prompt tokens a millisecond.
 	PrefillRate = prefillRate
 	LinkRate    = linkRate
-	// KeepKV is how long a prefill engine keeps a KV cache, ReportLag how old
+	// KVCacheTTL is how long a prefill engine keeps a KV cache, ReportLag how old
 	// a load report is.
-	KeepKV    = clock.Millis(keepKV)
-	ReportLag = clock.Millis(reportLag)
+	KVCacheTTL = clock.Millis(kvCacheTTL)
+	ReportLag  = clock.Millis(reportLag)
 	// Slots is the number of requests that a decode engine holds.
 	Slots = decodeSlots
 	// PrefixTokens is the length of a shared prompt prefix.
@@ -44,9 +44,9 @@
 func (dp Deployment) Arrivals(seed uint64, load float64, span clock.Millis) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, arrivalStream))
 	var out []Arrival
-	for _, rq := range dp.generate(rng, load, float64(span), 0) {
+	for _, rq := range dp.generateRequests(rng, load, float64(span), 0) {
 		out = append(out, Arrival{
-			At:     clock.Millis(rq.arrive),
+			At:     clock.Millis(rq.arrivedAt),
 			VM:     rq.vm,
 			Class:  *rq.cls,
 			Prompt: rq.prompt,
--- a/internal/sched/bench/attempt.go
+++ b/internal/sched/bench/attempt.go
@@ -4,12 +4,12 @@
 	"alderdyke/pkg/refusal"
 )
 
-// tell brings news of an attempt to its VM; news of an older attempt and of
+// notifyVM brings news of an attempt to its VM; news of an older attempt and of
 // an ended request is dropped.
-func (sm *sim) tell(rq *request, domain int, news func(), extra float64) {
-	att := rq.att
+func (sm *sim) notifyVM(rq *request, domain int, news func(), extra float64) {
+	att := rq.attempt
 	sm.after(sm.delay(domain, sm.vmDomain(rq.vm))+extra, func() {
-		if rq.att == att && rq.ends == 0 {
+		if rq.attempt == att && rq.endCount == 0 {
 			news()
 		}
 	})
@@ -17,95 +17,95 @@
 
 // sendPrefill begins a new attempt at a prefill engine.
 func (sm *sim) sendPrefill(rq *request, en *prefillEngine) {
-	rq.att++
-	rq.last = 0
+	rq.attempt++
+	rq.attemptTokens = 0
 	rq.prefill, rq.decode = en, nil
-	att := rq.att
+	att := rq.attempt
 	sm.after(sm.delay(sm.vmDomain(rq.vm), en.domain), func() {
-		if rq.att == att && rq.ends == 0 {
-			sm.fills[rq] = en.start(rq, att, func(ok bool) { sm.filled(rq, att, ok) },
-				func() { sm.lapsed(rq, att) })
+		if rq.attempt == att && rq.endCount == 0 {
+			sm.prefillJobs[rq] = en.start(rq, att, func(ok bool) { sm.prefillDone(rq, att, ok) },
+				func() { sm.kvCacheExpired(rq, att) })
 		}
 	})
 }
 
-// filled tells the VM that a prefill is complete or lost.
-func (sm *sim) filled(rq *request, att int, ok bool) {
-	if rq.att != att {
+// prefillDone tells the VM that a prefill is complete or lost.
+func (sm *sim) prefillDone(rq *request, att int, ok bool) {
+	if rq.attempt != att {
 		return
 	}
 	if ok {
-		sm.tell(rq, rq.prefill.domain, func() { sm.policy.prefilled(rq) }, 0)
+		sm.notifyVM(rq, rq.prefill.domain, func() { sm.policy.prefilled(rq) }, 0)
 		return
 	}
-	sm.tell(rq, rq.prefill.domain, func() { sm.policy.lost(rq) }, lossNoticed)
+	sm.notifyVM(rq, rq.prefill.domain, func() { sm.policy.attemptLost(rq) }, lossDetectionTime)
 }
 
-// lapsed drops a KV cache that was not sent in time, and what was sent of it.
-func (sm *sim) lapsed(rq *request, att int) {
-	if rq.att == att {
-		sm.dropImport(rq)
-		sm.tell(rq, rq.prefill.domain, func() { sm.policy.lost(rq) }, 0)
+// kvCacheExpired drops a KV cache that was not sent in time, and what was sent of it.
+func (sm *sim) kvCacheExpired(rq *request, att int) {
+	if rq.attempt == att {
+		sm.cancelImport(rq)
+		sm.notifyVM(rq, rq.prefill.domain, func() { sm.policy.attemptLost(rq) }, 0)
 	}
 }
 
 // cancel gives up the present attempt: its prefill and its KV cache.
 func (sm *sim) cancel(rq *request) {
-	att, fl := rq.att, sm.fills[rq]
+	att, fl := rq.attempt, sm.prefillJobs[rq]
 	if fl != nil && fl.att == att {
-		fl.gone = true
+		fl.released = true
 	}
-	sm.dropImport(rq)
-	rq.att++
+	sm.cancelImport(rq)
+	rq.attempt++
 }
 
-// dropImport gives up the present import and the place that it holds.
-func (sm *sim) dropImport(rq *request) {
+// cancelImport gives up the present import and the place that it holds.
+func (sm *sim) cancelImport(rq *request) {
 	if rq.decode != nil {
-		rq.decode.release(rq, rq.att)
+		rq.decode.release(rq, rq.attempt)
 	}
 	if rq.prefill != nil {
-		rq.prefill.link.abort(rq.moving)
+		rq.prefill.link.abort(rq.transfer)
 	}
-	rq.decode, rq.moving = nil, nil
-	rq.imports++
+	rq.decode, rq.transfer = nil, nil
+	rq.importCount++
 }
 
 // sendImport lets a decode engine import the KV cache, in place of any
 // import before.
 func (sm *sim) sendImport(rq *request, de *decodeEngine) {
-	sm.dropImport(rq)
-	att, imports, fl, en := rq.att, rq.imports, sm.fills[rq], rq.prefill
+	sm.cancelImport(rq)
+	att, imports, fl, en := rq.attempt, rq.importCount, sm.prefillJobs[rq], rq.prefill
 	sm.after(sm.delay(sm.vmDomain(rq.vm), de.domain), func() {
 		switch {
-		case rq.att != att || rq.imports != imports || rq.ends > 0:
+		case rq.attempt != att || rq.importCount != imports || rq.endCount > 0:
 			return
-		case fl == nil || fl.gone || en.dead:
-			sm.tell(rq, de.domain, func() { sm.policy.lost(rq) }, 0)
+		case fl == nil || fl.released || en.dead:
+			sm.notifyVM(rq, de.domain, func() { sm.policy.attemptLost(rq) }, 0)
 			return
-		case !de.take(rq, att):
-			sm.tell(rq, de.domain, func() { sm.policy.rejected(rq) }, 0)
+		case !de.reserve(rq, att):
+			sm.notifyVM(rq, de.domain, func() { sm.policy.importRejected(rq) }, 0)
 			return
 		}
 		rq.decode = de
-		rq.moving = en.link.send(float64(rq.prompt), func() { sm.imported(rq, att, fl, de) })
+		rq.transfer = en.link.send(float64(rq.prompt), func() { sm.importDone(rq, att, fl, de) })
 	})
 }
 
-func (sm *sim) imported(rq *request, att int, fl *fill, de *decodeEngine) {
-	rq.moving = nil
-	if fl.gone || de.dead || rq.att != att {
+func (sm *sim) importDone(rq *request, att int, fl *prefillJob, de *decodeEngine) {
+	rq.transfer = nil
+	if fl.released || de.dead || rq.attempt != att {
 		de.release(rq, att)
 		return
 	}
-	fl.gone = true
+	fl.released = true
 	rq.tpot = de.tpot()
-	sm.tell(rq, de.domain, func() { sm.policy.decoding(rq) }, 0)
+	sm.notifyVM(rq, de.domain, func() { sm.policy.decodeStarted(rq) }, 0)
 	sm.after(rq.tpot, func() {
 		if de.holds(rq, att) {
-			sm.tell(rq, de.domain, func() {
-				if !rq.firstSet {
-					rq.first, rq.firstSet = sm.now+callerDelay, true
+			sm.notifyVM(rq, de.domain, func() {
+				if !rq.hasFirstToken {
+					rq.firstTokenAt, rq.hasFirstToken = sm.now+callerDelay, true
 				}
 			}, 0)
 		}
@@ -115,38 +115,38 @@
 			return
 		}
 		de.release(rq, att)
-		rq.useful = rq.last
-		sm.tell(rq, de.domain, func() { sm.finish(rq) }, 0)
+		rq.usefulTokens = rq.attemptTokens
+		sm.notifyVM(rq, de.domain, func() { sm.finish(rq) }, 0)
 	})
 }
 
 func (sm *sim) finish(rq *request) {
 	sm.policy.ended(rq)
-	rq.ends++
+	rq.endCount++
 	sm.ended++
-	rq.end = sm.now
-	delete(sm.fills, rq)
+	rq.endedAt = sm.now
+	delete(sm.prefillJobs, rq)
 }
 
 // refuse ends a request without an answer.
 func (sm *sim) refuse(rq *request, rf refusal.Refusal) {
-	if rq.ends > 0 {
+	if rq.endCount > 0 {
 		panic("bench: a second end for " + rq.id)
 	}
 	sm.cancel(rq)
-	rq.ends++
+	rq.endCount++
 	sm.ended++
-	rq.end = sm.now
+	rq.endedAt = sm.now
 	rq.refused = &rf
-	delete(sm.fills, rq)
+	delete(sm.prefillJobs, rq)
 }
 
-// refuseLate refuses a request whose target is out of reach on idle engines
+// refuseUnreachable refuses a request whose target is out of reach on idle engines
 // and tells whether it did.
-func (sm *sim) refuseLate(rq *request) bool {
-	if !rq.hopeless(sm.now) {
+func (sm *sim) refuseUnreachable(rq *request) bool {
+	if !rq.targetUnreachable(sm.now) {
 		return false
 	}
-	sm.refuse(rq, rq.tooLate())
+	sm.refuse(rq, rq.unreachableRefusal())
 	return true
 }
--- a/internal/sched/bench/bench_test.go
+++ b/internal/sched/bench/bench_test.go
@@ -21,8 +21,8 @@
 // burst of quick work is a hundredth of what two seeds offer.
 const recoverySeeds = 9
 
-// more lengthens a set of seeds.
-func more(seeds []uint64, count int) []uint64 {
+// extendSeeds lengthens a set of seeds.
+func extendSeeds(seeds []uint64, count int) []uint64 {
 	var out []uint64
 	for ix := range count {
 		out = append(out, seeds[ix%len(seeds)]+uint64(ix/len(seeds))*10)
@@ -32,29 +32,29 @@
 
 func deployments() []Deployment { return []Deployment{Kedelsyn(), HoaLua()} }
 
-// played holds the runs that were begun, by their whole setup: the checks of
+// cachedRuns holds the runs that were begun, by their whole setup: the checks of
 // several bounds share a run, under -count too. TestSameFigureAtEveryRun does
 // not, and holds that a second run gives the same.
-var played sync.Map
+var cachedRuns sync.Map
 
-// playOnce is Run, once for each setup. The result must not be changed.
-func playOnce(su Setup) Result {
-	once, _ := played.LoadOrStore(fmt.Sprintf("%#v", su), sync.OnceValue(func() Result { return Run(su) }))
+// runCached is Run, once for each setup. The result must not be changed.
+func runCached(su Setup) Result {
+	once, _ := cachedRuns.LoadOrStore(fmt.Sprintf("%#v", su), sync.OnceValue(func() Result { return Run(su) }))
 	return once.(func() Result)()
 }
 
-// sum runs a setup on all seeds of a set.
-func sum(su Setup, seeds []uint64) Result {
+// runSeeds runs a setup on all seeds of a set.
+func runSeeds(su Setup, seeds []uint64) Result {
 	var runs []Result
 	for _, seed := range seeds {
 		su.Seed = seed
-		runs = append(runs, playOnce(su))
+		runs = append(runs, runCached(su))
 	}
 	return Sum(runs...)
 }
 
-// each runs a check for both deployments on both sets of seeds.
-func each(t *testing.T, check func(t *testing.T, dp Deployment, seeds []uint64)) {
+// forEachDeployment runs a check for both deployments on both sets of seeds.
+func forEachDeployment(t *testing.T, check func(t *testing.T, dp Deployment, seeds []uint64)) {
 	t.Helper()
 	t.Parallel()
 	for name, seeds := range seedSets {
@@ -67,23 +67,23 @@
 	}
 }
 
-// sound checks what must hold in every run.
-func sound(t *testing.T, rs Result) {
+// assertSound checks what must hold in every run.
+func assertSound(t *testing.T, rs Result) {
 	t.Helper()
 	assert.Equal(t, rs.Unended, 0, "requests without exactly one end")
-	assert.Equal(t, rs.Untrue, 0, "NotRun refusals of requests that an engine was sent")
+	assert.Equal(t, rs.FalseNotRun, 0, "NotRun refusals of requests that an engine was sent")
 }
 
 func TestBoundsAtCapacity(t *testing.T) {
-	each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
-		rs := sum(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds)
+	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+		rs := runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds)
 		t.Logf("quick %.4f, both %.4f, wasted %.4f", rs.Goodput(QuickWork), rs.GoodputAll(), rs.WastedShare())
-		sound(t, rs)
+		assertSound(t, rs)
 		assert.Assert(t, rs.Goodput(QuickWork) >= 0.99, "quick goodput %.4f", rs.Goodput(QuickWork))
 		assert.Assert(t, rs.WastedShare() < 0.01, "wasted prefill %.4f", rs.WastedShare())
-		rs = sum(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds[:1])
+		rs = runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds[:1])
 		for _, po := range []Policy{Shares, Optimistic, TwoChoices, LeastLoad, RoundRobin} {
-			other := sum(Setup{Deployment: dp, Load: 1.0, Policy: po}, seeds[:1])
+			other := runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: po}, seeds[:1])
 			t.Logf("%s: both %.4f, wasted %.4f", po, other.GoodputAll(), other.WastedShare())
 			assert.Assert(t, rs.GoodputAll() > other.GoodputAll(), "%s %.4f", po, other.GoodputAll())
 		}
@@ -91,11 +91,11 @@
 }
 
 func TestBoundsAtTwiceCapacity(t *testing.T) {
-	each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
-		rs := sum(Setup{Deployment: dp, Load: 2.0, Policy: Cell}, seeds)
+	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+		rs := runSeeds(Setup{Deployment: dp, Load: 2.0, Policy: Cell}, seeds)
 		t.Logf("quick %.4f, patient %.4f, wasted %.4f, places in use %.3f",
 			rs.Goodput(QuickWork), rs.Goodput(PatientWork), rs.WastedShare(), rs.Occupancy)
-		sound(t, rs)
+		assertSound(t, rs)
 		assert.Assert(t, rs.Goodput(QuickWork) >= 0.97, "quick goodput %.4f", rs.Goodput(QuickWork))
 		assert.Assert(t, rs.WastedShare() < 0.03, "wasted prefill %.4f", rs.WastedShare())
 		assert.Assert(t, rs.Occupancy >= 0.8, "patient work fills the rest: %.3f in use", rs.Occupancy)
@@ -103,15 +103,15 @@
 }
 
 func TestBoundsAgainstOracle(t *testing.T) {
-	each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
 		for _, load := range []float64{1.0, 1.2} {
 			su := Setup{Deployment: dp, Load: load}
 			su.Policy = Oracle
-			best := sum(su, seeds[:1])
+			best := runSeeds(su, seeds[:1])
 			su.Policy = Cell
-			rs := sum(su, seeds[:1])
+			rs := runSeeds(su, seeds[:1])
 			t.Logf("load %.1f: %.4f, oracle %.4f", load, rs.GoodputAll(), best.GoodputAll())
-			sound(t, rs)
+			assertSound(t, rs)
 			assert.Assert(t, rs.GoodputAll() >= 0.95*best.GoodputAll(),
 				"load %.1f: %.4f, oracle %.4f", load, rs.GoodputAll(), best.GoodputAll())
 		}
@@ -122,10 +122,10 @@
 	t.Parallel()
 	for _, fault := range []Fault{LostWorker, SlowLink, LaggingReport, PausedOwner, DeadOwner} {
 		t.Run(string(fault), func(t *testing.T) {
-			each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
-				rs := sum(Setup{Deployment: dp, Load: 1.0, Policy: Cell, Fault: fault}, seeds[:1])
+			forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+				rs := runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell, Fault: fault}, seeds[:1])
 				t.Logf("quick %.4f, both %.4f, wasted %.4f", rs.Goodput(QuickWork), rs.GoodputAll(), rs.WastedShare())
-				sound(t, rs)
+				assertSound(t, rs)
 				assert.Assert(t, rs.Goodput(QuickWork) >= 0.95, "quick goodput %.4f", rs.Goodput(QuickWork))
 				assert.Assert(t, rs.WastedShare() < 0.06, "wasted prefill %.4f", rs.WastedShare())
 			})
@@ -136,11 +136,11 @@
 // TestRecovery offers twice the capacity and then eight tenths of it: 25 s
 // after the surge the goodput is back.
 func TestRecovery(t *testing.T) {
-	each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
-		su := Setup{Deployment: dp, Load: 2.0, Surge: 0.8, Policy: Cell, From: 85 * clock.Second}
-		rs := sum(su, more(seeds, recoverySeeds))
+	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+		su := Setup{Deployment: dp, Load: 2.0, SecondHalfLoad: 0.8, Policy: Cell, MeasureFrom: 85 * clock.Second}
+		rs := runSeeds(su, extendSeeds(seeds, recoverySeeds))
 		t.Logf("quick %.4f of %d, patient %.4f", rs.Goodput(QuickWork), rs.Offered[QuickWork], rs.Goodput(PatientWork))
-		sound(t, rs)
+		assertSound(t, rs)
 		assert.Assert(t, rs.Goodput(QuickWork) >= 0.99, "quick goodput %.4f", rs.Goodput(QuickWork))
 		assert.Assert(t, rs.Goodput(PatientWork) >= 0.95, "patient goodput %.4f", rs.Goodput(PatientWork))
 	})
@@ -149,9 +149,9 @@
 // TestNoCollapse holds the answers that met their targets at twice the
 // capacity against those at capacity.
 func TestNoCollapse(t *testing.T) {
-	each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
-		full := sum(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds[:1])
-		twice := sum(Setup{Deployment: dp, Load: 2.0, Policy: Cell}, seeds[:1])
+	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+		full := runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds[:1])
+		twice := runSeeds(Setup{Deployment: dp, Load: 2.0, Policy: Cell}, seeds[:1])
 		assert.Assert(t, float64(twice.Met[QuickWork]) >= 1.7*float64(full.Met[QuickWork]),
 			"quick: %d, then %d", full.Met[QuickWork], twice.Met[QuickWork])
 		assert.Assert(t, float64(twice.Met[PatientWork]) >= 0.5*float64(full.Met[PatientWork]),
@@ -162,14 +162,14 @@
 // TestFlood lets one customer offer three times its load; the other one
 // keeps its goodput.
 func TestFlood(t *testing.T) {
-	each(t, func(t *testing.T, dp Deployment, seeds []uint64) {
+	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
 		dp = withinShare(dp)
 		other := dp.Classes[2].Customer
-		calm := sum(Setup{Deployment: dp, Load: 0.9, Policy: Cell}, seeds[:1])
-		flood := sum(Setup{Deployment: dp, Load: 0.9, Policy: Cell, Flood: 3}, seeds[:1])
+		calm := runSeeds(Setup{Deployment: dp, Load: 0.9, Policy: Cell}, seeds[:1])
+		flood := runSeeds(Setup{Deployment: dp, Load: 0.9, Policy: Cell, FloodFactor: 3}, seeds[:1])
 		before, after := calm.Customers[other].Value(), flood.Customers[other].Value()
 		t.Logf("%s: %.4f, under the flood %.4f", other, before, after)
-		sound(t, flood)
+		assertSound(t, flood)
 		assert.Assert(t, after >= before-0.03, "%s: %.4f, under the flood %.4f", other, before, after)
 	})
 }
@@ -191,8 +191,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, dp := range deployments() {
-				thrift := sum(Setup{Deployment: dp.WithWeight(0.9), Load: 1.2, Policy: Cell}, seeds)
-				goods := sum(Setup{Deployment: dp.WithWeight(0.1), Load: 1.2, Policy: Cell}, seeds)
+				thrift := runSeeds(Setup{Deployment: dp.WithPrefillWeight(0.9), Load: 1.2, Policy: Cell}, seeds)
+				goods := runSeeds(Setup{Deployment: dp.WithPrefillWeight(0.1), Load: 1.2, Policy: Cell}, seeds)
 				t.Logf("%s: weight 0.9 wasted %.4f met %d; weight 0.1 wasted %.4f met %d", dp.Name,
 					thrift.WastedShare(), thrift.Met[PatientWork], goods.WastedShare(), goods.Met[PatientWork])
 				assert.Assert(t, thrift.WastedShare() < goods.WastedShare(), dp.Name)
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestSameFigureAtEveryRun(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	t.Parallel()
 	for _, po := range []Policy{Cell, Shares, Optimistic, TwoChoices} {
 		su := Setup{Deployment: HoaLua(), Load: 1.2, Policy: po, Fault: DeadOwner, Seed: 3, Span: 65 * clock.Second}
@@ -211,20 +211,20 @@
 	}
 }
 
-// TestMeasureSeesFaults breaks the record of a run and checks that the
+// TestResultCountsViolations breaks the record of a run and checks that the
 // result counts it.
-func TestMeasureSeesFaults(t *testing.T) {
+func TestResultCountsViolations(t *testing.T) {
 	sm := newSim(Setup{Deployment: HoaLua(), Load: 0.5, Policy: TwoChoices, Seed: 1, Span: 30 * clock.Second})
 	for _, rq := range sm.requests {
-		rq.ends, rq.first, rq.end = 1, rq.arrive+50, rq.arrive+900
+		rq.endCount, rq.firstTokenAt, rq.endedAt = 1, rq.arrivedAt+50, rq.arrivedAt+900
 	}
 	assert.Equal(t, sm.result().Unended, 0)
-	sm.requests[0].ends, sm.requests[1].ends = 0, 2
-	rf := sm.requests[2].tooLate()
-	sm.requests[2].refused, sm.requests[2].ran = &rf, true
+	sm.requests[0].endCount, sm.requests[1].endCount = 0, 2
+	rf := sm.requests[2].unreachableRefusal()
+	sm.requests[2].refused, sm.requests[2].sentToEngine = &rf, true
 	rs := sm.result()
 	assert.Equal(t, rs.Unended, 2)
-	assert.Equal(t, rs.Untrue, 1)
+	assert.Equal(t, rs.FalseNotRun, 1)
 }
 
 func ExampleRun() {
--- a/internal/sched/bench/cellfault.go
+++ b/internal/sched/bench/cellfault.go
@@ -8,42 +8,42 @@
 	"alderdyke/pkg/refusal"
 )
 
-// lost begins another attempt after an engine failed.
-func (cp *cellPolicy) lost(rq *request) {
+// attemptLost begins another attempt after an engine failed.
+func (cp *cellPolicy) attemptLost(rq *request) {
 	rn := cp.runs[rq]
 	cp.sm.cancel(rq)
-	cp.send(rq.vm, sched.Progress{Request: rq.id, Attempt: rn.attempt, Stage: sched.Lost})
-	rn.stage, rn.since, rn.decode, rn.alone = "", cp.sm.now, "", false
+	cp.sendEvent(rq.vm, sched.Progress{Request: rq.id, Attempt: rn.attempt, Stage: sched.Lost})
+	rn.stage, rn.stageSince, rn.decode, rn.byFallback = "", cp.sm.now, "", false
 	rn.attempt++
-	if cp.noticed {
-		cp.alone(rq)
+	if cp.failureDetected {
+		cp.placeByFallback(rq)
 		return
 	}
 	cp.submit(rq)
 }
 
-func (cp *cellPolicy) view(vm int) sched.EngineView {
+func (cp *cellPolicy) engineView(vm int) sched.EngineView {
 	own := make(map[string]int)
-	for _, rq := range cp.sorted() {
-		if rn := cp.runs[rq]; rq.vm == vm && rn.alone {
+	for _, rq := range cp.sortedRequests() {
+		if rn := cp.runs[rq]; rq.vm == vm && rn.byFallback {
 			own[rn.prefill]++
-			own[rn.likely]++
+			own[rn.expectedDecode]++
 		}
 	}
 	return sched.EngineView{Servers: cp.list, Reports: cp.reports[vm], OwnRequests: own}
 }
 
-// sorted lists the running requests in an order that replays agree on.
-func (cp *cellPolicy) sorted() []*request {
+// sortedRequests lists the running requests in an order that replays agree on.
+func (cp *cellPolicy) sortedRequests() []*request {
 	out := make([]*request, 0, len(cp.runs))
 	for rq := range cp.runs {
 		out = append(out, rq)
 	}
 	slices.SortFunc(out, func(ra, rb *request) int {
 		switch {
-		case ra.arrive < rb.arrive:
+		case ra.arrivedAt < rb.arrivedAt:
 			return -1
-		case ra.arrive > rb.arrive:
+		case ra.arrivedAt > rb.arrivedAt:
 			return 1
 		default:
 			return 0
@@ -52,14 +52,14 @@
 	return out
 }
 
-// alone places a request without the accounting VM, refuses it, or lets it
+// placeByFallback places a request without the accounting VM, refuses it, or lets it
 // wait for that VM's successor.
-func (cp *cellPolicy) alone(rq *request) {
+func (cp *cellPolicy) placeByFallback(rq *request) {
 	rn := cp.runs[rq]
-	gr, ok := cp.fallback.Decide(cp.ask(rq), cp.view(rq.vm))
+	gr, ok := cp.fallback.Decide(cp.requestSpec(rq), cp.engineView(rq.vm))
 	if ok {
-		rn.alone, rn.stage, rn.since = true, sched.Prefilling, cp.sm.now
-		rn.prefill, rn.likely, rn.decode = gr.Prefill, gr.Decode, ""
+		rn.byFallback, rn.stage, rn.stageSince = true, sched.Prefilling, cp.sm.now
+		rn.prefill, rn.expectedDecode, rn.decode = gr.Prefill, gr.Decode, ""
 		cp.sm.sendPrefill(rq, cp.sm.byID[gr.Prefill].(*prefillEngine))
 		return
 	}
@@ -70,34 +70,34 @@
 	if rn.attempt > 0 {
 		ran = refusal.MayHaveRun
 	}
-	rn.alone = true
+	rn.byFallback = true
 	cp.sm.refuse(rq, refusal.Refusal{Ran: ran, Reason: refusal.SchedulerAway, RetryAfter: 2 * clock.Second})
-	cp.drop(rq)
+	cp.forget(rq)
 }
 
-// fail stops the accounting VM, for a while or for good.
-func (cp *cellPolicy) fail() {
+// failAccountingVM stops the accounting VM, for a while or for good.
+func (cp *cellPolicy) failAccountingVM() {
 	sm := cp.sm
-	cp.away = true
-	sm.after(detectIn, func() { cp.noticed = cp.away })
+	cp.unreachable = true
+	sm.after(detectionTime, func() { cp.failureDetected = cp.unreachable })
 	if sm.Fault == PausedOwner {
-		cp.paused = sm.now + pauseFor
-		sm.after(pauseFor, func() {
-			cp.away, cp.noticed = false, false
+		cp.pausedUntil = sm.now + pauseTime
+		sm.after(pauseTime, func() {
+			cp.unreachable, cp.failureDetected = false, false
 			cp.step(sched.Tick{})
 			cp.resubmit()
 		})
 		return
 	}
-	sm.after(takeoverIn, func() {
+	sm.after(takeoverTime, func() {
 		cp.term++
-		cp.owner = (cp.owner + 1) % sm.Deployment.VMs
-		cp.away, cp.noticed, cp.wakeAt = false, false, 0
+		cp.accountingVM = (cp.accountingVM + 1) % sm.Deployment.VMs
+		cp.unreachable, cp.failureDetected, cp.wakeAt = false, false, 0
 		cp.newCell()
-		for _, rq := range cp.sorted() {
+		for _, rq := range cp.sortedRequests() {
 			if cp.runs[rq].stage != "" {
-				cp.announce(rq)
-				cp.runs[rq].alone = false
+				cp.sendAdopt(rq)
+				cp.runs[rq].byFallback = false
 			}
 		}
 		cp.resubmit()
@@ -106,7 +106,7 @@
 
 // resubmit asks again for all that waited meanwhile.
 func (cp *cellPolicy) resubmit() {
-	for _, rq := range cp.sorted() {
+	for _, rq := range cp.sortedRequests() {
 		if cp.runs[rq].stage == "" {
 			cp.submit(rq)
 		}
--- a/internal/sched/bench/load.go
+++ b/internal/sched/bench/load.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	prefixTokens  = 2000 // length of a shared prompt prefix
-	prefixKinds   = 8    // different shared prefixes of a class
-	prefixPart    = 0.3  // part of the long documents that have one
-	decodeSlots   = 20
-	slotsInUse    = 1.0  // load 1.0 fills the scarcer of places and prefill
-	fullTPOT      = 30.0 // milliseconds between tokens of a full decode engine
-	idleTPOT      = 24.0 // and of one that decodes a single request
-	prefillRate   = 10.0 // prompt tokens per millisecond
-	linkRate      = 50.0 // KV cache of prompt tokens per millisecond
-	prefillChunk  = 1024 // prompt tokens between looks at the queue
-	keepKV        = 800.0
-	callerDelay   = 1.0 // milliseconds one way
-	localDelay    = 0.2 // milliseconds one way inside a failure domain
-	cachedMost    = 200_000
-	reportEach    = 500.0
-	reportLag     = 300.0
-	spreadPrompt  = 0.7 // of the logarithm
-	spreadOutput  = 0.6
-	lengthBiggest = 4.0 // times the mean, where lengths are cut off
+	prefixTokens     = 2000 // length of a shared prompt prefix
+	prefixesPerClass = 8    // different shared prefixes of a class
+	prefixShare      = 0.3  // part of the long documents that have one
+	decodeSlots      = 20
+	fullUtilization  = 1.0  // load 1.0 fills the scarcer of places and prefill
+	fullTPOT         = 30.0 // milliseconds between tokens of a full decode engine
+	idleTPOT         = 24.0 // and of one that decodes a single request
+	prefillRate      = 10.0 // prompt tokens per millisecond
+	linkRate         = 50.0 // KV cache of prompt tokens per millisecond
+	prefillChunk     = 1024 // prompt tokens between looks at the queue
+	kvCacheTTL       = 800.0
+	callerDelay      = 1.0 // milliseconds one way
+	localDelay       = 0.2 // milliseconds one way inside a failure domain
+	maxCachedTokens  = 200_000
+	reportInterval   = 500.0
+	reportLag        = 300.0
+	promptSigma      = 0.7 // of the logarithm
+	outputSigma      = 0.6
+	maxLengthFactor  = 4.0 // times the mean, where lengths are cut off
 )
 
 type (
@@ -43,57 +43,57 @@
 
 	// Class is one kind of requests that the load generator makes.
 	Class struct {
-		Customer string
-		Name     string
-		Work     Work
-		Prompt   float64 // mean prompt tokens
-		Output   float64 // mean output tokens
-		Max      int     // bound of output tokens
-		Mix      float64 // part of the decode capacity that it wants at load 1.0
-		Share    float64
-		TTFT     clock.Millis
-		TPOT     clock.Millis
-		Deadline clock.Millis // span
-		Weight   float64      // of wasted prefill
+		Customer      string
+		Name          string
+		Work          Work
+		Prompt        float64 // mean prompt tokens
+		Output        float64 // mean output tokens
+		MaxTokens     int     // bound of output tokens
+		CapacityShare float64 // part of the decode capacity that it wants at load 1.0
+		Share         float64
+		TTFT          clock.Millis
+		TPOT          clock.Millis
+		Deadline      clock.Millis // span
+		PrefillWeight float64      // of wasted prefill
 	}
 
 	// Deployment is the size and the load of one user.
 	Deployment struct {
-		Name     string
-		Service  string
-		Domains  []string
-		OneWay   float64 // milliseconds between failure domains
-		VMs      int
-		Prefills int
-		Decodes  int
-		Classes  []Class
+		Name         string
+		Service      string
+		Domains      []string
+		NetworkDelay float64 // milliseconds between failure domains
+		VMs          int
+		Prefills     int
+		Decodes      int
+		Classes      []Class
 	}
 
 	// request is one request and all that became of it.
 	request struct {
-		id     string
-		vm     int
-		cls    *Class
-		arrive float64
-		prompt int
-		prefix uint64
-		output int
+		id        string
+		vm        int
+		cls       *Class
+		arrivedAt float64
+		prompt    int
+		prefix    uint64
+		output    int
 
-		att      int // attempts begun
-		imports  int // imports ordered
-		moving   *transfer
-		prefill  *prefillEngine
-		decode   *decodeEngine
-		computed float64 // prompt tokens that engines computed for it
-		last     float64 // of them, those of the latest attempt
-		useful   float64 // of them, those that became an answer
-		ran      bool    // an engine was sent it
-		first    float64
-		firstSet bool
-		tpot     float64
-		end      float64
-		ends     int
-		refused  *refusal.Refusal
+		attempt        int // attempts begun
+		importCount    int // imports ordered
+		transfer       *transfer
+		prefill        *prefillEngine
+		decode         *decodeEngine
+		computedTokens float64 // prompt tokens that engines computed for it
+		attemptTokens  float64 // of them, those of the latest attempt
+		usefulTokens   float64 // of them, those that became an answer
+		sentToEngine   bool    // an engine was sent it
+		firstTokenAt   float64
+		hasFirstToken  bool
+		tpot           float64
+		endedAt        float64
+		endCount       int
+		refused        *refusal.Refusal
 	}
 )
 
@@ -102,17 +102,17 @@
 func Kedelsyn() Deployment {
 	return Deployment{
 		Name: "Kedelsyn", Service: "rapportmodel",
-		Domains: []string{"aarhus-a", "aarhus-b", "vejle-1", "herning-1"}, OneWay: 1.5,
+		Domains: []string{"aarhus-a", "aarhus-b", "vejle-1", "herning-1"}, NetworkDelay: 1.5,
 		VMs: 6, Prefills: 4, Decodes: 4,
 		Classes: []Class{
-			{Customer: "kedelsyn", Name: "findings", Work: PatientWork, Prompt: 8000, Output: 500, Max: 2000,
-				Mix: 0.5, Share: 0.35, TTFT: 60_000, TPOT: 45, Deadline: 300_000, Weight: 0.9},
-			{Customer: "kedelsyn", Name: "lookup", Work: QuickWork, Prompt: 180, Output: 40, Max: 160,
-				Mix: 0.12, Share: 0.3, TTFT: 410, TPOT: 45, Deadline: 15_000, Weight: 0.9},
-			{Customer: "fjernvarme", Name: "findings", Work: PatientWork, Prompt: 6000, Output: 400, Max: 1600,
-				Mix: 0.3, Share: 0.15, TTFT: 45_000, TPOT: 45, Deadline: 240_000, Weight: 0.9},
-			{Customer: "fjernvarme", Name: "lookup", Work: QuickWork, Prompt: 150, Output: 40, Max: 160,
-				Mix: 0.08, Share: 0.2, TTFT: 410, TPOT: 45, Deadline: 15_000, Weight: 0.9},
+			{Customer: "kedelsyn", Name: "findings", Work: PatientWork, Prompt: 8000, Output: 500, MaxTokens: 2000,
+				CapacityShare: 0.5, Share: 0.35, TTFT: 60_000, TPOT: 45, Deadline: 300_000, PrefillWeight: 0.9},
+			{Customer: "kedelsyn", Name: "lookup", Work: QuickWork, Prompt: 180, Output: 40, MaxTokens: 160,
+				CapacityShare: 0.12, Share: 0.3, TTFT: 410, TPOT: 45, Deadline: 15_000, PrefillWeight: 0.9},
+			{Customer: "fjernvarme", Name: "findings", Work: PatientWork, Prompt: 6000, Output: 400, MaxTokens: 1600,
+				CapacityShare: 0.3, Share: 0.15, TTFT: 45_000, TPOT: 45, Deadline: 240_000, PrefillWeight: 0.9},
+			{Customer: "fjernvarme", Name: "lookup", Work: QuickWork, Prompt: 150, Output: 40, MaxTokens: 160,
+				CapacityShare: 0.08, Share: 0.2, TTFT: 410, TPOT: 45, Deadline: 15_000, PrefillWeight: 0.9},
 		},
 	}
 }
@@ -122,71 +122,71 @@
 func HoaLua() Deployment {
 	return Deployment{
 		Name: "Hoa Lua", Service: "summary-llm",
-		Domains: []string{"cantho-a", "cantho-b", "longxuyen", "soctrang"}, OneWay: 0.5,
+		Domains: []string{"cantho-a", "cantho-b", "longxuyen", "soctrang"}, NetworkDelay: 0.5,
 		VMs: 7, Prefills: 4, Decodes: 5,
 		Classes: []Class{
-			{Customer: "hoalua", Name: "summary", Work: PatientWork, Prompt: 6000, Output: 350, Max: 1400,
-				Mix: 0.45, Share: 0.25, TTFT: 30_000, TPOT: 45, Deadline: 180_000, Weight: 0.1},
-			{Customer: "hoalua", Name: "status", Work: QuickWork, Prompt: 120, Output: 30, Max: 120,
-				Mix: 0.15, Share: 0.35, TTFT: 410, TPOT: 45, Deadline: 10_000, Weight: 0.1},
-			{Customer: "lender", Name: "summary", Work: PatientWork, Prompt: 5000, Output: 300, Max: 1200,
-				Mix: 0.3, Share: 0.15, TTFT: 30_000, TPOT: 45, Deadline: 180_000, Weight: 0.1},
-			{Customer: "lender", Name: "status", Work: QuickWork, Prompt: 120, Output: 30, Max: 120,
-				Mix: 0.1, Share: 0.25, TTFT: 410, TPOT: 45, Deadline: 10_000, Weight: 0.1},
+			{Customer: "hoalua", Name: "summary", Work: PatientWork, Prompt: 6000, Output: 350, MaxTokens: 1400,
+				CapacityShare: 0.45, Share: 0.25, TTFT: 30_000, TPOT: 45, Deadline: 180_000, PrefillWeight: 0.1},
+			{Customer: "hoalua", Name: "status", Work: QuickWork, Prompt: 120, Output: 30, MaxTokens: 120,
+				CapacityShare: 0.15, Share: 0.35, TTFT: 410, TPOT: 45, Deadline: 10_000, PrefillWeight: 0.1},
+			{Customer: "lender", Name: "summary", Work: PatientWork, Prompt: 5000, Output: 300, MaxTokens: 1200,
+				CapacityShare: 0.3, Share: 0.15, TTFT: 30_000, TPOT: 45, Deadline: 180_000, PrefillWeight: 0.1},
+			{Customer: "lender", Name: "status", Work: QuickWork, Prompt: 120, Output: 30, MaxTokens: 120,
+				CapacityShare: 0.1, Share: 0.25, TTFT: 410, TPOT: 45, Deadline: 10_000, PrefillWeight: 0.1},
 		},
 	}
 }
 
-// WithWeight returns the deployment with one weight of wasted prefill for
+// WithPrefillWeight returns the deployment with one weight of wasted prefill for
 // all its classes.
-func (dp Deployment) WithWeight(weight float64) Deployment {
+func (dp Deployment) WithPrefillWeight(weight float64) Deployment {
 	classes := append([]Class(nil), dp.Classes...)
 	for ix := range classes {
-		classes[ix].Weight = weight
+		classes[ix].PrefillWeight = weight
 	}
 	dp.Classes = classes
 	return dp
 }
 
-// rates are the requests per millisecond of each class at load 1.0: the mix
+// arrivalRates are the requests per millisecond of each class at load 1.0: the mix
 // of the classes, scaled so that the scarcer of decode places and prefill is
 // used to the full.
-func (dp Deployment) rates() []float64 {
+func (dp Deployment) arrivalRates() []float64 {
 	out := make([]float64, len(dp.Classes))
 	places := float64(dp.Decodes * decodeSlots)
 	fill, hold := 0.0, 0.0
 	for ix, cl := range dp.Classes {
 		span := cl.Output*fullTPOT + cl.Prompt/linkRate
-		out[ix] = cl.Mix * places / span
-		hold += cl.Mix
+		out[ix] = cl.CapacityShare * places / span
+		hold += cl.CapacityShare
 		prompt := cl.Prompt
 		if cl.Work == PatientWork {
-			prompt -= prefixPart * prefixTokens
+			prompt -= prefixShare * prefixTokens
 		}
 		fill += out[ix] * prompt / (prefillRate * float64(dp.Prefills))
 	}
 	for ix := range out {
-		out[ix] *= slotsInUse / max(fill, hold)
+		out[ix] *= fullUtilization / max(fill, hold)
 	}
 	return out
 }
 
-// generate makes the arrivals of a run: a Poisson process for each class.
+// generateRequests makes the arrivals of a run: a Poisson process for each class.
 // flood multiplies the arrivals of the first customer's patient class.
-func (dp Deployment) generate(rng *rand.Rand, load, span, flood float64) []*request {
+func (dp Deployment) generateRequests(rng *rand.Rand, load, span, flood float64) []*request {
 	var all []*request
-	for ix, rate := range dp.rates() {
+	for ix, rate := range dp.arrivalRates() {
 		cls := &dp.Classes[ix]
 		if flood > 0 && ix < 2 {
 			rate *= flood
 		}
 		at := rng.ExpFloat64() / (rate * load)
 		for at < span {
-			rq := &request{id: fmt.Sprintf("%d-%d", ix, len(all)), vm: rng.IntN(dp.VMs), cls: cls, arrive: at}
-			rq.prompt = length(rng, cls.Prompt, spreadPrompt)
-			rq.output = min(cls.Max, length(rng, cls.Output, spreadOutput))
-			if cls.Work == PatientWork && rng.Float64() < prefixPart && rq.prompt > prefixTokens {
-				rq.prefix = uint64(ix*prefixKinds + rng.IntN(prefixKinds) + 1)
+			rq := &request{id: fmt.Sprintf("%d-%d", ix, len(all)), vm: rng.IntN(dp.VMs), cls: cls, arrivedAt: at}
+			rq.prompt = sampleLength(rng, cls.Prompt, promptSigma)
+			rq.output = min(cls.MaxTokens, sampleLength(rng, cls.Output, outputSigma))
+			if cls.Work == PatientWork && rng.Float64() < prefixShare && rq.prompt > prefixTokens {
+				rq.prefix = uint64(ix*prefixesPerClass + rng.IntN(prefixesPerClass) + 1)
 			}
 			all = append(all, rq)
 			at += rng.ExpFloat64() / (rate * load)
@@ -195,8 +195,8 @@
 	return all
 }
 
-// length draws a log-normal number of tokens with the mean and the spread.
-func length(rng *rand.Rand, mean, spread float64) int {
+// sampleLength draws a log-normal number of tokens with the mean and the spread.
+func sampleLength(rng *rand.Rand, mean, spread float64) int {
 	val := mean * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
-	return int(max(8, min(val, lengthBiggest*mean)))
+	return int(max(8, min(val, maxLengthFactor*mean)))
 }
--- a/internal/sched/bench/local.go
+++ b/internal/sched/bench/local.go
@@ -10,67 +10,67 @@
 )
 
 const (
-	baselineQueue  = 4    // reported prefills at which a baseline sends no more to an engine
-	localEach      = 50.0 // milliseconds between looks at a VM's queue
-	importBackoff  = 50.0 // milliseconds before an import is tried again
-	attemptsMost   = 3
-	patientReserve = 6 // reported free places that Optimistic leaves to quick work
+	maxReportedQueue = 4    // reported prefills at which a baseline sends no more to an engine
+	dispatchInterval = 50.0 // milliseconds between looks at a VM's queue
+	importBackoff    = 50.0 // milliseconds before an import is tried again
+	maxAttempts      = 3
+	quickReserve     = 6 // reported free places that Optimistic leaves to quick work
 )
 
 type (
 	// localPolicy decides at each VM for itself from lagging reports: the
 	// baselines, and the optimistic choice that waits for a place in sight.
 	localPolicy struct {
-		sm     *sim
-		vms    []*localVM
-		picked map[*request]string // decode engine chosen before the prefill
+		sm        *sim
+		vms       []*localVM
+		decodeFor map[*request]string // decode engine chosen before the prefill
 	}
 
 	localVM struct {
-		ix      int
-		queue   []*request
-		reports map[string]board.LoadReport
-		sent    map[string]int // since the last report, to each engine
-		turnP   int
-		turnD   int
+		ix              int
+		queue           []*request
+		reports         map[string]board.LoadReport
+		sentSinceReport map[string]int // since the last report, to each engine
+		prefillTurn     int
+		decodeTurn      int
 	}
 )
 
 func (lp *localPolicy) begin() {
-	lp.picked = make(map[*request]string)
+	lp.decodeFor = make(map[*request]string)
 	for ix := range lp.sm.Deployment.VMs {
-		vm := &localVM{ix: ix, reports: make(map[string]board.LoadReport), sent: make(map[string]int)}
+		vm := &localVM{ix: ix, reports: make(map[string]board.LoadReport), sentSinceReport: make(map[string]int)}
 		lp.vms = append(lp.vms, vm)
 		var tick func()
 		tick = func() {
-			lp.pump(vm)
-			if lp.sm.now < lp.sm.span+drainFor/2 {
-				lp.sm.after(localEach, tick)
+			lp.dispatch(vm)
+			if lp.sm.now < lp.sm.span+drainTime/2 {
+				lp.sm.after(dispatchInterval, tick)
 			}
 		}
 		lp.sm.after(float64(ix)*3, tick)
 	}
 }
 
-func (lp *localPolicy) servers() {}
+func (lp *localPolicy) serversChanged() {}
 
 func (lp *localPolicy) report(vm int, ld board.LoadReport) {
 	lv := lp.vms[vm]
 	lv.reports[ld.Server] = ld
-	lv.sent[ld.Server] = 0
-	lp.pump(lv)
+	lv.sentSinceReport[ld.Server] = 0
+	lp.dispatch(lv)
 }
 
 func (lp *localPolicy) arrive(rq *request) {
 	lv := lp.vms[rq.vm]
 	lv.queue = append(lv.queue, rq)
 	sortByUrgency(lv.queue)
-	lp.pump(lv)
+	lp.dispatch(lv)
 }
 
 func sortByUrgency(queue []*request) {
 	slices.SortStableFunc(queue, func(ra, rb *request) int {
-		return cmp.Or(cmp.Compare(urgency(ra), urgency(rb)), cmp.Compare(ra.due(), rb.due()))
+		return cmp.Or(cmp.Compare(urgency(ra), urgency(rb)), cmp.Compare(ra.firstTokenDue(), rb.firstTokenDue()))
 	})
 }
 
@@ -81,47 +81,47 @@
 	return 1
 }
 
-// due is the latest first token that meets the target.
-func (rq *request) due() float64 { return rq.arrive + float64(rq.cls.TTFT) }
+// firstTokenDue is the latest first token that meets the target.
+func (rq *request) firstTokenDue() float64 { return rq.arrivedAt + float64(rq.cls.TTFT) }
 
-// hopeless tells whether the target is out of reach on idle engines.
-func (rq *request) hopeless(now float64) bool {
-	if rq.firstSet {
-		return now > rq.arrive+float64(rq.cls.Deadline)
+// targetUnreachable tells whether the target is out of reach on idle engines.
+func (rq *request) targetUnreachable(now float64) bool {
+	if rq.hasFirstToken {
+		return now > rq.arrivedAt+float64(rq.cls.Deadline)
 	}
-	return now+float64(rq.prompt)/prefillRate+float64(rq.prompt)/linkRate+fullTPOT > rq.due()
+	return now+float64(rq.prompt)/prefillRate+float64(rq.prompt)/linkRate+fullTPOT > rq.firstTokenDue()
 }
 
-func (lp *localPolicy) pump(lv *localVM) {
+func (lp *localPolicy) dispatch(lv *localVM) {
 	for len(lv.queue) > 0 {
 		rq := lv.queue[0]
-		if lp.sm.refuseLate(rq) {
+		if lp.sm.refuseUnreachable(rq) {
 			lv.queue = lv.queue[1:]
 			continue
 		}
-		pre, dec := lp.choose(lv, board.Prefill), lp.choose(lv, board.Decode)
+		pre, dec := lp.chooseEngine(lv, board.Prefill), lp.chooseEngine(lv, board.Decode)
 		if pre == "" || dec == "" || !lp.mayStart(lv, rq, pre, dec) {
 			return
 		}
 		lv.queue = lv.queue[1:]
-		lv.sent[pre]++
-		lv.sent[dec]++
-		lp.picked[rq] = dec
+		lv.sentSinceReport[pre]++
+		lv.sentSinceReport[dec]++
+		lp.decodeFor[rq] = dec
 		lp.sm.sendPrefill(rq, lp.sm.byID[pre].(*prefillEngine))
 	}
 }
 
-// tooLate is the refusal of a request whose target is out of reach.
-func (rq *request) tooLate() refusal.Refusal {
+// unreachableRefusal is the refusal of a request whose target is out of reach.
+func (rq *request) unreachableRefusal() refusal.Refusal {
 	rf := refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.TargetUnreachable, RetryAfter: clock.Second}
-	if rq.att > 0 {
+	if rq.attempt > 0 {
 		rf.Ran = refusal.MayHaveRun
 	}
 	return rf
 }
 
 func (lp *localPolicy) mayStart(lv *localVM, rq *request, pre, dec string) bool {
-	if rq.cls.Work == PatientWork && lv.load(pre) >= baselineQueue {
+	if rq.cls.Work == PatientWork && lv.estimatedLoad(pre) >= maxReportedQueue {
 		return false
 	}
 	if lp.sm.Policy != Optimistic {
@@ -129,42 +129,42 @@
 	}
 	need := 1
 	if rq.cls.Work == PatientWork {
-		need += patientReserve
+		need += quickReserve
 	}
-	return decodeSlots-lv.load(dec) >= need
+	return decodeSlots-lv.estimatedLoad(dec) >= need
 }
 
-// load is the reported load of an engine and what this VM sent since.
-func (lv *localVM) load(id string) int {
+// estimatedLoad is the reported load of an engine and what this VM sent since.
+func (lv *localVM) estimatedLoad(id string) int {
 	ld := lv.reports[id]
 	if ld.Slots == 1 {
-		return ld.Queued + lv.sent[id]
+		return ld.Queued + lv.sentSinceReport[id]
 	}
-	return ld.Running + lv.sent[id]
+	return ld.Running + lv.sentSinceReport[id]
 }
 
-func (lp *localPolicy) choose(lv *localVM, role board.Role) string {
-	ids := lp.sm.alive(role)
+func (lp *localPolicy) chooseEngine(lv *localVM, role board.Role) string {
+	ids := lp.sm.aliveEngines(role)
 	if len(ids) == 0 {
 		return ""
 	}
 	switch lp.sm.Policy {
 	case RoundRobin:
-		turn := &lv.turnP
+		turn := &lv.prefillTurn
 		if role == board.Decode {
-			turn = &lv.turnD
+			turn = &lv.decodeTurn
 		}
 		*turn++
 		return ids[(*turn+lv.ix)%len(ids)]
 	case LeastLoad:
 		return slices.MinFunc(ids, func(ia, ib string) int {
-			return cmp.Compare(lv.reported(ia), lv.reported(ib))
+			return cmp.Compare(lv.reportedLoad(ia), lv.reportedLoad(ib))
 		})
 	default:
 		ia, ib := ids[lp.sm.rng.IntN(len(ids))], ids[lp.sm.rng.IntN(len(ids))]
-		score := lv.reported
+		score := lv.reportedLoad
 		if lp.sm.Policy == Optimistic {
-			score = lv.load
+			score = lv.estimatedLoad
 		}
 		if score(ib) < score(ia) {
 			return ib
@@ -173,7 +173,7 @@
 	}
 }
 
-func (lv *localVM) reported(id string) int {
+func (lv *localVM) reportedLoad(id string) int {
 	ld := lv.reports[id]
 	if ld.Slots == 1 {
 		return ld.Queued
@@ -181,54 +181,54 @@
 	return ld.Running
 }
 
-// alive lists the engines of a role that are listed.
-func (sm *sim) alive(role board.Role) []string {
-	if out, ok := sm.living[role]; ok {
+// aliveEngines lists the engines of a role that are listed.
+func (sm *sim) aliveEngines(role board.Role) []string {
+	if out, ok := sm.aliveByRole[role]; ok {
 		return out
 	}
 	var out []string
-	for _, srv := range sm.list() {
+	for _, srv := range sm.backendServers() {
 		if srv.Role == role {
 			out = append(out, srv.ID)
 		}
 	}
-	sm.living[role] = out
+	sm.aliveByRole[role] = out
 	return out
 }
 
 func (lp *localPolicy) prefilled(rq *request) {
-	de := lp.sm.byID[lp.picked[rq]].(*decodeEngine)
+	de := lp.sm.byID[lp.decodeFor[rq]].(*decodeEngine)
 	lp.sm.sendImport(rq, de)
 }
 
-func (lp *localPolicy) rejected(rq *request) {
-	att := rq.att
+func (lp *localPolicy) importRejected(rq *request) {
+	att := rq.attempt
 	lp.sm.after(importBackoff, func() {
-		if rq.att != att || rq.ends > 0 {
+		if rq.attempt != att || rq.endCount > 0 {
 			return
 		}
-		if dec := lp.choose(lp.vms[rq.vm], board.Decode); dec != "" {
-			lp.picked[rq] = dec
+		if dec := lp.chooseEngine(lp.vms[rq.vm], board.Decode); dec != "" {
+			lp.decodeFor[rq] = dec
 			lp.sm.sendImport(rq, lp.sm.byID[dec].(*decodeEngine))
 		}
 	})
 }
 
-func (lp *localPolicy) decoding(*request) {}
+func (lp *localPolicy) decodeStarted(*request) {}
 
-func (lp *localPolicy) ended(rq *request) { delete(lp.picked, rq) }
+func (lp *localPolicy) ended(rq *request) { delete(lp.decodeFor, rq) }
 
-func (lp *localPolicy) lost(rq *request) {
+func (lp *localPolicy) attemptLost(rq *request) {
 	lp.sm.cancel(rq)
-	if rq.att >= 2*attemptsMost && !rq.firstSet {
+	if rq.attempt >= 2*maxAttempts && !rq.hasFirstToken {
 		lp.sm.refuse(rq, refusal.Refusal{Ran: refusal.MayHaveRun, Reason: refusal.RetriesExhausted, RetryAfter: clock.Second})
 		return
 	}
 	lv := lp.vms[rq.vm]
-	if lp.sm.refuseLate(rq) {
+	if lp.sm.refuseUnreachable(rq) {
 		return
 	}
 	lv.queue = append(lv.queue, rq)
 	sortByUrgency(lv.queue)
-	lp.pump(lv)
+	lp.dispatch(lv)
 }
--- a/internal/sched/bench/oracle.go
+++ b/internal/sched/bench/oracle.go
@@ -11,7 +11,7 @@
 // request, as quick work may still delay its prefill.
 const oracleSlack = 1000.0
 
-const oracleEach = 20.0 // milliseconds between looks without an event
+const oracleInterval = 20.0 // milliseconds between looks without an event
 
 // oracleVariants are what an oracle tries.
 var oracleVariants = []oracleVariant{{0, false}, {6, false}, {12, false}, {18, false}, {6, true}, {12, true}}
@@ -19,8 +19,8 @@
 type (
 	// oracleVariant is one way in which an oracle orders its work.
 	oracleVariant struct {
-		reserve  int  // places kept for quick work
-		shortest bool // patient requests by expected work instead of by target
+		reserve       int  // places kept for quick work
+		shortestFirst bool // patient requests by expected work instead of by target
 	}
 
 	// oraclePolicy decides in one place with no lag and with the true state
@@ -28,24 +28,24 @@
 	// is chosen in hindsight, as the best for the run.
 	oraclePolicy struct {
 		oracleVariant
-		sm       *sim
-		queue    []*request
-		ready    []*request
-		starting map[*request]float64 // when the KV cache will be ready
-		ends     map[*request]float64
-		sorted   []float64 // ends in order
+		sm         *sim
+		queue      []*request
+		ready      []*request
+		kvReadyAt  map[*request]float64 // when the KV cache will be ready
+		decodeEnds map[*request]float64
+		sortedEnds []float64 // ends in order
 	}
 )
 
 func (op *oraclePolicy) begin() {
-	op.starting = make(map[*request]float64)
-	op.ends = make(map[*request]float64)
+	op.kvReadyAt = make(map[*request]float64)
+	op.decodeEnds = make(map[*request]float64)
 	var tick func()
 	tick = func() {
 		op.expire()
-		op.pump()
-		if op.sm.now < op.sm.span+drainFor/2 {
-			op.sm.after(oracleEach, tick)
+		op.dispatch()
+		if op.sm.now < op.sm.span+drainTime/2 {
+			op.sm.after(oracleInterval, tick)
 		}
 	}
 	op.sm.after(0, tick)
@@ -53,43 +53,43 @@
 
 func (op *oraclePolicy) arrive(rq *request) {
 	op.enqueue(rq)
-	op.pump()
+	op.dispatch()
 }
 
 func (op *oraclePolicy) enqueue(rq *request) {
 	op.queue = append(op.queue, rq)
 	sortByUrgency(op.queue)
-	if !op.shortest {
+	if !op.shortestFirst {
 		return
 	}
 	slices.SortStableFunc(op.queue, func(ra, rb *request) int {
-		return cmp.Or(cmp.Compare(urgency(ra), urgency(rb)), cmp.Compare(ra.work(), rb.work()))
+		return cmp.Or(cmp.Compare(urgency(ra), urgency(rb)), cmp.Compare(ra.busyTime(), rb.busyTime()))
 	})
 }
 
-// work is the true time that a request keeps an engine busy, of whichever
+// busyTime is the true time that a request keeps an engine busy, of whichever
 // kind is scarcer.
-func (rq *request) work() float64 {
+func (rq *request) busyTime() float64 {
 	return max(float64(rq.output)*fullTPOT/decodeSlots, float64(rq.prompt)/prefillRate)
 }
 
-func (op *oraclePolicy) givesUp(rq *request) bool {
+func (op *oraclePolicy) missesTarget(rq *request) bool {
 	slack := 0.0
 	if rq.cls.Work == PatientWork {
 		slack = oracleSlack
 	}
-	return rq.hopeless(op.sm.now + slack)
+	return rq.targetUnreachable(op.sm.now + slack)
 }
 
-func (op *oraclePolicy) pump() {
-	op.place()
+func (op *oraclePolicy) dispatch() {
+	op.importReady()
 	rest := op.queue[:0]
 	for ix, rq := range op.queue {
-		if op.givesUp(rq) {
-			op.sm.refuse(rq, rq.tooLate())
+		if op.missesTarget(rq) {
+			op.sm.refuse(rq, rq.unreachableRefusal())
 			continue
 		}
-		if op.start(rq) {
+		if op.startPrefill(rq) {
 			continue
 		}
 		if rq.cls.Work == PatientWork {
@@ -107,52 +107,52 @@
 // expire refuses what is out of reach anywhere in the queue.
 func (op *oraclePolicy) expire() {
 	op.queue = slices.DeleteFunc(op.queue, func(rq *request) bool {
-		if !op.givesUp(rq) {
+		if !op.missesTarget(rq) {
 			return false
 		}
-		op.sm.refuse(rq, rq.tooLate())
+		op.sm.refuse(rq, rq.unreachableRefusal())
 		return true
 	})
 }
 
-// start sends the prefill if a place will be free when the KV cache arrives.
-func (op *oraclePolicy) start(rq *request) bool {
+// startPrefill sends the prefill if a place will be free when the KV cache arrives.
+func (op *oraclePolicy) startPrefill(rq *request) bool {
 	en, wait := op.bestPrefill(rq)
 	if en == nil || (rq.cls.Work == PatientWork && wait > 1) {
 		return false
 	}
-	at := op.sm.now + wait + en.span(rq)
+	at := op.sm.now + wait + en.computeTime(rq)
 	need := 1
 	if rq.cls.Work == PatientWork {
 		need += op.reserve
 	}
-	if op.freeAt(at, rq) < need {
+	if op.freeSlotsAt(at, rq) < need {
 		return false
 	}
-	op.starting[rq] = at
+	op.kvReadyAt[rq] = at
 	op.sm.sendPrefill(rq, en)
 	return true
 }
 
-// span is the true time that the engine computes for the request.
-func (en *prefillEngine) span(rq *request) float64 {
+// computeTime is the true time that the engine computes for the request.
+func (en *prefillEngine) computeTime(rq *request) float64 {
 	tokens := float64(rq.prompt)
-	if rq.prefix != 0 && slices.Contains(en.cache, rq.prefix) {
+	if rq.prefix != 0 && slices.Contains(en.cachedPrefixes, rq.prefix) {
 		tokens -= prefixTokens
 	}
 	return max(1, tokens) / prefillRate
 }
 
-// backlog is the true time until the engine begins a request.
-func (en *prefillEngine) backlog(rq *request) float64 {
+// queueDelay is the true time until the engine begins a request.
+func (en *prefillEngine) queueDelay(rq *request) float64 {
 	sum := 0.0
 	for _, fl := range en.queue {
 		if rq.cls.Work == PatientWork || fl.rq.cls.Work == QuickWork {
-			sum += fl.left / prefillRate
+			sum += fl.tokensLeft / prefillRate
 		}
 	}
 	if fl := en.running; fl != nil {
-		left := fl.left
+		left := fl.tokensLeft
 		if rq.cls.Work == QuickWork {
 			left = min(left, prefillChunk)
 		}
@@ -167,24 +167,24 @@
 		if en.dead {
 			continue
 		}
-		back := en.backlog(rq)
-		if total := back + en.span(rq); best == nil || total < least {
+		back := en.queueDelay(rq)
+		if total := back + en.computeTime(rq); best == nil || total < least {
 			best, wait, least = en, back, total
 		}
 	}
 	return best, wait
 }
 
-// freeAt is the number of places that will be free for the request at a
+// freeSlotsAt is the number of places that will be free for the request at a
 // point, when what was started before took its own.
-func (op *oraclePolicy) freeAt(at float64, rq *request) int {
-	free, _ := slices.BinarySearch(op.sorted, at)
+func (op *oraclePolicy) freeSlotsAt(at float64, rq *request) int {
+	free, _ := slices.BinarySearch(op.sortedEnds, at)
 	for _, de := range op.sm.decodes {
 		if !de.dead {
 			free += decodeSlots - len(de.running)
 		}
 	}
-	for other := range op.starting {
+	for other := range op.kvReadyAt {
 		if urgency(other) <= urgency(rq) {
 			free--
 		}
@@ -193,14 +193,14 @@
 }
 
 func (op *oraclePolicy) prefilled(rq *request) {
-	delete(op.starting, rq)
+	delete(op.kvReadyAt, rq)
 	op.ready = append(op.ready, rq)
 	slices.SortStableFunc(op.ready, func(ra, rb *request) int { return cmp.Compare(urgency(ra), urgency(rb)) })
-	op.pump()
+	op.dispatch()
 }
 
-// place imports what is ready into the emptiest engines.
-func (op *oraclePolicy) place() {
+// importReady imports what is ready into the emptiest engines.
+func (op *oraclePolicy) importReady() {
 	if len(op.ready) > 0 {
 		var best *decodeEngine
 		for _, de := range op.sm.decodes {
@@ -214,48 +214,48 @@
 		rq := op.ready[0]
 		op.ready = op.ready[1:]
 		op.sm.sendImport(rq, best)
-		op.sm.after(0, op.place)
+		op.sm.after(0, op.importReady)
 		return
 	}
 }
 
-func (op *oraclePolicy) rejected(rq *request) {
+func (op *oraclePolicy) importRejected(rq *request) {
 	op.ready = append(op.ready, rq)
 }
 
-func (op *oraclePolicy) decoding(rq *request) {
+func (op *oraclePolicy) decodeStarted(rq *request) {
 	end := op.sm.now + rq.tpot*float64(rq.output)
-	op.ends[rq] = end
-	at, _ := slices.BinarySearch(op.sorted, end)
-	op.sorted = slices.Insert(op.sorted, at, end)
-	op.pump()
+	op.decodeEnds[rq] = end
+	at, _ := slices.BinarySearch(op.sortedEnds, end)
+	op.sortedEnds = slices.Insert(op.sortedEnds, at, end)
+	op.dispatch()
 }
 
-// forget takes a running decode out of the account.
-func (op *oraclePolicy) forget(rq *request) {
-	if end, ok := op.ends[rq]; ok {
-		at, _ := slices.BinarySearch(op.sorted, end)
-		op.sorted = slices.Delete(op.sorted, at, at+1)
-		delete(op.ends, rq)
+// removeDecode takes a running decode out of the account.
+func (op *oraclePolicy) removeDecode(rq *request) {
+	if end, ok := op.decodeEnds[rq]; ok {
+		at, _ := slices.BinarySearch(op.sortedEnds, end)
+		op.sortedEnds = slices.Delete(op.sortedEnds, at, at+1)
+		delete(op.decodeEnds, rq)
 	}
 }
 
 func (op *oraclePolicy) ended(rq *request) {
-	op.forget(rq)
-	op.sm.after(0, op.pump)
+	op.removeDecode(rq)
+	op.sm.after(0, op.dispatch)
 }
 
-func (op *oraclePolicy) lost(rq *request) {
-	delete(op.starting, rq)
-	op.forget(rq)
+func (op *oraclePolicy) attemptLost(rq *request) {
+	delete(op.kvReadyAt, rq)
+	op.removeDecode(rq)
 	op.ready = slices.DeleteFunc(op.ready, func(other *request) bool { return other == rq })
 	op.sm.cancel(rq)
-	if op.sm.refuseLate(rq) {
+	if op.sm.refuseUnreachable(rq) {
 		return
 	}
 	op.enqueue(rq)
 }
 
-func (op *oraclePolicy) servers() {}
+func (op *oraclePolicy) serversChanged() {}
 
 func (op *oraclePolicy) report(int, board.LoadReport) {}
--- a/internal/sched/bench/result.go
+++ b/internal/sched/bench/result.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	histogramMost   = 600_000 // milliseconds
+	histogramMax    = 600_000 // milliseconds
 	histogramDigits = 3
 )
 
@@ -15,24 +15,24 @@
 	// Result is what a run measured, of the requests that arrived after the
 	// warm-up.
 	Result struct {
-		Setup     Setup
-		Offered   map[Work]int
-		Met       map[Work]int // both targets met and the answer whole
-		Answered  map[Work]int
-		Refused   map[refusal.Reason]int
-		Customers map[string]Ratio // goodput of each customer
-		TTFT      map[Work]*hdrhistogram.Histogram
-		TPOT      map[Work]*hdrhistogram.Histogram
-		Computed  float64 // prompt tokens
-		Wasted    float64 // of them, those that became no answer
-		Occupancy float64 // of the decode places
-		Unended   int     // requests without an end
-		Untrue    int     // NotRun refusals of requests that an engine was sent
-		Retried   int     // attempts after the first
-		Steps     int     // counted steps of the decisions
-		Decisions int
-		Arrived   int // requests of the whole run
-		Messages  int // between VMs, to decide and to account
+		Setup       Setup
+		Offered     map[Work]int
+		Met         map[Work]int // both targets met and the answer whole
+		Answered    map[Work]int
+		Refused     map[refusal.Reason]int
+		Customers   map[string]Ratio // goodput of each customer
+		TTFT        map[Work]*hdrhistogram.Histogram
+		TPOT        map[Work]*hdrhistogram.Histogram
+		Computed    float64 // prompt tokens
+		Wasted      float64 // of them, those that became no answer
+		Occupancy   float64 // of the decode places
+		Unended     int     // requests without an end
+		FalseNotRun int     // NotRun refusals of requests that an engine was sent
+		Retries     int     // attempts after the first
+		Steps       int     // counted steps of the decisions
+		Decisions   int
+		Arrivals    int // requests of the whole run
+		Messages    int // between VMs, to decide and to account
 	}
 
 	// Ratio is a part of a whole.
@@ -41,7 +41,7 @@
 
 // Sum adds up runs of one setup on several seeds.
 func Sum(runs ...Result) Result {
-	all := runs[0].empty()
+	all := runs[0].newEmpty()
 	for _, rs := range runs {
 		for _, wk := range []Work{QuickWork, PatientWork} {
 			all.Offered[wk] += rs.Offered[wk]
@@ -61,25 +61,25 @@
 		all.Wasted += rs.Wasted
 		all.Occupancy += rs.Occupancy / float64(len(runs))
 		all.Unended += rs.Unended
-		all.Untrue += rs.Untrue
-		all.Retried += rs.Retried
+		all.FalseNotRun += rs.FalseNotRun
+		all.Retries += rs.Retries
 		all.Steps += rs.Steps
 		all.Decisions += rs.Decisions
 		all.Messages += rs.Messages
-		all.Arrived += rs.Arrived
+		all.Arrivals += rs.Arrivals
 	}
 	return all
 }
 
-func (rs Result) empty() Result {
+func (rs Result) newEmpty() Result {
 	fresh := Result{
 		Setup: rs.Setup, Offered: map[Work]int{}, Met: map[Work]int{}, Answered: map[Work]int{},
 		Refused: map[refusal.Reason]int{}, Customers: map[string]Ratio{},
 		TTFT: map[Work]*hdrhistogram.Histogram{}, TPOT: map[Work]*hdrhistogram.Histogram{},
 	}
 	for _, wk := range []Work{QuickWork, PatientWork} {
-		fresh.TTFT[wk] = hdrhistogram.New(1, histogramMost, histogramDigits)
-		fresh.TPOT[wk] = hdrhistogram.New(1, histogramMost, histogramDigits)
+		fresh.TTFT[wk] = hdrhistogram.New(1, histogramMax, histogramDigits)
+		fresh.TPOT[wk] = hdrhistogram.New(1, histogramMax, histogramDigits)
 	}
 	return fresh
 }
@@ -110,49 +110,49 @@
 }
 
 func (sm *sim) result() Result {
-	rs := Result{Setup: sm.Setup}.empty()
+	rs := Result{Setup: sm.Setup}.newEmpty()
 	for _, rq := range sm.requests {
-		rs.check(rq)
-		if rq.arrive >= sm.from {
-			rs.count(rq)
+		rs.countViolations(rq)
+		if rq.arrivedAt >= sm.measureFrom {
+			rs.countRequest(rq)
 		}
 	}
-	if sm.counted > 0 {
-		rs.Occupancy = sm.occupied / sm.counted
+	if sm.sampledSlots > 0 {
+		rs.Occupancy = sm.occupiedSlots / sm.sampledSlots
 	}
-	rs.Messages, rs.Arrived = sm.messages, len(sm.requests)
+	rs.Messages, rs.Arrivals = sm.messages, len(sm.requests)
 	if cp, ok := sm.policy.(*cellPolicy); ok {
-		rs.Steps, rs.Decisions = cp.steps, cp.decided
+		rs.Steps, rs.Decisions = cp.steps, cp.decisions
 	}
 	return rs
 }
 
-// check counts what must never happen, over all requests.
-func (rs *Result) check(rq *request) {
-	if rq.ends != 1 {
+// countViolations counts what must never happen, over all requests.
+func (rs *Result) countViolations(rq *request) {
+	if rq.endCount != 1 {
 		rs.Unended++
 	}
-	if rq.refused != nil && rq.refused.Ran == refusal.NotRun && rq.ran {
-		rs.Untrue++
+	if rq.refused != nil && rq.refused.Ran == refusal.NotRun && rq.sentToEngine {
+		rs.FalseNotRun++
 	}
 }
 
-func (rs *Result) count(rq *request) {
+func (rs *Result) countRequest(rq *request) {
 	wk := rq.cls.Work
 	rs.Offered[wk]++
-	rs.Computed += rq.computed
-	rs.Wasted += rq.computed - rq.useful
-	rs.Retried += max(0, rq.att-1)
+	rs.Computed += rq.computedTokens
+	rs.Wasted += rq.computedTokens - rq.usefulTokens
+	rs.Retries += max(0, rq.attempt-1)
 	good := Ratio{0, 1}
 	switch {
 	case rq.refused != nil:
 		rs.Refused[rq.refused.Reason]++
-	case rq.ends == 1:
+	case rq.endCount == 1:
 		rs.Answered[wk]++
-		ttft := rq.first - rq.arrive + callerDelay
-		tpot := (rq.end - rq.first) / float64(max(1, rq.output-1))
-		record(rs.TTFT[wk], ttft)
-		record(rs.TPOT[wk], tpot)
+		ttft := rq.firstTokenAt - rq.arrivedAt + callerDelay
+		tpot := (rq.endedAt - rq.firstTokenAt) / float64(max(1, rq.output-1))
+		recordValue(rs.TTFT[wk], ttft)
+		recordValue(rs.TPOT[wk], tpot)
 		if ttft <= float64(rq.cls.TTFT) && tpot <= float64(rq.cls.TPOT) {
 			rs.Met[wk]++
 			good.Part = 1
@@ -162,10 +162,10 @@
 	rs.Customers[rq.cls.Customer] = Ratio{sum.Part + good.Part, sum.Whole + 1}
 }
 
-func record(hs *hdrhistogram.Histogram, val float64) {
+func recordValue(hs *hdrhistogram.Histogram, val float64) {
 	// Beyond the greatest value the histogram refuses; that value stands for
 	// all such.
-	if err := hs.RecordValue(int64(min(val, histogramMost-1))); err != nil {
+	if err := hs.RecordValue(int64(min(val, histogramMax-1))); err != nil {
 		panic("bench: " + err.Error())
 	}
 }
--- a/internal/sched/bench/shares.go
+++ b/internal/sched/bench/shares.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	borrowEach  = 20.0     // milliseconds between asks of one VM
-	tokenLease  = 10_000.0 // until the places of a dead VM are divided anew
-	sharesQueue = 2        // patient prefills that a VM has at one engine
+	borrowInterval     = 20.0     // milliseconds between asks of one VM
+	shareLease         = 10_000.0 // until the places of a dead VM are divided anew
+	maxPatientPrefills = 2        // patient prefills that a VM has at one engine
 )
 
 type (
@@ -18,53 +18,53 @@
 	// that lacks one borrows from the others in turn; what it borrowed is its
 	// own until another asks for it.
 	sharesPolicy struct {
-		sm   *sim
-		vms  []*shareVM
-		held map[*request]string // whose place it uses
+		sm         *sim
+		vms        []*shareVM
+		slotEngine map[*request]string // whose place it uses
 	}
 
 	shareVM struct {
 		localVM
-		free   map[string]int // places that it may use, by decode engine
-		asks   int
-		asking bool
-		mute   bool // paused or dead: lends nothing
-		filled map[string]int
+		freeSlots    map[string]int // places that it may use, by decode engine
+		borrowCount  int
+		borrowing    bool
+		unresponsive bool // paused or dead: lends nothing
+		filled       map[string]int
 	}
 )
 
 func (sp *sharesPolicy) begin() {
-	sp.held = make(map[*request]string)
+	sp.slotEngine = make(map[*request]string)
 	for ix := range sp.sm.Deployment.VMs {
-		vm := &shareVM{free: make(map[string]int), filled: make(map[string]int)}
-		vm.localVM = localVM{ix: ix, reports: make(map[string]board.LoadReport), sent: make(map[string]int)}
+		vm := &shareVM{freeSlots: make(map[string]int), filled: make(map[string]int)}
+		vm.localVM = localVM{ix: ix, reports: make(map[string]board.LoadReport), sentSinceReport: make(map[string]int)}
 		sp.vms = append(sp.vms, vm)
 	}
 	turn := 0
 	for _, de := range sp.sm.decodes {
 		for range decodeSlots {
-			sp.vms[turn%len(sp.vms)].free[de.id]++
+			sp.vms[turn%len(sp.vms)].freeSlots[de.id]++
 			turn++
 		}
 	}
 	for _, vm := range sp.vms {
 		var tick func()
 		tick = func() {
-			sp.pump(vm)
-			if sp.sm.now < sp.sm.span+drainFor/2 {
-				sp.sm.after(borrowEach, tick)
+			sp.dispatch(vm)
+			if sp.sm.now < sp.sm.span+drainTime/2 {
+				sp.sm.after(borrowInterval, tick)
 			}
 		}
 		sp.sm.after(float64(vm.ix)*3, tick)
 	}
 }
 
-func (sp *sharesPolicy) servers() {
-	live := sp.sm.alive(board.Decode)
+func (sp *sharesPolicy) serversChanged() {
+	live := sp.sm.aliveEngines(board.Decode)
 	for _, vm := range sp.vms {
-		for id := range vm.free {
+		for id := range vm.freeSlots {
 			if !slices.Contains(live, id) {
-				delete(vm.free, id)
+				delete(vm.freeSlots, id)
 			}
 		}
 	}
@@ -72,28 +72,28 @@
 
 func (sp *sharesPolicy) report(vm int, ld board.LoadReport) {
 	sp.vms[vm].reports[ld.Server] = ld
-	sp.vms[vm].sent[ld.Server] = 0
+	sp.vms[vm].sentSinceReport[ld.Server] = 0
 }
 
 func (sp *sharesPolicy) arrive(rq *request) {
 	vm := sp.vms[rq.vm]
 	vm.queue = append(vm.queue, rq)
 	sortByUrgency(vm.queue)
-	sp.pump(vm)
+	sp.dispatch(vm)
 }
 
-func (vm *shareVM) total() int {
+func (vm *shareVM) totalFree() int {
 	sum := 0
-	for _, free := range vm.free {
+	for _, free := range vm.freeSlots {
 		sum += free
 	}
 	return sum
 }
 
-func (sp *sharesPolicy) pump(vm *shareVM) {
+func (sp *sharesPolicy) dispatch(vm *shareVM) {
 	for len(vm.queue) > 0 {
 		rq := vm.queue[0]
-		if sp.sm.refuseLate(rq) {
+		if sp.sm.refuseUnreachable(rq) {
 			vm.queue = vm.queue[1:]
 			continue
 		}
@@ -101,41 +101,41 @@
 		if rq.cls.Work == PatientWork {
 			need = 6
 		}
-		if vm.total() < need {
+		if vm.totalFree() < need {
 			sp.borrow(vm)
 			return
 		}
-		pre := sp.prefill(vm)
-		if pre == "" || (rq.cls.Work == PatientWork && vm.load(pre) >= sharesQueue) {
+		pre := sp.choosePrefill(vm)
+		if pre == "" || (rq.cls.Work == PatientWork && vm.estimatedLoad(pre) >= maxPatientPrefills) {
 			return
 		}
 		vm.queue = vm.queue[1:]
-		dec := vm.richest()
-		vm.free[dec]--
-		sp.held[rq] = dec
-		vm.sent[pre]++
+		dec := vm.mostFreeEngine()
+		vm.freeSlots[dec]--
+		sp.slotEngine[rq] = dec
+		vm.sentSinceReport[pre]++
 		sp.sm.sendPrefill(rq, sp.sm.byID[pre].(*prefillEngine))
 	}
 }
 
-// richest is the engine of which the VM has most places, by ID if equal.
-func (vm *shareVM) richest() string {
-	ids := make([]string, 0, len(vm.free))
-	for id := range vm.free {
+// mostFreeEngine is the engine of which the VM has most places, by ID if equal.
+func (vm *shareVM) mostFreeEngine() string {
+	ids := make([]string, 0, len(vm.freeSlots))
+	for id := range vm.freeSlots {
 		ids = append(ids, id)
 	}
 	return slices.MinFunc(ids, func(ia, ib string) int {
-		return cmp.Or(cmp.Compare(vm.free[ib], vm.free[ia]), cmp.Compare(ia, ib))
+		return cmp.Or(cmp.Compare(vm.freeSlots[ib], vm.freeSlots[ia]), cmp.Compare(ia, ib))
 	})
 }
 
-func (sp *sharesPolicy) prefill(vm *shareVM) string {
-	ids := sp.sm.alive(board.Prefill)
+func (sp *sharesPolicy) choosePrefill(vm *shareVM) string {
+	ids := sp.sm.aliveEngines(board.Prefill)
 	if len(ids) == 0 {
 		return ""
 	}
 	ia, ib := ids[sp.sm.rng.IntN(len(ids))], ids[sp.sm.rng.IntN(len(ids))]
-	if vm.load(ib) < vm.load(ia) {
+	if vm.estimatedLoad(ib) < vm.estimatedLoad(ia) {
 		return ib
 	}
 	return ia
@@ -143,84 +143,84 @@
 
 // borrow asks the next VM for half of its free places.
 func (sp *sharesPolicy) borrow(vm *shareVM) {
-	if vm.asking {
+	if vm.borrowing {
 		return
 	}
-	vm.asking = true
+	vm.borrowing = true
 	sp.sm.messages += 2 // the ask and its answer
-	vm.asks++
-	lender := sp.vms[(vm.ix+vm.asks)%len(sp.vms)]
+	vm.borrowCount++
+	lender := sp.vms[(vm.ix+vm.borrowCount)%len(sp.vms)]
 	if lender == vm {
-		vm.asks++
-		lender = sp.vms[(vm.ix+vm.asks)%len(sp.vms)]
+		vm.borrowCount++
+		lender = sp.vms[(vm.ix+vm.borrowCount)%len(sp.vms)]
 	}
 	span := sp.sm.delay(sp.sm.vmDomain(vm.ix), sp.sm.vmDomain(lender.ix))
 	sp.sm.after(span, func() {
 		got := lender.lend()
 		sp.sm.after(span, func() {
 			for id, num := range got {
-				vm.free[id] += num
+				vm.freeSlots[id] += num
 			}
 			if len(got) > 0 {
-				sp.sm.after(0, func() { sp.pump(vm) })
+				sp.sm.after(0, func() { sp.dispatch(vm) })
 			}
 		})
 	})
-	sp.sm.after(max(borrowEach/2, 2*span+0.1), func() { vm.asking = false })
+	sp.sm.after(max(borrowInterval/2, 2*span+0.1), func() { vm.borrowing = false })
 }
 
 func (vm *shareVM) lend() map[string]int {
 	got := make(map[string]int)
-	if vm.mute {
+	if vm.unresponsive {
 		return got
 	}
 	keep := 1
 	if len(vm.queue) == 0 {
 		keep = 0
 	}
-	for left := (vm.total() - keep + 1) / 2; left > 0; left-- {
-		id := vm.richest()
-		vm.free[id]--
+	for left := (vm.totalFree() - keep + 1) / 2; left > 0; left-- {
+		id := vm.mostFreeEngine()
+		vm.freeSlots[id]--
 		got[id]++
 	}
 	return got
 }
 
 func (sp *sharesPolicy) prefilled(rq *request) {
-	sp.sm.sendImport(rq, sp.sm.byID[sp.held[rq]].(*decodeEngine))
+	sp.sm.sendImport(rq, sp.sm.byID[sp.slotEngine[rq]].(*decodeEngine))
 }
 
-func (sp *sharesPolicy) rejected(rq *request) {
-	att := rq.att
+func (sp *sharesPolicy) importRejected(rq *request) {
+	att := rq.attempt
 	sp.sm.after(importBackoff, func() {
-		if rq.att == att && rq.ends == 0 {
+		if rq.attempt == att && rq.endCount == 0 {
 			sp.prefilled(rq)
 		}
 	})
 }
 
-func (sp *sharesPolicy) decoding(*request) {}
+func (sp *sharesPolicy) decodeStarted(*request) {}
 
-func (sp *sharesPolicy) giveBack(rq *request) {
+func (sp *sharesPolicy) returnSlot(rq *request) {
 	vm := sp.vms[rq.vm]
-	if dec, ok := sp.held[rq]; ok {
-		delete(sp.held, rq)
+	if dec, ok := sp.slotEngine[rq]; ok {
+		delete(sp.slotEngine, rq)
 		if !sp.sm.byID[dec].(*decodeEngine).dead {
-			vm.free[dec]++
+			vm.freeSlots[dec]++
 		}
 	}
 }
 
 func (sp *sharesPolicy) ended(rq *request) {
-	sp.giveBack(rq)
+	sp.returnSlot(rq)
 	vm := sp.vms[rq.vm]
-	sp.sm.after(0, func() { sp.pump(vm) })
+	sp.sm.after(0, func() { sp.dispatch(vm) })
 }
 
-func (sp *sharesPolicy) lost(rq *request) {
+func (sp *sharesPolicy) attemptLost(rq *request) {
 	sp.sm.cancel(rq)
-	sp.giveBack(rq)
-	if sp.sm.refuseLate(rq) {
+	sp.returnSlot(rq)
+	if sp.sm.refuseUnreachable(rq) {
 		return
 	}
 	vm := sp.vms[rq.vm]
@@ -228,14 +228,14 @@
 	sortByUrgency(vm.queue)
 }
 
-// fail stops one VM from lending, for a while or for good. The places of a
+// failVM stops one VM from lending, for a while or for good. The places of a
 // dead one are divided anew after their lease.
-func (sp *sharesPolicy) fail() {
+func (sp *sharesPolicy) failVM() {
 	vm := sp.vms[0]
-	vm.mute = true
+	vm.unresponsive = true
 	if sp.sm.Fault == PausedOwner {
-		sp.sm.after(pauseFor, func() { vm.mute = false })
+		sp.sm.after(pauseTime, func() { vm.unresponsive = false })
 		return
 	}
-	sp.sm.after(tokenLease, func() { vm.mute = false })
+	sp.sm.after(shareLease, func() { vm.unresponsive = false })
 }
--- a/internal/sched/bench/sim.go
+++ b/internal/sched/bench/sim.go
@@ -33,18 +33,18 @@
 )
 
 const (
-	defaultSpan  = 120_000.0 // milliseconds of arrivals
-	warmUp       = 20_000.0  // of them, not measured
-	drainFor     = 400_000.0 // until all must have ended
-	faultAt      = 60_000.0
-	faultSecond  = 75_000.0
-	slowFactor   = 0.2
-	laggingBy    = 5000.0
-	pauseFor     = 3000.0
-	takeoverIn   = 3000.0 // from the death of the accounting VM to its successor's first step
-	detectIn     = 250.0  // until VMs notice that it does not answer
-	lossNoticed  = 30.0   // milliseconds until a broken connection to an engine is noticed
-	listUpdateIn = 1000.0
+	defaultSpan        = 120_000.0 // milliseconds of arrivals
+	warmUp             = 20_000.0  // of them, not measured
+	drainTime          = 400_000.0 // until all must have ended
+	faultAt            = 60_000.0
+	secondFaultAt      = 75_000.0
+	slowFactor         = 0.2
+	laggingReportDelay = 5000.0
+	pauseTime          = 3000.0
+	takeoverTime       = 3000.0 // from the death of the accounting VM to its successor's first step
+	detectionTime      = 250.0  // until VMs notice that it does not answer
+	lossDetectionTime  = 30.0   // milliseconds until a broken connection to an engine is noticed
+	listUpdateDelay    = 1000.0
 )
 
 type (
@@ -56,18 +56,18 @@
 
 	// Setup is one run.
 	Setup struct {
-		Deployment Deployment
-		Load       float64 // offered load as a part of capacity
-		Policy     Policy
-		Fault      Fault
-		Seed       uint64
-		Span       clock.Millis // of arrivals; zero means 120 s
-		From       clock.Millis // arrivals before are not measured; zero means 20 s
-		Flood      float64      // multiplies the first customer's arrivals; zero means 1
+		Deployment  Deployment
+		Load        float64 // offered load as a part of capacity
+		Policy      Policy
+		Fault       Fault
+		Seed        uint64
+		Span        clock.Millis // of arrivals; zero means 120 s
+		MeasureFrom clock.Millis // arrivals before are not measured; zero means 20 s
+		FloodFactor float64      // multiplies the first customer's arrivals; zero means 1
 
-		// Surge is the load after the first half of the span; zero means
+		// SecondHalfLoad is the load after the first half of the span; zero means
 		// that it stays the same.
-		Surge float64
+		SecondHalfLoad float64
 	}
 
 	// decider is what the policies implement. All but arrive are called at
@@ -76,12 +76,12 @@
 		begin()
 		arrive(rq *request)
 		prefilled(rq *request)
-		rejected(rq *request)
-		decoding(rq *request)
+		importRejected(rq *request)
+		decodeStarted(rq *request)
 		ended(rq *request)
-		lost(rq *request) // an engine failed, or the KV cache lapsed
+		attemptLost(rq *request) // an engine failed, or the KV cache lapsed
 		report(vm int, ld board.LoadReport)
-		servers()
+		serversChanged()
 	}
 
 	timer struct {
@@ -94,24 +94,24 @@
 
 	sim struct {
 		Setup
-		now      float64
-		seq      int
-		queue    timers
-		rng      *rand.Rand
-		prefills []*prefillEngine
-		decodes  []*decodeEngine
-		byID     map[string]any
-		living   map[board.Role][]string // what alive tells, until an engine dies
-		fills    map[*request]*fill
-		policy   decider
-		requests []*request
-		messages int // between VMs
-		ended    int // requests that have their end
-		lag      float64
-		span     float64
-		from     float64
-		occupied float64 // place-milliseconds during the measured time
-		counted  float64
+		now           float64
+		seq           int
+		queue         timers
+		rng           *rand.Rand
+		prefills      []*prefillEngine
+		decodes       []*decodeEngine
+		byID          map[string]any
+		aliveByRole   map[board.Role][]string // what aliveEngines returns, until an engine dies
+		prefillJobs   map[*request]*prefillJob
+		policy        decider
+		requests      []*request
+		messages      int // between VMs
+		ended         int // requests that have their end
+		lag           float64
+		span          float64
+		measureFrom   float64
+		occupiedSlots float64 // place-milliseconds during the measured time
+		sampledSlots  float64
 	}
 )
 
@@ -144,27 +144,27 @@
 // variants.
 func Run(su Setup) Result {
 	if su.Policy != Oracle {
-		return play(su, oracleVariant{})
+		return runVariant(su, oracleVariant{})
 	}
 	var best Result
 	for ix, va := range oracleVariants {
-		if rs := play(su, va); ix == 0 || rs.GoodputAll() > best.GoodputAll() {
+		if rs := runVariant(su, va); ix == 0 || rs.GoodputAll() > best.GoodputAll() {
 			best = rs
 		}
 	}
 	return best
 }
 
-func play(su Setup, va oracleVariant) Result {
+func runVariant(su Setup, va oracleVariant) Result {
 	sm := newSim(su)
 	if op, ok := sm.policy.(*oraclePolicy); ok {
 		op.oracleVariant = va
 	}
 	sm.policy.begin()
-	sm.feed(0)
-	sm.planReports()
-	sm.planFault()
-	for len(sm.queue) > 0 && sm.queue[0].at < sm.span+drainFor {
+	sm.scheduleArrivals(0)
+	sm.scheduleReports()
+	sm.scheduleFault()
+	for len(sm.queue) > 0 && sm.queue[0].at < sm.span+drainTime {
 		tm := heap.Pop(&sm.queue).(*timer)
 		sm.now = tm.at
 		tm.fn()
@@ -175,27 +175,27 @@
 	return sm.result()
 }
 
-// feed plans the arrival of a request, which plans the next.
-func (sm *sim) feed(ix int) {
+// scheduleArrivals plans the arrival of a request, which plans the next.
+func (sm *sim) scheduleArrivals(ix int) {
 	if ix == len(sm.requests) {
 		return
 	}
 	rq := sm.requests[ix]
-	sm.after(rq.arrive-sm.now, func() {
-		sm.feed(ix + 1)
+	sm.after(rq.arrivedAt-sm.now, func() {
+		sm.scheduleArrivals(ix + 1)
 		sm.policy.arrive(rq)
 	})
 }
 
 func newSim(su Setup) *sim {
-	sm := &sim{Setup: su, rng: rand.New(rand.NewPCG(su.Seed, 77)), byID: make(map[string]any), living: make(map[board.Role][]string),
-		fills: make(map[*request]*fill), lag: reportLag, span: defaultSpan}
+	sm := &sim{Setup: su, rng: rand.New(rand.NewPCG(su.Seed, 77)), byID: make(map[string]any), aliveByRole: make(map[board.Role][]string),
+		prefillJobs: make(map[*request]*prefillJob), lag: reportLag, span: defaultSpan}
 	if su.Span > 0 {
 		sm.span = float64(su.Span)
 	}
-	sm.from = warmUp
-	if su.From > 0 {
-		sm.from = float64(su.From)
+	sm.measureFrom = warmUp
+	if su.MeasureFrom > 0 {
+		sm.measureFrom = float64(su.MeasureFrom)
 	}
 	dp := su.Deployment
 	for ix := range dp.Prefills {
@@ -211,18 +211,18 @@
 		sm.byID[de.id] = de
 	}
 	loads := rand.New(rand.NewPCG(su.Seed, arrivalStream))
-	if su.Surge > 0 {
-		first := dp.generate(loads, su.Load, sm.span/2, su.Flood)
-		for _, rq := range dp.generate(loads, su.Surge, sm.span/2, su.Flood) {
-			rq.arrive += sm.span / 2
+	if su.SecondHalfLoad > 0 {
+		first := dp.generateRequests(loads, su.Load, sm.span/2, su.FloodFactor)
+		for _, rq := range dp.generateRequests(loads, su.SecondHalfLoad, sm.span/2, su.FloodFactor) {
+			rq.arrivedAt += sm.span / 2
 			rq.id += "s"
 			first = append(first, rq)
 		}
 		sm.requests = first
 	} else {
-		sm.requests = dp.generate(loads, su.Load, sm.span, su.Flood)
+		sm.requests = dp.generateRequests(loads, su.Load, sm.span, su.FloodFactor)
 	}
-	slices.SortStableFunc(sm.requests, func(ra, rb *request) int { return cmp.Compare(ra.arrive, rb.arrive) })
+	slices.SortStableFunc(sm.requests, func(ra, rb *request) int { return cmp.Compare(ra.arrivedAt, rb.arrivedAt) })
 	sm.policy = newPolicy(sm)
 	return sm
 }
@@ -258,15 +258,15 @@
 	if da == db {
 		return localDelay
 	}
-	return sm.Deployment.OneWay
+	return sm.Deployment.NetworkDelay
 }
 
-// planReports lets each engine report to each VM again and again.
-func (sm *sim) planReports() {
+// scheduleReports lets each engine report to each VM again and again.
+func (sm *sim) scheduleReports() {
 	each := func(ix int, domain int, load func() board.LoadReport, alive func() bool) {
 		var tick func()
 		tick = func() {
-			if !alive() || sm.now > sm.span+drainFor/2 {
+			if !alive() || sm.now > sm.span+drainTime/2 {
 				return
 			}
 			ld := load()
@@ -276,7 +276,7 @@
 					sm.policy.report(vm, ld)
 				})
 			}
-			sm.after(reportEach, tick)
+			sm.after(reportInterval, tick)
 		}
 		sm.after(float64(ix)*17, tick)
 	}
@@ -285,60 +285,60 @@
 	}
 	for ix, de := range sm.decodes {
 		each(ix+len(sm.prefills), de.domain, de.load, func() bool { return !de.dead })
-		sm.sample(de)
+		sm.sampleOccupancy(de)
 	}
 }
 
-// sample measures the occupancy of a decode engine during the measured time.
-func (sm *sim) sample(de *decodeEngine) {
+// sampleOccupancy measures the occupancy of a decode engine during the measured time.
+func (sm *sim) sampleOccupancy(de *decodeEngine) {
 	sm.after(100, func() {
-		if sm.now >= sm.from && sm.now < sm.span && !de.dead {
-			sm.occupied += float64(len(de.running))
-			sm.counted += decodeSlots
+		if sm.now >= sm.measureFrom && sm.now < sm.span && !de.dead {
+			sm.occupiedSlots += float64(len(de.running))
+			sm.sampledSlots += decodeSlots
 		}
 		if sm.now < sm.span {
-			sm.sample(de)
+			sm.sampleOccupancy(de)
 		}
 	})
 }
 
-func (sm *sim) planFault() {
+func (sm *sim) scheduleFault() {
 	switch sm.Fault {
 	case LostWorker:
 		sm.after(faultAt, func() { sm.killDecode(sm.decodes[0]) })
-		sm.after(faultSecond, func() { sm.killPrefill(sm.prefills[0]) })
+		sm.after(secondFaultAt, func() { sm.killPrefill(sm.prefills[0]) })
 	case SlowLink:
 		sm.after(faultAt, func() { sm.prefills[1].link.setRate(linkRate * slowFactor) })
 	case LaggingReport:
-		sm.after(faultAt, func() { sm.lag = laggingBy })
+		sm.after(faultAt, func() { sm.lag = laggingReportDelay })
 	case PausedOwner, DeadOwner:
 		if cp, ok := sm.policy.(*cellPolicy); ok {
-			sm.after(faultAt, cp.fail)
+			sm.after(faultAt, cp.failAccountingVM)
 		}
 		if sp, ok := sm.policy.(*sharesPolicy); ok {
-			sm.after(faultAt, sp.fail)
+			sm.after(faultAt, sp.failVM)
 		}
 	}
 }
 
 func (sm *sim) killDecode(de *decodeEngine) {
 	de.dead = true
-	clear(sm.living)
+	clear(sm.aliveByRole)
 	lost := make([]*request, 0, len(de.running))
 	for _, rq := range sm.requests {
-		if att, ok := de.running[rq]; ok && att == rq.att {
+		if att, ok := de.running[rq]; ok && att == rq.attempt {
 			lost = append(lost, rq)
 		}
 	}
 	clear(de.running)
 	for _, rq := range lost {
-		sm.tell(rq, de.domain, func() { sm.policy.lost(rq) }, lossNoticed)
+		sm.notifyVM(rq, de.domain, func() { sm.policy.attemptLost(rq) }, lossDetectionTime)
 	}
-	sm.after(listUpdateIn, sm.policy.servers)
+	sm.after(listUpdateDelay, sm.policy.serversChanged)
 }
 
 func (sm *sim) killPrefill(en *prefillEngine) {
 	en.kill()
-	clear(sm.living)
-	sm.after(listUpdateIn, sm.policy.servers)
+	clear(sm.aliveByRole)
+	sm.after(listUpdateDelay, sm.policy.serversChanged)
 }
--- a/internal/sched/bench/standin.go
+++ b/internal/sched/bench/standin.go
@@ -11,25 +11,25 @@
 	// prefillEngine is a stand-in: it computes prompts in chunks, quick ones
 	// first, keeps each KV cache for a while and sends it over one link.
 	prefillEngine struct {
-		sm      *sim
-		id      string
-		domain  int
-		queue   []*fill
-		running *fill
-		dead    bool
-		cache   []uint64
-		link    link
+		sm             *sim
+		id             string
+		domain         int
+		queue          []*prefillJob
+		running        *prefillJob
+		dead           bool
+		cachedPrefixes []uint64
+		link           link
 	}
 
-	// fill is one prefill and the KV cache that it leaves.
-	fill struct {
-		rq     *request
-		att    int
-		left   float64
-		ready  bool
-		gone   bool // sent, cancelled or lapsed
-		done   func(ok bool)
-		lapsed func()
+	// prefillJob is one prefill and the KV cache that it leaves.
+	prefillJob struct {
+		rq         *request
+		att        int
+		tokensLeft float64
+		ready      bool
+		released   bool // sent, cancelled or lapsed
+		done       func(ok bool)
+		expired    func()
 	}
 
 	// decodeEngine is a stand-in with a number of places.
@@ -43,16 +43,16 @@
 
 	// link shares its rate evenly between the transfers on it.
 	link struct {
-		sm      *sim
-		rate    float64
-		active  []*transfer
-		updated float64
-		version int
+		sm        *sim
+		rate      float64
+		active    []*transfer
+		updatedAt float64
+		version   int
 	}
 
 	transfer struct {
-		left float64
-		done func()
+		remaining float64
+		done      func()
 	}
 )
 
@@ -65,59 +65,59 @@
 }
 
 // start queues a prefill. done tells whether it was completed.
-func (en *prefillEngine) start(rq *request, att int, done func(ok bool), lapsed func()) *fill {
-	fl := &fill{rq: rq, att: att, done: done, lapsed: lapsed, left: float64(rq.prompt)}
+func (en *prefillEngine) start(rq *request, att int, done func(ok bool), lapsed func()) *prefillJob {
+	fl := &prefillJob{rq: rq, att: att, done: done, expired: lapsed, tokensLeft: float64(rq.prompt)}
 	if en.dead {
 		done(false)
 		return fl
 	}
-	rq.ran = true
-	if rq.prefix != 0 && slices.Contains(en.cache, rq.prefix) {
-		fl.left = max(1, fl.left-prefixTokens)
+	rq.sentToEngine = true
+	if rq.prefix != 0 && slices.Contains(en.cachedPrefixes, rq.prefix) {
+		fl.tokensLeft = max(1, fl.tokensLeft-prefixTokens)
 	}
 	en.queue = append(en.queue, fl)
-	slices.SortStableFunc(en.queue, func(fa, fb *fill) int { return rank(fa) - rank(fb) })
-	en.next()
+	slices.SortStableFunc(en.queue, func(fa, fb *prefillJob) int { return priority(fa) - priority(fb) })
+	en.startNext()
 	return fl
 }
 
-func rank(fl *fill) int {
+func priority(fl *prefillJob) int {
 	if fl.rq.cls.Work == QuickWork {
 		return 0
 	}
 	return 1
 }
 
-func (en *prefillEngine) next() {
+func (en *prefillEngine) startNext() {
 	if en.running != nil || len(en.queue) == 0 || en.dead {
 		return
 	}
 	fl := en.queue[0]
 	en.queue = en.queue[1:]
-	if fl.gone {
-		en.next()
+	if fl.released {
+		en.startNext()
 		return
 	}
 	en.running = fl
-	chunk := min(fl.left, prefillChunk)
+	chunk := min(fl.tokensLeft, prefillChunk)
 	en.sm.after(chunk/prefillRate, func() { en.chunkDone(fl, chunk) })
 }
 
-func (en *prefillEngine) chunkDone(fl *fill, chunk float64) {
+func (en *prefillEngine) chunkDone(fl *prefillJob, chunk float64) {
 	if en.dead {
 		return
 	}
 	en.running = nil
-	fl.rq.computed += chunk
-	if fl.rq.att == fl.att {
-		fl.rq.last += chunk
+	fl.rq.computedTokens += chunk
+	if fl.rq.attempt == fl.att {
+		fl.rq.attemptTokens += chunk
 	}
-	fl.left -= chunk
+	fl.tokensLeft -= chunk
 	switch {
-	case fl.gone:
-	case fl.left > 0:
+	case fl.released:
+	case fl.tokensLeft > 0:
 		// Goes on before others of its kind.
-		at := slices.IndexFunc(en.queue, func(other *fill) bool { return rank(other) >= rank(fl) })
+		at := slices.IndexFunc(en.queue, func(other *prefillJob) bool { return priority(other) >= priority(fl) })
 		if at < 0 {
 			at = len(en.queue)
 		}
@@ -125,22 +125,22 @@
 	default:
 		en.complete(fl)
 	}
-	en.next()
+	en.startNext()
 }
 
-func (en *prefillEngine) complete(fl *fill) {
+func (en *prefillEngine) complete(fl *prefillJob) {
 	fl.ready = true
 	if px := fl.rq.prefix; px != 0 {
-		en.cache = slices.DeleteFunc(en.cache, func(old uint64) bool { return old == px })
-		en.cache = append(en.cache, px)
-		if len(en.cache) > cachedMost/prefixTokens {
-			en.cache = en.cache[1:]
+		en.cachedPrefixes = slices.DeleteFunc(en.cachedPrefixes, func(old uint64) bool { return old == px })
+		en.cachedPrefixes = append(en.cachedPrefixes, px)
+		if len(en.cachedPrefixes) > maxCachedTokens/prefixTokens {
+			en.cachedPrefixes = en.cachedPrefixes[1:]
 		}
 	}
-	en.sm.after(keepKV, func() {
-		if !fl.gone {
-			fl.gone = true
-			fl.lapsed()
+	en.sm.after(kvCacheTTL, func() {
+		if !fl.released {
+			fl.released = true
+			fl.expired()
 		}
 	})
 	fl.done(true)
@@ -155,8 +155,8 @@
 	}
 	en.queue, en.running = nil, nil
 	for _, fl := range lost {
-		if !fl.gone {
-			fl.gone = true
+		if !fl.released {
+			fl.released = true
 			fl.done(false)
 		}
 	}
@@ -166,8 +166,8 @@
 	return board.LoadReport{Server: de.id, Running: len(de.running), Slots: decodeSlots}
 }
 
-// take reserves a place; false means refused.
-func (de *decodeEngine) take(rq *request, att int) bool {
+// reserve reserves a place; false means refused.
+func (de *decodeEngine) reserve(rq *request, att int) bool {
 	if de.dead || len(de.running) >= decodeSlots {
 		return false
 	}
@@ -194,9 +194,9 @@
 // send moves a KV cache of some prompt tokens.
 func (lk *link) send(tokens float64, done func()) *transfer {
 	lk.advance()
-	tr := &transfer{left: tokens, done: done}
+	tr := &transfer{remaining: tokens, done: done}
 	lk.active = append(lk.active, tr)
-	lk.plan()
+	lk.scheduleFinish()
 	return tr
 }
 
@@ -207,53 +207,53 @@
 	}
 	lk.advance()
 	lk.active = slices.DeleteFunc(lk.active, func(other *transfer) bool { return other == tr })
-	lk.plan()
+	lk.scheduleFinish()
 }
 
 func (lk *link) setRate(rate float64) {
 	lk.advance()
 	lk.rate = rate
-	lk.plan()
+	lk.scheduleFinish()
 }
 
 func (lk *link) advance() {
 	if len(lk.active) > 0 {
-		part := (lk.sm.now - lk.updated) * lk.rate / float64(len(lk.active))
+		part := (lk.sm.now - lk.updatedAt) * lk.rate / float64(len(lk.active))
 		for _, tr := range lk.active {
-			tr.left -= part
+			tr.remaining -= part
 		}
 	}
-	lk.updated = lk.sm.now
+	lk.updatedAt = lk.sm.now
 }
 
-func (lk *link) plan() {
+func (lk *link) scheduleFinish() {
 	lk.version++
 	if len(lk.active) == 0 {
 		return
 	}
 	least := math.Inf(1)
 	for _, tr := range lk.active {
-		least = min(least, tr.left)
+		least = min(least, tr.remaining)
 	}
 	version := lk.version
 	lk.sm.after(max(0, least)*float64(len(lk.active))/lk.rate, func() {
 		if version == lk.version {
-			lk.finish()
+			lk.finishTransfers()
 		}
 	})
 }
 
-func (lk *link) finish() {
+func (lk *link) finishTransfers() {
 	lk.advance()
 	var done []*transfer
 	lk.active = slices.DeleteFunc(lk.active, func(tr *transfer) bool {
-		if tr.left > 1e-6 {
+		if tr.remaining > 1e-6 {
 			return false
 		}
 		done = append(done, tr)
 		return true
 	})
-	lk.plan()
+	lk.scheduleFinish()
 	for _, tr := range done {
 		tr.done()
 	}
--- a/internal/slope/claims.go
+++ b/internal/slope/claims.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	recordVMs    = 24   // seats of the fleet whose records are weighed
-	claimRate    = 25.5 // new requests a second at one VM
-	claimSpan    = 20   // seconds
-	claimSeed    = 11
-	recordTarget = 31_000 // 9,700/s, two seats each, ten seconds of run and ten minutes kept, over 380 VMs
+	recordVMs     = 24   // seats of the fleet whose records are weighed
+	claimRate     = 25.5 // new requests a second at one VM
+	claimSpan     = 20   // seconds
+	claimSeed     = 11
+	recordsTarget = 31_000 // 9,700/s, two seats each, ten seconds of run and ten minutes kept, over 380 VMs
 )
 
 var (
 	duplicateRates = []int{0, 5, 10, 20, 35, 50}
 	recordCounts   = []int{1000, 5000, 10_000, 20_000, 40_000}
 
-	errNoVerdict = errors.New("a claim came to no verdict")
-	errTwice     = errors.New("a key was given to two runners")
+	errNoVerdict    = errors.New("a claim came to no verdict")
+	errGrantedTwice = errors.New("a key was given to two runners")
 )
 
 type (
@@ -61,7 +61,7 @@
 	for ix := range vms {
 		cf.fleet.VMs = append(cf.fleet.VMs, fleetVM(ix))
 	}
-	table := cf.table()
+	table := cf.seatTable()
 	for _, vm := range cf.fleet.VMs {
 		bk := &claim.Book{Self: vm.VMRef, FromLogStart: true}
 		fl := *cf.fleet
@@ -74,8 +74,8 @@
 	return cf
 }
 
-// table seats all VMs.
-func (cf *claimFleet) table() *peerpb.SeatTable {
+// seatTable seats all VMs.
+func (cf *claimFleet) seatTable() *peerpb.SeatTable {
 	out := &peerpb.SeatTable{}
 	for _, vm := range cf.fleet.VMs {
 		out.Seats = append(out.Seats, &peerpb.ClaimSeat{ID: vm.ID, Incarnation: vm.Incarnation, FailureDomain: vm.FailureDomain})
@@ -84,48 +84,48 @@
 	return out
 }
 
-// begin searches a key's grants for a request at a VM, to the verdict.
-func (cf *claimFleet) begin(at board.VMRef, key string) (*claimRun, error) {
+// claimKey searches a key's grants for a request at a VM, to the verdict.
+func (cf *claimFleet) claimKey(at board.VMRef, key string) (*claimRun, error) {
 	cf.seed++
 	cr := &claimRun{runner: at, ak: &claim.Asker{
-		Self: at, Customer: "kedelsyn", Key: key, Fingerprint: make([]byte, printBytes),
+		Self: at, Customer: "kedelsyn", Key: key, Fingerprint: make([]byte, fingerprintBytes),
 		Keep: 10 * clock.Minute, Rand: rand.New(rand.NewPCG(claimSeed, cf.seed)),
 	}}
-	cf.carry(cr, cr.ak.Step(cf.now, claim.Begin{Seats: cf.seats, Fleet: cf.fleet}))
+	cf.execute(cr, cr.ak.Step(cf.now, claim.Begin{Seats: cf.seats, Fleet: cf.fleet}))
 	if cr.verdict == "" {
 		return nil, errNoVerdict
 	}
 	return cr, nil
 }
 
-// became tells the seats what became of the key.
-func (cf *claimFleet) became(cr *claimRun, state claim.State) {
-	cf.carry(cr, cr.ak.Step(cf.now, claim.StateChanged{State: state, DecodeServer: "rapportmodel-decode-41",
+// reportState tells the seats what became of the key.
+func (cf *claimFleet) reportState(cr *claimRun, state claim.State) {
+	cf.execute(cr, cr.ak.Step(cf.now, claim.StateChanged{State: state, DecodeServer: "rapportmodel-decode-41",
 		EngineRequest: "kedelsyn/" + cr.ak.Key + "/1.0"}))
 }
 
-func (cf *claimFleet) carry(cr *claimRun, ins []claim.AskerIntent) {
+func (cf *claimFleet) execute(cr *claimRun, ins []claim.AskerIntent) {
 	cf.steps++
 	for _, in := range ins {
 		switch in := in.(type) {
 		case claim.SendAsk:
-			reply := cf.ask(cr.runner, in)
-			cf.carry(cr, cr.ak.Step(cf.now, claim.Replied{Number: in.Number, Reply: reply}))
+			reply := cf.askSeat(cr.runner, in)
+			cf.execute(cr, cr.ak.Step(cf.now, claim.Replied{Number: in.Number, Reply: reply}))
 		case claim.SendUpdate:
 			cf.steps++
 			cf.books[in.To.ID].Step(cf.now, claim.Updated{Update: in.Update})
-			cf.count(cr.runner, in.To, &peerpb.Frame{Body: &peerpb.Frame_ClaimUpdate{ClaimUpdate: in.Update}}, doneFrame())
+			cf.countCall(cr.runner, in.To, &peerpb.Frame{Body: &peerpb.Frame_ClaimUpdate{ClaimUpdate: in.Update}}, doneFrame())
 		case claim.Decided:
 			cr.verdict = in.Verdict
 		}
 	}
 }
 
-func (cf *claimFleet) ask(from board.VMRef, in claim.SendAsk) *peerpb.ClaimReply {
+func (cf *claimFleet) askSeat(from board.VMRef, in claim.SendAsk) *peerpb.ClaimReply {
 	cf.steps++
 	for _, out := range cf.books[in.To.ID].Step(cf.now, claim.Asked{Token: 1, Ask: in.Ask}) {
 		if rp, ok := out.(claim.Reply); ok {
-			cf.count(from, in.To,
+			cf.countCall(from, in.To,
 				&peerpb.Frame{Body: &peerpb.Frame_ClaimAsk{ClaimAsk: in.Ask}},
 				&peerpb.Frame{Body: &peerpb.Frame_ClaimReply{ClaimReply: rp.Reply}})
 			return rp.Reply
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (cf *claimFleet) count(from, to board.VMRef, ask, reply *peerpb.Frame) {
+func (cf *claimFleet) countCall(from, to board.VMRef, ask, reply *peerpb.Frame) {
 	if from != to {
 		cf.calls++
 		cf.bytes += proto.Size(ask) + proto.Size(reply)
@@ -145,7 +145,7 @@
 // another, and the memory of the records that seats keep.
 func measureClaims(_ context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind) *Series {
-		return rp.series(Series{Name: name, Along: "duplicate keys/s", Unit: unit, Kind: kind, Shape: Linear, Target: 50})
+		return rp.addSeries(Series{Name: name, Along: "duplicate keys/s", Unit: unit, Kind: kind, Shape: Linear, Target: 50})
 	}
 	calls := along("ClaimCalls", "calls/s that one VM makes", Count)
 	size := along("ClaimFrameBytes", "B/s of frames that one VM sends and gets for them", Count)
@@ -153,14 +153,14 @@
 	took := along("ClaimTime", "us/s of asker and books", Time)
 	for _, rate := range duplicateRates {
 		cf := newClaimFleet(fleetTarget)
-		span, err := cf.timed(rate)
+		span, err := cf.timeLoad(rate)
 		if err != nil {
 			return fmt.Errorf("at %d duplicates a second: %w", rate, err)
 		}
-		calls.add(rate, float64(cf.calls)/claimSpan)
-		size.add(rate, float64(cf.bytes)/claimSpan)
-		steps.add(rate, float64(cf.steps)/claimSpan)
-		took.add(rate, span)
+		calls.addPoint(rate, float64(cf.calls)/claimSpan)
+		size.addPoint(rate, float64(cf.bytes)/claimSpan)
+		steps.addPoint(rate, float64(cf.steps)/claimSpan)
+		took.addPoint(rate, span)
 	}
 	if err := measureSeats(rp); err != nil {
 		return err
@@ -175,17 +175,17 @@
 // it while no records are kept.
 func measureHandoffs(rp *Report) error {
 	along := func(name, unit string) *Series {
-		return rp.series(Series{Name: name, Along: "VMs with seats", Unit: unit, Kind: Count, Shape: Linear, Target: fleetTarget})
+		return rp.addSeries(Series{Name: name, Along: "VMs with seats", Unit: unit, Kind: Count, Shape: Linear, Target: fleetTarget})
 	}
 	calls := along("HandoffCalls", "calls of one VM for each change of the seat table")
 	size := along("HandoffFrameBytes", "B of their frames")
 	table := along("SeatTableBytes", "B of the record of a seat table")
 	for _, count := range memberCounts[1:] {
 		cf := newClaimFleet(count)
-		next := cf.table()
+		next := cf.seatTable()
 		next.Base = 1
 		next.Seats[0].Incarnation++
-		table.add(count, float64(proto.Size(next)))
+		table.addPoint(count, float64(proto.Size(next)))
 		parts, bytes := 0, 0
 		for _, bk := range cf.books {
 			for _, in := range bk.Step(cf.now+clock.Second, claim.TableAppended{Epoch: 2, Table: next}) {
@@ -198,23 +198,23 @@
 		if parts == 0 {
 			return errNoVerdict
 		}
-		calls.add(count, float64(parts)/float64(count))
-		size.add(count, float64(bytes)/float64(count))
+		calls.addPoint(count, float64(parts)/float64(count))
+		size.addPoint(count, float64(bytes)/float64(count))
 	}
 	return nil
 }
 
-// timed runs the load and returns its microseconds of processor time for each
+// timeLoad runs the load and returns its microseconds of processor time for each
 // second of it.
-func (cf *claimFleet) timed(duplicates int) (float64, error) {
-	began, err := processor()
+func (cf *claimFleet) timeLoad(duplicates int) (float64, error) {
+	began, err := processorTime()
 	if err != nil {
 		return 0, err
 	}
-	if err := cf.load(duplicates); err != nil {
+	if err := cf.runLoad(duplicates); err != nil {
 		return 0, err
 	}
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return 0, err
 	}
@@ -224,25 +224,25 @@
 // measureSeats measures the same load in fleets of several sizes.
 func measureSeats(rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
-		return rp.series(Series{Name: name, Along: "VMs with seats", Unit: unit, Kind: kind, Shape: shape, Target: fleetTarget})
+		return rp.addSeries(Series{Name: name, Along: "VMs with seats", Unit: unit, Kind: kind, Shape: shape, Target: fleetTarget})
 	}
 	calls := along("SeatCalls", "calls/s that one VM makes", Count, Constant)
 	took := along("SeatTime", "us/s of asker and books", Time, Linear)
 	for _, count := range memberCounts[1:] {
 		cf := newClaimFleet(count)
-		span, err := cf.timed(0)
+		span, err := cf.timeLoad(0)
 		if err != nil {
 			return fmt.Errorf("at %d seats: %w", count, err)
 		}
-		calls.add(count, float64(cf.calls)/claimSpan)
-		took.add(count, span)
+		calls.addPoint(count, float64(cf.calls)/claimSpan)
+		took.addPoint(count, span)
 	}
 	return nil
 }
 
-// load runs new keys at one VM, each of which decodes and ends, and repeats
+// runLoad runs new keys at one VM, each of which decodes and ends, and repeats
 // some of them at another.
-func (cf *claimFleet) load(duplicates int) error {
+func (cf *claimFleet) runLoad(duplicates int) error {
 	first, second := cf.fleet.VMs[0].VMRef, cf.fleet.VMs[1].VMRef
 	number := 0
 	for sec := range claimSpan {
@@ -251,7 +251,7 @@
 		var runs []*claimRun
 		for range fresh {
 			number++
-			cr, err := cf.begin(first, requestKey(number))
+			cr, err := cf.claimKey(first, requestKey(number))
 			if err != nil {
 				return err
 			}
@@ -259,19 +259,19 @@
 				return errNoVerdict
 			}
 			runs = append(runs, cr)
-			cf.became(cr, claim.Decoding)
+			cf.reportState(cr, claim.Decoding)
 		}
 		for ix := range duplicates {
-			cr, err := cf.begin(second, runs[ix%len(runs)].ak.Key)
+			cr, err := cf.claimKey(second, runs[ix%len(runs)].ak.Key)
 			if err != nil {
 				return err
 			}
 			if cr.verdict != claim.Follow {
-				return errTwice
+				return errGrantedTwice
 			}
 		}
 		for _, cr := range runs {
-			cf.became(cr, claim.Complete)
+			cf.reportState(cr, claim.Complete)
 		}
 	}
 	return nil
@@ -279,27 +279,27 @@
 
 // measureRecords fills the books of a fleet and weighs a record.
 func measureRecords(rp *Report) error {
-	memory := rp.series(Series{Name: "ClaimRecordMemory", Along: "records", Unit: "B", Kind: Memory, Shape: Linear, Target: recordTarget})
+	memory := rp.addSeries(Series{Name: "ClaimRecordMemory", Along: "records", Unit: "B", Kind: Memory, Shape: Linear, Target: recordsTarget})
 	for _, count := range recordCounts {
 		cf := newClaimFleet(recordVMs)
-		empty := held()
+		empty := memoryInUse()
 		records := 0
 		for number := 0; records < count; number++ {
 			cf.now += clock.Millis(1)
-			cr, err := cf.begin(cf.fleet.VMs[number%recordVMs].VMRef, requestKey(number))
+			cr, err := cf.claimKey(cf.fleet.VMs[number%recordVMs].VMRef, requestKey(number))
 			if err != nil {
 				return err
 			}
-			cf.became(cr, claim.Decoding)
-			cf.became(cr, claim.Complete)
+			cf.reportState(cr, claim.Decoding)
+			cf.reportState(cr, claim.Complete)
 			records += 2
 		}
-		held := held() - empty
+		held := memoryInUse() - empty
 		total := 0
 		for _, bk := range cf.books {
 			total += bk.Counts().Records
 		}
-		memory.add(total, held)
+		memory.addPoint(total, held)
 		runtime.KeepAlive(cf)
 	}
 	return nil
--- a/internal/slope/cost.go
+++ b/internal/slope/cost.go
@@ -14,12 +14,12 @@
 	"alderdyke/internal/backend"
 )
 
-// settleRounds of collection make finalizers and pools let go.
-const settleRounds = 3
+// gcRounds of collection make finalizers and pools let go.
+const gcRounds = 3
 
-// held returns the bytes of heap and stacks in use after a collection.
-func held() float64 {
-	for range settleRounds {
+// memoryInUse returns the bytes of heap and stacks in use after a collection.
+func memoryInUse() float64 {
+	for range gcRounds {
 		runtime.GC()
 	}
 	debug.FreeOSMemory()
@@ -35,8 +35,8 @@
 	return float64(ms.Mallocs)
 }
 
-// processor returns the processor time of this process so far.
-func processor() (time.Duration, error) {
+// processorTime returns the processor time of this process so far.
+func processorTime() (time.Duration, error) {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
 		return 0, fmt.Errorf("read the processor time: %w", err)
@@ -45,13 +45,13 @@
 }
 
 type (
-	// wireCount counts the bytes of connections in both directions, without
+	// connBytes counts the bytes of connections in both directions, without
 	// the headers of TCP and IP.
-	wireCount struct{ in, out atomic.Int64 }
+	connBytes struct{ in, out atomic.Int64 }
 
 	countedConn struct {
 		net.Conn
-		wc *wireCount
+		wc *connBytes
 	}
 )
 
@@ -69,20 +69,20 @@
 	return sent, err
 }
 
-func (wc *wireCount) total() float64 { return float64(wc.in.Load() + wc.out.Load()) }
+func (wc *connBytes) total() float64 { return float64(wc.in.Load() + wc.out.Load()) }
 
 // client is the HTTP client of the adapters to backend servers, over counted
 // connections.
-func (wc *wireCount) client() *http.Client {
+func (wc *connBytes) client() *http.Client {
 	return backend.NewHTTP(backend.Limits{Dial: wc.dial})
 }
 
 // transport is a plain HTTP transport over counted connections.
-func (wc *wireCount) transport() *http.Transport {
+func (wc *connBytes) transport() *http.Transport {
 	return &http.Transport{DialContext: wc.dial, MaxIdleConnsPerHost: 1}
 }
 
-func (wc *wireCount) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (wc *connBytes) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dr net.Dialer
 	cn, err := dr.DialContext(ctx, network, address)
 	if err != nil {
@@ -91,21 +91,21 @@
 	return countedConn{Conn: cn, wc: wc}, nil
 }
 
-// site is a server on loopback.
-type site struct {
+// localServer is a server on loopback.
+type localServer struct {
 	hs   *http.Server
 	addr string
 }
 
 // serve answers on a free port of loopback until it is closed.
-func serve(handler http.Handler) (*site, error) {
+func serve(handler http.Handler) (*localServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	st := &site{hs: &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}, addr: ln.Addr().String()}
+	st := &localServer{hs: &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}, addr: ln.Addr().String()}
 	go st.hs.Serve(ln)
 	return st, nil
 }
 
-func (st *site) close() { st.hs.Close() }
+func (st *localServer) close() { st.hs.Close() }
--- a/internal/slope/customers.go
+++ b/internal/slope/customers.go
@@ -16,14 +16,14 @@
 
 const (
 	customerTarget = 1000
-	changeRounds   = 200
+	changeCount    = 200
 )
 
 var customerCounts = []int{10, 50, 100, 250, 500, 1000}
 
-// usualTemplate has the size of the samples: two classes at a model service
+// typicalTemplate has the size of the samples: two classes at a model service
 // and two at a plain service.
-func usualTemplate(number int) template.Template {
+func typicalTemplate(number int) template.Template {
 	tpl := template.Template{
 		Customer:      fmt.Sprintf("customer-%04d", number),
 		PrefillWeight: 0.7,
@@ -49,7 +49,7 @@
 // measureCustomers folds the publications of many customers from the log.
 func measureCustomers(_ context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
-		return rp.series(Series{Name: name, Along: "customers", Unit: unit, Kind: kind, Shape: shape, Target: customerTarget})
+		return rp.addSeries(Series{Name: name, Along: "customers", Unit: unit, Kind: kind, Shape: shape, Target: customerTarget})
 	}
 	memory := along("RegisterMemory", "B of registers and templates", Memory, Linear)
 	snapshot := along("SnapshotBytes", "B of a snapshot for a peer", Count, Linear)
@@ -57,37 +57,37 @@
 	records := along("RestateRecords", "records to write all that is in force once", Count, Logarithmic)
 	took := along("ApplyTime", "us to apply one change", Time, Constant)
 	for _, count := range customerCounts {
-		empty := held()
-		st, bd, err := foldCustomers(count)
+		empty := memoryInUse()
+		st, bd, err := applyPublications(count)
 		if err != nil {
 			return fmt.Errorf("%d customers: %w", count, err)
 		}
-		memory.add(count, held()-empty)
+		memory.addPoint(count, memoryInUse()-empty)
 		runtime.KeepAlive(bd)
 		data, err := st.Export()
 		if err != nil {
 			return fmt.Errorf("export: %w", err)
 		}
-		snapshot.add(count, float64(len(data)))
-		written, size, err := restateAll(st)
+		snapshot.addPoint(count, float64(len(data)))
+		written, size, err := sizeOfRestatements(st)
 		if err != nil {
 			return err
 		}
-		records.add(count, float64(written))
-		restates.add(count, float64(size))
-		span, err := changeSome(st, count)
+		records.addPoint(count, float64(written))
+		restates.addPoint(count, float64(size))
+		span, err := timeChanges(st, count)
 		if err != nil {
 			return err
 		}
-		took.add(count, span)
+		took.addPoint(count, span)
 	}
 	data, err := publication(1, 0)
-	rp.fact("PublicationBytes", Count, float64(len(data)), "B of the record of one usual template")
+	rp.addFact("PublicationBytes", Count, float64(len(data)), "B of the record of one usual template")
 	return err
 }
 
 func publication(number int, base uint64) ([]byte, error) {
-	tpl := usualTemplate(number)
+	tpl := typicalTemplate(number)
 	value, err := json.Marshal(tpl)
 	if err != nil {
 		return nil, fmt.Errorf("write a template: %w", err)
@@ -99,9 +99,9 @@
 	return data, nil
 }
 
-// foldCustomers applies one publication for each customer and makes the
+// applyPublications applies one publication for each customer and makes the
 // snapshot of the board of them.
-func foldCustomers(count int) (*register.State, *board.Templates, error) {
+func applyPublications(count int) (*register.State, *board.Templates, error) {
 	st := &register.State{Content: register.Templates}
 	for number := range count {
 		data, err := publication(number, 0)
@@ -128,8 +128,8 @@
 	return st, bd, nil
 }
 
-// restateAll counts what it takes to write all that is in force again.
-func restateAll(st *register.State) (written, size int, err error) {
+// sizeOfRestatements counts what it takes to write all that is in force again.
+func sizeOfRestatements(st *register.State) (written, size int, err error) {
 	for bucket := range register.DefaultBuckets {
 		rst, ok := st.Restatement(bucket)
 		if !ok || len(rst.Entries) == 0 {
@@ -145,12 +145,12 @@
 	return written, size, nil
 }
 
-// changeSome revises templates and returns the microseconds for each change.
-func changeSome(st *register.State, count int) (float64, error) {
+// timeChanges revises templates and returns the microseconds for each change.
+func timeChanges(st *register.State, count int) (float64, error) {
 	var batch []logsvc.Record
-	for round := range changeRounds {
+	for round := range changeCount {
 		number := round % count
-		en, _ := st.Entry(usualTemplate(number).Customer)
+		en, _ := st.Entry(typicalTemplate(number).Customer)
 		base := en.Revision
 		if round >= count { // revised by this loop before
 			base = batch[round-count].Offset + 1
@@ -161,17 +161,17 @@
 		}
 		batch = append(batch, logsvc.Record{Offset: st.Next() + uint64(round), Data: data})
 	}
-	began, err := processor()
+	began, err := processorTime()
 	if err != nil {
 		return 0, err
 	}
-	_, bad := st.Advance(logsvc.Batch{Records: batch, Next: st.Next() + changeRounds})
-	ended, err := processor()
+	_, bad := st.Advance(logsvc.Batch{Records: batch, Next: st.Next() + changeCount})
+	ended, err := processorTime()
 	if err != nil {
 		return 0, err
 	}
 	if len(bad) > 0 {
 		return 0, fmt.Errorf("changes were not read: %w", bad[0])
 	}
-	return float64((ended - began).Microseconds()) / changeRounds, nil
+	return float64((ended - began).Microseconds()) / changeCount, nil
 }
--- a/internal/slope/engines.go
+++ b/internal/slope/engines.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	workersTarget = 600
+	enginesTarget = 600
 	cellTarget    = 16 // engines of one cell
 
-	decodeSlots  = 20
-	decodeShare  = 3    // of four engines decode
-	fullness     = 0.8  // of the decode slots in use
-	decodeSpan   = 9700 // ms that a decode holds its slot at the peak
-	prefillSpan  = 300
-	importSpan   = 40
-	cellSpan     = 30 * clock.Second
-	cellWarm     = 15 * clock.Second
-	engineSeed   = 7
-	pollRounds   = 50
-	runningSlots = 160 // requests that a worker of eight accelerators holds
+	decodeSlots   = 20
+	decodesOfFour = 3    // of four engines decode
+	utilization   = 0.8  // of the decode slots in use
+	decodeSpan    = 9700 // ms that a decode holds its slot at the peak
+	prefillSpan   = 300
+	importSpan    = 40
+	cellSpan      = 30 * clock.Second
+	cellWarmUp    = 15 * clock.Second
+	engineSeed    = 7
+	pollRounds    = 50
+	runningSlots  = 160 // requests that a worker of eight accelerators holds
 )
 
 var (
@@ -44,15 +44,15 @@
 type (
 	// cellLoad drives one real cell with requests at a steady rate.
 	cellLoad struct {
-		dc      *sched.Cell
-		rnd     *rand.Rand
-		now     clock.Millis
-		wake    clock.Millis
-		due     map[clock.Millis][]sched.Event
-		grants  int
-		refused int
-		events  int
-		number  int
+		cell      *sched.Cell
+		rnd       *rand.Rand
+		now       clock.Millis
+		wakeAt    clock.Millis
+		scheduled map[clock.Millis][]sched.Event
+		grants    int
+		refused   int
+		events    int
+		submitted int
 	}
 
 	// cellSeries are what an accountant spends on the requests of one cell.
@@ -63,7 +63,7 @@
 // reports of engines and plain services cost.
 func measureEngines(ctx context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind) *Series {
-		return rp.series(Series{Name: name, Along: "engines", Unit: unit, Kind: kind, Shape: Linear, Target: cellTarget})
+		return rp.addSeries(Series{Name: name, Along: "engines", Unit: unit, Kind: kind, Shape: Linear, Target: cellTarget})
 	}
 	cs := cellSeries{
 		steps:  along("CellSteps", "steps for each request", Count),
@@ -88,7 +88,7 @@
 	var out []board.BackendServer
 	for ix := range count {
 		role := board.Prefill
-		if ix%4 < decodeShare {
+		if ix%4 < decodesOfFour {
 			role = board.Decode
 		}
 		out = append(out, board.BackendServer{ID: fmt.Sprintf("engine-%03d", ix), Service: "rapportmodel", Role: role})
@@ -97,12 +97,12 @@
 }
 
 func (cs cellSeries) measure(count int) error {
-	empty := held()
+	empty := memoryInUse()
 	cl := &cellLoad{
-		dc:  &sched.Cell{Name: "rapportmodel/0"},
-		rnd: rand.New(rand.NewPCG(engineSeed, uint64(count))),
-		now: clock.Second,
-		due: make(map[clock.Millis][]sched.Event),
+		cell:      &sched.Cell{Name: "rapportmodel/0"},
+		rnd:       rand.New(rand.NewPCG(engineSeed, uint64(count))),
+		now:       clock.Second,
+		scheduled: make(map[clock.Millis][]sched.Event),
 	}
 	servers := engineList(count)
 	decodes := 0
@@ -111,16 +111,16 @@
 			decodes++
 		}
 	}
-	cl.tell(sched.Servers{Servers: servers})
-	rate := fullness * float64(decodes*decodeSlots) / decodeSpan
-	cl.run(cellWarm, rate, servers)
-	grants, steps := cl.grants, cl.dc.Steps()
-	began, err := processor()
+	cl.step(sched.Servers{Servers: servers})
+	rate := utilization * float64(decodes*decodeSlots) / decodeSpan
+	cl.run(cellWarmUp, rate, servers)
+	grants, steps := cl.grants, cl.cell.Steps()
+	began, err := processorTime()
 	if err != nil {
 		return err
 	}
 	cl.run(cellSpan, rate, servers)
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return err
 	}
@@ -128,12 +128,12 @@
 	if made == 0 {
 		return errNoGrant
 	}
-	cs.steps.add(count, float64(cl.dc.Steps()-steps)/made)
-	cs.time.add(count, float64((ended-began).Microseconds())/made)
-	inCell := fullness * float64(decodes*decodeSlots)
-	cl.due = nil
-	cs.memory.add(count, (held()-empty)/inCell)
-	runtime.KeepAlive(cl.dc)
+	cs.steps.addPoint(count, float64(cl.cell.Steps()-steps)/made)
+	cs.time.addPoint(count, float64((ended-began).Microseconds())/made)
+	inCell := utilization * float64(decodes*decodeSlots)
+	cl.scheduled = nil
+	cs.memory.addPoint(count, (memoryInUse()-empty)/inCell)
+	runtime.KeepAlive(cl.cell)
 	return nil
 }
 
@@ -142,64 +142,64 @@
 func (cl *cellLoad) run(span clock.Millis, rate float64, servers []board.BackendServer) {
 	wanted := 0.0
 	for end := cl.now + span; cl.now < end; cl.now++ {
-		evs := cl.due[cl.now]
-		delete(cl.due, cl.now)
+		evs := cl.scheduled[cl.now]
+		delete(cl.scheduled, cl.now)
 		for _, ev := range evs {
-			cl.tell(ev)
+			cl.step(ev)
 		}
 		if cl.now%(clock.Second/2) == 0 {
-			cl.report(servers)
+			cl.reportLoads(servers)
 		}
 		for wanted += rate; wanted >= 1; wanted-- {
 			cl.submit()
 		}
-		if cl.wake != 0 && cl.now >= cl.wake {
-			cl.wake = 0
-			cl.tell(sched.Tick{})
+		if cl.wakeAt != 0 && cl.now >= cl.wakeAt {
+			cl.wakeAt = 0
+			cl.step(sched.Tick{})
 		}
 	}
 }
 
-func (cl *cellLoad) report(servers []board.BackendServer) {
+func (cl *cellLoad) reportLoads(servers []board.BackendServer) {
 	for _, srv := range servers {
-		cl.tell(sched.Report{Load: board.LoadReport{Server: srv.ID, At: cl.now, Slots: decodeSlots}})
+		cl.step(sched.Report{Load: board.LoadReport{Server: srv.ID, At: cl.now, Slots: decodeSlots}})
 	}
 }
 
 func (cl *cellLoad) submit() {
-	cl.number++
-	cl.tell(sched.Submit{Spec: sched.RequestSpec{
-		Request: requestKey(cl.number), Customer: fmt.Sprintf("customer-%d", cl.number%20), Class: "findings",
-		VM: fleetVM(cl.number % fleetTarget).VMRef, Quick: cl.number%4 == 0,
-		PromptTokens: 200 + cl.rnd.IntN(usualPrompt), MaxTokens: usualMaxTokens,
+	cl.submitted++
+	cl.step(sched.Submit{Spec: sched.RequestSpec{
+		Request: requestKey(cl.submitted), Customer: fmt.Sprintf("customer-%d", cl.submitted%20), Class: "findings",
+		VM: fleetVM(cl.submitted % fleetTarget).VMRef, Quick: cl.submitted%4 == 0,
+		PromptTokens: 200 + cl.rnd.IntN(typicalPromptTokens), MaxTokens: typicalMaxTokens,
 		TTFT: 2 * clock.Second, TPOT: 35, Deadline: cl.now + clock.Minute, Share: 0.05, PrefillWeight: 0.5,
 	}})
 }
 
-func (cl *cellLoad) tell(ev sched.Event) {
+func (cl *cellLoad) step(ev sched.Event) {
 	cl.events++
-	for _, in := range cl.dc.Step(cl.now, ev) {
+	for _, in := range cl.cell.Step(cl.now, ev) {
 		switch in := in.(type) {
 		case sched.Grant:
 			cl.grants++
-			cl.later(1, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Prefilling})
-			cl.later(prefillSpan, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Prefilled, Took: prefillSpan})
+			cl.schedule(1, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Prefilling})
+			cl.schedule(prefillSpan, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Prefilled, Took: prefillSpan})
 		case sched.Transfer:
-			cl.later(1, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Transferring})
-			cl.later(importSpan, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Decoding, Took: importSpan})
-			cl.later(importSpan+decodeSpan, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Ended})
+			cl.schedule(1, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Transferring})
+			cl.schedule(importSpan, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Decoding, Took: importSpan})
+			cl.schedule(importSpan+decodeSpan, sched.Progress{Request: in.Request, Attempt: in.Attempt, Stage: sched.Ended})
 		case sched.Refuse:
 			cl.refused++
 		case sched.Wake:
-			if cl.wake == 0 || in.At < cl.wake {
-				cl.wake = in.At
+			if cl.wakeAt == 0 || in.At < cl.wakeAt {
+				cl.wakeAt = in.At
 			}
 		}
 	}
 }
 
-func (cl *cellLoad) later(span clock.Millis, ev sched.Event) {
-	cl.due[cl.now+span] = append(cl.due[cl.now+span], ev)
+func (cl *cellLoad) schedule(span clock.Millis, ev sched.Event) {
+	cl.scheduled[cl.now+span] = append(cl.scheduled[cl.now+span], ev)
 }
 
 // measurePolls measures load reports and lists of runs over HTTP as the real
@@ -218,14 +218,14 @@
 		return err
 	}
 	defer st.close()
-	var wc wireCount
+	var wc connBytes
 	ec := &engine.Client{HTTP: wc.client(), Self: fleetVM(0).VMRef, Token: wireSecret}
 	srv := board.BackendServer{ID: "engine-001", Address: st.addr}
 	load := func() error { _, err := ec.Load(ctx, srv); return err }
-	if err := repeat(rp, "LoadPoll", &wc, load); err != nil {
+	if err := measureRepeated(rp, "LoadPoll", &wc, load); err != nil {
 		return err
 	}
-	listed := rp.series(Series{Name: "RunningPollBytes", Along: "requests at the engine", Unit: "B of one list of runs",
+	listed := rp.addSeries(Series{Name: "RunningPollBytes", Along: "requests at the engine", Unit: "B of one list of runs",
 		Kind: Count, Shape: Linear, Target: runningSlots})
 	for _, count := range runCounts {
 		for len(runs.Runs) < count {
@@ -239,18 +239,18 @@
 		if _, err := ec.Running(ctx, srv); err != nil {
 			return fmt.Errorf("list runs: %w", err)
 		}
-		listed.add(count, wc.total()-before)
+		listed.addPoint(count, wc.total()-before)
 	}
 	return nil
 }
 
-// repeat makes a call many times over a connection that is open already.
-func repeat(rp *Report, name string, wc *wireCount, call func() error) error {
+// measureRepeated makes a call many times over a connection that is open already.
+func measureRepeated(rp *Report, name string, wc *connBytes, call func() error) error {
 	if err := call(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	before := wc.total()
-	began, err := processor()
+	began, err := processorTime()
 	if err != nil {
 		return err
 	}
@@ -259,12 +259,12 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return err
 	}
-	rp.fact(name+"Bytes", Count, (wc.total()-before)/pollRounds, "B of one poll, request and answer")
-	rp.fact(name+"Time", Time, float64((ended-began).Microseconds())/pollRounds, "us of one poll, both ends together")
+	rp.addFact(name+"Bytes", Count, (wc.total()-before)/pollRounds, "B of one poll, request and answer")
+	rp.addFact(name+"Time", Time, float64((ended-began).Microseconds())/pollRounds, "us of one poll, both ends together")
 	return nil
 }
 
@@ -276,8 +276,8 @@
 		return err
 	}
 	defer st.close()
-	var wc wireCount
+	var wc connBytes
 	sc := &service.Client{HTTP: wc.client(), Self: fleetVM(0).VMRef, Token: wireSecret}
 	srv := board.BackendServer{ID: "feltapp-1", Address: st.addr, Role: board.Plain}
-	return repeat(rp, "PlainPoll", &wc, func() error { _, err := sc.Load(ctx, srv); return err })
+	return measureRepeated(rp, "PlainPoll", &wc, func() error { _, err := sc.Load(ctx, srv); return err })
 }
--- a/internal/slope/fleet.go
+++ b/internal/slope/fleet.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	restSettle = 8 * clock.Second
-	restSpan   = 12 * clock.Second
-	seenWithin = 60 * clock.Second
-	seenPoll   = 100 * clock.Millis(1)
-	lingerFor  = 500 * clock.Millis(1)
-	realTarget = 96 // VMs in one process
+	idleSettle       = 8 * clock.Second
+	idleSpan         = 12 * clock.Second
+	discoveryTimeout = 60 * clock.Second
+	discoveryPoll    = 100 * clock.Millis(1)
+	shortLinger      = 500 * clock.Millis(1)
+	realTarget       = 96 // VMs in one process
 )
 
 var (
 	realCounts = []int{3, 6, 12, 24, 48, 96}
 
-	errUnseen = errors.New("the VMs did not see each other in time")
+	errDiscoveryTimeout = errors.New("the VMs did not see each other in time")
 )
 
 type (
@@ -41,8 +41,8 @@
 		group  *errgroup.Group
 	}
 
-	// restSeries are what one real VM spends at rest.
-	restSeries struct{ time, allocs, memory, datagrams, frames *Series }
+	// idleSeries are what one real VM spends at rest.
+	idleSeries struct{ time, allocs, memory, datagrams, frames *Series }
 )
 
 // measureFleet runs real VMs at rest. Processor time, objects and memory are
@@ -50,9 +50,9 @@
 // more VM adds, with the answers to its polls.
 func measureFleet(ctx context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
-		return rp.series(Series{Name: name, Along: "VMs", Unit: unit, Kind: kind, Shape: shape, Target: realTarget})
+		return rp.addSeries(Series{Name: name, Along: "VMs", Unit: unit, Kind: kind, Shape: shape, Target: realTarget})
 	}
-	rs := restSeries{
+	rs := idleSeries{
 		time:      along("RestTime", "us/s of processor time of the process", Time, Linear),
 		allocs:    along("RestAllocations", "objects/s of the process", Count, Linear),
 		memory:    along("RestMemory", "B of the process", Memory, Linear),
@@ -67,42 +67,42 @@
 	return nil
 }
 
-func (rs restSeries) measure(ctx context.Context, count int) error {
-	empty := held()
+func (rs idleSeries) measure(ctx context.Context, count int) error {
+	empty := memoryInUse()
 	rf, err := startFleet(ctx, count)
 	if err != nil {
 		return err
 	}
-	err = rs.rest(ctx, rf, empty)
+	err = rs.measureIdle(ctx, rf, empty)
 	return errors.Join(err, rf.close())
 }
 
-func (rs restSeries) rest(ctx context.Context, rf *realFleet, empty float64) error {
-	if err := rf.await(ctx); err != nil {
+func (rs idleSeries) measureIdle(ctx context.Context, rf *realFleet, empty float64) error {
+	if err := rf.awaitDiscovery(ctx); err != nil {
 		return err
 	}
-	if err := pass(ctx, restSettle); err != nil {
+	if err := sleep(ctx, idleSettle); err != nil {
 		return err
 	}
 	count := len(rf.vms)
-	datagrams, frames, objects := rf.sum("PeerDatagramBytes"), rf.sum("PeerBytes"), allocations()
-	began, err := processor()
+	datagrams, frames, objects := rf.sumCounters("PeerDatagramBytes"), rf.sumCounters("PeerBytes"), allocations()
+	began, err := processorTime()
 	if err != nil {
 		return err
 	}
-	if err := pass(ctx, restSpan); err != nil {
+	if err := sleep(ctx, idleSpan); err != nil {
 		return err
 	}
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return err
 	}
-	rs.time.add(count, float64((ended-began).Microseconds())/seconds(restSpan))
-	rs.allocs.add(count, (allocations()-objects)/seconds(restSpan))
-	per := seconds(restSpan) * float64(count)
-	rs.datagrams.add(count, (rf.sum("PeerDatagramBytes")-datagrams)/per)
-	rs.frames.add(count, (rf.sum("PeerBytes")-frames)/per)
-	rs.memory.add(count, held()-empty)
+	rs.time.addPoint(count, float64((ended-began).Microseconds())/seconds(idleSpan))
+	rs.allocs.addPoint(count, (allocations()-objects)/seconds(idleSpan))
+	per := seconds(idleSpan) * float64(count)
+	rs.datagrams.addPoint(count, (rf.sumCounters("PeerDatagramBytes")-datagrams)/per)
+	rs.frames.addPoint(count, (rf.sumCounters("PeerBytes")-frames)/per)
+	rs.memory.addPoint(count, memoryInUse()-empty)
 	return nil
 }
 
@@ -119,10 +119,10 @@
 		if err != nil {
 			return nil, errors.Join(err, rf.close())
 		}
-		set.Addresses.KeepFor, set.Drain.Linger = lingerFor, lingerFor
+		set.Addresses.KeepFor, set.Drain.Linger = shortLinger, shortLinger
 		scope := tally.NewTestScope("", nil)
 		rf.scopes = append(rf.scopes, scope)
-		rf.vms = append(rf.vms, &entry.VM{Settings: set, Incarnation: startedAt, Scope: scope, Board: &board.Board{}})
+		rf.vms = append(rf.vms, &entry.VM{Settings: set, Incarnation: typicalIncarnation, Scope: scope, Board: &board.Board{}})
 	}
 	rf.dp.Publish()
 	for _, vm := range rf.vms {
@@ -141,13 +141,13 @@
 	return out
 }
 
-// await waits until every VM sees all others alive.
-func (rf *realFleet) await(ctx context.Context) error {
-	ctx, stop := context.WithTimeoutCause(ctx, seenWithin.Std(), errUnseen)
+// awaitDiscovery waits until every VM sees all others alive.
+func (rf *realFleet) awaitDiscovery(ctx context.Context) error {
+	ctx, stop := context.WithTimeoutCause(ctx, discoveryTimeout.Std(), errDiscoveryTimeout)
 	defer stop()
 	for _, vm := range rf.vms {
 		for len(vm.Board.Fleet().Serving()) < len(rf.vms) {
-			if err := pass(ctx, seenPoll); err != nil {
+			if err := sleep(ctx, discoveryPoll); err != nil {
 				return err
 			}
 		}
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// sum adds the counters of the given beginning, sent and received, of all VMs.
-func (rf *realFleet) sum(name string) float64 {
+// sumCounters adds the counters of the given beginning, sent and received, of all VMs.
+func (rf *realFleet) sumCounters(name string) float64 {
 	total := int64(0)
 	for _, scope := range rf.scopes {
 		snap := scope.Snapshot().Counters()
@@ -175,7 +175,7 @@
 	return errors.Join(err, rf.dp.Close())
 }
 
-func pass(ctx context.Context, span clock.Millis) error {
+func sleep(ctx context.Context, span clock.Millis) error {
 	select {
 	case <-time.After(span.Std()):
 		return nil
--- a/internal/slope/frames.go
+++ b/internal/slope/frames.go
@@ -12,8 +12,8 @@
 
 // Sizes of usual messages.
 const (
-	printBytes = 32 // of a request's fingerprint
-	usualClaim = 0x9e3779b97f4a7c15
+	fingerprintBytes = 32 // of a request's fingerprint
+	typicalClaim     = 0x9e3779b97f4a7c15
 )
 
 // requestKey is a key as callers make them: a UUID.
@@ -25,38 +25,38 @@
 	return &peerpb.Frame{Body: &peerpb.Frame_Done{Done: &peerpb.Done{}}}
 }
 
-func claimAsk(number int) *peerpb.Frame {
+func claimAskFrame(number int) *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_ClaimAsk{ClaimAsk: &peerpb.ClaimAsk{
-		Key: requestKey(number), Customer: "kedelsyn", Fingerprint: bytes.Repeat([]byte{7}, printBytes),
-		RunnerID: "domain-0-000", RunnerIncarnation: startedAt, Keep: int64(10 * clock.Minute),
-		Claim: usualClaim, Group: usualClaim,
+		Key: requestKey(number), Customer: "kedelsyn", Fingerprint: bytes.Repeat([]byte{7}, fingerprintBytes),
+		RunnerID: "domain-0-000", RunnerIncarnation: typicalIncarnation, Keep: int64(10 * clock.Minute),
+		Claim: typicalClaim, Group: typicalClaim,
 	}}}
 }
 
-func claimReply() *peerpb.Frame {
+func claimReplyFrame() *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_ClaimReply{ClaimReply: &peerpb.ClaimReply{
-		Verdict: string(claim.Granted), RunnerID: "domain-0-000", RunnerIncarnation: startedAt,
-		State: string(claim.Claimed), Claim: usualClaim,
+		Verdict: string(claim.Granted), RunnerID: "domain-0-000", RunnerIncarnation: typicalIncarnation,
+		State: string(claim.Claimed), Claim: typicalClaim,
 	}}}
 }
 
-func claimUpdate(number int) *peerpb.Frame {
+func claimUpdateFrame(number int) *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_ClaimUpdate{ClaimUpdate: &peerpb.ClaimUpdate{
-		Key: requestKey(number), Customer: "kedelsyn", RunnerID: "domain-0-000", RunnerIncarnation: startedAt,
+		Key: requestKey(number), Customer: "kedelsyn", RunnerID: "domain-0-000", RunnerIncarnation: typicalIncarnation,
 		State: string(claim.Decoding), DecodeServer: "rapportmodel-decode-41",
-		EngineRequest: "kedelsyn/" + requestKey(number) + "/1.0", Claim: usualClaim,
+		EngineRequest: "kedelsyn/" + requestKey(number) + "/1.0", Claim: typicalClaim,
 	}}}
 }
 
-func reserveAsk(number int) *peerpb.Frame {
+func reserveAskFrame(number int) *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_ReserveAsk{ReserveAsk: &peerpb.ReserveAsk{
 		Cell: "rapportmodel/3", Request: "kedelsyn/" + requestKey(number) + "/1.0", Customer: "kedelsyn",
-		Class: "findings", PromptTokens: usualPrompt, PrefixHash: usualClaim, MaxTokens: usualMaxTokens,
+		Class: "findings", PromptTokens: typicalPromptTokens, PrefixHash: typicalClaim, MaxTokens: typicalMaxTokens,
 		TTFT: 410, TPOT: 35, Deadline: int64(clock.Minute), Share: 0.2, PrefillWeight: 0.7,
 	}}}
 }
 
-func progress(stage sched.Stage, server string) *peerpb.Frame {
+func progressFrame(stage sched.Stage, server string) *peerpb.Frame {
 	return &peerpb.Frame{Body: &peerpb.Frame_Progress{Progress: &peerpb.Progress{
 		Stage: string(stage), Server: server, Took: 300, Attempt: 1}}}
 }
--- a/internal/slope/platform.go
+++ b/internal/slope/platform.go
@@ -12,7 +12,7 @@
 	"alderdyke/internal/vmlist"
 )
 
-const listTarget = fleetTarget + workersTarget
+const listTarget = fleetTarget + enginesTarget
 
 // listCounts are entries of the VM list: today's, and on to the large fleet's.
 var listCounts = []int{20, 60, 120, 245, 490, 980}
@@ -48,7 +48,7 @@
 
 func measureList(ctx context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
-		return rp.series(Series{Name: name, Along: "entries", Unit: unit, Kind: kind, Shape: shape, Target: listTarget})
+		return rp.addSeries(Series{Name: name, Along: "entries", Unit: unit, Kind: kind, Shape: shape, Target: listTarget})
 	}
 	whole := along("ListWholeBytes", "B of one fetch of a list that changed", Count, Linear)
 	same := along("ListSameBytes", "B of one fetch of a list that did not", Count, Constant)
@@ -68,7 +68,7 @@
 		return err
 	}
 	defer st.close()
-	var wc wireCount
+	var wc connBytes
 	cl := &vmlist.Client{URL: "http://" + st.addr, Token: wireSecret, HTTP: &http.Client{Transport: wc.transport()}}
 	sv.Put(listOf(count))
 	if _, err := cl.Fetch(ctx); err != nil {
@@ -80,9 +80,9 @@
 			return fmt.Errorf("fetch: %w", err)
 		}
 	}
-	same.add(count, (wc.total()-before)/pollRounds)
+	same.addPoint(count, (wc.total()-before)/pollRounds)
 	before = wc.total()
-	began, err := processor()
+	began, err := processorTime()
 	if err != nil {
 		return err
 	}
@@ -92,12 +92,12 @@
 			return fmt.Errorf("fetch: %w", err)
 		}
 	}
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return err
 	}
-	whole.add(count, (wc.total()-before)/pollRounds)
-	took.add(count, float64((ended-began).Microseconds())/pollRounds)
+	whole.addPoint(count, (wc.total()-before)/pollRounds)
+	took.addPoint(count, float64((ended-began).Microseconds())/pollRounds)
 	return nil
 }
 
@@ -107,18 +107,18 @@
 		return err
 	}
 	defer st.close()
-	var wc wireCount
+	var wc connBytes
 	cl := &logsvc.Client{URL: "http://" + st.addr, Token: wireSecret, HTTP: &http.Client{Transport: wc.transport()}}
 	read := func() error {
 		_, err := cl.Read(ctx, "Templates", 0, 64, 0)
 		return err
 	}
-	if err := repeat(rp, "LogRead", &wc, read); err != nil {
+	if err := measureRepeated(rp, "LogRead", &wc, read); err != nil {
 		return err
 	}
 	add := func() error {
 		_, err := cl.Append(ctx, "Templates", []byte("{}"))
 		return err
 	}
-	return repeat(rp, "LogAppend", &wc, add)
+	return measureRepeated(rp, "LogAppend", &wc, add)
 }
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Named picks studies by their names; none picks all.
-func Named(names []string) ([]Study, error) {
+// StudiesNamed picks studies by their names; none picks all.
+func StudiesNamed(names []string) ([]Study, error) {
 	all := Studies()
 	if len(names) == 0 {
 		return all, nil
@@ -134,25 +134,25 @@
 	return nil
 }
 
-// series begins a series.
-func (rp *Report) series(se Series) *Series {
+// addSeries begins a series.
+func (rp *Report) addSeries(se Series) *Series {
 	out := &se
 	rp.Series = append(rp.Series, out)
 	return out
 }
 
-// add measures a point.
-func (se *Series) add(along int, value float64) {
+// addPoint measures a point.
+func (se *Series) addPoint(along int, value float64) {
 	se.Points = append(se.Points, Point{X: float64(along), Y: value})
 }
 
-// fact adds a value that belongs to no series.
-func (rp *Report) fact(name string, kind Kind, value float64, unit string) {
+// addFact adds a value that belongs to no series.
+func (rp *Report) addFact(name string, kind Kind, value float64, unit string) {
 	rp.Facts = append(rp.Facts, Fact{Name: name, Value: value, Unit: unit, Kind: kind})
 }
 
-// Find returns a series by its name.
-func (rp *Report) Find(name string) (*Series, bool) {
+// FindSeries returns a series by its name.
+func (rp *Report) FindSeries(name string) (*Series, bool) {
 	ix := slices.IndexFunc(rp.Series, func(se *Series) bool { return se.Name == name })
 	if ix < 0 {
 		return nil, false
@@ -160,8 +160,8 @@
 	return rp.Series[ix], true
 }
 
-// Fact returns a fact by its name.
-func (rp *Report) Fact(name string) (Fact, bool) {
+// FindFact returns a fact by its name.
+func (rp *Report) FindFact(name string) (Fact, bool) {
 	ix := slices.IndexFunc(rp.Facts, func(fa Fact) bool { return fa.Name == name })
 	if ix < 0 {
 		return Fact{}, false
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -14,10 +14,10 @@
 	"alderdyke/pkg/clock"
 )
 
-func line(shape Shape, values ...float64) *Series {
+func testSeries(shape Shape, values ...float64) *Series {
 	se := &Series{Name: "Line", Along: "VMs", Unit: "B", Kind: Count, Shape: shape, Target: 100}
 	for ix, val := range values {
-		se.add(1<<ix, val)
+		se.addPoint(1<<ix, val)
 	}
 	return se
 }
@@ -29,11 +29,11 @@
 		intercept, slope float64
 		atTarget, worst  float64
 	}{
-		{"line", line(Linear, 5, 7, 11, 19), 3, 2, 203, 0},
-		{"logarithm", line(Logarithmic, 1, 1+math.Ln2, 1+2*math.Ln2), 1, 1, 1 + math.Log(100), 0},
-		{"constant", line(Constant, 8, 10, 12), 10, 0, 10, 0.25},
-		{"one point", line(Linear, 4), 4, 0, 4, 0},
-		{"no point", line(Linear), 0, 0, 0, 0},
+		{"line", testSeries(Linear, 5, 7, 11, 19), 3, 2, 203, 0},
+		{"logarithm", testSeries(Logarithmic, 1, 1+math.Ln2, 1+2*math.Ln2), 1, 1, 1 + math.Log(100), 0},
+		{"constant", testSeries(Constant, 8, 10, 12), 10, 0, 10, 0.25},
+		{"one point", testSeries(Linear, 4), 4, 0, 4, 0},
+		{"no point", testSeries(Linear), 0, 0, 0, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -48,8 +48,8 @@
 }
 
 func TestWriteHoldsAllPointsFitsAndFacts(t *testing.T) {
-	rp := &Report{Series: []*Series{line(Linear, 5, 7, 11)}}
-	rp.fact("OneFact", Count, 42, "B")
+	rp := &Report{Series: []*Series{testSeries(Linear, 5, 7, 11)}}
+	rp.addFact("OneFact", Count, 42, "B")
 	folder := t.TempDir()
 	assert.NilError(t, rp.Write(folder))
 	for name, wants := range map[string][]string{
@@ -66,13 +66,13 @@
 }
 
 func TestNamed(t *testing.T) {
-	all, err := Named(nil)
+	all, err := StudiesNamed(nil)
 	assert.NilError(t, err)
 	assert.Equal(t, len(all), len(Studies()))
-	one, err := Named([]string{"claims"})
+	one, err := StudiesNamed([]string{"claims"})
 	assert.NilError(t, err)
 	assert.Equal(t, one[0].Name, "claims")
-	_, err = Named([]string{"claims", "nothing"})
+	_, err = StudiesNamed([]string{"claims", "nothing"})
 	var ue UnknownStudyError
 	assert.Assert(t, errors.As(err, &ue) && ue.Name == "nothing")
 }
@@ -84,11 +84,11 @@
 	messages, bytes := make(map[int]float64), make(map[int]float64)
 	for _, size := range []int{12, 96} {
 		vf := newVirtualFleet(size, membersSeed)
-		assert.Assert(t, vf.run(membersWait, vf.agree), "%d VMs do not agree", size)
+		assert.Assert(t, vf.run(membersTimeout, vf.healthAgreed), "%d VMs do not agree", size)
 		vf.run(settle, nil)
-		vf.begin()
+		vf.resetCounts()
 		vf.run(span, nil)
-		messages[size], bytes[size] = vf.mean()
+		messages[size], bytes[size] = vf.meanTraffic()
 		messages[size] /= seconds(span)
 		bytes[size] /= seconds(span)
 	}
@@ -101,7 +101,7 @@
 func TestClaimCallsDoNotGrowWithTheFleet(t *testing.T) {
 	calls := func(vms, duplicates int) float64 {
 		cf := newClaimFleet(vms)
-		assert.NilError(t, cf.load(duplicates))
+		assert.NilError(t, cf.runLoad(duplicates))
 		return float64(cf.calls) / claimSpan
 	}
 	small, large := calls(24, 0), calls(190, 0)
@@ -129,7 +129,7 @@
 	for name, most := range map[string]float64{
 		"SessionSetupBytes": 5000, "ClaimCallBytes": 500, "UpdateCallBytes": 500, "ReservationBytes": 1300,
 	} {
-		fa, ok := rp.Fact(name)
+		fa, ok := rp.FindFact(name)
 		assert.Assert(t, ok && fa.Value > 0 && fa.Value <= most, "%s: %v", name, fa.Value)
 	}
 }
@@ -148,13 +148,13 @@
 func TestMemoryOfRecords(t *testing.T) {
 	rp := &Report{}
 	assert.NilError(t, measureRecords(rp))
-	se, ok := rp.Find("ClaimRecordMemory")
+	se, ok := rp.FindSeries("ClaimRecordMemory")
 	assert.Assert(t, ok)
 	assert.Assert(t, se.Fit().Slope <= 400, "%v B a record", se.Fit().Slope)
 
 	assert.NilError(t, measureCustomers(context.Background(), rp))
 	for name, most := range map[string]float64{"RegisterMemory": 4000, "SnapshotBytes": 1200, "RestateBytes": 1200} {
-		se, ok := rp.Find(name)
+		se, ok := rp.FindSeries(name)
 		assert.Assert(t, ok)
 		assert.Assert(t, se.Fit().Slope <= most, "%s: %v B a customer", name, se.Fit().Slope)
 	}
--- a/internal/slope/streams.go
+++ b/internal/slope/streams.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	apiKey         = "a-key-of-the-measurement"
-	tokensOfAnswer = 278
-	tokenText      = " boiler"
-	openTarget     = 250 // requests of one VM that decode at the peak: 25.5/s, 9.7 s each
-	connTarget     = 1000
+	apiKey            = "a-key-of-the-measurement"
+	answerTokens      = 278
+	tokenText         = " boiler"
+	openTarget        = 250 // requests of one VM that decode at the peak: 25.5/s, 9.7 s each
+	connectionsTarget = 1000
 )
 
 var (
@@ -35,23 +35,23 @@
 )
 
 type (
-	// heldAnswers answers requests with streams that the study fills.
-	heldAnswers struct {
+	// openAnswers answers requests with streams that the study fills.
+	openAnswers struct {
 		mu      sync.Mutex
 		streams []*answer.Stream
 	}
 
-	// callerSite is the real callers' side of one VM.
-	callerSite struct {
-		srv  *caller.Server
-		rn   *heldAnswers
-		stop context.CancelFunc
-		done chan error
+	// callerServer is the real callers' side of one VM.
+	callerServer struct {
+		srv    *caller.Server
+		runner *openAnswers
+		stop   context.CancelFunc
+		done   chan error
 	}
 )
 
 // Start implements [caller.Runner].
-func (ha *heldAnswers) Start(context.Context, caller.Request) (*answer.Stream, error) {
+func (ha *openAnswers) Start(context.Context, caller.Request) (*answer.Stream, error) {
 	st := answer.NewStream()
 	st.Token([]byte(tokenText))
 	ha.mu.Lock()
@@ -61,19 +61,19 @@
 }
 
 // Find implements [caller.Runner].
-func (ha *heldAnswers) Find(context.Context, string, string) (*answer.Stream, error) { return nil, nil }
+func (ha *openAnswers) Find(context.Context, string, string) (*answer.Stream, error) { return nil, nil }
 
 // Addresses implements [caller.Runner].
-func (ha *heldAnswers) Addresses() ([]caller.Address, clock.Millis) {
+func (ha *openAnswers) Addresses() ([]caller.Address, clock.Millis) {
 	return []caller.Address{{Address: "10.0.0.1:8443", FailureDomain: "domain-0"}}, 1
 }
 
 // Accepting implements [caller.Runner].
-func (ha *heldAnswers) Accepting() error { return nil }
+func (ha *openAnswers) Accepting() error { return nil }
 
-func startCallers(ctx context.Context) (*callerSite, error) {
+func startCallerServer(ctx context.Context) (*callerServer, error) {
 	sum := sha256.Sum256([]byte(apiKey))
-	tpl := usualTemplate(0).WithKeyHash(hex.EncodeToString(sum[:]))
+	tpl := typicalTemplate(0).WithKeyHash(hex.EncodeToString(sum[:]))
 	bd := &board.Board{}
 	bd.SetTemplates(&board.Templates{
 		Ready:      true,
@@ -81,8 +81,8 @@
 		ByKeyHash:  map[string]string{hex.EncodeToString(sum[:]): tpl.Customer},
 	})
 	ctx, stop := context.WithCancel(ctx)
-	cs := &callerSite{rn: &heldAnswers{}, stop: stop, done: make(chan error, 1)}
-	cs.srv = &caller.Server{Listen: "127.0.0.1:0", Runner: cs.rn, Board: bd,
+	cs := &callerServer{runner: &openAnswers{}, stop: stop, done: make(chan error, 1)}
+	cs.srv = &caller.Server{Listen: "127.0.0.1:0", Runner: cs.runner, Board: bd,
 		Limits: caller.Limits{ListLag: 1, StopWait: 1, IdleTimeout: clock.Hour}}
 	go func() { cs.done <- cs.srv.Run(ctx) }()
 	select {
@@ -94,9 +94,9 @@
 	}
 }
 
-// ask sends one request on a connection of its own and returns the connection
+// sendRequest sends one request on a connection of its own and returns the connection
 // and its reader.
-func (cs *callerSite) ask(request string) (net.Conn, *bufio.Reader, error) {
+func (cs *callerServer) sendRequest(request string) (net.Conn, *bufio.Reader, error) {
 	cn, err := net.Dial("tcp", cs.srv.Addr().String())
 	if err != nil {
 		return nil, nil, fmt.Errorf("dial: %w", err)
@@ -107,15 +107,15 @@
 	return cn, bufio.NewReaderSize(cn, 1<<10), nil
 }
 
-func (cs *callerSite) close(conns []net.Conn) {
+func (cs *callerServer) close(conns []net.Conn) {
 	for _, cn := range conns {
 		cn.Close()
 	}
-	cs.rn.mu.Lock()
-	for _, st := range cs.rn.streams {
+	cs.runner.mu.Lock()
+	for _, st := range cs.runner.streams {
 		st.End([]byte("{}"))
 	}
-	cs.rn.mu.Unlock()
+	cs.runner.mu.Unlock()
 	cs.stop()
 	<-cs.done
 }
@@ -124,19 +124,19 @@
 // callers read.
 func measureStreams(ctx context.Context, rp *Report) error {
 	measureAnswers(rp)
-	idle := rp.series(Series{Name: "IdleConnectionMemory", Along: "idle connections", Unit: "B", Kind: Memory,
-		Shape: Linear, Target: connTarget})
+	idle := rp.addSeries(Series{Name: "IdleConnectionMemory", Along: "idle connections", Unit: "B", Kind: Memory,
+		Shape: Linear, Target: connectionsTarget})
 	request := fmt.Sprintf("GET /v1/addresses HTTP/1.1\r\nHost: vm\r\nAuthorization: Bearer %s\r\n\r\n", apiKey)
-	if err := holdCallers(ctx, idle, request, readWhole); err != nil {
+	if err := holdConnections(ctx, idle, request, readResponse); err != nil {
 		return fmt.Errorf("idle connections: %w", err)
 	}
-	open := rp.series(Series{Name: "OpenStreamMemory", Along: "open streams", Unit: "B", Kind: Memory,
+	open := rp.addSeries(Series{Name: "OpenStreamMemory", Along: "open streams", Unit: "B", Kind: Memory,
 		Shape: Linear, Target: openTarget})
 	body := `{"model":"rapportmodel","stream":true,"max_tokens":278,"messages":[{"role":"user","content":"` +
 		strings.Repeat("weld 7 leaks. ", 200) + `"}]}`
 	request = fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: vm\r\nAuthorization: Bearer %s\r\n"+
 		"Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", apiKey, len(body), body)
-	if err := holdCallers(ctx, open, request, readToken); err != nil {
+	if err := holdConnections(ctx, open, request, readToFirstToken); err != nil {
 		return fmt.Errorf("open streams: %w", err)
 	}
 	return measureTokens(ctx, rp, request)
@@ -144,32 +144,32 @@
 
 // measureAnswers weighs whole answers of the usual length.
 func measureAnswers(rp *Report) {
-	memory := rp.series(Series{Name: "AnswerMemory", Along: "answers of 278 tokens", Unit: "B", Kind: Memory,
+	memory := rp.addSeries(Series{Name: "AnswerMemory", Along: "answers of 278 tokens", Unit: "B", Kind: Memory,
 		Shape: Linear, Target: openTarget})
 	for _, count := range callerCounts {
-		empty := held()
+		empty := memoryInUse()
 		var streams []*answer.Stream
 		for range count {
 			st := answer.NewStream()
-			for range tokensOfAnswer {
+			for range answerTokens {
 				st.Token([]byte(tokenText))
 			}
 			streams = append(streams, st)
 		}
-		memory.add(count, held()-empty)
+		memory.addPoint(count, memoryInUse()-empty)
 		runtime.KeepAlive(streams)
 	}
 }
 
-// holdCallers keeps connections open after one request on each.
-func holdCallers(ctx context.Context, memory *Series, request string, read func(rd *bufio.Reader) error) error {
-	cs, err := startCallers(ctx)
+// holdConnections keeps connections open after one request on each.
+func holdConnections(ctx context.Context, memory *Series, request string, read func(rd *bufio.Reader) error) error {
+	cs, err := startCallerServer(ctx)
 	if err != nil {
 		return err
 	}
 	var conns []net.Conn
 	defer func() { cs.close(conns) }()
-	warm, rd, err := cs.ask(request)
+	warm, rd, err := cs.sendRequest(request)
 	if err != nil {
 		return err
 	}
@@ -177,10 +177,10 @@
 	if err := read(rd); err != nil {
 		return err
 	}
-	empty := held()
+	empty := memoryInUse()
 	for _, count := range callerCounts {
 		for len(conns) <= count {
-			cn, rd, err := cs.ask(request)
+			cn, rd, err := cs.sendRequest(request)
 			if cn != nil {
 				conns = append(conns, cn)
 			}
@@ -191,13 +191,13 @@
 				return err
 			}
 		}
-		memory.add(count, held()-empty)
+		memory.addPoint(count, memoryInUse()-empty)
 	}
 	return nil
 }
 
-// readWhole reads an answer with a length.
-func readWhole(rd *bufio.Reader) error {
+// readResponse reads an answer with a length.
+func readResponse(rd *bufio.Reader) error {
 	rsp, err := http.ReadResponse(rd, nil)
 	if err != nil {
 		return fmt.Errorf("read: %w", err)
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// readToken reads a stream up to its first token.
-func readToken(rd *bufio.Reader) error {
+// readToFirstToken reads a stream up to its first token.
+func readToFirstToken(rd *bufio.Reader) error {
 	for {
 		line, err := rd.ReadString('\n')
 		if err != nil {
@@ -231,45 +231,45 @@
 // measureTokens sends tokens to one caller and counts what they cost.
 func measureTokens(ctx context.Context, rp *Report, request string) error {
 	const tokens = 20_000
-	cs, err := startCallers(ctx)
+	cs, err := startCallerServer(ctx)
 	if err != nil {
 		return err
 	}
-	cn, rd, err := cs.ask(request)
+	cn, rd, err := cs.sendRequest(request)
 	if err != nil {
 		return err
 	}
 	defer cs.close([]net.Conn{cn})
-	if err := readToken(rd); err != nil {
+	if err := readToFirstToken(rd); err != nil {
 		return err
 	}
-	cs.rn.mu.Lock()
-	st := cs.rn.streams[0]
-	cs.rn.mu.Unlock()
-	began, err := processor()
+	cs.runner.mu.Lock()
+	st := cs.runner.streams[0]
+	cs.runner.mu.Unlock()
+	began, err := processorTime()
 	if err != nil {
 		return err
 	}
 	size := 0
 	for range tokens {
 		st.Token([]byte(tokenText))
-		got, err := readEvent(rd)
+		got, err := readToNextToken(rd)
 		if err != nil {
 			return err
 		}
 		size += got
 	}
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return err
 	}
-	rp.fact("TokenBytes", Count, float64(size)/tokens, "B sent to a caller for one token")
-	rp.fact("TokenTime", Time, float64((ended-began).Microseconds())/tokens, "us for one token that is sent by itself, both ends")
+	rp.addFact("TokenBytes", Count, float64(size)/tokens, "B sent to a caller for one token")
+	rp.addFact("TokenTime", Time, float64((ended-began).Microseconds())/tokens, "us for one token that is sent by itself, both ends")
 	return nil
 }
 
-// readEvent reads up to the next token and returns the bytes that it took.
-func readEvent(rd *bufio.Reader) (int, error) {
+// readToNextToken reads up to the next token and returns the bytes that it took.
+func readToNextToken(rd *bufio.Reader) (int, error) {
 	size := 0
 	for {
 		line, err := rd.ReadString('\n')
--- a/internal/slope/virtual.go
+++ b/internal/slope/virtual.go
@@ -22,66 +22,66 @@
 	headerBytes = 28
 	macBytes    = 16
 
-	// usualSequence is a number that a datagram bears after some days.
-	usualSequence = 1 << 20
+	// typicalSequence is a number that a datagram bears after some days.
+	typicalSequence = 1 << 20
 
-	startedAt = 1764691200000 // an incarnation
+	typicalIncarnation = 1764691200000 // an incarnation
 )
 
 type (
 	// virtualFleet exchanges datagrams between real detectors under virtual
 	// time, with the delays of three regions and without loss.
 	virtualFleet struct {
-		now   clock.Millis
-		rnd   *rand.Rand
-		vms   []*virtualVM
-		byID  map[string]*virtualVM
-		queue arrivals
-		seq   int
-		steps int
+		now    clock.Millis
+		rnd    *rand.Rand
+		vms    []*virtualVM
+		byID   map[string]*virtualVM
+		events eventQueue
+		seq    int
+		steps  int
 
-		second      clock.Millis // up to when the window of peaks runs
-		window      int          // bytes of the busiest VM in a second, so far
-		windowCount int          // datagrams of the busiest VM in a second
+		secondEnds    clock.Millis // up to when the window of peaks runs
+		peakBytes     int          // bytes of the busiest VM in a second, so far
+		peakDatagrams int          // datagrams of the busiest VM in a second
 	}
 
 	virtualVM struct {
-		dt       *membership.Detector
-		self     board.VM
-		up       bool
-		tickAt   clock.Millis
-		fleet    *board.Fleet
-		freshTo  clock.Millis
-		messages int
-		bytes    int
-		inSecond int
-		nSecond  int
+		dt              *membership.Detector
+		self            board.VM
+		up              bool
+		tickAt          clock.Millis
+		fleet           *board.Fleet
+		quorumUntil     clock.Millis
+		messages        int
+		bytes           int
+		secondBytes     int
+		secondDatagrams int
 	}
 
-	arrival struct {
+	scheduledEvent struct {
 		at  clock.Millis
 		seq int
 		vm  *virtualVM
 		ev  membership.Event
 	}
 
-	arrivals []arrival
+	eventQueue []scheduledEvent
 )
 
-func (ar arrivals) Len() int { return len(ar) }
-func (ar arrivals) Less(ia, ib int) bool {
+func (ar eventQueue) Len() int { return len(ar) }
+func (ar eventQueue) Less(ia, ib int) bool {
 	if ar[ia].at != ar[ib].at {
 		return ar[ia].at < ar[ib].at
 	}
 	return ar[ia].seq < ar[ib].seq
 }
-func (ar arrivals) Swap(ia, ib int) { ar[ia], ar[ib] = ar[ib], ar[ia] }
+func (ar eventQueue) Swap(ia, ib int) { ar[ia], ar[ib] = ar[ib], ar[ia] }
 
 // Push implements [heap.Interface].
-func (ar *arrivals) Push(item any) { *ar = append(*ar, item.(arrival)) }
+func (ar *eventQueue) Push(item any) { *ar = append(*ar, item.(scheduledEvent)) }
 
 // Pop implements [heap.Interface].
-func (ar *arrivals) Pop() any {
+func (ar *eventQueue) Pop() any {
 	old := *ar
 	last := old[len(old)-1]
 	*ar = old[:len(old)-1]
@@ -92,7 +92,7 @@
 func fleetVM(ix int) board.VM {
 	domain := ix % domains
 	return board.VM{
-		VMRef:         board.VMRef{ID: fmt.Sprintf("domain-%d-%03d", domain, ix), Incarnation: startedAt},
+		VMRef:         board.VMRef{ID: fmt.Sprintf("domain-%d-%03d", domain, ix), Incarnation: typicalIncarnation},
 		FailureDomain: fmt.Sprintf("domain-%d", domain),
 		Region:        fmt.Sprintf("region-%d", domain%regions),
 		Caller:        fmt.Sprintf("10.%d.0.%d:8443", domain, ix%250),
@@ -122,23 +122,23 @@
 // looked at ten times a second, holds. It tells whether the condition did.
 func (vf *virtualFleet) run(span clock.Millis, until func() bool) bool {
 	end, look := vf.now+span, vf.now
-	for len(vf.queue) > 0 && vf.queue[0].at <= end {
-		ar := heap.Pop(&vf.queue).(arrival)
+	for len(vf.events) > 0 && vf.events[0].at <= end {
+		ar := heap.Pop(&vf.events).(scheduledEvent)
 		vf.now = max(vf.now, ar.at)
-		vf.closeSecond()
+		vf.updatePeaks()
 		if until != nil && vf.now >= look {
 			if until() {
 				return true
 			}
 			look = vf.now + clock.Second/10
 		}
-		vf.take(ar)
+		vf.deliver(ar)
 	}
 	vf.now = end
 	return false
 }
 
-func (vf *virtualFleet) take(ar arrival) {
+func (vf *virtualFleet) deliver(ar scheduledEvent) {
 	if !ar.vm.up {
 		return
 	}
@@ -163,18 +163,18 @@
 		case membership.FleetChanged:
 			vm.fleet = in.Fleet
 		case membership.QuorumDeadline:
-			vm.freshTo = in.Until
+			vm.quorumUntil = in.Until
 		case membership.Wake:
 			if vm.tickAt == 0 || in.At < vm.tickAt {
 				vm.tickAt = in.At
-				vf.push(in.At, vm, membership.Tick{})
+				vf.schedule(in.At, vm, membership.Tick{})
 			}
 		}
 	}
 }
 
 func (vf *virtualFleet) send(from *virtualVM, in membership.Send) {
-	in.Datagram.Sequence = usualSequence
+	in.Datagram.Sequence = typicalSequence
 	from.count(in.Datagram)
 	to, ok := vf.byID[in.To.ID]
 	if !ok {
@@ -184,12 +184,12 @@
 	if to.self.Region != from.self.Region {
 		delay += 10
 	}
-	vf.push(vf.now+delay, to, membership.Received{Datagram: in.Datagram})
+	vf.schedule(vf.now+delay, to, membership.Received{Datagram: in.Datagram})
 }
 
-func (vf *virtualFleet) push(at clock.Millis, vm *virtualVM, ev membership.Event) {
+func (vf *virtualFleet) schedule(at clock.Millis, vm *virtualVM, ev membership.Event) {
 	vf.seq++
-	heap.Push(&vf.queue, arrival{at: at, seq: vf.seq, vm: vm, ev: ev})
+	heap.Push(&vf.events, scheduledEvent{at: at, seq: vf.seq, vm: vm, ev: ev})
 }
 
 // count adds a datagram that the VM sent or received.
@@ -197,33 +197,33 @@
 	size := proto.Size(dg) + headerBytes + macBytes
 	vm.messages++
 	vm.bytes += size
-	vm.nSecond++
-	vm.inSecond += size
+	vm.secondDatagrams++
+	vm.secondBytes += size
 }
 
-// closeSecond keeps the busiest second of any VM.
-func (vf *virtualFleet) closeSecond() {
-	if vf.now < vf.second {
+// updatePeaks keeps the busiest second of any VM.
+func (vf *virtualFleet) updatePeaks() {
+	if vf.now < vf.secondEnds {
 		return
 	}
-	vf.second = vf.now + clock.Second
+	vf.secondEnds = vf.now + clock.Second
 	for _, vm := range vf.vms {
-		vf.window = max(vf.window, vm.inSecond)
-		vf.windowCount = max(vf.windowCount, vm.nSecond)
-		vm.inSecond, vm.nSecond = 0, 0
+		vf.peakBytes = max(vf.peakBytes, vm.secondBytes)
+		vf.peakDatagrams = max(vf.peakDatagrams, vm.secondDatagrams)
+		vm.secondBytes, vm.secondDatagrams = 0, 0
 	}
 }
 
-// begin starts the counts anew.
-func (vf *virtualFleet) begin() {
-	vf.steps, vf.window, vf.windowCount, vf.second = 0, 0, 0, vf.now+clock.Second
+// resetCounts starts the counts anew.
+func (vf *virtualFleet) resetCounts() {
+	vf.steps, vf.peakBytes, vf.peakDatagrams, vf.secondEnds = 0, 0, 0, vf.now+clock.Second
 	for _, vm := range vf.vms {
-		vm.messages, vm.bytes, vm.inSecond, vm.nSecond = 0, 0, 0, 0
+		vm.messages, vm.bytes, vm.secondBytes, vm.secondDatagrams = 0, 0, 0, 0
 	}
 }
 
-// mean returns datagrams and bytes, sent and received, of the mean live VM.
-func (vf *virtualFleet) mean() (messages, bytes float64) {
+// meanTraffic returns datagrams and bytes, sent and received, of the mean live VM.
+func (vf *virtualFleet) meanTraffic() (messages, bytes float64) {
 	live := 0
 	for _, vm := range vf.vms {
 		if vm.up {
@@ -235,9 +235,9 @@
 	return messages / float64(live), bytes / float64(live)
 }
 
-// agree tells whether every live VM sees every VM in the given health if it is
+// healthAgreed tells whether every live VM sees every VM in the given health if it is
 // up, and Dead if it is not.
-func (vf *virtualFleet) agree() bool {
+func (vf *virtualFleet) healthAgreed() bool {
 	for _, vm := range vf.vms {
 		if !vm.up {
 			continue
@@ -254,10 +254,10 @@
 	return true
 }
 
-// quorate tells whether every live VM reaches a majority.
-func (vf *virtualFleet) quorate() bool {
+// allQuorate tells whether every live VM reaches a majority.
+func (vf *virtualFleet) allQuorate() bool {
 	for _, vm := range vf.vms {
-		if vm.up && vm.freshTo <= vf.now {
+		if vm.up && vm.quorumUntil <= vf.now {
 			return false
 		}
 	}
--- a/internal/slope/wire.go
+++ b/internal/slope/wire.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	wireSecret = "a-secret-of-the-measurement-on-loopback"
-	wireRounds = 200
-	wireWithin = 30 * clock.Second
+	wireSecret  = "a-secret-of-the-measurement-on-loopback"
+	wireRounds  = 200
+	wireTimeout = 30 * clock.Second
 
 	// Counters of internal/peer.
 	bytesInCounter  = "PeerBytesReceived+"
 	bytesOutCounter = "PeerBytesSent+"
 
-	dialsPerRound  = 64
-	sessionTarget  = 2 * (fleetTarget - 1) // a mesh in which each pair dials both ways
-	streamsTarget  = 250                   // decodes of one VM at the peak
-	usualPrompt    = 3000
-	usualMaxTokens = 1024
+	dialCount           = 64
+	sessionTarget       = 2 * (fleetTarget - 1) // a mesh in which each pair dials both ways
+	streamsTarget       = 250                   // decodes of one VM at the peak
+	typicalPromptTokens = 3000
+	typicalMaxTokens    = 1024
 )
 
 var (
 	sessionCounts = []int{1, 8, 16, 32, 64, 96}
 	streamCounts  = []int{1, 10, 25, 50, 100}
 
-	errUnheard = errors.New("the other VM was not heard")
+	errStreamStillOpen = errors.New("the other VM was not heard")
 )
 
 type (
@@ -47,20 +47,20 @@
 		done  chan error
 	}
 
-	// echo answers each stream as its first frame wants.
-	echo struct{}
+	// replyHandler answers each stream as its first frame wants.
+	replyHandler struct{}
 )
 
 // Serve implements [peer.Handler]: a claim is granted, a reservation gets its
 // place, and any other stream is held until its end.
-func (echo) Serve(_ context.Context, _ board.VMRef, cn *peer.Conn) {
+func (replyHandler) Serve(_ context.Context, _ board.VMRef, cn *peer.Conn) {
 	fr, err := cn.Recv()
 	if err != nil {
 		return
 	}
 	switch fr.GetBody().(type) {
 	case *peerpb.Frame_ClaimAsk:
-		cn.Send(claimReply())
+		cn.Send(claimReplyFrame())
 	case *peerpb.Frame_ReserveAsk:
 		serveReservation(cn)
 	default:
@@ -90,14 +90,14 @@
 	}
 }
 
-func startWire(ctx context.Context, id string) (*wireVM, error) {
+func startWireVM(ctx context.Context, id string) (*wireVM, error) {
 	ctx, stop := context.WithCancel(ctx)
 	wv := &wireVM{scope: tally.NewTestScope("", nil), stop: stop, done: make(chan error, 1)}
 	wv.tr = &peer.Transport{
-		Self:      board.VMRef{ID: id, Incarnation: startedAt},
+		Self:      board.VMRef{ID: id, Incarnation: typicalIncarnation},
 		Listen:    "127.0.0.1:0",
 		Secret:    []byte(wireSecret),
-		Handler:   echo{},
+		Handler:   replyHandler{},
 		Scope:     wv.scope,
 		IdleClose: clock.Hour,
 	}
@@ -149,41 +149,41 @@
 }
 
 func measureCalls(ctx context.Context, rp *Report) error {
-	near, err := startWire(ctx, "domain-0-000")
+	near, err := startWireVM(ctx, "domain-0-000")
 	if err != nil {
 		return err
 	}
 	defer near.close()
-	far, err := startWire(ctx, "domain-1-001")
+	far, err := startWireVM(ctx, "domain-1-001")
 	if err != nil {
 		return err
 	}
 	defer far.close()
-	ctx, stop := context.WithTimeout(ctx, wireWithin.Std())
+	ctx, stop := context.WithTimeout(ctx, wireTimeout.Std())
 	defer stop()
-	if _, err := near.tr.Call(ctx, far.vm(), claimAsk(0)); err != nil {
+	if _, err := near.tr.Call(ctx, far.vm(), claimAskFrame(0)); err != nil {
 		return fmt.Errorf("first call: %w", err)
 	}
-	rp.fact("SessionSetupBytes", Count, near.bytes(), "B to set up a session and make one call")
+	rp.addFact("SessionSetupBytes", Count, near.bytes(), "B to set up a session and make one call")
 	calls := []struct {
 		name, unit string
 		once       func(round int) error
 	}{
 		{"ClaimCallBytes", "B of one ask to a seat and its reply", func(round int) error {
-			_, err := near.tr.Call(ctx, far.vm(), claimAsk(round))
+			_, err := near.tr.Call(ctx, far.vm(), claimAskFrame(round))
 			return err
 		}},
 		{"UpdateCallBytes", "B of one update to a seat and its reply", func(round int) error {
-			_, err := near.tr.Call(ctx, far.vm(), claimUpdate(round))
+			_, err := near.tr.Call(ctx, far.vm(), claimUpdateFrame(round))
 			return err
 		}},
 		{"ReservationBytes", "B of one reservation over its life, without pings", func(round int) error {
-			return reserve(ctx, near, far, round)
+			return runReservation(ctx, near, far, round)
 		}},
 	}
 	for _, cl := range calls {
 		before := near.bytes()
-		began, err := processor()
+		began, err := processorTime()
 		if err != nil {
 			return err
 		}
@@ -192,24 +192,24 @@
 				return fmt.Errorf("%s: %w", cl.name, err)
 			}
 		}
-		ended, err := processor()
+		ended, err := processorTime()
 		if err != nil {
 			return err
 		}
-		rp.fact(cl.name, Count, (near.bytes()-before)/wireRounds, cl.unit)
-		rp.fact(cl.name+"Time", Time, float64((ended-began).Microseconds())/wireRounds, "us for both ends together")
+		rp.addFact(cl.name, Count, (near.bytes()-before)/wireRounds, cl.unit)
+		rp.addFact(cl.name+"Time", Time, float64((ended-began).Microseconds())/wireRounds, "us for both ends together")
 	}
 	return nil
 }
 
-// reserve plays the runner's side of one reservation.
-func reserve(ctx context.Context, near, far *wireVM, round int) error {
+// runReservation plays the runner's side of one reservation.
+func runReservation(ctx context.Context, near, far *wireVM, round int) error {
 	cn, err := near.tr.Open(ctx, far.vm())
 	if err != nil {
 		return fmt.Errorf("open: %w", err)
 	}
 	defer cn.Close()
-	if err := cn.Send(reserveAsk(round)); err != nil {
+	if err := cn.Send(reserveAskFrame(round)); err != nil {
 		return fmt.Errorf("ask: %w", err)
 	}
 	for range 2 { // the sign of life and the grant
@@ -218,7 +218,7 @@
 		}
 	}
 	for _, stage := range []sched.Stage{sched.Prefilling, sched.Prefilled} {
-		if err := cn.Send(progress(stage, "rapportmodel-prefill-17")); err != nil {
+		if err := cn.Send(progressFrame(stage, "rapportmodel-prefill-17")); err != nil {
 			return fmt.Errorf("tell: %w", err)
 		}
 	}
@@ -226,20 +226,20 @@
 		return fmt.Errorf("read: %w", err)
 	}
 	for _, stage := range []sched.Stage{sched.Transferring, sched.Decoding, sched.Ended} {
-		if err := cn.Send(progress(stage, "rapportmodel-decode-41")); err != nil {
+		if err := cn.Send(progressFrame(stage, "rapportmodel-decode-41")); err != nil {
 			return fmt.Errorf("tell: %w", err)
 		}
 	}
 	_, err = cn.Recv() // the accountant closes its side last
 	if err == nil {
-		return errUnheard
+		return errStreamStillOpen
 	}
 	return nil
 }
 
 // measureSessions holds idle sessions from one VM to others.
 func measureSessions(ctx context.Context, rp *Report) error {
-	memory := rp.series(Series{Name: "SessionMemory", Along: "idle sessions", Unit: "B of both ends",
+	memory := rp.addSeries(Series{Name: "SessionMemory", Along: "idle sessions", Unit: "B of both ends",
 		Kind: Memory, Shape: Linear, Target: sessionTarget})
 	for _, count := range sessionCounts {
 		if err := holdSessions(ctx, count, memory); err != nil {
@@ -257,73 +257,73 @@
 		}
 	}()
 	for ix := range count + 1 {
-		wv, err := startWire(ctx, fmt.Sprintf("domain-0-%03d", ix))
+		wv, err := startWireVM(ctx, fmt.Sprintf("domain-0-%03d", ix))
 		if err != nil {
 			return err
 		}
 		vms = append(vms, wv)
 	}
-	empty := held()
-	within, stop := context.WithTimeout(ctx, wireWithin.Std())
+	empty := memoryInUse()
+	within, stop := context.WithTimeout(ctx, wireTimeout.Std())
 	defer stop()
 	for _, wv := range vms[1:] {
-		if _, err := vms[0].tr.Call(within, wv.vm(), claimAsk(0)); err != nil {
+		if _, err := vms[0].tr.Call(within, wv.vm(), claimAskFrame(0)); err != nil {
 			return fmt.Errorf("call: %w", err)
 		}
 	}
-	memory.add(count, held()-empty)
+	memory.addPoint(count, memoryInUse()-empty)
 	return nil
 }
 
 // measureDials measures the processor time of new sessions.
 func measureDials(ctx context.Context, rp *Report) error {
-	far, err := startWire(ctx, "domain-0-000")
+	far, err := startWireVM(ctx, "domain-0-000")
 	if err != nil {
 		return err
 	}
 	defer far.close()
-	began, err := processor()
+	began, err := processorTime()
 	if err != nil {
 		return err
 	}
-	for ix := range dialsPerRound {
-		near, err := startWire(ctx, fmt.Sprintf("domain-1-%03d", ix))
+	for ix := range dialCount {
+		near, err := startWireVM(ctx, fmt.Sprintf("domain-1-%03d", ix))
 		if err != nil {
 			return err
 		}
-		_, err = near.tr.Call(ctx, far.vm(), claimAsk(0))
+		_, err = near.tr.Call(ctx, far.vm(), claimAskFrame(0))
 		near.close()
 		if err != nil {
 			return fmt.Errorf("call: %w", err)
 		}
 	}
-	ended, err := processor()
+	ended, err := processorTime()
 	if err != nil {
 		return err
 	}
-	rp.fact("SessionSetupTime", Time, float64((ended-began).Microseconds())/dialsPerRound,
+	rp.addFact("SessionSetupTime", Time, float64((ended-began).Microseconds())/dialCount,
 		"us to start a transport, dial, call once and stop, both ends together")
 	return nil
 }
 
 // measureHeldStreams holds streams open on one session.
 func measureHeldStreams(ctx context.Context, rp *Report) error {
-	memory := rp.series(Series{Name: "PeerStreamMemory", Along: "open streams", Unit: "B of both ends",
+	memory := rp.addSeries(Series{Name: "PeerStreamMemory", Along: "open streams", Unit: "B of both ends",
 		Kind: Memory, Shape: Linear, Target: streamsTarget})
-	near, err := startWire(ctx, "domain-0-000")
+	near, err := startWireVM(ctx, "domain-0-000")
 	if err != nil {
 		return err
 	}
 	defer near.close()
-	far, err := startWire(ctx, "domain-1-001")
+	far, err := startWireVM(ctx, "domain-1-001")
 	if err != nil {
 		return err
 	}
 	defer far.close()
-	if _, err := near.tr.Call(ctx, far.vm(), claimAsk(0)); err != nil {
+	if _, err := near.tr.Call(ctx, far.vm(), claimAskFrame(0)); err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
-	empty := held()
+	empty := memoryInUse()
 	var conns []*peer.Conn
 	defer func() {
 		for _, cn := range conns {
@@ -338,7 +338,7 @@
 			}
 			conns = append(conns, cn)
 		}
-		memory.add(count, held()-empty)
+		memory.addPoint(count, memoryInUse()-empty)
 	}
 	measurePings(rp, near)
 	return nil
@@ -363,6 +363,6 @@
 	const span = 10 * clock.Second
 	before := near.bytes()
 	time.Sleep(span.Std())
-	rp.fact("SilentSessionBytes", Count, (near.bytes()-before)/seconds(span),
+	rp.addFact("SilentSessionBytes", Count, (near.bytes()-before)/seconds(span),
 		"B/s of a session whose streams say nothing")
 }
