--- a/internal/slope/claims.go
+++ b/internal/slope/claims.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	recordVMs     = 24   // seats of the fleet whose records are weighed
-	claimRate     = 25.5 // new requests a second at one VM
+	recordVMs     = 24   // seats of the fleet in which the memory of a record is measured
+	claimRate     = 25.5 // new requests per second at one VM
 	claimSpan     = 20   // seconds
 	claimSeed     = 11
-	recordsTarget = 31_000 // 9,700/s, two seats each, ten seconds of run and ten minutes kept, over 380 VMs
+	recordsTarget = 31_000 // per VM: 9,700/s on 380 VMs, two seats each, kept for ten seconds of run and ten minutes after
 )
 
 var (
 	duplicateRates = []int{0, 5, 10, 20, 35, 50}
 	recordCounts   = []int{1000, 5000, 10_000, 20_000, 40_000}
 
-	errNoVerdict    = errors.New("a claim came to no verdict")
-	errGrantedTwice = errors.New("a key was given to two runners")
+	errNoVerdict    = errors.New("a claim got no verdict")
+	errGrantedTwice = errors.New("a key was granted to two runners")
 )
 
 type (
-	// claimFleet is the books of a fleet, asked without a network between.
+	// claimFleet connects the claim books of a fleet directly, without a network.
 	claimFleet struct {
 		now   clock.Millis
 		fleet *board.Fleet
 		books map[string]*claim.Book
 		seats *claim.SeatTable
 		calls int // between different VMs
-		bytes int // of their frames, asks and replies
+		bytes int // frames of these calls, requests and replies
 		steps int
 		seed  uint64
 	}
 
-	// claimRun is one request's link to its seats.
+	// claimRun is one request with its claim and its runner.
 	claimRun struct {
 		ak      *claim.Asker
 		runner  board.VMRef
@@ -55,7 +55,7 @@
 	}
 )
 
-// newClaimFleet starts the books with the first seat table.
+// newClaimFleet creates the books of all VMs with a first seat table.
 func newClaimFleet(vms int) *claimFleet {
 	cf := &claimFleet{now: clock.Second, fleet: &board.Fleet{Quorate: true, Epoch: 1}, books: make(map[string]*claim.Book)}
 	for ix := range vms {
@@ -74,7 +74,7 @@
 	return cf
 }
 
-// seatTable seats all VMs.
+// seatTable returns a seat table with a seat for every VM.
 func (cf *claimFleet) seatTable() *peerpb.SeatTable {
 	out := &peerpb.SeatTable{}
 	for _, vm := range cf.fleet.VMs {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// claimKey searches a key's grants for a request at a VM, to the verdict.
+// claimKey collects the grants of a key for a request at a VM until there is a verdict.
 func (cf *claimFleet) claimKey(at board.VMRef, key string) (*claimRun, error) {
 	cf.seed++
 	cr := &claimRun{runner: at, ak: &claim.Asker{
@@ -98,7 +98,7 @@
 	return cr, nil
 }
 
-// reportState tells the seats what became of the key.
+// reportState sends the new state of a key to its seats.
 func (cf *claimFleet) reportState(cr *claimRun, state claim.State) {
 	cf.execute(cr, cr.ak.Step(cf.now, claim.StateChanged{State: state, DecodeServer: "rapportmodel-decode-41",
 		EngineRequest: "kedelsyn/" + cr.ak.Key + "/1.0"}))
@@ -141,8 +141,8 @@
 	}
 }
 
-// measureClaims measures request keys at one VM, with duplicates through
-// another, and the memory of the records that seats keep.
+// measureClaims measures the cost of request keys at one VM, with duplicates at
+// another VM, and the memory of the records that seats keep.
 func measureClaims(_ context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind) *Series {
 		return rp.addSeries(Series{Name: name, Along: "duplicate keys/s", Unit: unit, Kind: kind, Shape: Linear, Target: 50})
@@ -171,8 +171,8 @@
 	return measureRecords(rp)
 }
 
-// measureHandoffs replaces one VM's seat and counts what the others send for
-// it while no records are kept.
+// measureHandoffs replaces one VM's seat and counts the handoff calls of the other VMs
+// when there are no records to hand over.
 func measureHandoffs(rp *Report) error {
 	along := func(name, unit string) *Series {
 		return rp.addSeries(Series{Name: name, Along: "VMs with seats", Unit: unit, Kind: Count, Shape: Linear, Target: fleetTarget})
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// timeLoad runs the load and returns its microseconds of processor time for each
-// second of it.
+// timeLoad runs the load and returns its processor time, in microseconds per second of
+// load.
 func (cf *claimFleet) timeLoad(duplicates int) (float64, error) {
 	began, err := processorTime()
 	if err != nil {
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// runLoad runs new keys at one VM, each of which decodes and ends, and repeats
-// some of them at another.
+// runLoad claims new keys at one VM, each of which decodes and completes, and sends
+// duplicates of some of them to another VM.
 func (cf *claimFleet) runLoad(duplicates int) error {
 	first, second := cf.fleet.VMs[0].VMRef, cf.fleet.VMs[1].VMRef
 	number := 0
@@ -277,7 +277,7 @@
 	return nil
 }
 
-// measureRecords fills the books of a fleet and weighs a record.
+// measureRecords fills the books of a fleet with records and measures their memory.
 func measureRecords(rp *Report) error {
 	memory := rp.addSeries(Series{Name: "ClaimRecordMemory", Along: "records", Unit: "B", Kind: Memory, Shape: Linear, Target: recordsTarget})
 	for _, count := range recordCounts {
--- a/internal/slope/cost.go
+++ b/internal/slope/cost.go
@@ -14,10 +14,11 @@
 	"alderdyke/internal/backend"
 )
 
-// gcRounds of collection make finalizers and pools let go.
+// gcRounds is the number of collections after which finalizers and pools have released
+// their objects.
 const gcRounds = 3
 
-// memoryInUse returns the bytes of heap and stacks in use after a collection.
+// memoryInUse returns the bytes of heap and stacks in use after garbage collection.
 func memoryInUse() float64 {
 	for range gcRounds {
 		runtime.GC()
@@ -28,25 +29,25 @@
 	return float64(ms.HeapAlloc + ms.StackInuse)
 }
 
-// allocations returns the number of heap objects made so far.
+// allocations returns the number of heap objects allocated so far.
 func allocations() float64 {
 	var ms runtime.MemStats
 	runtime.ReadMemStats(&ms)
 	return float64(ms.Mallocs)
 }
 
-// processorTime returns the processor time of this process so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() (time.Duration, error) {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
-		return 0, fmt.Errorf("read the processor time: %w", err)
+		return 0, fmt.Errorf("read processor time: %w", err)
 	}
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), nil
 }
 
 type (
-	// connBytes counts the bytes of connections in both directions, without
-	// the headers of TCP and IP.
+	// connBytes counts the bytes of connections in both directions, without TCP and IP
+	// headers.
 	connBytes struct{ in, out atomic.Int64 }
 
 	countedConn struct {
@@ -55,14 +56,14 @@
 	}
 )
 
-// Read counts what came.
+// Read counts the bytes received.
 func (cc countedConn) Read(buf []byte) (int, error) {
 	got, err := cc.Conn.Read(buf)
 	cc.wc.in.Add(int64(got))
 	return got, err
 }
 
-// Write counts what was sent.
+// Write counts the bytes sent.
 func (cc countedConn) Write(buf []byte) (int, error) {
 	sent, err := cc.Conn.Write(buf)
 	cc.wc.out.Add(int64(sent))
@@ -71,13 +72,13 @@
 
 func (wc *connBytes) total() float64 { return float64(wc.in.Load() + wc.out.Load()) }
 
-// client is the HTTP client of the adapters to backend servers, over counted
+// client returns an HTTP client as the clients of backend servers use it, over counted
 // connections.
 func (wc *connBytes) client() *http.Client {
 	return backend.NewHTTP(backend.Limits{Dial: wc.dial})
 }
 
-// transport is a plain HTTP transport over counted connections.
+// transport returns a plain HTTP transport over counted connections.
 func (wc *connBytes) transport() *http.Transport {
 	return &http.Transport{DialContext: wc.dial, MaxIdleConnsPerHost: 1}
 }
@@ -91,13 +92,13 @@
 	return countedConn{Conn: cn, wc: wc}, nil
 }
 
-// localServer is a server on loopback.
+// localServer is an HTTP server on loopback.
 type localServer struct {
 	hs   *http.Server
 	addr string
 }
 
-// serve answers on a free port of loopback until it is closed.
+// serve starts a server on a free loopback port. The caller closes it.
 func serve(handler http.Handler) (*localServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/slope/customers.go
+++ b/internal/slope/customers.go
@@ -21,8 +21,8 @@
 
 var customerCounts = []int{10, 50, 100, 250, 500, 1000}
 
-// typicalTemplate has the size of the samples: two classes at a model service
-// and two at a plain service.
+// typicalTemplate returns a template with the size of the samples: two classes of a
+// model service and two of a plain service.
 func typicalTemplate(number int) template.Template {
 	tpl := template.Template{
 		Customer:      fmt.Sprintf("customer-%04d", number),
@@ -46,7 +46,7 @@
 	return tpl
 }
 
-// measureCustomers folds the publications of many customers from the log.
+// measureCustomers applies the publications of many customers and measures their cost.
 func measureCustomers(_ context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
 		return rp.addSeries(Series{Name: name, Along: "customers", Unit: unit, Kind: kind, Shape: shape, Target: customerTarget})
@@ -60,13 +60,13 @@
 		empty := memoryInUse()
 		st, bd, err := applyPublications(count)
 		if err != nil {
-			return fmt.Errorf("%d customers: %w", count, err)
+			return fmt.Errorf("at %d customers: %w", count, err)
 		}
 		memory.addPoint(count, memoryInUse()-empty)
 		runtime.KeepAlive(bd)
 		data, err := st.Export()
 		if err != nil {
-			return fmt.Errorf("export: %w", err)
+			return fmt.Errorf("export the register: %w", err)
 		}
 		snapshot.addPoint(count, float64(len(data)))
 		written, size, err := sizeOfRestatements(st)
@@ -90,17 +90,17 @@
 	tpl := typicalTemplate(number)
 	value, err := json.Marshal(tpl)
 	if err != nil {
-		return nil, fmt.Errorf("write a template: %w", err)
+		return nil, fmt.Errorf("encode a template: %w", err)
 	}
 	data, err := register.Marshal(register.Publish{ID: requestKey(number), Key: tpl.Customer, Base: base, Value: value})
 	if err != nil {
-		return nil, fmt.Errorf("write a publication: %w", err)
+		return nil, fmt.Errorf("encode a publication: %w", err)
 	}
 	return data, nil
 }
 
-// applyPublications applies one publication for each customer and makes the
-// snapshot of the board of them.
+// applyPublications applies one publication for each customer and builds the board's
+// templates from the result.
 func applyPublications(count int) (*register.State, *board.Templates, error) {
 	st := &register.State{Content: register.Templates}
 	for number := range count {
@@ -118,7 +118,7 @@
 	for _, en := range st.Entries() {
 		var tpl template.Template
 		if err := json.Unmarshal(en.Value, &tpl); err != nil {
-			return nil, nil, fmt.Errorf("read a template: %w", err)
+			return nil, nil, fmt.Errorf("decode a template: %w", err)
 		}
 		bd.ByCustomer[en.Key] = board.ActiveTemplate{Template: tpl, Revision: en.Revision}
 		for _, hash := range tpl.KeyHashes {
@@ -128,7 +128,8 @@
 	return st, bd, nil
 }
 
-// sizeOfRestatements counts what it takes to write all that is in force again.
+// sizeOfRestatements returns the number and the total size of the records that restate
+// all current entries.
 func sizeOfRestatements(st *register.State) (written, size int, err error) {
 	for bucket := range register.DefaultBuckets {
 		rst, ok := st.Restatement(bucket)
@@ -137,7 +138,7 @@
 		}
 		data, err := register.Marshal(rst)
 		if err != nil {
-			return 0, 0, fmt.Errorf("write a restatement: %w", err)
+			return 0, 0, fmt.Errorf("encode a restatement: %w", err)
 		}
 		written++
 		size += len(data)
@@ -145,14 +146,14 @@
 	return written, size, nil
 }
 
-// timeChanges revises templates and returns the microseconds for each change.
+// timeChanges publishes revised templates and returns the microseconds per change.
 func timeChanges(st *register.State, count int) (float64, error) {
 	var batch []logsvc.Record
 	for round := range changeCount {
 		number := round % count
 		en, _ := st.Entry(typicalTemplate(number).Customer)
 		base := en.Revision
-		if round >= count { // revised by this loop before
+		if round >= count { // already revised by this loop
 			base = batch[round-count].Offset + 1
 		}
 		data, err := publication(number, base)
@@ -171,7 +172,7 @@
 		return 0, err
 	}
 	if len(bad) > 0 {
-		return 0, fmt.Errorf("changes were not read: %w", bad[0])
+		return 0, fmt.Errorf("changes could not be read: %w", bad[0])
 	}
 	return float64((ended - began).Microseconds()) / changeCount, nil
 }
--- a/internal/slope/engines.go
+++ b/internal/slope/engines.go
@@ -22,27 +22,27 @@
 	cellTarget    = 16 // engines of one cell
 
 	decodeSlots   = 20
-	decodesOfFour = 3    // of four engines decode
-	utilization   = 0.8  // of the decode slots in use
-	decodeSpan    = 9700 // ms that a decode holds its slot at the peak
+	decodesOfFour = 3    // decode engines among four engines
+	utilization   = 0.8  // share of the decode slots in use
+	decodeSpan    = 9700 // milliseconds that a decode holds its slot at peak load
 	prefillSpan   = 300
 	importSpan    = 40
 	cellSpan      = 30 * clock.Second
 	cellWarmUp    = 15 * clock.Second
 	engineSeed    = 7
 	pollRounds    = 50
-	runningSlots  = 160 // requests that a worker of eight accelerators holds
+	runningSlots  = 160 // requests on an engine with eight accelerators
 )
 
 var (
 	engineCounts = []int{12, 24, 48, 96, 190, 380, 600}
 	runCounts    = []int{1, 20, 40, 80, 160}
 
-	errNoGrant = errors.New("the cell granted nothing")
+	errNoGrant = errors.New("the cell made no grant")
 )
 
 type (
-	// cellLoad drives one real cell with requests at a steady rate.
+	// cellLoad submits requests to a real cell at a constant rate.
 	cellLoad struct {
 		cell      *sched.Cell
 		rnd       *rand.Rand
@@ -55,12 +55,12 @@
 		submitted int
 	}
 
-	// cellSeries are what an accountant spends on the requests of one cell.
+	// cellSeries is what the accounting VM spends on each request of one cell.
 	cellSeries struct{ steps, time, memory *Series }
 )
 
-// measureEngines measures decisions at several sizes of a cell, and what the
-// reports of engines and plain services cost.
+// measureEngines measures decisions in cells of several sizes, and the cost of the load
+// reports of engines and plain services.
 func measureEngines(ctx context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind) *Series {
 		return rp.addSeries(Series{Name: name, Along: "engines", Unit: unit, Kind: kind, Shape: Linear, Target: cellTarget})
@@ -79,7 +79,7 @@
 		}
 	}
 	if err := measurePolls(ctx, rp); err != nil {
-		return fmt.Errorf("polls of engines: %w", err)
+		return fmt.Errorf("poll engines: %w", err)
 	}
 	return measurePlainPoll(ctx, rp)
 }
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// run passes the time in milliseconds and submits requests at a rate a
-// millisecond.
+// run advances the time one millisecond at a time for the given span and submits
+// requests at the given rate per millisecond.
 func (cl *cellLoad) run(span clock.Millis, rate float64, servers []board.BackendServer) {
 	wanted := 0.0
 	for end := cl.now + span; cl.now < end; cl.now++ {
@@ -202,8 +202,8 @@
 	cl.scheduled[cl.now+span] = append(cl.scheduled[cl.now+span], ev)
 }
 
-// measurePolls measures load reports and lists of runs over HTTP as the real
-// client reads them.
+// measurePolls measures load reports and lists of running requests over HTTP, as the
+// real client reads them.
 func measurePolls(ctx context.Context, rp *Report) error {
 	runs := engine.RunningReport{}
 	mux := http.NewServeMux()
@@ -237,14 +237,14 @@
 		}
 		before := wc.total()
 		if _, err := ec.Running(ctx, srv); err != nil {
-			return fmt.Errorf("list runs: %w", err)
+			return fmt.Errorf("list running requests: %w", err)
 		}
 		listed.addPoint(count, wc.total()-before)
 	}
 	return nil
 }
 
-// measureRepeated makes a call many times over a connection that is open already.
+// measureRepeated repeats a call over an established connection and measures it.
 func measureRepeated(rp *Report, name string, wc *connBytes, call func() error) error {
 	if err := call(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
--- a/internal/slope/fit.go
+++ b/internal/slope/fit.go
@@ -10,15 +10,15 @@
 type Fit struct {
 	Shape     Shape
 	Intercept float64
-	Slope     float64 // per unit of what grows, or per e-fold of it
-	RSquared  float64 // 1 if all points lie on it
-	Residual  float64 // standard deviation of the points around it
-	Worst     float64 // largest distance of a point, as a part of the point's value
-	AtTarget  float64 // read off at the series' target
+	Slope     float64 // change per unit of what grows, or per factor e of it
+	RSquared  float64 // 1 if all points are on the fit
+	Residual  float64 // standard deviation of the points around the fit
+	Worst     float64 // largest deviation of a point, relative to the point's value
+	AtTarget  float64 // value of the fit at the series' target
 }
 
-// Fit fits the series' shape to its points. A series of fewer than two
-// points, or a Constant one, is fitted by its mean.
+// Fit fits the series' shape to its points. A Constant series, or one with fewer than
+// two points, is fitted by its mean.
 func (se *Series) Fit() Fit {
 	xs, ys := make([]float64, len(se.Points)), make([]float64, len(se.Points))
 	for ix, pt := range se.Points {
@@ -47,10 +47,10 @@
 	return ft
 }
 
-// at reads the fit off at a scaled size.
+// at returns the value of the fit at a scaled size.
 func (ft Fit) at(scaled float64) float64 { return ft.Intercept + ft.Slope*scaled }
 
-// At reads the fit off at a size.
+// At returns the value of the fit at a size.
 func (ft Fit) At(along float64) float64 { return ft.at(ft.Shape.scale(along)) }
 
 func (sh Shape) scale(along float64) float64 {
--- a/internal/slope/fleet.go
+++ b/internal/slope/fleet.go
@@ -28,11 +28,11 @@
 var (
 	realCounts = []int{3, 6, 12, 24, 48, 96}
 
-	errDiscoveryTimeout = errors.New("the VMs did not see each other in time")
+	errDiscoveryTimeout = errors.New("timeout: the VMs did not discover each other")
 )
 
 type (
-	// realFleet is real VMs and the stand-ins around them, in this process.
+	// realFleet runs real VMs, and the stand-ins that they need, in this process.
 	realFleet struct {
 		dp     *deployment.Deployment
 		vms    []*entry.VM
@@ -41,13 +41,13 @@
 		group  *errgroup.Group
 	}
 
-	// idleSeries are what one real VM spends at rest.
+	// idleSeries is what one real VM spends without requests.
 	idleSeries struct{ time, allocs, memory, datagrams, frames *Series }
 )
 
-// measureFleet runs real VMs at rest. Processor time, objects and memory are
-// those of the whole process, with the stand-ins in it: the slope is what one
-// more VM adds, with the answers to its polls.
+// measureFleet runs real VMs without requests. Processor time, objects and memory are
+// those of the whole process, including the stand-ins. The slope is therefore the cost
+// of one more VM plus that of answering its polls.
 func measureFleet(ctx context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
 		return rp.addSeries(Series{Name: name, Along: "VMs", Unit: unit, Kind: kind, Shape: shape, Target: realTarget})
@@ -61,7 +61,7 @@
 	}
 	for _, count := range realCounts {
 		if err := rs.measure(ctx, count); err != nil {
-			return fmt.Errorf("%d VMs: %w", count, err)
+			return fmt.Errorf("at %d VMs: %w", count, err)
 		}
 	}
 	return nil
@@ -131,8 +131,8 @@
 	return rf, nil
 }
 
-// hosts are loopback addresses, one for each VM, so that the ports of many
-// VMs never meet those of connections that others made.
+// hosts returns a loopback address for each VM. With separate addresses, the ports of
+// many VMs cannot collide with the local ports of other connections.
 func hosts(count int) []netip.Addr {
 	var out []netip.Addr
 	for ix := range count {
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// sumCounters adds the counters of the given beginning, sent and received, of all VMs.
+// sumCounters returns the sum over all VMs of the counters for sent and received with the
+// given prefix.
 func (rf *realFleet) sumCounters(name string) float64 {
 	total := int64(0)
 	for _, scope := range rf.scopes {
--- a/internal/slope/frames.go
+++ b/internal/slope/frames.go
@@ -10,13 +10,13 @@
 	"alderdyke/pkg/clock"
 )
 
-// Sizes of usual messages.
+// Contents of typical messages.
 const (
-	fingerprintBytes = 32 // of a request's fingerprint
+	fingerprintBytes = 32 // length of a request's fingerprint
 	typicalClaim     = 0x9e3779b97f4a7c15
 )
 
-// requestKey is a key as callers make them: a UUID.
+// requestKey returns a key like those of callers: a UUID.
 func requestKey(number int) string {
 	return fmt.Sprintf("7f9c24e8-3b12-4fef-91e2-%012d", number)
 }
--- a/internal/slope/members.go
+++ b/internal/slope/members.go
@@ -13,7 +13,7 @@
 	fleetTarget = 380
 
 	membersSeed    = 20261202
-	membersSettle  = 220 * clock.Second // more than a round of probes at 380 VMs
+	membersSettle  = 220 * clock.Second // longer than a full round of probes at 380 VMs
 	membersSpan    = 60 * clock.Second
 	membersTimeout = 10 * clock.Minute
 )
@@ -21,16 +21,16 @@
 var (
 	memberCounts = []int{3, 6, 12, 24, 48, 96, 190, 380}
 
-	errNoAgreement = errors.New("the fleet did not come to agree in time")
+	errNoAgreement = errors.New("timeout: the VMs did not agree on each other's health")
 )
 
-// memberSeries are what one VM spends on membership at rest.
+// memberSeries is what one VM spends on membership without requests.
 type memberSeries struct {
 	messages, bytes, steps, allocs, time, memory *Series
 }
 
-// measureMembers runs the real failure detector at rest under virtual time,
-// and then loses a failure domain of the largest fleet.
+// measureMembers runs the real failure detector under virtual time, in a stable fleet and
+// then through the loss of a failure domain of the largest fleet.
 func measureMembers(ctx context.Context, rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
 		return rp.addSeries(Series{Name: name, Along: "VMs", Unit: unit, Kind: kind, Shape: shape, Target: fleetTarget})
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// measureLoss starts the whole fleet at once and then loses a domain of it.
+// measureLoss starts the whole fleet at once and then fails one failure domain.
 func measureLoss(rp *Report) error {
 	vf := newVirtualFleet(fleetTarget, membersSeed)
 	vf.resetCounts()
--- a/internal/slope/platform.go
+++ b/internal/slope/platform.go
@@ -14,7 +14,7 @@
 
 const listTarget = fleetTarget + enginesTarget
 
-// listCounts are entries of the VM list: today's, and on to the large fleet's.
+// listCounts are the numbers of VM list entries, from a small fleet to a large one.
 var listCounts = []int{20, 60, 120, 245, 490, 980}
 
 // measurePlatform measures the VM list and the log service over HTTP.
@@ -25,7 +25,7 @@
 	return measureLog(ctx, rp)
 }
 
-// listOf makes a list of which two in five entries are entry VMs.
+// listOf returns a list in which two of five entries are entry VMs.
 func listOf(entries int) vmlist.Document {
 	var doc vmlist.Document
 	vms := entries * fleetTarget / listTarget
@@ -55,7 +55,7 @@
 	took := along("ListWholeTime", "us of one fetch of a list that changed, both ends", Time, Linear)
 	for _, count := range listCounts {
 		if err := fetchList(ctx, count, whole, same, took); err != nil {
-			return fmt.Errorf("%d entries: %w", count, err)
+			return fmt.Errorf("at %d entries: %w", count, err)
 		}
 	}
 	return nil
@@ -72,12 +72,12 @@
 	cl := &vmlist.Client{URL: "http://" + st.addr, Token: wireSecret, HTTP: &http.Client{Transport: wc.transport()}}
 	sv.Put(listOf(count))
 	if _, err := cl.Fetch(ctx); err != nil {
-		return fmt.Errorf("fetch: %w", err)
+		return fmt.Errorf("fetch the list: %w", err)
 	}
 	before := wc.total()
 	for range pollRounds {
 		if _, err := cl.Fetch(ctx); err != nil {
-			return fmt.Errorf("fetch: %w", err)
+			return fmt.Errorf("fetch the list: %w", err)
 		}
 	}
 	same.addPoint(count, (wc.total()-before)/pollRounds)
@@ -89,7 +89,7 @@
 	for range pollRounds {
 		sv.Put(listOf(count))
 		if _, err := cl.Fetch(ctx); err != nil {
-			return fmt.Errorf("fetch: %w", err)
+			return fmt.Errorf("fetch the list: %w", err)
 		}
 	}
 	ended, err := processorTime()
--- a/internal/slope/plot.go
+++ b/internal/slope/plot.go
@@ -15,7 +15,7 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// plot draws the points and the fit up to the target.
+// plot draws the points and the fit up to the target, and saves them to a file.
 func (se *Series) plot(path string) error {
 	pl := plot.New()
 	pl.Title.Text = se.Name
@@ -29,7 +29,7 @@
 	}
 	sc, err := plotter.NewScatter(points)
 	if err != nil {
-		return fmt.Errorf("points: %w", err)
+		return fmt.Errorf("draw the points: %w", err)
 	}
 	ft := se.Fit()
 	line := plotter.NewFunction(ft.At)
@@ -38,7 +38,7 @@
 	pl.Add(plotter.NewGrid(), sc, line)
 	pl.X.Max, pl.Y.Max = most, math.Max(pl.Y.Max, ft.At(most))
 	if err := pl.Save(plotWidth, plotHeight, path); err != nil {
-		return fmt.Errorf("save: %w", err)
+		return fmt.Errorf("save the plot: %w", err)
 	}
 	return nil
 }
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -1,12 +1,11 @@
-// Package slope measures how the cost of one VM's control grows with the
-// fleet, the backend servers, the customers and the load, and fits a line to
-// each measurement.
+// Package slope measures how one VM's control cost grows with the fleet, the backend
+// servers, the customers and the load, and fits a curve to each measurement.
 //
-// A study runs real parts of the program at several sizes and adds points to
-// named series. Counts of messages, bytes, steps and records are the same on
-// every machine. Memory is what the Go heap and stacks hold after a
-// collection. Processor time is that of the whole process while nothing else
-// runs in it; it depends on the machine and its load.
+// A study runs real parts of the program at several sizes and adds points to named
+// series. Counts of messages, bytes, steps and records are the same on every computer.
+// Memory is what the Go heap and stacks hold after garbage collection. Processor time is
+// that of the whole process while nothing else runs in it; it depends on the computer and
+// its load.
 //
 // # Usage
 //
@@ -24,13 +23,13 @@
 	"slices"
 )
 
-// What a value depends on.
+// Kinds of a value, by what it depends on.
 const (
-	// Count is of messages, bytes, steps or records: the same on every machine.
+	// Count is a number of messages, bytes, steps or records: the same on every computer.
 	Count Kind = "Count"
-	// Memory is of the Go heap and stacks after a collection.
+	// Memory is the size of the Go heap and stacks after garbage collection.
 	Memory Kind = "Memory"
-	// Time is processor time of this machine.
+	// Time is processor time and depends on the computer.
 	Time Kind = "Time"
 )
 
@@ -38,31 +37,31 @@
 const (
 	Linear      Shape = "Linear"      // a + b x
 	Logarithmic Shape = "Logarithmic" // a + b ln x
-	Constant    Shape = "Constant"    // the mean, for what must not grow
+	Constant    Shape = "Constant"    // the mean, for values that must not grow
 )
 
 type (
-	// Kind tells what a value depends on.
+	// Kind is what a value depends on.
 	Kind string
 
-	// Shape of a fit.
+	// Shape is the shape of a fit.
 	Shape string
 
 	// Point is one measurement.
 	Point struct{ X, Y float64 }
 
-	// Series is one value at several sizes.
+	// Series is one quantity measured at several sizes.
 	Series struct {
-		Name   string // also names it in the files that are written
-		Along  string // what grows
-		Unit   string // of the value
+		Name   string // also the base name of the plot file
+		Along  string // what grows, on the X axis
+		Unit   string // of the value, on the Y axis
 		Kind   Kind
 		Shape  Shape
-		Target float64 // size for which the fit is read off
+		Target float64 // size at which the fit is evaluated
 		Points []Point
 	}
 
-	// Fact is one value that belongs to no series.
+	// Fact is a single value that belongs to no series.
 	Fact struct {
 		Name  string
 		Value float64
@@ -70,27 +69,27 @@
 		Kind  Kind
 	}
 
-	// Report collects what was measured. The zero Report is empty.
+	// Report collects the measurements. The zero Report is empty and ready to use.
 	Report struct {
 		Series []*Series
 		Facts  []Fact
 	}
 
-	// Study measures one matter.
+	// Study is a group of measurements that is run together.
 	Study struct {
 		Name string
 		Run  func(ctx context.Context, rp *Report) error
 	}
 
-	// UnknownStudyError names a study that there is none of.
+	// UnknownStudyError reports that no study has the name.
 	UnknownStudyError struct{ Name string }
 )
 
-// Error names the study.
-func (ue UnknownStudyError) Error() string { return fmt.Sprintf("there is no study %q", ue.Name) }
+// Error implements the error interface. It names the study.
+func (ue UnknownStudyError) Error() string { return fmt.Sprintf("study %q does not exist", ue.Name) }
 
-// Studies lists all studies, those first whose figures a busy process would
-// disturb.
+// Studies returns all studies. Those whose figures would be disturbed by what other
+// studies leave in the process come first.
 func Studies() []Study {
 	return []Study{
 		{"streams", measureStreams},
@@ -104,7 +103,7 @@
 	}
 }
 
-// StudiesNamed picks studies by their names; none picks all.
+// StudiesNamed returns the studies with the given names, or all of them without names.
 func StudiesNamed(names []string) ([]Study, error) {
 	all := Studies()
 	if len(names) == 0 {
@@ -121,7 +120,7 @@
 	return out, nil
 }
 
-// Run runs studies one after another.
+// Run runs the studies one after another. It stops at the first error.
 func Run(ctx context.Context, studies []Study, rp *Report) error {
 	for _, sd := range studies {
 		if err := ctx.Err(); err != nil {
@@ -134,14 +133,14 @@
 	return nil
 }
 
-// addSeries begins a series.
+// addSeries adds an empty series to the report.
 func (rp *Report) addSeries(se Series) *Series {
 	out := &se
 	rp.Series = append(rp.Series, out)
 	return out
 }
 
-// addPoint measures a point.
+// addPoint adds a measured point.
 func (se *Series) addPoint(along int, value float64) {
 	se.Points = append(se.Points, Point{X: float64(along), Y: value})
 }
@@ -151,7 +150,7 @@
 	rp.Facts = append(rp.Facts, Fact{Name: name, Value: value, Unit: unit, Kind: kind})
 }
 
-// FindSeries returns a series by its name.
+// FindSeries returns the series with the given name.
 func (rp *Report) FindSeries(name string) (*Series, bool) {
 	ix := slices.IndexFunc(rp.Series, func(se *Series) bool { return se.Name == name })
 	if ix < 0 {
@@ -160,7 +159,7 @@
 	return rp.Series[ix], true
 }
 
-// FindFact returns a fact by its name.
+// FindFact returns the fact with the given name.
 func (rp *Report) FindFact(name string) (Fact, bool) {
 	ix := slices.IndexFunc(rp.Facts, func(fa Fact) bool { return fa.Name == name })
 	if ix < 0 {
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -77,8 +77,8 @@
 	assert.Assert(t, errors.As(err, &ue) && ue.Name == "nothing")
 }
 
-// What membership sends and gets at rest does not grow with the fleet; a test
-// of internal/membership goes on to 380 VMs.
+// The traffic of idle membership must not grow with the fleet. A test of
+// internal/membership covers up to 380 VMs.
 func TestMembershipDoesNotGrowWithTheFleet(t *testing.T) {
 	const settle, span = 80 * clock.Second, 20 * clock.Second
 	messages, bytes := make(map[int]float64), make(map[int]float64)
@@ -97,7 +97,7 @@
 	assert.Assert(t, bytes[96] <= 1100, "%v B/s", bytes[96])
 }
 
-// A request key costs the same calls in any fleet, and a duplicate two more.
+// A request key must cost the same calls in any fleet, and a duplicate at most two more.
 func TestClaimCallsDoNotGrowWithTheFleet(t *testing.T) {
 	calls := func(vms, duplicates int) float64 {
 		cf := newClaimFleet(vms)
@@ -110,7 +110,7 @@
 	assert.Assert(t, calls(24, 50)-small <= 2*50)
 }
 
-// The steps of one decision grow far slower than the engines of its cell.
+// The steps of one decision must grow much more slowly than the engines of the cell.
 func TestStepsOfADecision(t *testing.T) {
 	steps := func(count int) float64 {
 		se := &Series{}
@@ -122,7 +122,7 @@
 	assert.Assert(t, large <= 2*small, "%v steps at 12 engines, %v at 600", small, large)
 }
 
-// Bytes of one claim, one update and one reservation between two VMs.
+// Limits the bytes of one claim, one update and one reservation between two VMs.
 func TestBytesBetweenVMs(t *testing.T) {
 	rp := &Report{}
 	assert.NilError(t, measureCalls(context.Background(), rp))
@@ -134,7 +134,7 @@
 	}
 }
 
-// An unchanged VM list costs the same whatever its length.
+// An unchanged VM list must cost the same at any length.
 func TestUnchangedListCostsTheSame(t *testing.T) {
 	same, whole := &Series{}, &Series{}
 	for _, count := range []int{20, 980} {
@@ -144,7 +144,7 @@
 	assert.Assert(t, same.Points[1].Y <= 300 && whole.Points[1].Y > 100*same.Points[1].Y)
 }
 
-// A record of a request key, and the configuration of a customer.
+// Limits the memory of a request key's record and of a customer's configuration.
 func TestMemoryOfRecords(t *testing.T) {
 	rp := &Report{}
 	assert.NilError(t, measureRecords(rp))
--- a/internal/slope/streams.go
+++ b/internal/slope/streams.go
@@ -24,7 +24,7 @@
 	apiKey            = "a-key-of-the-measurement"
 	answerTokens      = 278
 	tokenText         = " boiler"
-	openTarget        = 250 // requests of one VM that decode at the peak: 25.5/s, 9.7 s each
+	openTarget        = 250 // requests of one VM that decode at peak load: 25.5/s for 9.7 s each
 	connectionsTarget = 1000
 )
 
@@ -35,13 +35,13 @@
 )
 
 type (
-	// openAnswers answers requests with streams that the study fills.
+	// openAnswers starts answers whose streams the study fills.
 	openAnswers struct {
 		mu      sync.Mutex
 		streams []*answer.Stream
 	}
 
-	// callerServer is the real callers' side of one VM.
+	// callerServer is the real caller API of one VM.
 	callerServer struct {
 		srv    *caller.Server
 		runner *openAnswers
@@ -90,12 +90,12 @@
 		return cs, nil
 	case err := <-cs.done:
 		stop()
-		return nil, fmt.Errorf("start the callers' side: %w", err)
+		return nil, fmt.Errorf("start the caller server: %w", err)
 	}
 }
 
-// sendRequest sends one request on a connection of its own and returns the connection
-// and its reader.
+// sendRequest sends a request over a new connection and returns the connection and its
+// reader.
 func (cs *callerServer) sendRequest(request string) (net.Conn, *bufio.Reader, error) {
 	cn, err := net.Dial("tcp", cs.srv.Addr().String())
 	if err != nil {
@@ -120,8 +120,8 @@
 	<-cs.done
 }
 
-// measureStreams weighs answers, idle connections of callers and streams that
-// callers read.
+// measureStreams measures the memory of answers, of idle caller connections and of
+// streams that callers read.
 func measureStreams(ctx context.Context, rp *Report) error {
 	measureAnswers(rp)
 	idle := rp.addSeries(Series{Name: "IdleConnectionMemory", Along: "idle connections", Unit: "B", Kind: Memory,
@@ -142,7 +142,7 @@
 	return measureTokens(ctx, rp, request)
 }
 
-// measureAnswers weighs whole answers of the usual length.
+// measureAnswers measures the memory of complete answers of typical length.
 func measureAnswers(rp *Report) {
 	memory := rp.addSeries(Series{Name: "AnswerMemory", Along: "answers of 278 tokens", Unit: "B", Kind: Memory,
 		Shape: Linear, Target: openTarget})
@@ -161,7 +161,7 @@
 	}
 }
 
-// holdConnections keeps connections open after one request on each.
+// holdConnections sends one request on each connection and keeps the connections open.
 func holdConnections(ctx context.Context, memory *Series, request string, read func(rd *bufio.Reader) error) error {
 	cs, err := startCallerServer(ctx)
 	if err != nil {
@@ -196,18 +196,18 @@
 	return nil
 }
 
-// readResponse reads an answer with a length.
+// readResponse reads a response with a Content-Length.
 func readResponse(rd *bufio.Reader) error {
 	rsp, err := http.ReadResponse(rd, nil)
 	if err != nil {
-		return fmt.Errorf("read: %w", err)
+		return fmt.Errorf("read the response: %w", err)
 	}
 	defer rsp.Body.Close()
 	if rsp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%w %d", errBadStatus, rsp.StatusCode)
 	}
 	if _, err := io.Copy(io.Discard, rsp.Body); err != nil {
-		return fmt.Errorf("read: %w", err)
+		return fmt.Errorf("read the body: %w", err)
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 	for {
 		line, err := rd.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("read: %w", err)
+			return fmt.Errorf("read the stream: %w", err)
 		}
 		if strings.Contains(line, strings.TrimSpace(tokenText)) {
 			return nil
@@ -228,7 +228,7 @@
 	}
 }
 
-// measureTokens sends tokens to one caller and counts what they cost.
+// measureTokens streams tokens to one caller and measures their cost.
 func measureTokens(ctx context.Context, rp *Report, request string) error {
 	const tokens = 20_000
 	cs, err := startCallerServer(ctx)
@@ -268,14 +268,14 @@
 	return nil
 }
 
-// readToNextToken reads up to the next token and returns the bytes that it took.
+// readToNextToken reads up to the next token and returns the number of bytes read.
 func readToNextToken(rd *bufio.Reader) (int, error) {
 	size := 0
 	for {
 		line, err := rd.ReadString('\n')
 		size += len(line)
 		if err != nil {
-			return size, fmt.Errorf("read: %w", err)
+			return size, fmt.Errorf("read the stream: %w", err)
 		}
 		if strings.Contains(line, strings.TrimSpace(tokenText)) {
 			return size, nil
--- a/internal/slope/virtual.go
+++ b/internal/slope/virtual.go
@@ -17,20 +17,21 @@
 	domains = 8 // failure domains, in three regions
 	regions = 3
 
-	// A datagram carries the headers of IP and UDP and the MAC of
-	// internal/peer besides its message.
+	// Overhead of a datagram besides its message: the headers of IP and UDP, and the
+	// MAC of internal/peer.
 	headerBytes = 28
 	macBytes    = 16
 
-	// typicalSequence is a number that a datagram bears after some days.
+	// typicalSequence is the sequence number of a datagram after some days. It makes the
+	// encoded size typical.
 	typicalSequence = 1 << 20
 
-	typicalIncarnation = 1764691200000 // an incarnation
+	typicalIncarnation = 1764691200000 // milliseconds since the epoch
 )
 
 type (
-	// virtualFleet exchanges datagrams between real detectors under virtual
-	// time, with the delays of three regions and without loss.
+	// virtualFleet exchanges datagrams between real detectors under virtual time, with
+	// the delays of three regions and without loss.
 	virtualFleet struct {
 		now    clock.Millis
 		rnd    *rand.Rand
@@ -40,9 +41,9 @@
 		seq    int
 		steps  int
 
-		secondEnds    clock.Millis // up to when the window of peaks runs
-		peakBytes     int          // bytes of the busiest VM in a second, so far
-		peakDatagrams int          // datagrams of the busiest VM in a second
+		secondEnds    clock.Millis // end of the current second
+		peakBytes     int          // maximum bytes of any VM in one second
+		peakDatagrams int          // maximum datagrams of any VM in one second
 	}
 
 	virtualVM struct {
@@ -88,7 +89,7 @@
 	return last
 }
 
-// fleetVM describes one VM of a large fleet.
+// fleetVM returns the VM with the given index in a large fleet.
 func fleetVM(ix int) board.VM {
 	domain := ix % domains
 	return board.VM{
@@ -118,8 +119,8 @@
 	return vf
 }
 
-// run passes the time up to a span from now, or until the condition, which is
-// looked at ten times a second, holds. It tells whether the condition did.
+// run advances the time by the span, or until the condition holds, which is checked ten
+// times per second. It reports whether the condition held.
 func (vf *virtualFleet) run(span clock.Millis, until func() bool) bool {
 	end, look := vf.now+span, vf.now
 	for len(vf.events) > 0 && vf.events[0].at <= end {
@@ -145,7 +146,7 @@
 	switch ev := ar.ev.(type) {
 	case membership.Tick:
 		if ar.at < ar.vm.tickAt {
-			return // replaced by a later wish
+			return // replaced by a later Wake
 		}
 		ar.vm.tickAt = 0
 	case membership.Received:
@@ -192,7 +193,7 @@
 	heap.Push(&vf.events, scheduledEvent{at: at, seq: vf.seq, vm: vm, ev: ev})
 }
 
-// count adds a datagram that the VM sent or received.
+// count counts a datagram that the VM sent or received.
 func (vm *virtualVM) count(dg *peerpb.Datagram) {
 	size := proto.Size(dg) + headerBytes + macBytes
 	vm.messages++
@@ -201,7 +202,7 @@
 	vm.secondBytes += size
 }
 
-// updatePeaks keeps the busiest second of any VM.
+// updatePeaks updates the peaks at the end of each second.
 func (vf *virtualFleet) updatePeaks() {
 	if vf.now < vf.secondEnds {
 		return
@@ -214,7 +215,7 @@
 	}
 }
 
-// resetCounts starts the counts anew.
+// resetCounts resets all counts and peaks.
 func (vf *virtualFleet) resetCounts() {
 	vf.steps, vf.peakBytes, vf.peakDatagrams, vf.secondEnds = 0, 0, 0, vf.now+clock.Second
 	for _, vm := range vf.vms {
@@ -222,7 +223,7 @@
 	}
 }
 
-// meanTraffic returns datagrams and bytes, sent and received, of the mean live VM.
+// meanTraffic returns the datagrams and bytes, sent and received, per live VM.
 func (vf *virtualFleet) meanTraffic() (messages, bytes float64) {
 	live := 0
 	for _, vm := range vf.vms {
@@ -235,8 +236,7 @@
 	return messages / float64(live), bytes / float64(live)
 }
 
-// healthAgreed tells whether every live VM sees every VM in the given health if it is
-// up, and Dead if it is not.
+// healthAgreed reports whether every live VM sees exactly the failed VMs as Dead.
 func (vf *virtualFleet) healthAgreed() bool {
 	for _, vm := range vf.vms {
 		if !vm.up {
@@ -254,7 +254,7 @@
 	return true
 }
 
-// allQuorate tells whether every live VM reaches a majority.
+// allQuorate reports whether every live VM reaches a majority.
 func (vf *virtualFleet) allQuorate() bool {
 	for _, vm := range vf.vms {
 		if vm.up && vm.quorumUntil <= vf.now {
@@ -264,7 +264,7 @@
 	return true
 }
 
-// loseDomain kills all VMs of one failure domain.
+// loseDomain fails all VMs of a failure domain and returns their number.
 func (vf *virtualFleet) loseDomain(domain string) int {
 	lost := 0
 	for _, vm := range vf.vms {
--- a/internal/slope/wire.go
+++ b/internal/slope/wire.go
@@ -20,13 +20,13 @@
 	wireRounds  = 200
 	wireTimeout = 30 * clock.Second
 
-	// Counters of internal/peer.
+	// Names of counters of internal/peer.
 	bytesInCounter  = "PeerBytesReceived+"
 	bytesOutCounter = "PeerBytesSent+"
 
 	dialCount           = 64
-	sessionTarget       = 2 * (fleetTarget - 1) // a mesh in which each pair dials both ways
-	streamsTarget       = 250                   // decodes of one VM at the peak
+	sessionTarget       = 2 * (fleetTarget - 1) // a full mesh in which both VMs of each pair dial
+	streamsTarget       = 250                   // decodes of one VM at peak load
 	typicalPromptTokens = 3000
 	typicalMaxTokens    = 1024
 )
@@ -35,7 +35,7 @@
 	sessionCounts = []int{1, 8, 16, 32, 64, 96}
 	streamCounts  = []int{1, 10, 25, 50, 100}
 
-	errStreamStillOpen = errors.New("the other VM was not heard")
+	errStreamStillOpen = errors.New("the other VM did not close the stream")
 )
 
 type (
@@ -47,12 +47,12 @@
 		done  chan error
 	}
 
-	// replyHandler answers each stream as its first frame wants.
+	// replyHandler replies to each stream according to its first frame.
 	replyHandler struct{}
 )
 
-// Serve implements [peer.Handler]: a claim is granted, a reservation gets its
-// place, and any other stream is held until its end.
+// Serve implements [peer.Handler]. It grants claims and reservations and holds any other
+// stream open until the peer closes it.
 func (replyHandler) Serve(_ context.Context, _ board.VMRef, cn *peer.Conn) {
 	fr, err := cn.Recv()
 	if err != nil {
@@ -69,8 +69,7 @@
 	}
 }
 
-// serveReservation says what an accountant says, at the points of a request's
-// life at which it says it.
+// serveReservation sends the frames of the accounting VM at the stages of a request.
 func serveReservation(cn *peer.Conn) {
 	cn.Send(doneFrame())
 	cn.Send(&peerpb.Frame{Body: &peerpb.Frame_Grant{Grant: &peerpb.Grant{
@@ -120,8 +119,8 @@
 	return board.VM{VMRef: wv.tr.Self, Peer: wv.tr.Address().String()}
 }
 
-// bytes that went over the VM's TCP connections, TLS and yamux included, the
-// headers of TCP and IP not.
+// bytes returns the bytes sent and received over the VM's TCP connections, including
+// TLS and yamux but not the TCP and IP headers.
 func (wv *wireVM) bytes() float64 {
 	snap := wv.scope.Snapshot().Counters()
 	total := int64(0)
@@ -133,8 +132,8 @@
 	return float64(total)
 }
 
-// measureWire measures calls, reservations, sessions and streams of the real
-// transport over loopback.
+// measureWire measures calls, reservations, sessions and streams of the real transport
+// over loopback.
 func measureWire(ctx context.Context, rp *Report) error {
 	if err := measureCalls(ctx, rp); err != nil {
 		return fmt.Errorf("calls: %w", err)
@@ -202,48 +201,48 @@
 	return nil
 }
 
-// runReservation plays the runner's side of one reservation.
+// runReservation performs the runner's side of one reservation.
 func runReservation(ctx context.Context, near, far *wireVM, round int) error {
 	cn, err := near.tr.Open(ctx, far.vm())
 	if err != nil {
-		return fmt.Errorf("open: %w", err)
+		return fmt.Errorf("open a stream: %w", err)
 	}
 	defer cn.Close()
 	if err := cn.Send(reserveAskFrame(round)); err != nil {
-		return fmt.Errorf("ask: %w", err)
+		return fmt.Errorf("send the request: %w", err)
 	}
-	for range 2 { // the sign of life and the grant
+	for range 2 { // the acknowledgement and the grant
 		if _, err := cn.Recv(); err != nil {
-			return fmt.Errorf("read: %w", err)
+			return fmt.Errorf("receive the grant: %w", err)
 		}
 	}
 	for _, stage := range []sched.Stage{sched.Prefilling, sched.Prefilled} {
 		if err := cn.Send(progressFrame(stage, "rapportmodel-prefill-17")); err != nil {
-			return fmt.Errorf("tell: %w", err)
+			return fmt.Errorf("send progress: %w", err)
 		}
 	}
 	if _, err := cn.Recv(); err != nil {
-		return fmt.Errorf("read: %w", err)
+		return fmt.Errorf("receive the transfer: %w", err)
 	}
 	for _, stage := range []sched.Stage{sched.Transferring, sched.Decoding, sched.Ended} {
 		if err := cn.Send(progressFrame(stage, "rapportmodel-decode-41")); err != nil {
-			return fmt.Errorf("tell: %w", err)
+			return fmt.Errorf("send progress: %w", err)
 		}
 	}
-	_, err = cn.Recv() // the accountant closes its side last
+	_, err = cn.Recv() // the accounting VM closes its side last
 	if err == nil {
 		return errStreamStillOpen
 	}
 	return nil
 }
 
-// measureSessions holds idle sessions from one VM to others.
+// measureSessions measures idle sessions from one VM to others.
 func measureSessions(ctx context.Context, rp *Report) error {
 	memory := rp.addSeries(Series{Name: "SessionMemory", Along: "idle sessions", Unit: "B of both ends",
 		Kind: Memory, Shape: Linear, Target: sessionTarget})
 	for _, count := range sessionCounts {
 		if err := holdSessions(ctx, count, memory); err != nil {
-			return fmt.Errorf("%d sessions: %w", count, err)
+			return fmt.Errorf("at %d sessions: %w", count, err)
 		}
 	}
 	return measureDials(ctx, rp)
@@ -306,7 +305,7 @@
 	return nil
 }
 
-// measureHeldStreams holds streams open on one session.
+// measureHeldStreams measures open streams on one session.
 func measureHeldStreams(ctx context.Context, rp *Report) error {
 	memory := rp.addSeries(Series{Name: "PeerStreamMemory", Along: "open streams", Unit: "B of both ends",
 		Kind: Memory, Shape: Linear, Target: streamsTarget})
@@ -347,18 +346,18 @@
 func holdStream(ctx context.Context, near, far *wireVM) (*peer.Conn, error) {
 	cn, err := near.tr.Open(ctx, far.vm())
 	if err != nil {
-		return nil, fmt.Errorf("open: %w", err)
+		return nil, fmt.Errorf("open a stream: %w", err)
 	}
 	if err := cn.Send(doneFrame()); err != nil {
-		return cn, fmt.Errorf("send: %w", err)
+		return cn, fmt.Errorf("send a frame: %w", err)
 	}
 	if _, err := cn.Recv(); err != nil {
-		return cn, fmt.Errorf("read: %w", err)
+		return cn, fmt.Errorf("receive a frame: %w", err)
 	}
 	return cn, nil
 }
 
-// measurePings listens to a session whose streams are silent.
+// measurePings measures the traffic of a session whose streams are idle.
 func measurePings(rp *Report, near *wireVM) {
 	const span = 10 * clock.Second
 	before := near.bytes()
--- a/internal/slope/write.go
+++ b/internal/slope/write.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// Files that Write makes, beside one SVG for each series.
+// Files that Write creates, besides one SVG file for each series.
 const (
-	PointsFile = "slopes.csv" // each point that was measured, and each fact
+	PointsFile = "slopes.csv" // all points and facts
 	TableFile  = "slopes.md"  // the fits
 )
 
@@ -25,7 +25,7 @@
 // Write writes the points, the table of fits and the plots into a folder.
 func (rp *Report) Write(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return fmt.Errorf("make the folder: %w", err)
+		return fmt.Errorf("create the folder: %w", err)
 	}
 	for _, doc := range []struct {
 		name  string
@@ -49,7 +49,7 @@
 		return fmt.Errorf("write %s: %w", path, err)
 	}
 	if err := os.WriteFile(path, []byte(sb.String()), fileMode); err != nil {
-		return fmt.Errorf("write a file: %w", err)
+		return fmt.Errorf("write the file: %w", err)
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// writeTable writes the fits and facts as tables in Markdown.
+// writeTable writes the fits and facts as Markdown tables.
 func (rp *Report) writeTable(out io.Writer) error {
 	var sb strings.Builder
 	sb.WriteString("# Slopes\n\nMade by `go run ./cmd/alderslope`; do not edit. Residual is the standard deviation of\n" +
