--- a/internal/sched/bench/bench_test.go
+++ b/internal/sched/bench/bench_test.go
@@ -192,12 +192,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, dp := range deployments() {
-				thrift := runSeeds(Setup{Deployment: dp.WithPrefillWeight(0.9), Load: 1.2, Policy: Cell}, seeds)
-				goods := runSeeds(Setup{Deployment: dp.WithPrefillWeight(0.1), Load: 1.2, Policy: Cell}, seeds)
+				highWeight := runSeeds(Setup{Deployment: dp.WithPrefillWeight(0.9), Load: 1.2, Policy: Cell}, seeds)
+				lowWeight := runSeeds(Setup{Deployment: dp.WithPrefillWeight(0.1), Load: 1.2, Policy: Cell}, seeds)
 				t.Logf("%s: weight 0.9 wasted %.4f met %d; weight 0.1 wasted %.4f met %d", dp.Name,
-					thrift.WastedShare(), thrift.Met[PatientWork], goods.WastedShare(), goods.Met[PatientWork])
-				assert.Assert(t, thrift.WastedShare() < goods.WastedShare(), dp.Name)
-				assert.Assert(t, thrift.Met[PatientWork] < goods.Met[PatientWork], dp.Name)
+					highWeight.WastedShare(), highWeight.Met[PatientWork], lowWeight.WastedShare(), lowWeight.Met[PatientWork])
+				assert.Assert(t, highWeight.WastedShare() < lowWeight.WastedShare(), dp.Name)
+				assert.Assert(t, highWeight.Met[PatientWork] < lowWeight.Met[PatientWork], dp.Name)
 			}
 		})
 	}
--- a/internal/sched/bench/load.go
+++ b/internal/sched/bench/load.go
@@ -196,7 +196,7 @@
 }
 
 // sampleLength draws a log-normal number of tokens with the given mean and sigma.
-func sampleLength(rng *rand.Rand, mean, spread float64) int {
-	val := mean * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
+func sampleLength(rng *rand.Rand, mean, sigma float64) int {
+	val := mean * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 	return int(max(8, min(val, maxLengthFactor*mean)))
 }
--- a/internal/slope/virtual.go
+++ b/internal/slope/virtual.go
@@ -122,16 +122,16 @@
 // run advances the time by the span, or until the condition holds, which is checked ten
 // times per second. It reports whether the condition held.
 func (vf *virtualFleet) run(span clock.Millis, until func() bool) bool {
-	end, look := vf.now+span, vf.now
+	end, nextCheck := vf.now+span, vf.now
 	for len(vf.events) > 0 && vf.events[0].at <= end {
 		ar := heap.Pop(&vf.events).(scheduledEvent)
 		vf.now = max(vf.now, ar.at)
 		vf.updatePeaks()
-		if until != nil && vf.now >= look {
+		if until != nil && vf.now >= nextCheck {
 			if until() {
 				return true
 			}
-			look = vf.now + clock.Second/10
+			nextCheck = vf.now + clock.Second/10
 		}
 		vf.deliver(ar)
 	}
