--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -19,7 +19,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Names of the classes in examples/kedelsyn.toml, and how many callers of each come.
+// Classes of examples/kedelsyn.toml, with the number of callers and of output tokens.
 const (
 	findings  = "findings"
 	fieldnote = "fieldnote"
@@ -34,12 +34,12 @@
 )
 
 type (
-	// outcome is what became of the callers' requests.
+	// outcome collects the results of all callers' requests.
 	outcome struct {
 		mu           sync.Mutex
 		classes      map[string]*classOutcome
 		refusals     map[refusal.Reason]int
-		wrongAnswers []string // answers that are not what the engines made
+		wrongAnswers []string // answers that differ from what the engines generated
 	}
 
 	classOutcome struct {
@@ -52,12 +52,12 @@
 	// callerRequest is one caller's request.
 	callerRequest struct {
 		class  string
-		target clock.Millis // to the first text, or to the whole answer of a plain service
+		target clock.Millis // for the first text, or for the whole answer of a plain service
 		call   func(ctx context.Context, first func()) error
 	}
 )
 
-// runCallers lets all callers at the fleet at once and waits for their ends.
+// runCallers sends all callers' requests concurrently and waits until they end.
 func (fl *fleet) runCallers(ctx context.Context) *outcome {
 	oc := &outcome{classes: make(map[string]*classOutcome), refusals: make(map[refusal.Reason]int)}
 	cl := &client.Client{APIKey: APIKey}
@@ -88,7 +88,8 @@
 	return out
 }
 
-// chatRequest is a caller who checks the answer token by token.
+// chatRequest returns a chat request whose answer is compared with what the engines
+// generate.
 func (oc *outcome) chatRequest(cl *client.Client, class, note string, tokens int, target clock.Millis) callerRequest {
 	return callerRequest{class: class, target: target, call: func(ctx context.Context, first func()) error {
 		var once sync.Once
@@ -100,7 +101,7 @@
 			OnText:    func(string) { once.Do(first) },
 		})
 		if err != nil {
-			return fmt.Errorf("ask for a chat of class %s: %w", class, err)
+			return fmt.Errorf("send a chat request of class %s: %w", class, err)
 		}
 		prompt := fmt.Sprintf(`[{"role":"user","content":%q}]`, note)
 		if want := strings.Join(standin.Answer(prompt, tokens), ""); ans.Text != want {
@@ -157,7 +158,7 @@
 	oc.wrongAnswers = append(oc.wrongAnswers, text)
 }
 
-// print writes goodput by class, wasted prefill, refusals and wrong answers.
+// print prints the results by class, the wasted prefill, the refusals and wrong answers.
 func (oc *outcome) print(out io.Writer, dp *deployment.Deployment) {
 	tw := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "class\tsent\twhole\tin time\ttarget")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,6 @@
-// Package demo runs a small deployment in one process: three entry VMs, the
-// stand-ins of the platform and of the backend servers, and callers of two
-// customers. It prints what became of their requests and then stays up, so
-// that it can be tried by hand.
+// Package demo runs a small deployment in one process: three entry VMs, the stand-ins of
+// the platform and of the backend servers, and callers of one customer. It prints the
+// results of their requests and then keeps serving, so that it can be tried by hand.
 //
 // # Usage
 //
@@ -32,11 +31,11 @@
 	"alderdyke/pkg/template"
 )
 
-// What the demonstration is made of.
+// Names and sizes of the demonstration.
 const (
 	Model        = "rapportmodel"
 	PlainService = "feltapp"
-	APIKey       = "kedelsyn-demo-key" // of the customer kedelsyn in examples
+	APIKey       = "kedelsyn-demo-key" // key of the customer kedelsyn in examples
 	vmCount      = 3
 
 	addressKeepFor = 2 * clock.Second
@@ -46,7 +45,7 @@
 	readyPoll    = 50 * clock.Millis(1)
 )
 
-var errNotReady = errors.New("the VMs did not learn the configuration in time")
+var errNotReady = errors.New("timeout: the VMs did not apply the configuration")
 
 type (
 	// fleet is the entry VMs of the demonstration.
@@ -56,9 +55,9 @@
 	}
 )
 
-// Run starts the deployment, lets callers at it, prints what became of them
-// and serves on until the context ends. With a folder it starts the stand-ins
-// alone and writes the settings of the VMs there.
+// Run starts the deployment, runs the callers, prints their results and keeps serving
+// until the context ends. With a folder it starts the stand-ins only and writes the
+// settings of the VMs there.
 func Run(ctx context.Context, dir string, out io.Writer) error {
 	dp := &deployment.Deployment{
 		Model:          Model,
@@ -92,7 +91,7 @@
 	for ix := range vmCount {
 		set, err := fl.dp.VM(fmt.Sprintf("vm-%d", ix+1), fl.dp.FailureDomains[ix])
 		if err != nil {
-			return fmt.Errorf("set up a VM: %w", err)
+			return fmt.Errorf("configure a VM: %w", err)
 		}
 		set.Addresses.KeepFor = addressKeepFor
 		set.Drain.Linger = drainLinger
@@ -122,7 +121,7 @@
 	}
 }
 
-// showCallers publishes the template, runs the callers and prints the outcome.
+// showCallers publishes the template, runs the callers and prints their results.
 func (fl *fleet) showCallers(ctx context.Context, out io.Writer) error {
 	if err := fl.publish(ctx); err != nil {
 		return err
@@ -138,7 +137,7 @@
 	return nil
 }
 
-// publish puts the template in force and waits until every VM has it.
+// publish publishes the template and waits until every VM has applied it.
 func (fl *fleet) publish(ctx context.Context) error {
 	tpl, err := template.Parse("kedelsyn.toml", examples.Kedelsyn)
 	if err != nil {
@@ -172,7 +171,7 @@
 	return nil
 }
 
-// awaitSeats waits until every VM knows that all keep request keys.
+// awaitSeats waits until every VM reports that all VMs are seats for request keys.
 func (fl *fleet) awaitSeats(ctx context.Context) error {
 	ctx, stop := context.WithTimeoutCause(ctx, readyTimeout.Std(), errNotReady)
 	defer stop()
@@ -195,7 +194,7 @@
 	return operator.Client{Address: set.Operator.Listen.String(), Token: set.Operator.Token}
 }
 
-// printInstructions tells how to try the deployment by hand.
+// printInstructions prints how to try the deployment by hand.
 func (fl *fleet) printInstructions(out io.Writer) {
 	caller, op := fl.sets[0].Caller.Listen, fl.sets[0].Operator.Listen
 	fmt.Fprintf(out, `
@@ -212,7 +211,7 @@
 `, APIKey, caller, APIKey, Model, caller, APIKey, caller, PlainService, op, op, deployment.OperatorToken)
 }
 
-// hosts are the VMs' IP numbers, so that each has the usual ports.
+// hosts returns a loopback address for each VM, so that all can use the default ports.
 func hosts() []netip.Addr {
 	var out []netip.Addr
 	for ix := range vmCount {
--- a/internal/demo/stage.go
+++ b/internal/demo/stage.go
@@ -8,9 +8,8 @@
 	"alderdyke/internal/standin/deployment"
 )
 
-// writeSettings writes the settings of the VMs into the folder and keeps the
-// stand-ins up until the context ends, so that the VMs can be run, and
-// killed, by hand.
+// writeSettings writes the settings of the VMs into the folder and keeps the stand-ins
+// running until the context ends, so that the VMs can be started and killed by hand.
 func (fl *fleet) writeSettings(ctx context.Context, dir string, out io.Writer) error {
 	names, err := deployment.Stage(dir, fl.sets)
 	if err != nil {
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	tokenBytes         = 4 // ASCII bytes that count as one token
+	tokenBytes         = 4 // ASCII bytes counted as one token
 	answerLengthPrefix = "answer tokens "
 )
 
 type (
-	// customerClients are the clients of all customers, one at each VM, so that an
-	// arrival goes to the VM that the bench sends it to.
+	// customerClients holds a client for each customer and VM, so that an arrival goes
+	// to the VM that the bench chose for it.
 	customerClients struct {
 		model string
-		byVM  []map[string]*client.Client // by customer
+		byVM  []map[string]*client.Client // by VM index and customer
 	}
 
-	// callResult is what became of one call.
+	// callResult is the outcome of one call.
 	callResult struct {
 		complete bool
-		correct  bool // the answer is the one that the engines make for the prompt
+		correct  bool // the answer is the one that the engines generate for the prompt
 		ttft     clock.Millis
 		tpot     float64 // milliseconds between tokens
 		reason   refusal.Reason
 	}
 
-	// answerTimer times the pieces of one answer.
+	// answerTimer records when the first and the last text of an answer arrive.
 	answerTimer struct {
 		src   clock.Monotonic
 		start clock.Millis
@@ -73,7 +73,7 @@
 	}
 }
 
-// call sends one arrival and follows it to its end.
+// call sends one arrival and waits until it ends.
 func (cs *customerClients) call(ctx context.Context, number int, arr bench.Arrival) callResult {
 	msgs := messages(number, arr)
 	wt := &answerTimer{}
@@ -107,8 +107,8 @@
 	}
 }
 
-// messages make a prompt of the wanted length, with the shared prefix as a
-// system message of its own, that tells the stand-in how long to answer.
+// messages builds a prompt of the arrival's length that also tells the stand-in how
+// many tokens to answer. A shared prefix becomes a system message of its own.
 func messages(number int, arr bench.Arrival) []client.Message {
 	var msgs []client.Message
 	tokens := arr.Prompt
@@ -125,7 +125,7 @@
 	return (head + strings.Repeat("field note. ", want/12+1))[:want]
 }
 
-// canonicalPrompt is the canonical form in which the engines see the messages.
+// canonicalPrompt returns the messages in the canonical form that the engines receive.
 func canonicalPrompt(msgs []client.Message) string {
 	var parts []string
 	for _, ms := range msgs {
@@ -134,7 +134,8 @@
 	return "[" + strings.Join(parts, ",") + "]"
 }
 
-// answerLength reads how long the answer to a prompt is to be.
+// answerLength parses the answer length out of a prompt. It returns the bound if the
+// prompt has none.
 func answerLength(prompt string, bound int) int {
 	_, rest, ok := strings.Cut(prompt, answerLengthPrefix)
 	if !ok {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,10 +1,10 @@
-// Package load offers the bench's arrivals to real entry VMs, in real time,
-// and measures what became of them.
+// Package load sends the bench's arrivals to real entry VMs in real time and measures the
+// results.
 //
-// The stand-ins of the platform and of the engines run in this process, paced
-// like those of the bench; the VMs run as processes of their own, from settings
-// files that are written first. So the same seed can be run by the decisions
-// alone under virtual time and by the whole system, and the two compared.
+// The stand-ins of the platform and of the engines run in this process with the speeds of
+// the bench's engines. The VMs run as separate processes, from settings files that are
+// written first. The same seed can thus be run both by the decisions alone, under virtual
+// time, and by the whole system, and the two results compared.
 //
 // # Usage
 //
@@ -30,31 +30,31 @@
 	"alderdyke/pkg/template"
 )
 
-// Spans and sizes of a run.
+// Timeouts and sizes of a run.
 const (
 	readyTimeout   = 3 * clock.Minute
 	readyPoll      = 200 * clock.Millis(1)
-	kvBytes        = 128 << 10 // of one prompt token
+	kvBytes        = 128 << 10 // KV cache of one prompt token
 	addressKeepFor = 10 * clock.Minute
 	streamWait     = 5 * clock.Second
 )
 
-var errNotReady = errors.New("the VMs did not form a fleet in time; were they started?")
+var errNotReady = errors.New("timeout: the VMs did not form a fleet; were they started?")
 
-// Run is one run. Set the fields before Execute.
+// Run is one run. Set the exported fields before Execute.
 type Run struct {
 	Deployment  bench.Deployment
-	Load        float64 // offered, as a part of capacity
+	Load        float64 // offered load as a multiple of the capacity
 	Seed        uint64
-	Span        clock.Millis // of arrivals
-	MeasureFrom clock.Millis // arrivals before are not measured
-	Dir         string       // for the settings files
+	Span        clock.Millis // duration of the arrivals
+	MeasureFrom clock.Millis // earlier arrivals are not measured
+	Dir         string       // folder for the settings files
 
 	dp   *deployment.Deployment
 	sets []settings.Settings
 }
 
-// Execute writes the settings, waits for the VMs, offers the load and measures.
+// Execute writes the settings, waits for the VMs, sends the load and measures it.
 func (rn *Run) Execute(ctx context.Context, out io.Writer) (Result, error) {
 	if err := rn.start(); err != nil {
 		return Result{}, fmt.Errorf("start the stand-ins: %w", err)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// engineSettings is the bench's engine as a stand-in in real time.
+// engineSettings returns the settings of a real-time stand-in for the bench's engine.
 func engineSettings() enginesim.Settings {
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond = bench.PrefillRate * float64(clock.Second)
@@ -118,7 +118,7 @@
 	return set
 }
 
-// awaitReady waits until the VMs form one fleet and have all templates.
+// awaitReady waits until the VMs form one fleet and have applied all templates.
 func (rn *Run) awaitReady(ctx context.Context) error {
 	ctx, stop := context.WithTimeoutCause(ctx, readyTimeout.Std(), errNotReady)
 	defer stop()
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// templates makes one template for each customer of the deployment.
+// templates returns one template for each customer of the deployment.
 func templates(bd bench.Deployment) []template.Template {
 	byName := make(map[string]template.Template)
 	var names []string
@@ -203,8 +203,8 @@
 
 func apiKey(customer string) string { return "load-key-of-" + customer }
 
-// offerLoad sends each arrival when its time has come, whatever became of those
-// before it, and waits for all ends.
+// offerLoad sends each arrival at its time, independently of earlier ones, and waits until
+// all have ended.
 func (rn *Run) offerLoad(ctx context.Context) (Result, error) {
 	arrivals := rn.Deployment.Arrivals(rn.Seed, rn.Load, rn.Span)
 	slices.SortFunc(arrivals, func(aa, ab bench.Arrival) int { return int(aa.At - ab.At) })
--- a/internal/load/meter.go
+++ b/internal/load/meter.go
@@ -22,18 +22,18 @@
 )
 
 type (
-	// Result is what a run measured, of the arrivals after Run.MeasureFrom; prefill
-	// is of the whole run.
+	// Result holds the measurements of a run, over the arrivals from Run.MeasureFrom on.
+	// Computed, Wasted and SlotsHeld cover the whole run.
 	Result struct {
 		Offered      map[bench.Work]int
-		Met          map[bench.Work]int // both targets met and the answer whole
+		Met          map[bench.Work]int // answered in full with both targets met
 		Complete     map[bench.Work]int
-		WrongAnswers int // answers that are not what the engines make for the prompt
+		WrongAnswers int // answers that differ from what the engines generate for the prompt
 		Refused      map[refusal.Reason]int
 		TTFT         map[bench.Work]*hdrhistogram.Histogram
 		Computed     int // prompt tokens
-		Wasted       int // of them, those whose decode never began
-		SlotsHeld    int // memory slots that engines still hold
+		Wasted       int // those whose decode never began
+		SlotsHeld    int // slots that engines hold at the end
 	}
 
 	meter struct {
@@ -90,18 +90,17 @@
 	return mt.rs
 }
 
-// Goodput is the share of the offered requests of a kind that met their
-// targets.
+// Goodput returns the share of the offered requests of a kind that met their targets.
 func (rs Result) Goodput(wk bench.Work) float64 {
 	return bench.Ratio{Part: rs.Met[wk], Whole: rs.Offered[wk]}.Value()
 }
 
-// WastedShare is the part of the computed prompt tokens that was wasted.
+// WastedShare returns the share of the computed prompt tokens that was wasted.
 func (rs Result) WastedShare() float64 {
 	return float64(rs.Wasted) / float64(max(1, rs.Computed))
 }
 
-// Print writes the result beside what the bench gives for the same arrivals.
+// Print prints the result next to the bench's result for the same arrivals.
 func (rs Result) Print(out io.Writer, sim bench.Result) {
 	tw := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "\tprocesses\tbench")
