--- a/cmd/alderbench/main.go
+++ b/cmd/alderbench/main.go
@@ -1,5 +1,5 @@
-// Command alderbench runs the scheduling bench and writes its table and its
-// plots. The figures are the same at every run on machines of one architecture.
+// Command alderbench runs the scheduling bench and writes its tables and plots. The
+// figures are the same at every run on computers of one architecture.
 //
 // # Usage
 //
@@ -28,11 +28,11 @@
 	}
 }
 
-// write runs everything and writes the files below a directory.
+// write runs the bench and writes the report and the plots into the directory.
 func write(out string, workers int) error {
 	plots := filepath.Join(out, "plots")
 	if err := os.MkdirAll(plots, 0o755); err != nil {
-		return fmt.Errorf("make the directory of plots: %w", err)
+		return fmt.Errorf("create the directory of the plots: %w", err)
 	}
 	rep := newReport(workers)
 	rep.run()
--- a/cmd/alderbench/plot.go
+++ b/cmd/alderbench/plot.go
@@ -18,7 +18,7 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// curve is a measure that is drawn over the load.
+// curve is a quantity plotted over the load.
 type curve struct {
 	name  string
 	title string
@@ -34,7 +34,7 @@
 
 func slug(name string) string { return strings.ToLower(strings.ReplaceAll(name, " ", "-")) }
 
-// plotNames lists the files without their ending.
+// plotNames returns the file names of the plots without extension.
 func plotNames() []string {
 	var names []string
 	for _, dp := range deployments() {
@@ -46,7 +46,7 @@
 	return names
 }
 
-// plot draws all curves, seeds A.
+// plot draws all curves for the first set of seeds.
 func (rp *report) plot(dir string) error {
 	for _, dp := range deployments() {
 		for _, cv := range curves {
--- a/cmd/alderbench/report.go
+++ b/cmd/alderbench/report.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	weightLoad = 1.2 // at which the weights are compared
-	faultLoad  = 1.0 // at which the ways to share are compared under faults
+	weightLoad = 1.2 // load at which the weights are compared
+	faultLoad  = 1.0 // load at which the sharing policies are compared under faults
 )
 
 var (
@@ -39,17 +39,17 @@
 		seeds []uint64
 	}
 
-	// runKey names one cell of the tables.
+	// runKey identifies the runs of one table row.
 	runKey struct {
 		deployment string
 		load       float64
 		policy     bench.Policy
 		fault      bench.Fault
-		weight     float64 // -1 for the deployment's own
+		weight     float64 // -1 for the deployment's own weight
 		set        string
 	}
 
-	// report collects the results of all points.
+	// report collects the results of all runs.
 	report struct {
 		workers int
 		mu      sync.Mutex
@@ -63,7 +63,7 @@
 
 func deployments() []bench.Deployment { return []bench.Deployment{bench.Kedelsyn(), bench.HoaLua()} }
 
-// runKeys lists all that is run.
+// runKeys returns the keys of all runs.
 func runKeys() []runKey {
 	var all []runKey
 	for _, dp := range deployments() {
@@ -120,7 +120,7 @@
 	return bench.Sum(runs...)
 }
 
-// markdown writes the tables.
+// markdown returns the report with all tables.
 func (rp *report) markdown() []byte {
 	var buf bytes.Buffer
 	buf.WriteString(`# Scheduling results
@@ -174,13 +174,13 @@
 	}
 }
 
-// goodput writes the five columns that all tables have.
+// goodput formats the five columns that all tables share.
 func goodput(rs bench.Result) string {
 	return fmt.Sprintf("%.4f | %.4f | %.4f | %.4f | %.3f", rs.Goodput(bench.QuickWork),
 		rs.Goodput(bench.PatientWork), rs.GoodputAll(), rs.WastedShare(), rs.Occupancy)
 }
 
-// messages are those between VMs, for one request.
+// messages returns the number of messages between VMs per request.
 func messages(rs bench.Result) float64 {
 	return float64(rs.Messages) / float64(rs.Arrivals)
 }
--- a/cmd/alderdyke-platform/main.go
+++ b/cmd/alderdyke-platform/main.go
@@ -1,5 +1,5 @@
-// Command alderdyke-platform runs one entry VM on the users' platform. The
-// path of its settings file stands in the environment.
+// Command alderdyke-platform runs one entry VM on the users' platform. The path of its
+// settings file is taken from the environment.
 //
 // # Usage
 //
--- a/cmd/alderdyke/main.go
+++ b/cmd/alderdyke/main.go
@@ -19,18 +19,19 @@
 	"alderdyke/internal/signals"
 )
 
-// version of the program, as CHANGELOG.md names it.
+// version is the version of the program, as in CHANGELOG.md.
 const version = "0.1.0"
 
 func main() {
-	// Listened for before all else and to the end: a signal that nobody listens
-	// for ends the program at once, with the answers that are open.
+	// Signals are handled from the start until the program exits. An unhandled signal
+	// would end it at once and cut off open answers.
 	sg := signals.Listen()
 	pg := cli.Program{Run: entry.Run, Demo: showDemo(sg), Version: version}
 	os.Exit(pg.Main(sg.Context(), os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// showDemo runs the demonstration until its terminal is gone.
+// showDemo returns a function that runs the demonstration until a signal to stop or until
+// its terminal is closed.
 func showDemo(sg *signals.Signals) func(ctx context.Context, dir string, out io.Writer) error {
 	return func(_ context.Context, dir string, out io.Writer) error { return demo.Run(sg.Terminal(), dir, out) }
 }
--- a/cmd/alderload/main.go
+++ b/cmd/alderload/main.go
@@ -1,5 +1,5 @@
-// Command alderload offers the scheduling bench's load to real entry VMs and
-// prints what became of it beside the bench's own figures for the same seed.
+// Command alderload sends the scheduling bench's load to real entry VMs and prints the
+// results next to the bench's own figures for the same seed.
 //
 // # Usage
 //
@@ -41,7 +41,7 @@
 	deployments := map[string]bench.Deployment{"kedelsyn": bench.Kedelsyn(), "hoalua": bench.HoaLua()}
 	bd, ok := deployments[name]
 	if !ok {
-		return fmt.Errorf("there is no deployment %q; choose kedelsyn or hoalua", name)
+		return fmt.Errorf("deployment %q does not exist; choose kedelsyn or hoalua", name)
 	}
 	span := clock.Millis(seconds) * clock.Second
 	rn := &load.Run{Deployment: bd, Load: offered, Seed: seed, Span: span, MeasureFrom: span / 6, Dir: dir}
--- a/cmd/alderslope/main.go
+++ b/cmd/alderslope/main.go
@@ -1,6 +1,5 @@
-// Command alderslope measures how the cost of one VM's control grows, and
-// writes the points, the fits and a plot of each into a folder, from which
-// docs/CAPACITY.md quotes.
+// Command alderslope measures how one VM's control cost grows, and writes the points, the
+// fits and a plot of each series into a folder. docs/CAPACITY.md quotes these files.
 //
 // # Usage
 //
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -9,17 +9,17 @@
 import _ "embed" // for the files below
 
 var (
-	// Kedelsyn is a template that weighs wasted prefill more than goodput.
+	// Kedelsyn is a template that gives wasted prefill more weight than goodput.
 	//
 	//go:embed kedelsyn.toml
 	Kedelsyn []byte
 
-	// HoaLua is a template that weighs goodput more than wasted prefill.
+	// HoaLua is a template that gives goodput more weight than wasted prefill.
 	//
 	//go:embed hoalua.toml
 	HoaLua []byte
 
-	// Entry is the settings of one entry VM.
+	// Entry holds the settings of one entry VM.
 	//
 	//go:embed entry.toml
 	Entry []byte
