--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -253,7 +253,7 @@
 			return head, nil
 		}
 		if part.Done || part.Bytes <= 0 || part.Bytes > left {
-			return kvHead{}, fmt.Errorf("count parts: %w", errIncompleteKV)
+			return kvHead{}, fmt.Errorf("check part size: %w", errIncompleteKV)
 		}
 		if err := en.ingress.run(en.newTransferJob(rn, part.Bytes)); err != nil {
 			return kvHead{}, err
