--- a/internal/integration/answer_test.go
+++ b/internal/integration/answer_test.go
@@ -12,14 +12,14 @@
 	"alderdyke/internal/standin"
 )
 
-const tokenBytes = 9 // of one token of a stand-in
+const tokenBytes = 9 // size of one token of a stand-in, in bytes
 
-// awaitRunner waits until a decode of the key made some tokens and returns the
-// VM that ordered it.
+// awaitRunner waits until a decode of the key has generated the given number of
+// tokens, and returns the VM that ordered it.
 func (fl *fleet) awaitRunner(key string, tokens int) *vm {
 	fl.t.Helper()
 	var id string
-	eventually(fl.t, "a decode of "+key+" is under way", func() bool {
+	eventually(fl.t, "a decode of "+key+" is in progress", func() bool {
 		for _, rec := range fl.engineRuns(board.Decode, key) {
 			if rec.Tokens >= tokens {
 				id = rec.VM.ID
@@ -30,15 +30,15 @@
 	return fl.vm(id)
 }
 
-// engineRunCount counts what engines were engineRunCount to do for a key: prefills, transfers and
-// decodes.
+// engineRunCount returns the number of runs of a key at all engines: prefills, and
+// transfers with their decodes.
 func (fl *fleet) engineRunCount(key string) int {
 	return len(fl.engineRuns(board.Prefill, key)) + len(fl.engineRuns(board.Decode, key))
 }
 
-// decodeTotals counts the decodes of a key that began, and the tokens that all of
-// them made. A transfer that was sent another way, as one that takes long is,
-// began none.
+// decodeTotals returns the number of decodes of a key that started, and the number
+// of tokens that all of them generated. A transfer that was moved to another engine,
+// as happens to slow ones, counts for no decode at the first engine.
 func (fl *fleet) decodeTotals(key string) (began, tokens int) {
 	for _, rec := range fl.engineRuns(board.Decode, key) {
 		began += rec.Decodes
@@ -47,8 +47,9 @@
 	return began, tokens
 }
 
-// A VM is killed in the middle of answers that it runs. Every caller goes on
-// elsewhere with its key and gets one whole answer without a seam.
+// A VM is killed in the middle of answers that it runs. Every caller continues at
+// another VM with its key and must get one complete answer without a gap or a
+// repetition.
 func TestVMKilledMidStream(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -57,7 +58,7 @@
 		calls = append(calls, fl.chat(fl.client(), "findings", key, 300))
 	}
 	for _, og := range calls {
-		eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
+		eventually(t, "the answer is in progress", func() bool { return og.received() > 10*tokenBytes })
 	}
 	lost := fl.awaitRunner("kill-1", 10)
 	killed := time.Now()
@@ -70,7 +71,7 @@
 	fl.checkInvariants()
 }
 
-// Callers leave for good; the engines are free soon after.
+// Callers leave and do not return. The engines must become free soon after.
 func TestNothingHeldForCallersWhoLeft(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -79,24 +80,24 @@
 		calls = append(calls, fl.chat(fl.client(), "findings", key, 2000))
 	}
 	for _, og := range calls {
-		eventually(t, "the answer is under way", func() bool { return og.received() > 5*tokenBytes })
+		eventually(t, "the answer is in progress", func() bool { return og.received() > 5*tokenBytes })
 	}
 	for _, og := range calls {
 		og.hangUp()
 	}
 	took := fl.awaitEnginesFree()
 	results.recordDuration("engines free after callers left (their wait is 3s)", took)
-	assert.Check(t, took < (streamWait.Std()+5*time.Second), "free after %v", took)
+	assert.Check(t, took < (streamWait.Std()+5*time.Second), "engines became free after %v", took)
 	fl.checkInvariants()
 }
 
-// A VM is killed with live decodes of callers who never come back. The others
-// free the engines.
+// A VM is killed while it runs decodes of callers that do not return. The other VMs
+// must free the engines.
 func TestNothingHeldForALostVM(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "lost", 2000)
-	eventually(t, "the answer is under way", func() bool { return og.received() > 5*tokenBytes })
+	eventually(t, "the answer is in progress", func() bool { return og.received() > 5*tokenBytes })
 	lost := fl.awaitRunner("lost", 5)
 	lost.kill(t)
 	og.hangUp()
@@ -105,9 +106,10 @@
 	fl.updateHistory(func(hs *invariant.History) { assert.Equal(t, len(hs.Calls), 1) })
 }
 
-// A transfer takes long, as where VMs and engines are busy, and its accountant
-// sends the KV cache to another decode engine. The engines then list two runs of
-// the key. One of them made no token and is no second decode:
+// A transfer takes long, as happens when VMs and engines are busy, and the VM that
+// schedules the cell moves it to another decode engine. The engines then list two
+// runs of the key. One of them generated no token and must not count as a second
+// decode:
 //
 //	Role=Decode Decodes=0 Tokens=0 Stages=[Transferring Imported] Outcome=Cancelled
 //	Role=Decode Decodes=1 Tokens=600 Stages=[... Decoding Ended] Outcome=Complete
@@ -120,7 +122,7 @@
 	}
 	const tokens = 20
 	og := fl.chat(fl.client(), "findings", "moved", tokens)
-	eventually(t, "the first transfer is sent another way", func() bool {
+	eventually(t, "the first transfer is moved to another engine", func() bool {
 		return len(fl.engineRuns(board.Decode, "moved")) > 1
 	})
 	for _, en := range fl.dp.Engines {
@@ -133,9 +135,9 @@
 	fl.checkInvariants()
 }
 
-// Two VMs of different failure domains are killed at once, so that the record
-// of some keys is lost with both. Every caller has a part of its answer, the
-// engines go on with it, and each gets the rest without a second run.
+// Two VMs of different failure domains are killed at once, so that all copies of
+// the records of some keys are lost. Every caller has a part of its answer and the
+// engines continue with it, so each caller must get the rest without a second run.
 func TestRecordsLostWithTwoVMs(t *testing.T) {
 	t.Parallel()
 	pl := defaultPlan()
@@ -148,7 +150,7 @@
 		calls[key] = fl.chat(fl.client(), "findings", key, tokens)
 	}
 	for _, og := range calls {
-		eventually(t, "the answer is under way", func() bool { return og.received() > 5*tokenBytes })
+		eventually(t, "the answer is in progress", func() bool { return og.received() > 5*tokenBytes })
 	}
 	for key := range calls {
 		asked[key] = fl.engineRunCount(key)
@@ -158,8 +160,8 @@
 	for key, og := range calls {
 		assert.Check(t, og.wait(), "%s", key)
 		began, made := fl.decodeTotals(key)
-		assert.Check(t, began == 1 && made == tokens, "%s: %d decodes made %d tokens", key, began, made)
-		assert.Check(t, fl.engineRunCount(key) == asked[key], "%s: an engine was asked for it again", key)
+		assert.Check(t, began == 1 && made == tokens, "%s: %d decodes generated %d tokens", key, began, made)
+		assert.Check(t, fl.engineRunCount(key) == asked[key], "%s: an engine got another order for it", key)
 	}
 	fl.checkInvariants()
 }
--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -24,17 +24,18 @@
 		mu          sync.Mutex
 		call        invariant.Call
 		err         error
-		explanation string // what the VMs knew about it at its end, if it was not whole
+		explanation string // explanation by the VMs at the end of the call, if it failed
 		done        chan struct{}
 		stop        context.CancelCauseFunc
 	}
 )
 
-var errCallerLeft = errors.New("the caller leaves")
+var errCallerLeft = errors.New("the caller has left")
 
 func isAttemptOf(name, key string) bool { return strings.HasPrefix(name, customer+"/"+key+"/") }
 
-// keyOf takes the customer and the attempt off an engine's name of a request.
+// keyOf returns the key in an engine's name of a request, which also contains the
+// customer and the attempt.
 func keyOf(name string) string {
 	name = strings.TrimPrefix(name, customer+"/")
 	if ix := strings.LastIndexByte(name, '/'); ix >= 0 {
@@ -43,7 +44,7 @@
 	return name
 }
 
-// startCall starts a call and notes its end.
+// startCall starts a call and records it in the history when it ends.
 func (fl *fleet) startCall(call invariant.Call, run func(ctx context.Context, og *ongoing) error) *ongoing {
 	ctx, stop := context.WithCancelCause(context.Background())
 	og := &ongoing{call: call, done: make(chan struct{}), stop: stop}
@@ -75,7 +76,7 @@
 	return og
 }
 
-// logIncomplete logs what became of a call that has no whole answer.
+// logIncomplete logs the state of a call that has no complete answer.
 func (fl *fleet) logIncomplete(og *ongoing) {
 	og.mu.Lock()
 	defer og.mu.Unlock()
@@ -85,35 +86,35 @@
 	if len(og.call.Outcomes) == 0 {
 		og.explanation = fl.explain(og.call.Key)
 	}
-	fl.t.Logf("%s: %d bytes, ends %v at %s, error %v\n%s", og.call.Key, len(og.call.Received), og.call.Outcomes,
+	fl.t.Logf("%s: %d bytes, outcomes %v at %s, error %v\n%s", og.call.Key, len(og.call.Received), og.call.Outcomes,
 		og.call.Ended.Format(time.StampMilli), og.err, og.explanation)
 }
 
-// logRuns logs what the engines and the VMs know of a key.
+// logRuns logs the explanation by the VMs and the runs at the engines of a key.
 func (fl *fleet) logRuns(key string) {
 	fl.t.Logf("%s:\n%s", key, fl.explain(key))
 	for _, en := range fl.dp.Engines {
 		for _, rec := range en.History().Runs {
 			if isAttemptOf(rec.Request, key) {
-				fl.t.Logf("%s at %s, %s: attempt %d for %s, %d decodes began, %d tokens, %q, %v",
+				fl.t.Logf("%s at %s, %s: attempt %d for %s, %d decodes started, %d tokens, outcome %q, stages %v",
 					rec.Request, en.ID, rec.Role, rec.Attempt, rec.VM.ID, rec.Decodes, rec.Tokens, rec.Outcome, rec.Stages)
 			}
 		}
 	}
 }
 
-// explain tells what the VMs know about a request.
+// explain returns the explanation of a request by the first VM that answers.
 func (fl *fleet) explain(key string) string {
 	for _, vm := range fl.vms {
 		if story := fl.explainAt(vm, key); story != "" {
 			return story
 		}
 	}
-	return "\tno VM can be asked\n"
+	return "\tno VM answers\n"
 }
 
-// explainAt is what one VM and those that it can ask know about a request;
-// empty if the VM can't be asked.
+// explainAt returns the explanation of a request by one VM and those that it can
+// reach, or "" if the VM does not answer.
 func (fl *fleet) explainAt(vm *vm, key string) string {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
@@ -128,8 +129,8 @@
 	return sb.String()
 }
 
-// outcomeOf is the end of a call in the words of the checker. A call that broke
-// off has a refusal that promises nothing, as pkg/client would make it.
+// outcomeOf returns the outcome of a call for the checker. A call that broke off
+// gets a refusal that says that it may have run, as pkg/client would return it.
 func outcomeOf(ctx context.Context, err error) invariant.Outcome {
 	var rf refusal.Refusal
 	switch {
@@ -150,20 +151,20 @@
 	og.call.Received += text
 }
 
-// received returns what came so far.
+// received returns the number of bytes received so far.
 func (og *ongoing) received() int {
 	og.mu.Lock()
 	defer og.mu.Unlock()
 	return len(og.call.Received)
 }
 
-// hangUp lets the caller go for good, and waits until it is gone.
+// hangUp cancels the call, as a caller that does not return, and waits for its end.
 func (og *ongoing) hangUp() {
 	og.stop(errCallerLeft)
 	<-og.done
 }
 
-// wait waits for the wait of the call.
+// wait waits for the end of the call and returns its error.
 func (og *ongoing) wait() error {
 	<-og.done
 	og.mu.Lock()
@@ -171,14 +172,15 @@
 	return og.err
 }
 
-// waitRefusal waits for the end and returns the refusal, or a zero one.
+// waitRefusal waits for the end of the call and returns its refusal, or the
+// zero value.
 func (og *ongoing) waitRefusal() refusal.Refusal {
 	var rf refusal.Refusal
 	errors.As(og.wait(), &rf)
 	return rf
 }
 
-// client is a caller's library that knows all VMs.
+// client returns a client that has the addresses of all VMs.
 func (fl *fleet) client() *client.Client {
 	cl := &client.Client{APIKey: apiKey, Idle: 10 * clock.Second}
 	for _, vm := range fl.vms {
@@ -188,10 +190,10 @@
 	return cl
 }
 
-// promptOf is the prompt that engines get for a note.
+// promptOf returns the prompt that engines get for a note.
 func promptOf(note string) string { return fmt.Sprintf(`[{"role":"user","content":%q}]`, note) }
 
-// chat starts a request to the model with a key of its own.
+// chat starts a request to the model with a note that contains the key.
 func (fl *fleet) chat(cl *client.Client, class, key string, tokens int) *ongoing {
 	note := "Field notes of " + key + ". "
 	if class == "findings" {
@@ -200,7 +202,7 @@
 	return fl.chatOf(cl, class, key, note, tokens)
 }
 
-// chatOf starts a call of a model with a note of the caller's.
+// chatOf starts a request to the model with the given note.
 func (fl *fleet) chatOf(cl *client.Client, class, key, note string, tokens int) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: true, Request: invariant.Chat{Prompt: promptOf(note), Tokens: tokens}}
 	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
@@ -232,12 +234,12 @@
 	})
 }
 
-// paymentAt sends a payment to one VM, once, with no library in between.
+// paymentAt sends a payment to one VM, once, without the client library.
 func (fl *fleet) paymentAt(vm *vm, key string) *ongoing {
 	return fl.plainAt(vm, http.MethodPost, "/payments/"+key, key, false)
 }
 
-// recordAt asks one VM, once, for a record.
+// recordAt sends an idempotent call of the plain service to one VM, once.
 func (fl *fleet) recordAt(vm *vm, key string) *ongoing {
 	return fl.plainAt(vm, http.MethodGet, "/records/"+key, key, true)
 }
@@ -251,7 +253,8 @@
 	})
 }
 
-// chatAt asks one VM, once, for an answer that comes as a whole.
+// chatAt sends a request to the model to one VM, once, for an answer that is
+// not streamed.
 func (fl *fleet) chatAt(vm *vm, key string, tokens int) *ongoing {
 	note := "Field notes of " + key + ". "
 	call := invariant.Call{Key: key, Idempotent: true, Request: invariant.Chat{Prompt: promptOf(note), Tokens: tokens}}
@@ -277,7 +280,8 @@
 	})
 }
 
-// sendTo sends one request to one VM. A refusal comes back as the error.
+// sendTo sends one HTTP request to one VM and returns the body. A refusal is
+// returned as the error.
 func sendTo(ctx context.Context, vm *vm, method, path, key string, payload []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+vm.set.Caller.Advertise.String()+path, bytes.NewReader(payload))
 	if err != nil {
--- a/internal/integration/configuration_test.go
+++ b/internal/integration/configuration_test.go
@@ -15,14 +15,16 @@
 	"alderdyke/pkg/template"
 )
 
-// templateWithWeight is the template with another weight, by which it is told apart.
+// templateWithWeight returns the template with another weight, which identifies
+// the revision.
 func (fl *fleet) templateWithWeight(weight int) template.Template {
 	tpl := fl.tpl
 	tpl.PrefillWeight = float64(weight) / 1000
 	return tpl
 }
 
-// publishRevision publishes a revision that must be accepted and in force everywhere.
+// publishRevision publishes a revision, which must be accepted, and waits until
+// it is in force at all VMs.
 func (fl *fleet) publishRevision(through *vm, id string, base uint64, weight int) uint64 {
 	fl.t.Helper()
 	reply := fl.publish(through, id, base, fl.templateWithWeight(weight))
@@ -32,11 +34,11 @@
 	return reply.Revision
 }
 
-// revision is the one in force at a VM.
+// revision returns the revision in force at a VM.
 func (fl *fleet) revision(vm *vm) uint64 { return fl.observeRevision(fl.t.Context(), vm) }
 
-// Revisions are published through each VM in turn; each is in force at every
-// VM in time, and no VM ever goes back.
+// Revisions are published through each VM in turn. Each must come in force at
+// every VM in time, and no VM may revert to an earlier one.
 func TestRevisionsTakeEffectAtEveryVM(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -48,8 +50,9 @@
 	fl.checkInvariants()
 }
 
-// Two operators revise one template from the same revision through two VMs:
-// one wins, the other is told so, and all VMs agree.
+// Two operators publish concurrently through two VMs, based on the same
+// revision: exactly one publication is accepted, the other reply contains the
+// accepted revision, and all VMs agree on it.
 func TestTwoOperatorsPublishConcurrently(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -82,9 +85,9 @@
 	fl.checkInvariants()
 }
 
-// The log service is out when an operator publishes, and then loses the reply
-// to an append that took effect: with the same ID the publication comes in
-// force once.
+// The log service has an outage when an operator publishes, and then loses the
+// reply to an append that took effect. A publication that is repeated with the
+// same ID must come in force exactly once.
 func TestLogFailsAtPublish(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -95,7 +98,7 @@
 	_, err := fl.vms[0].ops.Publish(t.Context(), operator.Publication{
 		ID: "outage", Customer: customer, Base: base, Template: fl.templateWithWeight(1),
 	})
-	assert.Assert(t, err != nil, "accepted while the log service is out")
+	assert.Assert(t, err != nil, "accepted during the outage of the log service")
 	assert.Equal(t, fl.revision(fl.vms[0]), base)
 	fl.dp.Logs.Set(logsim.Faults{})
 	base = fl.publishRevision(fl.vms[0], "outage", base, 1)
@@ -112,8 +115,8 @@
 	fl.checkInvariants()
 }
 
-// A VM is cut off from the log service but not from the other VMs: it follows
-// in time.
+// A VM that is cut off from the log service, but not from the other VMs, must
+// still have new revisions in force in time.
 func TestVMCutOffFromTheLog(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -129,8 +132,9 @@
 	fl.checkInvariants()
 }
 
-// A VM is cut off from the log service and from all other VMs, misses
-// revisions, and is back: it never goes back and has the newest in time.
+// A VM is cut off from the log service and from all other VMs and misses
+// revisions. After it is reconnected, it must have the newest revision in force
+// in time and must never revert to an earlier one.
 func TestVMCutOffFromLogAndVMs(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -154,8 +158,8 @@
 	fl.checkInvariants()
 }
 
-// A VM starts while the log service is out: it learns the configuration from
-// the other VMs and serves.
+// A VM that starts during an outage of the log service must get the
+// configuration from the other VMs and serve.
 func TestVMStartsDuringLogOutage(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -180,8 +184,8 @@
 	fl.checkInvariants()
 }
 
-// The log service and the VM list are both out while callers come: nothing is
-// lost.
+// The log service and the VM list both have an outage under load. No call may
+// fail because of it.
 func TestPlatformOutageUnderLoad(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
--- a/internal/integration/connection_test.go
+++ b/internal/integration/connection_test.go
@@ -11,8 +11,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// The connections of callers break again and again, in the middle of answers:
-// each caller comes back with its key and gets one whole answer.
+// The connections of callers break repeatedly in the middle of answers. Each
+// caller reconnects with its key and must get one complete answer.
 func TestCallersConnectionsBreak(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -23,7 +23,7 @@
 	}
 	for round := range 4 {
 		for _, og := range calls {
-			eventually(t, "the answer goes on", func() bool { return og.received() > (round+1)*40*tokenBytes })
+			eventually(t, "the answer continues", func() bool { return og.received() > (round+1)*40*tokenBytes })
 		}
 		for _, vm := range fl.vms {
 			px := fl.proxy(deployment.CallerLink, vm.set.ID)
@@ -40,7 +40,7 @@
 	fl.checkInvariants()
 }
 
-// Callers on a slow network get whole answers.
+// Callers on a slow network get complete answers.
 func TestCallersAreSlow(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -58,9 +58,9 @@
 	fl.checkInvariants()
 }
 
-// The first VM that a payment is sent to loses the caller's connection, and
-// the caller sends it through all others with the same key: it runs once, and
-// the caller has its answer or the truth.
+// The connection of the caller to the first VM that got a payment breaks, and
+// the caller sends it through all other VMs with the same key. It must run once,
+// and the caller must get its answer.
 func TestPaymentAfterLostConnection(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, slowServicePlan())
@@ -78,8 +78,8 @@
 	fl.checkInvariants()
 }
 
-// A server of the plain service dies under calls: what is idempotent is
-// answered by the other, and a payment runs at most once.
+// A server of the plain service dies during calls. The other server must answer
+// the idempotent calls, and a payment must run at most once.
 func TestPlainServerDies(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, slowServicePlan())
@@ -90,7 +90,7 @@
 		payments = append(payments, fl.payment(cl, fmt.Sprintf("dies-payment-%d", ix)))
 	}
 	first := fl.dp.Services[0]
-	eventually(t, "the server is at work", func() bool { return first.History().Running > 0 })
+	eventually(t, "the server has running calls", func() bool { return first.History().Running > 0 })
 	results.countFault("plain server died")
 	first.Control.Set(standin.Faults{Dead: true})
 	for _, og := range records {
--- a/internal/integration/deadly_test.go
+++ b/internal/integration/deadly_test.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	maxServerCrashes = 5 // servers that one request may end
+	maxServerCrashes = 5 // maximum number of servers that one request may crash
 	deadlyTries      = 8
 	deadlyNote       = "the field notes that break engines"
-	restartTime      = 300 * time.Millisecond // of a server that ended
-	shortWait        = 500 * clock.Millis(1)  // after which callers try again, whatever they are told
-	longWait         = 30 * clock.Second      // they give up when they are told to wait longer
+	restartTime      = 300 * time.Millisecond // time until a crashed server is up again
+	shortWait        = 500 * clock.Millis(1)  // after which callers retry, even if they are told to wait longer
+	longWait         = 30 * clock.Second      // callers give up if they are told to wait longer than this
 )
 
 func deadlyPlan() plan {
@@ -40,7 +40,8 @@
 	return pl
 }
 
-// clientAt is a hasty caller's library that reaches only one VM.
+// clientAt returns a client that reaches only one VM and retries after a short
+// wait.
 func (fl *fleet) clientAt(vm *vm) *client.Client {
 	cl := fl.client()
 	cl.Wait = waitBriefly
@@ -52,8 +53,8 @@
 	return cl
 }
 
-// waitBriefly is the Wait of a client that comes back early, and ends its call instead of a long
-// wait.
+// waitBriefly is the Wait of a client that retries early, and that ends its call
+// instead of a long wait.
 func waitBriefly(ctx context.Context, span clock.Millis) error {
 	if span > longWait {
 		return context.DeadlineExceeded
@@ -68,8 +69,8 @@
 	return fl.chatOf(fl.clientAt(vm), "findings", key, deadlyNote, 50)
 }
 
-// tryAllVMs sends a deadly request again and again, each time to another VM under a new key,
-// and returns the last try, which is over.
+// tryAllVMs sends a deadly request repeatedly, each time to another VM with a new
+// key, and returns the last call after its end.
 func (fl *fleet) tryAllVMs(send func(vm *vm, key string) *ongoing) *ongoing {
 	var og *ongoing
 	for ix := range deadlyTries {
@@ -79,18 +80,19 @@
 	return og
 }
 
-// checkContained checks that few servers ended under a request, that its last try was refused for
-// that, and that other requests are served.
+// checkContained checks that a request crashed at most maxServerCrashes servers,
+// that its last call was refused for that reason, and that other requests are
+// served.
 func (fl *fleet) checkContained(crashes int, last *ongoing) {
 	fl.t.Helper()
-	assert.Check(fl.t, crashes <= maxServerCrashes, "%d servers ended under it", crashes)
-	assert.Check(fl.t, last.waitRefusal().Reason == refusal.EndsServers, "last try: %v", last.waitRefusal())
+	assert.Check(fl.t, crashes <= maxServerCrashes, "%d servers crashed", crashes)
+	assert.Check(fl.t, last.waitRefusal().Reason == refusal.EndsServers, "refusal of the last call: %v", last.waitRefusal())
 	assert.Check(fl.t, fl.chat(fl.client(), "findings", "ordinary", 20).wait())
 	fl.checkInvariants()
 }
 
-// crash ends a server's process: its work is lost, and nobody listens until it has
-// started again.
+// crash simulates the crash of a server's process: its work is lost, and
+// connections to it are refused until it has started again.
 func (fl *fleet) crash(id string, ct *standin.Control) {
 	px := fl.proxy(deployment.BackendLink, id)
 	ct.Set(standin.Faults{Dead: true})
@@ -114,8 +116,9 @@
 	fl.t.Cleanup(watch.Wait)
 }
 
-// crashEngines crashes the engines of a role whenever a run of a deadly request is in a
-// state. It returns how often it did.
+// crashEngines crashes the engines of a role whenever a run of a deadly request is
+// in the given state. It returns a function that returns the number of crashes so
+// far.
 func (fl *fleet) crashEngines(role board.Role, state func(rec *enginesim.Run) bool) (crashes func() int) {
 	var count atomic.Int64
 	for _, en := range fl.dp.Engines {
@@ -139,15 +142,15 @@
 
 func pastThirdToken(rec *enginesim.Run) bool { return rec.Tokens >= 3 }
 
-// Engines end at some point of a request, whose callers try again at other VMs: what one
-// VM saw is unknown to the next. Engines that start again under their ID have ended all
-// the same.
+// A request crashes engines at some stage, and its callers retry at other VMs, which
+// have not observed the crashes themselves. Engines that start again under the same
+// ID count as crashed too.
 func TestDeadlyRequestAtAnyVM(t *testing.T) {
 	skipKnownRed(t)
 	for _, tc := range []struct {
 		name   string
 		decode int  // engines
-		slow   bool // prefills and transfers, so that engines can end in the middle of one
+		slow   bool // slow prefills and transfers, so that engines can crash in the middle of one
 		crash  func(fl *fleet) (ended func() int)
 	}{
 		{"Decode", 6, false, func(fl *fleet) func() int { return fl.crashOnDecode(fl.t, "deadly-", restartTime) }},
@@ -171,8 +174,8 @@
 	}
 }
 
-// The VM that saw engines end under a request is killed after each try and starts again
-// with an empty memory.
+// The VM that observed a request crash engines is killed after each call and starts
+// again without that knowledge.
 func TestDeadlyRequestWhileVMsRestart(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
@@ -188,7 +191,7 @@
 	fl.checkContained(crashes(), last)
 }
 
-// A call of a plain service ends each server that runs it.
+// A call of a plain service crashes each server that runs it.
 func TestDeadlyPlainCall(t *testing.T) {
 	skipKnownRed(t)
 	for method, path := range map[string]string{http.MethodGet: "/records/deadly", http.MethodPost: "/payments/deadly"} {
@@ -207,8 +210,9 @@
 	}
 }
 
-// The connection of a request's caller breaks each time that an engine ended. The caller
-// comes back under its own key, and at another VM once more after it was refused.
+// The connection of the caller breaks each time that its request has crashed an
+// engine. The caller retries with the same key, and after a refusal once more at
+// another VM.
 func TestDeadlyRequestRetriedUnderItsKey(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
@@ -217,7 +221,7 @@
 	for ix, at := range fl.vms {
 		og := fl.sendDeadly(at, fmt.Sprintf("deadly-%d", ix))
 		for before := crashes(); ; before = crashes() {
-			eventually(t, "an engine or the call ends", func() bool { return crashes() > before || og.ended() })
+			eventually(t, "an engine crashes or the call ends", func() bool { return crashes() > before || og.ended() })
 			if og.ended() {
 				break
 			}
@@ -231,8 +235,8 @@
 	fl.checkContained(crashes(), last)
 }
 
-// The VM that runs a request is killed as an engine ends, three times. Another VM takes
-// the request over when its caller comes back under its key.
+// The VM that runs a request is killed when the request crashes an engine, three
+// times. Another VM takes the request over when its caller retries with its key.
 func TestDeadlyRequestIsTakenOver(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
@@ -241,7 +245,7 @@
 	cl.Wait = waitBriefly
 	og := fl.chatOf(cl, "findings", "deadly-own", deadlyNote, 50)
 	for before := range 3 {
-		eventually(t, "an engine or the call ends", func() bool { return crashes() > before || og.ended() })
+		eventually(t, "an engine crashes or the call ends", func() bool { return crashes() > before || og.ended() })
 		if lost := fl.newestRunner("deadly-own"); !og.ended() && lost != nil {
 			lost.kill(t)
 			lost.start(t)
@@ -252,7 +256,7 @@
 	fl.checkContained(crashes(), last)
 }
 
-// newestRunner is the VM of the newest decode of a key.
+// newestRunner returns the VM that ordered the newest decode of a key.
 func (fl *fleet) newestRunner(key string) *vm {
 	var id string
 	newest := clock.Millis(-1)
@@ -273,8 +277,9 @@
 	}
 }
 
-// Engines end by chance, twenty times, beside 120 requests, one in six of which asks what
-// others ask too. None is refused for that, and none is cut.
+// Engines crash at random, twenty times, during 120 requests, one in six of which
+// has the same content as others. No request may be refused for causing crashes, and
+// none may be interrupted.
 func TestRandomEngineCrashes(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -288,8 +293,9 @@
 	}
 }
 
-// randomCrashRound sends six requests, and ends one of the engines that decode them. Each has a
-// whole answer, or is refused before its first byte for want of retries that are left.
+// randomCrashRound sends six requests and crashes one of the engines that decode
+// them. Each must get a complete answer, or be refused before its first byte because
+// its retries are exhausted.
 func (fl *fleet) randomCrashRound(rnd *rand.Rand, round int) {
 	prefix := fmt.Sprintf("chance-%d-", round)
 	var calls []*ongoing
@@ -316,9 +322,9 @@
 	}
 }
 
-// The links to half of the decode engines are cut for two seconds. Calls break off there as
-// if engines had ended, again and again with the same notes, and none has: soon after the
-// links have healed all requests have whole answers.
+// The links to half of the decode engines are cut for two seconds. Calls with the
+// same notes break off repeatedly, as if engines had crashed, although none has. Soon
+// after the links have recovered, all requests must get complete answers.
 func TestCutLinksAreNotCrashes(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
--- a/internal/integration/doc.go
+++ b/internal/integration/doc.go
@@ -1,18 +1,19 @@
-// Package integration proves what must always hold with real processes: its
-// tests start entry VMs from the built program, put proxies that inject
-// faults between them and everything that they speak to, let callers at them
-// and have package invariant judge what happened.
+// Package integration tests with real processes that the invariants always
+// hold: its tests start entry VMs from the built program, put proxies that
+// inject faults between them and everything that they communicate with, send
+// calls to them, and let package invariant check the recorded history.
 //
-// Stand-ins of the platform and of the backend servers run inside the test
-// process. Toxiproxy's package carries callers, the log service, the VM list
-// and backend servers; a small relay carries the traffic between VMs, which
-// is TCP and UDP and has to be cut for pairs of VMs.
+// Stand-ins for the platform and for the backend servers run inside the test
+// process. Toxiproxy's package proxies the connections to callers, the log
+// service, the VM list and backend servers. A small relay forwards the traffic
+// between VMs, because it is TCP and UDP and must be cut for single pairs of
+// VMs.
 //
 // # Usage
 //
-//	go test ./internal/integration                                   # all faults
-//	go test ./internal/integration -results docs/RESULTS-faults.md   # and write the table
+//	go test ./internal/integration                                   # run all tests
+//	go test ./internal/integration -results docs/RESULTS-faults.md   # and write the table of results
 //
-// A test that fails for a known fault stands in KNOWN-RED.txt at the root of
-// the repository; it prints its line and is passed over.
+// A test that fails because of a known fault is listed in KNOWN-RED.txt at the
+// root of the repository. It prints its entry and is skipped.
 package integration
--- a/internal/integration/engine_test.go
+++ b/internal/integration/engine_test.go
@@ -19,11 +19,12 @@
 	"alderdyke/pkg/refusal"
 )
 
-// awaitDecoder returns the engine that decodes the key.
+// awaitDecoder waits until a decode of the key is in progress and returns its
+// engine.
 func (fl *fleet) awaitDecoder(key string) *enginesim.Engine {
 	fl.t.Helper()
 	var out *enginesim.Engine
-	eventually(fl.t, "a decode of "+key+" is under way", func() bool {
+	eventually(fl.t, "a decode of "+key+" is in progress", func() bool {
 		for _, en := range fl.dp.Engines {
 			for _, rec := range en.History().Runs {
 				if rec.Role == board.Decode && rec.Tokens > 5 && rec.Outcome == "" && isAttemptOf(rec.Request, key) {
@@ -36,13 +37,14 @@
 	return out
 }
 
-// A decode engine dies in the middle of an answer: the request goes on
-// elsewhere, and the caller gets one answer without a seam.
+// A decode engine dies in the middle of an answer. The request must continue at
+// another engine, and the caller must get one complete answer without a gap or a
+// repetition.
 func TestDecodeEngineDiesMidAnswer(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "dies", 300)
-	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
+	eventually(t, "the answer is in progress", func() bool { return og.received() > 10*tokenBytes })
 	results.countFault("engine died")
 	died := time.Now()
 	fl.awaitDecoder("dies").Control.Set(standin.Faults{Dead: true})
@@ -52,13 +54,13 @@
 	fl.checkInvariants()
 }
 
-// The connection to the decode engine is cut in the middle of an answer: the
-// stream is opened again at the same engine, and no work is lost.
+// The connection to the decode engine breaks in the middle of an answer. The
+// stream must be resumed at the same engine, without a second decode.
 func TestDecodeStreamIsCut(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "cut", 300)
-	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
+	eventually(t, "the answer is in progress", func() bool { return og.received() > 10*tokenBytes })
 	px := fl.proxy(deployment.BackendLink, fl.awaitDecoder("cut").ID)
 	px.reset(t)
 	before := og.received()
@@ -69,14 +71,14 @@
 	fl.checkInvariants()
 }
 
-// The connection to the decode engine is cut in the middle of an answer, and the
-// engine fails when the stream is opened again: its failure is not taken for the
-// rest of the answer.
+// The connection to the decode engine breaks in the middle of an answer, and the
+// engine answers the attempt to resume the stream with status 500. That failure
+// must not be taken for the rest of the answer.
 func TestEngineFailsToResume(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "fails", 300)
-	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
+	eventually(t, "the answer is in progress", func() bool { return og.received() > 10*tokenBytes })
 	results.countFault("engine failed to go on")
 	en := fl.awaitDecoder("fails")
 	en.Control.Set(standin.Faults{Paths: []string{wire.ResumePath}, Fail: true})
@@ -88,15 +90,16 @@
 }
 
 // A decode engine dies in the middle of an answer, and the first engine that is
-// to go on fails: another attempt goes on, without a seam, or the caller hears
-// that the answer is not whole.
+// to continue fails. Either another attempt continues without a gap or a
+// repetition, or the caller gets an error that says that the answer is
+// incomplete.
 func TestNextEngineFails(t *testing.T) {
 	t.Parallel()
 	pl := defaultPlan()
 	pl.decode = 3
 	fl := startFleet(t, pl)
 	og := fl.chat(fl.client(), "findings", "next", 300)
-	eventually(t, "the answer is under way", func() bool { return og.received() > 10*tokenBytes })
+	eventually(t, "the answer is in progress", func() bool { return og.received() > 10*tokenBytes })
 	results.countFault("engine died while others failed")
 	died := fl.awaitDecoder("next")
 	for _, en := range fl.dp.Engines {
@@ -111,8 +114,9 @@
 	fl.checkInvariants()
 }
 
-// An engine declines an order and says for how long it wants none. The word reached the
-// one request alone, and each load report in between had the cell send it the next one.
+// An engine declines an order with a delay before a retry. The delay must apply
+// to all requests: if only the declined request observed it, each later load
+// report would make the cell send the engine the next request.
 func TestEngineRetryAfterIsHonored(t *testing.T) {
 	const rest = 5 * clock.Second
 	for _, path := range []string{wire.PrefillPath, wire.ImportPath} {
@@ -130,10 +134,10 @@
 			for began, ix := time.Now(), 0; time.Since(began) < rest.Std(); ix++ {
 				asked := time.Now()
 				assert.Check(t, fl.chat(cl, "findings", fmt.Sprintf("rest-%d", ix), 5).wait())
-				assert.Check(t, time.Since(asked) < rest.Std(), "the other engine wants no rest")
+				assert.Check(t, time.Since(asked) < rest.Std(), "the other engine has no delay")
 			}
 			declined := resting.Control.Hits()
-			assert.Assert(t, declined > 0 && declined <= 2, "%d orders reached it", declined)
+			assert.Assert(t, declined > 0 && declined <= 2, "the engine declined %d orders", declined)
 			fl.checkInvariants()
 		})
 	}
@@ -149,8 +153,8 @@
 	return nil
 }
 
-// All transfers to one decode engine stand still: requests that were placed
-// there end elsewhere.
+// All transfers to one decode engine stall. Requests that were placed there must
+// complete at another engine.
 func TestTransfersStall(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -172,15 +176,15 @@
 	fl.checkInvariants()
 }
 
-// The first orders to cancel take effect nowhere, or their replies are lost:
-// the engines are free all the same.
+// The first cancel orders have no effect, or their replies are lost. The engines
+// must become free nevertheless.
 func TestCancelsAreLost(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
 	og := fl.chat(fl.client(), "findings", "cancel", 2000)
 	other := fl.chat(fl.client(), "findings", "cancel-too", 2000)
 	for _, call := range []*ongoing{og, other} {
-		eventually(t, "the answer is under way", func() bool { return call.received() > 5*tokenBytes })
+		eventually(t, "the answer is in progress", func() bool { return call.received() > 5*tokenBytes })
 	}
 	results.countFault("order to cancel lost")
 	for ix, en := range fl.dp.Engines {
@@ -193,9 +197,10 @@
 	fl.checkInvariants()
 }
 
-// Everything at once, and twice: a VM that runs an answer is killed while the
-// engine that decodes it dies. Who had a part of such an answer gets the rest
-// of it or the truth; all others get their whole answers.
+// A VM that runs an answer is killed while the engine that decodes it dies, and
+// that happens twice. A caller of a request that was at such an engine must get
+// its complete answer or a refusal that says that the request may have run. All
+// others must get complete answers.
 func TestVMAndEngineDieTwice(t *testing.T) {
 	t.Parallel()
 	pl := defaultPlan()
@@ -209,7 +214,7 @@
 	hit := make(map[string]bool)
 	for range 2 {
 		before := fl.tokensMade()
-		eventually(t, "answers go on", func() bool { return fl.tokensMade() > before+200 })
+		eventually(t, "answers continue", func() bool { return fl.tokensMade() > before+200 })
 		en, lost := fl.awaitLiveDecode()
 		results.countFault("engine died")
 		en.Control.Set(standin.Faults{Dead: true})
@@ -229,7 +234,8 @@
 	fl.checkInvariants()
 }
 
-// tokensMade counts the tokens that decode engines made so far.
+// tokensMade returns the number of tokens that decode engines have generated so
+// far.
 func (fl *fleet) tokensMade() int {
 	made := 0
 	for _, en := range fl.dp.Engines {
@@ -240,13 +246,13 @@
 	return made
 }
 
-// awaitLiveDecode returns an engine with a decode under way, and the VM that
-// ordered it and is up.
+// awaitLiveDecode waits until a decode is in progress that was ordered by a
+// running VM, and returns the engine and the VM.
 func (fl *fleet) awaitLiveDecode() (*enginesim.Engine, *vm) {
 	fl.t.Helper()
 	var at *enginesim.Engine
 	var by *vm
-	eventually(fl.t, "a decode is under way", func() bool {
+	eventually(fl.t, "a decode is in progress", func() bool {
 		for _, en := range fl.dp.Engines {
 			for _, rec := range en.History().Runs {
 				if rec.Role == board.Decode && rec.Outcome == "" && rec.Tokens > 0 {
@@ -262,15 +268,15 @@
 	return at, by
 }
 
-// A request ends each engine that begins to decode it, as an input that breaks engines
-// does. Its caller sends it again under new keys. Once five engines have ended under it
-// no further one gets it.
+// A request crashes each engine that starts to decode it, as an input that triggers
+// a bug in the engines does. Its caller sends it again under new keys. After five
+// engines have crashed, no other engine may get the request.
 func TestRequestThatCrashesEnginesIsStopped(t *testing.T) {
 	const (
 		maxCrashes = 5
 		tries      = 5
 		note       = "the field notes that break engines"
-		restart    = 300 * time.Millisecond // until an engine starts again
+		restart    = 300 * time.Millisecond // until a crashed engine starts again
 	)
 	pl := defaultPlan()
 	pl.decode = 4
@@ -280,11 +286,12 @@
 	for ix := range tries {
 		fl.chatOf(cl, "findings", fmt.Sprintf("deadly-%d", ix), note, 50).wait()
 	}
-	assert.Assert(t, crashes() <= maxCrashes, "%d engines ended under it", crashes())
+	assert.Assert(t, crashes() <= maxCrashes, "%d engines crashed", crashes())
 }
 
-// crashOnDecode has engines die as they decode a request whose key begins so, and start again
-// after a while. It returns how many have.
+// crashOnDecode makes a decode engine die whenever it decodes a request whose key
+// has the given prefix, and makes it start again after a delay. It returns a
+// function that returns the number of crashes so far.
 func (fl *fleet) crashOnDecode(t *testing.T, prefix string, restart time.Duration) (crashes func() int) {
 	t.Helper()
 	var count atomic.Int64
@@ -315,7 +322,8 @@
 	return func() int { return int(count.Load()) }
 }
 
-// isDecoding tells whether an engine isDecoding a request whose key begins so.
+// isDecoding reports whether an engine is decoding a request whose key has the
+// given prefix.
 func isDecoding(en *enginesim.Engine, prefix string) bool {
 	for _, rec := range en.History().Runs {
 		if rec.Decodes > 0 && rec.Outcome == "" && strings.HasPrefix(rec.Request, customer+"/"+prefix) {
--- a/internal/integration/fleet_test.go
+++ b/internal/integration/fleet_test.go
@@ -24,17 +24,18 @@
 	"alderdyke/pkg/template"
 )
 
-// What a fleet of these tests serves.
+// Customer, services and limits of the fleets in these tests.
 const (
 	customer = "kedelsyn"
 	apiKey   = "kedelsyn-demo-key"
 	model    = "rapportmodel"
 	service  = "feltapp"
 
-	streamWait = 3 * clock.Second // of the model's classes
-	// maxHoldAfterEnd bounds how long engines may hold what no caller waits for:
-	// the wait for the caller, the time to find that a VM is lost, and the
-	// time in which another may take its requests over.
+	streamWait = 3 * clock.Second // StreamWait of the model's classes
+	// maxHoldAfterEnd is how long engines may hold resources of a request
+	// after its call has ended: it covers the wait for the caller to return,
+	// the time to detect a lost VM, and the time in which another VM may take
+	// its requests over.
 	maxHoldAfterEnd = 25 * clock.Second
 )
 
@@ -92,7 +93,7 @@
 )
 
 type (
-	// plan is what a fleet is made of.
+	// plan holds the size of a fleet and the settings of its backend servers.
 	plan struct {
 		vms     int
 		prefill int
@@ -102,7 +103,8 @@
 		service servicesim.Settings
 	}
 
-	// fleet is a running deployment, with faults between its parts.
+	// fleet is a running deployment with proxies that inject faults between its
+	// parts.
 	fleet struct {
 		t       *testing.T
 		dp      *deployment.Deployment
@@ -118,8 +120,8 @@
 	}
 )
 
-// defaultPlan is a plan whose answers take seconds, so that faults find them in
-// progress.
+// defaultPlan returns a plan whose answers take seconds, so that they are in
+// progress when a fault is injected.
 func defaultPlan() plan {
 	set := enginesim.DefaultSettings()
 	set.PrefillTokensPerSecond = 50000
@@ -128,8 +130,8 @@
 	return plan{vms: 3, prefill: 2, decode: 2, plain: 2, engine: set, service: servicesim.Settings{Latency: 30, Slots: 8}}
 }
 
-// startFleet starts the deployment and its VMs, publishes the template and
-// waits until every VM serves.
+// startFleet starts a deployment and its VMs, publishes the template and waits
+// until every VM is ready to serve.
 func startFleet(t *testing.T, pl plan) *fleet {
 	t.Helper()
 	fl := newFleet(t, pl)
@@ -143,7 +145,7 @@
 	return fl
 }
 
-// newFleet starts the deployment without its VMs.
+// newFleet starts a deployment without its VMs.
 func newFleet(t *testing.T, pl plan) *fleet {
 	t.Helper()
 	skipKnownRed(t)
@@ -173,7 +175,8 @@
 	return fl
 }
 
-// interceptLink puts a proxy before an address, or a relay if other VMs connect there.
+// interceptLink starts a proxy for an address, or a relay if other VMs connect
+// to it.
 func (fl *fleet) interceptLink(lk deployment.Link, addr netip.AddrPort) (netip.AddrPort, error) {
 	if lk.Kind == deployment.PeerLink {
 		at := netip.MustParseAddrPort(fl.seeds[len(fl.vms)])
@@ -188,7 +191,7 @@
 	return fl.proxies[deployment.Link{Kind: kind, ID: id}]
 }
 
-// vm returns a VM by its ID.
+// vm returns the VM with the given ID.
 func (fl *fleet) vm(id string) *vm {
 	for _, vm := range fl.vms {
 		if vm.set.ID == id {
@@ -199,13 +202,13 @@
 	return nil
 }
 
-// otherVMs lists all VMs but some.
+// otherVMs returns all VMs except the given ones.
 func (fl *fleet) otherVMs(but ...*vm) []*vm {
 	return slices.DeleteFunc(slices.Clone(fl.vms), func(vm *vm) bool { return slices.Contains(but, vm) })
 }
 
-// publish publishes a template through a VM until it is decided, and notes
-// that all VMs must get it.
+// publish publishes a template through a VM and repeats that until it gets a
+// reply that says whether the publication is accepted.
 func (fl *fleet) publish(through *vm, id string, base uint64, tpl template.Template) operator.PublishReply {
 	fl.t.Helper()
 	var reply operator.PublishReply
@@ -217,8 +220,8 @@
 	return reply
 }
 
-// awaitServing waits until a VM has the template, knows the fleet and the
-// seats, and has heard of all plain servers.
+// awaitServing waits until a VM has the template, the seats and a quorum, sees
+// all running VMs alive, and has load reports of all plain servers.
 func (fl *fleet) awaitServing(vm *vm) {
 	fl.t.Helper()
 	defer func() {
@@ -252,7 +255,7 @@
 	return err == nil && alive == fl.runningVMs() && reported == len(fl.dp.Services) && st.Seats >= min(len(fl.vms), 3)
 }
 
-// runningVMs counts the VMs whose processes run.
+// runningVMs returns the number of VMs whose processes are running.
 func (fl *fleet) runningVMs() int {
 	count := 0
 	for _, vm := range fl.vms {
@@ -263,15 +266,16 @@
 	return count
 }
 
-// awaitDead waits until a VM holds another one dead, and returns after how
-// long.
+// awaitDead waits until a VM considers another one dead, and returns the time
+// since the given moment.
 func (fl *fleet) awaitDead(vm, lost *vm, since time.Time) time.Duration {
 	fl.t.Helper()
-	eventually(fl.t, vm.set.ID+" holds "+lost.set.ID+" dead", func() bool { return fl.health(vm, lost) == "Dead" })
+	eventually(fl.t, vm.set.ID+" considers "+lost.set.ID+" dead", func() bool { return fl.health(vm, lost) == "Dead" })
 	return time.Since(since)
 }
 
-// health tells how a VM sees another one.
+// health returns the health of a VM as another one reports it, or "" if it is
+// unknown.
 func (fl *fleet) health(vm, other *vm) string {
 	st, err := vm.ops.Status(fl.t.Context())
 	if err != nil {
@@ -285,8 +289,8 @@
 	return ""
 }
 
-// watchRevisions notes, until the test ends, which revision each VM has in
-// force.
+// watchRevisions records continuously, until the test ends, which revision each
+// VM has in force.
 func (fl *fleet) watchRevisions() {
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -307,8 +311,9 @@
 	})
 }
 
-// observeRevision asks a VM for the revision in force and notes it. Sightings of one VM
-// are made one after the other.
+// observeRevision queries a VM for the revision in force and records it. It
+// observes a VM only once at a time, so that observations are recorded in their
+// order.
 func (fl *fleet) observeRevision(ctx context.Context, vm *vm) uint64 {
 	vm.observing.Lock()
 	defer vm.observing.Unlock()
@@ -325,8 +330,8 @@
 	return reply.Revision
 }
 
-// recordAccepted notes that a revision was recordAccepted now and must come in force at
-// the VMs.
+// recordAccepted records that a revision was accepted now and must come in
+// force at the VMs.
 func (fl *fleet) recordAccepted(revision uint64, vms ...*vm) {
 	pb := invariant.Publication{Customer: customer, Revision: revision, Accepted: time.Now()}
 	for _, vm := range vms {
@@ -335,8 +340,8 @@
 	fl.updateHistory(func(hs *invariant.History) { hs.Publications = append(hs.Publications, pb) })
 }
 
-// awaitRevision waits until the VMs have a revision in force, and returns after how
-// long the last one had.
+// awaitRevision waits until all given VMs have a revision in force, and returns
+// how long that took.
 func (fl *fleet) awaitRevision(revision uint64, vms ...*vm) time.Duration {
 	fl.t.Helper()
 	since := time.Now()
@@ -354,7 +359,7 @@
 	write(&fl.hist)
 }
 
-// engineRuns lists the runs of a request at engines of a role.
+// engineRuns returns the runs of a key at engines of a role.
 func (fl *fleet) engineRuns(role board.Role, key string) []*enginesim.Run {
 	var out []*enginesim.Run
 	for _, en := range fl.dp.Engines {
@@ -367,7 +372,7 @@
 	return out
 }
 
-// serviceRuns counts the runs of a key at the plain service.
+// serviceRuns returns the number of runs of a key at the plain service.
 func (fl *fleet) serviceRuns(key string) int {
 	count := 0
 	for _, sv := range fl.dp.Services {
@@ -376,7 +381,8 @@
 	return count
 }
 
-// awaitEnginesFree waits until no engine holds anything, and returns after how long.
+// awaitEnginesFree waits until no engine holds any resources, and returns how
+// long that took.
 func (fl *fleet) awaitEnginesFree() time.Duration {
 	fl.t.Helper()
 	since := time.Now()
@@ -393,7 +399,8 @@
 	return count
 }
 
-// checkInvariants waits until the engines are free and has the rules checked.
+// checkInvariants waits until the engines are free and checks the history
+// against the invariants.
 func (fl *fleet) checkInvariants() {
 	fl.t.Helper()
 	fl.awaitEnginesFree()
--- a/internal/integration/leave_test.go
+++ b/internal/integration/leave_test.go
@@ -16,7 +16,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// callerLoad is callers who come again and again until stop.
+// callerLoad sends calls of several kinds repeatedly until stop.
 type callerLoad struct {
 	fl   *fleet
 	quit chan struct{}
@@ -25,7 +25,7 @@
 	errs []error
 }
 
-// startLoad lets so many callers of each kind at the fleet.
+// startLoad starts the given number of callers of each kind.
 func (fl *fleet) startLoad(name string, each int) *callerLoad {
 	ld := &callerLoad{fl: fl, quit: make(chan struct{})}
 	for ix := range each {
@@ -48,7 +48,7 @@
 			select {
 			case <-ld.quit:
 				return
-			case <-ld.fl.t.Context().Done(): // the test has failed
+			case <-ld.fl.t.Context().Done(): // the test has ended early
 				return
 			default:
 			}
@@ -61,30 +61,30 @@
 	})
 }
 
-// stop waits for the calls in progress and returns how calls failed.
+// stop waits for the calls in progress and returns the errors of all failed calls.
 func (ld *callerLoad) stop() []error {
 	close(ld.quit)
 	ld.wg.Wait()
 	return ld.errs
 }
 
-// endedCalls counts the endedCalls that have their end.
+// endedCalls returns the number of calls that have ended.
 func (fl *fleet) endedCalls() int {
 	count := 0
 	fl.updateHistory(func(hs *invariant.History) { count = len(hs.Calls) })
 	return count
 }
 
-// awaitCalls waits until so many more calls have their end.
+// awaitCalls waits until the given number of further calls have ended.
 func (fl *fleet) awaitCalls(more int) {
 	fl.t.Helper()
 	before := fl.endedCalls()
-	eventually(fl.t, fmt.Sprintf("%d calls", more), func() bool { return fl.endedCalls() >= before+more })
+	eventually(fl.t, fmt.Sprintf("%d more calls ended", more), func() bool { return fl.endedCalls() >= before+more })
 }
 
-// stopPlanned makes a planned stop of a VM and notes it. A caller who never
-// tries again is in the middle of an answer of that VM, and must get the rest
-// over its own connection.
+// stopPlanned performs a planned stop of a VM and records it. Meanwhile a caller
+// that never retries is receiving an answer from that VM, and must get the rest
+// over the same connection.
 func (fl *fleet) stopPlanned(vm *vm) {
 	fl.t.Helper()
 	key := "once-at-" + vm.set.ID
@@ -99,12 +99,12 @@
 	case <-time.After(eventTimeout):
 	}
 	results.recordDuration("a planned stop under load", time.Since(st.Began))
-	assert.Check(fl.t, once.wait(), "the answer was cut off")
+	assert.Check(fl.t, once.wait(), "the answer was interrupted")
 	fl.updateHistory(func(hs *invariant.History) { hs.PlannedStops = append(hs.PlannedStops, st) })
 }
 
-// A VM is stopped as planned while callers come: nothing is cut off, and no
-// caller who still holds its address is lost.
+// A planned stop of a VM under load interrupts no call, and callers that still
+// use the VM's address lose none.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -120,7 +120,7 @@
 	fl.checkInvariants()
 }
 
-// All VMs are replaced one after another while callers come.
+// All VMs are replaced one after another under load.
 func TestRollingReplacementUnderLoad(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -141,8 +141,8 @@
 	fl.checkInvariants()
 }
 
-// Backend servers say that they leave, and the VM list lags by ten seconds:
-// after three seconds they are sent nothing more.
+// Backend servers report that they are leaving while the VM list lags by ten
+// seconds. After three seconds they must get no more work.
 func TestLeavingServersGetNoNewWork(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -167,18 +167,18 @@
 			hs.LeavingServers = append(hs.LeavingServers, invariant.LeavingServer{Server: id, Since: since})
 		})
 	}
-	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
+	eventually(t, "the time allowed for starting work on leaving servers is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
 	before := fl.declinedAsLeaving(leaving)
 	fl.awaitCalls(100)
-	assert.Equal(t, fl.declinedAsLeaving(leaving), before, "orders that leaving servers declined, before and after")
+	assert.Equal(t, fl.declinedAsLeaving(leaving), before, "orders that leaving servers declined, after and before")
 	for _, err := range ld.stop() {
 		t.Error(err)
 	}
 	fl.checkInvariants()
 }
 
-// Backend servers leave by the VM list's word alone, and would take work: after
-// three seconds they have begun nothing more.
+// Backend servers leave only according to the VM list and would still accept
+// work. After three seconds they must not start any more.
 func TestServersLeavingOnlyByVMList(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -193,7 +193,7 @@
 			hs.LeavingServers = append(hs.LeavingServers, invariant.LeavingServer{Server: id, Since: since})
 		})
 	}
-	eventually(t, "the time of grace is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
+	eventually(t, "the time allowed for starting work on leaving servers is over", func() bool { return time.Since(since) >= invariant.MaxStartAfterLeaving.Std() })
 	fl.awaitCalls(100)
 	for _, err := range ld.stop() {
 		t.Error(err)
@@ -201,7 +201,8 @@
 	fl.checkInvariants()
 }
 
-// declinedAsLeaving counts the orders that the servers declinedAsLeaving because they leave.
+// declinedAsLeaving returns the number of orders that the servers declined
+// because they are leaving.
 func (fl *fleet) declinedAsLeaving(servers map[string]*standin.Control) int {
 	count := 0
 	for _, en := range fl.dp.Engines {
--- a/internal/integration/main_test.go
+++ b/internal/integration/main_test.go
@@ -19,7 +19,7 @@
 
 var (
 	resultsFile = flag.String("results", "", "write the table of results to this file, relative to the repository's root")
-	program     string // the built program
+	program     string // path of the built program
 )
 
 func TestMain(m *testing.M) {
@@ -30,7 +30,7 @@
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "alderdyke")
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "make a directory for the program:", err)
+		fmt.Fprintln(os.Stderr, "create a directory for the program:", err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
@@ -50,8 +50,9 @@
 	return code
 }
 
-// skipKnownRed passes over a test that is listed as failing for a skipKnownRed fault, unless
-// it was asked for by name, as .ci/run does after all others.
+// skipKnownRed skips a test that is listed as failing because of a known fault,
+// unless tests are selected with -run, as .ci/run does for the listed tests
+// after all others.
 func skipKnownRed(t *testing.T) {
 	t.Helper()
 	if flag.Lookup("test.run").Value.String() != "" {
@@ -59,7 +60,7 @@
 	}
 	text, err := os.ReadFile(knownRedFile)
 	if err != nil && !os.IsNotExist(err) {
-		t.Fatalf("read the known faults: %v", err)
+		t.Fatalf("read the list of known faults: %v", err)
 	}
 	if line, ok := findKnownRed(string(text), t.Name()); ok {
 		fmt.Println("KNOWN RED:", line)
@@ -67,8 +68,9 @@
 	}
 }
 
-// findKnownRed finds the line of a test among the known faults. A line is
-// "TestName: cause; issue", as .ci/run reads it.
+// findKnownRed returns the entry of a test in the list of known faults. An
+// entry is a line "TestName: cause; issue", which .ci/run parses in the same
+// way.
 func findKnownRed(text, test string) (line string, ok bool) {
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, test+": ") {
@@ -78,8 +80,8 @@
 	return "", false
 }
 
-// The lines that .ci/run passes over are those that a plain run of this package
-// passes over, and no others.
+// A run of this package skips exactly the tests that .ci/run skips, so both must
+// accept the same format of entries.
 func TestKnownRedLineFormat(t *testing.T) {
 	for _, tc := range []struct {
 		text string
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -11,16 +11,16 @@
 	"alderdyke/pkg/refusal"
 )
 
-// slowServicePlan is a plan whose plain calls last long enough for faults to find
-// them running.
+// slowServicePlan returns a plan whose plain calls take so long that they are
+// running when a fault is injected.
 func slowServicePlan() plan {
 	pl := defaultPlan()
 	pl.service.Latency = 1500
 	return pl
 }
 
-// One payment is sent through all VMs at once: it runs once, and all that get
-// an answer get the same.
+// One payment is sent through all VMs at once. It must run once, and all callers
+// must get the same answer.
 func TestOneKeyThroughAllVMsAtOnce(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -38,8 +38,9 @@
 	fl.checkInvariants()
 }
 
-// The VM that runs a payment is killed while the service works at it. The
-// caller asks the others again and again, and it never runs a second time.
+// The VM that runs a payment is killed while the service processes it. The
+// caller repeats it at the other VMs, before and after they consider the VM dead,
+// and it must never run a second time.
 func TestAtMostOnceWhenItsVMIsKilled(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, slowServicePlan())
@@ -62,9 +63,9 @@
 	fl.checkInvariants()
 }
 
-// The VM that was asked first is paused until the others hold it dead, the
-// caller asks them, and then it wakes and still believes that it may run the
-// payment.
+// The first VM that got a payment is paused until the others consider it dead,
+// and the caller repeats the payment at these. Then the first VM resumes, with
+// the state in which it is allowed to run the payment. It must not run twice.
 func TestAtMostOnceWhenItsVMIsPaused(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, slowServicePlan())
@@ -93,8 +94,9 @@
 	fl.checkInvariants()
 }
 
-// Many payments are asked for while a VM sleeps in the middle of asking:
-// whatever it believes when it wakes, none runs twice.
+// A VM is paused while it is sending many payments to the service, and these are
+// repeated at other VMs. Whatever state it resumes with, no payment may run
+// twice.
 func TestAtMostOnceThroughAPausedVM(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -119,8 +121,8 @@
 	fl.checkInvariants()
 }
 
-// The service runs a payment and its reply is lost: the caller is told that it
-// may have run, and nobody runs it again.
+// The service runs a payment and its reply is lost. The refusal must say that
+// the payment may have run, and no VM may run it again.
 func TestReplyLostAfterEffect(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
--- a/internal/integration/pause_test.go
+++ b/internal/integration/pause_test.go
@@ -11,8 +11,8 @@
 	"alderdyke/internal/board"
 )
 
-// A VM stands still for so long that others suspect it, and goes on. Its live
-// requests are not cut and nothing is done twice.
+// A VM is paused until the others suspect it, and then resumes. Its requests in
+// progress must not be interrupted, and nothing may be decoded twice.
 func TestSuspectedVMsRequestsAreNotCut(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -41,12 +41,13 @@
 		assert.Equal(t, began, 1)
 		assert.Equal(t, made, tokens)
 	}
-	eventually(t, "the VM is held alive", func() bool { return fl.health(fl.otherVMs(first)[0], first) == "Alive" })
+	eventually(t, "the VM is considered alive again", func() bool { return fl.health(fl.otherVMs(first)[0], first) == "Alive" })
 	fl.checkInvariants()
 }
 
-// A VM stands still until it is held dead, its requests are taken over, and it
-// wakes. Every caller has one whole answer, and the engines are free.
+// A VM is paused until the others consider it dead and take its requests over,
+// and then resumes. Every caller must get one complete answer, and the engines
+// must become free.
 func TestVMResumesAfterItsRequestsWereTakenOver(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -68,9 +69,9 @@
 	fl.checkInvariants()
 }
 
-// VMs lose each other in two parts. Both serve what is idempotent; what is
-// not runs at most once, whichever parts are asked; afterwards all is one
-// fleet again.
+// A partition separates the VMs into two parts. Both must serve idempotent
+// requests. A request that is not idempotent must run at most once, even if it is
+// sent to both parts. After the partition the VMs must form one fleet again.
 func TestPartition(t *testing.T) {
 	t.Parallel()
 	pl := defaultPlan()
@@ -87,7 +88,7 @@
 	}
 	for _, one := range few {
 		for _, other := range many {
-			eventually(t, "each part holds the other dead", func() bool {
+			eventually(t, "each part considers the other dead", func() bool {
 				return fl.health(one, other) == "Dead" && fl.health(other, one) == "Dead"
 			})
 		}
@@ -114,9 +115,10 @@
 	fl.checkInvariants()
 }
 
-// A VM stands still until another VM, which follows its answer, reads that on
-// at the engine, and wakes. It does not take the caller, who reads elsewhere,
-// for gone.
+// The VM that runs an answer is paused while another VM follows the answer, which
+// therefore continues to read it from the engine. When the first VM resumes, it
+// must not assume that the caller has left, because the caller now reads through
+// the other VM.
 func TestRunnerResumesWhileAnotherVMReadsItsAnswer(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -130,17 +132,18 @@
 	eventually(t, "the other VM follows", sees("Following"))
 	early.hangUp()
 	runner.pause(t)
-	eventually(t, "the other VM reads the decode on", sees("ReadOn"))
+	eventually(t, "the other VM continues to read the decode", sees("ReadOn"))
 	runner.resume(t)
 	assert.Check(t, og.wait())
 	assert.Equal(t, len(fl.engineRuns(board.Decode, "read-on")), 1)
 	fl.checkInvariants()
 }
 
-// A caller's connection breaks, its VM stands still for longer than it waits for callers,
-// and the caller reads its answer on through another VM meanwhile. The VM that wakes has
-// heard nobody, and does not take that for a caller who is gone: it would cancel the
-// decode that is read, and a second one would begin.
+// A caller's connection breaks, its VM is then paused for longer than it waits for
+// callers to return, and the caller meanwhile continues to read its answer through
+// another VM. When the first VM resumes, it has no contact from the caller. It must
+// not conclude that the caller has left, or else it would cancel the decode that the
+// other VM reads, and a second decode would start.
 func TestResumedVMWaitsForItsCaller(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -149,11 +152,11 @@
 	assert.Equal(t, fl.awaitRunner("stood-still", 10), runner)
 	early.hangUp()
 	left := time.Now()
-	eventually(t, "the caller is missed", func() bool { return strings.Contains(fl.explainAt(runner, "stood-still"), "CallerLeft") })
+	eventually(t, "the VM notices that the caller has left", func() bool { return strings.Contains(fl.explainAt(runner, "stood-still"), "CallerLeft") })
 	time.Sleep(streamWait.Std()/4 - time.Since(left))
 	runner.pause(t)
 	og := fl.chatAt(other, "stood-still", 900)
-	eventually(t, "the other VM reads the decode on", func() bool { return strings.Contains(fl.explainAt(other, "stood-still"), "ReadOn") })
+	eventually(t, "the other VM continues to read the decode", func() bool { return strings.Contains(fl.explainAt(other, "stood-still"), "ReadOn") })
 	time.Sleep(streamWait.Std() + 200*time.Millisecond - time.Since(left))
 	runner.resume(t)
 	assert.Check(t, og.wait())
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -21,7 +21,7 @@
 	"alderdyke/internal/standin/deployment"
 )
 
-// settingsText is the settings file of a VM.
+// settingsText is the template of a VM's settings file.
 var settingsText = template.Must(template.New("settings").Parse(`
 ID = "{{.Set.ID}}"
 FailureDomain = "{{.Set.FailureDomain}}"
@@ -52,28 +52,28 @@
 `))
 
 type (
-	// vm is one entry VM and its processes, one at a time.
+	// vm is one entry VM. It has one process at a time.
 	vm struct {
 		set  settings.Settings
 		file string
 		ops  operator.Client
 
-		observing sync.Mutex // held while its revision is asked for
+		observing sync.Mutex // held while its revision is observed
 
 		mu     sync.Mutex
 		proc   *process
 		starts int
 	}
 
-	// process is one run of a VM.
+	// process is one process of a VM.
 	process struct {
 		cmd  *exec.Cmd
 		out  output
 		done chan struct{}
-		code int // once done is closed
+		code int // exit code; valid once done is closed
 	}
 
-	// output keeps what a process wrote.
+	// output collects the output of a process.
 	output struct {
 		mu  sync.Mutex
 		buf bytes.Buffer
@@ -87,7 +87,7 @@
 	return ou.buf.Write(part)
 }
 
-// tail returns the end of what was written, without the ends of whole answers.
+// tail returns the end of the output, without RequestEnded events.
 func (ou *output) tail(limit int) string {
 	ou.mu.Lock()
 	defer ou.mu.Unlock()
@@ -145,7 +145,7 @@
 			<-pr.done
 		}
 		if t.Failed() {
-			t.Logf("the last words of %s:\n%s", vm.set.ID, pr.out.tail(3000))
+			t.Logf("end of the output of %s:\n%s", vm.set.ID, pr.out.tail(3000))
 		}
 	})
 }
@@ -156,7 +156,8 @@
 	return vm.proc
 }
 
-// runName names the VM and how often it was started.
+// runName identifies the VM's current process by its ID and the number of its
+// starts.
 func (vm *vm) runName() string {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -177,7 +178,7 @@
 	assert.NilError(t, vm.process().cmd.Process.Signal(sig))
 }
 
-// kill ends the process at once.
+// kill ends the process immediately and waits until it has exited.
 func (vm *vm) kill(t *testing.T) {
 	t.Helper()
 	results.countFault("VM killed (SIGKILL)")
@@ -185,7 +186,7 @@
 	<-vm.process().done
 }
 
-// pause freezes the process until resume.
+// pause stops the process until resume is called.
 func (vm *vm) pause(t *testing.T) {
 	t.Helper()
 	results.countFault("VM paused (SIGSTOP, SIGCONT)")
@@ -204,16 +205,16 @@
 	vm.signal(t, syscall.SIGTERM)
 }
 
-// eventTimeout bounds every wait for an event. It ends only tests that have
-// failed.
+// eventTimeout bounds every wait for an event. It is long, because it only ends
+// tests that have failed anyway.
 const eventTimeout = 60 * time.Second
 
-// eventually waits for a condition that others bring about.
+// eventually waits until a condition holds, and fails the test after eventTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !ok(); {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition was never met: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/integration/proxy_test.go
+++ b/internal/integration/proxy_test.go
@@ -19,13 +19,13 @@
 	downstream = "downstream" // to the client
 )
 
-// proxy stands before one TCP server.
+// proxy forwards connections to one TCP server and can inject faults.
 type proxy struct {
 	*toxiproxy.Proxy
 	name string
 }
 
-// newProxy starts a proxy at a free port of loopback.
+// newProxy starts a proxy on a free loopback port.
 func newProxy(t *testing.T, name string, to netip.AddrPort) (*proxy, netip.AddrPort, error) {
 	srv := &toxiproxy.ApiServer{Metrics: toxiproxy.NewMetricsContainer(nil)}
 	silence(&srv.Logger)
@@ -41,10 +41,10 @@
 	return px, addr, nil
 }
 
-// silence sets a logger that writes nothing, which is its zero value.
+// silence sets the zero value of a logger, which writes nothing.
 func silence[Logger any](lg **Logger) { *lg = new(Logger) }
 
-// addToxic puts one toxic into one direction.
+// addToxic adds one toxic to one direction.
 func (px *proxy) addToxic(t *testing.T, kind, direction string, attributes map[string]any) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -55,7 +55,7 @@
 	assert.NilError(t, err)
 }
 
-// reset cuts connections as soon as anything moves on them, until heal.
+// reset resets each connection as soon as data is sent on it, until heal is called.
 func (px *proxy) reset(t *testing.T) {
 	t.Helper()
 	results.countFault("connection reset")
@@ -64,7 +64,7 @@
 	}
 }
 
-// stall lets nothing through, until heal.
+// stall holds back all data until heal is called.
 func (px *proxy) stall(t *testing.T) {
 	t.Helper()
 	results.countFault("connection stalled")
@@ -73,7 +73,7 @@
 	}
 }
 
-// slow delays all that comes back, until heal.
+// slow delays all data to the client until heal is called.
 func (px *proxy) slow(t *testing.T, by clock.Millis) {
 	t.Helper()
 	results.countFault("connection slow")
@@ -86,8 +86,7 @@
 	px.Toxics.ResetToxics(t.Context())
 }
 
-// loopback returns an address of loopback that no other fleet of this process
-// uses.
+// loopback returns a loopback address that no other fleet of this process uses.
 func loopback(fleet, host int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, processOctet, byte(fleet), byte(host)})
 }
--- a/internal/integration/relay_test.go
+++ b/internal/integration/relay_test.go
@@ -11,16 +11,16 @@
 )
 
 type (
-	// peerNet is the network between the VMs of one fleet. Each VM is known
-	// to the others by the address of a relay; it speaks from its own IP
-	// number, so relays can tell who speaks.
+	// peerNet is the network between the VMs of one fleet. Other VMs connect
+	// to the address of a VM's relay. A VM sends from its own IP address, so
+	// that relays can identify the sender.
 	peerNet struct {
 		mu      sync.Mutex
 		cuts    map[[2]netip.Addr]bool
-		changed chan struct{} // closed when cuts change
+		changed chan struct{} // closed when cuts changes
 	}
 
-	// relay stands before one VM's address for peers.
+	// relay forwards traffic to the peer address of one VM.
 	relay struct {
 		pn   *peerNet
 		to   netip.AddrPort
@@ -38,9 +38,9 @@
 	return &peerNet{cuts: make(map[[2]netip.Addr]bool), changed: make(chan struct{})}
 }
 
-// setCut stops or lets through all that two VMs say to each other. What is on
-// its way is held back and arrives after the end of the setCut, as TCP would
-// send it again; datagrams are lost.
+// setCut blocks or unblocks all traffic between two VMs. Data in transit on
+// connections is held back and delivered after the end of the cut, as TCP would
+// retransmit it. Datagrams are lost.
 func (pn *peerNet) setCut(one, other *vm, off bool) {
 	va, vb := one.set.Peer.Listen.Addr(), other.set.Peer.Listen.Addr()
 	pn.mu.Lock()
@@ -51,8 +51,8 @@
 	pn.changed = make(chan struct{})
 }
 
-// partition cuts each VM of one side off from each of the other side, or ends
-// that.
+// partition starts or ends a partition: it cuts or reconnects each VM of one
+// side and each VM of the other side.
 func (pn *peerNet) partition(side, rest []*vm, off bool) {
 	if off {
 		results.countFault("partition between VMs (TCP and UDP)")
@@ -70,7 +70,8 @@
 	return pn.cuts[[2]netip.Addr{from, to}], pn.changed
 }
 
-// startRelay starts the relay before one VM's address for peers.
+// startRelay starts a relay that listens on one address and forwards to a VM's
+// peer address.
 func (pn *peerNet) startRelay(t *testing.T, at, to netip.AddrPort) error {
 	ln, err := net.Listen("tcp", at.String())
 	if err != nil {
@@ -109,7 +110,7 @@
 	}
 }
 
-// forwardConn carries one connection until either end closes it.
+// forwardConn forwards one connection until either end closes it.
 func (rl *relay) forwardConn(near net.Conn) {
 	defer near.Close()
 	from := netip.MustParseAddrPort(near.RemoteAddr().String()).Addr()
@@ -131,7 +132,7 @@
 	wg.Wait()
 }
 
-// copyDirection copies one direction, and closes both ends when it is over.
+// copyDirection copies one direction, and closes both ends when that ends.
 func (rl *relay) copyDirection(to, from net.Conn, sender netip.Addr) {
 	defer to.Close()
 	defer from.Close()
@@ -145,14 +146,15 @@
 		}
 		if err != nil {
 			if err == io.EOF {
-				rl.awaitUncut(sender) // the end is held back as well
+				rl.awaitUncut(sender) // the end of the stream is held back as well
 			}
 			return
 		}
 	}
 }
 
-// awaitUncut waits while the pair is cut. It returns false when the relay ends.
+// awaitUncut waits while the pair is cut. It returns false when the relay is
+// closed.
 func (rl *relay) awaitUncut(from netip.Addr) bool {
 	for {
 		off, next := rl.pn.cutState(from, rl.to.Addr())
@@ -199,7 +201,7 @@
 		default:
 		}
 		if err != nil {
-			continue // a VM that is down refuses datagrams
+			continue // such as a datagram refused by a VM that is down
 		}
 		if off, _ := rl.pn.cutState(from.Addr().Unmap(), rl.to.Addr()); !off {
 			rl.uc.WriteToUDPAddrPort(buf[:got], rl.to)
--- a/internal/integration/results_test.go
+++ b/internal/integration/results_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// results gathers the figures of all tests of one run.
+// results collects the results of all tests of one run.
 var results = &report{faults: make(map[string]int), durations: make(map[string][]time.Duration)}
 
 type report struct {
@@ -22,21 +22,21 @@
 	violations int
 }
 
-// countFault counts an injected countFault.
+// countFault counts an injected fault.
 func (rp *report) countFault(kind string) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	rp.faults[kind]++
 }
 
-// recordDuration notes how long something took.
+// recordDuration records how long something took.
 func (rp *report) recordDuration(what string, took time.Duration) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	rp.durations[what] = append(rp.durations[what], took)
 }
 
-// countHistory counts what the checker looked at and found.
+// countHistory counts a checked history with its calls and violations.
 func (rp *report) countHistory(calls, violations int) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
@@ -45,15 +45,15 @@
 	rp.violations += violations
 }
 
-// write writes the table.
+// write writes the tables of results to a file.
 func (rp *report) write(file string) error {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	var sb strings.Builder
 	sb.WriteString("# Results under faults\n\nMade by `go test ./internal/integration -results docs/RESULTS-faults.md`: entry VMs as\n" +
-		"real processes on one machine, stand-ins for everything around them. Times run from\n" +
-		"the fault, or from the acceptance of a revision, until the tests saw the end; they\n" +
-		"hold the machine's other load.\n\n")
+		"real processes on one machine, stand-ins for all other services. Times are measured from\n" +
+		"the fault, or from the acceptance of a revision, until a test observed the end. They\n" +
+		"include the effect of other load on the machine.\n\n")
 	fmt.Fprintf(&sb, "%d histories with %d calls were checked; %d violations were found.\n\n", rp.histories, rp.calls, rp.violations)
 	sb.WriteString("| Fault | Times injected |\n| --- | --- |\n")
 	for _, kind := range sortedKeys(rp.faults) {
@@ -66,7 +66,7 @@
 		fmt.Fprintf(&sb, "| %s | %d | %s | %s |\n", what, len(took), round(took[len(took)/2]), round(took[len(took)-1]))
 	}
 	if err := os.WriteFile(file, []byte(sb.String()), 0o644); err != nil {
-		return fmt.Errorf("write the table: %w", err)
+		return fmt.Errorf("write the tables: %w", err)
 	}
 	return nil
 }
--- a/internal/integration/signals_test.go
+++ b/internal/integration/signals_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A signal that a program does not listen for ends it at once, with the answers
-// that are open in it: SIGHUP ended a VM ("signal: hangup"), whether it served or
-// drained. Signals that are no order to stop now change nothing, and so does a
-// second order.
+// A signal without a handler ends a process immediately, together with the
+// answers in progress: SIGHUP ended a VM ("signal: hangup") while it served or
+// drained. Signals that do not request a stop must have no effect, and neither
+// must a second request to stop.
 func TestSignalsDoNotInterruptAnswers(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
@@ -30,7 +30,7 @@
 	}
 	vm.terminate(t)
 	vm.signal(t, syscall.SIGINT)
-	assert.Check(t, once.wait(), "the answer was cut off")
+	assert.Check(t, once.wait(), "the answer was interrupted")
 	eventually(t, "the VM stops", vm.process().exited)
 	assert.Equal(t, vm.process().code, 0)
 	fl.checkInvariants()
--- a/internal/integration/storm_test.go
+++ b/internal/integration/storm_test.go
@@ -14,22 +14,23 @@
 
 const (
 	stormRounds = 5
-	stormCalls  = 40 // that have to end while faults stand
+	stormCalls  = 40 // calls that have to end while faults are active
 )
 
 type (
-	// storm puts faults of two kinds at once on a fleet, chosen by a seed.
+	// storm injects pairs of concurrent faults into a fleet, chosen by a seeded
+	// generator.
 	storm struct {
 		fl  *fleet
 		rnd *rand.Rand
 	}
 
-	// faultStarter begins one fault and returns what ends it.
+	// faultStarter starts one fault and returns the function that ends it.
 	faultStarter func(t *testing.T) (heal func())
 )
 
-// Faults of VMs and of what is around them come together, again and again,
-// while callers of all kinds come. Every rule holds.
+// Faults of VMs and of the services around them are injected together, repeatedly,
+// under load from callers of all kinds. All invariants must hold.
 func TestStorm(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -47,16 +48,16 @@
 				st.runRound(t)
 				base = fl.publishRevision(fl.vms[st.rnd.IntN(len(fl.vms))], fmt.Sprintf("storm-%d", round), base, round)
 			}
-			t.Logf("after %v: the last fault is over", time.Since(began))
-			ld.stop() // refusals are allowed; the rules tell whether they are true
-			t.Logf("after %v: the last call has its end", time.Since(began))
+			t.Logf("after %v: the last fault has ended", time.Since(began))
+			ld.stop() // refusals are allowed; the invariants check whether they are true
+			t.Logf("after %v: the last call has ended", time.Since(began))
 			fl.checkInvariants()
 		})
 	}
 }
 
-// runRound begins two faults, lets callers meet them, ends them, and waits until
-// the fleet is whole.
+// runRound starts two faults, waits for calls to end under them, ends the faults,
+// and waits until all VMs are ready to serve.
 func (st *storm) runRound(t *testing.T) {
 	victim := st.fl.vms[st.rnd.IntN(len(st.fl.vms))]
 	inner := []faultStarter{st.kill(victim), st.pause(victim), st.cutOff(victim), st.cutCallers(victim)}
@@ -73,7 +74,7 @@
 	}
 }
 
-// awaitDeadIf waits, in half of all cases, until the others hold a VM dead.
+// awaitDeadIf waits, if long is set, until another VM considers the victim dead.
 func (st *storm) awaitDeadIf(victim *vm, long bool, since time.Time) {
 	if long {
 		st.fl.awaitDead(st.fl.otherVMs(victim)[0], victim, since)
@@ -128,7 +129,7 @@
 	}
 }
 
-// engineDies lets an engine die and come back without what it held.
+// engineDies makes an engine die and start again without its state.
 func (st *storm) engineDies() faultStarter {
 	en := st.fl.dp.Engines[st.rnd.IntN(len(st.fl.dp.Engines))]
 	return func(*testing.T) func() {
@@ -138,7 +139,7 @@
 	}
 }
 
-// enginesLoseReplies lets all engines lose replies to orders that took effect.
+// enginesLoseReplies makes all engines lose replies to orders that took effect.
 func (st *storm) enginesLoseReplies() faultStarter {
 	return func(*testing.T) func() {
 		results.countFault("reply lost after the effect")
@@ -153,7 +154,7 @@
 	}
 }
 
-// cutBackend cuts the connections to one backend server.
+// cutBackend resets the connections to one backend server.
 func (st *storm) cutBackend() faultStarter {
 	id := st.fl.dp.Engines[st.rnd.IntN(len(st.fl.dp.Engines))].ID
 	if st.rnd.IntN(2) == 0 {
@@ -166,7 +167,7 @@
 	}
 }
 
-// serviceLosesReplies lets the plain service lose replies to calls that ran.
+// serviceLosesReplies makes the plain service lose replies to calls that ran.
 func (st *storm) serviceLosesReplies() faultStarter {
 	return func(*testing.T) func() {
 		results.countFault("reply lost after the effect")
