--- a/internal/integration/answer_test.go
+++ b/internal/integration/answer_test.go
@@ -144,7 +144,7 @@
 	pl.vms, pl.decode = 5, 8
 	fl := startFleet(t, pl)
 	const tokens = 600
-	calls, asked := make(map[string]*ongoing), make(map[string]int)
+	calls, runsBefore := make(map[string]*ongoing), make(map[string]int)
 	for ix := range 30 {
 		key := fmt.Sprintf("record-%d", ix)
 		calls[key] = fl.chat(fl.client(), "findings", key, tokens)
@@ -153,7 +153,7 @@
 		eventually(t, "the answer is in progress", func() bool { return og.received() > 5*tokenBytes })
 	}
 	for key := range calls {
-		asked[key] = fl.engineRunCount(key)
+		runsBefore[key] = fl.engineRunCount(key)
 	}
 	fl.vms[0].kill(t)
 	fl.vms[3].kill(t)
@@ -161,7 +161,7 @@
 		assert.Check(t, og.wait(), "%s", key)
 		began, made := fl.decodeTotals(key)
 		assert.Check(t, began == 1 && made == tokens, "%s: %d decodes generated %d tokens", key, began, made)
-		assert.Check(t, fl.engineRunCount(key) == asked[key], "%s: an engine got another order for it", key)
+		assert.Check(t, fl.engineRunCount(key) == runsBefore[key], "%s: an engine got another order for it", key)
 	}
 	fl.checkInvariants()
 }
--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -53,12 +53,12 @@
 		defer close(og.done)
 		defer stop(nil)
 		err := run(ctx, og)
-		ended, story := time.Now(), ""
+		ended, explanation := time.Now(), ""
 		if err != nil {
-			story = fl.explain(call.Key)
+			explanation = fl.explain(call.Key)
 		}
 		og.mu.Lock()
-		og.err, og.explanation = err, story
+		og.err, og.explanation = err, explanation
 		og.call.Ended = ended
 		og.call.Outcomes = append(og.call.Outcomes, outcomeOf(ctx, err))
 		done := og.call
@@ -106,8 +106,8 @@
 // explain returns the explanation of a request by the first VM that answers.
 func (fl *fleet) explain(key string) string {
 	for _, vm := range fl.vms {
-		if story := fl.explainAt(vm, key); story != "" {
-			return story
+		if explanation := fl.explainAt(vm, key); explanation != "" {
+			return explanation
 		}
 	}
 	return "\tno VM answers\n"
--- a/internal/integration/engine_test.go
+++ b/internal/integration/engine_test.go
@@ -132,9 +132,9 @@
 			resting.Control.Set(standin.Faults{Paths: []string{path}, Refuse: true, RetryAfter: rest})
 			cl := fl.client()
 			for began, ix := time.Now(), 0; time.Since(began) < rest.Std(); ix++ {
-				asked := time.Now()
+				sent := time.Now()
 				assert.Check(t, fl.chat(cl, "findings", fmt.Sprintf("rest-%d", ix), 5).wait())
-				assert.Check(t, time.Since(asked) < rest.Std(), "the other engine has no delay")
+				assert.Check(t, time.Since(sent) < rest.Std(), "the other engine has no delay")
 			}
 			declined := resting.Control.Hits()
 			assert.Assert(t, declined > 0 && declined <= 2, "the engine declined %d orders", declined)
--- a/internal/integration/leave_test.go
+++ b/internal/integration/leave_test.go
@@ -184,9 +184,9 @@
 	fl := startFleet(t, defaultPlan())
 	ld := fl.startLoad("listed", 3)
 	fl.awaitCalls(30)
-	gone := []string{fl.dp.Services[0].ID, fl.dp.Engines[0].ID, fl.dp.Engines[len(fl.dp.Engines)-1].ID}
+	leaving := []string{fl.dp.Services[0].ID, fl.dp.Engines[0].ID, fl.dp.Engines[len(fl.dp.Engines)-1].ID}
 	since := time.Now()
-	for _, id := range gone {
+	for _, id := range leaving {
 		results.countFault("backend server leaves")
 		fl.dp.MarkLeaving(id)
 		fl.updateHistory(func(hs *invariant.History) {
--- a/internal/integration/relay_test.go
+++ b/internal/integration/relay_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func (pn *peerNet) cutState(from, to netip.Addr) (off bool, next <-chan struct{}) {
+func (pn *peerNet) cutState(from, to netip.Addr) (off bool, changed <-chan struct{}) {
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
 	return pn.cuts[[2]netip.Addr{from, to}], pn.changed
@@ -157,12 +157,12 @@
 // closed.
 func (rl *relay) awaitUncut(from netip.Addr) bool {
 	for {
-		off, next := rl.pn.cutState(from, rl.to.Addr())
+		off, changed := rl.pn.cutState(from, rl.to.Addr())
 		if !off {
 			return true
 		}
 		select {
-		case <-next:
+		case <-changed:
 		case <-rl.done:
 			return false
 		}
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -167,12 +167,12 @@
 	en.abortIfDead()
 	en.mu.Lock()
 	reason = rn.failure
-	gone := rn.stage != wire.Imported && rn.stage != sched.Decoding && rn.stage != sched.Ended
+	dropped := rn.stage != wire.Imported && rn.stage != sched.Decoding && rn.stage != sched.Ended
 	en.mu.Unlock()
 	switch {
 	case reason != "":
 		en.decline(rw, reason, 0)
-	case gone:
+	case dropped:
 		rw.WriteHeader(http.StatusGone)
 	default:
 		standin.WriteJSON(rw, struct{}{})
