--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -167,12 +167,12 @@
 	en.abortIfDead()
 	en.mu.Lock()
 	reason = rn.failure
-	gone := rn.stage != wire.Imported && rn.stage != sched.Decoding && rn.stage != sched.Ended
+	dropped := rn.stage != wire.Imported && rn.stage != sched.Decoding && rn.stage != sched.Ended
 	en.mu.Unlock()
 	switch {
 	case reason != "":
 		en.decline(rw, reason, 0)
-	case gone:
+	case dropped:
 		rw.WriteHeader(http.StatusGone)
 	default:
 		standin.WriteJSON(rw, struct{}{})
@@ -253,7 +253,7 @@
 			return head, nil
 		}
 		if part.Done || part.Bytes <= 0 || part.Bytes > left {
-			return kvHead{}, fmt.Errorf("count parts: %w", errIncompleteKV)
+			return kvHead{}, fmt.Errorf("check part size: %w", errIncompleteKV)
 		}
 		if err := en.ingress.run(en.newTransferJob(rn, part.Bytes)); err != nil {
 			return kvHead{}, err
