--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -50,9 +50,9 @@
 	// OnPlacementRequest selects engines for a request of another VM; nil ignores
 	// placement requests.
 	OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply
-	// OnQuotaRequest answers a request of another VM, whose incarnation is life, as
-	// a keeper of the customers' quotas; nil ignores quota requests.
-	OnQuotaRequest func(vm string, life uint64, ask quota.Request) quota.Response
+	// OnQuotaRequest answers a request of another VM, which has the given
+	// incarnation, as a keeper of the customers' quotas; nil ignores quota requests.
+	OnQuotaRequest func(vm string, incarnation uint64, ask quota.Request) quota.Response
 	// OnViewChange receives each new view of the fleet; nil drops it.
 	OnViewChange func(view *board.Fleet)
 	// OnCrash receives reports of a server that ended while it had a request; nil
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -178,7 +178,7 @@
 }
 
 // reserve reserves a place at an engine for a duration; false if it has none.
-func (ps *placementSim) reserve(engine string, life clock.Millis) (id string, ok bool) {
+func (ps *placementSim) reserve(engine string, ttl clock.Millis) (id string, ok bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	en := ps.engines[engine]
@@ -188,7 +188,7 @@
 	}
 	ps.number++
 	id = fmt.Sprint("p", ps.number)
-	en.held[id] = time.AfterFunc(life.Std(), func() { ps.release(engine, id) })
+	en.held[id] = time.AfterFunc(ttl.Std(), func() { ps.release(engine, id) })
 	return id, true
 }
 
@@ -218,11 +218,11 @@
 	return sv.vm.waitResumed() && clock.Sleep(ctx, 1) && sv.vm.waitResumed()
 }
 
-func (sv simServers) Reserve(ctx context.Context, bs board.BackendServer, _ int, life clock.Millis) (string, error) {
+func (sv simServers) Reserve(ctx context.Context, bs board.BackendServer, _ int, ttl clock.Millis) (string, error) {
 	if !sv.travel(ctx) {
 		return "", backend.NotSentError{Server: bs.ID, Call: "Reserve", Err: errors.New("the VM is stopped")}
 	}
-	id, ok := sv.ps.reserve(bs.ID, life)
+	id, ok := sv.ps.reserve(bs.ID, ttl)
 	if !ok {
 		return "", backend.DeclinedError{Server: bs.ID, Call: "Reserve", Reason: backend.Full}
 	}
@@ -483,14 +483,14 @@
 )
 
 // runPlacementSim simulates a fault while there are requests for more places than exist,
-// and lists the violated requirements. All VMs start at once. Alter changes a VM before it
-// starts; nil changes none.
-func runPlacementSim(t *testing.T, seed uint64, fa fault, alter func(vm *simVM)) (out []string) {
+// and lists the violated requirements. All VMs start at once. The function mutate changes a
+// VM before it starts; nil changes none.
+func runPlacementSim(t *testing.T, seed uint64, fa fault, mutate func(vm *simVM)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		ps := newPlacementSim(t, seed)
-		ps.mutate = alter
+		ps.mutate = mutate
 		for ix := range netVMs {
 			ps.startVM(ctx, ix)
 		}
@@ -538,9 +538,9 @@
 // keeps using the first reports that it received.
 func TestPlacementSimDetectsFaults(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		alter func(vm *simVM)
-		want  string
+		name   string
+		mutate func(vm *simVM)
+		want   string
 	}{
 		{"all VMs act as first scheduler", func(vm *simVM) { vm.alwaysFirst = true }, "a place was assigned twice"},
 		{"schedulers keep the first runs reported to them", func(vm *simVM) {
@@ -555,7 +555,7 @@
 		}, "a place was lost for longer than a usage report counts"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := strings.Join(runPlacementSim(t, 0, faults[0], tc.alter), "\n")
+			got := strings.Join(runPlacementSim(t, 0, faults[0], tc.mutate), "\n")
 			assert.Assert(t, strings.Contains(got, tc.want), "%s", got)
 		})
 	}
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -73,13 +73,13 @@
 
 		Ready              func() bool // reports whether this VM accepts requests
 		OnUsage            func(vm string, rp usage.Report)
-		OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply // chooses engines for a request of another VM
-		OnQuotaRequest     func(vm string, life uint64, ask quota.Request) quota.Response   // answers as a keeper of the customers' quotas
-		OnCrash            func(en suspect.Crash)                                           // receives reports of a server that ended while it had a request
-		OnSchedulersChange func()                                                           // is called when other VMs have become the schedulers
-		OnTopicUpdate      func(nw topic.Update)                                            // receives what other VMs read of any topic
-		OnFleetSize        func(vms int)                                                    // receives the number of serving VMs
-		OnRewrite          func(kind string)                                                // receives what this VM wrote again: Secret or Entry; may be nil
+		OnPlacementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply      // chooses engines for a request of another VM
+		OnQuotaRequest     func(vm string, incarnation uint64, ask quota.Request) quota.Response // answers as a keeper of the customers' quotas
+		OnCrash            func(en suspect.Crash)                                                // receives reports of a server that ended while it had a request
+		OnSchedulersChange func()                                                                // is called when other VMs have become the schedulers
+		OnTopicUpdate      func(nw topic.Update)                                                 // receives what other VMs read of any topic
+		OnFleetSize        func(vms int)                                                         // receives the number of serving VMs
+		OnRewrite          func(kind string)                                                     // receives what this VM wrote again: Secret or Entry; may be nil
 
 		// Topic follows the fleet's topic; Prepare sets it.
 		Topic *topic.Follower
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -38,13 +38,13 @@
 		seed  uint64
 		clock bubbleClock
 
-		mu          sync.Mutex
-		vms         map[string]*simVM        // newest incarnation of each name
-		lives       map[string]uint64        // newest incarnation of each name
-		blocked     map[[2]string]bool       // datagrams from the first to the second are lost
-		extraDelay  map[string]time.Duration // added to each datagram from and to a VM
-		loss        float64                  // fraction of datagrams lost; the others may be reordered
-		lastArrival map[[2]string]time.Time  // when the last datagram from the first to the second arrives
+		mu           sync.Mutex
+		vms          map[string]*simVM        // newest incarnation of each name
+		incarnations map[string]uint64        // newest incarnation of each name
+		blocked      map[[2]string]bool       // datagrams from the first to the second are lost
+		extraDelay   map[string]time.Duration // added to each datagram from and to a VM
+		loss         float64                  // fraction of datagrams lost; the others may be reordered
+		lastArrival  map[[2]string]time.Time  // when the last datagram from the first to the second arrives
 	}
 
 	// simVM is one incarnation of a VM: the real membership, message encoding and
@@ -111,7 +111,7 @@
 }
 
 func newNet(seed uint64) *simNet {
-	return &simNet{seed: seed, clock: bubbleClock{time.Now()}, vms: make(map[string]*simVM), lives: make(map[string]uint64),
+	return &simNet{seed: seed, clock: bubbleClock{time.Now()}, vms: make(map[string]*simVM), incarnations: make(map[string]uint64),
 		blocked: make(map[[2]string]bool), extraDelay: make(map[string]time.Duration),
 		lastArrival: make(map[[2]string]time.Time)}
 }
@@ -141,8 +141,8 @@
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
 	self := listedVMs()[ix]
-	sn.lives[self.ID]++
-	self.Incarnation = sn.lives[self.ID]
+	sn.incarnations[self.ID]++
+	self.Incarnation = sn.incarnations[self.ID]
 	vm := &simVM{net: sn, self: self, inbox: make(chan []byte, inboxDatagrams)}
 	vm.ctx, vm.stop = context.WithCancel(ctx)
 	vm.mb = &Member{Self: self, TopicName: "t", OnFleetSize: func(int) {}, OnSchedulersChange: orNoop(handlers.moved)}
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -87,11 +87,11 @@
 func TestNotSent(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 4), Handler: echo})
 	other := start(t, &peer.Transport{Self: ref("c", 1), Secret: []byte("another secret, long enough")})
-	gone := start(t, &peer.Transport{Self: ref("d", 1)})
-	gone.stop()
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	stopped := start(t, &peer.Transport{Self: ref("d", 1)})
+	stopped.stop()
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer mute.Close()
+	defer silent.Close()
 	cases := map[string]struct {
 		vm      board.VM
 		step    peer.Step
@@ -101,8 +101,8 @@
 		"wrong VM":                     {board.VM{VMRef: ref("x", 1), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
 		"older incarnation answers":    {board.VM{VMRef: ref("b", 5), Peer: sb.vm().Peer}, peer.StepHello, hasError[peer.WrongVMError], 0},
 		"wrong secret":                 {other.vm(), peer.StepHandshake, hasError[peer.UntrustedError], 0},
-		"nobody listens":               {gone.vm(), peer.StepDial, hasError[*net.OpError], 0},
-		"silent listener":              {board.VM{VMRef: ref("e", 1), Peer: mute.Addr().String()}, peer.StepHandshake, hasError[net.Error], 200},
+		"nobody listens":               {stopped.vm(), peer.StepDial, hasError[*net.OpError], 0},
+		"silent listener":              {board.VM{VMRef: ref("e", 1), Peer: silent.Addr().String()}, peer.StepHandshake, hasError[net.Error], 200},
 		"host name instead of address": {board.VM{VMRef: ref("f", 1), Peer: "localhost:1"}, peer.StepDial, nil, 0},
 	}
 	for name, tc := range cases {
