--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -99,7 +99,7 @@
 		MaxFrame         int // bytes of one encoded frame
 		MaxSessions      int // sessions that other VMs dialled
 		MaxStreams       int // open streams on one session that another VM dialled
-		MaxHandshakes    int // connections that have not proved the secret yet
+		MaxHandshakes    int // connections that have not authenticated yet
 		MaxReplayWindows int // VMs whose sequence numbers are remembered
 	}
 
