--- a/cmd/alderdyke/main.go
+++ b/cmd/alderdyke/main.go
@@ -32,5 +32,7 @@
 
 // showDemo runs the demonstration until its terminal is gone.
 func showDemo(sg *signals.Signals) func(ctx context.Context, dir string, out io.Writer) error {
-	return func(_ context.Context, dir string, out io.Writer) error { return demo.Run(sg.Terminal(), dir, out) }
+	return func(_ context.Context, dir string, out io.Writer) error {
+		return demo.Run(sg.TerminalContext(), dir, out)
+	}
 }
--- a/cmd/alderload/main.go
+++ b/cmd/alderload/main.go
@@ -45,7 +45,7 @@
 	}
 	span := clock.Millis(seconds) * clock.Second
 	rn := &load.Run{Deployment: bd, Load: offered, Seed: seed, Span: span, From: span / 6, Dir: dir}
-	rs, err := rn.Do(signals.Listen().Terminal(), os.Stdout)
+	rs, err := rn.Do(signals.Listen().TerminalContext(), os.Stdout)
 	if err != nil {
 		return fmt.Errorf("run the load: %w", err)
 	}
--- a/cmd/alderslope/main.go
+++ b/cmd/alderslope/main.go
@@ -29,7 +29,7 @@
 	flaggy.String(&folder, "o", "out", "folder to write to")
 	flaggy.StringSlice(&names, "s", "study", "only these studies")
 	flaggy.Parse()
-	if err := run(signals.Listen().Terminal(), folder, names); err != nil {
+	if err := run(signals.Listen().TerminalContext(), folder, names); err != nil {
 		fmt.Fprintln(os.Stderr, "alderslope:", err)
 		os.Exit(1)
 	}
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -6,10 +6,10 @@
 //
 //	ac := actor.New[membership.Event, membership.Intent](clk, membership.Tick{}, 100)
 //	ac.Step = detector.Step
-//	ac.Do = carryOut
-//	ac.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
+//	ac.Execute = carryOut
+//	ac.WakeTime = actor.WakeTimeFunc[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 //	go ac.Run(ctx)
-//	ac.Tell(ctx, membership.Leave{})
+//	ac.Send(ctx, membership.Leave{})
 package actor
 
 import (
@@ -19,41 +19,41 @@
 	"alderdyke/pkg/clock"
 )
 
-// backlog bounds the events that wait for one decision loop. A full backlog
+// maxQueuedEvents bounds the events that wait for one decision loop. A full queue
 // makes senders wait, which is the backpressure that they need.
-const backlog = 256
+const maxQueuedEvents = 256
 
-// Actor is one decision loop. Make it with [New] and set Step, Do and WakeAt
+// Actor is one decision loop. Make it with [New] and set Step, Execute and WakeTime
 // before Run.
 type Actor[Event, Intent any] struct {
 	// Step decides.
 	Step func(now clock.Millis, ev Event) []Intent
-	// Do carries out one intent.
-	Do func(in Intent)
-	// WakeAt tells whether an intent only asks for a tick, and for when.
-	WakeAt func(in Intent) (clock.Millis, bool)
-	// Events takes events from senders that must not wait; others use Tell.
+	// Execute carries out one intent.
+	Execute func(in Intent)
+	// WakeTime tells whether an intent only asks for a tick, and for when.
+	WakeTime func(in Intent) (clock.Millis, bool)
+	// Events takes events from senders that must not wait; others use Send.
 	Events chan Event
 
-	clk   clock.Source
-	tick  Event
-	every clock.Millis // longest span between two ticks
-	next  clock.Millis
+	clk          clock.Source
+	tick         Event
+	tickInterval clock.Millis // longest span between two ticks
+	nextTick     clock.Millis
 }
 
 // New makes an actor that is told the tick at least once in each span.
 func New[Event, Intent any](clk clock.Source, tick Event, every clock.Millis) *Actor[Event, Intent] {
 	return &Actor[Event, Intent]{
-		clk:    clk,
-		tick:   tick,
-		every:  every,
-		Events: make(chan Event, backlog),
+		clk:          clk,
+		tick:         tick,
+		tickInterval: every,
+		Events:       make(chan Event, maxQueuedEvents),
 	}
 }
 
-// Tell hands an event to the decision loop. It reports false if the context
+// Send hands an event to the decision loop. It reports false if the context
 // ended first.
-func (ac *Actor[Event, Intent]) Tell(ctx context.Context, ev Event) bool {
+func (ac *Actor[Event, Intent]) Send(ctx context.Context, ev Event) bool {
 	select {
 	case ac.Events <- ev:
 		return true
@@ -64,18 +64,18 @@
 
 // Run decides until the context ends.
 func (ac *Actor[Event, Intent]) Run(ctx context.Context) {
-	ac.next = ac.clk.Now() + ac.every
+	ac.nextTick = ac.clk.Now() + ac.tickInterval
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(max(0, (ac.next - ac.clk.Now()).Std()))
+		timer.Reset(max(0, (ac.nextTick - ac.clk.Now()).Std()))
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-ac.Events:
 			ac.decide(ev)
 		case <-timer.C:
-			ac.next = ac.clk.Now() + ac.every
+			ac.nextTick = ac.clk.Now() + ac.tickInterval
 			ac.decide(ac.tick)
 		}
 	}
@@ -83,17 +83,17 @@
 
 func (ac *Actor[Event, Intent]) decide(ev Event) {
 	for _, in := range ac.Step(ac.clk.Now(), ev) {
-		if at, ok := ac.WakeAt(in); ok {
-			ac.next = min(ac.next, at)
+		if at, ok := ac.WakeTime(in); ok {
+			ac.nextTick = min(ac.nextTick, at)
 			continue
 		}
-		ac.Do(in)
+		ac.Execute(in)
 	}
 }
 
-// WakeOf makes the WakeAt of an actor whose decisions ask for a tick with an
+// WakeTimeFunc makes the WakeTime of an actor whose decisions ask for a tick with an
 // intent of the type Wake.
-func WakeOf[Intent, Wake any](at func(wk Wake) clock.Millis) func(in Intent) (clock.Millis, bool) {
+func WakeTimeFunc[Intent, Wake any](at func(wk Wake) clock.Millis) func(in Intent) (clock.Millis, bool) {
 	return func(in Intent) (clock.Millis, bool) {
 		wk, ok := any(in).(Wake)
 		if !ok {
--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -4,9 +4,9 @@
 //
 // # Usage
 //
-//	hash, err := apikey.Hash(req.Header.Values("Authorization"))
+//	hash, err := apikey.HashHeader(req.Header.Values("Authorization"))
 //	if err != nil { ... } // an Error; it tells nothing of the key
-//	if apikey.Among(hash, customer.KeyHashes) { ... }
+//	if apikey.ContainsHash(hash, customer.KeyHashes) { ... }
 package apikey
 
 import (
@@ -16,16 +16,16 @@
 	"strings"
 )
 
-// MaxLength bounds an API key, in bytes.
-const MaxLength = 512
+// MaxKeyBytes bounds an API key, in bytes.
+const MaxKeyBytes = 512
 
 // Why there is no key.
 const (
-	Missing     Error = "send the customer's API key as Authorization: Bearer"
-	Several     Error = "the request has several Authorization fields; send one"
-	OtherScheme Error = "the scheme of Authorization is not Bearer"
-	Empty       Error = "the API key is empty"
-	TooLong     Error = "the API key is longer than 512 bytes"
+	MissingKey        Error = "send the customer's API key as Authorization: Bearer"
+	MultipleFields    Error = "the request has several Authorization fields; send one"
+	UnsupportedScheme Error = "the scheme of Authorization is not Bearer"
+	EmptyKey          Error = "the API key is empty"
+	KeyTooLong        Error = "the API key is longer than 512 bytes"
 )
 
 // Error tells why a request has no API key that can be looked up.
@@ -34,37 +34,37 @@
 // Error is for the caller, and names nothing that it sent.
 func (er Error) Error() string { return string(er) }
 
-// Hash reads the key from the values of a request's Authorization fields, and
+// HashHeader reads the key from the values of a request's Authorization fields, and
 // returns the hex SHA-256 of it. The error is an Error.
-func Hash(values []string) (string, error) {
+func HashHeader(values []string) (string, error) {
 	switch {
 	case len(values) == 0:
-		return "", Missing
+		return "", MissingKey
 	case len(values) > 1:
-		return "", Several
+		return "", MultipleFields
 	}
 	scheme, key, _ := strings.Cut(strings.TrimSpace(values[0]), " ")
 	key = strings.TrimSpace(key)
 	switch {
 	case !strings.EqualFold(scheme, "Bearer"):
-		return "", OtherScheme
+		return "", UnsupportedScheme
 	case key == "":
-		return "", Empty
-	case len(key) > MaxLength:
-		return "", TooLong
+		return "", EmptyKey
+	case len(key) > MaxKeyBytes:
+		return "", KeyTooLong
 	}
-	return Of(key), nil
+	return HashKey(key), nil
 }
 
-// Of is the hash of a key.
-func Of(key string) string {
+// HashKey is the hash of a key.
+func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Among tells whether a hash is one of the known ones. It takes the same time
+// ContainsHash tells whether a hash is one of the known ones. It takes the same time
 // whichever it is.
-func Among(hash string, known []string) bool {
+func ContainsHash(hash string, known []string) bool {
 	found := 0
 	for _, kn := range known {
 		found |= subtle.ConstantTimeCompare([]byte(hash), []byte(kn))
--- a/internal/caller/auth.go
+++ b/internal/caller/auth.go
@@ -24,10 +24,10 @@
 		}
 	}
 	detail := "no customer has this API key"
-	hash, err := apikey.Hash(req.Header.Values("Authorization"))
+	hash, err := apikey.HashHeader(req.Header.Values("Authorization"))
 	if err != nil {
 		detail = err.Error()
-	} else if tpl := tps.ByCustomer[tps.ByKeyHash[hash]].Template; apikey.Among(hash, tpl.KeyHashes) {
+	} else if tpl := tps.ByCustomer[tps.ByKeyHash[hash]].Template; apikey.ContainsHash(hash, tpl.KeyHashes) {
 		return tpl, nil
 	}
 	srv.count("Unauthenticated")
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -44,7 +44,7 @@
 	f.Add("Bearer "+testKey, "key-1", "12", "250ms")
 	f.Add("bearer  x", "", "007", "1h")
 	f.Fuzz(func(t *testing.T, auth, key, last, span string) {
-		hash, err := apikey.Hash([]string{auth})
+		hash, err := apikey.HashHeader([]string{auth})
 		assert.Equal(t, err == nil, len(hash) == 64)
 		hd := http.Header{headerKey: {key}}
 		hd.Set(headerLastID, last)
--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -185,7 +185,7 @@
 	if err := readLogs(&tr, cm.files); err != nil {
 		return err
 	}
-	verdict, err := tr.Verdict()
+	verdict, err := tr.Summary()
 	if err != nil {
 		return fmt.Errorf("trace request %q: %w", cm.request, err)
 	}
@@ -193,20 +193,20 @@
 		fmt.Fprintln(st.out, ln)
 	}
 	fmt.Fprintf(st.out, "%s: %s\n", cm.request, verdict)
-	reportSkipped(tr.Passed, st)
+	reportSkipped(tr.SkippedLines, st)
 	return nil
 }
 
 // countLosses reads log files and prints the outcomes of the generations.
 func countLosses(cm lossesCommand, st streams) error {
-	var ls trace.Losses
+	var ls trace.Outcomes
 	if err := readLogs(&ls, cm.files); err != nil {
 		return err
 	}
-	for _, lo := range ls.Table() {
+	for _, lo := range ls.Counts() {
 		fmt.Fprintln(st.out, lo)
 	}
-	reportSkipped(ls.Passed, st)
+	reportSkipped(ls.SkippedLines, st)
 	return nil
 }
 
--- a/internal/deps/deps_test.go
+++ b/internal/deps/deps_test.go
@@ -13,12 +13,12 @@
 	"gotest.tools/v3/assert"
 )
 
-const root = "../.."
+const moduleRoot = "../.."
 
-// refused are imports that no package of this module may have: a process
+// forbiddenImports are imports that no package of this module may have: a process
 // starts no other, and nothing proxies or tunnels but the project itself. A
 // path stands for itself and for all below it.
-var refused = []string{
+var forbiddenImports = []string{
 	"os/exec",
 	"plugin",
 	"net/http/httputil",
@@ -32,12 +32,12 @@
 	"go.etcd.io",
 }
 
-// processTests are the tests that run VMs as real processes, and start them.
+// processTestDirs are the tests that run VMs as real processes, and start them.
 // No other file may start a process.
-var processTests = []string{filepath.Join(root, "internal", "integration"), filepath.Join(root, "platform")}
+var processTestDirs = []string{filepath.Join(moduleRoot, "internal", "integration"), filepath.Join(moduleRoot, "platform")}
 
-// testsOnly are imports that only test files may have.
-var testsOnly = []string{
+// testOnlyImports are imports that only test files may have.
+var testOnlyImports = []string{
 	"github.com/Shopify/toxiproxy",
 	"github.com/anishathalye/porcupine",
 	"go.uber.org/goleak",
@@ -46,8 +46,8 @@
 	"testing",
 }
 
-// matches tells whether a path is one of the list or below one.
-func matches(path string, list []string) bool {
+// matchesAny tells whether a path is one of the list or below one.
+func matchesAny(path string, list []string) bool {
 	for _, entry := range list {
 		if path == entry || strings.HasPrefix(path, entry+"/") {
 			return true
@@ -56,8 +56,8 @@
 	return false
 }
 
-// imports returns the imports of each Go file below a directory.
-func imports(t *testing.T, dir string) map[string][]string {
+// importsByFile returns the imports of each Go file below a directory.
+func importsByFile(t *testing.T, dir string) map[string][]string {
 	found := map[string][]string{}
 	err := filepath.WalkDir(dir, func(path string, de fs.DirEntry, err error) error {
 		if err != nil {
@@ -87,23 +87,23 @@
 }
 
 func TestImports(t *testing.T) {
-	all := imports(t, root)
-	assert.Assert(t, len(all[filepath.Join(root, "pkg", "clock", "clock.go")]) > 0, "the walk missed the module")
+	all := importsByFile(t, moduleRoot)
+	assert.Assert(t, len(all[filepath.Join(moduleRoot, "pkg", "clock", "clock.go")]) > 0, "the walk missed the module")
 	for path, names := range all {
 		test := strings.HasSuffix(path, "_test.go")
 		for _, name := range names {
-			if test && name == "os/exec" && slices.Contains(processTests, filepath.Dir(path)) {
+			if test && name == "os/exec" && slices.Contains(processTestDirs, filepath.Dir(path)) {
 				continue
 			}
-			assert.Check(t, !matches(name, refused), "%s imports %s", path, name)
-			assert.Check(t, test || !matches(name, testsOnly), "%s imports %s, which is for tests", path, name)
+			assert.Check(t, !matchesAny(name, forbiddenImports), "%s imports %s", path, name)
+			assert.Check(t, test || !matchesAny(name, testOnlyImports), "%s imports %s, which is for tests", path, name)
 		}
 	}
 }
 
-func TestMatches(t *testing.T) {
-	assert.Assert(t, matches("os/exec", refused))
-	assert.Assert(t, matches("github.com/hashicorp/raft/v2", refused))
-	assert.Assert(t, !matches("os/execute", refused))
-	assert.Assert(t, !matches("os", refused))
+func TestMatchesAny(t *testing.T) {
+	assert.Assert(t, matchesAny("os/exec", forbiddenImports))
+	assert.Assert(t, matchesAny("github.com/hashicorp/raft/v2", forbiddenImports))
+	assert.Assert(t, !matchesAny("os/execute", forbiddenImports))
+	assert.Assert(t, !matchesAny("os", forbiddenImports))
 }
--- a/internal/entry/accountant.go
+++ b/internal/entry/accountant.go
@@ -111,8 +111,8 @@
 	dc := &sched.Cell{Name: name}
 	ac := actor.New[sched.Event, sched.Intent](hc.vm.Clock, sched.Tick{}, cellTick)
 	ac.Step = dc.Step
-	ac.Do = hc.handleIntent
-	ac.WakeAt = actor.WakeOf[sched.Intent](func(wk sched.Wake) clock.Millis { return wk.At })
+	ac.Execute = hc.handleIntent
+	ac.WakeTime = actor.WakeTimeFunc[sched.Intent](func(wk sched.Wake) clock.Millis { return wk.At })
 	return ac
 }
 
@@ -146,7 +146,7 @@
 	hc.mu.Lock()
 	hc.cell = ce
 	hc.mu.Unlock()
-	hc.ac.Tell(ctx, sched.Servers{Servers: hc.rec.markUnfit(ce.Servers)})
+	hc.ac.Send(ctx, sched.Servers{Servers: hc.rec.markUnfit(ce.Servers)})
 }
 
 func (hc *heldCell) servers() []board.BackendServer {
@@ -162,7 +162,7 @@
 	stop := context.AfterFunc(hc.ctx, func() { cn.Close() })
 	defer stop()
 	hr.send(doneFrame())
-	if !hc.ac.Tell(ctx, hc.openingEvent(from, ask)) {
+	if !hc.ac.Send(ctx, hc.openingEvent(from, ask)) {
 		return
 	}
 	for {
@@ -178,7 +178,7 @@
 		stage := sched.Stage(pg.GetStage())
 		if stage == stageWithdrawn {
 			hc.removeRequest(ask.GetRequest(), hr)
-			hc.ac.Tell(ctx, sched.Withdraw{Request: ask.GetRequest()})
+			hc.ac.Send(ctx, sched.Withdraw{Request: ask.GetRequest()})
 			return
 		}
 		if stage == stageWrongRole {
@@ -186,13 +186,13 @@
 			continue
 		}
 		if stage == stageResting {
-			hc.ac.Tell(ctx, sched.Rest{Server: pg.GetServer(), For: clock.Millis(pg.GetTook())})
+			hc.ac.Send(ctx, sched.Rest{Server: pg.GetServer(), For: clock.Millis(pg.GetTook())})
 			continue
 		}
 		if pg.GetServer() != "" {
 			hc.recordStage(hr, stage, pg.GetServer())
 		}
-		hc.ac.Tell(ctx, sched.Progress{
+		hc.ac.Send(ctx, sched.Progress{
 			Request: ask.GetRequest(),
 			Attempt: int(pg.GetAttempt()),
 			Stage:   stage,
@@ -202,7 +202,7 @@
 		if stage == sched.Ended || stage == sched.Cancelled {
 			hc.removeRequest(ask.GetRequest(), hr)
 			// The runner may have closed the stream before it received a later grant.
-			hc.ac.Tell(ctx, sched.Withdraw{Request: ask.GetRequest()})
+			hc.ac.Send(ctx, sched.Withdraw{Request: ask.GetRequest()})
 			return
 		}
 	}
@@ -259,10 +259,10 @@
 	}
 	hc.mu.Unlock()
 	if granted {
-		hc.ac.Tell(ctx, sched.Orphan{Request: request})
+		hc.ac.Send(ctx, sched.Orphan{Request: request})
 		return
 	}
-	hc.ac.Tell(ctx, sched.Withdraw{Request: request})
+	hc.ac.Send(ctx, sched.Withdraw{Request: request})
 }
 
 func (hc *heldCell) removeRequest(request string, hr *heldRequest) {
@@ -368,7 +368,7 @@
 	if !ok {
 		return
 	}
-	hc.ac.Tell(ctx, sched.Progress{Request: request, Attempt: hr.attempt, Stage: sched.Cancelled})
+	hc.ac.Send(ctx, sched.Progress{Request: request, Attempt: hr.attempt, Stage: sched.Cancelled})
 }
 
 // orphans returns the granted requests whose streams were lost.
--- a/internal/entry/accountant_test.go
+++ b/internal/entry/accountant_test.go
@@ -37,12 +37,12 @@
 	hc := &heldCell{vm: &VM{Clock: sinceStart{time.Now()}}, ctx: t.Context(), held: make(map[string]*heldRequest)}
 	hc.ac = hc.newDecisionLoop("m/0")
 	go hc.ac.Run(t.Context())
-	hc.ac.Tell(t.Context(), sched.Servers{Servers: []board.BackendServer{
+	hc.ac.Send(t.Context(), sched.Servers{Servers: []board.BackendServer{
 		{ID: "p0", Role: board.Prefill},
 		{ID: "d0", Role: board.Decode},
 	}})
-	hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "p0"}})
-	hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20}})
+	hc.ac.Send(t.Context(), sched.Report{Load: board.LoadReport{Server: "p0"}})
+	hc.ac.Send(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20}})
 	return &testCell{t: t, hc: hc}
 }
 
@@ -99,10 +99,10 @@
 					fr := rr.receive()
 					gr := fr.GetGrant()
 					assert.Assert(t, gr != nil, "%s is granted: %v", request, fr)
-					cr.hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20, Running: 20}})
+					cr.hc.ac.Send(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20, Running: 20}})
 					rr.sendProgress(gr.GetAttempt(), sched.Prefilled, "p0")
 					assert.Assert(t, rr.receive().GetPreempt() != nil, "%s is revoked", request)
-					cr.hc.ac.Tell(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20}})
+					cr.hc.ac.Send(t.Context(), sched.Report{Load: board.LoadReport{Server: "d0", Slots: 20}})
 					assert.Assert(t, rr.receive().GetGrant() != nil, "%s is granted again", request)
 					rr.sendProgress(gr.GetAttempt(), last, "")
 					assert.NilError(t, rr.cn.Close())
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -57,8 +57,8 @@
 	vm.bookState = bk
 	vm.book = actor.New[claim.Event, claim.Intent](vm.Clock, claim.Tick{}, bookTick)
 	vm.book.Step = vm.stepBook
-	vm.book.Do = vm.handleBookIntent
-	vm.book.WakeAt = actor.WakeOf[claim.Intent](func(wk claim.Wake) clock.Millis { return wk.At })
+	vm.book.Execute = vm.handleBookIntent
+	vm.book.WakeTime = actor.WakeTimeFunc[claim.Intent](func(wk claim.Wake) clock.Millis { return wk.At })
 }
 
 // stepBook executes one step of the book and logs what changed.
@@ -103,7 +103,7 @@
 	ctx, stop := context.WithTimeout(ctx, callTimeout.Std())
 	defer stop()
 	number := vm.replies.open()
-	vm.book.Tell(ctx, claim.Asked{Token: number, Ask: ask})
+	vm.book.Send(ctx, claim.Asked{Token: number, Ask: ask})
 	reply, err := vm.replies.wait(ctx, number)
 	if err != nil {
 		return nil, fmt.Errorf("query the claim book: %w", err)
@@ -112,11 +112,11 @@
 }
 
 func (vm *VM) updateBook(ctx context.Context, up *peerpb.ClaimUpdate) {
-	vm.book.Tell(ctx, claim.Updated{Update: up})
+	vm.book.Send(ctx, claim.Updated{Update: up})
 }
 
 func (vm *VM) receiveHandoff(ctx context.Context, ho *peerpb.ClaimHandoff) {
-	vm.book.Tell(ctx, claim.HandedOff{Handoff: ho})
+	vm.book.Send(ctx, claim.HandedOff{Handoff: ho})
 }
 
 func (vm *VM) sendHandoff(in claim.SendHandoff) {
@@ -129,7 +129,7 @@
 			return
 		}
 	}
-	vm.book.Tell(vm.loopCtx, claim.HandoffFailed{To: in.To, Epoch: in.Handoff.GetEpoch()})
+	vm.book.Send(vm.loopCtx, claim.HandoffFailed{To: in.To, Epoch: in.Handoff.GetEpoch()})
 }
 
 // proposeSeats appends a seat table to the log. A lost reply is harmless: a table
@@ -154,7 +154,7 @@
 	}
 	vm.wg.Go(func() { vm.book.Run(ctx) })
 	if st := vm.restoredSeats; st != nil {
-		vm.book.Tell(ctx, claim.HistoryReceived{Seats: st})
+		vm.book.Send(ctx, claim.HistoryReceived{Seats: st})
 		next = st.Epoch
 	}
 	for ctx.Err() == nil {
@@ -188,7 +188,7 @@
 	for _, rc := range ba.Records {
 		var table peerpb.SeatTable
 		if proto.Unmarshal(rc.Data, &table) == nil {
-			vm.book.Tell(ctx, claim.TableAppended{Epoch: rc.Offset + 1, Table: &table})
+			vm.book.Send(ctx, claim.TableAppended{Epoch: rc.Offset + 1, Table: &table})
 		}
 	}
 	return max(next, ba.Next)
@@ -237,11 +237,11 @@
 	cm := &claimant{vm: vm, ctx: ctx, stop: stop, onLost: onLost}
 	cm.ac = actor.New[claim.AskerEvent, claim.AskerIntent](vm.Clock, claim.AskerTick{}, askerTick)
 	cm.ac.Step = ak.Step
-	cm.ac.Do = cm.handleIntent
-	cm.ac.WakeAt = actor.WakeOf[claim.AskerIntent](func(wk claim.Wake) clock.Millis { return wk.At })
+	cm.ac.Execute = cm.handleIntent
+	cm.ac.WakeTime = actor.WakeTimeFunc[claim.AskerIntent](func(wk claim.Wake) clock.Millis { return wk.At })
 	vm.wg.Go(func() { cm.ac.Run(ctx) })
 	vm.wg.Go(cm.watchFleet)
-	cm.ac.Tell(ctx, claim.Begin{Seats: vm.seats.Load(), Fleet: vm.Board.Fleet()})
+	cm.ac.Send(ctx, claim.Begin{Seats: vm.seats.Load(), Fleet: vm.Board.Fleet()})
 	return cm
 }
 
@@ -261,7 +261,7 @@
 		case <-cm.ctx.Done():
 			return
 		case <-moved:
-			cm.ac.Tell(cm.ctx, claim.ViewChanged{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
+			cm.ac.Send(cm.ctx, claim.ViewChanged{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
 		case <-refuted:
 			cm.revalidate()
 		}
@@ -269,7 +269,7 @@
 }
 
 func (cm *claimant) revalidate() {
-	cm.ac.Tell(cm.ctx, claim.Revalidate{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
+	cm.ac.Send(cm.ctx, claim.Revalidate{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
 }
 
 func (cm *claimant) handleIntent(in claim.AskerIntent) {
@@ -306,15 +306,15 @@
 func (cm *claimant) sendAsk(in claim.SendAsk) {
 	to, ok := cm.vm.Board.Fleet().VM(in.To.ID)
 	if !ok {
-		cm.ac.Tell(cm.ctx, claim.AskFailed{Number: in.Number})
+		cm.ac.Send(cm.ctx, claim.AskFailed{Number: in.Number})
 		return
 	}
 	reply, err := cm.vm.callPeer(cm.ctx, to, &peerpb.Frame{Body: &peerpb.Frame_ClaimAsk{ClaimAsk: in.Ask}})
 	if err != nil || reply.GetClaimReply() == nil {
-		cm.ac.Tell(cm.ctx, claim.AskFailed{Number: in.Number})
+		cm.ac.Send(cm.ctx, claim.AskFailed{Number: in.Number})
 		return
 	}
-	cm.ac.Tell(cm.ctx, claim.Replied{Number: in.Number, Reply: reply.GetClaimReply()})
+	cm.ac.Send(cm.ctx, claim.Replied{Number: in.Number, Reply: reply.GetClaimReply()})
 }
 
 // sendUpdate sends the state of a claim to a seat, best effort.
@@ -356,7 +356,7 @@
 
 // reportState reports the state of the key to its seats.
 func (cm *claimant) reportState(bc claim.StateChanged) {
-	cm.ac.Tell(cm.ctx, bc)
+	cm.ac.Send(cm.ctx, bc)
 }
 
 // checkDispatch checks, immediately before a request is sent to a backend server,
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -35,10 +35,10 @@
 			}
 			return []clock.Millis{now + 70, now + 30, now + 500}
 		}
-		ac.WakeAt = func(in clock.Millis) (clock.Millis, bool) { return in, true }
+		ac.WakeTime = func(in clock.Millis) (clock.Millis, bool) { return in, true }
 		ctx, stop := context.WithCancel(t.Context())
 		go ac.Run(ctx)
-		ac.Tell(ctx, "ask")
+		ac.Send(ctx, "ask")
 		time.Sleep(140 * time.Millisecond)
 		stop()
 		synctest.Wait()
--- a/internal/entry/follower.go
+++ b/internal/entry/follower.go
@@ -64,8 +64,8 @@
 	}}
 	fw.ac = actor.New[register.Event, register.Intent](vm.Clock, register.Tick{}, followerTick)
 	fw.ac.Step = fw.step
-	fw.ac.Do = fw.handleIntent
-	fw.ac.WakeAt = actor.WakeOf[register.Intent](func(wk register.Wake) clock.Millis { return wk.At })
+	fw.ac.Execute = fw.handleIntent
+	fw.ac.WakeTime = actor.WakeTimeFunc[register.Intent](func(wk register.Wake) clock.Millis { return wk.At })
 	return fw
 }
 
@@ -108,7 +108,7 @@
 			ask(fo)
 		}
 	}}
-	if !fw.ac.Tell(ctx, lk) {
+	if !fw.ac.Send(ctx, lk) {
 		return false
 	}
 	select {
@@ -141,14 +141,14 @@
 
 func (fw *logFollower) read(in register.ReadLog) {
 	ba, err := fw.vm.Logs.Read(fw.vm.loopCtx, fw.stream, in.From, in.Max, in.Wait)
-	fw.ac.Tell(fw.vm.loopCtx, register.Read{Batch: ba, Err: err})
+	fw.ac.Send(fw.vm.loopCtx, register.Read{Batch: ba, Err: err})
 }
 
 func (fw *logFollower) append(in register.Append) {
 	ctx, stop := context.WithTimeout(fw.vm.loopCtx, appendTimeout.Std())
 	defer stop()
 	offset, err := fw.vm.Logs.Append(ctx, fw.stream, in.Data)
-	fw.ac.Tell(fw.vm.loopCtx, register.Appended{ID: in.ID, Offset: offset, Err: err})
+	fw.ac.Send(fw.vm.loopCtx, register.Appended{ID: in.ID, Offset: offset, Err: err})
 }
 
 func (fw *logFollower) askPeer(in register.RequestRecords) {
@@ -156,7 +156,7 @@
 	reply, err := fw.vm.callPeer(ctx, in.VM, &peerpb.Frame{Body: &peerpb.Frame_LogAsk{
 		LogAsk: &peerpb.LogAsk{Stream: fw.stream, From: in.From, Max: int32(in.Max)},
 	}})
-	fw.ac.Tell(ctx, register.PeerRecords{VM: in.VM.VMRef, Batch: batchFromWire(reply.GetLogRecords()), Err: err})
+	fw.ac.Send(ctx, register.PeerRecords{VM: in.VM.VMRef, Batch: batchFromWire(reply.GetLogRecords()), Err: err})
 }
 
 func (fw *logFollower) askSnapshot(in register.RequestSnapshot) {
@@ -167,7 +167,7 @@
 	if err == nil && !reply.GetSnapshot().GetReady() {
 		err = errNotReady
 	}
-	fw.ac.Tell(ctx, register.PeerSnapshot{VM: in.VM.VMRef, Data: reply.GetSnapshot().GetData(), Err: err})
+	fw.ac.Send(ctx, register.PeerSnapshot{VM: in.VM.VMRef, Data: reply.GetSnapshot().GetData(), Err: err})
 }
 
 // applyTemplates puts the configuration into force on this VM.
@@ -185,7 +185,7 @@
 	defer stop()
 	decided := vm.verdicts.open(pub.ID)
 	tpl := pub.Template
-	vm.templateFollower.ac.Tell(ctx, register.PublishRequest{ID: pub.ID, Customer: pub.Customer, Base: pub.Base, Template: &tpl, Repeated: pub.Again})
+	vm.templateFollower.ac.Send(ctx, register.PublishRequest{ID: pub.ID, Customer: pub.Customer, Base: pub.Base, Template: &tpl, Repeated: pub.Again})
 	select {
 	case vd := <-decided:
 		return operatorVerdict(vd)
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -46,8 +46,8 @@
 	}}
 	le.ac = actor.New[register.HolderEvent, register.HolderIntent](vm.Clock, register.LeaseTick{}, leaseTick)
 	le.ac.Step = le.step
-	le.ac.Do = le.handleIntent
-	le.ac.WakeAt = actor.WakeOf[register.HolderIntent](func(wk register.Wake) clock.Millis { return wk.At })
+	le.ac.Execute = le.handleIntent
+	le.ac.WakeTime = actor.WakeTimeFunc[register.HolderIntent](func(wk register.Wake) clock.Millis { return wk.At })
 	return le
 }
 
@@ -95,7 +95,7 @@
 	ctx, stop := context.WithTimeout(le.ctx, appendTimeout.Std())
 	defer stop()
 	_, err := le.vm.Logs.Append(ctx, le.vm.leaseFollower.stream, in.Data)
-	le.ac.Tell(le.ctx, register.LeaseAppended{ID: in.ID, Err: err})
+	le.ac.Send(le.ctx, register.LeaseAppended{ID: in.ID, Err: err})
 }
 
 // observeLeases passes the logged state of the leases to this VM's cells. It is
@@ -104,6 +104,6 @@
 	for _, hc := range vm.scheduler.allCells() {
 		le := hc.ord.lease
 		en, known := fo.Entry(le.ho.Resource)
-		le.ac.Tell(le.ctx, register.LeaseObserved{Entry: en, Known: known && fo.Ready()})
+		le.ac.Send(le.ctx, register.LeaseObserved{Entry: en, Known: known && fo.Ready()})
 	}
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -55,8 +55,8 @@
 		}
 		return out
 	}
-	vm.members.Do = vm.handleMembershipIntent
-	vm.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
+	vm.members.Execute = vm.handleMembershipIntent
+	vm.members.WakeTime = actor.WakeTimeFunc[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 }
 
 // handleMembershipIntent executes an intent of the failure detector.
@@ -90,7 +90,7 @@
 		vm.wg.Go(func() { run(ctx) })
 	}
 	if seeds := vm.seedVMs(); len(seeds) > 0 {
-		vm.members.Tell(ctx, membership.Listed{VMs: seeds})
+		vm.members.Send(ctx, membership.Listed{VMs: seeds})
 	}
 }
 
@@ -113,9 +113,9 @@
 	for {
 		moved := vm.fleetChanged.wait()
 		fl := vm.Board.Fleet()
-		vm.templateFollower.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
-		vm.leaseFollower.ac.Tell(ctx, register.FleetChanged{Fleet: fl})
-		vm.book.Tell(ctx, claim.FleetChanged{Fleet: fl})
+		vm.templateFollower.ac.Send(ctx, register.FleetChanged{Fleet: fl})
+		vm.leaseFollower.ac.Send(ctx, register.FleetChanged{Fleet: fl})
+		vm.book.Send(ctx, claim.FleetChanged{Fleet: fl})
 		vm.scheduler.updateCells(ctx)
 		select {
 		case <-ctx.Done():
@@ -154,7 +154,7 @@
 }
 
 func (vm *VM) applyList(ctx context.Context, list vmlist.List) {
-	vm.members.Tell(ctx, membership.Listed{VMs: list.VMs})
+	vm.members.Send(ctx, membership.Listed{VMs: list.VMs})
 	vm.backendsMu.Lock()
 	old := vm.Board.Backends()
 	same := sameServers(old.Servers, list.Servers)
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -61,8 +61,8 @@
 	ce := &orders.Cell{Settings: orders.Settings{NoRoleChanges: !vm.Settings.Roles.Enabled, Dwell: vm.Settings.Roles.Dwell}}
 	or.ac = actor.New[orders.Event, orders.Intent](vm.Clock, orders.Tick{}, ordersTick)
 	or.ac.Step = ce.Step
-	or.ac.Do = or.handleIntent
-	or.ac.WakeAt = func(orders.Intent) (clock.Millis, bool) { return 0, false }
+	or.ac.Execute = or.handleIntent
+	or.ac.WakeTime = func(orders.Intent) (clock.Millis, bool) { return 0, false }
 	or.lease = vm.newLease(ctx, name, or.post)
 	return or
 }
@@ -72,13 +72,13 @@
 	or.hc.vm.wg.Go(func() { or.lease.ac.Run(or.hc.ctx) })
 }
 
-func (or *orderer) post(ev orders.Event) { or.ac.Tell(or.hc.ctx, ev) }
+func (or *orderer) post(ev orders.Event) { or.ac.Send(or.hc.ctx, ev) }
 
 func (or *orderer) handleIntent(in orders.Intent) {
 	hc := or.hc
 	switch in := in.(type) {
 	case orders.WantLease:
-		or.lease.ac.Tell(hc.ctx, register.LeaseWanted{Hold: in.Hold})
+		or.lease.ac.Send(hc.ctx, register.LeaseWanted{Hold: in.Hold})
 	case orders.Drain:
 		hc.rec.drain(hc.ctx, in)
 	case orders.Inspect:
@@ -166,7 +166,7 @@
 		defer or.mu.Unlock()
 		delete(or.answers, gv.ID)
 	}()
-	or.ac.Tell(ctx, gv)
+	or.ac.Send(ctx, gv)
 	select {
 	case an := <-ch:
 		return an
@@ -256,7 +256,7 @@
 }
 
 func (rc *reconciler) updateServers(ctx context.Context) {
-	rc.hc.ac.Tell(ctx, sched.Servers{Servers: rc.markUnfit(rc.hc.servers())})
+	rc.hc.ac.Send(ctx, sched.Servers{Servers: rc.markUnfit(rc.hc.servers())})
 }
 
 // demand counts the queued requests, and the granted ones by the engines that they
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -129,7 +129,7 @@
 	gr.Wait()
 	for _, ch := range changed {
 		if ch {
-			rc.hc.ac.Tell(ctx, sched.Servers{Servers: rc.markUnfit(servers)})
+			rc.hc.ac.Send(ctx, sched.Servers{Servers: rc.markUnfit(servers)})
 			return
 		}
 	}
@@ -149,7 +149,7 @@
 	}
 	rp.Server = srv.ID
 	rp.At = rc.hc.vm.Clock.Now()
-	rc.hc.ac.Tell(ctx, sched.Report{Load: rp})
+	rc.hc.ac.Send(ctx, sched.Report{Load: rp})
 	turned := rc.recordRole(srv.ID, reportedRole{role: rp.Role, at: asked - rp.Age})
 	rc.hc.vm.recordReport(rp)
 	rc.mu.Lock()
--- a/internal/entry/unsent_test.go
+++ b/internal/entry/unsent_test.go
@@ -40,7 +40,7 @@
 		return vm.stepBook(now, ev)
 	}
 	go vm.book.Run(t.Context())
-	vm.book.Tell(t.Context(), claim.TableAppended{Epoch: 1, Table: &peerpb.SeatTable{
+	vm.book.Send(t.Context(), claim.TableAppended{Epoch: 1, Table: &peerpb.SeatTable{
 		Seats: []*peerpb.ClaimSeat{{ID: vm.Self.ID, Incarnation: vm.Self.Incarnation, FailureDomain: "d"}},
 	}})
 	synctest.Wait()
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -200,11 +200,11 @@
 func (vm *VM) stop(stopCallers context.CancelFunc, callersDone <-chan error) error {
 	vm.Log.Log(event.Stopping, event.F("InProgress", vm.runs.inProgress()))
 	vm.draining.Store(true)
-	vm.members.Tell(vm.runCtx, membership.Leave{})
+	vm.members.Send(vm.runCtx, membership.Leave{})
 	stopCallers()
 	err := <-callersDone
 	vm.awaitRuns()
-	vm.members.Tell(vm.runCtx, membership.Leave{Final: true})
+	vm.members.Send(vm.runCtx, membership.Leave{Final: true})
 	clock.Sleep(vm.runCtx, leaveGossipWait)
 	if err != nil {
 		return fmt.Errorf("stop serving callers: %w", err)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -85,8 +85,8 @@
 		OnDatagram: fl.handleDatagram, Scope: fl.Scope, Log: fl.Log, Clock: clock.OrBoottime(fl.Clock)}
 	fl.members = actor.New[membership.Event, membership.Intent](clock.OrBoottime(fl.Clock), membership.Tick{}, maxTickInterval)
 	fl.members.Step = dt.Step
-	fl.members.Do = fl.handleIntent
-	fl.members.WakeAt = actor.WakeOf[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
+	fl.members.Execute = fl.handleIntent
+	fl.members.WakeTime = actor.WakeTimeFunc[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 }
 
 // Run follows the fleet until the context ends, or the transport fails.
@@ -103,11 +103,11 @@
 
 // SetListed tells which VMs there may be.
 func (fl *Fleet) SetListed(ctx context.Context, vms []board.VM) {
-	fl.members.Tell(ctx, membership.Listed{VMs: vms})
+	fl.members.Send(ctx, membership.Listed{VMs: vms})
 }
 
 // Leave announces a planned stop.
-func (fl *Fleet) Leave(ctx context.Context) { fl.members.Tell(ctx, membership.Leave{}) }
+func (fl *Fleet) Leave(ctx context.Context) { fl.members.Send(ctx, membership.Leave{}) }
 
 // handleDatagram takes a datagram. The transport calls it for one at a time.
 func (fl *Fleet) handleDatagram(dg *peerpb.Datagram, from netip.AddrPort) {
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -115,9 +115,9 @@
 
 // configure gives a relay one route to the engines.
 func (ps *placementSim) configure(rl *relay.Relay) {
-	engines := &route.Engines{Memory: simEngineMemory, Hold: 2 * clock.Second}
+	engines := &route.Engines{MemoryTokens: simEngineMemory, MaxReservation: 2 * clock.Second}
 	tb, err := route.New(1, []route.Route{{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream,
-		Shares: []route.Share{{Service: "model", Weight: 1}}, Timeout: 14 * clock.Second, Attempts: 1}},
+		Shares: []route.Share{{Service: "model", Weight: 1}}, Timeout: 14 * clock.Second, MaxAttempts: 1}},
 		[]route.Service{{Name: "model", Engines: engines}})
 	assert.NilError(ps.t, err)
 	assert.Assert(ps.t, rl.Configure(tb))
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -156,7 +156,7 @@
 		vm.waitResumed() // the span of a freeze is a pause to membership
 		return step(sn.clock.Now(), ev)
 	}
-	vm.fl.members.Do = vm.handleIntent
+	vm.fl.members.Execute = vm.handleIntent
 	sn.vms[self.ID] = vm
 	return vm
 }
--- a/internal/logsvc/client.go
+++ b/internal/logsvc/client.go
@@ -41,7 +41,7 @@
 	once sync.Once
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	Offset *uint64
 }
 
@@ -64,7 +64,7 @@
 		return offset, nil
 	}
 	effect := MayBeAppended
-	if !sent.Load() || refused(err) {
+	if !sent.Load() || rejected(err) {
 		effect = NotAppended
 	}
 	ae := &AppendError{Stream: stream, Effect: effect, Err: err}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var ans appendAnswer
+	var ans appendResponse
 	if err := json.Unmarshal(body, &ans); err != nil {
 		return 0, fmt.Errorf("parse the answer: %w", err)
 	}
@@ -86,9 +86,9 @@
 	return *ans.Offset, nil
 }
 
-// refused tells whether the service itself said that it took nothing. A
+// rejected tells whether the service itself said that it took nothing. A
 // timeout that it states is none: the record may be on its way.
-func refused(err error) bool {
+func rejected(err error) bool {
 	var se *StatusError
 	return errors.As(err, &se) && se.Status >= 400 && se.Status < 500 &&
 		se.Status != http.StatusRequestTimeout
@@ -96,12 +96,12 @@
 
 // Read reads from the stream. An answer beyond MaxBatch is asked for again
 // with fewer records.
-func (cl *Client) Read(ctx context.Context, stream string, from uint64, most int, wait clock.Millis) (Batch, error) {
+func (cl *Client) Read(ctx context.Context, stream string, from uint64, maxRecords int, wait clock.Millis) (Batch, error) {
 	for {
-		ba, err := cl.read(ctx, stream, from, most, wait)
+		ba, err := cl.read(ctx, stream, from, maxRecords, wait)
 		var te *TooLargeError
-		if errors.As(err, &te) && most > 1 {
-			most /= 2
+		if errors.As(err, &te) && maxRecords > 1 {
+			maxRecords /= 2
 			continue
 		}
 		if err != nil {
@@ -111,10 +111,10 @@
 	}
 }
 
-func (cl *Client) read(ctx context.Context, stream string, from uint64, most int, wait clock.Millis) (Batch, error) {
+func (cl *Client) read(ctx context.Context, stream string, from uint64, maxRecords int, wait clock.Millis) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, (wait + cl.grace()).Std())
 	defer cancel()
-	query := url.Values{"From": {strconv.FormatUint(from, 10)}, "Max": {strconv.Itoa(most)}}
+	query := url.Values{"From": {strconv.FormatUint(from, 10)}, "Max": {strconv.Itoa(maxRecords)}}
 	if wait > 0 {
 		query.Set("Wait", wait.String())
 	}
--- a/internal/logsvc/client_test.go
+++ b/internal/logsvc/client_test.go
@@ -17,7 +17,7 @@
 
 const stream = "configuration"
 
-func newPair(tt *testing.T) (*standin.Server, *logsvc.Client) {
+func newServerAndClient(tt *testing.T) (*standin.Server, *logsvc.Client) {
 	tt.Helper()
 	srv := &standin.Server{Token: "secret"}
 	ts := httptest.NewServer(srv)
@@ -33,7 +33,7 @@
 }
 
 func TestAppendThenRead(tt *testing.T) {
-	_, cl := newPair(tt)
+	_, cl := newServerAndClient(tt)
 	for ix, data := range []string{"a", "b", "c"} {
 		assert.Equal(tt, mustAppend(tt, cl, data), uint64(ix))
 	}
@@ -45,7 +45,7 @@
 }
 
 func TestReadWaitsForTheNextRecord(tt *testing.T) {
-	_, cl := newPair(tt)
+	_, cl := newServerAndClient(tt)
 	got := make(chan logsvc.Batch, 1)
 	go func() {
 		ba, err := cl.Read(context.Background(), stream, 0, 10, 30*clock.Second)
@@ -60,8 +60,8 @@
 	assert.Equal(tt, string(ba.Records[0].Data), "late")
 }
 
-func TestReadAfterTrimTellsTheFirstKept(tt *testing.T) {
-	srv, cl := newPair(tt)
+func TestReadAfterTrimReportsFirstKeptOffset(tt *testing.T) {
+	srv, cl := newServerAndClient(tt)
 	srv.Set(standin.Faults{KeepRecords: 2})
 	for range 5 {
 		mustAppend(tt, cl, "x")
@@ -147,8 +147,8 @@
 	assert.Assert(tt, errors.Is(err, context.Canceled))
 }
 
-func TestReadHalvesAnAnswerBeyondItsBound(tt *testing.T) {
-	_, cl := newPair(tt)
+func TestReadRetriesOversizedResponseWithFewerRecords(tt *testing.T) {
+	_, cl := newServerAndClient(tt)
 	for range 8 {
 		mustAppend(tt, cl, "0123456789")
 	}
@@ -163,8 +163,8 @@
 	assert.Equal(tt, te.Limit, int64(20))
 }
 
-func TestReadSeesNotTheNewestWhileLagging(tt *testing.T) {
-	srv, cl := newPair(tt)
+func TestReadMissesNewestRecordsWhileServiceLags(tt *testing.T) {
+	srv, cl := newServerAndClient(tt)
 	for range 3 {
 		mustAppend(tt, cl, "x")
 	}
--- a/internal/logsvc/logsvc.go
+++ b/internal/logsvc/logsvc.go
@@ -65,7 +65,7 @@
 		// Read returns up to most records from the offset on. It waits up
 		// to the given span for the first of them and returns an empty
 		// batch if none came.
-		Read(ctx context.Context, stream string, from uint64, most int, wait clock.Millis) (Batch, error)
+		Read(ctx context.Context, stream string, from uint64, maxRecords int, wait clock.Millis) (Batch, error)
 	}
 
 	// Effect tells whether a failed append may have taken place.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,8 +28,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// interval is how often counts go from the scope to the registry.
-const interval = clock.Second
+// reportInterval is how often counts go from the scope to the registry.
+const reportInterval = clock.Second
 
 // sanitizer lets the characters of customers', classes' and services' names
 // stand in tag values, so that no two of them become one.
@@ -71,7 +71,7 @@
 		Separator:              tallyprom.DefaultSeparator,
 		SanitizeOptions:        &sanitizer,
 		OmitCardinalityMetrics: true,
-	}, interval.Std())
+	}, reportInterval.Std())
 	return &Metrics{Scope: scope, reporter: reporter, closer: closer}
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,9 +12,9 @@
 	"alderdyke/pkg/refusal"
 )
 
-// shown closes the metrics, so that all counts are passed on, and returns the
+// closeAndScrape closes the metrics, so that all counts are passed on, and returns the
 // page.
-func shown(t *testing.T, mt *metrics.Metrics) string {
+func closeAndScrape(t *testing.T, mt *metrics.Metrics) string {
 	assert.NilError(t, mt.Close())
 	rec := httptest.NewRecorder()
 	mt.Handler().ServeHTTP(rec, httptest.NewRequest("GET", "/metrics", nil))
@@ -34,7 +34,7 @@
 	rf.Inc("field_note", full)
 	rt.Inc("feltapp", refusal.BackendFailed)
 
-	page := shown(t, mt)
+	page := closeAndScrape(t, mt)
 	for _, want := range []string{
 		`Caller_Refusals{Class="findings",Ran="NotRun",Reason="QueueFull",VM="vm-1"} 2`,
 		`Caller_Refusals{Class="findings",Ran="MayHaveRun",Reason="QueueFull",VM="vm-1"} 1`,
@@ -48,12 +48,12 @@
 }
 
 // Several VMs of one process keep their counts apart.
-func TestVMsApart(t *testing.T) {
+func TestVMsHaveSeparateRegistries(t *testing.T) {
 	one, two := metrics.New("vm-1"), metrics.New("vm-2")
 	one.Scope.Counter("Some").Inc(3)
 	two.Scope.Counter("Some").Inc(5)
-	assert.Assert(t, strings.Contains(shown(t, one), `Some{VM="vm-1"} 3`))
-	page := shown(t, two)
+	assert.Assert(t, strings.Contains(closeAndScrape(t, one), `Some{VM="vm-1"} 3`))
+	page := closeAndScrape(t, two)
 	assert.Assert(t, strings.Contains(page, `Some{VM="vm-2"} 5`) && !strings.Contains(page, "vm-1"))
 }
 
@@ -64,7 +64,7 @@
 		rt.Inc(fmt.Sprintf("service-%d", ix), refusal.BackendFailed)
 	}
 	rt.Inc("service-0", refusal.BackendFailed)
-	page := shown(t, mt)
+	page := closeAndScrape(t, mt)
 	assert.Equal(t, strings.Count(page, "\nRetries{"), metrics.MaxNames+1)
 	assert.Assert(t, strings.Contains(page, `Retries{Reason="BackendFailed",Service="Other",VM="vm-1"} 7`))
 	assert.Assert(t, strings.Contains(page, `Retries{Reason="BackendFailed",Service="service-0",VM="vm-1"} 2`))
@@ -76,9 +76,9 @@
 }
 
 // One name with two sets of tags loses the second set and nothing else.
-func TestClashingTags(t *testing.T) {
+func TestConflictingTags(t *testing.T) {
 	mt := metrics.New("vm-1")
 	mt.Scope.Counter("Some").Inc(1)
 	mt.Scope.Tagged(map[string]string{"Class": "x"}).Counter("Some").Inc(1)
-	assert.Assert(t, strings.Contains(shown(t, mt), `Some{VM="vm-1"} 1`))
+	assert.Assert(t, strings.Contains(closeAndScrape(t, mt), `Some{VM="vm-1"} 1`))
 }
--- a/internal/metrics/reasons.go
+++ b/internal/metrics/reasons.go
@@ -13,8 +13,8 @@
 	// each counter costs about 3 KB for as long as the process lives.
 	MaxNames = 64
 
-	// Other stands for all names beyond MaxNames.
-	Other = "Other"
+	// OtherName stands for all names beyond MaxNames.
+	OtherName = "Other"
 )
 
 type (
@@ -24,7 +24,7 @@
 	Refusals struct {
 		Scope tally.Scope
 
-		counts byReason
+		counts counterCache
 	}
 
 	// Retries counts retries by service and reason, as the counter Retries.
@@ -33,17 +33,17 @@
 	Retries struct {
 		Scope tally.Scope
 
-		counts byReason
+		counts counterCache
 	}
 
-	// byReason holds the counters that were used so far.
-	byReason struct {
+	// counterCache holds the counters that were used so far.
+	counterCache struct {
 		mu       sync.Mutex
 		names    map[string]bool
-		counters map[label]tally.Counter
+		counters map[counterKey]tally.Counter
 	}
 
-	label struct {
+	counterKey struct {
 		name, reason, ran string
 	}
 )
@@ -53,7 +53,7 @@
 	if rf.Scope == nil {
 		return
 	}
-	rf.counts.counter(label{name: class, reason: string(re.Reason), ran: string(re.Ran)}, func(lb label) tally.Counter {
+	rf.counts.counter(counterKey{name: class, reason: string(re.Reason), ran: string(re.Ran)}, func(lb counterKey) tally.Counter {
 		return rf.Scope.Tagged(map[string]string{"Class": lb.name, "Reason": lb.reason, "Ran": lb.ran}).Counter("Refusals")
 	}).Inc(1)
 }
@@ -63,22 +63,22 @@
 	if rt.Scope == nil {
 		return
 	}
-	rt.counts.counter(label{name: service, reason: string(reason)}, func(lb label) tally.Counter {
+	rt.counts.counter(counterKey{name: service, reason: string(reason)}, func(lb counterKey) tally.Counter {
 		return rt.Scope.Tagged(map[string]string{"Service": lb.name, "Reason": lb.reason}).Counter("Retries")
 	}).Inc(1)
 }
 
 // counter finds or makes the counter of a label.
-func (br *byReason) counter(lb label, create func(lb label) tally.Counter) tally.Counter {
+func (br *counterCache) counter(lb counterKey, create func(lb counterKey) tally.Counter) tally.Counter {
 	br.mu.Lock()
 	defer br.mu.Unlock()
 	if br.counters == nil {
 		br.names = map[string]bool{}
-		br.counters = map[label]tally.Counter{}
+		br.counters = map[counterKey]tally.Counter{}
 	}
 	if !br.names[lb.name] {
 		if len(br.names) >= MaxNames {
-			lb.name = Other
+			lb.name = OtherName
 		} else {
 			br.names[lb.name] = true
 		}
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -190,7 +190,7 @@
 		LocalAddr: tr.localAddress(),
 		Timeout:   tr.DialTimeout.Std(),
 		KeepAlive: -1,
-		Control:   sockopt.UserTimeout(tr.PingTimeout),
+		Control:   sockopt.UserTimeoutControl(tr.PingTimeout),
 	}
 	raw, err := dr.DialContext(ctx, "tcp", vm.Peer)
 	if err != nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -228,7 +228,7 @@
 }
 
 func (tr *Transport) listenOn(ctx context.Context, want netip.AddrPort) (net.Listener, *net.UDPConn, error) {
-	lc := net.ListenConfig{KeepAlive: -1, Control: sockopt.UserTimeout(tr.PingTimeout)}
+	lc := net.ListenConfig{KeepAlive: -1, Control: sockopt.UserTimeoutControl(tr.PingTimeout)}
 	ln, err := lc.Listen(ctx, "tcp", want.String())
 	if err != nil {
 		return nil, nil, fmt.Errorf("listen on TCP: %w", err)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -15,8 +15,8 @@
 //	rg.Replace(now, servers)        // a whole listing
 //	rg.Set(server)                  // one entry
 //	rg.Remove(now, key)             // one entry lapsed or was withdrawn
-//	rg.NoteOutage(until)            // the store answered no VM until then
-//	list, moved := rg.Servers(now)
+//	rg.SetOutageEnd(until)            // the store answered no VM until then
+//	list, changed := rg.Servers(now)
 //
 // A Registry does no I/O and is not safe for concurrent use. The zero value
 // is empty and ready to use.
@@ -30,28 +30,28 @@
 	"alderdyke/pkg/clock"
 )
 
-// DefaultReturn is how long after the store's return a live server has
+// DefaultRenewalGrace is how long after the store's return a live server has
 // renewed its entry: two seconds by the platform's word, and a tenth more for
 // the way.
-const DefaultReturn = 2200 * clock.Millis(1)
+const DefaultRenewalGrace = 2200 * clock.Millis(1)
 
-// renewalMax bounds how long after its entry expired a live server next renews it:
+// maxRenewalDelay bounds how long after its entry expired a live server next renews it:
 // a heartbeat, and the way.
-const renewalMax = 1250 * clock.Millis(1)
+const maxRenewalDelay = 1250 * clock.Millis(1)
 
 type (
 	// Registry is the backend servers as this VM believes them.
 	Registry struct {
-		Return clock.Millis // zero: DefaultReturn
+		RenewalGrace clock.Millis // zero: DefaultRenewalGrace
 
 		servers   map[string]entry // by BackendServer.Key
 		outageEnd clock.Millis     // end of the last outage of the store; zero: none is known
-		moved     bool
+		changed   bool
 	}
 
 	entry struct {
-		server board.BackendServer
-		lapsed clock.Millis // when its entry went, in a grace period; zero: it stands
+		server    board.BackendServer
+		expiredAt clock.Millis // when its entry went, in a grace period; zero: it stands
 	}
 )
 
@@ -60,34 +60,34 @@
 	if rg.servers == nil {
 		rg.servers = make(map[string]entry)
 	}
-	if rg.Knows(bs) {
+	if rg.IsRedundant(bs) {
 		return
 	}
-	rg.servers[bs.Key()] = entry{server: rg.keepLeaving(bs)}
-	rg.moved = true
+	rg.servers[bs.Key()] = entry{server: rg.withLeavingKept(bs)}
+	rg.changed = true
 }
 
-// Knows tells whether an entry says nothing new, as one that was only renewed
+// IsRedundant tells whether an entry says nothing new, as one that was only renewed
 // or one of an earlier life of its server.
-func (rg *Registry) Knows(bs board.BackendServer) bool {
+func (rg *Registry) IsRedundant(bs board.BackendServer) bool {
 	en, ok := rg.servers[bs.Key()]
-	return ok && (en.server == rg.keepLeaving(bs) && en.lapsed == 0 || bs.Incarnation < en.server.Incarnation)
+	return ok && (en.server == rg.withLeavingKept(bs) && en.expiredAt == 0 || bs.Incarnation < en.server.Incarnation)
 }
 
-// TakesBack tells whether an entry says no more that its server leaves, in the same
+// RevokesLeaving tells whether an entry says no more that its server leaves, in the same
 // life of it. No server does that: it was written before, and done late.
-func (rg *Registry) TakesBack(bs board.BackendServer) bool { return rg.keepLeaving(bs) != bs }
+func (rg *Registry) RevokesLeaving(bs board.BackendServer) bool { return rg.withLeavingKept(bs) != bs }
 
-// keepLeaving is an entry with the word that its server leaves, if that was said in
+// withLeavingKept is an entry with the word that its server leaves, if that was said in
 // the same life of the server.
-func (rg *Registry) keepLeaving(bs board.BackendServer) board.BackendServer {
+func (rg *Registry) withLeavingKept(bs board.BackendServer) board.BackendServer {
 	was := rg.servers[bs.Key()].server
 	bs.Leaving = bs.Leaving || was.Leaving && was.Incarnation == bs.Incarnation
 	return bs
 }
 
-// Lists tells whether there is a server with the key.
-func (rg *Registry) Lists(key string) bool {
+// Contains tells whether there is a server with the key.
+func (rg *Registry) Contains(key string) bool {
 	_, ok := rg.servers[key]
 	return ok
 }
@@ -106,14 +106,14 @@
 		return false
 	}
 	if rg.inGracePeriod(now) {
-		if en.lapsed == 0 {
-			en.lapsed = max(1, now)
+		if en.expiredAt == 0 {
+			en.expiredAt = max(1, now)
 		}
 		rg.servers[key] = en
 		return true
 	}
 	delete(rg.servers, key)
-	rg.moved = true
+	rg.changed = true
 	return false
 }
 
@@ -133,28 +133,28 @@
 	return kept
 }
 
-// NoteOutage notes until when the store was last away for all VMs; zero: it was not, as
+// SetOutageEnd notes until when the store was last away for all VMs; zero: it was not, as
 // far as is known now.
-func (rg *Registry) NoteOutage(until clock.Millis) { rg.outageEnd = until }
+func (rg *Registry) SetOutageEnd(until clock.Millis) { rg.outageEnd = until }
 
 // Servers lists the servers by ID, and tells whether the list has changed
 // since it was asked for last.
-func (rg *Registry) Servers(now clock.Millis) (list []board.BackendServer, moved bool) {
-	rg.dropLapsed(now)
-	moved, rg.moved = rg.moved, false
+func (rg *Registry) Servers(now clock.Millis) (list []board.BackendServer, changed bool) {
+	rg.evictExpired(now)
+	changed, rg.changed = rg.changed, false
 	for _, en := range rg.servers {
 		list = append(list, en.server)
 	}
 	slices.SortFunc(list, func(sa, sb board.BackendServer) int { return strings.Compare(sa.ID, sb.ID) })
-	return list, moved
+	return list, changed
 }
 
-// dropLapsed drops the servers that may not renew their entries any more.
-func (rg *Registry) dropLapsed(now clock.Millis) {
+// evictExpired drops the servers that may not renew their entries any more.
+func (rg *Registry) evictExpired(now clock.Millis) {
 	for key, en := range rg.servers {
-		if en.lapsed > 0 && !rg.mayRenew(now, en) {
+		if en.expiredAt > 0 && !rg.mayRenew(now, en) {
 			delete(rg.servers, key)
-			rg.moved = true
+			rg.changed = true
 		}
 	}
 }
@@ -163,15 +163,15 @@
 // expired in the grace period may have met a further outage, too short for any VM to
 // see, and tries again a heartbeat later.
 func (rg *Registry) mayRenew(now clock.Millis, en entry) bool {
-	return rg.inGracePeriod(now) || rg.inGracePeriod(en.lapsed) && now-en.lapsed < renewalMax
+	return rg.inGracePeriod(now) || rg.inGracePeriod(en.expiredAt) && now-en.expiredAt < maxRenewalDelay
 }
 
 // inGracePeriod tells whether the store was away so lately that entries that expired
 // during the outage may still be renewed.
 func (rg *Registry) inGracePeriod(now clock.Millis) bool {
-	span := rg.Return
+	span := rg.RenewalGrace
 	if span == 0 {
-		span = DefaultReturn
+		span = DefaultRenewalGrace
 	}
 	return rg.outageEnd > 0 && now-rg.outageEnd < span
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -21,7 +21,7 @@
 	return out
 }
 
-func TestEntriesComeAndGo(t *testing.T) {
+func TestSetAndRemove(t *testing.T) {
 	var rg registry.Registry
 	rg.Set(server("b"))
 	rg.Set(server("a"))
@@ -43,39 +43,39 @@
 
 // An entry that lapsed while the store was away is kept until its server has
 // had time to renew it.
-func TestLapsedEntryWaitsForTheStoresReturn(t *testing.T) {
-	const missed = 10 * clock.Second
+func TestEntryExpiredInOutageIsKept(t *testing.T) {
+	const outageEnd = 10 * clock.Second
 	for _, tc := range []struct {
-		name   string
-		at     clock.Millis
-		renew  bool
-		want   []string
-		wanted []string
+		name           string
+		at             clock.Millis
+		renew          bool
+		want           []string
+		wantAfterGrace []string
 	}{
-		{"gone for good", missed + 500, false, []string{"a", "b"}, []string{"b"}},
-		{"renewed", missed + 500, true, []string{"a", "b"}, []string{"a", "b"}},
-		{"long after", missed + registry.DefaultReturn, false, []string{"b"}, []string{"b"}},
+		{"gone for good", outageEnd + 500, false, []string{"a", "b"}, []string{"b"}},
+		{"renewed", outageEnd + 500, true, []string{"a", "b"}, []string{"a", "b"}},
+		{"long after", outageEnd + registry.DefaultRenewalGrace, false, []string{"b"}, []string{"b"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var rg registry.Registry
 			rg.Set(server("a"))
 			rg.Set(server("b"))
-			rg.NoteOutage(missed)
+			rg.SetOutageEnd(outageEnd)
 			rg.Replace(tc.at, []board.BackendServer{server("b")})
 			list, _ := rg.Servers(tc.at)
 			assert.DeepEqual(t, ids(list), tc.want)
 			if tc.renew {
 				rg.Set(server("a"))
 			}
-			list, _ = rg.Servers(missed + registry.DefaultReturn)
-			assert.DeepEqual(t, ids(list), tc.wanted)
+			list, _ = rg.Servers(outageEnd + registry.DefaultRenewalGrace)
+			assert.DeepEqual(t, ids(list), tc.wantAfterGrace)
 		})
 	}
 }
 
 // A renewal that is done late does not make a server that leaves ready again; a
 // further life of it is ready.
-func TestLateRenewalUndoesTheWordOfLeaving(t *testing.T) {
+func TestLateRenewalDoesNotRevokeLeaving(t *testing.T) {
 	life := func(incarnation uint64, leaving bool) board.BackendServer {
 		return board.BackendServer{ID: fmt.Sprintf("a.%d", incarnation), Name: "a", Incarnation: incarnation, Leaving: leaving}
 	}
@@ -83,7 +83,7 @@
 	rg.Set(life(5, false))
 	rg.Set(life(5, true))
 	rg.Servers(0)
-	assert.Assert(t, rg.Knows(life(5, false)))
+	assert.Assert(t, rg.IsRedundant(life(5, false)))
 	rg.Set(life(5, false))
 	list, moved := rg.Servers(0)
 	assert.Assert(t, !moved)
@@ -95,7 +95,7 @@
 
 // A server that starts again goes on under its entry. What is written late of
 // its earlier life is no news, and its end ends the server whatever its life.
-func TestServerStartsAgain(t *testing.T) {
+func TestServerRestart(t *testing.T) {
 	life := func(incarnation uint64) board.BackendServer {
 		return board.BackendServer{ID: fmt.Sprintf("a.%d", incarnation), Name: "a", Incarnation: incarnation, Address: "a:1"}
 	}
@@ -108,7 +108,7 @@
 	list, moved = rg.Servers(0)
 	assert.Assert(t, moved)
 	assert.DeepEqual(t, ids(list), []string{"a.7"})
-	assert.Assert(t, rg.Knows(life(5)))
+	assert.Assert(t, rg.IsRedundant(life(5)))
 	rg.Set(life(5))
 	list, moved = rg.Servers(0)
 	assert.Assert(t, !moved)
@@ -116,32 +116,32 @@
 	rg.Remove(0, "a")
 	list, _ = rg.Servers(0)
 	assert.Equal(t, len(list), 0)
-	assert.Assert(t, !rg.Lists("a"))
+	assert.Assert(t, !rg.Contains("a"))
 }
 
 // An entry that expires late in the grace period may have met a further outage that
 // no VM saw, and has one heartbeat more. A refuted outage leaves it none.
 func TestEntryThatExpiresInTheGracePeriodMayBeRenewed(t *testing.T) {
-	const missed = 10 * clock.Second
-	expired := missed + registry.DefaultReturn - 100
+	const outageEnd = 10 * clock.Second
+	expired := outageEnd + registry.DefaultRenewalGrace - 100
 	for _, tc := range []struct {
 		name    string
 		at      clock.Millis
 		refuted bool
 		want    []string
 	}{
-		{"the grace period is over", missed + registry.DefaultReturn, false, []string{"a"}},
+		{"the grace period is over", outageEnd + registry.DefaultRenewalGrace, false, []string{"a"}},
 		{"a heartbeat is over", expired + 1250, false, []string{}},
 		{"there was no outage", expired + 100, true, []string{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var rg registry.Registry
 			rg.Set(server("a"))
-			rg.NoteOutage(missed)
+			rg.SetOutageEnd(outageEnd)
 			assert.Assert(t, rg.Remove(expired, "a"))
 			rg.Remove(expired+50, "a") // told twice
 			if tc.refuted {
-				rg.NoteOutage(0)
+				rg.SetOutageEnd(0)
 			}
 			list, _ := rg.Servers(tc.at)
 			assert.DeepEqual(t, ids(list), tc.want)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -37,7 +37,7 @@
 func newScheduler(tb testing.TB, runs, waiting int) *relay.Relay {
 	const vms, engines = 295, 48
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2)), Clock: bubbleClock{time.Now()}}
-	table, err := route.New(1, nil, []route.Service{{Name: "model", Engines: &route.Engines{Memory: 66642}}})
+	table, err := route.New(1, nil, []route.Service{{Name: "model", Engines: &route.Engines{MemoryTokens: 66642}}})
 	assert.NilError(tb, err)
 	rl.Configure(table)
 	var list []board.BackendServer
--- a/internal/relay/continue.go
+++ b/internal/relay/continue.go
@@ -39,7 +39,7 @@
 // resumable reports whether a new run may continue what the caller has.
 func (rn *run) resumable() bool {
 	ex := rn.ex
-	if !ex.rt.Resumable || ex.possibleRuns >= ex.rt.Attempts {
+	if !ex.rt.Resumable || ex.possibleRuns >= ex.rt.MaxAttempts {
 		return false
 	}
 	numbered := rn.sp.last != "" && !rn.sp.unnumbered
--- a/internal/relay/customer.go
+++ b/internal/relay/customer.go
@@ -42,12 +42,12 @@
 // force assigns its key. A request that was admitted continues if the key is removed
 // later. A public route needs no key, but uses one that it gets.
 func (rl *Relay) authenticate(tb *route.Table, ex *exchange, rt route.Route) error {
-	ex.req.Keyed = tb.Keyed()
+	ex.req.Keyed = tb.RequiresKey()
 	if !ex.req.Keyed {
 		return nil
 	}
 	ex.req.Customer = "" // ignores what the caller claims
-	cu, ok := tb.CustomerOf(ex.req.KeyHash)
+	cu, ok := tb.CustomerByKeyHash(ex.req.KeyHash)
 	switch {
 	case ok:
 		ex.req.Customer = cu.Name
--- a/internal/relay/customer_test.go
+++ b/internal/relay/customer_test.go
@@ -27,15 +27,15 @@
 		const many = 300
 		var list []route.Customer
 		for ix := range many {
-			list = append(list, route.Customer{Name: fmt.Sprintf("c%d", ix), Priority: -1, KeyHashes: []string{apikey.Of(fmt.Sprintf("k%d", ix))}})
+			list = append(list, route.Customer{Name: fmt.Sprintf("c%d", ix), Priority: -1, KeyHashes: []string{apikey.HashKey(fmt.Sprintf("k%d", ix))}})
 		}
 		tb, err := route.New(5, []route.Route{{Name: "again", Host: "h", Prefix: "/again/", Kind: route.Idempotent,
-			Shares: []route.Share{{Service: "plain", Weight: 1}}, Timeout: clock.Second, Attempts: 1}}, []route.Service{{Name: "plain"}})
+			Shares: []route.Share{{Service: "plain", Weight: 1}}, Timeout: clock.Second, MaxAttempts: 1}}, []route.Service{{Name: "plain"}})
 		assert.NilError(t, err)
 		assert.Assert(t, rl.Configure(tb.WithCustomers(list)))
 		ask := func(key string) {
 			req := &relay.Request{ID: "r", Method: http.MethodPost, Host: "h", URI: "/again/x", Path: "/again/x", Header: http.Header{},
-				Arrived: rl.Clock.Now(), Customer: "another", KeyHash: apikey.Of(key)}
+				Arrived: rl.Clock.Now(), Customer: "another", KeyHash: apikey.HashKey(key)}
 			_ = rl.Serve(t.Context(), httptest.NewRecorder(), req)
 		}
 		ask("k7")
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -38,7 +38,7 @@
 	for rn := range rl.runs {
 		at, listed := bk.Server(rn.pl.server.ID)
 		stays := listed && !at.Leaving || bk.Restarted(rn.pl.server) // an earlier incarnation has nothing left to move
-		if rn.moving || rn.broken || stays || rn.ex.svc.Engines == nil || !rn.ex.svc.Engines.Moves {
+		if rn.moving || rn.broken || stays || rn.ex.svc.Engines == nil || !rn.ex.svc.Engines.Migration {
 			continue
 		}
 		rn.moving = true
--- a/internal/relay/need.go
+++ b/internal/relay/need.go
@@ -36,7 +36,7 @@
 		guess = min(guess, rl.ledger.ExpectedTokens(ex.rt.Name, pr.Hint))
 	}
 	nd := memoryNeed{run: usage.Run{Tokens: roundToBlocks(pr.Tokens), Left: roundToBlocks(guess)}, reserve: roundToBlocks(pr.Tokens + most), limit: noLimit}
-	if ex.svc.Engines.Memory > 0 && known {
+	if ex.svc.Engines.MemoryTokens > 0 && known {
 		nd.reserve = min(nd.reserve, roundToBlocks(pr.Tokens+rl.Settings.ReserveTokens))
 		nd.limit = rl.memoryLimit(ex.svc)
 	}
@@ -46,7 +46,7 @@
 // memoryLimit returns the tokens that all runs of an engine of the service may come
 // to need.
 func (rl *Relay) memoryLimit(svc route.Service) int {
-	return int(rl.Settings.MemoryFill * float64(svc.Engines.Memory))
+	return int(rl.Settings.MemoryFill * float64(svc.Engines.MemoryTokens))
 }
 
 // roundToBlocks rounds up to the allocation unit of engines.
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -122,7 +122,7 @@
 func (rl *Relay) placeWait(rt route.Route, back bool) clock.Millis {
 	switch {
 	case back:
-		return rt.Patience() - rl.Settings.StartTime
+		return rt.CallerPatience() - rl.Settings.StartTime
 	case rt.Objective > 0:
 		return clock.Millis(rl.Settings.WaitFraction * float64(rt.Objective))
 	default:
@@ -237,7 +237,7 @@
 func (rl *Relay) reserve(ctx context.Context, ex *exchange, bs board.BackendServer, tokens int) (string, error) {
 	ctx, stop := context.WithTimeout(ctx, reserveTimeout.Std())
 	defer stop()
-	return rl.Servers.Reserve(ctx, bs, tokens, ex.svc.Engines.Hold)
+	return rl.Servers.Reserve(ctx, bs, tokens, ex.svc.Engines.MaxReservation)
 }
 
 // takePlace counts a run at a place until leavePlace.
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -154,7 +154,7 @@
 // leaves time for another attempt; zero: only the request's deadline applies.
 func (rl *Relay) attemptTimeout(ex *exchange) clock.Millis {
 	span := clock.Millis(rl.Settings.AttemptFraction * float64(ex.rt.Objective))
-	if !ex.rt.MayRepeat() || ex.possibleRuns+1 >= ex.rt.Attempts || span >= rl.timeLeft(ex) {
+	if !ex.rt.IsRepeatable() || ex.possibleRuns+1 >= ex.rt.MaxAttempts || span >= rl.timeLeft(ex) {
 		return 0
 	}
 	return span
@@ -183,7 +183,7 @@
 // awaitPlainRetry reports whether an idempotent request that the server answered with
 // a failure is sent again, and waits for the backoff if so.
 func (rl *Relay) awaitPlainRetry(ctx context.Context, ex *exchange, number int, at attempt) bool {
-	if at.wh.status < http.StatusInternalServerError || !ex.rt.MayRepeat() || rl.crowded(ex) {
+	if at.wh.status < http.StatusInternalServerError || !ex.rt.IsRepeatable() || rl.crowded(ex) {
 		return false
 	}
 	failed := backend.InDoubtError{Call: "Send", Status: at.wh.status}
@@ -205,14 +205,14 @@
 	if ctx.Err() != nil {
 		return rl.finalRefusal(ctx, ex, failed)
 	}
-	if ex.possibleRuns >= max(1, ex.rt.Attempts) || number >= maxDeclinedAttempts {
+	if ex.possibleRuns >= max(1, ex.rt.MaxAttempts) || number >= maxDeclinedAttempts {
 		return rl.finalRefusal(ctx, ex, failed) // checked before the budget, which charges as soon as it permits a retry
 	}
 	ran := refusal.MayHaveRun
 	if backend.NotRun(failed) {
 		ran = refusal.NotRun
 	}
-	mayRepeat := ex.rt.MayRepeat() || ex.rt.Resumable
+	mayRepeat := ex.rt.IsRepeatable() || ex.rt.Resumable
 	rl.mu.Lock()
 	verdict := rl.budget.Decide(rl.now(), retry.Attempt{
 		Service: ex.svc.Name, Idempotent: mayRepeat, Number: number,
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -360,7 +360,7 @@
 	rl.mu.Lock()
 	rl.initialize()
 	ex.rt = rt
-	ex.svc = tb.Service(rt.Service(rl.Rand.Float64()))
+	ex.svc = tb.Service(rt.PickService(rl.Rand.Float64()))
 	rl.budget.RecordRequest(rl.now(), "", ex.svc.Name)
 	rl.mu.Unlock()
 	ex.deadline = req.Arrived + rt.Timeout
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -221,16 +221,16 @@
 	sv := &servers{taken: make(map[string]string), handles: make(map[string]bool)}
 	rl := &relay.Relay{Servers: sv, Rand: rand.New(rand.NewPCG(1, seed)), Clock: bubbleClock{time.Now()}, Settings: set}
 	one := func(service string) []route.Share { return []route.Share{{Service: service, Weight: 1}} }
-	engines := &route.Engines{Memory: 10000, Hold: 2 * clock.Second, Moves: true}
+	engines := &route.Engines{MemoryTokens: 10000, MaxReservation: 2 * clock.Second, Migration: true}
 	tb, err := route.New(4, []route.Route{
-		{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Once, Shares: one("plain"), Timeout: clock.Second, Attempts: 1},
-		{Name: "again", Host: "h", Prefix: "/again/", Kind: route.Idempotent, Shares: one("plain"), Timeout: clock.Second, Objective: 100, Attempts: 2},
-		{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream, Shares: one("model"), Timeout: 14 * clock.Second, Attempts: 1},
+		{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Once, Shares: one("plain"), Timeout: clock.Second, MaxAttempts: 1},
+		{Name: "again", Host: "h", Prefix: "/again/", Kind: route.Idempotent, Shares: one("plain"), Timeout: clock.Second, Objective: 100, MaxAttempts: 2},
+		{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream, Shares: one("model"), Timeout: 14 * clock.Second, MaxAttempts: 1},
 		{Name: "resumable", Host: "h", Prefix: "/resumable/", Kind: route.Stream, Shares: one("model"), Timeout: 14 * clock.Second,
-			Attempts: 2, Resumable: true},
+			MaxAttempts: 2, Resumable: true},
 		{Name: "thrice", Host: "h", Prefix: "/thrice/", Kind: route.Stream, Shares: one("model"), Timeout: 14 * clock.Second,
-			Attempts: 3, Resumable: true},
-		{Name: "told", Host: "h", Prefix: "/told/", Kind: route.Stream, Shares: one("plain"), Timeout: clock.Second, Attempts: 2, Resumable: true},
+			MaxAttempts: 3, Resumable: true},
+		{Name: "told", Host: "h", Prefix: "/told/", Kind: route.Stream, Shares: one("plain"), Timeout: clock.Second, MaxAttempts: 2, Resumable: true},
 	}, []route.Service{{Name: "plain"}, {Name: "model", Engines: engines}})
 	assert.NilError(t, err)
 	assert.Assert(t, rl.Configure(tb))
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -219,7 +219,7 @@
 		return usage.PlacementReply{}
 	}
 	svc := tb.Service(ask.Waiting.Service)
-	if svc.Engines == nil || svc.Engines.Memory <= 0 {
+	if svc.Engines == nil || svc.Engines.MemoryTokens <= 0 {
 		return usage.PlacementReply{}
 	}
 	ans := usage.PlacementReply{Informed: true, Shortage: rl.ledger.HasShortage(now)}
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -173,7 +173,7 @@
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	tokens := events * rn.ex.svc.Engines.Stride
+	tokens := events * rn.ex.svc.Engines.TokensPerEvent
 	rn.tokens += tokens
 	rl.ledger.Grow(rl.now(), rn.pl.entry, tokens)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -10,7 +10,7 @@
 //	tb, err := route.New(7, routes, services)
 //	rt, ok := tb.Match("records.example", "/plants/17")
 //	if ok {
-//		svc := rt.Service(rand.Float64())
+//		svc := rt.PickService(rand.Float64())
 //	}
 //
 // The nil Table knows no configuration.
@@ -44,29 +44,29 @@
 
 	// Route is one host and path prefix.
 	Route struct {
-		Name      string
-		Host      string
-		Prefix    string // begins and ends with a slash
-		Kind      Kind
-		Shares    []Share      // at least one; weights are positive
-		Timeout   clock.Millis // longest time to the end of the answer
-		Objective clock.Millis // time to the answer, or to a stream's first event
-		Pause     clock.Millis // longest time between two events of a stream
-		Attempts  int          // most backend servers that may run one request
-		Resumable bool         // a stream may go on at another backend server
-		Public    bool         // it needs no customer's key
-		Priority  int          // the lowest goes first
+		Name        string
+		Host        string
+		Prefix      string // begins and ends with a slash
+		Kind        Kind
+		Shares      []Share      // at least one; weights are positive
+		Timeout     clock.Millis // longest time to the end of the answer
+		Objective   clock.Millis // time to the answer, or to a stream's first event
+		MaxEventGap clock.Millis // longest time between two events of a stream
+		MaxAttempts int          // most backend servers that may run one request
+		Resumable   bool         // a stream may go on at another backend server
+		Public      bool         // it needs no customer's key
+		Priority    int          // the lowest goes first
 	}
 
 	// Engines is what the model engines of a service have in common.
 	Engines struct {
-		Memory  int          // tokens that one engine holds
-		Stride  int          // tokens that one event of a stream holds
-		Hold    clock.Millis // longest life of a reservation
-		Handle  clock.Millis // life of a computed prompt that nobody fetched
-		Switch  clock.Millis // time that a change of role takes
-		Moves   bool         // a run can be moved to another engine
-		Backups bool         // a run can be copied while it goes on
+		MemoryTokens   int          // tokens that one engine holds
+		TokensPerEvent int          // tokens that one event of a stream holds
+		MaxReservation clock.Millis // longest life of a reservation
+		PromptTTL      clock.Millis // life of a computed prompt that nobody fetched
+		RoleChangeTime clock.Millis // time that a change of role takes
+		Migration      bool         // a run can be moved to another engine
+		Backup         bool         // a run can be copied while it goes on
 	}
 
 	// Service is a set of backend servers that serve the same.
@@ -81,17 +81,17 @@
 		KeyHashes []string // hex SHA-256 of its API keys
 		Priority  int      // goes before that of a route; below zero: it has none
 		Limit     quota.Limit
-		// ByRequest tells that each request counts as one towards the limit;
-		// else its tokens count, and one that names none counts as PlainTokens.
-		ByRequest   bool
-		PlainTokens int
+		// CountRequests tells that each request counts as one towards the limit;
+		// else its tokens count, and one that names none counts as DefaultTokens.
+		CountRequests bool
+		DefaultTokens int
 	}
 
 	// Limits bound what a caller may send and how long its connection may
 	// rest. The zero value of a field sets no bound.
 	Limits struct {
-		Body int          // bytes of a request's body
-		Idle clock.Millis // of a connection between two requests
+		MaxBodyBytes int          // bytes of a request's body
+		MaxIdle      clock.Millis // of a connection between two requests
 	}
 
 	// Table is one version of the configuration.
@@ -101,10 +101,10 @@
 		hosts    map[string][]Route // longest prefix first
 		services map[string]Service
 
-		keyed     bool // callers need a customer's key
-		limited   bool // some customer has a limit
-		customers map[string]Customer
-		byKey     map[string]string // names of customers, by the hashes of their keys
+		requiresKey    bool // callers need a customer's key
+		hasLimits      bool // some customer has a limit
+		customers      map[string]Customer
+		customerByHash map[string]string // names of customers, by the hashes of their keys
 	}
 
 	// Error tells what of a configuration can't be used.
@@ -201,8 +201,8 @@
 	return Service{Name: name}
 }
 
-// Services lists the services that have model engines.
-func (tb *Table) Services() []Service {
+// EngineServices lists the services that have model engines.
+func (tb *Table) EngineServices() []Service {
 	var out []Service
 	if tb == nil {
 		return out
@@ -215,8 +215,8 @@
 	return out
 }
 
-// Service draws the service of one request; the point lies in [0, 1).
-func (rt Route) Service(point float64) string {
+// PickService draws the service of one request; the point lies in [0, 1).
+func (rt Route) PickService(point float64) string {
 	total := 0
 	for _, sh := range rt.Shares {
 		total += sh.Weight
@@ -230,12 +230,12 @@
 	return rt.Shares[len(rt.Shares)-1].Service
 }
 
-// Patience is how long callers of a stream wait for an event before they
+// CallerPatience is how long callers of a stream wait for an event before they
 // leave: two seconds, four times the objective or eight times the longest
 // pause, whichever is most. It is the users' callers' own rule.
-func (rt Route) Patience() clock.Millis {
-	return max(2*clock.Second, 4*rt.Objective, 8*rt.Pause)
+func (rt Route) CallerPatience() clock.Millis {
+	return max(2*clock.Second, 4*rt.Objective, 8*rt.MaxEventGap)
 }
 
-// MayRepeat tells whether a request that may have run may be sent again.
-func (rt Route) MayRepeat() bool { return rt.Kind == Idempotent }
+// IsRepeatable tells whether a request that may have run may be sent again.
+func (rt Route) IsRepeatable() bool { return rt.Kind == Idempotent }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -24,12 +24,12 @@
 		{Name: "all", Host: "a.example", Prefix: "/", Kind: route.Once, Shares: shares("s1")},
 		{Name: "deep", Host: "A.example", Prefix: "/x/y/", Kind: route.Idempotent, Shares: shares("s2")},
 		{Name: "mid", Host: "a.example", Prefix: "/x/", Kind: route.Stream, Shares: shares("s3")},
-	}, []route.Service{{Name: "s3", Engines: &route.Engines{Memory: 9}}})
+	}, []route.Service{{Name: "s3", Engines: &route.Engines{MemoryTokens: 9}}})
 	assert.NilError(t, err)
 	return tb
 }
 
-func TestLongestPrefixWins(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	tb := table(t, 1)
 	for _, tc := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
@@ -43,23 +43,23 @@
 	}
 }
 
-func TestNilTableKnowsNothing(t *testing.T) {
+func TestNilTable(t *testing.T) {
 	var tb *route.Table
 	_, ok := tb.Match("a.example", "/")
 	assert.Assert(t, !ok)
 	assert.Equal(t, tb.Version(), uint64(0))
-	assert.Equal(t, len(tb.Services()), 0)
+	assert.Equal(t, len(tb.EngineServices()), 0)
 	assert.Equal(t, tb.Service("s").Name, "s")
 }
 
-func TestServicesWithEngines(t *testing.T) {
+func TestEngineServices(t *testing.T) {
 	tb := table(t, 1)
-	assert.Equal(t, len(tb.Services()), 1)
-	assert.Equal(t, tb.Service("s3").Engines.Memory, 9)
+	assert.Equal(t, len(tb.EngineServices()), 1)
+	assert.Equal(t, tb.Service("s3").Engines.MemoryTokens, 9)
 	assert.Assert(t, tb.Service("s1").Engines == nil)
 }
 
-func TestUnusableRoutes(t *testing.T) {
+func TestInvalidRoutes(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		rt   route.Route
@@ -76,13 +76,13 @@
 	}
 }
 
-func TestSharesDivideTheRequests(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	rt := route.Route{Shares: []route.Share{{Service: "s1", Weight: 9}, {Service: "s2", Weight: 1}}}
 	for _, tc := range []struct {
 		point float64
 		want  string
 	}{{0, "s1"}, {0.89, "s1"}, {0.91, "s2"}, {0.999, "s2"}} {
-		assert.Equal(t, rt.Service(tc.point), tc.want)
+		assert.Equal(t, rt.PickService(tc.point), tc.want)
 	}
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -41,19 +41,19 @@
 	// KeyHeader carries the key of the request.
 	KeyHeader = "Idempotency-Key"
 
-	loadBytes = 64 << 10
+	maxLoadBytes = 64 << 10
 )
 
-// hop lists the headers that end at each connection.
-var hop = map[string]bool{
+// hopByHopHeaders lists the headers that end at each connection.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// own lists the headers that are the router's to set, so that a caller's are
+// routerHeaders lists the headers that are the router's to set, so that a caller's are
 // dropped.
-var own = map[string]bool{
+var routerHeaders = map[string]bool{
 	KeyHeader: true, "Authorization": true, "Content-Length": true, "Host": true,
 	"Accept-Encoding": true, "Expect": true,
 }
@@ -79,7 +79,7 @@
 		// Incarnations takes note of the servers'; nil does not.
 		Incarnations *backend.Incarnations
 
-		made backend.HTTP
+		defaultHTTP backend.HTTP
 	}
 
 	// Request is one call.
@@ -113,7 +113,7 @@
 // bounds the call to the end of the answer.
 func (sc *Client) Call(ctx context.Context, srv board.BackendServer, rq Request) (Response, error) {
 	rsp, err := sc.exchange(ctx, srv, rq)
-	sc.count(srv, "Call", err)
+	sc.countCall(srv, "Call", err)
 	if err != nil {
 		return Response{}, fmt.Errorf("call plain service: %w", err)
 	}
@@ -123,7 +123,7 @@
 // Load returns the server's last report of itself.
 func (sc *Client) Load(ctx context.Context, srv board.BackendServer) (board.LoadReport, error) {
 	doc, err := sc.load(ctx, srv)
-	sc.count(srv, "Load", err)
+	sc.countCall(srv, "Load", err)
 	if err != nil {
 		return board.LoadReport{}, fmt.Errorf("read load: %w", err)
 	}
@@ -135,8 +135,8 @@
 
 // Ping asks the server whether it is there, on a connection of its own.
 func (sc *Client) Ping(ctx context.Context, srv board.BackendServer) error {
-	_, err := sc.bounded(ctx, srv, Request{Method: http.MethodGet, Path: LoadPath}, loadBytes)
-	sc.count(srv, "Ping", err)
+	_, err := sc.exchangeBounded(ctx, srv, Request{Method: http.MethodGet, Path: LoadPath}, maxLoadBytes)
+	sc.countCall(srv, "Ping", err)
 	if err != nil {
 		return fmt.Errorf("ping plain server: %w", err)
 	}
@@ -145,7 +145,7 @@
 
 func (sc *Client) load(ctx context.Context, srv board.BackendServer) (LoadDoc, error) {
 	rq := Request{Method: http.MethodGet, Path: LoadPath, Idempotent: true}
-	rsp, err := sc.bounded(ctx, srv, rq, loadBytes)
+	rsp, err := sc.exchangeBounded(ctx, srv, rq, maxLoadBytes)
 	if err != nil {
 		return LoadDoc{}, err
 	}
@@ -161,10 +161,10 @@
 	if bound == 0 {
 		bound = DefaultMaxAnswer
 	}
-	return sc.bounded(ctx, srv, rq, bound)
+	return sc.exchangeBounded(ctx, srv, rq, bound)
 }
 
-func (sc *Client) bounded(ctx context.Context, srv board.BackendServer, rq Request, bound int64) (Response, error) {
+func (sc *Client) exchangeBounded(ctx context.Context, srv board.BackendServer, rq Request, bound int64) (Response, error) {
 	req, err := sc.request(ctx, srv, rq)
 	if err != nil {
 		return Response{}, NotSentError{Server: srv.ID, Call: "Call", Err: err}
@@ -195,7 +195,7 @@
 		return nil, fmt.Errorf("make request: %w", backend.ErrBadCall)
 	}
 	for name, values := range endToEnd(rq.Header) {
-		if !own[name] {
+		if !routerHeaders[name] {
 			req.Header[name] = values
 		}
 	}
@@ -236,15 +236,15 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	maps.DeleteFunc(out, func(name string, _ []string) bool { return hop[name] })
+	maps.DeleteFunc(out, func(name string, _ []string) bool { return hopByHopHeaders[name] })
 	return out
 }
 
-func (sc *Client) client() *http.Client { return sc.made.Client(sc.HTTP) }
+func (sc *Client) client() *http.Client { return sc.defaultHTTP.Client(sc.HTTP) }
 
 func (sc *Client) now() clock.Millis { return clock.OrBoottime(sc.Clock).Now() }
 
-func (sc *Client) count(srv board.BackendServer, name string, err error) {
+func (sc *Client) countCall(srv board.BackendServer, name string, err error) {
 	oc := backend.Count(sc.Scope, "ServiceCalls", name, err)
 	if oc == backend.InDoubt && name == "Call" {
 		sc.Log.Log(event.ServiceInDoubt, event.F("Server", srv.ID), event.F("Cause", err.Error()))
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestAnswerMustBeWhole(t *testing.T) {
+func TestIncompleteResponseIsInDoubt(t *testing.T) {
 	cut := serve(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(rw, "half")
@@ -85,7 +85,7 @@
 
 // Only idempotent calls share a connection, on which a call could be left in
 // doubt.
-func TestConnectionsOfCalls(t *testing.T) {
+func TestOnlyIdempotentCallsReuseConnections(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		ports := map[string]bool{}
 		srv := serve(t, func(_ http.ResponseWriter, req *http.Request) { ports[req.RemoteAddr] = true })
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestBadCallIsNotSent(t *testing.T) {
+func TestInvalidCallIsNotSent(t *testing.T) {
 	asked := false
 	srv := serve(t, func(http.ResponseWriter, *http.Request) { asked = true })
 	sc := &Client{}
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -31,12 +31,12 @@
 )
 
 var (
-	// early holds what came before Listen: an order to stop, and a word that
+	// earlySignals holds what came before Listen: an order to stop, and a word that
 	// the settings may have changed. SIGINT is not among them: a person who
 	// ends a test at a terminal sends it to programs that never listen.
-	early = struct{ stop, reload chan os.Signal }{
-		stop: notified(syscall.SIGTERM), reload: notified(syscall.SIGHUP)}
-	takeEarly sync.Once
+	earlySignals = struct{ stop, reload chan os.Signal }{
+		stop: notifyChannel(syscall.SIGTERM), reload: notifyChannel(syscall.SIGHUP)}
+	forwardEarly sync.Once
 )
 
 // Signals is what the program was sent so far. Make it with [Listen].
@@ -48,15 +48,15 @@
 // Listen begins to listen, for good.
 func Listen() *Signals {
 	ctx, cancel := context.WithCancel(context.Background())
-	stop := notified(syscall.SIGTERM, os.Interrupt)
-	sg := &Signals{ctx: ctx, reload: notified(syscall.SIGHUP)}
-	takeEarly.Do(func() {
-		passOn(early.stop, stop)
-		passOn(early.reload, sg.reload)
+	stop := notifyChannel(syscall.SIGTERM, os.Interrupt)
+	sg := &Signals{ctx: ctx, reload: notifyChannel(syscall.SIGHUP)}
+	forwardEarly.Do(func() {
+		forward(earlySignals.stop, stop)
+		forward(earlySignals.reload, sg.reload)
 	})
 	// SIGPIPE is raised when who reads the log is gone, and the others are sent
 	// to programs that keep their log in files. Nobody reads them here.
-	notified(syscall.SIGPIPE, syscall.SIGUSR1, syscall.SIGUSR2)
+	notifyChannel(syscall.SIGPIPE, syscall.SIGUSR1, syscall.SIGUSR2)
 	go func() {
 		<-stop
 		cancel()
@@ -64,16 +64,16 @@
 	return sg
 }
 
-// notified is a channel that holds a word when one of the signals came.
-func notified(sigs ...os.Signal) chan os.Signal {
+// notifyChannel is a channel that holds a word when one of the signals came.
+func notifyChannel(sigs ...os.Signal) chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, sigs...)
 	return ch
 }
 
-// passOn ends listening by one channel, and puts a word that it holds into another
+// forward ends listening by one channel, and puts a word that it holds into another
 // one, which listens already.
-func passOn(from, to chan os.Signal) {
+func forward(from, to chan os.Signal) {
 	signal.Stop(from)
 	select {
 	case sig := <-from:
@@ -88,9 +88,9 @@
 // Context ends with the first order to stop: SIGTERM or SIGINT.
 func (sg *Signals) Context() context.Context { return sg.ctx }
 
-// Terminal ends with the first order to stop, or when the terminal is gone: SIGHUP.
+// TerminalContext ends with the first order to stop, or when the terminal is gone: SIGHUP.
 // It is for programs that a person runs, and that hold no answers of others.
-func (sg *Signals) Terminal() context.Context {
+func (sg *Signals) TerminalContext() context.Context {
 	ctx, cancel := context.WithCancel(sg.ctx)
 	go func() {
 		select {
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -53,9 +53,9 @@
 	<-second
 }
 
-func TestTerminalEndsWithItsTerminal(t *testing.T) {
+func TestTerminalContextEndsOnHangup(t *testing.T) {
 	sg := signals.Listen()
-	ctx := sg.Terminal()
+	ctx := sg.TerminalContext()
 	assert.Assert(t, !ended(ctx.Done()))
 	send(t, syscall.SIGHUP)
 	<-ctx.Done()
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	dl := net.Dialer{Control: sockopt.UserTimeout(2 * clock.Second)}
+//	dl := net.Dialer{Control: sockopt.UserTimeoutControl(2 * clock.Second)}
 //	err := sockopt.SetUserTimeout(accepted, 2*clock.Second)
 package sockopt
 
@@ -18,11 +18,11 @@
 	"alderdyke/pkg/clock"
 )
 
-// UserTimeout makes the control function of a dialer or a listener that
+// UserTimeoutControl makes the control function of a dialer or a listener that
 // bounds how long sent data may stay unacknowledged before the kernel breaks
 // the connection.
-func UserTimeout(span clock.Millis) func(network, address string, raw syscall.RawConn) error {
-	return func(_, _ string, raw syscall.RawConn) error { return set(raw, span) }
+func UserTimeoutControl(span clock.Millis) func(network, address string, raw syscall.RawConn) error {
+	return func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, span) }
 }
 
 // SetUserTimeout does the same for a connection that stands. Connections that
@@ -36,5 +36,5 @@
 	if err != nil {
 		return fmt.Errorf("reach the socket: %w", err)
 	}
-	return set(raw, span)
+	return setUserTimeout(raw, span)
 }
--- a/internal/sockopt/sockopt_linux.go
+++ b/internal/sockopt/sockopt_linux.go
@@ -11,7 +11,7 @@
 // package does not name.
 const tcpUserTimeout = 18
 
-func set(raw syscall.RawConn, span clock.Millis) error {
+func setUserTimeout(raw syscall.RawConn, span clock.Millis) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
 		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(span))
--- a/internal/sockopt/sockopt_other.go
+++ b/internal/sockopt/sockopt_other.go
@@ -8,5 +8,5 @@
 	"alderdyke/pkg/clock"
 )
 
-// set does nothing where the system has no such option.
-func set(syscall.RawConn, clock.Millis) error { return nil }
+// setUserTimeout does nothing where the system has no such option.
+func setUserTimeout(syscall.RawConn, clock.Millis) error { return nil }
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -86,11 +86,11 @@
 		entries: make(map[string]string), servers: make(map[string]*simServer), delay: 2}
 	for ix := range vms {
 		vm := &simVM{st: st, name: fmt.Sprintf("vm-%d", ix), known: make(map[string]bool), list: make(map[string]board.BackendServer)}
-		vm.fo = &topic.Follower{Source: vm, Name: "servers", Pause: 800, GracePeriod: registry.DefaultReturn, StandbyAfter: 950, SelfReadAfter: 1100, Clock: st.clk,
+		vm.fo = &topic.Follower{Source: vm, Name: "servers", Pause: 800, GracePeriod: registry.DefaultRenewalGrace, StandbyAfter: 950, SelfReadAfter: 1100, Clock: st.clk,
 			OnSnapshot: vm.takeSnapshot, OnChange: vm.change, IsNew: vm.isNew, OnCaughtUp: vm.apply,
 			Rank:      func() int { return ix },
 			Broadcast: vm.broadcast,
-			OnOutage:  func(ou topic.Outage) { vm.rg.NoteOutage(ou.Until) }}
+			OnOutage:  func(ou topic.Outage) { vm.rg.SetOutageEnd(ou.Until) }}
 		st.vms = append(st.vms, vm)
 	}
 	return st
@@ -302,9 +302,9 @@
 
 func (vm *simVM) isNew(rec topic.Record) bool {
 	if len(rec.Value) == 0 {
-		return vm.rg.Lists(rec.Key)
+		return vm.rg.Contains(rec.Key)
 	}
-	return !vm.rg.Knows(serverOf(rec))
+	return !vm.rg.IsRedundant(serverOf(rec))
 }
 
 func (vm *simVM) apply() {
--- a/internal/trace/losses.go
+++ b/internal/trace/losses.go
@@ -15,92 +15,92 @@
 
 // What became of a generation, from best to worst.
 const (
-	InTime       Fate = "InTime"       // its first event came within its objective
-	LateReturned Fate = "LateReturned" // it had been refused before, and so began late
-	LatePlace    Fate = "LatePlace"    // late; it waited for its place most of all
-	LatePrompt   Fate = "LatePrompt"   // late; its prompt waited most of all, or took long
-	LateBegin    Fate = "LateBegin"    // late; the decode began late after that
-	Refused      Fate = "Refused"
-	RefusedAgain Fate = "RefusedAgain" // it had been refused before
-	OverQuota    Fate = "OverQuota"    // its customer's quota was used up, or could not be asked; plain requests count too
-	Left         Fate = "Left"         // its caller left, or its time was over
-	Broken       Fate = "Broken"       // its answer broke off
-	NoEnd        Fate = "NoEnd"        // its VM stopped first, or the log does
+	InTime       Outcome = "InTime"       // its first event came within its objective
+	LateReturned Outcome = "LateReturned" // it had been refused before, and so began late
+	LatePlace    Outcome = "LatePlace"    // late; it waited for its place most of all
+	LatePrompt   Outcome = "LatePrompt"   // late; its prompt waited most of all, or took long
+	LateBegin    Outcome = "LateBegin"    // late; the decode began late after that
+	Refused      Outcome = "Refused"
+	RefusedAgain Outcome = "RefusedAgain" // it had been refused before
+	OverQuota    Outcome = "OverQuota"    // its customer's quota was used up, or could not be asked; plain requests count too
+	Left         Outcome = "Left"         // its caller left, or its time was over
+	Broken       Outcome = "Broken"       // its answer broke off
+	NoEnd        Outcome = "NoEnd"        // its VM stopped first, or the log does
 )
 
-// fates is the order in which they are listed.
-var fates = []Fate{InTime, LateReturned, LatePlace, LatePrompt, LateBegin, Refused, RefusedAgain, OverQuota, Left, Broken, NoEnd}
+// outcomeOrder is the order in which they are listed.
+var outcomeOrder = []Outcome{InTime, LateReturned, LatePlace, LatePrompt, LateBegin, Refused, RefusedAgain, OverQuota, Left, Broken, NoEnd}
 
 type (
-	// Fate is what became of a generation.
-	Fate string
+	// Outcome is what became of a generation.
+	Outcome string
 
-	// Losses counts what became of the generations of many log files, and so
+	// Outcomes counts what became of the generations of many log files, and so
 	// tells where a load loses them. The zero value is ready.
-	Losses struct {
-		// Passed counts the lines that are no log lines of a VM.
-		Passed int
+	Outcomes struct {
+		// SkippedLines counts the lines that are no log lines of a VM.
+		SkippedLines int
 
 		lines map[string][]Line
 	}
 
-	// Loss is the generations of one fate.
-	Loss struct {
-		Fate   Fate
-		Count  int
-		Tokens int               // of their prompts
-		Spans  map[time.Time]int // how many began in each span of two seconds
+	// OutcomeCount is the generations of one fate.
+	OutcomeCount struct {
+		Outcome       Outcome
+		Count         int
+		PromptTokens  int               // of their prompts
+		CountByPeriod map[time.Time]int // how many began in each span of two seconds
 	}
 )
 
-// lossSpan is the span of time by which losses are told: bursts last several of
+// periodLength is the span of time by which losses are told: bursts last several of
 // it.
-const lossSpan = 2 * time.Second
+const periodLength = 2 * time.Second
 
 // Read takes the lines of one file.
-func (ls *Losses) Read(rd io.Reader) error {
+func (ls *Outcomes) Read(rd io.Reader) error {
 	if ls.lines == nil {
 		ls.lines = make(map[string][]Line)
 	}
-	return each(rd, func(text string) {
-		request, ln, err := parse(text)
+	return eachLine(rd, func(text string) {
+		request, ln, err := parseLine(text)
 		switch {
 		case err != nil:
-			ls.Passed++
+			ls.SkippedLines++
 		case request != "":
 			ls.lines[request] = append(ls.lines[request], ln)
 		}
 	})
 }
 
-// Table lists the fates that occurred, from best to worst.
-func (ls *Losses) Table() []Loss {
-	byFate := make(map[Fate]*Loss)
+// Counts lists the fates that occurred, from best to worst.
+func (ls *Outcomes) Counts() []OutcomeCount {
+	byFate := make(map[Outcome]*OutcomeCount)
 	for _, lines := range ls.lines {
 		slices.SortStableFunc(lines, func(la, lb Line) int { return strings.Compare(la.Time, lb.Time) })
-		placed, ok := lastOf(lines, event.RelayPlaced, event.RelayNoPlace)
-		var ft Fate
+		placed, ok := lastEvent(lines, event.RelayPlaced, event.RelayNoPlace)
+		var ft Outcome
 		switch {
 		case ok:
-			ft = fateOf(lines, placed)
-		case overQuota(lines):
+			ft = outcomeOf(lines, placed)
+		case refusedOverQuota(lines):
 			ft = OverQuota
 		default:
 			continue // no generation
 		}
 		lo := byFate[ft]
 		if lo == nil {
-			lo = &Loss{Fate: ft, Spans: make(map[time.Time]int)}
+			lo = &OutcomeCount{Outcome: ft, CountByPeriod: make(map[time.Time]int)}
 			byFate[ft] = lo
 		}
 		lo.Count++
-		lo.Tokens += number(placed, "Tokens")
+		lo.PromptTokens += fieldInt(placed, "Tokens")
 		if at, err := time.Parse(time.RFC3339Nano, lines[0].Time); err == nil {
-			lo.Spans[at.Truncate(lossSpan)]++
+			lo.CountByPeriod[at.Truncate(periodLength)]++
 		}
 	}
-	var out []Loss
-	for _, ft := range fates {
+	var out []OutcomeCount
+	for _, ft := range outcomeOrder {
 		if lo := byFate[ft]; lo != nil {
 			out = append(out, *lo)
 		}
@@ -108,23 +108,23 @@
 	return out
 }
 
-// overQuota tells whether a request was refused before it was to be placed, since its
+// refusedOverQuota tells whether a request was refused before it was to be placed, since its
 // customer's quota was used up or could not be asked.
-func overQuota(lines []Line) bool {
-	end, ok := lastOf(lines, event.RelayRefused)
-	why := text(end, "Reason")
+func refusedOverQuota(lines []Line) bool {
+	end, ok := lastEvent(lines, event.RelayRefused)
+	why := fieldText(end, "Reason")
 	return ok && (why == string(refusal.ShareExceeded) || why == string(refusal.QuotaAway))
 }
 
-// fateOf tells what became of a generation, whose last word on a place is given.
-func fateOf(lines []Line, placed Line) Fate {
-	returned := text(placed, "Returning") == "true"
-	end, ended := lastOf(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
-	_, left := lastOf(lines, event.RelayCallerGone)
+// outcomeOf tells what became of a generation, whose last word on a place is given.
+func outcomeOf(lines []Line, placed Line) Outcome {
+	returned := fieldText(placed, "Returning") == "true"
+	end, ended := lastEvent(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
+	_, left := lastEvent(lines, event.RelayCallerGone)
 	switch {
 	case !ended:
 		return NoEnd
-	case left || text(end, "Reason") == "CallerGone" || text(end, "Reason") == "DeadlinePassed":
+	case left || fieldText(end, "Reason") == "CallerGone" || fieldText(end, "Reason") == "DeadlinePassed":
 		return Left
 	case end.Number == event.RelayCut.Number:
 		return Broken
@@ -135,14 +135,14 @@
 	case returned:
 		return LateReturned
 	}
-	first, objective := span(end, "First"), span(end, "Objective")
+	first, objective := fieldDuration(end, "First"), fieldDuration(end, "Objective")
 	if objective == 0 || first <= objective {
 		return InTime
 	}
-	place := span(placed, "Waited")
+	place := fieldDuration(placed, "Waited")
 	prompt := time.Duration(0)
-	if ln, ok := lastOf(lines, event.RelayPrefill); ok {
-		prompt = span(ln, "Took")
+	if ln, ok := lastEvent(lines, event.RelayPrefill); ok {
+		prompt = fieldDuration(ln, "Took")
 	}
 	switch begin := first - place - prompt; max(place, prompt, begin) {
 	case place:
@@ -155,33 +155,33 @@
 }
 
 // String writes a loss as a person reads it: the spans with most of it first.
-func (lo Loss) String() string {
+func (lo OutcomeCount) String() string {
 	var sb strings.Builder
-	if lo.Fate == OverQuota {
-		fmt.Fprintf(&sb, "%-13s %6d requests, plain ones among them; most at", lo.Fate, lo.Count)
+	if lo.Outcome == OverQuota {
+		fmt.Fprintf(&sb, "%-13s %6d requests, plain ones among them; most at", lo.Outcome, lo.Count)
 	} else {
-		fmt.Fprintf(&sb, "%-13s %6d generations, %6.0f tokens of prompt in the mean; most at", lo.Fate, lo.Count, float64(lo.Tokens)/float64(max(1, lo.Count)))
+		fmt.Fprintf(&sb, "%-13s %6d generations, %6.0f tokens of prompt in the mean; most at", lo.Outcome, lo.Count, float64(lo.PromptTokens)/float64(max(1, lo.Count)))
 	}
-	spans := slices.SortedFunc(maps.Keys(lo.Spans), func(ta, tb time.Time) int {
-		return cmp.Or(cmp.Compare(lo.Spans[tb], lo.Spans[ta]), ta.Compare(tb))
+	spans := slices.SortedFunc(maps.Keys(lo.CountByPeriod), func(ta, tb time.Time) int {
+		return cmp.Or(cmp.Compare(lo.CountByPeriod[tb], lo.CountByPeriod[ta]), ta.Compare(tb))
 	})
 	for _, at := range spans[:min(3, len(spans))] {
-		fmt.Fprintf(&sb, " %s (%d)", at.Format(time.TimeOnly), lo.Spans[at])
+		fmt.Fprintf(&sb, " %s (%d)", at.Format(time.TimeOnly), lo.CountByPeriod[at])
 	}
 	return sb.String()
 }
 
-// span reads a field that tells a time; zero if the line has none.
-func span(ln Line, field string) time.Duration {
-	took, err := time.ParseDuration(text(ln, field))
+// fieldDuration reads a field that tells a time; zero if the line has none.
+func fieldDuration(ln Line, field string) time.Duration {
+	took, err := time.ParseDuration(fieldText(ln, field))
 	if err != nil {
 		return 0 // older lines lack it, or have it in another form
 	}
 	return took
 }
 
-// number reads a whole number; zero if the line has none.
-func number(ln Line, field string) int {
+// fieldInt reads a whole number; zero if the line has none.
+func fieldInt(ln Line, field string) int {
 	val, _ := ln.Fields[field].(float64)
 	return int(val)
 }
--- a/internal/trace/losses_test.go
+++ b/internal/trace/losses_test.go
@@ -12,7 +12,7 @@
 
 // Each case is the log of one generation, of which the lines are shortened to
 // what counts.
-func TestLosses(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	const (
 		placed   = `{"time":"2026-05-01T10:00:00.5Z","VM":"v","Event":2205,"Name":"RelayPlaced","Request":"r","Tokens":5000,"Returning":%t,"Waited":"%s"}`
 		noPlace  = `{"time":"2026-05-01T10:00:00.5Z","VM":"v","Event":2206,"Name":"RelayNoPlace","Request":"r","Tokens":5000,"Returning":%t}`
@@ -24,7 +24,7 @@
 	)
 	in := fmt.Sprintf
 	for _, tc := range []struct {
-		want  trace.Fate
+		want  trace.Outcome
 		lines []string
 	}{
 		{trace.InTime, []string{in(placed, false, "5ms"), in(prefill, "120ms"), in(answered, "200ms")}},
@@ -39,24 +39,24 @@
 		{trace.NoEnd, []string{in(placed, false, "5ms"), "another process's line"}},
 	} {
 		t.Run(string(tc.want), func(t *testing.T) {
-			var ls trace.Losses
+			var ls trace.Outcomes
 			assert.NilError(t, ls.Read(strings.NewReader(strings.Join(tc.lines, "\n"))))
-			table := ls.Table()
+			table := ls.Counts()
 			assert.Equal(t, len(table), 1)
-			assert.Equal(t, table[0].Fate, tc.want)
-			assert.Equal(t, table[0].Tokens, 5000)
+			assert.Equal(t, table[0].Outcome, tc.want)
+			assert.Equal(t, table[0].PromptTokens, 5000)
 			assert.Equal(t, strings.HasSuffix(table[0].String(), "most at 10:00:00 (1)"), true, table[0].String())
 		})
 	}
 	for _, why := range []string{"ShareExceeded", "QuotaAway"} {
-		var ls trace.Losses
+		var ls trace.Outcomes
 		assert.NilError(t, ls.Read(strings.NewReader(in(refused, why))))
-		assert.Equal(t, len(ls.Table()), 1)
-		assert.Equal(t, ls.Table()[0].Fate, trace.OverQuota)
+		assert.Equal(t, len(ls.Counts()), 1)
+		assert.Equal(t, ls.Counts()[0].Outcome, trace.OverQuota)
 	}
-	var ls trace.Losses
+	var ls trace.Outcomes
 	plain := `{"time":"2026-05-01T10:00:05Z","VM":"v","Event":2200,"Name":"RelayAnswered","Request":"p"}`
 	assert.NilError(t, ls.Read(strings.NewReader(plain+"\nno line\n")))
-	assert.Equal(t, len(ls.Table()), 0, "a plain request is no generation")
-	assert.Equal(t, ls.Passed, 1)
+	assert.Equal(t, len(ls.Counts()), 0, "a plain request is no generation")
+	assert.Equal(t, ls.SkippedLines, 1)
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -11,7 +11,7 @@
 //	tr.Request = "9c41d07be2a35f68"
 //	err := tr.Read(file)
 //	for _, ln := range tr.Lines() { ... }
-//	fmt.Println(tr.Verdict())
+//	fmt.Println(tr.Summary())
 package trace
 
 import (
@@ -26,14 +26,14 @@
 	"alderdyke/internal/event"
 )
 
-// lineBytes bounds one line. The longest that a VM writes is about 1 KB.
-const lineBytes = 1 << 20
+// maxLineBytes bounds one line. The longest that a VM writes is about 1 KB.
+const maxLineBytes = 1 << 20
 
-// ErrUnknown tells that no line names the request.
-var ErrUnknown = errors.New("no line of these files names the request; check the ID, and whether the files of all VMs are there")
+// ErrRequestNotFound tells that no line names the request.
+var ErrRequestNotFound = errors.New("no line of these files names the request; check the ID, and whether the files of all VMs are there")
 
-// errNoLine tells that a text is no line of a VM's log.
-var errNoLine = errors.New("not a log line of a VM")
+// errNotLogLine tells that a text is no line of a VM's log.
+var errNotLogLine = errors.New("not a log line of a VM")
 
 type (
 	// Line is one line about the request.
@@ -48,14 +48,14 @@
 	// Trace collects the lines about one request. Set Request before Read.
 	Trace struct {
 		Request string
-		// Passed counts the lines that are no log lines of a VM.
-		Passed int
+		// SkippedLines counts the lines that are no log lines of a VM.
+		SkippedLines int
 
 		lines []Line
 	}
 
-	// fixed are the fields that every line has.
-	fixed struct {
+	// commonFields are the fields that every line has.
+	commonFields struct {
 		Time    string `json:"time"`
 		VM      string
 		Event   int
@@ -65,12 +65,12 @@
 )
 
 // Read takes the lines of one file.
-func (tr *Trace) Read(rd io.Reader) error { return each(rd, tr.take) }
+func (tr *Trace) Read(rd io.Reader) error { return eachLine(rd, tr.addLine) }
 
-// each hands on the lines of a file.
-func each(rd io.Reader, take func(text string)) error {
+// eachLine hands on the lines of a file.
+func eachLine(rd io.Reader, take func(text string)) error {
 	sc := bufio.NewScanner(rd)
-	sc.Buffer(nil, lineBytes)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
 		take(sc.Text())
 	}
@@ -80,28 +80,28 @@
 	return nil
 }
 
-func (tr *Trace) take(text string) {
-	request, ln, err := parse(text)
+func (tr *Trace) addLine(text string) {
+	request, ln, err := parseLine(text)
 	switch {
 	case err != nil:
-		tr.Passed++
+		tr.SkippedLines++
 	case request == tr.Request && request != "":
 		tr.lines = append(tr.lines, ln)
 	}
 }
 
-// parse reads one line of a log and the request that it names, if any.
-func parse(text string) (request string, ln Line, err error) {
+// parseLine reads one line of a log and the request that it names, if any.
+func parseLine(text string) (request string, ln Line, err error) {
 	at := strings.IndexByte(text, '{') // what a collector wrote before it is dropped
 	if at < 0 {
-		return "", Line{}, errNoLine
+		return "", Line{}, errNotLogLine
 	}
-	var fx fixed
+	var fx commonFields
 	if err := json.Unmarshal([]byte(text[at:]), &fx); err != nil {
 		return "", Line{}, fmt.Errorf("read a line: %w", err)
 	}
 	if fx.Name == "" {
-		return "", Line{}, errNoLine
+		return "", Line{}, errNotLogLine
 	}
 	var all map[string]any
 	if err := json.Unmarshal([]byte(text[at:]), &all); err != nil {
@@ -137,68 +137,68 @@
 	return sb.String()
 }
 
-// Verdict tells in one sentence how the request ended and why. The error is
-// ErrUnknown if nothing is known of it.
-func (tr *Trace) Verdict() (string, error) {
+// Summary tells in one sentence how the request ended and why. The error is
+// ErrRequestNotFound if nothing is known of it.
+func (tr *Trace) Summary() (string, error) {
 	lines := tr.Lines()
 	if len(lines) == 0 {
-		return "", ErrUnknown
+		return "", ErrRequestNotFound
 	}
-	end, ended := lastOf(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
+	end, ended := lastEvent(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
 	if !ended {
 		return "its end is not in these files: the VM " + lines[0].VM + " stopped before it, or the file does", nil
 	}
 	if end.Number == event.RelayAnswered.Number {
-		return "it was answered whole after " + text(end, "Took"), nil
+		return "it was answered whole after " + fieldText(end, "Took"), nil
 	}
 	verb := "it was refused"
 	if end.Number == event.RelayCut.Number {
 		verb = "its answer was cut off"
 	}
-	return fmt.Sprintf("%s after %s: %s", verb, text(end, "Took"), cause(lines, end)), nil
+	return fmt.Sprintf("%s after %s: %s", verb, fieldText(end, "Took"), cause(lines, end)), nil
 }
 
 // cause names what changed the request's fate first.
 func cause(lines []Line, end Line) string {
-	switch text(end, "Reason") {
+	switch fieldText(end, "Reason") {
 	case "QueueFull":
-		if ln, ok := lastOf(lines, event.RelayNoPlace); ok {
-			return noRoom(ln)
+		if ln, ok := lastEvent(lines, event.RelayNoPlace); ok {
+			return noPlaceCause(ln)
 		}
 	case "Starting":
 		return "the VM did not know the configuration yet; look for StoreLost of that VM before it"
 	case "UnknownService":
-		return "no route of configuration " + text(end, "Configuration") + " matched"
+		return "no route of configuration " + fieldText(end, "Configuration") + " matched"
 	case "CallerGone":
 		return "its caller left"
 	case "EndsServers":
 		return "servers ended when they ran it; look for RelayEndsServers of any VM before it"
 	}
-	if ln, ok := lastOf(lines, event.RelayCallerGone); ok {
-		return fmt.Sprintf("its caller left, or its time was over, %s after backend server %s was last heard of", text(ln, "Silent"), text(ln, "Server"))
+	if ln, ok := lastEvent(lines, event.RelayCallerGone); ok {
+		return fmt.Sprintf("its caller left, or its time was over, %s after backend server %s was last heard of", fieldText(ln, "Silent"), fieldText(ln, "Server"))
 	}
-	if ln, ok := lastOf(lines, event.RelayRunLost); ok {
-		return "backend server " + text(ln, "Server") + " broke off: " + text(ln, "Error")
+	if ln, ok := lastEvent(lines, event.RelayRunLost); ok {
+		return "backend server " + fieldText(ln, "Server") + " broke off: " + fieldText(ln, "Error")
 	}
 	for _, ln := range lines {
-		if why := text(ln, "Error"); why != "" && ln.Number != end.Number {
-			return strings.TrimSpace(ln.Name+" "+text(ln, "Server")+text(ln, "From")) + ": " + why
+		if why := fieldText(ln, "Error"); why != "" && ln.Number != end.Number {
+			return strings.TrimSpace(ln.Name+" "+fieldText(ln, "Server")+fieldText(ln, "From")) + ": " + why
 		}
 	}
-	return strings.TrimSpace(text(end, "Reason") + " " + text(end, "Detail") + " " + text(end, "Error"))
+	return strings.TrimSpace(fieldText(end, "Reason") + " " + fieldText(end, "Detail") + " " + fieldText(end, "Error"))
 }
 
-// noRoom tells what stood before a request that found no place. Older logs do
+// noPlaceCause tells what stood before a request that found no place. Older logs do
 // not name the requests at other VMs.
-func noRoom(ln Line) string {
+func noPlaceCause(ln Line) string {
 	before := ""
-	if count := text(ln, "Before"); count != "" {
+	if count := fieldText(ln, "Before"); count != "" {
 		before = count + " at other VMs went first, "
 	}
-	return fmt.Sprintf("no decode engine had room (%s requests waited here, %s%s asks were declined)", text(ln, "Waiting"), before, text(ln, "Asked"))
+	return fmt.Sprintf("no decode engine had room (%s requests waited here, %s%s asks were declined)", fieldText(ln, "Waiting"), before, fieldText(ln, "Asked"))
 }
 
-func lastOf(lines []Line, events ...event.Event) (Line, bool) {
+func lastEvent(lines []Line, events ...event.Event) (Line, bool) {
 	for _, ln := range slices.Backward(lines) {
 		if slices.ContainsFunc(events, func(ev event.Event) bool { return ev.Number == ln.Number }) {
 			return ln, true
@@ -207,7 +207,7 @@
 	return Line{}, false
 }
 
-func text(ln Line, field string) string {
+func fieldText(ln Line, field string) string {
 	if value, ok := ln.Fields[field]; ok && value != nil {
 		return fmt.Sprint(value)
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -29,10 +29,10 @@
 			assert.NilError(t, err)
 			defer file.Close()
 			assert.NilError(t, tr.Read(file))
-			verdict, err := tr.Verdict()
+			verdict, err := tr.Summary()
 			assert.NilError(t, err)
 			assert.Equal(t, verdict, tc.want)
-			assert.Equal(t, tr.Passed, 2, "a line of another program, and one that is cut off")
+			assert.Equal(t, tr.SkippedLines, 2, "a line of another program, and one that is cut off")
 		})
 	}
 }
@@ -40,8 +40,8 @@
 func TestUnknownRequest(t *testing.T) {
 	tr := trace.Trace{Request: "nobody"}
 	assert.NilError(t, tr.Read(strings.NewReader("")))
-	_, err := tr.Verdict()
-	assert.Assert(t, errors.Is(err, trace.ErrUnknown))
+	_, err := tr.Summary()
+	assert.Assert(t, errors.Is(err, trace.ErrRequestNotFound))
 }
 
 func FuzzRead(f *testing.F) {
@@ -51,7 +51,7 @@
 		if tr.Read(strings.NewReader(text)) != nil {
 			return
 		}
-		if verdict, err := tr.Verdict(); err == nil {
+		if verdict, err := tr.Summary(); err == nil {
 			assert.Assert(t, verdict != "")
 		}
 	})
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -99,16 +99,16 @@
 
 		once sync.Once
 
-		mu   sync.Mutex
-		tag  string // ETag of last; empty if it had none
-		last List
+		mu       sync.Mutex
+		lastETag string // ETag of lastList; empty if it had none
+		lastList List
 	}
 
-	// answer is what one fetch brought.
-	answer struct {
-		same bool // nothing changed since the tag that was sent
-		body []byte
-		tag  string
+	// fetchResult is what one fetch brought.
+	fetchResult struct {
+		notModified bool // nothing changed since the tag that was sent
+		body        []byte
+		etag        string
 	}
 
 	// EntryError names an entry of the list that can't be used.
@@ -118,7 +118,7 @@
 		ID    string
 		Field string
 		Value string
-		Mend  string
+		Hint  string
 	}
 
 	// StatusError is an answer other than success.
@@ -130,7 +130,7 @@
 
 // Error names the entry, the value and the mend.
 func (ee *EntryError) Error() string {
-	return fmt.Sprintf("VM list: %s[%d] %q: %s %q: %s", ee.List, ee.Index, ee.ID, ee.Field, ee.Value, ee.Mend)
+	return fmt.Sprintf("VM list: %s[%d] %q: %s %q: %s", ee.List, ee.Index, ee.ID, ee.Field, ee.Value, ee.Hint)
 }
 
 // Error names the status.
@@ -149,13 +149,13 @@
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(cl.Timeout, DefaultTimeout).Std())
 	defer cancel()
 	cl.mu.Lock()
-	tag, last := cl.tag, cl.last
+	tag, last := cl.lastETag, cl.lastList
 	cl.mu.Unlock()
 	got, err := cl.get(ctx, tag)
 	if err != nil {
 		return List{}, oops.In("vmlist").Wrapf(err, "fetch the VM list")
 	}
-	if got.same {
+	if got.notModified {
 		return last, nil
 	}
 	list, err := Parse(got.body)
@@ -164,15 +164,15 @@
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.tag, cl.last = got.tag, list
+	cl.lastETag, cl.lastList = got.etag, list
 	return list, nil
 }
 
 // get asks for the list unless it is still the one with the tag.
-func (cl *Client) get(ctx context.Context, tag string) (answer, error) {
+func (cl *Client) get(ctx context.Context, tag string) (fetchResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(cl.URL, "/")+"/vms", nil)
 	if err != nil {
-		return answer{}, fmt.Errorf("make the request: %w", err)
+		return fetchResult{}, fmt.Errorf("make the request: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.Token)
 	if tag != "" {
@@ -180,24 +180,24 @@
 	}
 	rsp, err := cl.client().Do(req)
 	if err != nil {
-		return answer{}, fmt.Errorf("call the VM list: %w", err)
+		return fetchResult{}, fmt.Errorf("call the VM list: %w", err)
 	}
 	defer rsp.Body.Close()
 	switch {
 	case rsp.StatusCode == http.StatusNotModified && tag != "":
-		return answer{same: true}, nil
+		return fetchResult{notModified: true}, nil
 	case rsp.StatusCode != http.StatusOK:
-		return answer{}, &StatusError{Status: rsp.StatusCode}
+		return fetchResult{}, &StatusError{Status: rsp.StatusCode}
 	}
 	limit := cmp.Or(cl.MaxBody, DefaultMaxBody)
 	body, err := io.ReadAll(io.LimitReader(rsp.Body, limit+1))
 	if err != nil {
-		return answer{}, fmt.Errorf("read the answer: %w", err)
+		return fetchResult{}, fmt.Errorf("read the answer: %w", err)
 	}
 	if int64(len(body)) > limit {
-		return answer{}, &TooLargeError{Limit: limit}
+		return fetchResult{}, &TooLargeError{Limit: limit}
 	}
-	return answer{body: body, tag: rsp.Header.Get("ETag")}, nil
+	return fetchResult{body: body, etag: rsp.Header.Get("ETag")}, nil
 }
 
 func (cl *Client) client() *http.Client {
@@ -235,12 +235,12 @@
 }
 
 func (en VMEntry) vm(ix int) (board.VM, error) {
-	ck := checker{list: "VMs", index: ix, id: en.ID}
-	ck.named("ID", en.ID)
-	ck.named("FailureDomain", en.FailureDomain)
-	ck.address("Caller", en.Caller)
-	ck.address("Peer", en.Peer)
-	ck.state(en.State)
+	ck := entryChecker{list: "VMs", index: ix, id: en.ID}
+	ck.checkNotEmpty("ID", en.ID)
+	ck.checkNotEmpty("FailureDomain", en.FailureDomain)
+	ck.checkAddress("Caller", en.Caller)
+	ck.checkAddress("Peer", en.Peer)
+	ck.checkState(en.State)
 	return board.VM{
 		VMRef:         board.VMRef{ID: en.ID},
 		FailureDomain: en.FailureDomain,
@@ -253,12 +253,12 @@
 }
 
 func (en ServerEntry) server(ix int) (board.BackendServer, error) {
-	ck := checker{list: "Servers", index: ix, id: en.ID}
-	ck.named("ID", en.ID)
-	ck.named("Service", en.Service)
-	ck.named("FailureDomain", en.FailureDomain)
-	ck.address("Address", en.Address)
-	ck.state(en.State)
+	ck := entryChecker{list: "Servers", index: ix, id: en.ID}
+	ck.checkNotEmpty("ID", en.ID)
+	ck.checkNotEmpty("Service", en.Service)
+	ck.checkNotEmpty("FailureDomain", en.FailureDomain)
+	ck.checkAddress("Address", en.Address)
+	ck.checkState(en.State)
 	if en.Role != board.Prefill && en.Role != board.Decode && en.Role != board.Plain {
 		ck.fail("Role", string(en.Role), "write Prefill, Decode or Plain")
 	}
@@ -278,45 +278,45 @@
 	slices.SortStableFunc(li.Servers, func(sa, sb board.BackendServer) int { return cmp.Compare(sa.ID, sb.ID) })
 	for ix := 1; ix < len(li.VMs); ix++ {
 		if id := li.VMs[ix].ID; id == li.VMs[ix-1].ID {
-			return &EntryError{List: "VMs", Index: ix, ID: id, Field: "ID", Value: id, Mend: "is there twice"}
+			return &EntryError{List: "VMs", Index: ix, ID: id, Field: "ID", Value: id, Hint: "is there twice"}
 		}
 	}
 	for ix := 1; ix < len(li.Servers); ix++ {
 		if id := li.Servers[ix].ID; id == li.Servers[ix-1].ID {
-			return &EntryError{List: "Servers", Index: ix, ID: id, Field: "ID", Value: id, Mend: "is there twice"}
+			return &EntryError{List: "Servers", Index: ix, ID: id, Field: "ID", Value: id, Hint: "is there twice"}
 		}
 	}
 	return nil
 }
 
-// checker keeps the first fault of one entry.
-type checker struct {
-	list  string
-	index int
-	id    string
-	fault *EntryError
+// entryChecker keeps the first fault of one entry.
+type entryChecker struct {
+	list       string
+	index      int
+	id         string
+	firstError *EntryError
 }
 
-func (ck *checker) fail(field, value, mend string) {
-	if ck.fault == nil {
-		ck.fault = &EntryError{List: ck.list, Index: ck.index, ID: ck.id, Field: field, Value: value, Mend: mend}
+func (ck *entryChecker) fail(field, value, hint string) {
+	if ck.firstError == nil {
+		ck.firstError = &EntryError{List: ck.list, Index: ck.index, ID: ck.id, Field: field, Value: value, Hint: hint}
 	}
 }
 
-func (ck *checker) err() error {
-	if ck.fault == nil {
+func (ck *entryChecker) err() error {
+	if ck.firstError == nil {
 		return nil
 	}
-	return ck.fault
+	return ck.firstError
 }
 
-func (ck *checker) named(field, value string) {
+func (ck *entryChecker) checkNotEmpty(field, value string) {
 	if value == "" {
 		ck.fail(field, value, "must not be empty")
 	}
 }
 
-func (ck *checker) address(field, value string) {
+func (ck *entryChecker) checkAddress(field, value string) {
 	ap, err := netip.ParseAddrPort(value)
 	if err != nil {
 		ck.fail(field, value, "write an IP literal and a port, such as 10.0.0.7:8080")
@@ -327,7 +327,7 @@
 	}
 }
 
-func (ck *checker) state(st State) {
+func (ck *entryChecker) checkState(st State) {
 	if st != Live && st != Leaving {
 		ck.fail("State", string(st), "write Live or Leaving")
 	}
--- a/internal/vmlist/vmlist_test.go
+++ b/internal/vmlist/vmlist_test.go
@@ -16,21 +16,21 @@
 	"alderdyke/pkg/clock"
 )
 
-func entryVM() vmlist.VMEntry {
+func testVM() vmlist.VMEntry {
 	return vmlist.VMEntry{
 		ID: "aarhus-a-1", FailureDomain: "aarhus-a", Region: "dk-jylland",
 		Caller: "127.0.0.1:8080", Peer: "127.0.0.1:8081", State: vmlist.Live,
 	}
 }
 
-func entryServer() vmlist.ServerEntry {
+func testServer() vmlist.ServerEntry {
 	return vmlist.ServerEntry{
 		ID: "w1", Service: "rapportmodel", Role: board.Decode, Address: "[::1]:9000",
 		FailureDomain: "aarhus-a", State: vmlist.Leaving,
 	}
 }
 
-func newPair(tt *testing.T, clk clock.Source) (*standin.Server, *vmlist.Client) {
+func newServerAndClient(tt *testing.T, clk clock.Source) (*standin.Server, *vmlist.Client) {
 	tt.Helper()
 	srv := &standin.Server{Token: "secret", Clock: clk}
 	ts := httptest.NewServer(srv)
@@ -39,10 +39,10 @@
 }
 
 func TestFetch(tt *testing.T) {
-	srv, cl := newPair(tt, nil)
-	second := entryVM()
+	srv, cl := newServerAndClient(tt, nil)
+	second := testVM()
 	second.ID, second.State = "aarhus-a-0", vmlist.Leaving
-	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM(), second}, Servers: []vmlist.ServerEntry{entryServer()}})
+	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{testVM(), second}, Servers: []vmlist.ServerEntry{testServer()}})
 	list, err := cl.Fetch(context.Background())
 	assert.NilError(tt, err)
 	assert.Equal(tt, len(list.VMs), 2)
@@ -56,10 +56,10 @@
 
 func TestListLags(tt *testing.T) {
 	clk := &clock.Manual{}
-	srv, cl := newPair(tt, clk)
+	srv, cl := newServerAndClient(tt, clk)
 	srv.Put(vmlist.Document{})
 	clk.Advance(5 * clock.Second)
-	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM()}})
+	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{testVM()}})
 	srv.Set(standin.Faults{Lag: 10 * clock.Second})
 	for _, want := range []int{0, 0, 1} {
 		list, err := cl.Fetch(context.Background())
@@ -70,8 +70,8 @@
 }
 
 func TestFetchFails(tt *testing.T) {
-	srv, cl := newPair(tt, nil)
-	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM()}})
+	srv, cl := newServerAndClient(tt, nil)
+	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{testVM()}})
 	srv.Set(standin.Faults{Outage: true})
 	_, err := cl.Fetch(context.Background())
 	assert.Assert(tt, err != nil)
@@ -136,17 +136,17 @@
 // A list that did not change is asked for with its tag and costs no body; a
 // change, and a platform without tags, bring the whole list.
 func TestUnchangedListIsNotSentAgain(tt *testing.T) {
-	srv, cl := newPair(tt, nil)
+	srv, cl := newServerAndClient(tt, nil)
 	fetch := func() vmlist.List {
 		list, err := cl.Fetch(context.Background())
 		assert.NilError(tt, err)
 		return list
 	}
-	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM()}})
+	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{testVM()}})
 	assert.DeepEqual(tt, fetch(), fetch())
 	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 1, NotModified: 1})
 
-	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{entryVM()}, Servers: []vmlist.ServerEntry{entryServer()}})
+	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{testVM()}, Servers: []vmlist.ServerEntry{testServer()}})
 	assert.Equal(tt, len(fetch().Servers), 1)
 	assert.Equal(tt, len(fetch().Servers), 1)
 	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 2, NotModified: 2})
@@ -159,9 +159,9 @@
 
 // A list that can't be used leaves no tag behind, so that it is read whole
 // and refused again.
-func TestBrokenListIsNotRemembered(tt *testing.T) {
-	srv, cl := newPair(tt, nil)
-	bad := entryVM()
+func TestInvalidListIsNotCached(tt *testing.T) {
+	srv, cl := newServerAndClient(tt, nil)
+	bad := testVM()
 	bad.Peer = "vm.example:1"
 	srv.Put(vmlist.Document{VMs: []vmlist.VMEntry{bad}})
 	for range 2 {
