--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,6 +1,6 @@
-// Package actor runs one decision package in one goroutine: events go in, and
-// the intents that come back are carried out in order. A decision package has
-// no locks, so only its actor may touch it.
+// Package actor runs one decision package in one goroutine: it passes events
+// to the package and executes the returned intents in order. Decision packages
+// have no locks, so only their actor may call them.
 //
 // # Usage
 //
@@ -19,29 +19,30 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxQueuedEvents bounds the events that wait for one decision loop. A full queue
-// makes senders wait, which is the backpressure that they need.
+// maxQueuedEvents bounds the events queued for one decision loop. Senders block
+// while the queue is full, which gives them the backpressure that they need.
 const maxQueuedEvents = 256
 
-// Actor is one decision loop. Make it with [New] and set Step, Execute and WakeTime
-// before Run.
+// Actor is one decision loop. Create it with [New] and set Step, Execute and
+// WakeTime before Run.
 type Actor[Event, Intent any] struct {
-	// Step decides.
+	// Step processes one event and returns the resulting intents.
 	Step func(now clock.Millis, ev Event) []Intent
 	// Execute carries out one intent.
 	Execute func(in Intent)
-	// WakeTime tells whether an intent only asks for a tick, and for when.
+	// WakeTime reports whether an intent only requests a tick, and at what time.
 	WakeTime func(in Intent) (clock.Millis, bool)
-	// Events takes events from senders that must not wait; others use Send.
+	// Events accepts events from senders that must not block, by a non-blocking
+	// send; other senders use Send.
 	Events chan Event
 
 	clk          clock.Source
 	tick         Event
-	tickInterval clock.Millis // longest span between two ticks
+	tickInterval clock.Millis // longest time between two ticks
 	nextTick     clock.Millis
 }
 
-// New makes an actor that is told the tick at least once in each span.
+// New creates an actor that receives the tick event at least once per interval.
 func New[Event, Intent any](clk clock.Source, tick Event, every clock.Millis) *Actor[Event, Intent] {
 	return &Actor[Event, Intent]{
 		clk:          clk,
@@ -51,8 +52,8 @@
 	}
 }
 
-// Send hands an event to the decision loop. It reports false if the context
-// ended first.
+// Send queues an event for the decision loop and blocks while the queue is full.
+// It reports false if the context ended first.
 func (ac *Actor[Event, Intent]) Send(ctx context.Context, ev Event) bool {
 	select {
 	case ac.Events <- ev:
@@ -62,7 +63,7 @@
 	}
 }
 
-// Run decides until the context ends.
+// Run processes events and ticks until the context ends.
 func (ac *Actor[Event, Intent]) Run(ctx context.Context) {
 	ac.nextTick = ac.clk.Now() + ac.tickInterval
 	timer := time.NewTimer(0)
@@ -91,8 +92,8 @@
 	}
 }
 
-// WakeTimeFunc makes the WakeTime of an actor whose decisions ask for a tick with an
-// intent of the type Wake.
+// WakeTimeFunc returns a WakeTime function for decision packages that request a
+// tick with an intent of type Wake.
 func WakeTimeFunc[Intent, Wake any](at func(wk Wake) clock.Millis) func(in Intent) (clock.Millis, bool) {
 	return func(in Intent) (clock.Millis, bool) {
 		wk, ok := any(in).(Wake)
