--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -1,11 +1,11 @@
-// Package apikey reads the API key by which a caller says for which customer it
-// speaks. The key itself is known nowhere beyond this package: what is kept,
-// compared and told is its hash.
+// Package apikey reads the API key that identifies the customer of a request.
+// The key itself is not passed on beyond this package: only its hash is stored,
+// compared and reported.
 //
 // # Usage
 //
 //	hash, err := apikey.HashHeader(req.Header.Values("Authorization"))
-//	if err != nil { ... } // an Error; it tells nothing of the key
+//	if err != nil { ... } // an Error; it reveals nothing of the key
 //	if apikey.ContainsHash(hash, customer.KeyHashes) { ... }
 package apikey
 
@@ -19,7 +19,7 @@
 // MaxKeyBytes bounds an API key, in bytes.
 const MaxKeyBytes = 512
 
-// Why there is no key.
+// Reasons why a request has no usable key.
 const (
 	MissingKey        Error = "send the customer's API key as Authorization: Bearer"
 	MultipleFields    Error = "the request has several Authorization fields; send one"
@@ -28,14 +28,14 @@
 	KeyTooLong        Error = "the API key is longer than 512 bytes"
 )
 
-// Error tells why a request has no API key that can be looked up.
+// Error is the reason why a request has no API key that can be looked up.
 type Error string
 
-// Error is for the caller, and names nothing that it sent.
+// Error returns the message for the caller. It repeats nothing that the caller sent.
 func (er Error) Error() string { return string(er) }
 
-// HashHeader reads the key from the values of a request's Authorization fields, and
-// returns the hex SHA-256 of it. The error is an Error.
+// HashHeader reads the key from the values of a request's Authorization fields
+// and returns its SHA-256 hash in hex. The error is an Error.
 func HashHeader(values []string) (string, error) {
 	switch {
 	case len(values) == 0:
@@ -56,14 +56,14 @@
 	return HashKey(key), nil
 }
 
-// HashKey is the hash of a key.
+// HashKey returns the SHA-256 hash of a key in hex.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// ContainsHash tells whether a hash is one of the known ones. It takes the same time
-// whichever it is.
+// ContainsHash reports whether a hash is one of the known ones. Its running time
+// does not depend on which of them matches.
 func ContainsHash(hash string, known []string) bool {
 	found := 0
 	for _, kn := range known {
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -17,16 +17,16 @@
 		want   string
 		err    error
 	}{
-		{"a key", []string{"Bearer k1"}, apikey.HashKey("k1"), nil},
-		{"the scheme in another case, and spaces", []string{" bEARER   k1 "}, apikey.HashKey("k1"), nil},
-		{"as long as it may be", []string{"Bearer " + long}, apikey.HashKey(long), nil},
-		{"none", nil, "", apikey.MissingKey},
-		{"two", []string{"Bearer k1", "Bearer k1"}, "", apikey.MultipleFields},
-		{"another scheme", []string{"Basic k1"}, "", apikey.UnsupportedScheme},
+		{"valid key", []string{"Bearer k1"}, apikey.HashKey("k1"), nil},
+		{"scheme in another case with extra spaces", []string{" bEARER   k1 "}, apikey.HashKey("k1"), nil},
+		{"longest allowed key", []string{"Bearer " + long}, apikey.HashKey(long), nil},
+		{"no field", nil, "", apikey.MissingKey},
+		{"two fields", []string{"Bearer k1", "Bearer k1"}, "", apikey.MultipleFields},
+		{"unsupported scheme", []string{"Basic k1"}, "", apikey.UnsupportedScheme},
 		{"no scheme", []string{"k1"}, "", apikey.UnsupportedScheme},
-		{"an empty field", []string{""}, "", apikey.UnsupportedScheme},
-		{"an empty key", []string{"Bearer  "}, "", apikey.EmptyKey},
-		{"too long", []string{"Bearer " + long + "k"}, "", apikey.KeyTooLong},
+		{"empty field", []string{""}, "", apikey.UnsupportedScheme},
+		{"empty key", []string{"Bearer  "}, "", apikey.EmptyKey},
+		{"key too long", []string{"Bearer " + long + "k"}, "", apikey.KeyTooLong},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got, err := apikey.HashHeader(tc.values)
@@ -43,7 +43,8 @@
 	assert.Assert(t, !apikey.ContainsHash("", nil))
 }
 
-// Whatever a caller sends, there is a hash or an error, and neither holds the key.
+// FuzzHash checks that every input yields either a hash or an error, and that
+// the error does not contain the key.
 func FuzzHash(f *testing.F) {
 	f.Add("Bearer k1", "")
 	f.Add("Bearer", "Bearer secret")
