--- a/internal/deps/deps_test.go
+++ b/internal/deps/deps_test.go
@@ -16,8 +16,8 @@
 const moduleRoot = "../.."
 
 // forbiddenImports are imports that no package of this module may have: a process
-// starts no other, and nothing proxies or tunnels but the project itself. A
-// path stands for itself and for all below it.
+// must not start other processes, and only the project's own code may proxy or
+// tunnel traffic. A path covers itself and all packages below it.
 var forbiddenImports = []string{
 	"os/exec",
 	"plugin",
@@ -32,8 +32,8 @@
 	"go.etcd.io",
 }
 
-// processTestDirs are the tests that run VMs as real processes, and start them.
-// No other file may start a process.
+// processTestDirs are the directories of the tests that run VMs as real processes.
+// Only test files in these directories may import os/exec.
 var processTestDirs = []string{filepath.Join(moduleRoot, "internal", "integration"), filepath.Join(moduleRoot, "platform")}
 
 // testOnlyImports are imports that only test files may have.
@@ -46,7 +46,7 @@
 	"testing",
 }
 
-// matchesAny tells whether a path is one of the list or below one.
+// matchesAny reports whether a path equals an entry of the list or lies below one.
 func matchesAny(path string, list []string) bool {
 	for _, entry := range list {
 		if path == entry || strings.HasPrefix(path, entry+"/") {
@@ -88,7 +88,7 @@
 
 func TestImports(t *testing.T) {
 	all := importsByFile(t, moduleRoot)
-	assert.Assert(t, len(all[filepath.Join(moduleRoot, "pkg", "clock", "clock.go")]) > 0, "the walk missed the module")
+	assert.Assert(t, len(all[filepath.Join(moduleRoot, "pkg", "clock", "clock.go")]) > 0, "the directory walk did not reach pkg/clock/clock.go")
 	for path, names := range all {
 		test := strings.HasSuffix(path, "_test.go")
 		for _, name := range names {
@@ -96,7 +96,7 @@
 				continue
 			}
 			assert.Check(t, !matchesAny(name, forbiddenImports), "%s imports %s", path, name)
-			assert.Check(t, test || !matchesAny(name, testOnlyImports), "%s imports %s, which is for tests", path, name)
+			assert.Check(t, test || !matchesAny(name, testOnlyImports), "%s is not a test file and imports the test library %s", path, name)
 		}
 	}
 }
