--- a/internal/logsvc/client.go
+++ b/internal/logsvc/client.go
@@ -20,23 +20,23 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds that apply where a Client sets none.
+// Defaults of the limits that a Client leaves at zero.
 const (
 	DefaultMaxRecord = 1 << 20
 	DefaultMaxBatch  = 8 << 20
 	DefaultGrace     = clock.Millis(700)
 )
 
-// Client is the HTTP adapter. Set the fields before the first call; it may
-// then be used from several goroutines.
+// Client is the HTTP implementation of Log. Set the fields before the first call;
+// after that it is safe for concurrent use.
 type Client struct {
 	URL   string       // such as "http://10.0.0.9:7000"
 	Token string       // bearer token; never logged
-	HTTP  *http.Client // nil: a client with connections of its own
+	HTTP  *http.Client // nil: a client with its own connection pool
 
 	MaxRecord int          // bytes of one record; zero means DefaultMaxRecord
-	MaxBatch  int64        // bytes of one answer; zero means DefaultMaxBatch
-	Grace     clock.Millis // how much later than Wait an answer may come; zero means DefaultGrace
+	MaxBatch  int64        // bytes of one response; zero means DefaultMaxBatch
+	Grace     clock.Millis // time allowed for a response beyond Wait; zero means DefaultGrace
 
 	once sync.Once
 }
@@ -47,7 +47,7 @@
 
 var _ Log = (*Client)(nil)
 
-// Append adds a record to the stream.
+// Append adds a record to the stream and returns its offset.
 func (cl *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	if limit := cl.maxRecord(); len(data) > limit {
 		err := &TooLargeError{What: "record", Bytes: int64(len(data)), Limit: int64(limit)}
@@ -78,24 +78,24 @@
 	}
 	var ans appendResponse
 	if err := json.Unmarshal(body, &ans); err != nil {
-		return 0, fmt.Errorf("parse the answer: %w", err)
+		return 0, fmt.Errorf("parse the response: %w", err)
 	}
 	if ans.Offset == nil {
-		return 0, errors.New("the answer holds no Offset")
+		return 0, errors.New("the response has no Offset")
 	}
 	return *ans.Offset, nil
 }
 
-// rejected tells whether the service itself said that it took nothing. A
-// timeout that it states is none: the record may be on its way.
+// rejected reports whether the service itself stated that it accepted nothing.
+// Status 408 does not count: after a timeout the record may still be appended.
 func rejected(err error) bool {
 	var se *StatusError
 	return errors.As(err, &se) && se.Status >= 400 && se.Status < 500 &&
 		se.Status != http.StatusRequestTimeout
 }
 
-// Read reads from the stream. An answer beyond MaxBatch is asked for again
-// with fewer records.
+// Read reads from the stream. If the response exceeds MaxBatch, it repeats the
+// read with half as many records.
 func (cl *Client) Read(ctx context.Context, stream string, from uint64, maxRecords int, wait clock.Millis) (Batch, error) {
 	for {
 		ba, err := cl.read(ctx, stream, from, maxRecords, wait)
@@ -129,11 +129,11 @@
 	return ParseBatch(stream, from, body)
 }
 
-// ParseBatch reads the answer to a read from the given offset and checks it.
+// ParseBatch decodes and checks the response to a read from the given offset.
 func ParseBatch(stream string, from uint64, body []byte) (Batch, error) {
 	var ba Batch
 	if err := json.Unmarshal(body, &ba); err != nil {
-		return Batch{}, fmt.Errorf("parse the answer: %w", err)
+		return Batch{}, fmt.Errorf("parse the response: %w", err)
 	}
 	if err := ba.Check(stream, from); err != nil {
 		return Batch{}, err
@@ -150,7 +150,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, body)
 	if err != nil {
-		return nil, fmt.Errorf("make the request: %w", err)
+		return nil, fmt.Errorf("create the request: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.Token)
 	req.Header.Set("User-Agent", "alderdyke")
@@ -169,7 +169,7 @@
 		return nil, &StatusError{Method: req.Method, Status: rsp.StatusCode}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("read the answer: %w", err)
+		return nil, fmt.Errorf("read the response: %w", err)
 	}
 	if int64(len(body)) > limit {
 		return nil, &TooLargeError{What: "answer", Bytes: int64(len(body)), Limit: limit}
--- a/internal/logsvc/client_test.go
+++ b/internal/logsvc/client_test.go
@@ -87,7 +87,8 @@
 	assert.DeepEqual(tt, ba, logsvc.Batch{First: 1, Next: 1, End: 1})
 }
 
-// TestAppendEffect holds each failure against what the stand-in says it did.
+// TestAppendEffect compares the reported effect of each failure with what the
+// stand-in server counted.
 func TestAppendEffect(tt *testing.T) {
 	cases := []struct {
 		name    string
@@ -102,7 +103,7 @@
 		{name: "outage", faults: standin.Faults{Outage: true}, effect: logsvc.MayBeAppended},
 		{name: "status 503", faults: standin.Faults{Refuse: true}, effect: logsvc.MayBeAppended},
 		{name: "wrong token", token: "other", effect: logsvc.NotAppended},
-		{name: "nobody listens", dead: true, effect: logsvc.NotAppended},
+		{name: "connection refused", dead: true, effect: logsvc.NotAppended},
 		{name: "too large", bytes: logsvc.DefaultMaxRecord + 1, effect: logsvc.NotAppended},
 	}
 	for _, tc := range cases {
@@ -184,13 +185,13 @@
 		good bool
 	}{
 		{"empty", logsvc.Batch{}, 0, true},
-		{"whole", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(4)}, First: 1, Next: 5, End: 9}, 3, true},
-		{"from before first", logsvc.Batch{Records: []logsvc.Record{rec(4)}, First: 4, Next: 5, End: 5}, 0, true},
-		{"below from", logsvc.Batch{Records: []logsvc.Record{rec(2)}, Next: 5, End: 9}, 3, false},
-		{"below first", logsvc.Batch{Records: []logsvc.Record{rec(3)}, First: 4, Next: 5, End: 9}, 3, false},
-		{"twice", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(3)}, Next: 5, End: 9}, 3, false},
-		{"beyond next", logsvc.Batch{Records: []logsvc.Record{rec(5)}, Next: 5, End: 9}, 3, false},
-		{"next beyond end", logsvc.Batch{Next: 5, End: 4}, 3, false},
+		{"consecutive records", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(4)}, First: 1, Next: 5, End: 9}, 3, true},
+		{"read from below First", logsvc.Batch{Records: []logsvc.Record{rec(4)}, First: 4, Next: 5, End: 5}, 0, true},
+		{"record below the requested offset", logsvc.Batch{Records: []logsvc.Record{rec(2)}, Next: 5, End: 9}, 3, false},
+		{"record below First", logsvc.Batch{Records: []logsvc.Record{rec(3)}, First: 4, Next: 5, End: 9}, 3, false},
+		{"duplicate offset", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(3)}, Next: 5, End: 9}, 3, false},
+		{"record beyond Next", logsvc.Batch{Records: []logsvc.Record{rec(5)}, Next: 5, End: 9}, 3, false},
+		{"Next beyond End", logsvc.Batch{Next: 5, End: 4}, 3, false},
 	}
 	for _, tc := range cases {
 		err := tc.ba.Check(stream, tc.from)
