--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,10 @@
-// Package metrics gives one VM its counters and shows them in the Prometheus
-// text format.
+// Package metrics holds the counters of one VM and serves them in the
+// Prometheus text format.
 //
-// Every metric goes through a [tally.Scope]. Names are in Pascal case, and
+// Every metric is created from a [tally.Scope]. Names are in Pascal case, and
 // the parts of a name are joined by an underscore: the counter Refusals of
-// the subscope Caller is Caller_Refusals. Each VM has a registry of its own,
-// so that several can run in one process.
+// the subscope Caller is Caller_Refusals. Each VM has its own Prometheus
+// registry, so that several VMs can run in one process.
 //
 // # Usage
 //
@@ -28,11 +28,11 @@
 	"alderdyke/pkg/clock"
 )
 
-// reportInterval is how often counts go from the scope to the registry.
+// reportInterval is the interval at which the scope reports counts to the registry.
 const reportInterval = clock.Second
 
-// sanitizer lets the characters of customers', classes' and services' names
-// stand in tag values, so that no two of them become one.
+// sanitizer allows in tag values every character that the names of customers,
+// classes and services may contain, so that two names never become the same value.
 var sanitizer = tally.SanitizeOptions{
 	NameCharacters: tallyprom.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:  tallyprom.DefaultSanitizerOpts.KeyCharacters,
@@ -43,7 +43,7 @@
 	ReplacementCharacter: tally.DefaultReplacementCharacter,
 }
 
-// Metrics is the counters of one VM. Make it with [New] and close it.
+// Metrics holds the counters of one VM. Create it with [New] and close it after use.
 type Metrics struct {
 	Scope tally.Scope
 
@@ -51,7 +51,7 @@
 	closer   io.Closer
 }
 
-// New makes the counters of a VM; each carries its ID as the tag VM.
+// New creates the metrics of a VM; each metric has the VM's ID as its tag VM.
 func New(vm string) *Metrics {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -61,8 +61,8 @@
 	reporter := tallyprom.NewReporter(tallyprom.Options{
 		Registerer: registry,
 		Gatherer:   registry,
-		// One name with two sets of tags is a fault of the code; the second
-		// set is not counted, and no request pays for it.
+		// Registering one name with two sets of tags is a programming error. The
+		// second set is not counted, so that no request fails because of it.
 		OnRegisterError: func(error) {},
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -75,10 +75,10 @@
 	return &Metrics{Scope: scope, reporter: reporter, closer: closer}
 }
 
-// Handler shows all metrics in the Prometheus text format.
+// Handler serves all metrics in the Prometheus text format.
 func (mt *Metrics) Handler() http.Handler { return mt.reporter.HTTPHandler() }
 
-// Close passes the last counts on and ends the work in the background.
+// Close reports the last counts and stops the background reporting.
 func (mt *Metrics) Close() error {
 	if err := mt.closer.Close(); err != nil {
 		return fmt.Errorf("close metrics: %w", err)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,8 +12,8 @@
 	"alderdyke/pkg/refusal"
 )
 
-// closeAndScrape closes the metrics, so that all counts are passed on, and returns the
-// page.
+// closeAndScrape closes the metrics, so that all counts are reported, and returns
+// the page that the handler serves.
 func closeAndScrape(t *testing.T, mt *metrics.Metrics) string {
 	assert.NilError(t, mt.Close())
 	rec := httptest.NewRecorder()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Several VMs of one process keep their counts apart.
+// Several VMs in one process must not share counts.
 func TestVMsHaveSeparateRegistries(t *testing.T) {
 	one, two := metrics.New("vm-1"), metrics.New("vm-2")
 	one.Scope.Counter("Some").Inc(3)
@@ -75,7 +75,7 @@
 	(&metrics.Retries{}).Inc("feltapp", refusal.BackendFailed)
 }
 
-// One name with two sets of tags loses the second set and nothing else.
+// If a name is used with two sets of tags, only the counts of the second set are lost.
 func TestConflictingTags(t *testing.T) {
 	mt := metrics.New("vm-1")
 	mt.Scope.Counter("Some").Inc(1)
--- a/internal/metrics/reasons.go
+++ b/internal/metrics/reasons.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// MaxNames bounds the names that one kind of counter tells apart, since
-	// each counter costs about 3 KB for as long as the process lives.
+	// MaxNames bounds the number of distinct names for each kind of counter,
+	// because each counter takes about 3 KB for the lifetime of the process.
 	MaxNames = 64
 
-	// OtherName stands for all names beyond MaxNames.
+	// OtherName replaces all names beyond the first MaxNames.
 	OtherName = "Other"
 )
 
 type (
-	// Refusals counts refusals by class, reason and whether the request ran,
-	// as the counter Refusals. Set Scope before use; a nil Scope counts
-	// nothing. It may be used by several goroutines.
+	// Refusals counts refusals in the counter Refusals, by class, reason and
+	// whether the request ran. Set Scope before use; with a nil Scope nothing is
+	// counted. It is safe for concurrent use.
 	Refusals struct {
 		Scope tally.Scope
 
 		counts counterCache
 	}
 
-	// Retries counts retries by service and reason, as the counter Retries.
-	// Set Scope before use; a nil Scope counts nothing. It may be used by
-	// several goroutines.
+	// Retries counts retries in the counter Retries, by service and reason. Set
+	// Scope before use; with a nil Scope nothing is counted. It is safe for
+	// concurrent use.
 	Retries struct {
 		Scope tally.Scope
 
 		counts counterCache
 	}
 
-	// counterCache holds the counters that were used so far.
+	// counterCache holds the counters created so far.
 	counterCache struct {
 		mu       sync.Mutex
 		names    map[string]bool
@@ -48,7 +48,7 @@
 	}
 )
 
-// Inc counts a refusal of a request of the class.
+// Inc counts one refusal of a request of the class.
 func (rf *Refusals) Inc(class string, re refusal.Refusal) {
 	if rf.Scope == nil {
 		return
@@ -58,7 +58,7 @@
 	}).Inc(1)
 }
 
-// Inc counts a retry at a service.
+// Inc counts one retry of a call to the service.
 func (rt *Retries) Inc(service string, reason refusal.Reason) {
 	if rt.Scope == nil {
 		return
@@ -68,7 +68,7 @@
 	}).Inc(1)
 }
 
-// counter finds or makes the counter of a label.
+// counter returns the counter of a key and creates it on first use.
 func (br *counterCache) counter(lb counterKey, create func(lb counterKey) tally.Counter) tally.Counter {
 	br.mu.Lock()
 	defer br.mu.Unlock()
