--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,21 +1,21 @@
-// Package registry folds what a store says of the backend servers into the
-// list that this VM believes.
+// Package registry combines the store's entries of the backend servers into
+// the list of servers that this VM uses.
 //
-// Servers register themselves and their entries lapse when they fall silent.
-// While the store is away they can't renew them, so an entry that lapsed then
-// says nothing of its server until the store has been back for a while. A
-// server that is said to leave is believed at once, and for as long as its
-// entry lives: what is written late does not take that back. A server that
-// starts again goes on under its entry; what is written late of a life before
-// changes nothing.
+// Servers register themselves, and their entries expire when they stop renewing
+// them. During an outage of the store they can't renew them, so an entry that
+// expired then says nothing about its server until the store has been available
+// again for a while. If an entry states that its server is leaving, that takes
+// effect at once and lasts as long as the entry: a delayed write does not revoke
+// it. A server that restarts reuses its entry under a higher incarnation; a
+// delayed write of an earlier incarnation changes nothing.
 //
 // # Usage
 //
 //	var rg registry.Registry
-//	rg.Replace(now, servers)        // a whole listing
+//	rg.Replace(now, servers)        // a complete listing
 //	rg.Set(server)                  // one entry
-//	rg.Remove(now, key)             // one entry lapsed or was withdrawn
-//	rg.SetOutageEnd(until)            // the store answered no VM until then
+//	rg.Remove(now, key)             // one entry expired or was withdrawn
+//	rg.SetOutageEnd(until)          // no VM could reach the store until then
 //	list, changed := rg.Servers(now)
 //
 // A Registry does no I/O and is not safe for concurrent use. The zero value
@@ -30,32 +30,32 @@
 	"alderdyke/pkg/clock"
 )
 
-// DefaultRenewalGrace is how long after the store's return a live server has
-// renewed its entry: two seconds by the platform's word, and a tenth more for
-// the way.
+// DefaultRenewalGrace is the time within which a live server renews its entry
+// after the end of an outage: the platform guarantees two seconds, and a tenth
+// of that is added for the transmission.
 const DefaultRenewalGrace = 2200 * clock.Millis(1)
 
-// maxRenewalDelay bounds how long after its entry expired a live server next renews it:
-// a heartbeat, and the way.
+// maxRenewalDelay bounds the time from the expiry of an entry to the next renewal
+// by a live server: one heartbeat interval plus the transmission.
 const maxRenewalDelay = 1250 * clock.Millis(1)
 
 type (
-	// Registry is the backend servers as this VM believes them.
+	// Registry holds the backend servers that this VM considers registered.
 	Registry struct {
-		RenewalGrace clock.Millis // zero: DefaultRenewalGrace
+		RenewalGrace clock.Millis // zero means DefaultRenewalGrace
 
 		servers   map[string]entry // by BackendServer.Key
-		outageEnd clock.Millis     // end of the last outage of the store; zero: none is known
+		outageEnd clock.Millis     // end of the last outage of the store; zero if none is known
 		changed   bool
 	}
 
 	entry struct {
 		server    board.BackendServer
-		expiredAt clock.Millis // when its entry went, in a grace period; zero: it stands
+		expiredAt clock.Millis // when its entry expired within a grace period; zero if it has not expired
 	}
 )
 
-// Set takes one entry.
+// Set adds or updates one entry.
 func (rg *Registry) Set(bs board.BackendServer) {
 	if rg.servers == nil {
 		rg.servers = make(map[string]entry)
@@ -67,26 +67,27 @@
 	rg.changed = true
 }
 
-// IsRedundant tells whether an entry says nothing new, as one that was only renewed
-// or one of an earlier life of its server.
+// IsRedundant reports whether an entry holds nothing new: it is a mere renewal, or
+// it belongs to an earlier incarnation of its server.
 func (rg *Registry) IsRedundant(bs board.BackendServer) bool {
 	en, ok := rg.servers[bs.Key()]
 	return ok && (en.server == rg.withLeavingKept(bs) && en.expiredAt == 0 || bs.Incarnation < en.server.Incarnation)
 }
 
-// RevokesLeaving tells whether an entry says no more that its server leaves, in the same
-// life of it. No server does that: it was written before, and done late.
+// RevokesLeaving reports whether an entry lacks Leaving although an earlier entry of
+// the same incarnation had it. Servers never revoke it, so such an entry was written
+// earlier and took effect late.
 func (rg *Registry) RevokesLeaving(bs board.BackendServer) bool { return rg.withLeavingKept(bs) != bs }
 
-// withLeavingKept is an entry with the word that its server leaves, if that was said in
-// the same life of the server.
+// withLeavingKept returns the entry with Leaving set if an earlier entry of the same
+// incarnation had it set.
 func (rg *Registry) withLeavingKept(bs board.BackendServer) board.BackendServer {
 	was := rg.servers[bs.Key()].server
 	bs.Leaving = bs.Leaving || was.Leaving && was.Incarnation == bs.Incarnation
 	return bs
 }
 
-// Contains tells whether there is a server with the key.
+// Contains reports whether there is a server with the key.
 func (rg *Registry) Contains(key string) bool {
 	_, ok := rg.servers[key]
 	return ok
@@ -98,8 +99,8 @@
 	return en.server, ok
 }
 
-// Remove takes the end of one entry, and tells whether its server is kept since
-// the store was away lately.
+// Remove processes the expiry or withdrawal of one entry. It reports whether the
+// server is kept because the store recently had an outage.
 func (rg *Registry) Remove(now clock.Millis, key string) (kept bool) {
 	en, ok := rg.servers[key]
 	if !ok {
@@ -117,8 +118,8 @@
 	return false
 }
 
-// Replace takes a whole listing: who is not in it has no entry. It returns the
-// keys of the servers that are kept all the same.
+// Replace processes a complete listing: servers that are not in it have no entry.
+// It returns the keys of those that are kept nevertheless.
 func (rg *Registry) Replace(now clock.Millis, list []board.BackendServer) (kept []string) {
 	listed := make(map[string]bool, len(list))
 	for _, bs := range list {
@@ -133,12 +134,12 @@
 	return kept
 }
 
-// SetOutageEnd notes until when the store was last away for all VMs; zero: it was not, as
-// far as is known now.
+// SetOutageEnd sets the time until which the store was last unavailable to all VMs;
+// zero means that no outage is known.
 func (rg *Registry) SetOutageEnd(until clock.Millis) { rg.outageEnd = until }
 
-// Servers lists the servers by ID, and tells whether the list has changed
-// since it was asked for last.
+// Servers returns the servers sorted by ID and reports whether the list has changed
+// since the last call.
 func (rg *Registry) Servers(now clock.Millis) (list []board.BackendServer, changed bool) {
 	rg.evictExpired(now)
 	changed, rg.changed = rg.changed, false
@@ -149,7 +150,7 @@
 	return list, changed
 }
 
-// evictExpired drops the servers that may not renew their entries any more.
+// evictExpired removes the servers that can no longer renew their expired entries.
 func (rg *Registry) evictExpired(now clock.Millis) {
 	for key, en := range rg.servers {
 		if en.expiredAt > 0 && !rg.mayRenew(now, en) {
@@ -159,15 +160,15 @@
 	}
 }
 
-// mayRenew tells whether a server may still renew an entry that expired. One that
-// expired in the grace period may have met a further outage, too short for any VM to
-// see, and tries again a heartbeat later.
+// mayRenew reports whether a server may still renew its expired entry. If the entry
+// expired within the grace period, its renewal may have failed in a further outage
+// that was too short for any VM to notice; the server retries one heartbeat later.
 func (rg *Registry) mayRenew(now clock.Millis, en entry) bool {
 	return rg.inGracePeriod(now) || rg.inGracePeriod(en.expiredAt) && now-en.expiredAt < maxRenewalDelay
 }
 
-// inGracePeriod tells whether the store was away so lately that entries that expired
-// during the outage may still be renewed.
+// inGracePeriod reports whether an outage of the store ended so recently that entries
+// that expired during it may still be renewed.
 func (rg *Registry) inGracePeriod(now clock.Millis) bool {
 	span := rg.RenewalGrace
 	if span == 0 {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -28,7 +28,7 @@
 	list, moved := rg.Servers(0)
 	assert.DeepEqual(t, ids(list), []string{"a", "b"})
 	assert.Assert(t, moved)
-	rg.Set(server("a")) // nothing new
+	rg.Set(server("a")) // a renewal, which changes nothing
 	_, moved = rg.Servers(0)
 	assert.Assert(t, !moved)
 	leaving := server("a")
@@ -41,7 +41,7 @@
 	assert.DeepEqual(t, ids(list), []string{"b"})
 }
 
-// An entry that lapsed while the store was away is kept until its server has
+// An entry that expired during an outage of the store is kept until its server has
 // had time to renew it.
 func TestEntryExpiredInOutageIsKept(t *testing.T) {
 	const outageEnd = 10 * clock.Second
@@ -52,9 +52,9 @@
 		want           []string
 		wantAfterGrace []string
 	}{
-		{"gone for good", outageEnd + 500, false, []string{"a", "b"}, []string{"b"}},
+		{"never renewed", outageEnd + 500, false, []string{"a", "b"}, []string{"b"}},
 		{"renewed", outageEnd + 500, true, []string{"a", "b"}, []string{"a", "b"}},
-		{"long after", outageEnd + registry.DefaultRenewalGrace, false, []string{"b"}, []string{"b"}},
+		{"after the grace period", outageEnd + registry.DefaultRenewalGrace, false, []string{"b"}, []string{"b"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var rg registry.Registry
@@ -73,8 +73,8 @@
 	}
 }
 
-// A renewal that is done late does not make a server that leaves ready again; a
-// further life of it is ready.
+// A renewal that takes effect late does not make a leaving server ready again; its
+// next incarnation is ready.
 func TestLateRenewalDoesNotRevokeLeaving(t *testing.T) {
 	life := func(incarnation uint64, leaving bool) board.BackendServer {
 		return board.BackendServer{ID: fmt.Sprintf("a.%d", incarnation), Name: "a", Incarnation: incarnation, Leaving: leaving}
@@ -93,8 +93,8 @@
 	assert.Assert(t, !list[0].Leaving)
 }
 
-// A server that starts again goes on under its entry. What is written late of
-// its earlier life is no news, and its end ends the server whatever its life.
+// A server that restarts reuses its entry. Delayed writes of an earlier incarnation
+// are redundant, and removing the entry removes the server whatever its incarnation.
 func TestServerRestart(t *testing.T) {
 	life := func(incarnation uint64) board.BackendServer {
 		return board.BackendServer{ID: fmt.Sprintf("a.%d", incarnation), Name: "a", Incarnation: incarnation, Address: "a:1"}
@@ -119,8 +119,9 @@
 	assert.Assert(t, !rg.Contains("a"))
 }
 
-// An entry that expires late in the grace period may have met a further outage that
-// no VM saw, and has one heartbeat more. A refuted outage leaves it none.
+// The renewal of an entry that expires late in the grace period may have failed in a
+// further outage that no VM noticed, so its server gets one more heartbeat interval.
+// If the outage turns out not to have happened, it gets none.
 func TestEntryThatExpiresInTheGracePeriodMayBeRenewed(t *testing.T) {
 	const outageEnd = 10 * clock.Second
 	expired := outageEnd + registry.DefaultRenewalGrace - 100
@@ -130,16 +131,16 @@
 		refuted bool
 		want    []string
 	}{
-		{"the grace period is over", outageEnd + registry.DefaultRenewalGrace, false, []string{"a"}},
-		{"a heartbeat is over", expired + 1250, false, []string{}},
-		{"there was no outage", expired + 100, true, []string{}},
+		{"grace period over", outageEnd + registry.DefaultRenewalGrace, false, []string{"a"}},
+		{"heartbeat interval over", expired + 1250, false, []string{}},
+		{"no outage after all", expired + 100, true, []string{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var rg registry.Registry
 			rg.Set(server("a"))
 			rg.SetOutageEnd(outageEnd)
 			assert.Assert(t, rg.Remove(expired, "a"))
-			rg.Remove(expired+50, "a") // told twice
+			rg.Remove(expired+50, "a") // the same expiry reported twice
 			if tc.refuted {
 				rg.SetOutageEnd(0)
 			}
