--- a/internal/route/customer.go
+++ b/internal/route/customer.go
@@ -2,8 +2,8 @@
 
 import "alderdyke/internal/apikey"
 
-// WithCustomers is the table with customers, whose keys callers then need. A key
-// that two customers have is nobody's.
+// WithCustomers returns a copy of the table with the given customers, after which
+// callers need a customer's key. A key that two customers share belongs to neither.
 func (tb *Table) WithCustomers(list []Customer) *Table {
 	out := *tb
 	out.hasLimits = false
@@ -25,13 +25,13 @@
 	return &out
 }
 
-// RequiresKey tells whether callers need a customer's key.
+// RequiresKey reports whether callers need a customer's key.
 func (tb *Table) RequiresKey() bool { return tb != nil && tb.requiresKey }
 
-// HasLimits tells whether any customer has a limit.
+// HasLimits reports whether any customer has a limit.
 func (tb *Table) HasLimits() bool { return tb != nil && tb.hasLimits }
 
-// Customer finds a customer by its name.
+// Customer returns the customer with the name.
 func (tb *Table) Customer(name string) (Customer, bool) {
 	if tb == nil {
 		return Customer{}, false
@@ -40,7 +40,7 @@
 	return cu, ok
 }
 
-// CustomerByKeyHash finds the customer whose key has the hash.
+// CustomerByKeyHash returns the customer that owns the key with the hash.
 func (tb *Table) CustomerByKeyHash(hash string) (Customer, bool) {
 	if tb == nil {
 		return Customer{}, false
@@ -49,8 +49,8 @@
 	return cu, apikey.ContainsHash(hash, cu.KeyHashes)
 }
 
-// Cost is what a request counts towards the limit. It names so many tokens; zero:
-// it names none.
+// Cost returns the amount that a request counts towards the limit. The parameter is
+// the number of tokens that the request states; zero if it states none.
 func (cu Customer) Cost(tokens int) float64 {
 	switch {
 	case cu.CountRequests:
--- a/internal/route/customer_test.go
+++ b/internal/route/customer_test.go
@@ -35,8 +35,8 @@
 	_, ok = tb.Customer("none")
 	assert.Assert(t, ok && tb.RequiresKey() && !tb.HasLimits())
 	assert.Assert(t, tableWithCustomers(t, route.Customer{Limit: quota.Limit{Rate: 1}}, route.Customer{}).HasLimits())
-	// A table of nobody asks for keys that nobody has; one that names no customers
-	// asks for none.
+	// A table with an empty list of customers requires keys that nobody has; a table
+	// without customers requires none.
 	assert.Assert(t, tableWithCustomers(t).RequiresKey())
 	assert.Assert(t, !(*route.Table)(nil).RequiresKey())
 	_, ok = (*route.Table)(nil).CustomerByKeyHash(apikey.HashKey("k1"))
@@ -47,7 +47,7 @@
 	tokens := route.Customer{DefaultTokens: 200}
 	assert.Equal(t, tokens.Cost(7000), 7000.0)
 	assert.Equal(t, tokens.Cost(0), 200.0)
-	assert.Equal(t, tokens.Cost(-7000), 200.0, "nobody earns tokens by a request")
+	assert.Equal(t, tokens.Cost(-7000), 200.0, "a request must not add tokens to the quota")
 	assert.Equal(t, route.Customer{DefaultTokens: -5}.Cost(0), 0.0)
 	assert.Equal(t, route.Customer{CountRequests: true, DefaultTokens: 200}.Cost(7000), 1.0)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,9 +1,9 @@
-// Package route holds the configuration of a fleet whose callers are told
-// apart by host and path: which service serves a request, how often it may
+// Package route holds the configuration that maps the requests of a fleet, by
+// host and path, to services: which service handles a request, how often it may
 // run and how long it may take.
 //
-// A [Table] is one version of it, whole and immutable. It is replaced, never
-// changed, and a newer one replaces only an older one.
+// A [Table] is one complete, immutable version of the configuration. It is
+// replaced rather than modified, and only by a newer version.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 //		svc := rt.PickService(rand.Float64())
 //	}
 //
-// The nil Table knows no configuration.
+// The nil Table has no configuration.
 package route
 
 import (
@@ -25,73 +25,73 @@
 	"alderdyke/pkg/clock"
 )
 
-// How often a request of a route may run.
+// The kinds of routes, by how often a request may run.
 const (
 	Idempotent Kind = "Idempotent" // any number of times
-	Once       Kind = "Once"       // once at most
-	Stream     Kind = "Stream"     // once at most; the answer is a stream of events
+	Once       Kind = "Once"       // at most once
+	Stream     Kind = "Stream"     // at most once; the response is a stream of events
 )
 
 type (
-	// Kind of a route.
+	// Kind states how often a request of a route may run.
 	Kind string
 
-	// Share is the part of a route's requests that a service gets.
+	// Share is a service's share of the requests of a route.
 	Share struct {
 		Service string
 		Weight  int
 	}
 
-	// Route is one host and path prefix.
+	// Route matches the requests to one host whose path has the prefix.
 	Route struct {
 		Name        string
 		Host        string
 		Prefix      string // begins and ends with a slash
 		Kind        Kind
 		Shares      []Share      // at least one; weights are positive
-		Timeout     clock.Millis // longest time to the end of the answer
-		Objective   clock.Millis // time to the answer, or to a stream's first event
+		Timeout     clock.Millis // longest time until the end of the response
+		Objective   clock.Millis // target time until the response, or until a stream's first event
 		MaxEventGap clock.Millis // longest time between two events of a stream
-		MaxAttempts int          // most backend servers that may run one request
-		Resumable   bool         // a stream may go on at another backend server
-		Public      bool         // it needs no customer's key
-		Priority    int          // the lowest goes first
+		MaxAttempts int          // maximum number of backend servers that may run one request
+		Resumable   bool         // a stream may be resumed on another backend server
+		Public      bool         // no customer's key is needed
+		Priority    int          // the lowest value goes first
 	}
 
-	// Engines is what the model engines of a service have in common.
+	// Engines holds the properties that the model engines of a service share.
 	Engines struct {
-		MemoryTokens   int          // tokens that one engine holds
-		TokensPerEvent int          // tokens that one event of a stream holds
-		MaxReservation clock.Millis // longest life of a reservation
-		PromptTTL      clock.Millis // life of a computed prompt that nobody fetched
-		RoleChangeTime clock.Millis // time that a change of role takes
+		MemoryTokens   int          // tokens that fit into the memory of one engine
+		TokensPerEvent int          // tokens in one event of a stream
+		MaxReservation clock.Millis // longest lifetime of a reservation
+		PromptTTL      clock.Millis // lifetime of a computed prompt that nobody fetched
+		RoleChangeTime clock.Millis // duration of a change of role
 		Migration      bool         // a run can be moved to another engine
-		Backup         bool         // a run can be copied while it goes on
+		Backup         bool         // a run can be copied while it is in progress
 	}
 
-	// Service is a set of backend servers that serve the same.
+	// Service is a set of backend servers that handle the same requests.
 	Service struct {
 		Name    string
-		Engines *Engines // nil: a plain service
+		Engines *Engines // nil for a plain service
 	}
 
-	// Customer is who may call.
+	// Customer is a customer whose callers may send requests.
 	Customer struct {
 		Name      string
 		KeyHashes []string // hex SHA-256 of its API keys
-		Priority  int      // goes before that of a route; below zero: it has none
+		Priority  int      // overrides that of the route; below zero means none
 		Limit     quota.Limit
-		// CountRequests tells that each request counts as one towards the limit;
-		// else its tokens count, and one that names none counts as DefaultTokens.
+		// CountRequests makes each request count as one towards the limit;
+		// otherwise its tokens count, or DefaultTokens if it states none.
 		CountRequests bool
 		DefaultTokens int
 	}
 
 	// Limits bound what a caller may send and how long its connection may
-	// rest. The zero value of a field sets no bound.
+	// stay idle. A zero field sets no bound.
 	Limits struct {
 		MaxBodyBytes int          // bytes of a request's body
-		MaxIdle      clock.Millis // of a connection between two requests
+		MaxIdle      clock.Millis // time between two requests on one connection
 	}
 
 	// Table is one version of the configuration.
@@ -102,22 +102,22 @@
 		services map[string]Service
 
 		requiresKey    bool // callers need a customer's key
-		hasLimits      bool // some customer has a limit
+		hasLimits      bool // at least one customer has a limit
 		customers      map[string]Customer
 		customerByHash map[string]string // names of customers, by the hashes of their keys
 	}
 
-	// Error tells what of a configuration can't be used.
+	// Error reports which part of a configuration can't be used.
 	Error struct {
-		Place  string // such as Route "r-1"
+		Place  string // for example: Route "r-1"
 		Detail string
 	}
 )
 
-// Error names the place.
+// Error returns a message with the place and the detail.
 func (er *Error) Error() string { return fmt.Sprintf("configuration: %s: %s", er.Place, er.Detail) }
 
-// New makes a table. Errors unwrap to *Error.
+// New creates a table and checks its routes. Errors unwrap to *Error.
 func New(version uint64, routes []Route, services []Service) (*Table, error) {
 	tb := &Table{version: version, hosts: make(map[string][]Route), services: make(map[string]Service)}
 	for _, svc := range services {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// Version of the table; zero of the nil Table.
+// Version returns the version of the table; zero for the nil Table.
 func (tb *Table) Version() uint64 {
 	if tb == nil {
 		return 0
@@ -162,14 +162,14 @@
 	return tb.version
 }
 
-// WithLimits is the table with other limits.
+// WithLimits returns a copy of the table with other limits.
 func (tb *Table) WithLimits(lim Limits) *Table {
 	out := *tb
 	out.limits = lim
 	return &out
 }
 
-// Limits of callers; those of the nil Table bound nothing.
+// Limits returns the limits for callers; those of the nil Table set no bounds.
 func (tb *Table) Limits() Limits {
 	if tb == nil {
 		return Limits{}
@@ -177,7 +177,7 @@
 	return tb.limits
 }
 
-// Match finds the route with the longest prefix of the path.
+// Match returns the route of the host with the longest prefix of the path.
 func (tb *Table) Match(host, path string) (Route, bool) {
 	if tb == nil {
 		return Route{}, false
@@ -190,7 +190,8 @@
 	return Route{}, false
 }
 
-// Service finds a service by its name. One that no table describes is plain.
+// Service returns the service with the name. A service that is not in the table is
+// plain.
 func (tb *Table) Service(name string) Service {
 	if tb == nil {
 		return Service{Name: name}
@@ -201,7 +202,7 @@
 	return Service{Name: name}
 }
 
-// EngineServices lists the services that have model engines.
+// EngineServices returns the services that have model engines.
 func (tb *Table) EngineServices() []Service {
 	var out []Service
 	if tb == nil {
@@ -215,7 +216,8 @@
 	return out
 }
 
-// PickService draws the service of one request; the point lies in [0, 1).
+// PickService selects the service of one request in proportion to the weights of
+// the shares; point is a random number in [0, 1).
 func (rt Route) PickService(point float64) string {
 	total := 0
 	for _, sh := range rt.Shares {
@@ -230,12 +232,12 @@
 	return rt.Shares[len(rt.Shares)-1].Service
 }
 
-// CallerPatience is how long callers of a stream wait for an event before they
-// leave: two seconds, four times the objective or eight times the longest
-// pause, whichever is most. It is the users' callers' own rule.
+// CallerPatience returns how long the callers of a stream wait for an event before
+// they disconnect: two seconds, four times the objective or eight times the longest
+// event gap, whichever is greatest. This is the rule that the callers themselves apply.
 func (rt Route) CallerPatience() clock.Millis {
 	return max(2*clock.Second, 4*rt.Objective, 8*rt.MaxEventGap)
 }
 
-// IsRepeatable tells whether a request that may have run may be sent again.
+// IsRepeatable reports whether a request that may have run may be sent again.
 func (rt Route) IsRepeatable() bool { return rt.Kind == Idempotent }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -64,11 +64,11 @@
 		name string
 		rt   route.Route
 	}{
-		{"no slash before", route.Route{Prefix: "x/", Kind: route.Once, Shares: shares("s")}},
-		{"no slash behind", route.Route{Prefix: "/x", Kind: route.Once, Shares: shares("s")}},
+		{"prefix without leading slash", route.Route{Prefix: "x/", Kind: route.Once, Shares: shares("s")}},
+		{"prefix without trailing slash", route.Route{Prefix: "/x", Kind: route.Once, Shares: shares("s")}},
 		{"no service", route.Route{Prefix: "/", Kind: route.Once}},
 		{"no kind", route.Route{Prefix: "/", Shares: shares("s")}},
-		{"no weight", route.Route{Prefix: "/", Kind: route.Once, Shares: []route.Share{{Service: "s"}}}},
+		{"zero weight", route.Route{Prefix: "/", Kind: route.Once, Shares: []route.Share{{Service: "s"}}}},
 	} {
 		_, err := route.New(3, []route.Route{tc.rt}, nil)
 		var re *route.Error
