--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,10 +1,10 @@
-// Package service speaks to the servers of plain services over HTTP.
+// Package service is the HTTP client for the servers of plain services.
 //
-// A call is sent once and its whole answer, of any status, is returned. The
+// A call is sent once and its whole response, of any status, is returned. The
 // outcomes are those of package backend: done, [NotSentError],
 // [DeclinedError] or [InDoubtError]. A server declines a call by a status of
-// 400 or more with the header [backend.DeclinedHeader]; every other answer is
-// the service's own and is passed on.
+// 400 or more with the header [backend.DeclinedHeader]; every other response is
+// the service's own and is returned to the caller.
 //
 // # Usage
 //
@@ -32,51 +32,51 @@
 	"alderdyke/pkg/clock"
 )
 
-// DefaultMaxAnswer bounds an answer where Client.MaxAnswer is zero.
+// DefaultMaxAnswer bounds a response, in bytes, where Client.MaxAnswer is zero.
 const DefaultMaxAnswer = 1 << 20
 
 const (
 	// LoadPath is where a server reports its load.
 	LoadPath = "/load"
-	// KeyHeader carries the key of the request.
+	// KeyHeader carries the idempotency key of the request.
 	KeyHeader = "Idempotency-Key"
 
 	maxLoadBytes = 64 << 10
 )
 
-// hopByHopHeaders lists the headers that end at each connection.
+// hopByHopHeaders are the headers that apply to a single connection only.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// routerHeaders lists the headers that are the router's to set, so that a caller's are
-// dropped.
+// routerHeaders are the headers that only the router may set, so that the values
+// of a caller are dropped.
 var routerHeaders = map[string]bool{
 	KeyHeader: true, "Authorization": true, "Content-Length": true, "Host": true,
 	"Accept-Encoding": true, "Expect": true,
 }
 
 type (
-	// NotSentError tells that no byte of the call left this VM.
+	// NotSentError means that no byte of the call left this VM.
 	NotSentError = backend.NotSentError
-	// DeclinedError tells that the server said that it did not begin.
+	// DeclinedError means that the server stated that it did not start the call.
 	DeclinedError = backend.DeclinedError
-	// InDoubtError tells that the call may have run.
+	// InDoubtError means that the call may have run.
 	InDoubtError = backend.InDoubtError
 
-	// Client speaks to all servers of plain services. Set the fields before
-	// the first call; its methods may be called at the same time.
+	// Client calls the servers of all plain services. Set the fields before
+	// the first call; its methods are safe for concurrent use.
 	Client struct {
-		HTTP      *http.Client // made by backend.NewHTTP; nil makes one
+		HTTP      *http.Client // created by backend.NewHTTP; nil creates one
 		Self      board.VMRef
 		Token     string // bearer token; empty sends none
-		MaxAnswer int64  // bytes; zero is DefaultMaxAnswer
+		MaxAnswer int64  // bytes of one response; zero means DefaultMaxAnswer
 		Scope     tally.Scope
 		Log       event.Logger
-		Clock     clock.Source // nil is the boot clock
-		// Incarnations takes note of the servers'; nil does not.
+		Clock     clock.Source // nil means the boot clock
+		// Incarnations records the servers' incarnations; nil records none.
 		Incarnations *backend.Incarnations
 
 		defaultHTTP backend.HTTP
@@ -88,29 +88,29 @@
 		Path       string // path and query, as the caller sent them
 		Header     http.Header
 		Body       []byte
-		Key        string // of the request; empty sends none
-		Idempotent bool   // may use a kept connection
+		Key        string // idempotency key; empty sends none
+		Idempotent bool   // may reuse an idle connection
 	}
 
-	// Response is the whole answer of a server.
+	// Response is the whole response of a server.
 	Response struct {
 		Status int
 		Header http.Header
 		Body   []byte
 	}
 
-	// LoadDoc is what a server reports of itself. It lags.
+	// LoadDoc is the load that a server reports. It may be out of date by Age.
 	LoadDoc struct {
 		Running int
 		Slots   int
 		Queued  int
 		Leaving bool
-		Age     clock.Millis // how long ago this was true
+		Age     clock.Millis // time since this load was measured
 	}
 )
 
-// Call sends the request once and returns the whole answer. The context
-// bounds the call to the end of the answer.
+// Call sends the request once and returns the whole response. The context bounds the
+// call until the end of the response.
 func (sc *Client) Call(ctx context.Context, srv board.BackendServer, rq Request) (Response, error) {
 	rsp, err := sc.exchange(ctx, srv, rq)
 	sc.countCall(srv, "Call", err)
@@ -120,7 +120,7 @@
 	return rsp, nil
 }
 
-// Load returns the server's last report of itself.
+// Load returns the load that the server last reported.
 func (sc *Client) Load(ctx context.Context, srv board.BackendServer) (board.LoadReport, error) {
 	doc, err := sc.load(ctx, srv)
 	sc.countCall(srv, "Load", err)
@@ -133,7 +133,7 @@
 	}, nil
 }
 
-// Ping asks the server whether it is there, on a connection of its own.
+// Ping checks on a fresh connection whether the server responds.
 func (sc *Client) Ping(ctx context.Context, srv board.BackendServer) error {
 	_, err := sc.exchangeBounded(ctx, srv, Request{Method: http.MethodGet, Path: LoadPath}, maxLoadBytes)
 	sc.countCall(srv, "Ping", err)
@@ -181,7 +181,7 @@
 		return Response{}, InDoubtError{Server: srv.ID, Call: "Call", Status: rsp.StatusCode, Err: err}
 	}
 	hd := endToEnd(rsp.Header)
-	hd.Del(backend.ServerIncarnationHeader) // meant for this VM
+	hd.Del(backend.ServerIncarnationHeader) // intended for this VM, not for the caller
 	return Response{Status: rsp.StatusCode, Header: hd, Body: body}, nil
 }
 
@@ -192,7 +192,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, rq.Method, dest, bytes.NewReader(rq.Body))
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", backend.ErrBadCall)
+		return nil, fmt.Errorf("create the request: %w", backend.ErrBadCall)
 	}
 	for name, values := range endToEnd(rq.Header) {
 		if !routerHeaders[name] {
@@ -210,11 +210,11 @@
 	return req, nil
 }
 
-// destination joins an address and a caller's path. The path can name no
-// other host, and no fragment, which would not be sent.
+// destination joins an address and a caller's path. The path must not name another
+// host, nor contain a fragment, which would not be sent.
 func destination(address, path string) (string, error) {
 	if !strings.HasPrefix(path, "/") || strings.Contains(path, "#") {
-		return "", fmt.Errorf("path is not one of a request: %w", backend.ErrBadCall)
+		return "", fmt.Errorf("path does not begin with a slash or contains a fragment: %w", backend.ErrBadCall)
 	}
 	dest := "http://" + address + path
 	if pu, err := url.Parse(dest); err != nil || pu.Host != address || pu.User != nil {
@@ -223,7 +223,7 @@
 	return dest, nil
 }
 
-// endToEnd copies the headers that do not end at one connection, by their
+// endToEnd returns a copy of the headers without the hop-by-hop ones, under their
 // canonical names.
 func endToEnd(hd http.Header) http.Header {
 	out := http.Header{}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -44,7 +44,7 @@
 		},
 	})
 	assert.NilError(t, err)
-	assert.Equal(t, rsp.Status, http.StatusTeapot) // the service's own answer
+	assert.Equal(t, rsp.Status, http.StatusTeapot) // the service's own status is returned
 	assert.Equal(t, rsp.Header.Get("X-Kept"), "body")
 	assert.Equal(t, rsp.Header.Get("X-Hop"), "")
 	assert.Equal(t, rsp.Header.Get(backend.ServerIncarnationHeader), "")
@@ -83,8 +83,8 @@
 	assert.Equal(t, count, int64(2))
 }
 
-// Only idempotent calls share a connection, on which a call could be left in
-// doubt.
+// Only idempotent calls may reuse a connection, because a call on a connection that
+// the server is closing can be left in doubt.
 func TestOnlyIdempotentCallsReuseConnections(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		ports := map[string]bool{}
