--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,24 +1,26 @@
-// Package signals listens for the operating system's signals from a program's
-// first line to its end.
+// Package signals handles the operating system's signals from the start of a
+// program to its end.
 //
-// A signal that a program does not listen for ends it at once, with all that is
-// open in it. So a program listens for all that it may be sent before it does
-// anything else, and never ends to: the first order to stop begins a planned
-// stop, further ones change nothing, and no other signal ends it. SIGQUIT and
-// SIGKILL still do, for those who want no planned stop.
+// A signal that a program does not handle terminates it immediately, together
+// with all of its open work. Therefore a program handles every signal that it may
+// receive before it does anything else, and never stops doing so: the first
+// request to stop starts a graceful shutdown, further ones change nothing, and no
+// other signal terminates the program. SIGQUIT and SIGKILL still do, for operators
+// who do not want a graceful shutdown.
 //
-// Packages take milliseconds to initialize, and on a small VM hundreds of them.
-// So this one, which depends on little and is initialized among the first, listens
-// from then on, and [Listen] takes over what came. What comes while the operating
-// system still loads the program ends it: no instruction of it has run.
+// Initializing the packages takes milliseconds, and hundreds of them on a small
+// VM. Therefore this package, which has few dependencies and is initialized among
+// the first, handles signals from then on, and [Listen] takes over those that
+// arrived before it. A signal that arrives while the operating system is still
+// loading the program terminates it, because none of its instructions has run.
 //
 // # Usage
 //
 //	func main() {
 //		sg := signals.Listen()
-//		err := run(sg.Context()) // until it is told to stop
+//		err := run(sg.Context()) // until a request to stop
 //		...
-//		os.Exit(code)            // there is nothing to undo
+//		os.Exit(code)            // no cleanup is needed
 //	}
 package signals
 
@@ -31,21 +33,22 @@
 )
 
 var (
-	// earlySignals holds what came before Listen: an order to stop, and a word that
-	// the settings may have changed. SIGINT is not among them: a person who
-	// ends a test at a terminal sends it to programs that never listen.
+	// earlySignals holds the signals that arrived before Listen: a request to stop
+	// and a notice that the settings may have changed. SIGINT is not among them,
+	// because a person who interrupts a test at a terminal sends it to programs
+	// that never call Listen.
 	earlySignals = struct{ stop, reload chan os.Signal }{
 		stop: notifyChannel(syscall.SIGTERM), reload: notifyChannel(syscall.SIGHUP)}
 	forwardEarly sync.Once
 )
 
-// Signals is what the program was sent so far. Make it with [Listen].
+// Signals holds the signals that the program has received. Create it with [Listen].
 type Signals struct {
 	ctx    context.Context
 	reload chan os.Signal
 }
 
-// Listen begins to listen, for good.
+// Listen starts to handle signals until the program ends.
 func Listen() *Signals {
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := notifyChannel(syscall.SIGTERM, os.Interrupt)
@@ -54,8 +57,8 @@
 		forward(earlySignals.stop, stop)
 		forward(earlySignals.reload, sg.reload)
 	})
-	// SIGPIPE is raised when who reads the log is gone, and the others are sent
-	// to programs that keep their log in files. Nobody reads them here.
+	// SIGPIPE is raised when the reader of the log has exited. SIGUSR1 and SIGUSR2
+	// are sent to programs that keep their log in files. All three are ignored here.
 	notifyChannel(syscall.SIGPIPE, syscall.SIGUSR1, syscall.SIGUSR2)
 	go func() {
 		<-stop
@@ -64,32 +67,34 @@
 	return sg
 }
 
-// notifyChannel is a channel that holds a word when one of the signals came.
+// notifyChannel returns a channel that holds the first of the signals that arrives;
+// further signals are dropped until it has been received.
 func notifyChannel(sigs ...os.Signal) chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, sigs...)
 	return ch
 }
 
-// forward ends listening by one channel, and puts a word that it holds into another
-// one, which listens already.
+// forward stops notifications on one channel and passes a signal that it holds to
+// another channel, which already receives notifications.
 func forward(from, to chan os.Signal) {
 	signal.Stop(from)
 	select {
 	case sig := <-from:
 		select {
 		case to <- sig:
-		default: // it holds a word, and words that nobody took yet are one
+		default: // it already holds a signal, and pending signals are merged into one
 		}
 	default:
 	}
 }
 
-// Context ends with the first order to stop: SIGTERM or SIGINT.
+// Context returns a context that ends with the first request to stop: SIGTERM or SIGINT.
 func (sg *Signals) Context() context.Context { return sg.ctx }
 
-// TerminalContext ends with the first order to stop, or when the terminal is gone: SIGHUP.
-// It is for programs that a person runs, and that hold no answers of others.
+// TerminalContext returns a context that ends with the first request to stop or when
+// the terminal closes: SIGHUP. It is for programs that a person runs and that have no
+// responses to other programs in progress.
 func (sg *Signals) TerminalContext() context.Context {
 	ctx, cancel := context.WithCancel(sg.ctx)
 	go func() {
@@ -102,6 +107,6 @@
 	return ctx
 }
 
-// Reload holds a word when the settings may have changed: SIGHUP. Words that
-// nobody took yet are one.
+// Reload returns a channel that holds a signal when the settings may have changed:
+// SIGHUP. Pending signals are merged into one.
 func (sg *Signals) Reload() <-chan os.Signal { return sg.reload }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -27,26 +27,27 @@
 	}
 }
 
-// The order of signals is that of a life: none ends the process, the first order to
-// stop ends the contexts, and a change of settings is told before and after it.
+// The signals are sent in the order in which a process receives them in its lifetime.
+// None terminates the process, the first request to stop ends the contexts, and a
+// change of settings is reported both before and after that request.
 func TestSignals(t *testing.T) {
 	sg := signals.Listen()
 	for _, sig := range []syscall.Signal{syscall.SIGPIPE, syscall.SIGUSR1, syscall.SIGUSR2} {
 		send(t, sig)
 	}
 	assert.Assert(t, !ended(sg.Context().Done()))
-	for _, after := range []string{"before an order to stop", "behind it"} {
+	for _, after := range []string{"before a request to stop", "after a request to stop"} {
 		send(t, syscall.SIGHUP)
 		select {
 		case <-sg.Reload():
 		case <-time.After(time.Minute):
-			t.Fatalf("a change of settings is not told %s", after)
+			t.Fatalf("a change of settings is not reported %s", after)
 		}
 		send(t, syscall.SIGTERM)
 		<-sg.Context().Done()
 	}
-	// A second order changes nothing. It is waited for, or it would come in the test
-	// that follows.
+	// A second request to stop changes nothing. The test waits for its arrival, because
+	// otherwise it would arrive during the next test.
 	second := make(chan os.Signal, 1)
 	signal.Notify(second, syscall.SIGINT)
 	send(t, syscall.SIGINT)
