--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,8 +1,8 @@
-// Package sockopt sets the options of sockets that the standard library has
-// no name for.
+// Package sockopt sets socket options for which the standard library has no
+// function.
 //
-// Data that was sent to a VM that lost its power is never acknowledged, and
-// without a bound the connection stays open for about 15 minutes.
+// Data sent to a VM that lost power is never acknowledged, and without a user
+// timeout the connection stays open for about 15 minutes.
 //
 // # Usage
 //
@@ -18,15 +18,15 @@
 	"alderdyke/pkg/clock"
 )
 
-// UserTimeoutControl makes the control function of a dialer or a listener that
-// bounds how long sent data may stay unacknowledged before the kernel breaks
+// UserTimeoutControl returns the control function of a dialer or a listener that
+// bounds how long sent data may stay unacknowledged before the kernel closes
 // the connection.
 func UserTimeoutControl(span clock.Millis) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, span) }
 }
 
-// SetUserTimeout does the same for a connection that stands. Connections that
-// are not of TCP are left as they are.
+// SetUserTimeout sets the same bound on an established connection. Connections
+// other than TCP are left unchanged.
 func SetUserTimeout(conn net.Conn, span clock.Millis) error {
 	tc, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -34,7 +34,7 @@
 	}
 	raw, err := tc.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("reach the socket: %w", err)
+		return fmt.Errorf("get the raw connection: %w", err)
 	}
 	return setUserTimeout(raw, span)
 }
--- a/internal/sockopt/sockopt_linux.go
+++ b/internal/sockopt/sockopt_linux.go
@@ -7,8 +7,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h, which the syscall
-// package does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h, which the syscall package
+// does not define.
 const tcpUserTimeout = 18
 
 func setUserTimeout(raw syscall.RawConn, span clock.Millis) error {
@@ -17,10 +17,10 @@
 		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(span))
 	})
 	if err != nil {
-		return fmt.Errorf("control the socket: %w", err)
+		return fmt.Errorf("access the socket: %w", err)
 	}
 	if optErr != nil {
-		return fmt.Errorf("set the user timeout: %w", optErr)
+		return fmt.Errorf("set TCP_USER_TIMEOUT: %w", optErr)
 	}
 	return nil
 }
--- a/internal/sockopt/sockopt_other.go
+++ b/internal/sockopt/sockopt_other.go
@@ -8,5 +8,5 @@
 	"alderdyke/pkg/clock"
 )
 
-// setUserTimeout does nothing where the system has no such option.
+// setUserTimeout does nothing, because the system has no such option.
 func setUserTimeout(syscall.RawConn, clock.Millis) error { return nil }
