--- a/internal/trace/losses.go
+++ b/internal/trace/losses.go
@@ -13,51 +13,52 @@
 	"alderdyke/pkg/refusal"
 )
 
-// What became of a generation, from best to worst.
+// The outcomes of a generation, from best to worst.
 const (
-	InTime       Outcome = "InTime"       // its first event came within its objective
-	LateReturned Outcome = "LateReturned" // it had been refused before, and so began late
-	LatePlace    Outcome = "LatePlace"    // late; it waited for its place most of all
-	LatePrompt   Outcome = "LatePrompt"   // late; its prompt waited most of all, or took long
-	LateBegin    Outcome = "LateBegin"    // late; the decode began late after that
+	InTime       Outcome = "InTime"       // the first event met the objective
+	LateReturned Outcome = "LateReturned" // it had been refused before and therefore started late
+	LatePlace    Outcome = "LatePlace"    // late, mainly because it waited for a place
+	LatePrompt   Outcome = "LatePrompt"   // late, mainly because its prompt waited or took long
+	LateBegin    Outcome = "LateBegin"    // late, mainly because the decode started late after the prompt
 	Refused      Outcome = "Refused"
 	RefusedAgain Outcome = "RefusedAgain" // it had been refused before
-	OverQuota    Outcome = "OverQuota"    // its customer's quota was used up, or could not be asked; plain requests count too
-	Left         Outcome = "Left"         // its caller left, or its time was over
-	Broken       Outcome = "Broken"       // its answer broke off
-	NoEnd        Outcome = "NoEnd"        // its VM stopped first, or the log does
+	OverQuota    Outcome = "OverQuota"    // its customer's quota was used up or unavailable; includes plain requests
+	Left         Outcome = "Left"         // its caller disconnected, or its deadline passed
+	Broken       Outcome = "Broken"       // its response was interrupted
+	NoEnd        Outcome = "NoEnd"        // its VM stopped, or the log ended, before its end
 )
 
-// outcomeOrder is the order in which they are listed.
+// outcomeOrder is the order in which Counts lists the outcomes.
 var outcomeOrder = []Outcome{InTime, LateReturned, LatePlace, LatePrompt, LateBegin, Refused, RefusedAgain, OverQuota, Left, Broken, NoEnd}
 
 type (
-	// Outcome is what became of a generation.
+	// Outcome is the outcome of a generation.
 	Outcome string
 
-	// Outcomes counts what became of the generations of many log files, and so
-	// tells where a load loses them. The zero value is ready.
+	// Outcomes counts the outcomes of the generations in many log files, and
+	// thereby shows where generations are lost under a load. The zero value is
+	// ready to use.
 	Outcomes struct {
-		// SkippedLines counts the lines that are no log lines of a VM.
+		// SkippedLines counts the lines that are not log lines of a VM.
 		SkippedLines int
 
 		lines map[string][]Line
 	}
 
-	// OutcomeCount is the generations of one fate.
+	// OutcomeCount counts the generations with one outcome.
 	OutcomeCount struct {
 		Outcome       Outcome
 		Count         int
-		PromptTokens  int               // of their prompts
-		CountByPeriod map[time.Time]int // how many began in each span of two seconds
+		PromptTokens  int               // sum over their prompts
+		CountByPeriod map[time.Time]int // number that started in each period of two seconds
 	}
 )
 
-// periodLength is the span of time by which losses are told: bursts last several of
-// it.
+// periodLength is the length of the periods by which generations are counted. A burst
+// of requests lasts for several periods.
 const periodLength = 2 * time.Second
 
-// Read takes the lines of one file.
+// Read reads the lines of one file.
 func (ls *Outcomes) Read(rd io.Reader) error {
 	if ls.lines == nil {
 		ls.lines = make(map[string][]Line)
@@ -73,7 +74,7 @@
 	})
 }
 
-// Counts lists the fates that occurred, from best to worst.
+// Counts lists the outcomes that occurred, from best to worst.
 func (ls *Outcomes) Counts() []OutcomeCount {
 	byFate := make(map[Outcome]*OutcomeCount)
 	for _, lines := range ls.lines {
@@ -86,7 +87,7 @@
 		case refusedOverQuota(lines):
 			ft = OverQuota
 		default:
-			continue // no generation
+			continue // not a generation
 		}
 		lo := byFate[ft]
 		if lo == nil {
@@ -108,15 +109,15 @@
 	return out
 }
 
-// refusedOverQuota tells whether a request was refused before it was to be placed, since its
-// customer's quota was used up or could not be asked.
+// refusedOverQuota reports whether a request was refused before its placement because
+// its customer's quota was used up or unavailable.
 func refusedOverQuota(lines []Line) bool {
 	end, ok := lastEvent(lines, event.RelayRefused)
 	why := fieldText(end, "Reason")
 	return ok && (why == string(refusal.ShareExceeded) || why == string(refusal.QuotaAway))
 }
 
-// outcomeOf tells what became of a generation, whose last word on a place is given.
+// outcomeOf returns the outcome of a generation, given its last line on placement.
 func outcomeOf(lines []Line, placed Line) Outcome {
 	returned := fieldText(placed, "Returning") == "true"
 	end, ended := lastEvent(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
@@ -154,13 +155,13 @@
 	}
 }
 
-// String writes a loss as a person reads it: the spans with most of it first.
+// String formats the count for people, with the periods that have the most first.
 func (lo OutcomeCount) String() string {
 	var sb strings.Builder
 	if lo.Outcome == OverQuota {
-		fmt.Fprintf(&sb, "%-13s %6d requests, plain ones among them; most at", lo.Outcome, lo.Count)
+		fmt.Fprintf(&sb, "%-13s %6d requests, including plain ones; most at", lo.Outcome, lo.Count)
 	} else {
-		fmt.Fprintf(&sb, "%-13s %6d generations, %6.0f tokens of prompt in the mean; most at", lo.Outcome, lo.Count, float64(lo.PromptTokens)/float64(max(1, lo.Count)))
+		fmt.Fprintf(&sb, "%-13s %6d generations, %6.0f prompt tokens on average; most at", lo.Outcome, lo.Count, float64(lo.PromptTokens)/float64(max(1, lo.Count)))
 	}
 	spans := slices.SortedFunc(maps.Keys(lo.CountByPeriod), func(ta, tb time.Time) int {
 		return cmp.Or(cmp.Compare(lo.CountByPeriod[tb], lo.CountByPeriod[ta]), ta.Compare(tb))
@@ -171,16 +172,16 @@
 	return sb.String()
 }
 
-// fieldDuration reads a field that tells a time; zero if the line has none.
+// fieldDuration returns the duration in a field; zero if the line has none.
 func fieldDuration(ln Line, field string) time.Duration {
 	took, err := time.ParseDuration(fieldText(ln, field))
 	if err != nil {
-		return 0 // older lines lack it, or have it in another form
+		return 0 // older versions omit the field or write it in another form
 	}
 	return took
 }
 
-// fieldInt reads a whole number; zero if the line has none.
+// fieldInt returns the integer in a field; zero if the line has none.
 func fieldInt(ln Line, field string) int {
 	val, _ := ln.Fields[field].(float64)
 	return int(val)
--- a/internal/trace/losses_test.go
+++ b/internal/trace/losses_test.go
@@ -10,8 +10,8 @@
 	"alderdyke/internal/trace"
 )
 
-// Each case is the log of one generation, of which the lines are shortened to
-// what counts.
+// Each case is the log of one generation; its lines are reduced to the fields that
+// determine the outcome.
 func TestOutcomes(t *testing.T) {
 	const (
 		placed   = `{"time":"2026-05-01T10:00:00.5Z","VM":"v","Event":2205,"Name":"RelayPlaced","Request":"r","Tokens":5000,"Returning":%t,"Waited":"%s"}`
@@ -36,7 +36,7 @@
 		{trace.RefusedAgain, []string{in(noPlace, true), in(refused, "QueueFull")}},
 		{trace.Left, []string{in(placed, false, "5ms"), gone, cut}},
 		{trace.Broken, []string{in(placed, false, "5ms"), cut}},
-		{trace.NoEnd, []string{in(placed, false, "5ms"), "another process's line"}},
+		{trace.NoEnd, []string{in(placed, false, "5ms"), "a line of another process"}},
 	} {
 		t.Run(string(tc.want), func(t *testing.T) {
 			var ls trace.Outcomes
@@ -57,6 +57,6 @@
 	var ls trace.Outcomes
 	plain := `{"time":"2026-05-01T10:00:05Z","VM":"v","Event":2200,"Name":"RelayAnswered","Request":"p"}`
 	assert.NilError(t, ls.Read(strings.NewReader(plain+"\nno line\n")))
-	assert.Equal(t, len(ls.Counts()), 0, "a plain request is no generation")
+	assert.Equal(t, len(ls.Counts()), 0, "a plain request is not a generation")
 	assert.Equal(t, ls.SkippedLines, 1)
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,9 +1,9 @@
-// Package trace tells from log files what became of one request, and why.
+// Package trace determines from log files how one request ended, and why.
 //
-// The files are what VMs wrote to their standard output, one JSON object a
-// line. Lines of other processes between them, and a line that is cut off, are
-// passed over and counted. The cause of a request that failed is the first
-// line that changed its fate.
+// The files hold what VMs wrote to their standard output, one JSON object per
+// line. Lines of other processes between them and truncated lines are skipped
+// and counted. The cause of a failed request is the first line that determined
+// its outcome.
 //
 // # Usage
 //
@@ -26,35 +26,35 @@
 	"alderdyke/internal/event"
 )
 
-// maxLineBytes bounds one line. The longest that a VM writes is about 1 KB.
+// maxLineBytes bounds one line. The longest line that a VM writes is about 1 KB.
 const maxLineBytes = 1 << 20
 
-// ErrRequestNotFound tells that no line names the request.
-var ErrRequestNotFound = errors.New("no line of these files names the request; check the ID, and whether the files of all VMs are there")
+// ErrRequestNotFound means that no line names the request.
+var ErrRequestNotFound = errors.New("no line of these files names the request; check the ID, and whether the files of all VMs are included")
 
-// errNotLogLine tells that a text is no line of a VM's log.
+// errNotLogLine means that a text is not a log line of a VM.
 var errNotLogLine = errors.New("not a log line of a VM")
 
 type (
-	// Line is one line about the request.
+	// Line is one log line about the request.
 	Line struct {
 		Time   string
 		VM     string
 		Number int
 		Name   string
-		Fields map[string]any // what else the line says
+		Fields map[string]any // the remaining fields of the line
 	}
 
 	// Trace collects the lines about one request. Set Request before Read.
 	Trace struct {
 		Request string
-		// SkippedLines counts the lines that are no log lines of a VM.
+		// SkippedLines counts the lines that are not log lines of a VM.
 		SkippedLines int
 
 		lines []Line
 	}
 
-	// commonFields are the fields that every line has.
+	// commonFields are the fields that every log line has; Request may be empty.
 	commonFields struct {
 		Time    string `json:"time"`
 		VM      string
@@ -64,10 +64,10 @@
 	}
 )
 
-// Read takes the lines of one file.
+// Read reads the lines of one file.
 func (tr *Trace) Read(rd io.Reader) error { return eachLine(rd, tr.addLine) }
 
-// eachLine hands on the lines of a file.
+// eachLine calls take with each line of a file.
 func eachLine(rd io.Reader, take func(text string)) error {
 	sc := bufio.NewScanner(rd)
 	sc.Buffer(nil, maxLineBytes)
@@ -75,7 +75,7 @@
 		take(sc.Text())
 	}
 	if err := sc.Err(); err != nil {
-		return fmt.Errorf("read a log: %w", err)
+		return fmt.Errorf("read a log file: %w", err)
 	}
 	return nil
 }
@@ -90,22 +90,22 @@
 	}
 }
 
-// parseLine reads one line of a log and the request that it names, if any.
+// parseLine parses one line of a log and returns it with the request that it names, if any.
 func parseLine(text string) (request string, ln Line, err error) {
-	at := strings.IndexByte(text, '{') // what a collector wrote before it is dropped
+	at := strings.IndexByte(text, '{') // a prefix added by a log collector is dropped
 	if at < 0 {
 		return "", Line{}, errNotLogLine
 	}
 	var fx commonFields
 	if err := json.Unmarshal([]byte(text[at:]), &fx); err != nil {
-		return "", Line{}, fmt.Errorf("read a line: %w", err)
+		return "", Line{}, fmt.Errorf("parse a log line: %w", err)
 	}
 	if fx.Name == "" {
 		return "", Line{}, errNotLogLine
 	}
 	var all map[string]any
 	if err := json.Unmarshal([]byte(text[at:]), &all); err != nil {
-		return "", Line{}, fmt.Errorf("read a line's fields: %w", err)
+		return "", Line{}, fmt.Errorf("parse the fields of a log line: %w", err)
 	}
 	for _, name := range []string{"time", "level", "message", "VM", "Event", "Name", "Request"} {
 		delete(all, name)
@@ -113,14 +113,14 @@
 	return fx.Request, Line{Time: fx.Time, VM: fx.VM, Number: fx.Event, Name: fx.Name, Fields: all}, nil
 }
 
-// Lines returns the lines in the order of their times, which different VMs
-// may tell a little differently.
+// Lines returns the lines sorted by their times. The clocks of different VMs may
+// differ slightly.
 func (tr *Trace) Lines() []Line {
 	slices.SortStableFunc(tr.lines, func(la, lb Line) int { return strings.Compare(la.Time, lb.Time) })
 	return tr.lines
 }
 
-// String writes the line as a person reads it.
+// String formats the line for people.
 func (ln Line) String() string {
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "%s %s %d %s", ln.Time, ln.VM, ln.Number, ln.Name)
@@ -137,8 +137,8 @@
 	return sb.String()
 }
 
-// Summary tells in one sentence how the request ended and why. The error is
-// ErrRequestNotFound if nothing is known of it.
+// Summary returns one sentence on how the request ended and why. The error is
+// ErrRequestNotFound if no line names the request.
 func (tr *Trace) Summary() (string, error) {
 	lines := tr.Lines()
 	if len(lines) == 0 {
@@ -146,19 +146,19 @@
 	}
 	end, ended := lastEvent(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
 	if !ended {
-		return "its end is not in these files: the VM " + lines[0].VM + " stopped before it, or the file does", nil
+		return "its end is not in these files: VM " + lines[0].VM + " stopped first, or its file is incomplete", nil
 	}
 	if end.Number == event.RelayAnswered.Number {
-		return "it was answered whole after " + fieldText(end, "Took"), nil
+		return "it completed with its full answer after " + fieldText(end, "Took"), nil
 	}
 	verb := "it was refused"
 	if end.Number == event.RelayCut.Number {
-		verb = "its answer was cut off"
+		verb = "its answer was interrupted"
 	}
 	return fmt.Sprintf("%s after %s: %s", verb, fieldText(end, "Took"), cause(lines, end)), nil
 }
 
-// cause names what changed the request's fate first.
+// cause returns what first determined the outcome of the request.
 func cause(lines []Line, end Line) string {
 	switch fieldText(end, "Reason") {
 	case "QueueFull":
@@ -166,19 +166,19 @@
 			return noPlaceCause(ln)
 		}
 	case "Starting":
-		return "the VM did not know the configuration yet; look for StoreLost of that VM before it"
+		return "the VM had not loaded the configuration yet; look for an earlier StoreLost event of that VM"
 	case "UnknownService":
 		return "no route of configuration " + fieldText(end, "Configuration") + " matched"
 	case "CallerGone":
-		return "its caller left"
+		return "its caller disconnected"
 	case "EndsServers":
-		return "servers ended when they ran it; look for RelayEndsServers of any VM before it"
+		return "servers crashed when they ran it; look for an earlier RelayEndsServers event of any VM"
 	}
 	if ln, ok := lastEvent(lines, event.RelayCallerGone); ok {
-		return fmt.Sprintf("its caller left, or its time was over, %s after backend server %s was last heard of", fieldText(ln, "Silent"), fieldText(ln, "Server"))
+		return fmt.Sprintf("its caller disconnected, or its deadline passed, %s after the last data from backend server %s", fieldText(ln, "Silent"), fieldText(ln, "Server"))
 	}
 	if ln, ok := lastEvent(lines, event.RelayRunLost); ok {
-		return "backend server " + fieldText(ln, "Server") + " broke off: " + fieldText(ln, "Error")
+		return "backend server " + fieldText(ln, "Server") + " ended the run early: " + fieldText(ln, "Error")
 	}
 	for _, ln := range lines {
 		if why := fieldText(ln, "Error"); why != "" && ln.Number != end.Number {
@@ -188,14 +188,14 @@
 	return strings.TrimSpace(fieldText(end, "Reason") + " " + fieldText(end, "Detail") + " " + fieldText(end, "Error"))
 }
 
-// noPlaceCause tells what stood before a request that found no place. Older logs do
-// not name the requests at other VMs.
+// noPlaceCause describes what kept a request from getting a place. Logs of older
+// versions do not count the requests at other VMs.
 func noPlaceCause(ln Line) string {
 	before := ""
 	if count := fieldText(ln, "Before"); count != "" {
 		before = count + " at other VMs went first, "
 	}
-	return fmt.Sprintf("no decode engine had room (%s requests waited here, %s%s asks were declined)", fieldText(ln, "Waiting"), before, fieldText(ln, "Asked"))
+	return fmt.Sprintf("no decode engine had capacity (%s requests waited on this VM, %s%s placement requests were declined)", fieldText(ln, "Waiting"), before, fieldText(ln, "Asked"))
 }
 
 func lastEvent(lines []Line, events ...event.Event) (Line, bool) {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -11,17 +11,17 @@
 	"alderdyke/internal/trace"
 )
 
-// The recorded lines are those of requests of played days.
+// The lines in testdata were recorded while days of traffic were replayed.
 func TestRecordedRequests(t *testing.T) {
 	for _, tc := range []struct{ request, want string }{
-		{"refused", "it was refused after 181ms: no decode engine had room (3 requests waited here, 12 asks were declined)"},
-		{"behind", "it was refused after 183ms: no decode engine had room (1 requests waited here, 6 at other VMs went first, 0 asks were declined)"},
-		{"lost", "its answer was cut off after 2.1s: backend server i-8047a56e40 broke off: the stream broke off\nunexpected EOF"},
-		{"left", "its answer was cut off after 4.1s: its caller left, or its time was over, 3.6s after backend server i-3 was last heard of"},
-		{"late", "it was answered whole after 1.204s"},
-		{"starting", "it was refused after 0s: the VM did not know the configuration yet; look for StoreLost of that VM before it"},
-		{"deadly", "it was refused after 0s: servers ended when they ran it; look for RelayEndsServers of any VM before it"},
-		{"open", "its end is not in these files: the VM edge-1 stopped before it, or the file does"},
+		{"refused", "it was refused after 181ms: no decode engine had capacity (3 requests waited on this VM, 12 placement requests were declined)"},
+		{"behind", "it was refused after 183ms: no decode engine had capacity (1 requests waited on this VM, 6 at other VMs went first, 0 placement requests were declined)"},
+		{"lost", "its answer was interrupted after 2.1s: backend server i-8047a56e40 ended the run early: the stream broke off\nunexpected EOF"},
+		{"left", "its answer was interrupted after 4.1s: its caller disconnected, or its deadline passed, 3.6s after the last data from backend server i-3"},
+		{"late", "it completed with its full answer after 1.204s"},
+		{"starting", "it was refused after 0s: the VM had not loaded the configuration yet; look for an earlier StoreLost event of that VM"},
+		{"deadly", "it was refused after 0s: servers crashed when they ran it; look for an earlier RelayEndsServers event of any VM"},
+		{"open", "its end is not in these files: VM edge-1 stopped first, or its file is incomplete"},
 	} {
 		t.Run(tc.request, func(t *testing.T) {
 			tr := trace.Trace{Request: tc.request}
@@ -32,7 +32,7 @@
 			verdict, err := tr.Summary()
 			assert.NilError(t, err)
 			assert.Equal(t, verdict, tc.want)
-			assert.Equal(t, tr.SkippedLines, 2, "a line of another program, and one that is cut off")
+			assert.Equal(t, tr.SkippedLines, 2, "one line of another program and one truncated line")
 		})
 	}
 }
