--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -1,8 +1,8 @@
-// Package vmlist speaks to the platform's VM list: the entry VMs and the
+// Package vmlist is the client of the platform's VM list: the entry VMs and the
 // backend servers, live and leaving.
 //
-// The list lags and can be down. It is one input among others, never the
-// last word on who is alive.
+// The list lags and can be unavailable. It is one input among others and never
+// decides by itself which VMs and servers are alive.
 //
 // # Usage
 //
@@ -13,12 +13,12 @@
 //
 //	GET /vms    answers {"VMs": [...], "Servers": [...]}
 //
-// An answer with an ETag is asked for again with If-None-Match: a list that
-// did not change then costs a status 304 without a body, whatever its length.
+// If a response has an ETag, the next request sends it in If-None-Match: an
+// unchanged list then costs a status 304 without a body, whatever its length.
 // A platform that sends no ETag sends the whole list each time.
 //
-// An entry that is wrong refuses the whole list with an [EntryError], so a
-// half-read list never looks like servers that have gone.
+// An invalid entry rejects the whole list with an [EntryError], so that a
+// partly parsed list is never mistaken for the removal of servers.
 package vmlist
 
 import (
@@ -39,23 +39,23 @@
 	"alderdyke/pkg/clock"
 )
 
-// Bounds that apply where a Client sets none.
+// Defaults of the limits that a Client leaves at zero.
 const (
 	DefaultMaxBody = 4 << 20
 	DefaultTimeout = 3 * clock.Second
 )
 
-// States of an entry.
+// The states of an entry.
 const (
 	Live    State = "Live"
 	Leaving State = "Leaving"
 )
 
 type (
-	// State of an entry of the list.
+	// State is the state of an entry of the list.
 	State string
 
-	// VMEntry is an entry VM as the platform writes it.
+	// VMEntry is an entry VM in the platform's format.
 	VMEntry struct {
 		ID            string
 		FailureDomain string
@@ -65,36 +65,36 @@
 		State         State
 	}
 
-	// ServerEntry is a backend server as the platform writes it.
+	// ServerEntry is a backend server in the platform's format.
 	ServerEntry struct {
 		ID            string
 		Service       string
 		Role          board.Role
 		Address       string // "IP:port"
 		FailureDomain string
-		ChecksFencing bool // an entry without it counts as one that does not
+		ChecksFencing bool // false if the entry omits it
 		State         State
 	}
 
-	// Document is the platform's list as it is sent.
+	// Document is the platform's list in its encoded form.
 	Document struct {
 		VMs     []VMEntry
 		Servers []ServerEntry
 	}
 
-	// List is a checked list, both parts sorted by ID.
+	// List is a validated list; both parts are sorted by ID.
 	List struct {
 		VMs     []board.VM
 		Servers []board.BackendServer
 	}
 
-	// Client is the HTTP adapter. Set the fields before the first call; it
-	// may then be used from several goroutines.
+	// Client is the HTTP client of the VM list. Set the fields before the first
+	// call; after that it is safe for concurrent use.
 	Client struct {
-		URL     string       // such as "http://10.0.0.9:7100"
+		URL     string       // for example "http://10.0.0.9:7100"
 		Token   string       // bearer token; never logged
-		HTTP    *http.Client // nil: a client with connections of its own
-		MaxBody int64        // bytes of one answer; zero means DefaultMaxBody
+		HTTP    *http.Client // nil: a client with its own connection pool
+		MaxBody int64        // bytes of one response; zero means DefaultMaxBody
 		Timeout clock.Millis // of one fetch; zero means DefaultTimeout
 
 		once sync.Once
@@ -104,14 +104,14 @@
 		lastList List
 	}
 
-	// fetchResult is what one fetch brought.
+	// fetchResult is the result of one fetch.
 	fetchResult struct {
-		notModified bool // nothing changed since the tag that was sent
+		notModified bool // the list still has the ETag that was sent
 		body        []byte
 		etag        string
 	}
 
-	// EntryError names an entry of the list that can't be used.
+	// EntryError reports an entry of the list that can't be used.
 	EntryError struct {
 		List  string // "VMs" or "Servers"
 		Index int
@@ -121,30 +121,30 @@
 		Hint  string
 	}
 
-	// StatusError is an answer other than success.
+	// StatusError is a response with an unexpected status.
 	StatusError struct{ Status int }
 
-	// TooLargeError tells of an answer beyond its bound.
+	// TooLargeError reports a response that exceeds its limit.
 	TooLargeError struct{ Limit int64 }
 )
 
-// Error names the entry, the value and the mend.
+// Error returns a message with the entry, the value and a hint on how to correct it.
 func (ee *EntryError) Error() string {
 	return fmt.Sprintf("VM list: %s[%d] %q: %s %q: %s", ee.List, ee.Index, ee.ID, ee.Field, ee.Value, ee.Hint)
 }
 
-// Error names the status.
+// Error returns a message with the status.
 func (se *StatusError) Error() string {
-	return fmt.Sprintf("VM list answered with status %d", se.Status)
+	return fmt.Sprintf("VM list responded with status %d", se.Status)
 }
 
-// Error names the bound.
+// Error returns a message with the limit.
 func (te *TooLargeError) Error() string {
-	return fmt.Sprintf("VM list is longer than the limit of %d bytes", te.Limit)
+	return fmt.Sprintf("VM list exceeds the limit of %d bytes", te.Limit)
 }
 
-// Fetch reads the list. While the platform says that it did not change, the
-// list of before is returned again; it must not be written to.
+// Fetch reads the list. While the platform reports it as unchanged, Fetch returns
+// the previous list again; callers must not modify it.
 func (cl *Client) Fetch(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(cl.Timeout, DefaultTimeout).Std())
 	defer cancel()
@@ -168,11 +168,11 @@
 	return list, nil
 }
 
-// get asks for the list unless it is still the one with the tag.
+// get requests the list unless it still has the given ETag.
 func (cl *Client) get(ctx context.Context, tag string) (fetchResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(cl.URL, "/")+"/vms", nil)
 	if err != nil {
-		return fetchResult{}, fmt.Errorf("make the request: %w", err)
+		return fetchResult{}, fmt.Errorf("create the request: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.Token)
 	if tag != "" {
@@ -192,7 +192,7 @@
 	limit := cmp.Or(cl.MaxBody, DefaultMaxBody)
 	body, err := io.ReadAll(io.LimitReader(rsp.Body, limit+1))
 	if err != nil {
-		return fetchResult{}, fmt.Errorf("read the answer: %w", err)
+		return fetchResult{}, fmt.Errorf("read the response: %w", err)
 	}
 	if int64(len(body)) > limit {
 		return fetchResult{}, &TooLargeError{Limit: limit}
@@ -209,8 +209,8 @@
 	return cl.HTTP
 }
 
-// Parse reads and checks a list. Unknown fields are passed over: the
-// platform may say more than is needed here.
+// Parse decodes and validates a list. Unknown fields are ignored, because the
+// platform may send more than is needed here.
 func Parse(body []byte) (List, error) {
 	var doc Document
 	if err := json.Unmarshal(body, &doc); err != nil {
@@ -278,18 +278,18 @@
 	slices.SortStableFunc(li.Servers, func(sa, sb board.BackendServer) int { return cmp.Compare(sa.ID, sb.ID) })
 	for ix := 1; ix < len(li.VMs); ix++ {
 		if id := li.VMs[ix].ID; id == li.VMs[ix-1].ID {
-			return &EntryError{List: "VMs", Index: ix, ID: id, Field: "ID", Value: id, Hint: "is there twice"}
+			return &EntryError{List: "VMs", Index: ix, ID: id, Field: "ID", Value: id, Hint: "must be unique"}
 		}
 	}
 	for ix := 1; ix < len(li.Servers); ix++ {
 		if id := li.Servers[ix].ID; id == li.Servers[ix-1].ID {
-			return &EntryError{List: "Servers", Index: ix, ID: id, Field: "ID", Value: id, Hint: "is there twice"}
+			return &EntryError{List: "Servers", Index: ix, ID: id, Field: "ID", Value: id, Hint: "must be unique"}
 		}
 	}
 	return nil
 }
 
-// entryChecker keeps the first fault of one entry.
+// entryChecker validates one entry and keeps its first error.
 type entryChecker struct {
 	list       string
 	index      int
@@ -323,7 +323,7 @@
 		return
 	}
 	if ap.Port() == 0 || ap.Addr().IsUnspecified() {
-		ck.fail(field, value, "name an address and a port that can be connected to")
+		ck.fail(field, value, "write an address and a port that clients can connect to")
 	}
 }
 
--- a/internal/vmlist/vmlist_test.go
+++ b/internal/vmlist/vmlist_test.go
@@ -121,7 +121,7 @@
 		}
 		for ix, vm := range list.VMs {
 			if vm.ID == "" || ix > 0 && vm.ID <= list.VMs[ix-1].ID {
-				tt.Fatalf("VMs without order or name: %+v", list.VMs)
+				tt.Fatalf("VMs unsorted or without ID: %+v", list.VMs)
 			}
 		}
 	})
@@ -133,8 +133,8 @@
 	// Output: VM list: VMs[0] "a": Caller "example.org:80": write an IP literal and a port, such as 10.0.0.7:8080
 }
 
-// A list that did not change is asked for with its tag and costs no body; a
-// change, and a platform without tags, bring the whole list.
+// An unchanged list is requested with its ETag and sent without a body. A changed
+// list, and any list of a platform without ETags, is sent whole.
 func TestUnchangedListIsNotSentAgain(tt *testing.T) {
 	srv, cl := newServerAndClient(tt, nil)
 	fetch := func() vmlist.List {
@@ -157,8 +157,8 @@
 	assert.DeepEqual(tt, srv.Counts(), standin.Counts{Fetches: 4, NotModified: 2})
 }
 
-// A list that can't be used leaves no tag behind, so that it is read whole
-// and refused again.
+// The ETag of an invalid list is not kept, so that the next fetch reads and rejects
+// the whole list again.
 func TestInvalidListIsNotCached(tt *testing.T) {
 	srv, cl := newServerAndClient(tt, nil)
 	bad := testVM()
