--- a/cmd/alderdyke/main.go
+++ b/cmd/alderdyke/main.go
@@ -33,5 +33,7 @@
 // showDemo returns a function that runs the demonstration until a signal to stop or until
 // its terminal is closed.
 func showDemo(sg *signals.Signals) func(ctx context.Context, dir string, out io.Writer) error {
-	return func(_ context.Context, dir string, out io.Writer) error { return demo.Run(sg.Terminal(), dir, out) }
+	return func(_ context.Context, dir string, out io.Writer) error {
+		return demo.Run(sg.TerminalContext(), dir, out)
+	}
 }
--- a/internal/logsvc/client_test.go
+++ b/internal/logsvc/client_test.go
@@ -17,7 +17,7 @@
 
 const stream = "configuration"
 
-func newPair(tt *testing.T) (*standin.Server, *logsvc.Client) {
+func newServerAndClient(tt *testing.T) (*standin.Server, *logsvc.Client) {
 	tt.Helper()
 	srv := &standin.Server{Token: "secret"}
 	ts := httptest.NewServer(srv)
@@ -33,7 +33,7 @@
 }
 
 func TestAppendThenRead(tt *testing.T) {
-	_, cl := newPair(tt)
+	_, cl := newServerAndClient(tt)
 	for ix, data := range []string{"a", "b", "c"} {
 		assert.Equal(tt, mustAppend(tt, cl, data), uint64(ix))
 	}
@@ -45,7 +45,7 @@
 }
 
 func TestReadWaitsForTheNextRecord(tt *testing.T) {
-	_, cl := newPair(tt)
+	_, cl := newServerAndClient(tt)
 	got := make(chan logsvc.Batch, 1)
 	go func() {
 		ba, err := cl.Read(context.Background(), stream, 0, 10, 30*clock.Second)
@@ -60,8 +60,8 @@
 	assert.Equal(tt, string(ba.Records[0].Data), "late")
 }
 
-func TestReadAfterTrimTellsTheFirstKept(tt *testing.T) {
-	srv, cl := newPair(tt)
+func TestReadAfterTrimReportsFirstKeptOffset(tt *testing.T) {
+	srv, cl := newServerAndClient(tt)
 	srv.Set(standin.Faults{KeepRecords: 2})
 	for range 5 {
 		mustAppend(tt, cl, "x")
@@ -87,7 +87,8 @@
 	assert.DeepEqual(tt, ba, logsvc.Batch{First: 1, Next: 1, End: 1})
 }
 
-// TestAppendEffect holds each failure against what the stand-in says it did.
+// TestAppendEffect compares the reported effect of each failure with what the
+// stand-in server counted.
 func TestAppendEffect(tt *testing.T) {
 	cases := []struct {
 		name    string
@@ -102,7 +103,7 @@
 		{name: "outage", faults: standin.Faults{Outage: true}, effect: logsvc.MayBeAppended},
 		{name: "status 503", faults: standin.Faults{Refuse: true}, effect: logsvc.MayBeAppended},
 		{name: "wrong token", token: "other", effect: logsvc.NotAppended},
-		{name: "nobody listens", dead: true, effect: logsvc.NotAppended},
+		{name: "connection refused", dead: true, effect: logsvc.NotAppended},
 		{name: "too large", bytes: logsvc.DefaultMaxRecord + 1, effect: logsvc.NotAppended},
 	}
 	for _, tc := range cases {
@@ -147,8 +148,8 @@
 	assert.Assert(tt, errors.Is(err, context.Canceled))
 }
 
-func TestReadHalvesAnAnswerBeyondItsBound(tt *testing.T) {
-	_, cl := newPair(tt)
+func TestReadRetriesOversizedResponseWithFewerRecords(tt *testing.T) {
+	_, cl := newServerAndClient(tt)
 	for range 8 {
 		mustAppend(tt, cl, "0123456789")
 	}
@@ -163,8 +164,8 @@
 	assert.Equal(tt, te.Limit, int64(20))
 }
 
-func TestReadSeesNotTheNewestWhileLagging(tt *testing.T) {
-	srv, cl := newPair(tt)
+func TestReadMissesNewestRecordsWhileServiceLags(tt *testing.T) {
+	srv, cl := newServerAndClient(tt)
 	for range 3 {
 		mustAppend(tt, cl, "x")
 	}
@@ -184,13 +185,13 @@
 		good bool
 	}{
 		{"empty", logsvc.Batch{}, 0, true},
-		{"whole", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(4)}, First: 1, Next: 5, End: 9}, 3, true},
-		{"from before first", logsvc.Batch{Records: []logsvc.Record{rec(4)}, First: 4, Next: 5, End: 5}, 0, true},
-		{"below from", logsvc.Batch{Records: []logsvc.Record{rec(2)}, Next: 5, End: 9}, 3, false},
-		{"below first", logsvc.Batch{Records: []logsvc.Record{rec(3)}, First: 4, Next: 5, End: 9}, 3, false},
-		{"twice", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(3)}, Next: 5, End: 9}, 3, false},
-		{"beyond next", logsvc.Batch{Records: []logsvc.Record{rec(5)}, Next: 5, End: 9}, 3, false},
-		{"next beyond end", logsvc.Batch{Next: 5, End: 4}, 3, false},
+		{"consecutive records", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(4)}, First: 1, Next: 5, End: 9}, 3, true},
+		{"read from below First", logsvc.Batch{Records: []logsvc.Record{rec(4)}, First: 4, Next: 5, End: 5}, 0, true},
+		{"record below the requested offset", logsvc.Batch{Records: []logsvc.Record{rec(2)}, Next: 5, End: 9}, 3, false},
+		{"record below First", logsvc.Batch{Records: []logsvc.Record{rec(3)}, First: 4, Next: 5, End: 9}, 3, false},
+		{"duplicate offset", logsvc.Batch{Records: []logsvc.Record{rec(3), rec(3)}, Next: 5, End: 9}, 3, false},
+		{"record beyond Next", logsvc.Batch{Records: []logsvc.Record{rec(5)}, Next: 5, End: 9}, 3, false},
+		{"Next beyond End", logsvc.Batch{Next: 5, End: 4}, 3, false},
 	}
 	for _, tc := range cases {
 		err := tc.ba.Check(stream, tc.from)
--- a/internal/metrics/reasons.go
+++ b/internal/metrics/reasons.go
@@ -9,76 +9,76 @@
 )
 
 const (
-	// MaxNames bounds the names that one kind of counter tells apart, since
-	// each counter costs about 3 KB for as long as the process lives.
+	// MaxNames bounds the number of distinct names for each kind of counter,
+	// because each counter takes about 3 KB for the lifetime of the process.
 	MaxNames = 64
 
-	// Other stands for all names beyond MaxNames.
-	Other = "Other"
+	// OtherName replaces all names beyond the first MaxNames.
+	OtherName = "Other"
 )
 
 type (
-	// Refusals counts refusals by class, reason and whether the request ran,
-	// as the counter Refusals. Set Scope before use; a nil Scope counts
-	// nothing. It may be used by several goroutines.
+	// Refusals counts refusals in the counter Refusals, by class, reason and
+	// whether the request ran. Set Scope before use; with a nil Scope nothing is
+	// counted. It is safe for concurrent use.
 	Refusals struct {
 		Scope tally.Scope
 
-		counts byReason
+		counts counterCache
 	}
 
-	// Retries counts retries by service and reason, as the counter Retries.
-	// Set Scope before use; a nil Scope counts nothing. It may be used by
-	// several goroutines.
+	// Retries counts retries in the counter Retries, by service and reason. Set
+	// Scope before use; with a nil Scope nothing is counted. It is safe for
+	// concurrent use.
 	Retries struct {
 		Scope tally.Scope
 
-		counts byReason
+		counts counterCache
 	}
 
-	// byReason holds the counters that were used so far.
-	byReason struct {
+	// counterCache holds the counters created so far.
+	counterCache struct {
 		mu       sync.Mutex
 		names    map[string]bool
-		counters map[label]tally.Counter
+		counters map[counterKey]tally.Counter
 	}
 
-	label struct {
+	counterKey struct {
 		name, reason, ran string
 	}
 )
 
-// Inc counts a refusal of a request of the class.
+// Inc counts one refusal of a request of the class.
 func (rf *Refusals) Inc(class string, re refusal.Refusal) {
 	if rf.Scope == nil {
 		return
 	}
-	rf.counts.counter(label{name: class, reason: string(re.Reason), ran: string(re.Ran)}, func(lb label) tally.Counter {
+	rf.counts.counter(counterKey{name: class, reason: string(re.Reason), ran: string(re.Ran)}, func(lb counterKey) tally.Counter {
 		return rf.Scope.Tagged(map[string]string{"Class": lb.name, "Reason": lb.reason, "Ran": lb.ran}).Counter("Refusals")
 	}).Inc(1)
 }
 
-// Inc counts a retry at a service.
+// Inc counts one retry of a call to the service.
 func (rt *Retries) Inc(service string, reason refusal.Reason) {
 	if rt.Scope == nil {
 		return
 	}
-	rt.counts.counter(label{name: service, reason: string(reason)}, func(lb label) tally.Counter {
+	rt.counts.counter(counterKey{name: service, reason: string(reason)}, func(lb counterKey) tally.Counter {
 		return rt.Scope.Tagged(map[string]string{"Service": lb.name, "Reason": lb.reason}).Counter("Retries")
 	}).Inc(1)
 }
 
-// counter finds or makes the counter of a label.
-func (br *byReason) counter(lb label, create func(lb label) tally.Counter) tally.Counter {
+// counter returns the counter of a key and creates it on first use.
+func (br *counterCache) counter(lb counterKey, create func(lb counterKey) tally.Counter) tally.Counter {
 	br.mu.Lock()
 	defer br.mu.Unlock()
 	if br.counters == nil {
 		br.names = map[string]bool{}
-		br.counters = map[label]tally.Counter{}
+		br.counters = map[counterKey]tally.Counter{}
 	}
 	if !br.names[lb.name] {
 		if len(br.names) >= MaxNames {
-			lb.name = Other
+			lb.name = OtherName
 		} else {
 			br.names[lb.name] = true
 		}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -44,7 +44,7 @@
 		},
 	})
 	assert.NilError(t, err)
-	assert.Equal(t, rsp.Status, http.StatusTeapot) // the service's own answer
+	assert.Equal(t, rsp.Status, http.StatusTeapot) // the service's own status is returned
 	assert.Equal(t, rsp.Header.Get("X-Kept"), "body")
 	assert.Equal(t, rsp.Header.Get("X-Hop"), "")
 	assert.Equal(t, rsp.Header.Get(backend.ServerIncarnationHeader), "")
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestAnswerMustBeWhole(t *testing.T) {
+func TestIncompleteResponseIsInDoubt(t *testing.T) {
 	cut := serve(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(rw, "half")
@@ -83,9 +83,9 @@
 	assert.Equal(t, count, int64(2))
 }
 
-// Only idempotent calls share a connection, on which a call could be left in
-// doubt.
-func TestConnectionsOfCalls(t *testing.T) {
+// Only idempotent calls may reuse a connection, because a call on a connection that
+// the server is closing can be left in doubt.
+func TestOnlyIdempotentCallsReuseConnections(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		ports := map[string]bool{}
 		srv := serve(t, func(_ http.ResponseWriter, req *http.Request) { ports[req.RemoteAddr] = true })
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestBadCallIsNotSent(t *testing.T) {
+func TestInvalidCallIsNotSent(t *testing.T) {
 	asked := false
 	srv := serve(t, func(http.ResponseWriter, *http.Request) { asked = true })
 	sc := &Client{}
