--- a/internal/claim/asker.go
+++ b/internal/claim/asker.go
@@ -259,14 +259,14 @@
 }
 
 // announceState sends the state of the running claim to the seats.
-func (ak *Asker) announceState(bc StateChanged) []AskerIntent {
+func (ak *Asker) announceState(sc StateChanged) []AskerIntent {
 	if ak.phase != decided || ak.claim == 0 {
 		return nil
 	}
-	if ak.superseded != nil && !ak.Idempotent && bc.State.freesKey() {
+	if ak.superseded != nil && !ak.Idempotent && sc.State.freesKey() {
 		return nil // the previous runner may have run the request
 	}
-	ak.lastState = bc
+	ak.lastState = sc
 	var out []AskerIntent
 	for _, to := range ak.seats.Group(ak.Customer, ak.Key) {
 		out = append(out, ak.stateUpdate(to))
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -133,8 +133,8 @@
 // violation returns the invariant that the state violates, or "".
 func violation(wd *world, end bool) string {
 	switch {
-	case wd.runs > 1 && !wd.sc.idempotent:
-		return fmt.Sprintf("%d dispatches", wd.runs)
+	case wd.dispatches > 1 && !wd.sc.idempotent:
+		return fmt.Sprintf("%d dispatches", wd.dispatches)
 	case wd.falseNotRun > 0 && !wd.sc.idempotent:
 		return "refused as NotRun after a dispatch"
 	case end && wd.undecided() > 0:
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestEveryOrderRunsOnce(t *testing.T) {
+func TestRequestRunsAtMostOnceInEveryOrder(t *testing.T) {
 	t.Parallel()
 	for nm, sc := range scenarios() {
 		t.Run(nm, func(t *testing.T) {
@@ -237,7 +237,7 @@
 // violation. The orders were found with -claim.hunt. If a change of the protocol alters
 // the meaning of an order, run with that flag again and store the orders that it finds.
 func TestEveryGuardIsNeeded(t *testing.T) {
-	for _, kp := range keptOrders {
+	for _, kp := range violatingOrders {
 		t.Run(kp.name, func(t *testing.T) {
 			sc := *scenarios()[kp.scenario]
 			assert.Equal(t, replay(newWorld(&sc), kp.order), "", "violation with the guard enabled")
--- a/internal/claim/handoff.go
+++ b/internal/claim/handoff.go
@@ -113,10 +113,10 @@
 	case st.prev == nil:
 		return st.base == 0
 	}
-	selfWhole := st.prev.hasSeat(bk.Self) && bk.coversAll(now, st.prev)
+	selfCovers := st.prev.hasSeat(bk.Self) && bk.coversAll(now, st.prev)
 	from := bk.received[st.Epoch]
 	return st.prev.toleratesAbsent(func(ref board.VMRef) bool {
-		return !from[ref] && (ref != bk.Self || !selfWhole)
+		return !from[ref] && (ref != bk.Self || !selfCovers)
 	})
 }
 
@@ -268,16 +268,16 @@
 	if bk.partialHandoffs == nil {
 		bk.partialHandoffs = map[handoffSource]*partialHandoff{}
 	}
-	ar := bk.partialHandoffs[src]
-	if ar == nil || ar.sending < ho.GetSending() {
-		ar = &partialHandoff{sending: ho.GetSending(), parts: map[uint32]bool{}}
-		bk.partialHandoffs[src] = ar
+	ph := bk.partialHandoffs[src]
+	if ph == nil || ph.sending < ho.GetSending() {
+		ph = &partialHandoff{sending: ho.GetSending(), parts: map[uint32]bool{}}
+		bk.partialHandoffs[src] = ph
 	}
-	if ar.sending != ho.GetSending() {
+	if ph.sending != ho.GetSending() {
 		return
 	}
-	ar.parts[ho.GetPart()] = true
-	if len(ar.parts) < int(ho.GetParts()) {
+	ph.parts[ho.GetPart()] = true
+	if len(ph.parts) < int(ho.GetParts()) {
 		return
 	}
 	delete(bk.partialHandoffs, src)
--- a/internal/claim/kept_test.go
+++ b/internal/claim/kept_test.go
@@ -1,8 +1,8 @@
 package claim
 
-// keptOrders are orders of events that lead to a violation if a guard is disabled. Each
+// violatingOrders are orders of events that lead to a violation if a guard is disabled. Each
 // step is a kind of move and the index of the message, VM or asker.
-var keptOrders = []struct {
+var violatingOrders = []struct {
 	name     string
 	disabled guard
 	scenario string
--- a/internal/claim/propose.go
+++ b/internal/claim/propose.go
@@ -77,11 +77,11 @@
 		fw.desired, fw.desiredSince = want, now
 	}
 	settle := cmp.Or(bk.Settings.SettleSpan, defaultSettleSpan)
-	place := slices.IndexFunc(rendezvous.Rank("seats", want), func(vm board.VM) bool { return vm.VMRef == bk.Self })
-	if place < 0 {
-		place = len(want)
+	position := slices.IndexFunc(rendezvous.Rank("seats", want), func(vm board.VM) bool { return vm.VMRef == bk.Self })
+	if position < 0 {
+		position = len(want)
 	}
-	due := max(fw.desiredSince, fw.proposedAt) + settle*clock.Millis(1+min(place, 8))
+	due := max(fw.desiredSince, fw.proposedAt) + settle*clock.Millis(1+min(position, 8))
 	if now < due {
 		return []Intent{Wake{due}}
 	}
--- a/internal/claim/schedule_test.go
+++ b/internal/claim/schedule_test.go
@@ -40,9 +40,9 @@
 
 // lateGrant is a schedule in which a seat that has handed over its records is asked by
 // a VM that has not yet learned the new table.
-func lateGrant(without guard) *world {
+func lateGrant(disabled guard) *world {
 	sc := *scenarios()["Joined"]
-	sc.disabled = without
+	sc.disabled = disabled
 	wd := newWorld(&sc)
 	ia, ib, ic, id := 0, 1, 2, 3
 	first := slices.IndexFunc(wd.packets, func(pk packet) bool { return pk.asker == 0 })
@@ -72,8 +72,8 @@
 
 // A seat that has handed over its records grants nothing more under the previous table.
 func TestLateGrant(t *testing.T) {
-	assert.Equal(t, lateGrant(0).runs, 1)
-	assert.Equal(t, lateGrant(guardGroup).runs, 2)
+	assert.Equal(t, lateGrant(0).dispatches, 1)
+	assert.Equal(t, lateGrant(guardGroup).dispatches, 2)
 }
 
 // Random orders of events in worlds that are too large for exhaustive exploration: 7
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -50,14 +50,14 @@
 
 	// search is one asker with its own clock.
 	search struct {
-		ak         *Asker
-		rnd        *rand.PCG
-		at         int // index of its member
-		now        clock.Millis
-		othersDead bool // considers all other runners dead
-		hasClaim   bool // has the claim and must still confirm it
-		verdicts   []Decided
-		digestLine string // the part of the digest that describes ak
+		ak          *Asker
+		rnd         *rand.PCG
+		memberIndex int // index of its member
+		now         clock.Millis
+		othersDead  bool // considers all other runners dead
+		hasClaim    bool // has the claim and must still confirm it
+		verdicts    []Decided
+		digestLine  string // the part of the digest that describes ak
 	}
 
 	// packet is one message in transit.
@@ -75,7 +75,7 @@
 		members     []member
 		searches    []search
 		packets     []packet
-		runs        int // dispatches of a request to backend servers
+		dispatches  int // dispatches of a request to backend servers
 		falseNotRun int // refusals that said NotRun after a dispatch
 		timeouts    int
 		crashes     int
@@ -118,18 +118,18 @@
 			Idempotent: sc.idempotent, Keep: clock.Minute, Patience: sc.patience, Rand: rand.New(pcg),
 			disabled: sc.disabled,
 		}
-		wd.searches = append(wd.searches, search{ak: ak, rnd: pcg, at: at})
+		wd.searches = append(wd.searches, search{ak: ak, rnd: pcg, memberIndex: at})
 		wd.stepAsker(ix, Begin{Seats: wd.members[at].bk.Seats(), Fleet: wd.fleet(false, at)})
 	}
 	return wd
 }
 
 // fleet returns a VM's view: all VMs alive, or all others dead.
-func (wd *world) fleet(doubted bool, at int) *board.Fleet {
+func (wd *world) fleet(othersDead bool, at int) *board.Fleet {
 	fl := &board.Fleet{Quorate: true}
 	for ix, mb := range wd.members {
 		vm := mb.vm
-		if doubted && ix != at {
+		if othersDead && ix != at {
 			vm.Health = board.Dead
 		}
 		fl.VMs = append(fl.VMs, vm)
@@ -161,10 +161,10 @@
 	}
 	sr.verdicts = append(sr.verdicts, dc)
 	if dc.Verdict == Run || (dc.Verdict == TakeOver && wd.sc.idempotent) {
-		wd.runs++
+		wd.dispatches++
 		wd.reportStates(sr)
 	}
-	if dc.Ran == refusal.NotRun && dc.Verdict != Reused && wd.runs > 0 {
+	if dc.Ran == refusal.NotRun && dc.Verdict != Reused && wd.dispatches > 0 {
 		wd.falseNotRun++
 	}
 }
@@ -188,7 +188,7 @@
 	for _, in := range mb.bk.Step(0, ev) {
 		switch in := in.(type) {
 		case Reply:
-			wd.send(packet{to: wd.members[wd.searches[from.asker].at].vm.VMRef, asker: from.asker, number: from.number, body: in.Reply})
+			wd.send(packet{to: wd.members[wd.searches[from.asker].memberIndex].vm.VMRef, asker: from.asker, number: from.number, body: in.Reply})
 		case SendHandoff:
 			wd.send(packet{to: in.To, body: in.Handoff})
 		case Propose, Wake:
@@ -235,7 +235,7 @@
 func (wd *world) askerMoves(ix int) []move {
 	var out []move
 	sr := &wd.searches[ix]
-	if wd.members[sr.at].dead {
+	if wd.members[sr.memberIndex].dead {
 		return nil
 	}
 	if sr.ak.phase == backingOff || sr.ak.phase == confirmingLater {
@@ -267,7 +267,7 @@
 		mb.tablesRead++
 		wd.stepBook(mv.index, TableAppended{Epoch: uint64(mb.tablesRead) + 1, Table: wd.sc.tables[mb.tablesRead-1]}, packet{})
 		for ix := range wd.searches {
-			if wd.searches[ix].at == mv.index {
+			if wd.searches[ix].memberIndex == mv.index {
 				wd.stepAsker(ix, ViewChanged{Seats: mb.bk.Seats()})
 			}
 		}
@@ -279,7 +279,7 @@
 		wd.stepAsker(mv.index, AskerTick{})
 	case "confirm":
 		sr := &wd.searches[mv.index]
-		wd.stepAsker(mv.index, Revalidate{Seats: wd.members[sr.at].bk.Seats(), Fleet: wd.fleet(sr.othersDead, sr.at)})
+		wd.stepAsker(mv.index, Revalidate{Seats: wd.members[sr.memberIndex].bk.Seats(), Fleet: wd.fleet(sr.othersDead, sr.memberIndex)})
 	case "timeout":
 		wd.timeouts--
 		asks := wd.searches[mv.index].ak.asks
@@ -288,7 +288,7 @@
 		wd.falseDeaths--
 		sr := &wd.searches[mv.index]
 		sr.othersDead = true
-		wd.stepAsker(mv.index, ViewChanged{Fleet: wd.fleet(true, sr.at)})
+		wd.stepAsker(mv.index, ViewChanged{Fleet: wd.fleet(true, sr.memberIndex)})
 	}
 }
 
@@ -296,7 +296,7 @@
 	at := wd.liveMember(pk.to)
 	ask, isAsk := pk.body.(*peerpb.ClaimAsk)
 	if at < 0 {
-		if isAsk && !wd.members[wd.searches[pk.asker].at].dead {
+		if isAsk && !wd.members[wd.searches[pk.asker].memberIndex].dead {
 			wd.stepAsker(pk.asker, AskFailed{pk.number})
 		}
 		return
@@ -317,7 +317,7 @@
 func (wd *world) undecided() int {
 	count := 0
 	for _, sr := range wd.searches {
-		if !wd.members[sr.at].dead && len(sr.verdicts) == 0 {
+		if !wd.members[sr.memberIndex].dead && len(sr.verdicts) == 0 {
 			count++
 		}
 	}
@@ -361,8 +361,8 @@
 		out.received[epoch] = maps.Clone(refs)
 	}
 	out.partialHandoffs = map[handoffSource]*partialHandoff{}
-	for src, ar := range bk.partialHandoffs {
-		out.partialHandoffs[src] = &partialHandoff{ar.sending, maps.Clone(ar.parts)}
+	for src, ph := range bk.partialHandoffs {
+		out.partialHandoffs[src] = &partialHandoff{ph.sending, maps.Clone(ph.parts)}
 	}
 	out.counts = Counts{}
 	return &out
@@ -404,7 +404,7 @@
 
 // digest identifies the state. Messages in transit are an unordered set.
 func (wd *world) digest() [2]uint64 {
-	buf := []byte{byte(wd.runs), byte(wd.timeouts), byte(wd.crashes), byte(wd.falseDeaths)}
+	buf := []byte{byte(wd.dispatches), byte(wd.timeouts), byte(wd.crashes), byte(wd.falseDeaths)}
 	for _, mb := range wd.members {
 		buf = append(buf, '|', byte(mb.tablesRead), boolByte(mb.dead))
 		buf = append(buf, mb.digestLine...)
--- a/internal/orders/cell.go
+++ b/internal/orders/cell.go
@@ -80,25 +80,25 @@
 }
 
 // enqueue queues an operator's order.
-func (ce *Cell) enqueue(gv OperatorOrder) {
-	if _, ok := ce.engineByID(gv.Server); !ok {
-		ce.emit(OperatorReply{ID: gv.ID, Reason: UnknownEngine})
+func (ce *Cell) enqueue(order OperatorOrder) {
+	if _, ok := ce.engineByID(order.Server); !ok {
+		ce.emit(OperatorReply{ID: order.ID, Reason: UnknownEngine})
 		return
 	}
 	if len(ce.operatorQueue) >= maxWaiting {
-		ce.emit(OperatorReply{ID: gv.ID, Reason: TooMany})
+		ce.emit(OperatorReply{ID: order.ID, Reason: TooMany})
 		return
 	}
-	ce.operatorQueue = append(ce.operatorQueue, gv)
+	ce.operatorQueue = append(ce.operatorQueue, order)
 }
 
 // beginNext starts the next order: an operator's, or a change of role that the load
 // requires.
 func (ce *Cell) beginNext(now clock.Millis) {
 	if len(ce.operatorQueue) > 0 {
-		gv := ce.operatorQueue[0]
+		next := ce.operatorQueue[0]
 		ce.operatorQueue = ce.operatorQueue[1:]
-		ce.current = &activeOrder{id: gv.ID, server: gv.Server, order: gv.Order, phase: awaitingLease, since: now}
+		ce.current = &activeOrder{id: next.ID, server: next.Server, order: next.Order, phase: awaitingLease, since: now}
 		ce.emit(WantLease{Hold: true})
 		return
 	}
--- a/internal/orders/cell_test.go
+++ b/internal/orders/cell_test.go
@@ -38,7 +38,7 @@
 }
 
 func newHarness(se Settings, prefill, decode int) *harness {
-	bn := &harness{
+	ha := &harness{
 		cell: &Cell{Settings: se}, now: 1000, runs: map[string]int{},
 		fewest:  map[board.Role]int{board.Prefill: prefill, board.Decode: decode},
 		demand:  func(clock.Millis) (float64, float64) { return 0, 0 },
@@ -49,102 +49,102 @@
 		if ix >= prefill {
 			role = board.Decode
 		}
-		bn.engines = append(bn.engines, Engine{ID: fmt.Sprintf("e%02d", ix), Role: role, Usable: true, ChecksFencing: ix%2 == 0, Slots: slots})
+		ha.engines = append(ha.engines, Engine{ID: fmt.Sprintf("e%02d", ix), Role: role, Usable: true, ChecksFencing: ix%2 == 0, Slots: slots})
 	}
-	return bn
+	return ha
 }
 
 // run advances the time, with an observation in each step.
-func (bn *harness) run(span clock.Millis) {
-	for end := bn.now + span; bn.now < end; bn.now += step {
-		bn.step(bn.observe())
+func (ha *harness) run(span clock.Millis) {
+	for end := ha.now + span; ha.now < end; ha.now += step {
+		ha.step(ha.observe())
 	}
 }
 
-func (bn *harness) observe() Observed {
-	prefill, decode := bn.demand(bn.now)
-	po := poolsOf(bn.engines)
+func (ha *harness) observe() Observed {
+	prefill, decode := ha.demand(ha.now)
+	po := poolsOf(ha.engines)
 	busy := min(float64(po.prefill), prefill)
 	full := min(1, decode/float64(max(1, po.decode)))
 	ob := Observed{}
-	for _, eng := range bn.engines {
-		eng.RoleAt, eng.Granted = bn.now, bn.runs[eng.ID]
+	for _, eng := range ha.engines {
+		eng.RoleAt, eng.Granted = ha.now, ha.runs[eng.ID]
 		switch {
 		case eng.Role == board.Decode:
 			eng.Running = int(full * slots)
 		case busy >= 1:
 			eng.Queued, busy = 1, busy-1
 		}
-		if eng.Role == board.Prefill && !bn.drained[eng.ID] {
-			eng.Granted += bn.heldCaches
+		if eng.Role == board.Prefill && !ha.drained[eng.ID] {
+			eng.Granted += ha.heldCaches
 		}
 		ob.Engines = append(ob.Engines, eng)
 	}
-	if bn.alwaysQueued || prefill > float64(po.prefill) || decode > float64(po.decode) {
+	if ha.alwaysQueued || prefill > float64(po.prefill) || decode > float64(po.decode) {
 		ob.Quick = 3
 	}
 	return ob
 }
 
-func (bn *harness) step(ev Event) {
-	for _, in := range bn.cell.Step(bn.now, ev) {
-		bn.intents = append(bn.intents, in)
+func (ha *harness) step(ev Event) {
+	for _, in := range ha.cell.Step(ha.now, ev) {
+		ha.intents = append(ha.intents, in)
 		switch in := in.(type) {
 		case WantLease:
-			if in.Hold && !bn.noLease {
-				bn.held = true
-				bn.step(LeaseHeld{Token: uint64(bn.now)})
-			} else if bn.held {
-				bn.held = false
-				bn.step(LeaseLapsed{})
+			if in.Hold && !ha.noLease {
+				ha.held = true
+				ha.step(LeaseHeld{Token: uint64(ha.now)})
+			} else if ha.held {
+				ha.held = false
+				ha.step(LeaseLapsed{})
 			}
 		case Drain:
-			bn.drained[in.Server] = in.Stop
-			if bn.neverIdle && in.Stop {
-				bn.runs[in.Server] = 1
+			ha.drained[in.Server] = in.Stop
+			if ha.neverIdle && in.Stop {
+				ha.runs[in.Server] = 1
 			}
 			if !in.Stop {
-				delete(bn.runs, in.Server)
+				delete(ha.runs, in.Server)
 			}
 		case Inspect:
-			eng := bn.engine(in.Server)
-			bn.step(Inspected{Server: in.Server, Asked: bn.now, Runs: bn.runs[in.Server], Role: eng.Role, RoleAt: bn.now})
+			eng := ha.engine(in.Server)
+			ha.step(Inspected{Server: in.Server, Asked: ha.now, Runs: ha.runs[in.Server], Role: eng.Role, RoleAt: ha.now})
 		case Send:
-			bn.step(Sent{Server: in.Server, Outcome: bn.carryOut(in)})
+			ha.step(Sent{Server: in.Server, Outcome: ha.carryOut(in)})
 		}
 	}
 }
 
-func (bn *harness) carryOut(sd Send) Outcome {
-	if bn.outcome != nil {
-		if oc := bn.outcome(sd); oc.Reason != CarriedOut {
+func (ha *harness) carryOut(sd Send) Outcome {
+	if ha.outcome != nil {
+		if oc := ha.outcome(sd); oc.Reason != CarriedOut {
 			return oc
 		}
 	}
-	eng := bn.engine(sd.Server)
+	eng := ha.engine(sd.Server)
 	if sd.Order.Kind == engine.ChangeRole && eng.Role != sd.Order.Role {
 		eng.Role = sd.Order.Role
-		bn.changes = append(bn.changes, bn.now)
-		po := poolsOf(bn.engines)
-		for role, few := range bn.fewest {
-			bn.fewest[role] = min(few, po.count(role))
+		ha.changes = append(ha.changes, ha.now)
+		po := poolsOf(ha.engines)
+		for role, few := range ha.fewest {
+			ha.fewest[role] = min(few, po.count(role))
 		}
 	}
 	return Outcome{Role: eng.Role}
 }
 
-func (bn *harness) engine(id string) *Engine {
-	for ix := range bn.engines {
-		if bn.engines[ix].ID == id {
-			return &bn.engines[ix]
+func (ha *harness) engine(id string) *Engine {
+	for ix := range ha.engines {
+		if ha.engines[ix].ID == id {
+			return &ha.engines[ix]
 		}
 	}
 	panic("no engine " + id)
 }
 
-// swing returns a load that is all prefill for half of the period and all decode for
+// swingingLoad returns a load that is all prefill for half of the period and all decode for
 // the other half.
-func swing(period clock.Millis, size float64) func(clock.Millis) (float64, float64) {
+func swingingLoad(period clock.Millis, size float64) func(clock.Millis) (float64, float64) {
 	return func(now clock.Millis) (float64, float64) {
 		if now%period < period/2 {
 			return size, 0.2
@@ -154,71 +154,71 @@
 }
 
 func TestRolesFollowALastingLoad(t *testing.T) {
-	bn := newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
-	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
-	bn.run(clock.Hour)
-	po := poolsOf(bn.engines)
+	ha := newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
+	ha.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
+	ha.run(clock.Hour)
+	po := poolsOf(ha.engines)
 	assert.Assert(t, po.decode >= 4 && po.prefill >= 2, "%+v", po)
 	// Once the roles fit the load they stay.
-	assert.Assert(t, len(bn.changes) <= 3, "%d changes", len(bn.changes))
+	assert.Assert(t, len(ha.changes) <= 3, "%d changes", len(ha.changes))
 }
 
 // If a cell is short of decode slots, KV caches wait at its prefill engines. These
 // engines are idle all the same, and one of them can be spared.
 func TestRolesFollowALoadWhoseKVCachesWait(t *testing.T) {
-	bn := newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
-	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
-	bn.heldCaches = 2
-	bn.run(clock.Hour)
-	po := poolsOf(bn.engines)
+	ha := newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
+	ha.demand = func(clock.Millis) (float64, float64) { return 1.5, 4.5 }
+	ha.heldCaches = 2
+	ha.run(clock.Hour)
+	po := poolsOf(ha.engines)
 	assert.Assert(t, po.decode >= 4 && po.prefill >= 2, "%+v", po)
-	assert.Assert(t, len(bn.changes) <= 3, "%d changes", len(bn.changes))
+	assert.Assert(t, len(ha.changes) <= 3, "%d changes", len(ha.changes))
 }
 
 // dippingLoad runs a cell close to the threshold until it wants the lease, and removes
 // the load for a span at the moment at which the engine is chosen.
-func dippingLoad(span clock.Millis) (bn *harness, wanted clock.Millis) {
-	bn = newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
-	bn.alwaysQueued = true
+func dippingLoad(span clock.Millis) (ha *harness, wanted clock.Millis) {
+	ha = newHarness(Settings{Dwell: 2 * clock.Minute}, 6, 2)
+	ha.alwaysQueued = true
 	load := func(clock.Millis) (float64, float64) { return 1.5, 1.9 }
-	bn.demand = load
-	for bn.cell.current == nil {
-		bn.run(step)
+	ha.demand = load
+	for ha.cell.current == nil {
+		ha.run(step)
 	}
-	wanted = bn.now
-	bn.run(9 * clock.Second)
-	bn.demand = func(clock.Millis) (float64, float64) { return 1.5, 0 }
-	bn.run(span)
-	bn.demand = load
-	return bn, wanted
+	wanted = ha.now
+	ha.run(9 * clock.Second)
+	ha.demand = func(clock.Millis) (float64, float64) { return 1.5, 0 }
+	ha.run(span)
+	ha.demand = load
+	return ha, wanted
 }
 
 // If the load is below its threshold only briefly while the engine is chosen, the
 // change is made a little later rather than abandoned.
 func TestLoadThatDipsKeepsItsChange(t *testing.T) {
-	bn, wanted := dippingLoad(clock.Second)
-	bn.run(20 * clock.Second)
-	assert.Equal(t, len(bn.changes), 1)
-	assert.Assert(t, bn.changes[0]-wanted < 20*clock.Second, "%v", bn.changes[0]-wanted)
+	ha, wanted := dippingLoad(clock.Second)
+	ha.run(20 * clock.Second)
+	assert.Equal(t, len(ha.changes), 1)
+	assert.Assert(t, ha.changes[0]-wanted < 20*clock.Second, "%v", ha.changes[0]-wanted)
 }
 
 // If the load does not return, the change is abandoned and the lease is released.
-func TestLoadThatIsGoneEndsItsChange(t *testing.T) {
-	bn, wanted := dippingLoad(21 * clock.Second)
-	assert.Equal(t, len(bn.changes), 0)
-	assert.Assert(t, bn.cell.current == nil && !bn.held)
-	bn.run(wanted + 2*clock.Minute - bn.now)
-	assert.Equal(t, len(bn.changes), 0, "a change before the next dwell is over")
+func TestLoadThatDoesNotReturnAbandonsItsChange(t *testing.T) {
+	ha, wanted := dippingLoad(21 * clock.Second)
+	assert.Equal(t, len(ha.changes), 0)
+	assert.Assert(t, ha.cell.current == nil && !ha.held)
+	ha.run(wanted + 2*clock.Minute - ha.now)
+	assert.Equal(t, len(ha.changes), 0, "a change before the next dwell is over")
 }
 
-// hourly runs a swinging load for some hours and returns the maximum number of changes
+// maxChangesPerHour runs a swinging load for some hours and returns the maximum number of changes
 // in any hour.
-func hourly(bn *harness, hours int) int {
-	bn.run(clock.Millis(hours) * clock.Hour)
+func maxChangesPerHour(ha *harness, hours int) int {
+	ha.run(clock.Millis(hours) * clock.Hour)
 	most := 0
-	for ix, from := range bn.changes {
+	for ix, from := range ha.changes {
 		count := 0
-		for _, at := range bn.changes[ix:] {
+		for _, at := range ha.changes[ix:] {
 			if at < from+clock.Hour {
 				count++
 			}
@@ -235,42 +235,42 @@
 	// role at most three follow one another.
 	bound := 3*int(clock.Hour/(3*dwell+2*dwell)) + 3
 	for _, period := range []clock.Millis{5 * clock.Second, 20 * clock.Second, clock.Minute, 2 * clock.Minute, 4 * clock.Minute, 10 * clock.Minute, clock.Hour} {
-		bn := newHarness(Settings{Dwell: dwell}, 4, 4)
-		bn.demand = swing(period, 7)
-		most := hourly(bn, 4)
-		t.Logf("period %v: %d changes in 4 h, at most %d in an hour, fewest %v", period, len(bn.changes), most, bn.fewest)
+		ha := newHarness(Settings{Dwell: dwell}, 4, 4)
+		ha.demand = swingingLoad(period, 7)
+		most := maxChangesPerHour(ha, 4)
+		t.Logf("period %v: %d changes in 4 h, at most %d in an hour, fewest %v", period, len(ha.changes), most, ha.fewest)
 		assert.Assert(t, most <= bound, "period %v: %d changes in an hour", period, most)
 		if period <= 6*dwell {
-			assert.Equal(t, len(bn.changes), 0, "period %v", period)
+			assert.Equal(t, len(ha.changes), 0, "period %v", period)
 		}
-		assert.Assert(t, bn.fewest[board.Prefill] >= 1 && bn.fewest[board.Decode] >= 1)
+		assert.Assert(t, ha.fewest[board.Prefill] >= 1 && ha.fewest[board.Decode] >= 1)
 	}
 }
 
 func TestGuardsAgainstThrashAreNeeded(t *testing.T) {
 	dwell := 2 * clock.Minute
 	for name, broken := range map[string]guards{"NoWindow": {noWindow: true, noSpareFor: true}, "NoSpareFor": {noSpareFor: true}} {
-		bn := newHarness(Settings{Dwell: dwell}, 4, 4)
-		bn.cell.disabled = broken
-		bn.demand = swing(2*clock.Minute, 7)
+		ha := newHarness(Settings{Dwell: dwell}, 4, 4)
+		ha.cell.disabled = broken
+		ha.demand = swingingLoad(2*clock.Minute, 7)
 		if broken.noWindow {
-			assert.Assert(t, hourly(bn, 1) > 0, "%s is not caught", name)
+			assert.Assert(t, maxChangesPerHour(ha, 1) > 0, "%s is not caught", name)
 			continue
 		}
-		assert.Equal(t, hourly(bn, 1), 0, "the window alone must prevent changes under this swing")
-		bn = newHarness(Settings{Dwell: dwell}, 4, 4)
-		bn.cell.disabled = broken
-		bn.demand = swing(10*clock.Minute, 7)
-		most := hourly(bn, 4)
-		t.Logf("%s: period 10m: %d changes in 4 h, at most %d in an hour", name, len(bn.changes), most)
+		assert.Equal(t, maxChangesPerHour(ha, 1), 0, "the window alone must prevent changes under this swing")
+		ha = newHarness(Settings{Dwell: dwell}, 4, 4)
+		ha.cell.disabled = broken
+		ha.demand = swingingLoad(10*clock.Minute, 7)
+		most := maxChangesPerHour(ha, 4)
+		t.Logf("%s: period 10m: %d changes in 4 h, at most %d in an hour", name, len(ha.changes), most)
 		assert.Assert(t, most > 0, "%s is not caught", name)
 	}
 	few := 0
 	for _, noDwell := range []bool{false, true} {
-		bn := newHarness(Settings{Dwell: dwell, Window: 5 * clock.Second, SpareFor: 1}, 8, 8)
-		bn.cell.disabled = guards{noDwell: noDwell}
-		bn.demand = swing(2*clock.Minute, 14)
-		most := hourly(bn, 1)
+		ha := newHarness(Settings{Dwell: dwell, Window: 5 * clock.Second, SpareFor: 1}, 8, 8)
+		ha.cell.disabled = guards{noDwell: noDwell}
+		ha.demand = swingingLoad(2*clock.Minute, 14)
+		most := maxChangesPerHour(ha, 1)
 		if !noDwell {
 			few = most
 			assert.Assert(t, most <= int(clock.Hour/dwell)+1)
@@ -287,28 +287,28 @@
 		least := rapid.IntRange(1, 3).Draw(rt, "Least")
 		prefill := rapid.IntRange(least, 8).Draw(rt, "Prefill")
 		decode := rapid.IntRange(least, 8).Draw(rt, "Decode")
-		bn := newHarness(Settings{Dwell: 2 * clock.Minute, MinEngines: least}, prefill, decode)
+		ha := newHarness(Settings{Dwell: 2 * clock.Minute, MinEngines: least}, prefill, decode)
 		load := [2]float64{}
-		bn.demand = func(clock.Millis) (float64, float64) { return load[0], load[1] }
-		bn.outcome = func(sd Send) Outcome {
-			if eng := bn.engine(sd.Server); eng.Role != sd.Order.Role && bn.runs[sd.Server] > 0 {
-				rt.Fatalf("engine %s changes its role with %d running requests", sd.Server, bn.runs[sd.Server])
+		ha.demand = func(clock.Millis) (float64, float64) { return load[0], load[1] }
+		ha.outcome = func(sd Send) Outcome {
+			if eng := ha.engine(sd.Server); eng.Role != sd.Order.Role && ha.runs[sd.Server] > 0 {
+				rt.Fatalf("engine %s changes its role with %d running requests", sd.Server, ha.runs[sd.Server])
 			}
 			return Outcome{}
 		}
 		for range 12 {
 			load = [2]float64{rapid.Float64Range(0, 9).Draw(rt, "PrefillLoad"), rapid.Float64Range(0, 9).Draw(rt, "DecodeLoad")}
-			for _, eng := range bn.engines {
-				bn.runs[eng.ID] = rapid.IntRange(0, 1).Draw(rt, "Runs")
+			for _, eng := range ha.engines {
+				ha.runs[eng.ID] = rapid.IntRange(0, 1).Draw(rt, "Runs")
 			}
-			bn.run(clock.Millis(rapid.IntRange(1, 6).Draw(rt, "Minutes")) * clock.Minute)
+			ha.run(clock.Millis(rapid.IntRange(1, 6).Draw(rt, "Minutes")) * clock.Minute)
 		}
-		if bn.fewest[board.Prefill] < least || bn.fewest[board.Decode] < least {
-			rt.Fatalf("fewest engines by role: %v", bn.fewest)
+		if ha.fewest[board.Prefill] < least || ha.fewest[board.Decode] < least {
+			rt.Fatalf("fewest engines by role: %v", ha.fewest)
 		}
-		for ix := 1; ix < len(bn.changes); ix++ {
-			if bn.changes[ix]-bn.changes[ix-1] < 2*clock.Minute {
-				rt.Fatalf("changes less than a dwell apart: %v", bn.changes)
+		for ix := 1; ix < len(ha.changes); ix++ {
+			if ha.changes[ix]-ha.changes[ix-1] < 2*clock.Minute {
+				rt.Fatalf("changes less than a dwell apart: %v", ha.changes)
 			}
 		}
 	})
@@ -316,55 +316,55 @@
 
 // shortDecode returns a harness whose load requires decode engines.
 func shortDecode(prefill, decode int) *harness {
-	bn := newHarness(Settings{Dwell: 2 * clock.Minute, SpareFor: 1}, prefill, decode)
-	bn.demand = func(clock.Millis) (float64, float64) { return 0, 99 }
-	return bn
+	ha := newHarness(Settings{Dwell: 2 * clock.Minute, SpareFor: 1}, prefill, decode)
+	ha.demand = func(clock.Millis) (float64, float64) { return 0, 99 }
+	return ha
 }
 
 func TestMinimumIsKept(t *testing.T) {
-	bn := shortDecode(3, 1)
-	bn.run(4 * clock.Hour)
-	assert.Equal(t, bn.fewest[board.Prefill], 1)
-	assert.Equal(t, len(bn.changes), 2)
-
-	bn = shortDecode(1, 1)
-	bn.cell.disabled.noMinimum = true
-	bn.cell.trend.shortRole = board.Decode
-	_, ok := bn.cell.pickEngine(board.Decode)
+	ha := shortDecode(3, 1)
+	ha.run(4 * clock.Hour)
+	assert.Equal(t, ha.fewest[board.Prefill], 1)
+	assert.Equal(t, len(ha.changes), 2)
+
+	ha = shortDecode(1, 1)
+	ha.cell.disabled.noMinimum = true
+	ha.cell.trend.shortRole = board.Decode
+	_, ok := ha.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
-	bn.step(bn.observe())
-	_, ok = bn.cell.pickEngine(board.Decode)
+	ha.step(ha.observe())
+	_, ok = ha.cell.pickEngine(board.Decode)
 	assert.Assert(t, ok, "the last engine is kept even without the guard")
-	bn.cell.disabled.noMinimum = false
-	_, ok = bn.cell.pickEngine(board.Decode)
+	ha.cell.disabled.noMinimum = false
+	_, ok = ha.cell.pickEngine(board.Decode)
 	assert.Assert(t, !ok)
 }
 
 func TestARoleThatLostItsEnginesGetsOne(t *testing.T) {
-	bn := newHarness(Settings{Dwell: 2 * clock.Minute}, 3, 1)
-	bn.engine("e03").Usable = false
-	bn.run(30 * clock.Minute)
-	assert.Equal(t, poolsOf(bn.engines).decode, 1)
-	assert.Equal(t, len(bn.changes), 1)
+	ha := newHarness(Settings{Dwell: 2 * clock.Minute}, 3, 1)
+	ha.engine("e03").Usable = false
+	ha.run(30 * clock.Minute)
+	assert.Equal(t, poolsOf(ha.engines).decode, 1)
+	assert.Equal(t, len(ha.changes), 1)
 }
 
 func TestABusyEngineIsNotChanged(t *testing.T) {
 	for _, noDrain := range []bool{false, true} {
-		bn := shortDecode(2, 2)
-		bn.neverIdle = true
-		bn.cell.disabled.noDrain = noDrain
-		bn.run(20 * clock.Minute)
-		assert.Equal(t, len(bn.changes) > 0, noDrain)
-		stops, goes := 0, 0
-		for _, in := range bn.intents {
+		ha := shortDecode(2, 2)
+		ha.neverIdle = true
+		ha.cell.disabled.noDrain = noDrain
+		ha.run(20 * clock.Minute)
+		assert.Equal(t, len(ha.changes) > 0, noDrain)
+		stops, resumes := 0, 0
+		for _, in := range ha.intents {
 			if dr, ok := in.(Drain); ok && dr.Stop {
 				stops++
 			} else if ok {
-				goes++
+				resumes++
 			}
 		}
 		assert.Assert(t, stops > 0)
-		assert.Equal(t, stops, goes, "not every drained engine gets new work again")
+		assert.Equal(t, stops, resumes, "not every drained engine gets new work again")
 	}
 }
 
@@ -388,9 +388,9 @@
 		{"Refused", []Outcome{{Reason: Declined, Decline: "Refused"}}, false, 0, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bn := shortDecode(3, 1)
+			ha := shortDecode(3, 1)
 			var fences []uint64
-			bn.outcome = func(sd Send) Outcome {
+			ha.outcome = func(sd Send) Outcome {
 				if !change(sd) {
 					return Outcome{}
 				}
@@ -399,19 +399,19 @@
 					return Outcome{}
 				}
 				if tc.effect {
-					bn.engine(sd.Server).Role = sd.Order.Role
-					bn.changes = append(bn.changes, bn.now)
+					ha.engine(sd.Server).Role = sd.Order.Role
+					ha.changes = append(ha.changes, ha.now)
 				}
 				return tc.first[len(fences)-1]
 			}
-			bn.run(4 * clock.Minute) // one change at most
-			assert.Equal(t, len(bn.changes), tc.changes)
+			ha.run(4 * clock.Minute) // one change at most
+			assert.Equal(t, len(ha.changes), tc.changes)
 			assert.Equal(t, len(fences), tc.sends)
 			for _, fence := range fences {
 				assert.Equal(t, fence, fences[0], "a repeat must have the first token")
 			}
-			assert.Assert(t, !bn.held, "the lease was not released")
-			assert.Assert(t, bn.cell.current == nil)
+			assert.Assert(t, !ha.held, "the lease was not released")
+			assert.Assert(t, ha.cell.current == nil)
 		})
 	}
 }
@@ -419,33 +419,33 @@
 // While the effect of an order is in doubt, no other order is given.
 func TestNoOtherOrderInDoubt(t *testing.T) {
 	for _, noDoubt := range []bool{false, true} {
-		bn := shortDecode(5, 1)
-		bn.cell.disabled.noDoubt = noDoubt
+		ha := shortDecode(5, 1)
+		ha.cell.disabled.noDoubt = noDoubt
 		doubtful := map[string]bool{}
-		bn.outcome = func(sd Send) Outcome {
-			if sd.Order.Role == board.Decode && bn.engine(sd.Server).Role == board.Prefill {
+		ha.outcome = func(sd Send) Outcome {
+			if sd.Order.Role == board.Decode && ha.engine(sd.Server).Role == board.Prefill {
 				doubtful[sd.Server] = true
 				return Outcome{Reason: InDoubt}
 			}
 			return Outcome{}
 		}
 		for len(doubtful) == 0 {
-			bn.run(step)
+			ha.run(step)
 		}
 		// The engine no longer reports anything.
 		for id := range doubtful {
-			bn.engine(id).Role, bn.engine(id).Usable = "", false
+			ha.engine(id).Role, ha.engine(id).Usable = "", false
 		}
-		bn.run(30 * clock.Minute)
+		ha.run(30 * clock.Minute)
 		assert.Equal(t, len(doubtful) > 1, noDoubt)
 	}
 }
 
 func TestWithoutTheLeaseNothingIsOrdered(t *testing.T) {
-	bn := shortDecode(3, 1)
-	bn.noLease = true
-	bn.run(clock.Hour)
-	for _, in := range bn.intents {
+	ha := shortDecode(3, 1)
+	ha.noLease = true
+	ha.run(clock.Hour)
+	for _, in := range ha.intents {
 		switch in.(type) {
 		case Send, Drain:
 			t.Fatalf("intent %#v without the lease", in)
@@ -454,53 +454,53 @@
 }
 
 func TestOrdersOfOperators(t *testing.T) {
-	bn := newHarness(Settings{NoRoleChanges: true}, 1, 1)
-	bn.step(bn.observe())
+	ha := newHarness(Settings{NoRoleChanges: true}, 1, 1)
+	ha.step(ha.observe())
 	for ix, kind := range []engine.OrderKind{engine.LoadModel, engine.LoadAdapter, engine.LoadVersion} {
-		bn.step(OperatorOrder{ID: fmt.Sprint(ix), Server: "e00", Order: engine.Order{Kind: kind, Name: "m"}})
+		ha.step(OperatorOrder{ID: fmt.Sprint(ix), Server: "e00", Order: engine.Order{Kind: kind, Name: "m"}})
 	}
-	bn.step(OperatorOrder{ID: "none", Server: "e77", Order: engine.Order{Kind: engine.LoadModel, Name: "m"}})
-	bn.run(2 * clock.Minute)
+	ha.step(OperatorOrder{ID: "none", Server: "e77", Order: engine.Order{Kind: engine.LoadModel, Name: "m"}})
+	ha.run(2 * clock.Minute)
 	got := map[string]Reason{}
-	for _, in := range bn.intents {
-		if an, ok := in.(OperatorReply); ok {
-			got[an.ID] = an.Reason
+	for _, in := range ha.intents {
+		if rep, ok := in.(OperatorReply); ok {
+			got[rep.ID] = rep.Reason
 		}
 	}
 	assert.DeepEqual(t, got, map[string]Reason{"0": CarriedOut, "1": CarriedOut, "2": CarriedOut, "none": UnknownEngine})
-	assert.Assert(t, !bn.held)
+	assert.Assert(t, !ha.held)
 }
 
 // When a lease lapses, every order that was not sent under it ends, and an order in
 // doubt is not sent again under another lease.
-func TestALapsedLeaseEndsWhatItBegan(t *testing.T) {
-	bn := shortDecode(3, 1)
-	bn.neverIdle = true
-	for bn.cell.current == nil || bn.cell.current.phase != draining {
-		bn.run(step)
+func TestLapsedLeaseEndsUnsentOrders(t *testing.T) {
+	ha := shortDecode(3, 1)
+	ha.neverIdle = true
+	for ha.cell.current == nil || ha.cell.current.phase != draining {
+		ha.run(step)
 	}
-	bn.step(LeaseLapsed{})
-	assert.Assert(t, bn.cell.current == nil && len(bn.runs) == 0, "the drain continues")
-	bn.step(LeaseHeld{Token: 1 << 40})
-	bn.run(10 * clock.Second)
-	assert.Equal(t, len(bn.changes), 0)
+	ha.step(LeaseLapsed{})
+	assert.Assert(t, ha.cell.current == nil && len(ha.runs) == 0, "the drain continues")
+	ha.step(LeaseHeld{Token: 1 << 40})
+	ha.run(10 * clock.Second)
+	assert.Equal(t, len(ha.changes), 0)
 
-	bn = shortDecode(3, 1)
+	ha = shortDecode(3, 1)
 	sends := 0
-	bn.outcome = func(sd Send) Outcome {
+	ha.outcome = func(sd Send) Outcome {
 		if sd.Order.Role != board.Decode || sd.Server != "e00" {
 			return Outcome{}
 		}
 		if sends++; sends == 1 {
-			bn.step(LeaseLapsed{})
-			bn.step(LeaseHeld{Token: 1 << 40})
+			ha.step(LeaseLapsed{})
+			ha.step(LeaseHeld{Token: 1 << 40})
 		}
 		return Outcome{Reason: InDoubt}
 	}
 	for sends == 0 {
-		bn.run(step)
+		ha.run(step)
 	}
-	bn.run(30 * clock.Second)
+	ha.run(30 * clock.Second)
 	assert.Equal(t, sends, 1)
-	assert.Assert(t, bn.cell.current == nil, "the engine's report did not resolve the doubt")
+	assert.Assert(t, ha.cell.current == nil, "the engine's report did not resolve the doubt")
 }
--- a/internal/orders/change.go
+++ b/internal/orders/change.go
@@ -46,27 +46,27 @@
 // advance moves the order in progress through its phases as far as possible.
 func (ce *Cell) advance(now clock.Millis) {
 	for ce.current != nil {
-		ch, ph := ce.current, ce.current.phase
+		ao, ph := ce.current, ce.current.phase
 		ce.advanceOnce(now)
-		if ce.current != ch || ch.phase == ph {
+		if ce.current != ao || ao.phase == ph {
 			return
 		}
 	}
 }
 
 func (ce *Cell) advanceOnce(now clock.Millis) {
-	ch := ce.current
-	if ch.phase < sending && ch.phase != awaitingLease && !ce.sameLease(ch) {
+	ao := ce.current
+	if ao.phase < sending && ao.phase != awaitingLease && !ce.sameLease(ao) {
 		ce.finish(now, LeaseLost, Outcome{})
 		return
 	}
-	switch ch.phase {
+	switch ao.phase {
 	case awaitingLease:
 		switch {
 		case ce.token != 0:
-			ch.leaseSince = ce.heldAt
+			ao.leaseSince = ce.heldAt
 			ce.enterPhase(now, settling)
-		case now-ch.since >= ce.Settings.LeaseTimeout:
+		case now-ao.since >= ce.Settings.LeaseTimeout:
 			ce.finish(now, NoLease, Outcome{})
 		}
 	case settling:
@@ -83,17 +83,17 @@
 
 // sameLease reports whether the lease has been held without interruption since the
 // order was started. A renewal changes the token but not the lease.
-func (ce *Cell) sameLease(ch *activeOrder) bool { return ce.token != 0 && ce.heldAt == ch.leaseSince }
+func (ce *Cell) sameLease(ao *activeOrder) bool { return ce.token != 0 && ce.heldAt == ao.leaseSince }
 
 // settle waits until the roles of all engines are certain.
 func (ce *Cell) settle(now clock.Millis) {
-	ch := ce.current
+	ao := ce.current
 	switch {
-	case ch.id != "" && now >= ce.settledFrom():
+	case ao.id != "" && now >= ce.settledFrom():
 		ce.send(now)
-	case ch.id == "" && ce.settled():
+	case ao.id == "" && ce.settled():
 		ce.distributeToken(now)
-	case now-ch.since >= ce.Settings.LeaseTimeout+ce.Settings.MaxOrderDelay:
+	case now-ao.since >= ce.Settings.LeaseTimeout+ce.Settings.MaxOrderDelay:
 		ce.finish(now, NotSettled, Outcome{})
 	}
 }
@@ -102,24 +102,24 @@
 // previous holder to another engine than the one that is about to change must be
 // refused too, or else the old role could lose both engines.
 func (ce *Cell) distributeToken(now clock.Millis) {
-	ch := ce.current
-	ch.order.Fence = ce.token
-	ch.unfenced = make(map[string]bool)
+	ao := ce.current
+	ao.order.Fence = ce.token
+	ao.unfenced = make(map[string]bool)
 	for _, eng := range ce.observed.Engines {
 		if eng.Usable && eng.ChecksFencing && !ce.disabled.noFence {
-			ch.unfenced[eng.ID] = true
+			ao.unfenced[eng.ID] = true
 			ce.emit(Send{Server: eng.ID, Order: engine.Order{Kind: engine.ChangeRole, Role: eng.Role, Fence: ce.token}})
 		}
 	}
 	ce.enterPhase(now, fencing)
-	if len(ch.unfenced) == 0 {
+	if len(ao.unfenced) == 0 {
 		ce.enterPhase(now, choosing)
 	}
 }
 
 func (ce *Cell) handleFenced(now clock.Millis, ev Sent) {
-	ch := ce.current
-	if !ch.unfenced[ev.Server] {
+	ao := ce.current
+	if !ao.unfenced[ev.Server] {
 		return
 	}
 	if ev.Outcome.Reason != CarriedOut {
@@ -127,8 +127,8 @@
 		return
 	}
 	ce.recordRole(now, ev.Server, ev.Outcome)
-	delete(ch.unfenced, ev.Server)
-	if len(ch.unfenced) == 0 && ce.sameLease(ch) {
+	delete(ao.unfenced, ev.Server)
+	if len(ao.unfenced) == 0 && ce.sameLease(ao) {
 		ce.enterPhase(now, choosing)
 	}
 }
@@ -137,44 +137,44 @@
 // previous holder may already have changed a role. A load close to its threshold gets
 // time to recover, because an abandoned change costs a dwell.
 func (ce *Cell) choose(now clock.Millis) {
-	ch := ce.current
-	if ce.trend.shortRole != ch.order.Role {
-		if now-ch.since >= ce.Settings.NeedTimeout {
+	ao := ce.current
+	if ce.trend.shortRole != ao.order.Role {
+		if now-ao.since >= ce.Settings.NeedTimeout {
 			ce.finish(now, NotNeeded, Outcome{})
 		}
 		return
 	}
-	eng, ok := ce.pickEngine(ch.order.Role)
+	eng, ok := ce.pickEngine(ao.order.Role)
 	if !ok {
 		ce.finish(now, TooFew, Outcome{})
 		return
 	}
-	ch.server = eng.ID
-	ch.drained = true
-	ch.inspectAt = now
+	ao.server = eng.ID
+	ao.drained = true
+	ao.inspectAt = now
 	ce.enterPhase(now, draining)
 	ce.emit(Drain{Server: eng.ID, Stop: true})
-	ce.logEvent(event.RoleChangeBegun, event.F("Server", eng.ID), event.F("To", ch.order.Role), event.F("Work", eng.Granted))
+	ce.logEvent(event.RoleChangeBegun, event.F("Server", eng.ID), event.F("To", ao.order.Role), event.F("Work", eng.Granted))
 }
 
 // drain waits until the engine has completed its work.
 func (ce *Cell) drain(now clock.Millis) {
-	ch := ce.current
-	eng, ok := ce.engineByID(ch.server)
+	ao := ce.current
+	eng, ok := ce.engineByID(ao.server)
 	switch {
-	case !ok || !eng.Usable || eng.Role != otherRole(ch.order.Role):
+	case !ok || !eng.Usable || eng.Role != otherRole(ao.order.Role):
 		ce.finish(now, NotNeeded, Outcome{})
 	case !ce.maySpare(eng.Role):
 		ce.finish(now, TooFew, Outcome{})
 	case ce.disabled.noDrain:
 		ce.send(now)
-	case now-ch.since >= ce.Settings.DrainTimeout:
+	case now-ao.since >= ce.Settings.DrainTimeout:
 		ce.finish(now, NotDrained, Outcome{})
 	case eng.Granted > 0:
-		ch.idleSince = 0
+		ao.idleSince = 0
 	default:
-		if ch.idleSince == 0 {
-			ch.idleSince = now
+		if ao.idleSince == 0 {
+			ao.idleSince = now
 		}
 		ce.inspect(now)
 	}
@@ -189,15 +189,15 @@
 
 // handleInspected processes the engine's own report of what it runs and of its role.
 func (ce *Cell) handleInspected(now clock.Millis, ev Inspected) {
-	ch := ce.current
-	if ch == nil || ch.server != ev.Server || ev.Failed {
+	ao := ce.current
+	if ao == nil || ao.server != ev.Server || ev.Failed {
 		return
 	}
-	switch ch.phase {
+	switch ao.phase {
 	case draining:
-		eng, ok := ce.engineByID(ch.server)
-		if ok && ev.Runs == 0 && eng.Granted == 0 && ch.idleSince != 0 && ev.Asked >= ch.idleSince &&
-			ce.sameLease(ch) && ev.Role == eng.Role && ce.maySpare(eng.Role) {
+		eng, ok := ce.engineByID(ao.server)
+		if ok && ev.Runs == 0 && eng.Granted == 0 && ao.idleSince != 0 && ev.Asked >= ao.idleSince &&
+			ce.sameLease(ao) && ev.Role == eng.Role && ce.maySpare(eng.Role) {
 			ce.send(now)
 		}
 	case verifying:
@@ -207,19 +207,19 @@
 
 // send sends the order with the token of the current lease.
 func (ce *Cell) send(now clock.Millis) {
-	ch := ce.current
-	eng, ok := ce.engineByID(ch.server)
+	ao := ce.current
+	eng, ok := ce.engineByID(ao.server)
 	if !ok {
 		ce.finish(now, UnknownEngine, Outcome{})
 		return
 	}
 	// A repeat carries the fencing token of the first attempt.
-	if ch.order.Fence == 0 {
-		ch.order.Fence = ce.token
+	if ao.order.Fence == 0 {
+		ao.order.Fence = ce.token
 	}
-	ch.tries++
-	ch.sentAt = now
-	sd := Send{Server: ch.server, Order: ch.order}
+	ao.tries++
+	ao.sentAt = now
+	sd := Send{Server: ao.server, Order: ao.order}
 	if !eng.ChecksFencing {
 		sd.LeaseMargin = ce.Settings.LeaseMargin
 	}
@@ -229,14 +229,14 @@
 
 // handleSent processes the outcome of an order.
 func (ce *Cell) handleSent(now clock.Millis, ev Sent) {
-	ch := ce.current
+	ao := ce.current
 	switch {
-	case ch == nil:
+	case ao == nil:
 		return
-	case ch.phase == fencing:
+	case ao.phase == fencing:
 		ce.handleFenced(now, ev)
 		return
-	case ch.phase != sending || ch.server != ev.Server:
+	case ao.phase != sending || ao.server != ev.Server:
 		return
 	}
 	switch ev.Outcome.Reason {
@@ -247,14 +247,14 @@
 			ce.finish(now, InDoubt, ev.Outcome)
 			return
 		}
-		ce.logEvent(event.OrderDoubted, event.F("Server", ch.server), event.F("Kind", ch.order.Kind), event.F("Token", ch.order.Fence))
-		ch.inspectAt = now
+		ce.logEvent(event.OrderDoubted, event.F("Server", ao.server), event.F("Kind", ao.order.Kind), event.F("Token", ao.order.Fence))
+		ao.inspectAt = now
 		ce.enterPhase(now, verifying)
 	case LeaseLost:
-		ce.logEvent(event.OrderWithheld, event.F("Server", ch.server), event.F("Token", ch.order.Fence))
+		ce.logEvent(event.OrderWithheld, event.F("Server", ao.server), event.F("Token", ao.order.Fence))
 		ce.endUnsent(now, LeaseLost, ev.Outcome)
 	case Fenced:
-		ce.logEvent(event.OrderFenced, event.F("Server", ch.server), event.F("Token", ch.order.Fence))
+		ce.logEvent(event.OrderFenced, event.F("Server", ao.server), event.F("Token", ao.order.Fence))
 		ce.endUnsent(now, Fenced, ev.Outcome)
 	default:
 		if ce.mayRetry() && ev.Outcome.Decline == "" {
@@ -284,8 +284,8 @@
 
 // verify queries the engine until its report shows whether the order took effect.
 func (ce *Cell) verify(now clock.Millis) {
-	ch := ce.current
-	if ch.order.Kind != engine.ChangeRole {
+	ao := ce.current
+	if ao.order.Kind != engine.ChangeRole {
 		// Reports do not name what is loaded, but the reply to a repeated order does.
 		if ce.mayRetry() {
 			ce.send(now)
@@ -294,7 +294,7 @@
 		}
 		return
 	}
-	if eng, ok := ce.engineByID(ch.server); !ok {
+	if eng, ok := ce.engineByID(ao.server); !ok {
 		ce.finish(now, InDoubt, Outcome{Role: eng.Role}) // the engine no longer exists, so its state no longer matters
 		return
 	}
@@ -304,14 +304,14 @@
 // resolveDoubt compares the engine's role after the order was sent with the role in the
 // order.
 func (ce *Cell) resolveDoubt(now clock.Millis, ev Inspected) {
-	ch := ce.current
+	ao := ce.current
 	switch {
-	case ch.order.Kind != engine.ChangeRole || ev.RoleAt < ch.sentAt || ev.Role == "":
-	case ev.Role == ch.order.Role:
+	case ao.order.Kind != engine.ChangeRole || ev.RoleAt < ao.sentAt || ev.Role == "":
+	case ev.Role == ao.order.Role:
 		ce.finish(now, CarriedOut, Outcome{Role: ev.Role, Repeated: true})
 	case ce.mayRetry():
 		ce.send(now)
-	case ev.RoleAt >= ch.sentAt+ce.Settings.MaxOrderDelay:
+	case ev.RoleAt >= ao.sentAt+ce.Settings.MaxOrderDelay:
 		// Any order in transit has either arrived by now or never will.
 		ce.finish(now, Declined, Outcome{Role: ev.Role})
 	}
@@ -319,15 +319,15 @@
 
 // finish ends the order and releases the lease.
 func (ce *Cell) finish(now clock.Millis, reason Reason, oc Outcome) {
-	ch := ce.current
+	ao := ce.current
 	ce.current = nil
-	if ch.drained {
-		ce.emit(Drain{Server: ch.server, Stop: false})
+	if ao.drained {
+		ce.emit(Drain{Server: ao.server, Stop: false})
 	}
 	ce.emit(WantLease{Hold: false})
 	ce.token = 0 // the next order must wait for a new LeaseHeld
-	if ch.id != "" {
-		ce.finishOperatorOrder(ch, reason, oc)
+	if ao.id != "" {
+		ce.finishOperatorOrder(ao, reason, oc)
 		return
 	}
 	// An abandoned change counts like a completed one: the load must require a change
@@ -335,23 +335,23 @@
 	ce.lastChangeAt = now
 	ce.trend.since = now
 	if reason == CarriedOut {
-		ce.recordRole(now, ch.server, oc)
-		ce.logEvent(event.RoleChanged, event.F("Server", ch.server), event.F("To", ch.order.Role), event.F("Token", ch.order.Fence))
+		ce.recordRole(now, ao.server, oc)
+		ce.logEvent(event.RoleChanged, event.F("Server", ao.server), event.F("To", ao.order.Role), event.F("Token", ao.order.Fence))
 		return
 	}
 	ce.logEvent(event.RoleChangeAbandoned, append([]event.Field{
-		event.F("Server", ch.server), event.F("To", ch.order.Role),
+		event.F("Server", ao.server), event.F("To", ao.order.Role),
 		event.F("Reason", reason), event.F("Decline", declineOf(oc)),
 	}, ce.trend.fields(now)...)...)
 }
 
-func (ce *Cell) finishOperatorOrder(ch *activeOrder, reason Reason, oc Outcome) {
+func (ce *Cell) finishOperatorOrder(ao *activeOrder, reason Reason, oc Outcome) {
 	ev := event.OrderGiven
 	if reason != CarriedOut {
 		ev = event.OrderFailed
 	}
-	ce.logEvent(ev, event.F("Server", ch.server), event.F("Kind", ch.order.Kind), event.F("Of", ch.order.Name), event.F("Reason", reason))
-	ce.emit(OperatorReply{ID: ch.id, Reason: reason, Outcome: oc})
+	ce.logEvent(ev, event.F("Server", ao.server), event.F("Kind", ao.order.Kind), event.F("Of", ao.order.Name), event.F("Reason", reason))
+	ce.emit(OperatorReply{ID: ao.id, Reason: reason, Outcome: oc})
 }
 
 func declineOf(oc Outcome) backend.Reason { return oc.Decline }
--- a/internal/orders/explore_test.go
+++ b/internal/orders/explore_test.go
@@ -52,8 +52,8 @@
 		orders  []*order
 		sends   int
 
-		stale int  // orders that took effect although another VM had acquired the lease since
-		below bool // prefill was left with too few engines at some time
+		stale          int  // orders that took effect although another VM had acquired the lease since
+		tooFewPrefills bool // prefill was left with too few engines at some time
 	}
 
 	holder struct {
@@ -140,7 +140,7 @@
 				}
 			}
 			po := poolsOf(wo.engines)
-			wo.below = wo.below || po.prefill < minEngines
+			wo.tooFewPrefills = wo.tooFewPrefills || po.prefill < minEngines
 		}
 		return Outcome{Role: eng.Role}
 	}
@@ -250,12 +250,12 @@
 	}
 	for _, ps := range pauses {
 		for nth := 1; nth <= 4; nth++ {
-			for _, flight := range []clock.Millis{0, 8 * clock.Second, 12 * clock.Second, 25 * clock.Second, 40 * clock.Second} {
+			for _, delay := range []clock.Millis{0, 8 * clock.Second, 12 * clock.Second, 25 * clock.Second, 40 * clock.Second} {
 				for flags := range 4 {
-					if flags&1 != 0 && flight > replyTimeout {
+					if flags&1 != 0 && delay > replyTimeout {
 						continue // the reply is lost in any case
 					}
-					play(schedule{pauseAt: ps.at, pauseFor: ps.span, delayedOrder: nth, orderDelay: flight, replyLost: flags&1 != 0, senderPaused: flags&2 != 0})
+					play(schedule{pauseAt: ps.at, pauseFor: ps.span, delayedOrder: nth, orderDelay: delay, replyLost: flags&1 != 0, senderPaused: flags&2 != 0})
 				}
 			}
 		}
@@ -264,9 +264,9 @@
 
 // tally sums up the results of all histories.
 type tally struct {
-	histories, changed, stale, below, unrepaired int
-	shortestDelay                                clock.Millis // shortest delay of an order with which prefill was left with too few engines
-	unrepairedSchedules                          []schedule   // histories that ended with too few prefill engines
+	histories, changed, stale, tooFewPrefills, unrepaired int
+	shortestDelay                                         clock.Millis // shortest delay of an order with which prefill was left with too few engines
+	unrepairedSchedules                                   []schedule   // histories that ended with too few prefill engines
 }
 
 func sweep(checks int, mt mutation) tally {
@@ -279,8 +279,8 @@
 		ta.stale += wo.stale
 		po := poolsOf(wo.engines)
 		ta.changed += boolToInt(po.prefill == 2 && po.decode == 2)
-		if wo.below {
-			ta.below++
+		if wo.tooFewPrefills {
+			ta.tooFewPrefills++
 			if ta.shortestDelay == 0 || sc.orderDelay < ta.shortestDelay {
 				ta.shortestDelay = sc.orderDelay
 			}
@@ -302,16 +302,16 @@
 	shown := 0
 	for _, checks := range []int{0, 1, 4} {
 		ta := sweep(checks, mutation{})
-		shown += ta.below
+		shown += ta.tooFewPrefills
 		t.Logf("%d of 4 engines check: %d histories, %d end with the change made, %d orders of an old holder took effect, %d left prefill with too few engines (shortest order delay %v), %d at the end",
-			checks, ta.histories, ta.changed, ta.stale, ta.below, ta.shortestDelay, ta.unrepaired)
+			checks, ta.histories, ta.changed, ta.stale, ta.tooFewPrefills, ta.shortestDelay, ta.unrepaired)
 		assert.Assert(t, ta.changed > ta.histories*9/10)
 		assert.Equal(t, ta.unrepaired, 0, "%+v", ta.unrepairedSchedules)
 		if checks == 4 {
-			assert.Equal(t, ta.below, 0)
+			assert.Equal(t, ta.tooFewPrefills, 0)
 			continue
 		}
-		assert.Assert(t, ta.below == 0 || ta.shortestDelay > 12*clock.Second, "order delay of %v", ta.shortestDelay)
+		assert.Assert(t, ta.tooFewPrefills == 0 || ta.shortestDelay > 12*clock.Second, "order delay of %v", ta.shortestDelay)
 	}
 	assert.Assert(t, shown > 0, "no history shows the remaining risk: the scope is too small")
 }
@@ -327,8 +327,8 @@
 		{"NoLastLook", 0, mutation{noLeaseCheck: true}},
 	} {
 		ta := sweep(tc.checks, tc.mutation)
-		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest order delay %v)", tc.name, ta.below, ta.histories, ta.shortestDelay)
-		caught := ta.below > 0 && (tc.checks == 4 || ta.shortestDelay <= 12*clock.Second)
+		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest order delay %v)", tc.name, ta.tooFewPrefills, ta.histories, ta.shortestDelay)
+		caught := ta.tooFewPrefills > 0 && (tc.checks == 4 || ta.shortestDelay <= 12*clock.Second)
 		assert.Check(t, caught, tc.name)
 	}
 }
--- a/internal/orders/trend.go
+++ b/internal/orders/trend.go
@@ -111,9 +111,9 @@
 
 // spareSince returns the time since which a role could give up one engine without
 // becoming short itself, or zero if it can't.
-func spareSince(since, now clock.Millis, part float64, engines int, se Settings) clock.Millis {
+func spareSince(since, now clock.Millis, utilization float64, engines int, se Settings) clock.Millis {
 	switch {
-	case engines <= se.MinEngines || part*float64(engines)/float64(engines-1) > se.Low:
+	case engines <= se.MinEngines || utilization*float64(engines)/float64(engines-1) > se.Low:
 		return 0
 	case since == 0:
 		return now
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -31,42 +31,42 @@
 	sent    []suspect.Crash
 }
 
-func newRig(t *testing.T) *testGuard {
+func newTestGuard(t *testing.T) *testGuard {
 	t.Helper()
 	servers := []board.BackendServer{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}, {ID: "leaves", Leaving: true}}
 	list := (&board.Backends{}).WithServers(servers)
-	rg := &testGuard{}
-	rg.Guard = &poison.Guard{
+	tg := &testGuard{}
+	tg.Guard = &poison.Guard{
 		Clock: clock.Monotonic{},
 		Probe: func(context.Context, poison.Call) poison.Finding {
-			rg.probes.Add(1)
-			return poison.Finding(rg.finding.Load())
+			tg.probes.Add(1)
+			return poison.Finding(tg.finding.Load())
 		},
 		Backends: func() *board.Backends { return list },
 		Broadcast: func(en suspect.Crash) {
-			rg.mu.Lock()
-			defer rg.mu.Unlock()
-			rg.sent = append(rg.sent, en)
+			tg.mu.Lock()
+			defer tg.mu.Unlock()
+			tg.sent = append(tg.sent, en)
 		},
 	}
-	rg.setFinding(poison.Crashed)
-	return rg
+	tg.setFinding(poison.Crashed)
+	return tg
 }
 
 // broadcasts returns the crashes that were broadcast so far.
-func (rg *testGuard) broadcasts() []suspect.Crash {
-	rg.mu.Lock()
-	defer rg.mu.Unlock()
-	return slices.Clone(rg.sent)
+func (tg *testGuard) broadcasts() []suspect.Crash {
+	tg.mu.Lock()
+	defer tg.mu.Unlock()
+	return slices.Clone(tg.sent)
 }
 
-func (rg *testGuard) setFinding(finding poison.Finding) { rg.finding.Store(int32(finding)) }
+func (tg *testGuard) setFinding(finding poison.Finding) { tg.finding.Store(int32(finding)) }
 
 // breakCalls breaks a call of the request at each of the servers.
-func (rg *testGuard) breakCalls(t *testing.T, mk suspect.Mark, servers ...string) {
+func (tg *testGuard) breakCalls(t *testing.T, mk suspect.Mark, servers ...string) {
 	t.Helper()
 	for _, id := range servers {
-		rg.RecordBrokenCall(t.Context(), poison.Call{Mark: mk, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent})
+		tg.RecordBrokenCall(t.Context(), poison.Call{Mark: mk, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent})
 		time.Sleep(100 * time.Millisecond) // time to reach the next server
 	}
 }
@@ -87,12 +87,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rg := newRig(t)
-				mk := rg.Mark([]byte("prompt"))
-				rg.setFinding(tt.finding)
-				rg.breakCalls(t, mk, tt.servers...)
-				assert.Equal(t, rg.Check(mk) > 0, tt.refused)
-				assert.Equal(t, rg.Check(rg.Mark([]byte("other prompt"))), clock.Millis(0))
+				tg := newTestGuard(t)
+				mk := tg.Mark([]byte("prompt"))
+				tg.setFinding(tt.finding)
+				tg.breakCalls(t, mk, tt.servers...)
+				assert.Equal(t, tg.Check(mk) > 0, tt.refused)
+				assert.Equal(t, tg.Check(tg.Mark([]byte("other prompt"))), clock.Millis(0))
 			})
 		})
 	}
@@ -101,17 +101,17 @@
 // The crashes that one VM observed are enough for another VM to refuse the request.
 func TestRecordRemote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		seen, hears := newRig(t), newRig(t)
+		observer, receiver := newTestGuard(t), newTestGuard(t)
 		key := func() []byte { return []byte("of the fleet") }
-		seen.Key, hears.Key = key, key
-		mk := seen.Mark([]byte("prompt"))
-		seen.breakCalls(t, mk, "a", "b", "c")
+		observer.Key, receiver.Key = key, key
+		mk := observer.Mark([]byte("prompt"))
+		observer.breakCalls(t, mk, "a", "b", "c")
 		time.Sleep(time.Second)
-		assert.Equal(t, len(seen.broadcasts()), 6, "each crash is broadcast twice")
-		for _, en := range seen.broadcasts() {
-			hears.RecordRemote(en)
+		assert.Equal(t, len(observer.broadcasts()), 6, "each crash is broadcast twice")
+		for _, en := range observer.broadcasts() {
+			receiver.RecordRemote(en)
 		}
-		assert.Assert(t, hears.Check(hears.Mark([]byte("prompt"))) > 0)
+		assert.Assert(t, receiver.Check(receiver.Mark([]byte("prompt"))) > 0)
 	})
 }
 
@@ -119,22 +119,22 @@
 // was at three such servers is no longer refused, also by other VMs.
 func TestUnansweredIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg, hears := newRig(t), newRig(t)
+		tg, receiver := newTestGuard(t), newTestGuard(t)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go rg.Share(ctx)
-		mk := rg.Mark([]byte("prompt"))
-		rg.setFinding(poison.Unanswered)
-		rg.breakCalls(t, mk, "a", "b", "c")
+		go tg.Share(ctx)
+		mk := tg.Mark([]byte("prompt"))
+		tg.setFinding(poison.Unanswered)
+		tg.breakCalls(t, mk, "a", "b", "c")
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, rg.Check(mk) > 0)
-		rg.setFinding(poison.Alive)
+		assert.Assert(t, tg.Check(mk) > 0)
+		tg.setFinding(poison.Alive)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, rg.Check(mk), clock.Millis(0))
-		for _, en := range rg.broadcasts() {
-			hears.RecordRemote(en)
+		assert.Equal(t, tg.Check(mk), clock.Millis(0))
+		for _, en := range tg.broadcasts() {
+			receiver.RecordRemote(en)
 		}
-		assert.Equal(t, hears.Check(mk), clock.Millis(0))
+		assert.Equal(t, receiver.Check(mk), clock.Millis(0))
 	})
 }
 
@@ -142,72 +142,72 @@
 // that broke there meanwhile, including the first.
 func TestUnansweredAfterAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t)
-		rg.Probe = func(context.Context, poison.Call) poison.Finding {
+		tg := newTestGuard(t)
+		tg.Probe = func(context.Context, poison.Call) poison.Finding {
 			time.Sleep(300 * time.Millisecond)
 			return poison.Unanswered
 		}
-		first, beside := rg.Mark([]byte("first")), rg.Mark([]byte("beside"))
+		first, concurrent := tg.Mark([]byte("first")), tg.Mark([]byte("beside"))
 		for _, id := range []string{"a", "b", "c", "d", "e"} { // five, because the first request is blamed after three
 			call := poison.Call{Mark: first, Server: board.BackendServer{ID: id}, Instance: id, Concurrent: poison.UnknownConcurrent}
-			rg.RecordBrokenCall(t.Context(), call)
+			tg.RecordBrokenCall(t.Context(), call)
 			time.Sleep(220 * time.Millisecond)
-			call.Mark = beside
-			rg.RecordBrokenCall(t.Context(), call)
+			call.Mark = concurrent
+			tg.RecordBrokenCall(t.Context(), call)
 			time.Sleep(time.Second)
 		}
-		assert.Assert(t, rg.Check(beside) > 0)
-		assert.Assert(t, rg.Check(first) > 0)
+		assert.Assert(t, tg.Check(concurrent) > 0)
+		assert.Assert(t, tg.Check(first) > 0)
 	})
 }
 
 // A server that crashed and restarted is no longer probed, and its crash counts.
 func TestUnansweredHasCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t)
+		tg := newTestGuard(t)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go rg.Share(ctx)
-		mk := rg.Mark([]byte("prompt"))
-		rg.setFinding(poison.Unanswered)
-		rg.breakCalls(t, mk, "a", "b", "c")
-		rg.setFinding(poison.Crashed)
+		go tg.Share(ctx)
+		mk := tg.Mark([]byte("prompt"))
+		tg.setFinding(poison.Unanswered)
+		tg.breakCalls(t, mk, "a", "b", "c")
+		tg.setFinding(poison.Crashed)
 		time.Sleep(2 * time.Second)
-		asked := rg.probes.Load()
+		probes := tg.probes.Load()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, rg.probes.Load(), asked)
-		assert.Assert(t, rg.Check(mk) > 0)
+		assert.Equal(t, tg.probes.Load(), probes)
+		assert.Assert(t, tg.Check(mk) > 0)
 	})
 }
 
 // An instance crashes only once: requests that were sent there later are not to blame.
 func TestCallAfterTheCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t)
-		rg.setFinding(poison.Unanswered)
-		first, later := rg.Mark([]byte("first")), rg.Mark([]byte("later"))
-		rg.breakCalls(t, first, "a", "b", "c")
-		began := clock.Monotonic{}.Now() + 1
+		tg := newTestGuard(t)
+		tg.setFinding(poison.Unanswered)
+		first, later := tg.Mark([]byte("first")), tg.Mark([]byte("later"))
+		tg.breakCalls(t, first, "a", "b", "c")
+		sentAt := clock.Monotonic{}.Now() + 1
 		time.Sleep(time.Second)
 		for _, id := range []string{"a", "b", "c"} {
-			rg.RecordBrokenCall(t.Context(), poison.Call{Mark: later, Server: board.BackendServer{ID: id}, Instance: id, SentAt: began})
+			tg.RecordBrokenCall(t.Context(), poison.Call{Mark: later, Server: board.BackendServer{ID: id}, Instance: id, SentAt: sentAt})
 		}
-		assert.Assert(t, rg.Check(first) > 0)
-		assert.Equal(t, rg.Check(later), clock.Millis(0))
+		assert.Assert(t, tg.Check(first) > 0)
+		assert.Equal(t, tg.Check(later), clock.Millis(0))
 	})
 }
 
 func TestRecordSuccess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t)
-		mk := rg.Mark([]byte("prompt"))
-		rg.RecordSuccess("r", mk)
-		rg.breakCalls(t, mk, "a", "b")
-		rg.RecordSuccess("r", mk)
-		rg.breakCalls(t, mk, "c")
-		assert.Equal(t, rg.Check(mk), clock.Millis(0), "a complete answer retracts the latest crash")
-		rg.breakCalls(t, mk, "d")
-		assert.Assert(t, rg.Check(mk) > 0)
+		tg := newTestGuard(t)
+		mk := tg.Mark([]byte("prompt"))
+		tg.RecordSuccess("r", mk)
+		tg.breakCalls(t, mk, "a", "b")
+		tg.RecordSuccess("r", mk)
+		tg.breakCalls(t, mk, "c")
+		assert.Equal(t, tg.Check(mk), clock.Millis(0), "a complete answer retracts the latest crash")
+		tg.breakCalls(t, mk, "d")
+		assert.Assert(t, tg.Check(mk) > 0)
 	})
 }
 
--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -98,9 +98,9 @@
 // reprobe probes the servers that did not answer again. If the same instance answers,
 // it has not crashed, and its crashes are retracted.
 func (gd *Guard) reprobe(ctx context.Context) {
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, pr := range gd.unanswered() {
-		asked.Go(func() {
+		pending.Go(func() {
 			again := *pr
 			again.call.InstanceConfirmed = true // an instance that replaces it now started after the call
 			finding := gd.callProbe(ctx, &again)
@@ -114,7 +114,7 @@
 			}
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
 func (gd *Guard) unanswered() []*probe {
--- a/internal/sched/cell_test.go
+++ b/internal/sched/cell_test.go
@@ -96,8 +96,8 @@
 	gr, ok := fx.grants["ra"]
 	assert.Assert(t, ok)
 	assert.Assert(t, gr.Prefill != "" && gr.Decode != "")
-	_, moved := fx.transfers["ra"]
-	assert.Assert(t, !moved, "no import before the prefill is complete")
+	_, transferred := fx.transfers["ra"]
+	assert.Assert(t, !transferred, "no import before the prefill is complete")
 	fx.progress("ra", Prefilled, 400)
 	tr := fx.transfers["ra"]
 	assert.Equal(t, tr.Prefill, gr.Prefill)
@@ -140,9 +140,9 @@
 func TestQuickRefusedAtOnceWhenFull(t *testing.T) {
 	fx := newFixture(1, 1, 2)
 	for _, id := range []string{"ra", "rb"} {
-		ask := patient(id)
-		ask.PromptTokens = 100
-		fx.step(Submit{Spec: ask})
+		spec := patient(id)
+		spec.PromptTokens = 100
+		fx.step(Submit{Spec: spec})
 		fx.startDecoding(id)
 	}
 	fx.step(Submit{Spec: quick("q")})
@@ -160,20 +160,20 @@
 		reason refusal.Reason
 	}{
 		{"no engines", func(fx *fixture, _ *RequestSpec) { fx.step(Servers{}) }, refusal.NoBackend},
-		{"deadline passed", func(fx *fixture, ask *RequestSpec) { ask.Deadline = fx.now + 1 }, refusal.DeadlinePassed},
+		{"deadline passed", func(fx *fixture, spec *RequestSpec) { spec.Deadline = fx.now + 1 }, refusal.DeadlinePassed},
 		{"all leaving", func(fx *fixture, _ *RequestSpec) {
 			for _, srv := range engines(1, 1) {
 				fx.step(Report{Load: board.LoadReport{Server: srv.ID, Leaving: true}})
 			}
 		}, refusal.NoBackend},
-		{"target too short", func(_ *fixture, ask *RequestSpec) { *ask = quick("ra"); ask.TTFT = 60 }, refusal.TargetUnreachable},
+		{"target too short", func(_ *fixture, spec *RequestSpec) { *spec = quick("ra"); spec.TTFT = 60 }, refusal.TargetUnreachable},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
-			ask := patient("ra")
-			tc.modify(fx, &ask)
-			fx.step(Submit{Spec: ask})
+			spec := patient("ra")
+			tc.modify(fx, &spec)
+			fx.step(Submit{Spec: spec})
 			assert.Equal(t, fx.refusals["ra"].Refusal.Reason, tc.reason)
 			assert.Equal(t, fx.refusals["ra"].Refusal.Ran, refusal.NotRun)
 			assert.Equal(t, len(fx.ce.jobs), 0)
@@ -185,9 +185,9 @@
 	fx := newFixture(1, 1, 1)
 	fx.ce.QueueBound = 40
 	for ix := range 60 {
-		ask := patient(fmt.Sprint("r", ix))
-		ask.TTFT, ask.Deadline = 10*clock.Hour, 20*clock.Hour
-		fx.step(Submit{Spec: ask})
+		spec := patient(fmt.Sprint("r", ix))
+		spec.TTFT, spec.Deadline = 10*clock.Hour, 20*clock.Hour
+		fx.step(Submit{Spec: spec})
 	}
 	assert.Equal(t, fx.ce.Waiting(), 20) // half of the bound, because its share is a half
 	assert.Equal(t, fx.refusals["r59"].Refusal.Reason, refusal.QueueFull)
@@ -281,11 +281,11 @@
 func TestLateRequestsAreServedAndEnd(t *testing.T) {
 	fx := newFixture(1, 1, 1)
 	for ix := range 6 {
-		ask := patient(fmt.Sprint("r", ix))
-		ask.TTFT = 30 * clock.Second
-		ask.Deadline = 200 * clock.Second
-		ask.MaxTokens = 10
-		fx.step(Submit{Spec: ask})
+		spec := patient(fmt.Sprint("r", ix))
+		spec.TTFT = 30 * clock.Second
+		spec.Deadline = 200 * clock.Second
+		spec.MaxTokens = 10
+		fx.step(Submit{Spec: spec})
 	}
 	fx.startDecoding("r0")
 	fx.now += 40 * clock.Second
@@ -324,9 +324,9 @@
 
 func TestStalledTransferIsRedirected(t *testing.T) {
 	fx := newFixture(1, 2, 4)
-	ask := patient("ra")
-	ask.PromptTokens = 1000
-	fx.step(Submit{Spec: ask})
+	spec := patient("ra")
+	spec.PromptTokens = 1000
+	fx.step(Submit{Spec: spec})
 	fx.progress("ra", Prefilled, 100)
 	first := fx.transfers["ra"].Decode
 	fx.now += 300
@@ -342,7 +342,7 @@
 	assert.Equal(t, len(fx.transfers), 0)
 }
 
-func TestOrphanHoldsUntilReportsShowItGone(t *testing.T) {
+func TestOrphanHoldsSlotUntilReportShowsRelease(t *testing.T) {
 	fx := newFixture(1, 1, 2)
 	fx.step(Submit{Spec: quick("q")})
 	fx.startDecoding("q")
@@ -399,14 +399,14 @@
 
 // An engine that asked for a rest gets no new work until the rest ends, whatever its
 // reports say.
-func TestEngineThatAsksForRestGetsIt(t *testing.T) {
+func TestRestingEngineGetsNoWork(t *testing.T) {
 	const rest = 3 * clock.Second
 	fx := newFixture(2, 2, 8)
 	fx.step(Rest{Server: "p0", For: rest})
 	fx.step(Rest{Server: "d0", For: rest})
 	fx.step(Rest{Server: "d0", For: clock.Second}) // does not shorten the rest
 	fx.step(Rest{Server: "none", For: rest})
-	ask := func(id string) (prefill, decode string) {
+	run := func(id string) (prefill, decode string) {
 		fx.step(Submit{Spec: quick(id)})
 		prefill = fx.grants[id].Prefill
 		fx.progress(id, Prefilled, 10)
@@ -419,7 +419,7 @@
 		for _, id := range []string{"p0", "d0"} {
 			fx.step(Report{Load: board.LoadReport{Server: id, Slots: 8}})
 		}
-		pre, dec := ask(fmt.Sprint("r", fx.now))
+		pre, dec := run(fmt.Sprint("r", fx.now))
 		assert.Equal(t, pre, "p1")
 		assert.Equal(t, dec, "d1")
 	}
@@ -428,30 +428,30 @@
 	}
 	fx.step(Rest{Server: "p1", For: rest})
 	fx.step(Rest{Server: "d1", For: rest})
-	pre, dec := ask("after")
+	pre, dec := run("after")
 	assert.Equal(t, pre, "p0")
 	assert.Equal(t, dec, "d0")
 }
 
 func TestHeldKVCacheIsUsed(t *testing.T) {
 	fx := newFixture(2, 1, 4)
-	ask := patient("ra")
-	ask.HeldPrefill, ask.Attempt = "p1", 2
-	fx.step(Submit{Spec: ask})
+	spec := patient("ra")
+	spec.HeldPrefill, spec.Attempt = "p1", 2
+	fx.step(Submit{Spec: spec})
 	assert.Equal(t, fx.grants["ra"].SkipPrefill, true)
 	assert.Equal(t, fx.transfers["ra"].Prefill, "p1")
 }
 
 func TestCachedPrefixIsPreferred(t *testing.T) {
 	fx := newFixture(3, 2, 8)
-	ask := patient("ra")
-	ask.PrefixHash, ask.PrefixTokens = 42, 2000
-	fx.step(Submit{Spec: ask})
+	spec := patient("ra")
+	spec.PrefixHash, spec.PrefixTokens = 42, 2000
+	fx.step(Submit{Spec: spec})
 	first := fx.grants["ra"].Prefill
 	fx.step(Submit{Spec: patient("rb")})
-	ask.Request = "rc"
+	spec.Request = "rc"
 	fx.now += 300
-	fx.step(Submit{Spec: ask})
+	fx.step(Submit{Spec: spec})
 	assert.Equal(t, fx.grants["rc"].Prefill, first)
 }
 
@@ -468,12 +468,12 @@
 		}
 	}
 	for ix := range 30 {
-		ask := patient(fmt.Sprint("b", ix))
-		ask.Customer = "fjernvarme"
-		fx.step(Submit{Spec: ask})
+		spec := patient(fmt.Sprint("b", ix))
+		spec.Customer = "fjernvarme"
+		fx.step(Submit{Spec: spec})
 	}
-	mine := 0
-	for ix := 0; mine < 8; ix++ {
+	started := 0
+	for ix := 0; started < 8; ix++ {
 		assert.Assert(t, ix < 8, "freed slot %d did not go to the second customer", ix)
 		fx.now += 20
 		before := len(fx.grants)
@@ -481,7 +481,7 @@
 		for id := range fx.grants {
 			if id[0] == 'b' && fx.ce.jobs[id] != nil && fx.ce.jobs[id].stage == Prefilling {
 				fx.startDecoding(id)
-				mine++
+				started++
 			}
 		}
 		assert.Assert(t, len(fx.grants) > before, "a freed slot stays unused")
@@ -492,18 +492,18 @@
 	starts := func(weight float64) int {
 		fx := newFixture(6, 2, 10)
 		for ix := range 20 {
-			ask := patient(fmt.Sprint("a", ix))
-			ask.PrefillWeight, ask.MaxTokens = weight, 60
-			fx.step(Submit{Spec: ask})
-			if _, ok := fx.grants[ask.Request]; ok {
-				fx.startDecoding(ask.Request)
+			spec := patient(fmt.Sprint("a", ix))
+			spec.PrefillWeight, spec.MaxTokens = weight, 60
+			fx.step(Submit{Spec: spec})
+			if _, ok := fx.grants[spec.Request]; ok {
+				fx.startDecoding(spec.Request)
 			}
 		}
 		began := len(fx.grants)
 		for ix := range 6 {
-			ask := patient(fmt.Sprint("b", ix))
-			ask.PrefillWeight = weight
-			fx.step(Submit{Spec: ask})
+			spec := patient(fmt.Sprint("b", ix))
+			spec.PrefillWeight = weight
+			fx.step(Submit{Spec: spec})
 		}
 		return len(fx.grants) - began
 	}
@@ -539,13 +539,13 @@
 
 // fullCell returns a cell of some engines at peak load, and a function that takes one
 // request through it.
-func fullCell(workers int) (*fixture, func(ix int)) {
-	fx := newFixture(workers/2, workers-workers/2, 20)
-	for ix := range workers * 9 {
+func fullCell(engineCount int) (*fixture, func(ix int)) {
+	fx := newFixture(engineCount/2, engineCount-engineCount/2, 20)
+	for ix := range engineCount * 9 {
 		id := fmt.Sprint("fill", ix)
-		ask := quick(id)
-		ask.Deadline = clock.Hour
-		fx.step(Submit{Spec: ask})
+		spec := quick(id)
+		spec.Deadline = clock.Hour
+		fx.step(Submit{Spec: spec})
 		fx.now += 5
 		if _, ok := fx.grants[id]; ok {
 			fx.startDecoding(id)
@@ -553,10 +553,10 @@
 	}
 	return fx, func(ix int) {
 		id := fmt.Sprint("r", ix)
-		ask := quick(id)
-		ask.Deadline = fx.now + clock.Hour
+		spec := quick(id)
+		spec.Deadline = fx.now + clock.Hour
 		fx.now += 5
-		fx.step(Submit{Spec: ask})
+		fx.step(Submit{Spec: spec})
 		fx.startDecoding(id)
 		fx.progress(id, Ended, 900)
 		fx.intents = fx.intents[:0]
@@ -569,10 +569,10 @@
 // times as many engines may take at most five times as many steps.
 func TestStepsGrowBelowLinear(t *testing.T) {
 	steps := func(workers int) float64 {
-		fx, one := fullCell(workers)
+		fx, runOne := fullCell(workers)
 		before := fx.ce.Steps()
 		for ix := range 200 {
-			one(ix)
+			runOne(ix)
 		}
 		return float64(fx.ce.Steps()-before) / 200
 	}
@@ -584,11 +584,11 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, workers := range []int{12, 600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			_, one := fullCell(workers)
+			_, runOne := fullCell(workers)
 			b.ReportAllocs()
 			ix := 0
 			for b.Loop() {
-				one(ix)
+				runOne(ix)
 				ix++
 			}
 		})
--- a/internal/sched/delay_test.go
+++ b/internal/sched/delay_test.go
@@ -18,17 +18,17 @@
 	messageDelay clock.Millis
 	seen         int // number of intents processed
 	due          map[string]clock.Millis
-	moves        []Transfer
+	transfers    []Transfer
 }
 
-func newSlowMessages(takes clock.Millis) *slowMessages {
-	return &slowMessages{fx: newFixture(1, 4, 20), messageDelay: takes, due: make(map[string]clock.Millis)}
+func newSlowMessages(messageDelay clock.Millis) *slowMessages {
+	return &slowMessages{fx: newFixture(1, 4, 20), messageDelay: messageDelay, due: make(map[string]clock.Millis)}
 }
 
 // advance passes the time. The newest order of a request replaces the previous one.
 func (sm *slowMessages) advance(span clock.Millis) {
 	for until := sm.fx.now + span; sm.fx.now < until; sm.fx.now += 5 {
-		for _, id := range sm.deliveredBy() {
+		for _, id := range sm.delivered() {
 			delete(sm.due, id)
 			sm.fx.progress(id, Decoding, 0)
 		}
@@ -39,7 +39,7 @@
 				sm.fx.progress(in.Request, Prefilled, 1)
 			case Transfer:
 				sm.due[in.Request] = sm.fx.now + sm.messageDelay
-				sm.moves = append(sm.moves, in)
+				sm.transfers = append(sm.transfers, in)
 			case Preempt:
 				delete(sm.due, in.Request)
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-func (sm *slowMessages) deliveredBy() []string {
+func (sm *slowMessages) delivered() []string {
 	var ids []string
 	for id, at := range sm.due {
 		if at <= sm.fx.now {
@@ -59,14 +59,14 @@
 }
 
 func (sm *slowMessages) submit(id string, tokens int) {
-	ask := patient(id)
-	ask.PromptTokens = tokens
-	sm.fx.step(Submit{Spec: ask})
+	spec := patient(id)
+	spec.PromptTokens = tokens
+	sm.fx.step(Submit{Spec: spec})
 }
 
-func (sm *slowMessages) stalled() int {
+func (sm *slowMessages) stalledCount() int {
 	count := 0
-	for _, tr := range sm.moves {
+	for _, tr := range sm.transfers {
 		if tr.Stalled != "" {
 			count++
 		}
@@ -84,7 +84,7 @@
 	}
 	sm.advance(2 * clock.Second)
 	assert.Equal(t, len(sm.fx.preempts), 0, "KV caches expired")
-	for _, tr := range sm.moves {
+	for _, tr := range sm.transfers {
 		assert.Check(t, tr.Waited < sm.fx.ce.KVCacheTTL/4, "transfer of %s waited %v for %s", tr.Request, tr.Waited, tr.WaitedFor)
 	}
 	for _, jb := range sm.fx.ce.jobs {
@@ -99,20 +99,20 @@
 		sm.submit(fmt.Sprint("r", ix), 8000)
 	}
 	sm.advance(100)
-	assert.Equal(t, len(sm.moves), 1)
+	assert.Equal(t, len(sm.transfers), 1)
 }
 
 // A fixed stall timeout of 100 ms discards every transfer once when messages take
 // longer than that. The timeout has to adapt to the measured delay.
 func TestSlowMessagesDoNotCountAsStall(t *testing.T) {
-	for _, takes := range []clock.Millis{90, 150, 300} {
-		t.Run(takes.String(), func(t *testing.T) {
-			sm := newSlowMessages(takes)
+	for _, messageDelay := range []clock.Millis{90, 150, 300} {
+		t.Run(messageDelay.String(), func(t *testing.T) {
+			sm := newSlowMessages(messageDelay)
 			for ix := range 20 {
 				sm.submit(fmt.Sprint("r", ix), 100)
 				sm.advance(clock.Second)
 			}
-			assert.Assert(t, sm.stalled() <= 2, "%d transfers counted as stalled", sm.stalled())
+			assert.Assert(t, sm.stalledCount() <= 2, "%d transfers counted as stalled", sm.stalledCount())
 		})
 	}
 }
@@ -124,11 +124,11 @@
 		sm.submit(fmt.Sprint("r", ix), 100)
 		sm.advance(clock.Second)
 	}
-	assert.Equal(t, sm.stalled(), 0)
+	assert.Equal(t, sm.stalledCount(), 0)
 	sm.messageDelay = clock.Minute
 	sm.submit("stalls", 100)
 	sm.advance(sm.fx.ce.KVCacheTTL / 2)
-	assert.Equal(t, sm.stalled(), 1)
+	assert.Equal(t, sm.stalledCount(), 1)
 }
 
 // A KV cache that the prefill engine no longer keeps does not count against the decode
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -144,8 +144,8 @@
 
 // linkCarries reports whether the link moves a prompt's KV cache well before the cache
 // expires.
-func (eng *engine) linkCarries(tokens int, keep clock.Millis) bool {
-	return float64(tokens)/eng.linkRate <= maxLinkShare*float64(keep)
+func (eng *engine) linkCarries(tokens int, ttl clock.Millis) bool {
+	return float64(tokens)/eng.linkRate <= maxLinkShare*float64(ttl)
 }
 
 // recoverLinkRate slowly raises a low link rate, so that a slow link is tried again.
--- a/internal/sched/fallback_test.go
+++ b/internal/sched/fallback_test.go
@@ -26,7 +26,7 @@
 	owned.OwnRequests["d0"] = 2
 	tests := []struct {
 		name string
-		ask  RequestSpec
+		spec RequestSpec
 		view EngineView
 		want bool
 	}{
@@ -43,9 +43,9 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			fb := Fallback{Rand: rand.New(rand.NewPCG(1, 2))}
-			gr, ok := fb.Decide(tc.ask, tc.view)
+			gr, ok := fb.Decide(tc.spec, tc.view)
 			assert.Equal(t, ok, tc.want)
-			if _, again := fb.Redirect(tc.ask, tc.view); again != tc.want {
+			if _, again := fb.Redirect(tc.spec, tc.view); again != tc.want {
 				t.Errorf("Redirect returned %v", again)
 			}
 			if ok {
@@ -89,10 +89,10 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			fb := Fallback{Rand: rand.New(rand.NewPCG(1, 2))}
 			vw := viewOf(engines(workers/2, workers/2), 10, 20)
-			ask := quick("q")
+			spec := quick("q")
 			b.ReportAllocs()
 			for b.Loop() {
-				fb.Decide(ask, vw)
+				fb.Decide(spec, vw)
 			}
 		})
 	}
--- a/internal/sched/forecast.go
+++ b/internal/sched/forecast.go
@@ -32,40 +32,40 @@
 func marginSD(weight float64) float64 { return minMarginSD + weight*(maxMarginSD-minMarginSD) }
 
 func (ce *Cell) forecastSlots(now clock.Millis) slotForecast {
-	var ol slotForecast
+	var sf slotForecast
 	weights := 0.0
 	for _, gp := range ce.activeGroups {
 		ce.steps++
 		if !gp.quick {
-			ol.patient += float64(gp.held)
+			sf.patient += float64(gp.held)
 			continue
 		}
-		ol.quick += float64(gp.held)
+		sf.quick += float64(gp.held)
 		in := gp.arrivals.now(now)
-		ol.quickMean += min(in*gp.decodeMS, gp.share*float64(ce.slots))
+		sf.quickMean += min(in*gp.decodeMS, gp.share*float64(ce.slots))
 		// Without arrivals, the held slots determine how long quick work stays.
 		weight := in + float64(gp.held)*heldArrivalWeight
-		ol.quickDecodeMS += weight * gp.decodeMS
+		sf.quickDecodeMS += weight * gp.decodeMS
 		weights += weight
 	}
-	ol.endRate = ce.endRates[0]
+	sf.endRate = ce.endRates[0]
 	if weights > 0 {
-		ol.quickDecodeMS /= weights
+		sf.quickDecodeMS /= weights
 	}
-	ol.quickDecodeMS = max(1, ol.quickDecodeMS)
-	return ol
+	sf.quickDecodeMS = max(1, sf.quickDecodeMS)
+	return sf
 }
 
 // slotsInUse returns an upper bound of the slots in use after a span, with a margin of
 // some standard deviations. If counting on ends would raise the bound because they are
 // too uncertain, they are ignored, so that they can't hide a slot that is already free.
-func (ol slotForecast) slotsInUse(span, sure float64) float64 {
-	kept := math.Exp(-span / ol.quickDecodeMS)
-	quick := ol.quickMean + (ol.quick-ol.quickMean)*kept
-	swing := ol.quickMean * (1 - kept*kept)
-	ends := min(ol.patient, ol.endRate*span)
-	without := ol.patient + quick + sure*math.Sqrt(swing)
-	with := ol.patient - ends + quick + sure*math.Sqrt(ends+swing)
+func (sf slotForecast) slotsInUse(span, margin float64) float64 {
+	kept := math.Exp(-span / sf.quickDecodeMS)
+	quick := sf.quickMean + (sf.quick-sf.quickMean)*kept
+	swing := sf.quickMean * (1 - kept*kept)
+	ends := min(sf.patient, sf.endRate*span)
+	without := sf.patient + quick + margin*math.Sqrt(swing)
+	with := sf.patient - ends + quick + margin*math.Sqrt(ends+swing)
 	return min(without, with)
 }
 
@@ -75,13 +75,13 @@
 // addition, patient work leaves enough slots for the usual swings of quick work.
 func (ce *Cell) expectPatientSlot(now clock.Millis, jb *job, after float64) bool {
 	weight, slots := jb.grp.weight, float64(ce.slots)
-	ol := ce.forecastSlots(now)
+	sf := ce.forecastSlots(now)
 	span := after + (1-weight)*0.5*float64(ce.KVCacheTTL)
-	if ol.slotsInUse(span, marginSD(weight))+1 > slots {
+	if sf.slotsInUse(span, marginSD(weight))+1 > slots {
 		return false
 	}
-	stay := ol.patient - min(ol.patient, ol.endRate*(span+ol.quickDecodeMS))
-	return stay+1+ol.quickMean+quickReserveSD*math.Sqrt(ol.quickMean) <= slots
+	stay := sf.patient - min(sf.patient, sf.endRate*(span+sf.quickDecodeMS))
+	return stay+1+sf.quickMean+quickReserveSD*math.Sqrt(sf.quickMean) <= slots
 }
 
 // expectQuickSlot reports whether a quick request whose KV cache is ready after a span
@@ -105,7 +105,7 @@
 
 // patientWaitFor is patientWait for other numbers of slots and prefill engines than the
 // current ones.
-func (ce *Cell) patientWaitFor(now clock.Millis, gp *group, places, prefills int) float64 {
+func (ce *Cell) patientWaitFor(now clock.Millis, gp *group, decodeSlots, prefills int) float64 {
 	hold, fill, quickFill := gp.queuedDecodeMS, gp.queuedPrefillMS, 0.0
 	for _, other := range ce.activeGroups {
 		ce.steps++
@@ -119,7 +119,7 @@
 		}
 	}
 	mean := ce.forecastSlots(now).quickMean
-	slots := max(1, float64(places)-mean-quickReserveSD*math.Sqrt(mean))
+	slots := max(1, float64(decodeSlots)-mean-quickReserveSD*math.Sqrt(mean))
 	fills := max(0.2, float64(prefills)-quickFill)
 	return max(hold/slots, fill/fills)
 }
--- a/internal/sched/model_test.go
+++ b/internal/sched/model_test.go
@@ -33,28 +33,28 @@
 
 // model tracks the expected stage of each request.
 type model struct {
-	fx       *fixture
-	state    map[string]Stage // "" while queued; absent once it ended
-	orphaned map[string]bool
-	order    []string
-	seen     int // number of intents processed
-	count    int
+	fx        *fixture
+	state     map[string]Stage // "" while queued; absent once it ended
+	orphaned  map[string]bool
+	order     []string
+	seen      int // number of intents processed
+	submitted int
 }
 
 func (md *model) submit(rt *rapid.T) {
-	ask := patient(fmt.Sprint("r", md.count))
+	spec := patient(fmt.Sprint("r", md.submitted))
 	if rapid.Bool().Draw(rt, "quick") {
-		ask = quick(ask.Request)
-	}
-	ask.Customer = rapid.SampledFrom([]string{"kedelsyn", "fjernvarme"}).Draw(rt, "customer")
-	ask.PrefillWeight = rapid.Float64Range(0, 1).Draw(rt, "weight")
-	ask.PromptTokens = rapid.IntRange(1, 30_000).Draw(rt, "prompt")
-	ask.Share = rapid.Float64Range(0.01, 1).Draw(rt, "share")
-	ask.Deadline += md.fx.now
-	md.count++
-	md.state[ask.Request] = ""
-	md.order = append(md.order, ask.Request)
-	md.fx.step(Submit{Spec: ask})
+		spec = quick(spec.Request)
+	}
+	spec.Customer = rapid.SampledFrom([]string{"kedelsyn", "fjernvarme"}).Draw(rt, "customer")
+	spec.PrefillWeight = rapid.Float64Range(0, 1).Draw(rt, "weight")
+	spec.PromptTokens = rapid.IntRange(1, 30_000).Draw(rt, "prompt")
+	spec.Share = rapid.Float64Range(0.01, 1).Draw(rt, "share")
+	spec.Deadline += md.fx.now
+	md.submitted++
+	md.state[spec.Request] = ""
+	md.order = append(md.order, spec.Request)
+	md.fx.step(Submit{Spec: spec})
 }
 
 func (md *model) progress(rt *rapid.T) {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -265,47 +265,47 @@
 // requestWake requests a tick for the next time at which something is due without an
 // event.
 func (ce *Cell) requestWake(now clock.Millis) {
-	al := wakeTime{now: now}
+	wt := wakeTime{now: now}
 	if len(ce.unreported) > 0 {
-		al.atMost(ce.unreported[0].opensAt)
+		wt.atMost(ce.unreported[0].opensAt)
 	}
 	for _, jb := range ce.transferring {
 		if !jb.redirected && !jb.orphan {
-			al.atMost(ce.stallsAt(jb))
+			wt.atMost(ce.stallsAt(jb))
 		}
 	}
 	if len(ce.readyJobs) > 0 {
-		al.atMost(now + forecastInterval)
+		wt.atMost(now + forecastInterval)
 	}
 	if ce.queued > 0 {
-		ce.wakeForQueued(now, &al)
+		ce.wakeForQueued(now, &wt)
 	}
-	if al.at != 0 {
-		ce.emit(Wake{At: al.at})
+	if wt.at != 0 {
+		ce.emit(Wake{At: wt.at})
 	}
 }
 
 // wakeForQueued adds the times at which queued requests may need action.
-func (ce *Cell) wakeForQueued(now clock.Millis, al *wakeTime) {
+func (ce *Cell) wakeForQueued(now clock.Millis, wt *wakeTime) {
 	if eng := ce.prefills.best(); eng != nil && eng.readyAt() > float64(now+prefillSendAhead) {
-		al.atMost(clock.Millis(eng.readyAt()) - prefillSendAhead)
+		wt.atMost(clock.Millis(eng.readyAt()) - prefillSendAhead)
 	}
 	for _, gp := range ce.activeGroups {
 		ce.steps++
 		if len(gp.waiting) > 0 {
 			jb := gp.waiting[0]
-			al.atMost(jb.due - clock.Millis(jb.prefillMS+jb.linkMS) + 1)
+			wt.atMost(jb.due - clock.Millis(jb.prefillMS+jb.linkMS) + 1)
 		}
 	}
-	al.atMost(now + forecastInterval)
+	wt.atMost(now + forecastInterval)
 }
 
 // wakeTime is the earliest of several future times.
 type wakeTime struct{ now, at clock.Millis }
 
-func (al *wakeTime) atMost(point clock.Millis) {
-	if point = max(point, al.now+1); al.at == 0 || point < al.at {
-		al.at = point
+func (wt *wakeTime) atMost(point clock.Millis) {
+	if point = max(point, wt.now+1); wt.at == 0 || point < wt.at {
+		wt.at = point
 	}
 }
 
--- a/internal/sched/reopening_test.go
+++ b/internal/sched/reopening_test.go
@@ -16,7 +16,7 @@
 	name         string
 	server       string
 	reopensAfter clock.Millis // when a report reopens it, if it is alive
-	do           func(fx *fixture)
+	closeEngine  func(fx *fixture)
 }{
 	{"two decodes lost", "d0", minClosed, func(fx *fixture) {
 		for _, id := range []string{"l0", "l1"} {
@@ -59,10 +59,10 @@
 		for _, attempt := range []int{0, 2} {
 			t.Run(tc.name, func(t *testing.T) {
 				fx := newFixture(1, 1, 4)
-				tc.do(fx)
-				ask := patient("ra")
-				ask.Attempt = attempt
-				fx.step(Submit{Spec: ask})
+				tc.closeEngine(fx)
+				spec := patient("ra")
+				spec.Attempt = attempt
+				fx.step(Submit{Spec: spec})
 				assert.Equal(t, len(fx.refusals), 0, "%+v", fx.refusals)
 				assert.Equal(t, fx.ce.Waiting(), 1)
 				for end := fx.now + tc.reopensAfter; fx.now < end; fx.now += 100 {
@@ -90,7 +90,7 @@
 		}
 		t.Run(tc.name, func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
-			tc.do(fx)
+			tc.closeEngine(fx)
 			fx.step(Submit{Spec: quick("qa")})
 			late := patient("pa")
 			late.TTFT = tc.reopensAfter
@@ -126,12 +126,12 @@
 		}
 		t.Run(tc.name, func(t *testing.T) {
 			fx := newFixture(1, 1, 4)
-			tc.do(fx)
+			tc.closeEngine(fx)
 			fx.now += tc.reopensAfter - 100
-			came := fx.now
-			ask := quick("qa")
-			fx.step(Submit{Spec: ask})
-			for fx.refusals["qa"].Refusal.Reason == "" && fx.now < came+ask.TTFT {
+			submittedAt := fx.now
+			spec := quick("qa")
+			fx.step(Submit{Spec: spec})
+			for fx.refusals["qa"].Refusal.Reason == "" && fx.now < submittedAt+spec.TTFT {
 				fx.now += 10
 				fx.step(Tick{})
 			}
--- a/internal/sched/transfer.go
+++ b/internal/sched/transfer.go
@@ -58,8 +58,8 @@
 			rest = append(rest, ce.readyJobs[ix:]...)
 			break
 		}
-		if wt := ce.blockedBy(now, jb); wt != "" {
-			jb.waitReason = wt
+		if reason := ce.blockedBy(now, jb); reason != "" {
+			jb.waitReason = reason
 			rest = append(rest, jb)
 			continue
 		}
--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -35,12 +35,12 @@
 type (
 	// variant is a mutation of the detection.
 	variant struct {
-		refuse         float64
-		crashes        int
+		refuseWeight   float64
+		refuseCrashes  int
 		noSharing      bool // VMs do not share crashes
 		ignoreAnswered bool // whether the server had begun to answer is not recorded
 		spreadCrashes  bool // crashes at the same moment are recorded at different times
-		markPerTry     bool // each attempt has its own mark
+		markPerAttempt bool // each attempt has its own mark
 	}
 
 	// sim is a fleet in virtual time with its engines and requests, a few of which
@@ -59,14 +59,14 @@
 		innocentsRefused int                  // harmless requests that were refused
 		completed        int
 		crashCount       int
-		lastTry          int // number of the last attempt
+		lastAttemptID    int // number of the last attempt
 	}
 
 	simEngine struct {
-		life   int
-		domain int
-		isDown bool
-		runs   map[*simRun]bool
+		incarnation int
+		domain      int
+		isDown      bool
+		runs        map[*simRun]bool
 	}
 
 	simRequest struct {
@@ -76,12 +76,12 @@
 	}
 
 	simRun struct {
-		tryNumber    int // identifies the attempt; the same in each run of a seed
-		req          simRequest
-		vm           int
-		try          int
-		attemptsLeft int // number of engines that it may still be sent to
-		began        clock.Millis
+		attemptID   int // identifies the attempt; the same in each run of a seed
+		req         simRequest
+		vm          int
+		retries     int
+		enginesLeft int // number of engines that it may still be sent to
+		began       clock.Millis
 	}
 
 	simEvent struct {
@@ -116,19 +116,19 @@
 
 // run runs the simulation with a seed. Ten requests a second are each sent to one of
 // eight to eighteen engines; engines crash alone and by failure domain.
-func (ru variant) run(seed uint64) *sim {
-	sm := &sim{variant: ru, rnd: rand.New(rand.NewPCG(seed, 3)), serversLost: make(map[int]int), thirdCrashAt: make(map[int]clock.Millis), sentAfterThird: make(map[int]int)}
+func (va variant) run(seed uint64) *sim {
+	sm := &sim{variant: va, rnd: rand.New(rand.NewPCG(seed, 3)), serversLost: make(map[int]int), thirdCrashAt: make(map[int]clock.Millis), sentAfterThird: make(map[int]int)}
 	for range simVMs {
-		sm.vms = append(sm.vms, &suspect.Tracker{Settings: suspect.Settings{RefuseWeight: ru.refuse, RefuseCrashes: ru.crashes}})
+		sm.vms = append(sm.vms, &suspect.Tracker{Settings: suspect.Settings{RefuseWeight: va.refuseWeight, RefuseCrashes: va.refuseCrashes}})
 	}
 	for ix := range 8 + sm.rnd.IntN(11) {
 		sm.engines = append(sm.engines, &simEngine{domain: ix % 4, runs: make(map[*simRun]bool)})
 	}
-	sm.arrivals(sm.span(60, 200))
+	sm.harmlessArrivals(sm.span(60, 200))
 	for killer := range 1 + sm.rnd.IntN(2) {
-		sm.killers(-1-killer, sm.span(2000, 6000))
+		sm.killerArrivals(-1-killer, sm.span(2000, 6000))
 	}
-	sm.crashes(sm.span(2000, 8000))
+	sm.engineCrashes(sm.span(2000, 8000))
 	sm.domainFailures(sm.span(10000, 30000))
 	for len(sm.events) > 0 && sm.now < simSpan {
 		ev := heap.Pop(&sm.events).(simEvent)
@@ -138,7 +138,7 @@
 	return sm
 }
 
-func (sm *sim) arrivals(every clock.Millis) {
+func (sm *sim) harmlessArrivals(every clock.Millis) {
 	id := 0
 	var next func()
 	next = func() {
@@ -149,8 +149,8 @@
 	next()
 }
 
-// killers has callers send one crashing request at intervals, sometimes two at once.
-func (sm *sim) killers(id int, every clock.Millis) {
+// killerArrivals has callers send one crashing request at intervals, sometimes two at once.
+func (sm *sim) killerArrivals(id int, every clock.Millis) {
 	var next func()
 	next = func() {
 		sm.arrive(simRequest{id: id, killer: true, late: id == lateKiller}, 0)
@@ -159,7 +159,7 @@
 	sm.after(every, next)
 }
 
-func (sm *sim) crashes(every clock.Millis) {
+func (sm *sim) engineCrashes(every clock.Millis) {
 	var next func()
 	next = func() {
 		sm.crash(sm.engines[sm.rnd.IntN(len(sm.engines))])
@@ -183,16 +183,16 @@
 }
 
 // arrive sends one attempt of a caller to a VM.
-func (sm *sim) arrive(req simRequest, try int) {
-	sm.lastTry++
-	rn := &simRun{tryNumber: sm.lastTry, req: req, vm: sm.rnd.IntN(simVMs), try: try, attemptsLeft: 2}
+func (sm *sim) arrive(req simRequest, retries int) {
+	sm.lastAttemptID++
+	rn := &simRun{attemptID: sm.lastAttemptID, req: req, vm: sm.rnd.IntN(simVMs), retries: retries, enginesLeft: 2}
 	sm.start(rn)
 }
 
 func (sm *sim) mark(rn *simRun) suspect.Mark {
 	name := fmt.Sprint(rn.req.id)
-	if sm.markPerTry {
-		name = fmt.Sprint("try ", rn.tryNumber)
+	if sm.markPerAttempt {
+		name = fmt.Sprint("try ", rn.attemptID)
 	}
 	return suspect.MarkOf([]byte("key"), []byte(name))
 }
@@ -206,26 +206,26 @@
 		return
 	}
 	at := sm.leastLoaded()
-	if at == nil || rn.attemptsLeft == 0 {
-		if rn.try == 0 {
+	if at == nil || rn.enginesLeft == 0 {
+		if rn.retries == 0 {
 			sm.after(500, func() { sm.arrive(rn.req, 1) })
 		}
 		return
 	}
-	rn.attemptsLeft--
+	rn.enginesLeft--
 	rn.began = sm.now
 	if third := sm.thirdCrashAt[rn.req.id]; third > 0 && sm.now > third+learnTime {
 		sm.sentAfterThird[rn.req.id]++
 	}
 	at.runs[rn] = true
-	life := at.life
+	life := at.incarnation
 	if rn.req.killer {
 		least, most := clock.Millis(60), clock.Millis(120)
 		if rn.req.late {
 			least, most = 200, 800
 		}
 		sm.after(sm.span(least, most), func() {
-			if at.life == life && at.runs[rn] {
+			if at.incarnation == life && at.runs[rn] {
 				sm.serversLost[rn.req.id]++
 				if sm.serversLost[rn.req.id] == 3 {
 					sm.thirdCrashAt[rn.req.id] = sm.now
@@ -260,9 +260,9 @@
 		return
 	}
 	en.isDown = true
-	server := fmt.Sprintf("%p.%d", en, en.life)
+	server := fmt.Sprintf("%p.%d", en, en.incarnation)
 	runs := en.runs
-	en.life++
+	en.incarnation++
 	en.runs = make(map[*simRun]bool)
 	// The map's iteration order would differ between runs of a seed.
 	order := slices.SortedFunc(maps.Keys(runs), func(ra, rb *simRun) int {
@@ -317,21 +317,21 @@
 }
 
 // result sums up the runs of all seeds.
-type result struct{ mostLost, mostLostLate, refused, whole, ends int }
+type result struct{ mostLost, mostLostLate, innocentsRefused, completed, crashCount int }
 
 // exceedsBounds reports whether a bound is exceeded.
 func (rs result) exceedsBounds() bool {
-	return rs.mostLost > maxLost || rs.mostLostLate > maxLostLate || rs.refused > maxInnocent
+	return rs.mostLost > maxLost || rs.mostLostLate > maxLostLate || rs.innocentsRefused > maxInnocent
 }
 
-func (ru variant) runSeeds() (rs result) {
+func (va variant) runSeeds() (rs result) {
 	for seed := range uint64(simSeeds) {
-		sm := ru.run(seed)
+		sm := va.run(seed)
 		rs.mostLost = max(rs.mostLost, sm.serversLost[lateKiller+1])
 		rs.mostLostLate = max(rs.mostLostLate, sm.serversLost[lateKiller])
-		rs.refused += sm.innocentsRefused
-		rs.whole += sm.completed
-		rs.ends += sm.crashCount
+		rs.innocentsRefused += sm.innocentsRefused
+		rs.completed += sm.completed
+		rs.crashCount += sm.crashCount
 	}
 	return rs
 }
@@ -343,21 +343,21 @@
 	rs := variant{}.runSeeds()
 	t.Logf("%+v", rs)
 	assert.Assert(t, !rs.exceedsBounds(), "%+v", rs)
-	assert.Assert(t, rs.whole > 10000 && rs.ends > 1000, "%+v: too few requests or crashes", rs)
+	assert.Assert(t, rs.completed > 10000 && rs.crashCount > 1000, "%+v: too few requests or crashes", rs)
 }
 
 // The test above fails if a part of the detection is removed.
 func TestMutationsOfDetectionAreCaught(t *testing.T) {
-	for name, ru := range map[string]variant{
-		"refuses too late":        {refuse: 6, crashes: 12},
-		"refuses too early":       {refuse: 1},
+	for name, va := range map[string]variant{
+		"refuses too late":        {refuseWeight: 6, refuseCrashes: 12},
+		"refuses too early":       {refuseWeight: 1},
 		"crashes are not shared":  {noSharing: true},
-		"one mark per attempt":    {markPerTry: true},
+		"one mark per attempt":    {markPerAttempt: true},
 		"answers are ignored":     {ignoreAnswered: true},
 		"coincidences are missed": {spreadCrashes: true, ignoreAnswered: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rs := ru.runSeeds()
+			rs := va.runSeeds()
 			t.Logf("%+v", rs)
 			assert.Assert(t, rs.exceedsBounds(), "%+v", rs)
 		})
@@ -373,12 +373,12 @@
 // 3.83 were).
 func TestKillerIsNotSentOnAfterItsThirdServer(t *testing.T) {
 	const most = 3
-	sentOn := func(ru variant, seed uint64) int {
-		sm := ru.run(seed)
+	sentOn := func(va variant, seed uint64) int {
+		sm := va.run(seed)
 		return max(sm.sentAfterThird[lateKiller], sm.sentAfterThird[lateKiller+1])
 	}
 	for _, seed := range []uint64{2812, 3760, 5497, 5880} {
 		assert.Assert(t, sentOn(variant{}, seed) <= most, "seed %d: sent to %d servers after the third", seed, sentOn(variant{}, seed))
-		assert.Assert(t, sentOn(variant{crashes: 12}, seed) > most, "seed %d no longer shows the fault", seed)
+		assert.Assert(t, sentOn(variant{refuseCrashes: 12}, seed) > most, "seed %d no longer shows the fault", seed)
 	}
 }
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -169,7 +169,7 @@
 	tr.recordServer(now-en.Age, en.Server)
 	ch := Change{Before: tr.verdict(en.Mark)}
 	list := tr.crashes[en.Mark]
-	if at := slices.IndexFunc(list, func(no crashRecord) bool { return no.Server == en.Server }); at >= 0 {
+	if at := slices.IndexFunc(list, func(cr crashRecord) bool { return cr.Server == en.Server }); at >= 0 {
 		list[at].Retracted = list[at].Retracted || en.Retracted
 	} else if en.Age < tr.ttl() {
 		tr.insert(now, en)
@@ -187,29 +187,29 @@
 	if tr.blamed == nil {
 		tr.blamed = make(map[string]Mark)
 	}
-	for _, no := range tr.crashes[mk] {
-		if _, found := tr.blamed[no.Server]; !found {
-			tr.blamed[no.Server] = mk
+	for _, cr := range tr.crashes[mk] {
+		if _, found := tr.blamed[cr.Server]; !found {
+			tr.blamed[cr.Server] = mk
 		}
 	}
 }
 
 // counted reports whether a crash counts against its request.
-func (tr *Tracker) counted(no crashRecord) bool {
-	mk, found := tr.blamed[no.Server]
-	return !no.Retracted && (!found || mk == no.Mark)
+func (tr *Tracker) counted(cr crashRecord) bool {
+	mk, found := tr.blamed[cr.Server]
+	return !cr.Retracted && (!found || mk == cr.Mark)
 }
 
 // insert adds a crash to those of its request, oldest first.
 func (tr *Tracker) insert(now clock.Millis, en Crash) {
 	tr.evict(now)
-	no := crashRecord{en, now - en.Age}
+	cr := crashRecord{en, now - en.Age}
 	list := tr.crashes[en.Mark]
-	at := slices.IndexFunc(list, func(one crashRecord) bool { return one.at > no.at })
+	at := slices.IndexFunc(list, func(one crashRecord) bool { return one.at > cr.at })
 	if at < 0 {
 		at = len(list)
 	}
-	tr.crashes[en.Mark] = slices.Insert(list, at, no)
+	tr.crashes[en.Mark] = slices.Insert(list, at, cr)
 }
 
 // RecordSuccess records that a request completed without a crash. It retracts the
@@ -255,17 +255,17 @@
 	})
 	var out []Crash
 	for _, mk := range marks {
-		for _, no := range tr.crashes[mk] {
-			out = append(out, no.aged(now))
+		for _, cr := range tr.crashes[mk] {
+			out = append(out, cr.aged(now))
 		}
 	}
 	return out[:min(len(out), most)]
 }
 
 // aged returns the crash with its current age.
-func (no crashRecord) aged(now clock.Millis) Crash {
-	en := no.Crash
-	en.Age = now - no.at
+func (cr crashRecord) aged(now clock.Millis) Crash {
+	en := cr.Crash
+	en.Age = now - cr.at
 	return en
 }
 
@@ -289,11 +289,11 @@
 func (tr *Tracker) weight(mk Mark) float64 {
 	sum := 0.0
 	list := tr.crashes[mk]
-	for _, no := range list {
-		if !tr.counted(no) {
+	for _, cr := range list {
+		if !tr.counted(cr) {
 			continue
 		}
-		sum += no.weight() / float64(1+tr.coincidingServers(no, list))
+		sum += cr.weight() / float64(1+tr.coincidingServers(cr, list))
 	}
 	return sum
 }
@@ -305,10 +305,10 @@
 func (tr *Tracker) distinctCrashes(mk Mark) int {
 	count := 0
 	last := clock.Millis(math.MinInt64 / 2)
-	for _, no := range tr.crashes[mk] {
-		if !no.Retracted && no.at > last+coincidenceWindow {
+	for _, cr := range tr.crashes[mk] {
+		if !cr.Retracted && cr.at > last+coincidenceWindow {
 			count++
-			last = no.at
+			last = cr.at
 		}
 	}
 	return count
@@ -327,10 +327,10 @@
 
 // coincidingServers counts the servers that crashed at the same time as the given one
 // and did not run the request.
-func (tr *Tracker) coincidingServers(no crashRecord, list []crashRecord) int {
+func (tr *Tracker) coincidingServers(cr crashRecord, list []crashRecord) int {
 	count := 0
 	for _, se := range tr.recentServers {
-		near := se.at >= no.at-coincidenceWindow && se.at <= no.at+coincidenceWindow
+		near := se.at >= cr.at-coincidenceWindow && se.at <= cr.at+coincidenceWindow
 		if near && !slices.ContainsFunc(list, func(one crashRecord) bool { return one.Server == se.server }) {
 			count++
 		}
@@ -356,7 +356,7 @@
 		return
 	}
 	before := tr.verdict(mk)
-	first := slices.IndexFunc(list, func(no crashRecord) bool { return now < no.at+tr.ttl() })
+	first := slices.IndexFunc(list, func(cr crashRecord) bool { return now < cr.at+tr.ttl() })
 	if first < 0 {
 		delete(tr.crashes, mk)
 	} else {
