--- a/internal/sched/cell.go
+++ b/internal/sched/cell.go
@@ -19,8 +19,8 @@
 	defaultChunk        = 2048
 	defaultMessageDelay = 15 * clock.Millis(1)
 
-	reportGrace = 2 * clock.Second // an engine without a report is taken to be empty after this time
-	orphanGrace = 30 * clock.Second
+	reportGrace = 2 * clock.Second  // an engine that sends no report is considered idle after this time
+	orphanGrace = 30 * clock.Second // a report releases the slot of an orphaned request only after this time
 )
 
 type (
@@ -55,8 +55,8 @@
 
 		prefixHolders map[uint64][]*engine // prefill engines that recently computed a prefix
 
-		slots    int // slots of usable decode engines, less those held by others
-		free     int
+		slots    int        // slots of usable decode engines, less those held by others
+		free     int        // slots of usable decode engines that may be assigned
 		reserved [2]int     // requests prefilling or prefilled: patient, quick
 		endRates [2]float64 // expected ends of decodes per millisecond: patient, quick
 		queued   int
@@ -264,7 +264,7 @@
 	}
 }
 
-// rest closes an engine for the time that it asked for.
+// rest closes an engine for the time that it requested.
 func (ce *Cell) rest(now clock.Millis, re Rest) {
 	eng, ok := ce.engines[re.Server]
 	if !ok || re.For <= 0 {
--- a/internal/sched/cell_test.go
+++ b/internal/sched/cell_test.go
@@ -397,7 +397,7 @@
 	assert.Equal(t, fx.grants["q2"].Prefill, "p0")
 }
 
-// An engine that asked for a rest gets no new work until the rest ends, whatever its
+// An engine that requested a rest gets no new work until the rest ends, whatever its
 // reports say.
 func TestRestingEngineGetsNoWork(t *testing.T) {
 	const rest = 3 * clock.Second
--- a/internal/sched/delay_test.go
+++ b/internal/sched/delay_test.go
@@ -15,9 +15,9 @@
 // fixed time outside their links.
 type slowMessages struct {
 	fx           *fixture
-	messageDelay clock.Millis
-	seen         int // number of intents processed
-	due          map[string]clock.Millis
+	messageDelay clock.Millis            // delay of each transfer outside its link
+	seen         int                     // number of intents processed
+	due          map[string]clock.Millis // when the transfer of each request arrives
 	transfers    []Transfer
 }
 
@@ -25,7 +25,8 @@
 	return &slowMessages{fx: newFixture(1, 4, 20), messageDelay: messageDelay, due: make(map[string]clock.Millis)}
 }
 
-// advance passes the time. The newest order of a request replaces the previous one.
+// advance steps the cell through the given time. The newest order of a request replaces
+// the previous one.
 func (sm *slowMessages) advance(span clock.Millis) {
 	for until := sm.fx.now + span; sm.fx.now < until; sm.fx.now += 5 {
 		for _, id := range sm.delivered() {
@@ -47,6 +48,7 @@
 	}
 }
 
+// delivered returns the requests whose transfers have arrived by now.
 func (sm *slowMessages) delivered() []string {
 	var ids []string
 	for id, at := range sm.due {
@@ -64,6 +66,7 @@
 	sm.fx.step(Submit{Spec: spec})
 }
 
+// stalledCount returns the number of transfers that replaced a stalled one.
 func (sm *slowMessages) stalledCount() int {
 	count := 0
 	for _, tr := range sm.transfers {
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -46,12 +46,12 @@
 
 		// Fields of a decode engine.
 		slots        int
-		held         int // slots that this cell has assigned
-		heldByOthers int // slots held by others, from reports
-		recentHeld   [reportHistory]int
-		orphans      int
-		countedFree  int // free slots included in the cell's total
-		countedSlots int // slots included in the cell's total
+		held         int                // slots that this cell has assigned
+		heldByOthers int                // slots held by others, from reports
+		recentHeld   [reportHistory]int // maximum of held between reports, latest last
+		orphans      int                // of held, requests whose runner has failed
+		countedFree  int                // free slots included in the cell's total
+		countedSlots int                // slots included in the cell's total
 	}
 )
 
@@ -119,8 +119,8 @@
 // knowledge.
 func clampMeasurement(measured, known float64) float64 { return min(2*known, max(known/2, measured)) }
 
-// capLinkRate lowers the link rate after a transfer is still incomplete at the given
-// age.
+// capLinkRate lowers the link rate for a transfer that is still incomplete after the
+// given time.
 func (eng *engine) capLinkRate(tokens int, spent clock.Millis) {
 	if spent > 0 && tokens >= 2048 {
 		eng.linkRate = min(eng.linkRate, float64(tokens)/float64(spent))
--- a/internal/sched/forecast.go
+++ b/internal/sched/forecast.go
@@ -13,7 +13,7 @@
 	maxMarginSD       = 1.5  // at a weight of 1
 	heldArrivalWeight = 1e-6 // arrivals per millisecond that a held slot counts as
 
-	quickReserveSD = 2.5 // of slots left for swings of quick work while patient work holds the rest
+	quickReserveSD = 2.5 // slots reserved for swings of quick work while patient work holds the rest
 )
 
 // slotForecast is the expected use of the cell's decode slots. Quick requests finish
@@ -31,6 +31,8 @@
 // prefill.
 func marginSD(weight float64) float64 { return minMarginSD + weight*(maxMarginSD-minMarginSD) }
 
+// forecastSlots returns the expected use of the decode slots by the groups with queued,
+// running or recent requests.
 func (ce *Cell) forecastSlots(now clock.Millis) slotForecast {
 	var sf slotForecast
 	weights := 0.0
@@ -56,9 +58,9 @@
 	return sf
 }
 
-// slotsInUse returns an upper bound of the slots in use after a span, with a margin of
-// some standard deviations. If counting on ends would raise the bound because they are
-// too uncertain, they are ignored, so that they can't hide a slot that is already free.
+// slotsInUse returns an upper bound of the slots in use after a span, with a margin in
+// standard deviations. If counting on ends would raise the bound because they are too
+// uncertain, they are ignored, so that they can't hide a slot that is already free.
 func (sf slotForecast) slotsInUse(span, margin float64) float64 {
 	kept := math.Exp(-span / sf.quickDecodeMS)
 	quick := sf.quickMean + (sf.quick-sf.quickMean)*kept
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -24,7 +24,7 @@
 		key    groupKey
 		quick  bool
 		share  float64
-		weight float64 // cost of wasted prefill relative to goodput
+		weight float64 // cost of wasted prefill relative to goodput, from 0 to 1
 
 		waiting []*job // ordered by due time
 		late    []*job // past their target, ordered by deadline
@@ -52,23 +52,23 @@
 	job struct {
 		spec  RequestSpec
 		grp   *group
-		stage Stage // empty while queued
-		since clock.Millis
+		stage Stage        // empty while queued
+		since clock.Millis // when the stage began, or when the runner failed if that was later
 
 		due         clock.Millis // latest time of the first token that meets the target
 		arrived     clock.Millis
 		expires     clock.Millis // when the KV cache at the prefill engine expires
 		tokens      int          // prompt tokens that the prefill computes
-		prefillMS   float64
-		decodeMS    float64 // expected decode time when it was queued
-		linkMS      float64
-		endRate     float64 // expected ends per millisecond while it decodes
-		exclusive   bool    // its prefill, or its transfer, had the engine to itself
-		orphan      bool
-		redirected  bool       // its transfer was redirected once
-		waitReason  WaitReason // last reason why its transfer waited
-		expirations int        // number of its KV caches that expired
-		granted     bool       // granted at least once
+		prefillMS   float64      // expected duration of the prefill
+		decodeMS    float64      // expected decode time when it was queued
+		linkMS      float64      // expected duration of the transfer on the link
+		endRate     float64      // expected ends per millisecond while it decodes
+		exclusive   bool         // its prefill, or its transfer, had the engine to itself
+		orphan      bool         // its runner has failed
+		redirected  bool         // its transfer was redirected once
+		waitReason  WaitReason   // last reason why its transfer waited
+		expirations int          // number of its KV caches that expired
+		granted     bool         // granted at least once
 
 		prefill *engine
 		decode  *engine
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -300,7 +300,8 @@
 	wt.atMost(now + forecastInterval)
 }
 
-// wakeTime is the earliest of several future times.
+// wakeTime is the earliest of the future times passed to atMost; at is zero before the
+// first.
 type wakeTime struct{ now, at clock.Millis }
 
 func (wt *wakeTime) atMost(point clock.Millis) {
--- a/internal/sched/reopening_test.go
+++ b/internal/sched/reopening_test.go
@@ -11,7 +11,7 @@
 )
 
 // closedCases are the ways in which the only engine of a role stops taking work for a
-// while although it is listed, fit and reporting.
+// while although it is listed, healthy and reporting.
 var closedCases = []struct {
 	name         string
 	server       string
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -178,7 +178,7 @@
 		Server  string
 		Role    board.Role
 		For     clock.Millis
-		Lost    int    // consecutive losses on the engine; zero if it asked for a rest
+		Lost    int    // consecutive losses on the engine; zero if the engine requested a rest
 		Request string // last request that was lost
 	}
 
--- a/internal/sched/transfer.go
+++ b/internal/sched/transfer.go
@@ -18,7 +18,7 @@
 	maxExpirations     = 3     // KV caches that one request may lose
 	quickLeadMS        = 200.0 // milliseconds by which quick transfers are advanced in the order
 	expiryLeadMS       = 300.0 // the same for patient transfers at a weight of 1
-	expiryNearMS       = 100.0 // milliseconds before its expiry at which a KV cache of weight 0 no longer yields
+	expiryNearMS       = 100.0 // milliseconds before the expiry of a KV cache of weight 0 from which its transfer no longer yields to quick work
 )
 
 // handlePrefilled records that a KV cache is ready and queues its transfer.
