--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -24,7 +24,7 @@
 	maxLost     = 3 + 3
 	maxLostLate = 5 + 3
 	maxInnocent = 0
-	lateKiller  = -2
+	lateKiller  = -2 // ID of the killer that crashes its engine after its first event
 	simSeeds    = 60
 	simSpan     = 60 * clock.Second
 	simVMs      = 7
@@ -57,9 +57,9 @@
 		thirdCrashAt     map[int]clock.Millis // when a killer crashed its third server
 		sentAfterThird   map[int]int          // how often a killer was sent to a server more than learnTime after that
 		innocentsRefused int                  // harmless requests that were refused
-		completed        int
-		crashCount       int
-		lastAttemptID    int // number of the last attempt
+		completed        int                  // harmless requests that completed
+		crashCount       int                  // crashes recorded, one for each request that ran on the engine
+		lastAttemptID    int
 	}
 
 	simEngine struct {
@@ -70,8 +70,8 @@
 	}
 
 	simRequest struct {
-		id     int
-		killer bool
+		id     int  // negative for a killer
+		killer bool // crashes the engine that runs it
 		late   bool // a killer that crashes its engine after its first event
 	}
 
@@ -79,7 +79,7 @@
 		attemptID   int // identifies the attempt; the same in each run of a seed
 		req         simRequest
 		vm          int
-		retries     int
+		retries     int // by its caller
 		enginesLeft int // number of engines that it may still be sent to
 		began       clock.Millis
 	}
@@ -149,7 +149,8 @@
 	next()
 }
 
-// killerArrivals has callers send one crashing request at intervals, sometimes two at once.
+// killerArrivals has callers send one crashing request at intervals, sometimes two at
+// once.
 func (sm *sim) killerArrivals(id int, every clock.Millis) {
 	var next func()
 	next = func() {
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -49,17 +49,17 @@
 	// request is not hit by chance that often.
 	DefaultRefuseCrashes = 5
 	// DefaultTTL is how long a crash counts. A request that crashes all its servers
-	// then crashes three within that time, and one more each time its oldest crash
-	// expires.
+	// then crashes three within that time, and afterwards one more each time its oldest
+	// crash expires.
 	DefaultTTL = 5 * clock.Minute
-	// DefaultMaxRequests bounds the tracked requests; each takes about 300 bytes.
+	// DefaultMaxRequests bounds the tracked requests; each uses about 300 bytes.
 	DefaultMaxRequests = 1024
 )
 
 const (
 	// Weights of a crash. If the server had begun to answer the request, the request is
-	// more likely there by chance. If the request was alone, nothing else can be to
-	// blame.
+	// more likely there by chance. If the request was alone, no other request can have
+	// caused the crash.
 	weightPlain    = 1.0
 	weightAnswered = 0.65
 	weightAlone    = 1.5
@@ -179,7 +179,7 @@
 }
 
 // assignBlame attributes the server crashes of a refused request to it. They no longer
-// count against other requests, which were there by chance.
+// count against other requests, which ran at those servers by chance.
 func (tr *Tracker) assignBlame(mk Mark) {
 	if tr.verdict(mk) != Refused {
 		return
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Verdicts that follow from combinations of crashes.
+// TestEvidence checks the verdicts that follow from combinations of crashes.
 func TestEvidence(t *testing.T) {
 	const moment, apart = clock.Millis(1), clock.Second
 	answered := func(en suspect.Crash) suspect.Crash { en.Answered = true; return en }
