--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -37,8 +37,9 @@
 )
 
 const (
-	// UnknownConcurrent stands for the other requests at a server about which this VM
-	// has no information: the request was not alone there.
+	// UnknownConcurrent is the value of Call.Concurrent if this VM has no information
+	// about other requests at the server. It is not zero, so that the request does not
+	// count as having been alone there.
 	UnknownConcurrent = 1
 
 	// keyBytes is the length of this VM's own key.
@@ -52,8 +53,9 @@
 	// Crashed means that the instance no longer exists: nothing listens at its address,
 	// or another instance does.
 	Crashed
-	// Unanswered means that a server whose instances can be told apart is unreachable
-	// or does not answer. It counts as crashed until the same instance answers.
+	// Unanswered means that the server is unreachable or does not answer, and that its
+	// instances can be distinguished. It counts as crashed until the same instance
+	// answers.
 	Unanswered
 )
 
@@ -91,10 +93,10 @@
 
 	// Call is a call to a server that broke.
 	Call struct {
-		Request  string // for the log
+		Request  string // ID of the request, for the log
 		Mark     suspect.Mark
 		Server   board.BackendServer
-		Instance string // the server's instance, named alike by all VMs
+		Instance string // the server's instance, by a name that all VMs use
 		// InstanceConfirmed means that the server reported Instance during the call or
 		// shortly before, so that any other instance that answers now has replaced it.
 		InstanceConfirmed bool
@@ -222,8 +224,8 @@
 	}
 }
 
-// log logs and counts the effect of a crash, or of a completed request if no server is
-// named. The request is empty if it is not one of this VM.
+// log logs and counts the effect of a crash, or that of a completed request if no
+// server is named. The request is empty if it does not run at this VM.
 func (gd *Guard) log(en suspect.Crash, request string, ch suspect.Change) {
 	ev := event.RelaySuspect
 	switch {
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -22,7 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testGuard is a Guard whose probes return the finding that a test sets.
+// testGuard is a Guard whose probes return the finding that a test sets. It records the
+// crashes that the Guard broadcasts.
 type testGuard struct {
 	*poison.Guard
 	finding atomic.Int32
--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -34,13 +34,13 @@
 }
 
 // implicates reports whether a finding counts against the request of a call. An
-// instance crashes only once, so a call that was sent after the crash is not to blame.
+// instance crashes only once, so a call that was sent after the crash did not cause it.
 func (pr *probe) implicates(cl Call) bool {
 	return pr.finding != Alive && (cl.SentAt == 0 || cl.SentAt <= pr.finishedAt)
 }
 
-// probeInstance probes whether a server that was not about to leave has crashed. Calls
-// to it that break at the same moment share one probe.
+// probeInstance probes whether a server has crashed, unless it is leaving or no longer
+// listed. Calls to it that break at the same moment share one probe.
 func (gd *Guard) probeInstance(cl Call) *probe {
 	bk := gd.Backends()
 	if bk.Restarted(cl.Server) {
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -71,6 +71,8 @@
 	}
 }
 
+// crashesToShare returns the crashes to broadcast in this interval, or nil if this VM
+// was not chosen. Each VM chooses itself with a probability of one over their number.
 func (gd *Guard) crashesToShare() []suspect.Crash {
 	vms := 1
 	if gd.VMs != nil {
