--- a/internal/claim/asker_test.go
+++ b/internal/claim/asker_test.go
@@ -100,12 +100,13 @@
 	return &peerpb.ClaimReply{Verdict: string(ans), Attempt: 1}
 }
 
-// In TestAskerVerdicts, vmB is alive and vmD is dead.
+// TestAskerVerdicts checks the verdict on each script of replies. vmB is alive and vmD
+// is dead.
 func TestAskerVerdicts(t *testing.T) {
 	ok, full, settling := replyWith(Granted), replyWith(Full), replyWith(Settling)
 	tests := []askerCase{
 		{name: "Grants", script: seatScript{ok, ok, nil}, want: Run, asks: 2},
-		{name: "HomeDead", script: seatScript{nil, ok, ok}, want: Run, asks: 3},
+		{name: "FirstSeatUnreachable", script: seatScript{nil, ok, ok}, want: Run, asks: 3},
 		{name: "OneGrantIsTooFew", script: seatScript{ok, nil, nil}, want: Unavailable, ran: refusal.MayHaveRun},
 		{name: "FreshKeyNotRun", fresh: true, script: seatScript{nil, nil, nil}, want: Unavailable, ran: refusal.NotRun},
 		{name: "FullIsNotRun", script: seatScript{full, full, nil}, want: Unavailable, ran: refusal.NotRun},
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -60,12 +60,12 @@
 
 		recs            records
 		seats           *SeatTable
-		learnedAt       map[uint64]clock.Millis // when each table was learned
-		received        map[uint64]map[board.VMRef]bool
+		learnedAt       map[uint64]clock.Millis         // when each table was learned
+		received        map[uint64]map[board.VMRef]bool // seats whose handoff for a table is complete, by epoch
 		partialHandoffs map[handoffSource]*partialHandoff
-		handedOff       map[uint64]bool // tables whose records were handed off
-		pendingResends  []pendingResend
-		lastSending     uint64
+		handedOff       map[uint64]bool // epochs of the tables for which the records were handed off
+		pendingResends  []pendingResend // handoffs that were not acknowledged
+		lastSending     uint64          // number of the last handoff sent
 		fleet           fleetWatch
 		counts          Counts
 		disabled        guard // guards that tests disable
@@ -77,10 +77,11 @@
 		epoch uint64
 	}
 
-	// partialHandoff is a handoff of which parts are missing.
+	// partialHandoff is a handoff of which parts are missing. A handoff with a higher
+	// number from the same seat replaces it.
 	partialHandoff struct {
-		sending uint64
-		parts   map[uint32]bool
+		sending uint64          // number of the handoff at its sender
+		parts   map[uint32]bool // parts received
 	}
 
 	pendingResend struct {
@@ -197,6 +198,8 @@
 // resumable reports whether the decode of a dead runner can be resumed.
 func (rc *record) resumable() bool { return rc.state == Decoding && rc.decode != nil }
 
+// storeClaim records a granted claim. If it supersedes a claim that has not ended, the
+// earlier claim is kept, so that a release restores it.
 func (bk *Book) storeClaim(now clock.Millis, nm name, old *record, ask *peerpb.ClaimAsk) *record {
 	rc := &record{
 		claim:       ask.GetClaim(),
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -109,7 +109,7 @@
 	assert.Equal(t, bk.Counts().Records, 1)
 }
 
-// When a request ends, its expiry moves forward to the template's retention time.
+// When a request ends, its record expires earlier: after the template's retention time.
 func TestEndedRecordIsKeptForItsSpan(t *testing.T) {
 	bk := seatedBook(vmA, Settings{})
 	ask := askFor(bk, "key", 1, vmB)
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -143,7 +143,7 @@
 	return ""
 }
 
-// keyWith returns a key whose seats are in the wanted order.
+// keyWith returns a key whose seats are the wanted VMs in this order.
 func keyWith(tb *peerpb.SeatTable, want ...string) string {
 	st, err := (*SeatTable)(nil).With(1, tb)
 	if err != nil {
--- a/internal/claim/handoff.go
+++ b/internal/claim/handoff.go
@@ -203,6 +203,8 @@
 	return out
 }
 
+// splitParts splits the records for one seat into messages of limited size. A handoff
+// without records has one empty part, because the seat must learn that it is complete.
 func (bk *Book) splitParts(epoch uint64, to board.VMRef, recs []*peerpb.ClaimRecord) []Intent {
 	bk.lastSending++
 	var out []Intent
--- a/internal/claim/propose.go
+++ b/internal/claim/propose.go
@@ -61,8 +61,8 @@
 }
 
 // propose proposes a table once the fleet has differed from the current table for the
-// settle span. The VMs are due one after another, in an order that all of them derive
-// from the fleet, so that usually only one of them proposes.
+// settle span. The VMs' turns follow one after another, in an order that all of them
+// derive from the fleet, so that usually only one of them proposes.
 func (bk *Book) propose(now clock.Millis) []Intent {
 	fw := &bk.fleet
 	if fw.last == nil || !fw.last.Quorate || (bk.seats == nil && !bk.FromLogStart) {
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -13,10 +13,11 @@
 const (
 	// expiryBucket is the granularity at which records expire.
 	expiryBucket = 4 * clock.Second
-	// maxRecheckDelay bounds how long a record outlives an expiry that was moved
-	// forward.
+	// maxRecheckDelay bounds how long a record outlives an expiry that was moved to an
+	// earlier time.
 	maxRecheckDelay = clock.Minute
-	maxInterned     = 8192
+	// maxInterned bounds the table of interned strings.
+	maxInterned = 8192
 )
 
 type (
@@ -29,9 +30,9 @@
 		fingerprint uint64
 		runner      board.VMRef
 		decode      *resumableDecode // where the request may still run; nil if unknown
-		superseded  *record          // the claim that this one replaced here
+		superseded  *record          // the claim that this one replaced at this seat
 		expires     clock.Millis
-		keep        clock.Millis
+		keep        clock.Millis // how long the record is kept after the request has ended
 		attempt     uint32
 		state       State
 		idempotent  bool
@@ -54,9 +55,9 @@
 	// records is a store of records that expire.
 	records struct {
 		byName     map[name]*record
-		buckets    map[clock.Millis][]name
-		interned   map[string]string // customer names and VM IDs, each stored once
-		nextBucket clock.Millis      // earlier buckets are empty
+		buckets    map[clock.Millis][]name // names to check, by the number of their expiryBucket
+		interned   map[string]string       // customer names and VM IDs, each stored once
+		nextBucket clock.Millis            // earlier buckets are empty
 	}
 )
 
@@ -126,7 +127,7 @@
 
 func hashFingerprint(fingerprint []byte) uint64 { return xxhash.Sum64(fingerprint) }
 
-// merge combines two records of one key. It is commutative.
+// merge combines two records of one key. The result does not depend on their order.
 func merge(ra, rb record) record {
 	if ra.claim == rb.claim {
 		return mergeSameClaim(ra, rb)
--- a/internal/claim/tally.go
+++ b/internal/claim/tally.go
@@ -8,7 +8,8 @@
 
 // tally sums up the replies of a round.
 type tally struct {
-	granted, noClaim, held, unknown, waiting int
+	// Numbers of seats.
+	granted, noClaim, held, unknown, waiting int // noClaim: have no other claim on record
 	absent                                   int // part of unknown: the claim is not on record
 	otherPrint                               bool
 	attempt                                  uint32
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -110,6 +110,9 @@
 	return ak.retryAt < ak.startedAt+cmp.Or(ak.Patience, defaultPatience)
 }
 
+// timedOut ends a search for which no further round fits into Patience. The request did
+// not run if nobody else can have the key, or if a majority of the seats has no other
+// claim on record.
 func (ak *Asker) timedOut(now clock.Millis, ta tally) []AskerIntent {
 	ran := refusal.MayHaveRun
 	if ak.Fresh || (len(ak.group) > 0 && ta.noClaim >= ak.majority()) {
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -52,7 +52,7 @@
 	search struct {
 		ak          *Asker
 		rnd         *rand.PCG
-		memberIndex int // index of its member
+		memberIndex int // of the VM on which it runs
 		now         clock.Millis
 		othersDead  bool // considers all other runners dead
 		hasClaim    bool // has the claim and must still confirm it
@@ -75,7 +75,7 @@
 		members     []member
 		searches    []search
 		packets     []packet
-		dispatches  int // dispatches of a request to backend servers
+		dispatches  int // number of times that the request was sent to a backend server
 		falseNotRun int // refusals that said NotRun after a dispatch
 		timeouts    int
 		crashes     int
@@ -251,7 +251,7 @@
 		out = append(out, move{"timeout", ix})
 	}
 	if wd.falseDeaths > 0 && !sr.othersDead {
-		out = append(out, move{"doubt", ix})
+		out = append(out, move{"falseDeath", ix})
 	}
 	return out
 }
@@ -284,7 +284,7 @@
 		wd.timeouts--
 		asks := wd.searches[mv.index].ak.asks
 		wd.stepAsker(mv.index, AskFailed{asks[len(asks)-1].number})
-	case "doubt":
+	case "falseDeath":
 		wd.falseDeaths--
 		sr := &wd.searches[mv.index]
 		sr.othersDead = true
