--- a/internal/orders/cell.go
+++ b/internal/orders/cell.go
@@ -17,7 +17,7 @@
 		Settings Settings
 
 		started       bool
-		observed      Observed
+		observed      Observed // latest observation
 		trend         trend
 		lastChangeAt  clock.Millis // when the last change of role ended, or the first step took place
 		token         uint64       // of the lease; zero if the lease is not held
--- a/internal/orders/cell_test.go
+++ b/internal/orders/cell_test.go
@@ -30,10 +30,10 @@
 	alwaysQueued bool // quick requests are queued whatever the load is
 	heldCaches   int  // KV caches that each prefill engine keeps unless it is drained
 
-	changes []clock.Millis
-	fewest  map[board.Role]int
+	changes []clock.Millis     // times of the changes of role
+	fewest  map[board.Role]int // smallest number of usable engines of each role so far
 	intents []Intent
-	held    bool
+	held    bool // whether the lease is held
 	drained map[string]bool
 }
 
@@ -142,8 +142,8 @@
 	panic("no engine " + id)
 }
 
-// swingingLoad returns a load that is all prefill for half of the period and all decode for
-// the other half.
+// swingingLoad returns a load that is all prefill for half of the period and all decode
+// for the other half.
 func swingingLoad(period clock.Millis, size float64) func(clock.Millis) (float64, float64) {
 	return func(now clock.Millis) (float64, float64) {
 		if now%period < period/2 {
@@ -211,8 +211,8 @@
 	assert.Equal(t, len(ha.changes), 0, "a change before the next dwell is over")
 }
 
-// maxChangesPerHour runs a swinging load for some hours and returns the maximum number of changes
-// in any hour.
+// maxChangesPerHour runs the harness for some hours and returns the maximum number of
+// changes in any hour.
 func maxChangesPerHour(ha *harness, hours int) int {
 	ha.run(clock.Millis(hours) * clock.Hour)
 	most := 0
@@ -471,7 +471,7 @@
 	assert.Assert(t, !ha.held)
 }
 
-// When a lease lapses, every order that was not sent under it ends, and an order in
+// When a lease lapses, every order that was not yet sent under it ends, and an order in
 // doubt is not sent again under another lease.
 func TestLapsedLeaseEndsUnsentOrders(t *testing.T) {
 	ha := shortDecode(3, 1)
--- a/internal/orders/change.go
+++ b/internal/orders/change.go
@@ -32,10 +32,10 @@
 		drained    bool            // the engine gets no new work
 		leaseSince clock.Millis    // start of the hold of the lease under which the order is given
 		unfenced   map[string]bool // engines that have not confirmed the token yet
-		idleSince  clock.Millis
-		inspectAt  clock.Millis // of the next Inspect
-		sentAt     clock.Millis
-		tries      int
+		idleSince  clock.Millis    // since when the engine has no granted requests; zero if it has some
+		inspectAt  clock.Millis    // of the next Inspect
+		sentAt     clock.Millis    // when the order was last sent
+		tries      int             // number of times that the order was sent
 	}
 )
 
--- a/internal/orders/explore_test.go
+++ b/internal/orders/explore_test.go
@@ -47,15 +47,16 @@
 		now     clock.Millis
 		log     []logsvc.Record
 		engines []Engine
-		fences  map[string]uint64
+		fences  map[string]uint64 // highest token that each engine has received
 		vms     []*holder
 		orders  []*order
-		sends   int
+		sends   int // number of orders sent
 
 		stale          int  // orders that took effect although another VM had acquired the lease since
 		tooFewPrefills bool // prefill was left with too few engines at some time
 	}
 
+	// holder is one VM with its cell and its view of the lease.
 	holder struct {
 		world       *world
 		lease       register.Holder
@@ -63,14 +64,15 @@
 		cell        Cell
 		since       uint64       // first token of the current lease
 		pausedUntil clock.Millis // end of the VM's pause
-		inbox       []func()
+		inbox       []func()     // replies that it has not processed yet
 	}
 
+	// order is an order in transit.
 	order struct {
 		from    *holder
 		sd      Send
 		arrives clock.Millis
-		lost    bool
+		lost    bool // its reply is lost
 	}
 )
 
@@ -265,8 +267,10 @@
 // tally sums up the results of all histories.
 type tally struct {
 	histories, changed, stale, tooFewPrefills, unrepaired int
-	shortestDelay                                         clock.Millis // shortest delay of an order with which prefill was left with too few engines
-	unrepairedSchedules                                   []schedule   // histories that ended with too few prefill engines
+	// shortestDelay is the shortest delay of an order with which prefill was left with
+	// too few engines.
+	shortestDelay       clock.Millis
+	unrepairedSchedules []schedule // histories that ended with too few prefill engines
 }
 
 func sweep(checks int, mt mutation) tally {
@@ -324,7 +328,7 @@
 	}{
 		{"NoFence", 4, mutation{guards: guards{noFence: true}}},
 		{"NoSettle", 0, mutation{guards: guards{noSettle: true}}},
-		{"NoLastLook", 0, mutation{noLeaseCheck: true}},
+		{"NoLeaseCheck", 0, mutation{noLeaseCheck: true}},
 	} {
 		ta := sweep(tc.checks, tc.mutation)
 		t.Logf("%s: %d of %d histories leave prefill with too few engines (shortest order delay %v)", tc.name, ta.tooFewPrefills, ta.histories, ta.shortestDelay)
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -76,8 +76,8 @@
 		LeaseTimeout  clock.Millis // limit for acquiring the lease, and for learning the roles; default 1 min
 		NeedTimeout   clock.Millis // limit for the load to require the change again after it has stopped doing so; default 10 s
 		// MaxOrderDelay is how long an order of the lease's previous holder may be in
-		// transit after its lease has ended; default 10 s. The Cell waits that long if
-		// an engine of the cell ignores fencing tokens.
+		// transit after its lease has ended; default 10 s. The Cell waits that long before
+		// its own orders if an engine of the cell ignores fencing tokens.
 		MaxOrderDelay clock.Millis
 		// LeaseMargin is the minimum remaining time of the lease when an order is sent
 		// to an engine that ignores fencing tokens; default 2 s.
@@ -91,7 +91,7 @@
 	Engine struct {
 		ID             string
 		Role           board.Role   // as reported; empty if the engine reports none
-		RoleAt         clock.Millis // a time at which the report was true; may be earlier than the actual time
+		RoleAt         clock.Millis // when the report was true; may be too early, but never too late
 		ChecksFencing  bool
 		Usable         bool // reports its load and is not leaving
 		Granted        int  // granted requests that the cell counts on the engine
--- a/internal/orders/trend.go
+++ b/internal/orders/trend.go
@@ -21,8 +21,8 @@
 		// Times since which each role could spare an engine; zero if it can't.
 		prefillSpare, decodeSpare clock.Millis
 
-		shortRole board.Role // the role that is short of engines; empty if none is
-		since     clock.Millis
+		shortRole board.Role   // the role that is short of engines; empty if none is
+		since     clock.Millis // when shortRole last changed, or the last change of role ended
 	}
 
 	// pools counts the usable engines of a cell by role.
@@ -109,8 +109,8 @@
 	return float64(working) / float64(max(1, po.prefill)), float64(running) / float64(max(1, slots))
 }
 
-// spareSince returns the time since which a role could give up one engine without
-// becoming short itself, or zero if it can't.
+// spareSince returns the time since which a role of the given utilization could give up
+// one engine without becoming short itself, or zero if it can't.
 func spareSince(since, now clock.Millis, utilization float64, engines int, se Settings) clock.Millis {
 	switch {
 	case engines <= se.MinEngines || utilization*float64(engines)/float64(engines-1) > se.Low:
