--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -38,6 +38,7 @@
 	ce.queued++
 }
 
+// newJob returns the job of a request, with the expected durations of its stages.
 func (ce *Cell) newJob(now clock.Millis, spec RequestSpec, gp *group) *job {
 	jb := &job{spec: spec, grp: gp, arrived: now, since: now, due: now + spec.TTFT - spec.TPOT - ce.MessageDelay, tokens: spec.PromptTokens}
 	if spec.Deadline > 0 {
--- a/internal/sched/cell_test.go
+++ b/internal/sched/cell_test.go
@@ -124,7 +124,7 @@
 	assert.Equal(t, len(fx.grants), 3)
 }
 
-func TestQuickPassesPatient(t *testing.T) {
+func TestQuickOvertakesPatient(t *testing.T) {
 	fx := newFixture(1, 1, 4)
 	for ix := range 5 {
 		fx.step(Submit{Spec: patient(fmt.Sprint("r", ix))})
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -74,6 +74,7 @@
 	return float64(eng.pendingFrom) + eng.pendingQuickMS + min(eng.pendingMS-eng.pendingQuickMS, float64(chunk)/eng.prefillRate)
 }
 
+// addPrefill accounts for a prefill that is sent to the engine.
 func (eng *engine) addPrefill(now clock.Millis, jb *job) {
 	if eng.pendingMS <= 0 || eng.pendingFrom > now {
 		eng.pendingFrom = now
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -100,7 +100,9 @@
 	gp.queuedPrefillMS = max(0, gp.queuedPrefillMS-jb.prefillMS)
 }
 
-// next returns the group's next request to start, or nil.
+// next returns the group's next request to start, or nil: the one that is due first, or
+// the late one with the earliest deadline, whose turn comes at intervals and when
+// nothing else is queued.
 func (gp *group) next() *job {
 	switch {
 	case len(gp.waiting) == 0 && len(gp.late) == 0:
@@ -148,6 +150,7 @@
 	return max(1, float64(spec.MaxTokens)*float64(tpot)/2)
 }
 
+// insertBy inserts a request into a list that is sorted by the key, behind equal keys.
 func insertBy(jobs []*job, jb *job, key func(*job) clock.Millis) []*job {
 	jobs = append(jobs, jb)
 	for ix := len(jobs) - 1; ix > 0 && key(jobs[ix-1]) > key(jobs[ix]); ix-- {
--- a/internal/sched/transfer.go
+++ b/internal/sched/transfer.go
@@ -279,6 +279,8 @@
 	}
 }
 
+// adoptDecode takes over a grant whose KV cache is being imported or already at its
+// decode engine.
 func (ce *Cell) adoptDecode(now clock.Millis, jb *job, ad Adopt) {
 	jb.decode = ce.engineOrUnlisted(now, ad.Decode, board.Decode)
 	jb.decode.addHeld(1)
