--- a/internal/suspect/sim_test.go
+++ b/internal/suspect/sim_test.go
@@ -289,6 +289,7 @@
 	sm.after(sm.span(3, 25), func() { sm.start(rn) })
 }
 
+// broadcast sends a crash to the other VMs twice, because each message may be lost.
 func (sm *sim) broadcast(from int, en suspect.Crash) {
 	if sm.noSharing {
 		return
@@ -307,6 +308,8 @@
 	}
 }
 
+// recordSuccess records at the run's VM that a request completed, and broadcasts the
+// crash that this retracts.
 func (sm *sim) recordSuccess(rn *simRun) {
 	tr := sm.vms[rn.vm]
 	if vd, _ := tr.Check(sm.now, sm.mark(rn)); vd == suspect.Clear {
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -242,6 +242,8 @@
 	return tr.list(now, most, func(Mark) bool { return true })
 }
 
+// list returns at most the given number of crashes of the wanted requests, those of the
+// request with the most evidence first.
 func (tr *Tracker) list(now clock.Millis, most int, wanted func(mk Mark) bool) []Crash {
 	var marks []Mark
 	for mk := range tr.crashes {
@@ -269,6 +271,7 @@
 	return en
 }
 
+// complete adds to a change the state of its request afterwards.
 func (tr *Tracker) complete(ch Change, mk Mark) Change {
 	ch.After, ch.Weight, ch.Crashes = tr.verdict(mk), tr.weight(mk), len(tr.crashes[mk])
 	return ch
