--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -67,6 +67,7 @@
 	return pr.finished && pr.finding != Unanswered && now >= pr.startedAt+probeTTL
 }
 
+// runProbe probes an instance and stores the finding for all calls that wait for it.
 func (gd *Guard) runProbe(pr *probe) {
 	defer close(pr.done)
 	finding := gd.callProbe(context.Background(), pr)
@@ -78,6 +79,7 @@
 	}
 }
 
+// callProbe calls Probe with the timeout of a single probe.
 func (gd *Guard) callProbe(ctx context.Context, pr *probe) Finding {
 	ctx, stop := context.WithTimeout(ctx, probeTimeout.Std())
 	defer stop()
@@ -117,6 +119,7 @@
 	pending.Wait()
 }
 
+// unanswered returns the probes of servers that did not answer.
 func (gd *Guard) unanswered() []*probe {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
@@ -129,6 +132,7 @@
 	return out
 }
 
+// retract records and broadcasts that the crash of a probed instance proved false.
 func (gd *Guard) retract(mk suspect.Mark, pr *probe) {
 	en := suspect.Crash{Mark: mk, Server: pr.call.Instance, Age: gd.now() - pr.finishedAt, Retracted: true}
 	gd.mu.Lock()
