--- a/internal/claim/asker.go
+++ b/internal/claim/asker.go
@@ -77,7 +77,7 @@
 	asking
 	backingOff
 	confirming
-	confirmingLater // the last round could not tell whether the claim stands
+	confirmingLater // the last round neither confirmed nor denied the claim
 	decided
 )
 
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// revalidate checks again whether the claim stands. If the search has not ended, there
-// is nothing to confirm, and it continues with a new round.
+// revalidate checks again whether the claim is on record. If the search has not ended,
+// there is nothing to confirm, and it continues with a new round.
 func (ak *Asker) revalidate(now clock.Millis, ev Revalidate) []AskerIntent {
 	ak.seats, ak.fleet = ev.Seats, ev.Fleet
 	if ak.phase == asking || ak.phase == backingOff {
@@ -116,7 +116,8 @@
 	return ak.beginRound(now)
 }
 
-// beginRound starts a round.
+// beginRound starts a round of asks to the seats of the key's current group. It keeps
+// the claim's number unless the claim was released.
 func (ak *Asker) beginRound(now clock.Millis) []AskerIntent {
 	ak.group = ak.seats.Group(ak.Customer, ak.Key)
 	ak.asks, ak.roundStart = nil, now
--- a/internal/claim/asker_test.go
+++ b/internal/claim/asker_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// A runner that was paused may go on only if the seats still have its claim.
+// A runner that was paused may continue only if the seats still have its claim.
 func TestRevalidate(t *testing.T) {
 	fl := &board.Fleet{Quorate: true, VMs: []board.VM{vmA, vmB, vmC}}
 	ok, absent := replyWith(Granted), replyWith(Absent)
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -151,6 +151,7 @@
 	return newReply(Granted, rc)
 }
 
+// evaluate returns the answer to an ask without recording a grant.
 func (bk *Book) evaluate(now clock.Millis, nm name, rc *record, ask *peerpb.ClaimAsk) Answer {
 	if !validNames(nm, ask.GetRunnerID()) || ask.GetClaim() == 0 || len(ask.GetFingerprint()) > maxPrintBytes {
 		return Malformed
@@ -250,6 +251,8 @@
 	}
 }
 
+// advance applies an update to the record of the same claim, unless the record already
+// has a later state.
 func (bk *Book) advance(now clock.Millis, rc *record, state State, up *peerpb.ClaimUpdate) {
 	if state.rank() < rc.state.rank() {
 		return
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -234,7 +234,7 @@
 		EngineRequest     string
 	}
 
-	// Revalidate requests a check whether a runner may go on: after a pause, after it
+	// Revalidate requests a check whether a runner may continue: after a pause, after it
 	// was considered dead, and after Decided.Until. It results in Decided with Run or
 	// Lost.
 	Revalidate struct {
--- a/internal/claim/example_test.go
+++ b/internal/claim/example_test.go
@@ -10,7 +10,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// Two VMs ask for one key; the second is told to follow the first.
+// Two VMs ask for one key; the verdict of the second is to follow the first.
 func Example() {
 	tb := &peerpb.SeatTable{Seats: []*peerpb.ClaimSeat{
 		{ID: "cantho-a-1", Incarnation: 1, FailureDomain: "cantho-a"},
--- a/internal/claim/explore_test.go
+++ b/internal/claim/explore_test.go
@@ -228,7 +228,7 @@
 			ex, states := explore(sc, *maxStates)
 			assert.Equal(t, ex.violation, "")
 			assert.Assert(t, ex.finalStates > 0)
-			t.Logf("%d states, %d ends, cut short %v", states, ex.finalStates, states == *maxStates)
+			t.Logf("%d states, %d final states, limit reached %v", states, ex.finalStates, states == *maxStates)
 		})
 	}
 }
--- a/internal/claim/handoff.go
+++ b/internal/claim/handoff.go
@@ -28,6 +28,7 @@
 	return bk.propose(now)
 }
 
+// restoreHistory adopts the tables of a peer if this VM has none yet.
 func (bk *Book) restoreHistory(now clock.Millis, st *SeatTable) []Intent {
 	if bk.seats != nil || st == nil {
 		return nil
@@ -39,6 +40,7 @@
 	return bk.handOff(now)
 }
 
+// addTable makes a table the current one and records when it was learned.
 func (bk *Book) addTable(now clock.Millis, st *SeatTable) {
 	if bk.learnedAt == nil {
 		bk.learnedAt = map[uint64]clock.Millis{}
@@ -140,6 +142,8 @@
 	return out
 }
 
+// resendPending repeats the handoffs that were not acknowledged and whose delay has
+// passed.
 func (bk *Book) resendPending(now clock.Millis) []Intent {
 	var out []Intent
 	later := bk.pendingResends[:0]
--- a/internal/claim/seats.go
+++ b/internal/claim/seats.go
@@ -49,6 +49,7 @@
 	return st.extend(epoch, tb)
 }
 
+// extend returns the state after a table, or an error if the table is invalid.
 func (st *SeatTable) extend(epoch uint64, tb *peerpb.SeatTable) (*SeatTable, error) {
 	if epoch <= tb.GetBase() {
 		return st, TableError{epoch, "epoch is not greater than its base"}
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -150,6 +150,7 @@
 	return out
 }
 
+// decideFollow ends the search; another VM runs or ran the key.
 func (ak *Asker) decideFollow(ta tally) []AskerIntent {
 	out := ak.releaseAll()
 	ak.phase = decided
@@ -159,6 +160,7 @@
 	}.withDecode(ta.bestHeld))
 }
 
+// decideRefusal ends the search with a verdict that refuses the request.
 func (ak *Asker) decideRefusal(vd Verdict, ran refusal.Ran, rs refusal.Reason, ta tally) []AskerIntent {
 	out := ak.releaseAll()
 	ak.phase = decided
@@ -175,7 +177,7 @@
 	return ak.Idempotent && ta.held > 0 || ta.held+ta.absent > len(ak.group)-need
 }
 
-// evaluateConfirm decides whether a runner may go on. Seats that do not reply, or are
+// evaluateConfirm decides whether a runner may continue. Seats that do not reply, or are
 // settling after a change of their table, neither confirm nor deny the claim: they are
 // asked again, and the claim stays unchanged.
 func (ak *Asker) evaluateConfirm(now clock.Millis, ta tally) []AskerIntent {
