--- a/internal/orders/cell_test.go
+++ b/internal/orders/cell_test.go
@@ -26,7 +26,7 @@
 	runs         map[string]int                                   // requests that never complete on their own
 	outcome      func(sd Send) Outcome                            // nil: orders are carried out
 	noLease      bool
-	neverIdle    bool // a drained engine turns out to run a request that never completes
+	neverIdle    bool // a drained engine runs a request that never completes
 	alwaysQueued bool // quick requests are queued whatever the load is
 	heldCaches   int  // KV caches that each prefill engine keeps unless it is drained
 
--- a/internal/orders/change.go
+++ b/internal/orders/change.go
@@ -54,6 +54,7 @@
 	}
 }
 
+// advanceOnce checks the lease and does what the current phase requires at this time.
 func (ce *Cell) advanceOnce(now clock.Millis) {
 	ao := ce.current
 	if ao.phase < sending && ao.phase != awaitingLease && !ce.sameLease(ao) {
@@ -85,7 +86,9 @@
 // order was started. A renewal changes the token but not the lease.
 func (ce *Cell) sameLease(ao *activeOrder) bool { return ce.token != 0 && ce.heldAt == ao.leaseSince }
 
-// settle waits until the roles of all engines are certain.
+// settle waits until the roles of all engines are certain. An operator's order does not
+// depend on the roles and only waits for settledFrom.
+// waits until no order of the previous holder can still arrive.
 func (ce *Cell) settle(now clock.Millis) {
 	ao := ce.current
 	switch {
@@ -117,6 +120,7 @@
 	}
 }
 
+// handleFenced processes an engine's reply to the new token.
 func (ce *Cell) handleFenced(now clock.Millis, ev Sent) {
 	ao := ce.current
 	if !ao.unfenced[ev.Server] {
@@ -180,6 +184,7 @@
 	}
 }
 
+// inspect requests an Inspect of the engine, at most once per interval.
 func (ce *Cell) inspect(now clock.Millis) {
 	if now >= ce.current.inspectAt {
 		ce.current.inspectAt = now + inspectInterval
