--- a/internal/claim/handoff.go
+++ b/internal/claim/handoff.go
@@ -28,6 +28,7 @@
 	return bk.propose(now)
 }
 
+// restoreHistory adopts the tables of a peer if this VM has none yet.
 func (bk *Book) restoreHistory(now clock.Millis, st *SeatTable) []Intent {
 	if bk.seats != nil || st == nil {
 		return nil
@@ -39,6 +40,7 @@
 	return bk.handOff(now)
 }
 
+// addTable makes a table the current one and records when it was learned.
 func (bk *Book) addTable(now clock.Millis, st *SeatTable) {
 	if bk.learnedAt == nil {
 		bk.learnedAt = map[uint64]clock.Millis{}
@@ -113,10 +115,10 @@
 	case st.prev == nil:
 		return st.base == 0
 	}
-	selfWhole := st.prev.hasSeat(bk.Self) && bk.coversAll(now, st.prev)
+	selfCovers := st.prev.hasSeat(bk.Self) && bk.coversAll(now, st.prev)
 	from := bk.received[st.Epoch]
 	return st.prev.toleratesAbsent(func(ref board.VMRef) bool {
-		return !from[ref] && (ref != bk.Self || !selfWhole)
+		return !from[ref] && (ref != bk.Self || !selfCovers)
 	})
 }
 
@@ -140,6 +142,8 @@
 	return out
 }
 
+// resendPending repeats the handoffs that were not acknowledged and whose delay has
+// passed.
 func (bk *Book) resendPending(now clock.Millis) []Intent {
 	var out []Intent
 	later := bk.pendingResends[:0]
@@ -203,6 +207,8 @@
 	return out
 }
 
+// splitParts splits the records for one seat into messages of limited size. A handoff
+// without records has one empty part, because the seat must learn that it is complete.
 func (bk *Book) splitParts(epoch uint64, to board.VMRef, recs []*peerpb.ClaimRecord) []Intent {
 	bk.lastSending++
 	var out []Intent
@@ -268,16 +274,16 @@
 	if bk.partialHandoffs == nil {
 		bk.partialHandoffs = map[handoffSource]*partialHandoff{}
 	}
-	ar := bk.partialHandoffs[src]
-	if ar == nil || ar.sending < ho.GetSending() {
-		ar = &partialHandoff{sending: ho.GetSending(), parts: map[uint32]bool{}}
-		bk.partialHandoffs[src] = ar
+	ph := bk.partialHandoffs[src]
+	if ph == nil || ph.sending < ho.GetSending() {
+		ph = &partialHandoff{sending: ho.GetSending(), parts: map[uint32]bool{}}
+		bk.partialHandoffs[src] = ph
 	}
-	if ar.sending != ho.GetSending() {
+	if ph.sending != ho.GetSending() {
 		return
 	}
-	ar.parts[ho.GetPart()] = true
-	if len(ar.parts) < int(ho.GetParts()) {
+	ph.parts[ho.GetPart()] = true
+	if len(ph.parts) < int(ho.GetParts()) {
 		return
 	}
 	delete(bk.partialHandoffs, src)
--- a/internal/claim/propose.go
+++ b/internal/claim/propose.go
@@ -61,8 +61,8 @@
 }
 
 // propose proposes a table once the fleet has differed from the current table for the
-// settle span. The VMs are due one after another, in an order that all of them derive
-// from the fleet, so that usually only one of them proposes.
+// settle span. The VMs' turns follow one after another, in an order that all of them
+// derive from the fleet, so that usually only one of them proposes.
 func (bk *Book) propose(now clock.Millis) []Intent {
 	fw := &bk.fleet
 	if fw.last == nil || !fw.last.Quorate || (bk.seats == nil && !bk.FromLogStart) {
@@ -77,11 +77,11 @@
 		fw.desired, fw.desiredSince = want, now
 	}
 	settle := cmp.Or(bk.Settings.SettleSpan, defaultSettleSpan)
-	place := slices.IndexFunc(rendezvous.Rank("seats", want), func(vm board.VM) bool { return vm.VMRef == bk.Self })
-	if place < 0 {
-		place = len(want)
+	position := slices.IndexFunc(rendezvous.Rank("seats", want), func(vm board.VM) bool { return vm.VMRef == bk.Self })
+	if position < 0 {
+		position = len(want)
 	}
-	due := max(fw.desiredSince, fw.proposedAt) + settle*clock.Millis(1+min(place, 8))
+	due := max(fw.desiredSince, fw.proposedAt) + settle*clock.Millis(1+min(position, 8))
 	if now < due {
 		return []Intent{Wake{due}}
 	}
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -110,6 +110,9 @@
 	return ak.retryAt < ak.startedAt+cmp.Or(ak.Patience, defaultPatience)
 }
 
+// timedOut ends a search for which no further round fits into Patience. The request did
+// not run if nobody else can have the key, or if a majority of the seats has no other
+// claim on record.
 func (ak *Asker) timedOut(now clock.Millis, ta tally) []AskerIntent {
 	ran := refusal.MayHaveRun
 	if ak.Fresh || (len(ak.group) > 0 && ta.noClaim >= ak.majority()) {
@@ -147,6 +150,7 @@
 	return out
 }
 
+// decideFollow ends the search; another VM runs or ran the key.
 func (ak *Asker) decideFollow(ta tally) []AskerIntent {
 	out := ak.releaseAll()
 	ak.phase = decided
@@ -156,6 +160,7 @@
 	}.withDecode(ta.bestHeld))
 }
 
+// decideRefusal ends the search with a verdict that refuses the request.
 func (ak *Asker) decideRefusal(vd Verdict, ran refusal.Ran, rs refusal.Reason, ta tally) []AskerIntent {
 	out := ak.releaseAll()
 	ak.phase = decided
@@ -172,7 +177,7 @@
 	return ak.Idempotent && ta.held > 0 || ta.held+ta.absent > len(ak.group)-need
 }
 
-// evaluateConfirm decides whether a runner may go on. Seats that do not reply, or are
+// evaluateConfirm decides whether a runner may continue. Seats that do not reply, or are
 // settling after a change of their table, neither confirm nor deny the claim: they are
 // asked again, and the claim stays unchanged.
 func (ak *Asker) evaluateConfirm(now clock.Millis, ta tally) []AskerIntent {
--- a/internal/poison/probe.go
+++ b/internal/poison/probe.go
@@ -34,13 +34,13 @@
 }
 
 // implicates reports whether a finding counts against the request of a call. An
-// instance crashes only once, so a call that was sent after the crash is not to blame.
+// instance crashes only once, so a call that was sent after the crash did not cause it.
 func (pr *probe) implicates(cl Call) bool {
 	return pr.finding != Alive && (cl.SentAt == 0 || cl.SentAt <= pr.finishedAt)
 }
 
-// probeInstance probes whether a server that was not about to leave has crashed. Calls
-// to it that break at the same moment share one probe.
+// probeInstance probes whether a server has crashed, unless it is leaving or no longer
+// listed. Calls to it that break at the same moment share one probe.
 func (gd *Guard) probeInstance(cl Call) *probe {
 	bk := gd.Backends()
 	if bk.Restarted(cl.Server) {
@@ -67,6 +67,7 @@
 	return pr.finished && pr.finding != Unanswered && now >= pr.startedAt+probeTTL
 }
 
+// runProbe probes an instance and stores the finding for all calls that wait for it.
 func (gd *Guard) runProbe(pr *probe) {
 	defer close(pr.done)
 	finding := gd.callProbe(context.Background(), pr)
@@ -78,6 +79,7 @@
 	}
 }
 
+// callProbe calls Probe with the timeout of a single probe.
 func (gd *Guard) callProbe(ctx context.Context, pr *probe) Finding {
 	ctx, stop := context.WithTimeout(ctx, probeTimeout.Std())
 	defer stop()
@@ -98,9 +100,9 @@
 // reprobe probes the servers that did not answer again. If the same instance answers,
 // it has not crashed, and its crashes are retracted.
 func (gd *Guard) reprobe(ctx context.Context) {
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, pr := range gd.unanswered() {
-		asked.Go(func() {
+		pending.Go(func() {
 			again := *pr
 			again.call.InstanceConfirmed = true // an instance that replaces it now started after the call
 			finding := gd.callProbe(ctx, &again)
@@ -114,9 +116,10 @@
 			}
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
+// unanswered returns the probes of servers that did not answer.
 func (gd *Guard) unanswered() []*probe {
 	gd.mu.Lock()
 	defer gd.mu.Unlock()
@@ -129,6 +132,7 @@
 	return out
 }
 
+// retract records and broadcasts that the crash of a probed instance proved false.
 func (gd *Guard) retract(mk suspect.Mark, pr *probe) {
 	en := suspect.Crash{Mark: mk, Server: pr.call.Instance, Age: gd.now() - pr.finishedAt, Retracted: true}
 	gd.mu.Lock()
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -46,12 +46,12 @@
 
 		// Fields of a decode engine.
 		slots        int
-		held         int // slots that this cell has assigned
-		heldByOthers int // slots held by others, from reports
-		recentHeld   [reportHistory]int
-		orphans      int
-		countedFree  int // free slots included in the cell's total
-		countedSlots int // slots included in the cell's total
+		held         int                // slots that this cell has assigned
+		heldByOthers int                // slots held by others, from reports
+		recentHeld   [reportHistory]int // maximum of held between reports, latest last
+		orphans      int                // of held, requests whose runner has failed
+		countedFree  int                // free slots included in the cell's total
+		countedSlots int                // slots included in the cell's total
 	}
 )
 
@@ -74,6 +74,7 @@
 	return float64(eng.pendingFrom) + eng.pendingQuickMS + min(eng.pendingMS-eng.pendingQuickMS, float64(chunk)/eng.prefillRate)
 }
 
+// addPrefill accounts for a prefill that is sent to the engine.
 func (eng *engine) addPrefill(now clock.Millis, jb *job) {
 	if eng.pendingMS <= 0 || eng.pendingFrom > now {
 		eng.pendingFrom = now
@@ -119,8 +120,8 @@
 // knowledge.
 func clampMeasurement(measured, known float64) float64 { return min(2*known, max(known/2, measured)) }
 
-// capLinkRate lowers the link rate after a transfer is still incomplete at the given
-// age.
+// capLinkRate lowers the link rate for a transfer that is still incomplete after the
+// given time.
 func (eng *engine) capLinkRate(tokens int, spent clock.Millis) {
 	if spent > 0 && tokens >= 2048 {
 		eng.linkRate = min(eng.linkRate, float64(tokens)/float64(spent))
@@ -144,8 +145,8 @@
 
 // linkCarries reports whether the link moves a prompt's KV cache well before the cache
 // expires.
-func (eng *engine) linkCarries(tokens int, keep clock.Millis) bool {
-	return float64(tokens)/eng.linkRate <= maxLinkShare*float64(keep)
+func (eng *engine) linkCarries(tokens int, ttl clock.Millis) bool {
+	return float64(tokens)/eng.linkRate <= maxLinkShare*float64(ttl)
 }
 
 // recoverLinkRate slowly raises a low link rate, so that a slow link is tried again.
--- a/internal/sched/transfer.go
+++ b/internal/sched/transfer.go
@@ -18,7 +18,7 @@
 	maxExpirations     = 3     // KV caches that one request may lose
 	quickLeadMS        = 200.0 // milliseconds by which quick transfers are advanced in the order
 	expiryLeadMS       = 300.0 // the same for patient transfers at a weight of 1
-	expiryNearMS       = 100.0 // milliseconds before its expiry at which a KV cache of weight 0 no longer yields
+	expiryNearMS       = 100.0 // milliseconds before the expiry of a KV cache of weight 0 from which its transfer no longer yields to quick work
 )
 
 // handlePrefilled records that a KV cache is ready and queues its transfer.
@@ -58,8 +58,8 @@
 			rest = append(rest, ce.readyJobs[ix:]...)
 			break
 		}
-		if wt := ce.blockedBy(now, jb); wt != "" {
-			jb.waitReason = wt
+		if reason := ce.blockedBy(now, jb); reason != "" {
+			jb.waitReason = reason
 			rest = append(rest, jb)
 			continue
 		}
@@ -279,6 +279,8 @@
 	}
 }
 
+// adoptDecode takes over a grant whose KV cache is being imported or already at its
+// decode engine.
 func (ce *Cell) adoptDecode(now clock.Millis, jb *job, ad Adopt) {
 	jb.decode = ce.engineOrUnlisted(now, ad.Decode, board.Decode)
 	jb.decode.addHeld(1)
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -49,17 +49,17 @@
 	// request is not hit by chance that often.
 	DefaultRefuseCrashes = 5
 	// DefaultTTL is how long a crash counts. A request that crashes all its servers
-	// then crashes three within that time, and one more each time its oldest crash
-	// expires.
+	// then crashes three within that time, and afterwards one more each time its oldest
+	// crash expires.
 	DefaultTTL = 5 * clock.Minute
-	// DefaultMaxRequests bounds the tracked requests; each takes about 300 bytes.
+	// DefaultMaxRequests bounds the tracked requests; each uses about 300 bytes.
 	DefaultMaxRequests = 1024
 )
 
 const (
 	// Weights of a crash. If the server had begun to answer the request, the request is
-	// more likely there by chance. If the request was alone, nothing else can be to
-	// blame.
+	// more likely there by chance. If the request was alone, no other request can have
+	// caused the crash.
 	weightPlain    = 1.0
 	weightAnswered = 0.65
 	weightAlone    = 1.5
@@ -169,7 +169,7 @@
 	tr.recordServer(now-en.Age, en.Server)
 	ch := Change{Before: tr.verdict(en.Mark)}
 	list := tr.crashes[en.Mark]
-	if at := slices.IndexFunc(list, func(no crashRecord) bool { return no.Server == en.Server }); at >= 0 {
+	if at := slices.IndexFunc(list, func(cr crashRecord) bool { return cr.Server == en.Server }); at >= 0 {
 		list[at].Retracted = list[at].Retracted || en.Retracted
 	} else if en.Age < tr.ttl() {
 		tr.insert(now, en)
@@ -179,7 +179,7 @@
 }
 
 // assignBlame attributes the server crashes of a refused request to it. They no longer
-// count against other requests, which were there by chance.
+// count against other requests, which ran at those servers by chance.
 func (tr *Tracker) assignBlame(mk Mark) {
 	if tr.verdict(mk) != Refused {
 		return
@@ -187,29 +187,29 @@
 	if tr.blamed == nil {
 		tr.blamed = make(map[string]Mark)
 	}
-	for _, no := range tr.crashes[mk] {
-		if _, found := tr.blamed[no.Server]; !found {
-			tr.blamed[no.Server] = mk
+	for _, cr := range tr.crashes[mk] {
+		if _, found := tr.blamed[cr.Server]; !found {
+			tr.blamed[cr.Server] = mk
 		}
 	}
 }
 
 // counted reports whether a crash counts against its request.
-func (tr *Tracker) counted(no crashRecord) bool {
-	mk, found := tr.blamed[no.Server]
-	return !no.Retracted && (!found || mk == no.Mark)
+func (tr *Tracker) counted(cr crashRecord) bool {
+	mk, found := tr.blamed[cr.Server]
+	return !cr.Retracted && (!found || mk == cr.Mark)
 }
 
 // insert adds a crash to those of its request, oldest first.
 func (tr *Tracker) insert(now clock.Millis, en Crash) {
 	tr.evict(now)
-	no := crashRecord{en, now - en.Age}
+	cr := crashRecord{en, now - en.Age}
 	list := tr.crashes[en.Mark]
-	at := slices.IndexFunc(list, func(one crashRecord) bool { return one.at > no.at })
+	at := slices.IndexFunc(list, func(one crashRecord) bool { return one.at > cr.at })
 	if at < 0 {
 		at = len(list)
 	}
-	tr.crashes[en.Mark] = slices.Insert(list, at, no)
+	tr.crashes[en.Mark] = slices.Insert(list, at, cr)
 }
 
 // RecordSuccess records that a request completed without a crash. It retracts the
@@ -242,6 +242,8 @@
 	return tr.list(now, most, func(Mark) bool { return true })
 }
 
+// list returns at most the given number of crashes of the wanted requests, those of the
+// request with the most evidence first.
 func (tr *Tracker) list(now clock.Millis, most int, wanted func(mk Mark) bool) []Crash {
 	var marks []Mark
 	for mk := range tr.crashes {
@@ -255,20 +257,21 @@
 	})
 	var out []Crash
 	for _, mk := range marks {
-		for _, no := range tr.crashes[mk] {
-			out = append(out, no.aged(now))
+		for _, cr := range tr.crashes[mk] {
+			out = append(out, cr.aged(now))
 		}
 	}
 	return out[:min(len(out), most)]
 }
 
 // aged returns the crash with its current age.
-func (no crashRecord) aged(now clock.Millis) Crash {
-	en := no.Crash
-	en.Age = now - no.at
+func (cr crashRecord) aged(now clock.Millis) Crash {
+	en := cr.Crash
+	en.Age = now - cr.at
 	return en
 }
 
+// complete adds to a change the state of its request afterwards.
 func (tr *Tracker) complete(ch Change, mk Mark) Change {
 	ch.After, ch.Weight, ch.Crashes = tr.verdict(mk), tr.weight(mk), len(tr.crashes[mk])
 	return ch
@@ -289,11 +292,11 @@
 func (tr *Tracker) weight(mk Mark) float64 {
 	sum := 0.0
 	list := tr.crashes[mk]
-	for _, no := range list {
-		if !tr.counted(no) {
+	for _, cr := range list {
+		if !tr.counted(cr) {
 			continue
 		}
-		sum += no.weight() / float64(1+tr.coincidingServers(no, list))
+		sum += cr.weight() / float64(1+tr.coincidingServers(cr, list))
 	}
 	return sum
 }
@@ -305,10 +308,10 @@
 func (tr *Tracker) distinctCrashes(mk Mark) int {
 	count := 0
 	last := clock.Millis(math.MinInt64 / 2)
-	for _, no := range tr.crashes[mk] {
-		if !no.Retracted && no.at > last+coincidenceWindow {
+	for _, cr := range tr.crashes[mk] {
+		if !cr.Retracted && cr.at > last+coincidenceWindow {
 			count++
-			last = no.at
+			last = cr.at
 		}
 	}
 	return count
@@ -327,10 +330,10 @@
 
 // coincidingServers counts the servers that crashed at the same time as the given one
 // and did not run the request.
-func (tr *Tracker) coincidingServers(no crashRecord, list []crashRecord) int {
+func (tr *Tracker) coincidingServers(cr crashRecord, list []crashRecord) int {
 	count := 0
 	for _, se := range tr.recentServers {
-		near := se.at >= no.at-coincidenceWindow && se.at <= no.at+coincidenceWindow
+		near := se.at >= cr.at-coincidenceWindow && se.at <= cr.at+coincidenceWindow
 		if near && !slices.ContainsFunc(list, func(one crashRecord) bool { return one.Server == se.server }) {
 			count++
 		}
@@ -356,7 +359,7 @@
 		return
 	}
 	before := tr.verdict(mk)
-	first := slices.IndexFunc(list, func(no crashRecord) bool { return now < no.at+tr.ttl() })
+	first := slices.IndexFunc(list, func(cr crashRecord) bool { return now < cr.at+tr.ttl() })
 	if first < 0 {
 		delete(tr.crashes, mk)
 	} else {
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Verdicts that follow from combinations of crashes.
+// TestEvidence checks the verdicts that follow from combinations of crashes.
 func TestEvidence(t *testing.T) {
 	const moment, apart = clock.Millis(1), clock.Second
 	answered := func(en suspect.Crash) suspect.Crash { en.Answered = true; return en }
@@ -110,10 +110,10 @@
 		tr.Record(0, en)
 		other.Record(0, en)
 	}
-	_, forgiven := tr.RecordSuccess(clock.Second, markOf("a"))
-	assert.Equal(t, forgiven.Server, "2")
-	assert.Assert(t, forgiven.Retracted)
-	assert.Equal(t, other.Record(clock.Second, forgiven).Weight, 1.0)
+	_, retracted := tr.RecordSuccess(clock.Second, markOf("a"))
+	assert.Equal(t, retracted.Server, "2")
+	assert.Assert(t, retracted.Retracted)
+	assert.Equal(t, other.Record(clock.Second, retracted).Weight, 1.0)
 	assert.Equal(t, tr.Record(clock.Second, crash("a", "2")).Weight, 1.0)
 	assert.Equal(t, tr.Record(clock.Second, crash("a", "3")).After, suspect.Suspected)
 	_, _ = tr.RecordSuccess(clock.Second, markOf("a"))
