--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -173,14 +173,14 @@
 		srv.address, srv.replaced = bs.Address, false
 	}
 	// A server that was moved to another service first ends its running requests.
-	away := bs.Leaving || rep.Leaving || srv.service != bs.Service
-	if srv.unavailable && !away {
+	unavailable := bs.Leaving || rep.Leaving || srv.service != bs.Service
+	if srv.unavailable && !unavailable {
 		srv.returnedAt = now // slow start
 		srv.rampingUp = true
 	}
-	srv.unavailable = away
+	srv.unavailable = unavailable
 	srv.applyReport(rep, ch.Settings)
-	if !away {
+	if !unavailable {
 		svc := ch.service(bs.Service)
 		svc.servers = append(svc.servers, srv)
 	}
@@ -284,16 +284,16 @@
 // choose returns the server under the lowest pressure, a random one among equals. A
 // server in slow start is considered only for a part of the requests.
 func (ch *Chooser) choose(now clock.Millis, fit []*server) *server {
-	standing := filter(fit, func(srv *server) bool {
+	eligible := filter(fit, func(srv *server) bool {
 		weight := srv.weight(now, ch.Settings)
 		return weight == 1 || ch.Rand.Float64() < weight
 	})
-	if len(standing) == 0 {
-		standing = fit
+	if len(eligible) == 0 {
+		eligible = fit
 	}
 	var best *server
 	least, ties := math.Inf(1), 0
-	for _, srv := range standing {
+	for _, srv := range eligible {
 		switch pr := srv.pressure(now, ch.Settings); {
 		case pr < least:
 			best, least, ties = srv, pr, 1
@@ -311,17 +311,17 @@
 // prefers untried servers that are neither ejected nor replaced, then any untried
 // ones, then tried ones that are neither ejected nor replaced, then all.
 func (svc *service) candidates(now clock.Millis, exclude []string) []*server {
-	awake := filter(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) })
-	untried := filter(awake, func(srv *server) bool { return !slices.Contains(exclude, srv.id) })
-	for _, some := range [][]*server{untried, awake} {
-		if well := filter(some, func(srv *server) bool { return !srv.ejected(now) && !srv.replaced }); len(well) > 0 {
-			return well
+	available := filter(svc.servers, func(srv *server) bool { return !srv.isBackingOff(now) })
+	untried := filter(available, func(srv *server) bool { return !slices.Contains(exclude, srv.id) })
+	for _, some := range [][]*server{untried, available} {
+		if healthy := filter(some, func(srv *server) bool { return !srv.isEjected(now) && !srv.replaced }); len(healthy) > 0 {
+			return healthy
 		}
 		if len(some) > 0 {
 			return some
 		}
 	}
-	return awake
+	return available
 }
 
 func filter(from []*server, wanted func(*server) bool) []*server {
@@ -338,7 +338,7 @@
 func (svc *service) mayEject(now clock.Millis) bool {
 	out := 0
 	for _, other := range svc.servers {
-		if other.ejected(now) {
+		if other.isEjected(now) {
 			out++
 		}
 	}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -37,8 +37,8 @@
 	return id
 }
 
-// try sends one request and ends it at once.
-func try(t *testing.T, ch *Chooser, now clock.Millis, result func(id string) Result) string {
+// sendOne sends one request and ends it at once.
+func sendOne(t *testing.T, ch *Chooser, now clock.Millis, result func(id string) Result) string {
 	t.Helper()
 	id := pick(t, ch, now)
 	ch.Done(now, id, Outcome{Customer: "cu", Result: result(id)})
@@ -56,17 +56,17 @@
 	}
 }
 
-// counts sends many requests that end at once.
-func counts(t *testing.T, ch *Chooser, now clock.Millis, n int, result func(id string) Result) map[string]int {
+// countPicks sends many requests that end at once.
+func countPicks(t *testing.T, ch *Chooser, now clock.Millis, n int, result func(id string) Result) map[string]int {
 	t.Helper()
 	got := map[string]int{}
 	for range n {
-		got[try(t, ch, now, result)]++
+		got[sendOne(t, ch, now, result)]++
 	}
 	return got
 }
 
-func refused(t *testing.T, err error) refusal.Refusal {
+func refusalOf(t *testing.T, err error) refusal.Refusal {
 	t.Helper()
 	var rf refusal.Refusal
 	assert.Assert(t, errors.As(err, &rf), "%v", err)
@@ -77,12 +77,12 @@
 func TestNoServer(t *testing.T) {
 	ch := chooser(1)
 	_, err := ch.Pick(0, Request{Service: svcName, Customer: "cu"})
-	assert.Equal(t, refused(t, err).Reason, refusal.NoBackend)
+	assert.Equal(t, refusalOf(t, err).Reason, refusal.NoBackend)
 	bk := backends(1, 4)
 	bk.Servers[0].Leaving = true
 	ch.Update(0, bk, 1)
 	_, err = ch.Pick(0, Request{Service: svcName, Customer: "cu"})
-	assert.Equal(t, refused(t, err).Reason, refusal.NoBackend)
+	assert.Equal(t, refusalOf(t, err).Reason, refusal.NoBackend)
 }
 
 func TestLeavingServerGetsNothing(t *testing.T) {
@@ -97,7 +97,7 @@
 			ch.Update(1, bk, 1)
 			leave(bk)
 			ch.Update(2, bk, 1)
-			assert.Equal(t, counts(t, ch, 2, 200, always(Success))["s01"], 0)
+			assert.Equal(t, countPicks(t, ch, 2, 200, always(Success))["s01"], 0)
 		})
 	}
 }
@@ -122,22 +122,22 @@
 	ch := chooser(4)
 	ch.Update(0, backends(4, 8), 1)
 	bad := only("s02", Failure)
-	got := counts(t, ch, 0, 2000, bad)
+	got := countPicks(t, ch, 0, 2000, bad)
 	assert.Equal(t, got["s02"], DefaultFailures)
 	srv := ch.servers["s02"]
 	now := clock.Millis(0)
 	for _, span := range []clock.Millis{DefaultBaseEjection, 2 * DefaultBaseEjection, 4 * DefaultBaseEjection} {
 		assert.Equal(t, srv.ejectedUntil-now, span)
-		assert.Equal(t, counts(t, ch, srv.ejectedUntil-1, 200, bad)["s02"], 0)
+		assert.Equal(t, countPicks(t, ch, srv.ejectedUntil-1, 200, bad)["s02"], 0)
 		// It returns, and its first failure ejects it again.
 		now = srv.ejectedUntil + DefaultSlowStart
-		assert.Equal(t, counts(t, ch, now, 200, bad)["s02"], 1)
+		assert.Equal(t, countPicks(t, ch, now, 200, bad)["s02"], 1)
 	}
 	now = srv.ejectedUntil + DefaultSlowStart
-	assert.Assert(t, counts(t, ch, now, 400, always(Success))["s02"] > 50)
+	assert.Assert(t, countPicks(t, ch, now, 400, always(Success))["s02"] > 50)
 	assert.Equal(t, srv.ejections, 4)
 	now += DefaultForgiveAfter
-	counts(t, ch, now, 100, always(Success))
+	countPicks(t, ch, now, 100, always(Success))
 	assert.Equal(t, srv.ejections, 0)
 }
 
@@ -145,7 +145,7 @@
 	ch := chooser(5)
 	ch.Update(0, backends(4, 8), 1)
 	seen := 0
-	counts(t, ch, 0, 2000, func(id string) Result {
+	countPicks(t, ch, 0, 2000, func(id string) Result {
 		if id != "s01" {
 			return Success
 		}
@@ -182,21 +182,21 @@
 	assert.Assert(t, early <= 5 && early < middle && middle < late, "%d %d %d", early, middle, late)
 	assert.Assert(t, late >= 17 && late <= 23, "%d", late)
 	// The same holds if requests come one by one, with none in flight at any server.
-	early = counts(t, ch, 1000, 2000, always(Success))["s03"]
-	late = counts(t, ch, 1000+DefaultSlowStart, 2000, always(Success))["s03"]
+	early = countPicks(t, ch, 1000, 2000, always(Success))["s03"]
+	late = countPicks(t, ch, 1000+DefaultSlowStart, 2000, always(Success))["s03"]
 	assert.Assert(t, early >= 20 && early <= 100 && late >= 400 && late <= 600, "%d %d", early, late)
 }
 
-func TestBusyServerIsLeftAlone(t *testing.T) {
+func TestBusyServerGetsNothing(t *testing.T) {
 	ch := chooser(7)
 	bk := backends(3, 10)
 	ch.Update(1, bk, 1)
-	got := counts(t, ch, 1, 300, only("s00", Busy))
+	got := countPicks(t, ch, 1, 300, only("s00", Busy))
 	assert.Equal(t, got["s00"], 1)
 	assert.Equal(t, ch.servers["s00"].ejections, 0)
 	bk.Reports["s00"] = board.LoadReport{Server: "s00", At: 500, Slots: 10}
 	ch.Update(500, bk, 1)
-	assert.Assert(t, counts(t, ch, 500, 300, always(Success))["s00"] > 50)
+	assert.Assert(t, countPicks(t, ch, 500, 300, always(Success))["s00"] > 50)
 }
 
 // For any sequence of results, at most half of the servers are ejected, a server is
@@ -213,10 +213,10 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 200).Draw(rt, "pass"))
 			if rapid.Bool().Draw(rt, "pick") {
-				ask := Request{Service: svcName, Customer: rapid.SampledFrom([]string{"cu", "other"}).Draw(rt, "customer"), Share: 0.5}
-				if id, err := ch.Pick(now, ask); err == nil {
-					flights = append(flights, flight{id, ask.Customer})
-				} else if refused(t, err).Reason != refusal.ShareExceeded {
+				req := Request{Service: svcName, Customer: rapid.SampledFrom([]string{"cu", "other"}).Draw(rt, "customer"), Share: 0.5}
+				if id, err := ch.Pick(now, req); err == nil {
+					flights = append(flights, flight{id, req.Customer})
+				} else if refusalOf(t, err).Reason != refusal.ShareExceeded {
 					rt.Fatalf("no server: %v", err)
 				}
 			} else if len(flights) > 0 {
@@ -233,7 +233,7 @@
 	var out, inFlight, ofCustomers int
 	for _, srv := range svc.servers {
 		inFlight += srv.inFlight
-		if srv.ejected(now) {
+		if srv.isEjected(now) {
 			out++
 		}
 	}
@@ -255,7 +255,7 @@
 	for len(ids) < most {
 		id, err := ch.Pick(now, Request{Service: svcName, Customer: customer, Share: share})
 		if err != nil {
-			assert.Equal(t, refused(t, err).Reason, refusal.ShareExceeded)
+			assert.Equal(t, refusalOf(t, err).Reason, refusal.ShareExceeded)
 			break
 		}
 		ids = append(ids, id)
@@ -313,7 +313,7 @@
 
 // Slots that the reports show as free are lent even if this VM's own part is used up,
 // but only this VM's part of them.
-func TestUnevenVMsBorrow(t *testing.T) {
+func TestFreeSlotsAreLentBeyondOwnPart(t *testing.T) {
 	ch := chooser(10)
 	bk := backends(4, 30)
 	ch.Update(1, bk, 6)
@@ -364,7 +364,7 @@
 	ch.BackOff(0, "s00", 500)
 	ch.BackOff(0, "nobody", 500)
 	for range 20 {
-		assert.Equal(t, try(t, ch, 400, always(Failure)), "s01")
+		assert.Equal(t, sendOne(t, ch, 400, always(Failure)), "s01")
 	}
 	assert.Equal(t, pick(t, ch, 400, "s01"), "s01", "a tried server is better than one that is backing off")
 	assert.Equal(t, ch.BackoffLeft(400, svcName), clock.Millis(0))
--- a/internal/balance/compare_test.go
+++ b/internal/balance/compare_test.go
@@ -85,7 +85,7 @@
 	return last
 }
 
-func (tl *trial) at(when clock.Millis, do func(now clock.Millis)) {
+func (tl *trial) schedule(when clock.Millis, do func(now clock.Millis)) {
 	tl.due.seq++
 	heap.Push(&tl.due, trialEvent{when, tl.due.seq, do})
 }
@@ -95,9 +95,9 @@
 	tl.running, tl.queues = make([]int, tl.servers), make([][]job, tl.servers)
 	tl.waits, tl.refused = map[string][]float64{}, map[string]int{}
 	for _, cu := range tl.customers {
-		tl.at(0, func(now clock.Millis) { tl.arrive(now, cu) })
+		tl.schedule(0, func(now clock.Millis) { tl.arrive(now, cu) })
 	}
-	tl.at(0, tl.report)
+	tl.schedule(0, tl.report)
 	for tl.due.Len() > 0 {
 		te := heap.Pop(&tl.due).(trialEvent)
 		te.do(te.at)
@@ -131,7 +131,7 @@
 		tl.start(now, srv)
 	}
 	if now < tl.span {
-		tl.at(now+1, func(now clock.Millis) { tl.arrive(now, cu) })
+		tl.schedule(now+1, func(now clock.Millis) { tl.arrive(now, cu) })
 	}
 }
 
@@ -141,7 +141,7 @@
 		tl.queues[srv] = tl.queues[srv][1:]
 		tl.running[srv]++
 		tl.waits[jb.customer.name] = append(tl.waits[jb.customer.name], float64(now-jb.arrived))
-		tl.at(now+jb.takes, func(now clock.Millis) {
+		tl.schedule(now+jb.takes, func(now clock.Millis) {
 			tl.running[srv]--
 			tl.policy.done(now, jb.vm, srv, jb.customer)
 			tl.start(now, srv)
@@ -151,9 +151,9 @@
 
 func (tl *trial) report(now clock.Millis) {
 	loads := tl.loads()
-	tl.at(now+trialLag, func(now clock.Millis) { tl.policy.report(now, loads) })
+	tl.schedule(now+trialLag, func(now clock.Millis) { tl.policy.report(now, loads) })
 	if now < tl.span {
-		tl.at(now+trialReportInterval, tl.report)
+		tl.schedule(now+trialReportInterval, tl.report)
 	}
 }
 
@@ -279,8 +279,8 @@
 	return tl
 }
 
-// shape is one configuration of the trial.
-type shape struct {
+// trialConfig is one configuration of the trial.
+type trialConfig struct {
 	vms, servers int
 	load, slow   float64
 	ratio        map[string]float64 // largest ratio of the chooser's mean wait to that of each policy
@@ -288,8 +288,8 @@
 
 // Compares the policies for the same requests, with a few VMs and with many VMs that get
 // few requests each. The bounds are ratios of the mean waits and hold for each seed.
-func TestCompareChoices(t *testing.T) {
-	for _, sh := range []shape{
+func TestComparePolicies(t *testing.T) {
+	for _, sh := range []trialConfig{
 		{6, 8, 0.8, 1, map[string]float64{polRoundRobin: 0.2, polLeastReported: 0.01, polTwoByReport: 0.01}},
 		{6, 8, 0.9, 1, map[string]float64{polRoundRobin: 0.3, polLeastReported: 0.01, polTwoByReport: 0.03}},
 		{6, 8, 0.8, 3, map[string]float64{polRoundRobin: 0.01, polLeastReported: 0.01, polTwoByReport: 0.02}},
@@ -305,7 +305,7 @@
 	}
 }
 
-func compare(t *testing.T, sh shape, seed uint64) {
+func compare(t *testing.T, sh trialConfig, seed uint64) {
 	mean := map[string]float64{}
 	for _, name := range []string{polRoundRobin, polLeastReported, polTwoByReport, polChooser, polOracle} {
 		tl := newTrial(name, seed, sh.vms, sh.servers)
--- a/internal/balance/crowd_test.go
+++ b/internal/balance/crowd_test.go
@@ -16,23 +16,23 @@
 // Parameters of the load: a fleet sends a plain service more requests than it has
 // capacity for.
 const (
-	loadVMs         = 69
-	loadServers     = 5
-	loadSlots       = 6
-	loadQueue       = 24
-	loadMeanWork    = 60 // mean in ms; uniform from a third to five thirds of it
-	loadObjective   = 300 * clock.Millis(1)
-	loadRetryDelay  = 50 * clock.Millis(1) // until a refused caller returns, once
-	loadFailurePart = 1.0 / 7              // part of requests that fail at a server
-	loadCrossing    = 3 * clock.Millis(1)
-	loadRate        = 211.0 // requests per second; a burst has loadBurst times as many
-	loadBurst       = 2.8
-	loadBurstFrom   = 4 * clock.Second
-	loadBurstTo     = 9 * clock.Second
-	loadEnd         = 14 * clock.Second
-	loadSenders     = 16
-	loadBurstSender = "sender 0"       // sends the burst
-	loadDetection   = 2 * clock.Second // from the burst's beginning until the VMs have detected its sender
+	loadVMs          = 69
+	loadServers      = 5
+	loadSlots        = 6
+	loadQueue        = 24
+	loadMeanWork     = 60 // mean in ms; uniform from a third to five thirds of it
+	loadObjective    = 300 * clock.Millis(1)
+	loadRetryDelay   = 50 * clock.Millis(1) // until a refused caller returns, once
+	loadFailurePart  = 1.0 / 7              // part of requests that fail at a server
+	loadNetworkDelay = 3 * clock.Millis(1)
+	loadRate         = 211.0 // requests per second; a burst has loadBurst times as many
+	loadBurst        = 2.8
+	loadBurstFrom    = 4 * clock.Second
+	loadBurstTo      = 9 * clock.Second
+	loadEnd          = 14 * clock.Second
+	loadSenders      = 16
+	loadBurstSender  = "sender 0"       // sends the burst
+	loadDetection    = 2 * clock.Second // from the burst's beginning until the VMs have detected its sender
 )
 
 type (
@@ -48,7 +48,7 @@
 		nameSenders bool
 
 		requestCount, inTime, late, refused, failed int
-		others                                      struct{ asked, inTime, refused int } // all senders except loadBurstSender
+		others                                      struct{ requests, inTime, refused int } // all senders except loadBurstSender
 	}
 
 	loadServer struct {
@@ -75,13 +75,13 @@
 	}
 )
 
-func (ls *loadSim) after(at clock.Millis, do func(now clock.Millis)) {
+func (ls *loadSim) schedule(at clock.Millis, do func(now clock.Millis)) {
 	ix, _ := slices.BinarySearchFunc(ls.events, at, func(ev loadEvent, at clock.Millis) int { return cmp.Or(cmp.Compare(ev.at, at), -1) })
 	ls.events = slices.Insert(ls.events, ix, loadEvent{at, do})
 }
 
-func newLoadSim(seed uint64, heed bool) *loadSim {
-	ls := &loadSim{rnd: rand.New(rand.NewPCG(seed, 5)), senderRand: rand.New(rand.NewPCG(seed, 6)), servers: make(map[string]*loadServer), useReports: heed}
+func newLoadSim(seed uint64, useReports bool) *loadSim {
+	ls := &loadSim{rnd: rand.New(rand.NewPCG(seed, 5)), senderRand: rand.New(rand.NewPCG(seed, 6)), servers: make(map[string]*loadServer), useReports: useReports}
 	var list []board.BackendServer
 	for ix := range loadServers {
 		id := string(rune('a' + ix))
@@ -97,9 +97,9 @@
 	return ls
 }
 
-// play runs the simulation and returns the part of the requests of the burst that were
+// run runs the simulation and returns the part of the requests of the burst that were
 // answered in time.
-func (ls *loadSim) play() float64 {
+func (ls *loadSim) run() float64 {
 	for at := 0.0; at < float64(loadEnd); {
 		rate := loadRate
 		if at >= float64(loadBurstFrom) && at < float64(loadBurstTo) {
@@ -108,7 +108,7 @@
 		at += ls.rnd.ExpFloat64() * 1000 / rate
 		rq := &loadRequest{vm: ls.rnd.IntN(loadVMs), began: clock.Millis(at), fails: ls.rnd.Float64() < loadFailurePart/2}
 		rq.sender = ls.senderAt(rq.began)
-		ls.after(rq.began, func(now clock.Millis) { ls.send(now, rq) })
+		ls.schedule(rq.began, func(now clock.Millis) { ls.send(now, rq) })
 	}
 	for len(ls.events) > 0 {
 		ev := ls.events[0]
@@ -139,7 +139,7 @@
 	if rq.sender == loadBurstSender || !rq.inBurst() || rq.began < loadBurstFrom+loadDetection {
 		return
 	}
-	ls.others.asked++
+	ls.others.requests++
 	switch count {
 	case &ls.inTime:
 		ls.others.inTime++
@@ -149,21 +149,21 @@
 }
 
 func (ls *loadSim) send(now clock.Millis, rq *loadRequest) {
-	ask := Request{Service: "s", Share: 1, Exclude: rq.tried}
+	req := Request{Service: "s", Share: 1, Exclude: rq.tried}
 	if ls.useReports {
-		ask.Objective = loadObjective
+		req.Objective = loadObjective
 	}
 	if ls.nameSenders {
-		ask.Sender = rq.sender
+		req.Sender = rq.sender
 	}
-	id, err := ls.vms[rq.vm].Pick(now, ask)
+	id, err := ls.vms[rq.vm].Pick(now, req)
 	if err != nil {
 		ls.retryOnce(now, rq)
 		return
 	}
 	rq.sent, rq.server = now, id
 	rq.tried = append(rq.tried, id)
-	ls.after(now+loadCrossing, func(now clock.Millis) { ls.arrive(now, rq) })
+	ls.schedule(now+loadNetworkDelay, func(now clock.Millis) { ls.arrive(now, rq) })
 }
 
 func (ls *loadSim) retryOnce(now clock.Millis, rq *loadRequest) {
@@ -173,7 +173,7 @@
 	}
 	rq.returning, rq.tried = true, nil
 	rq.vm = ls.rnd.IntN(loadVMs)
-	ls.after(now+loadRetryDelay, func(now clock.Millis) { ls.send(now, rq) })
+	ls.schedule(now+loadRetryDelay, func(now clock.Millis) { ls.send(now, rq) })
 }
 
 func (ls *loadSim) arrive(now clock.Millis, rq *loadRequest) {
@@ -196,7 +196,7 @@
 
 func (ls *loadSim) work(now clock.Millis, srv *loadServer, rq *loadRequest) {
 	span := loadMeanWork * (1 + 4*ls.rnd.Float64()) / 3 / srv.speed
-	ls.after(now+clock.Millis(span), func(now clock.Millis) { ls.done(now, srv, rq) })
+	ls.schedule(now+clock.Millis(span), func(now clock.Millis) { ls.done(now, srv, rq) })
 }
 
 func (ls *loadSim) done(now clock.Millis, srv *loadServer, rq *loadRequest) {
@@ -208,7 +208,7 @@
 		srv.running++
 		ls.work(now, srv, next)
 	}
-	ls.after(now+loadCrossing, func(now clock.Millis) { ls.answered(now, srv, rq, ld) })
+	ls.schedule(now+loadNetworkDelay, func(now clock.Millis) { ls.answered(now, srv, rq, ld) })
 }
 
 func (ls *loadSim) answered(now clock.Millis, srv *loadServer, rq *loadRequest, ld Load) {
@@ -222,9 +222,9 @@
 		out.Result = Failure
 	}
 	ch.Done(now, srv.id, out)
-	crowded := ls.useReports && ch.RefusesForQueue(now, "s", loadObjective)
+	refuses := ls.useReports && ch.RefusesForQueue(now, "s", loadObjective)
 	switch {
-	case failed && len(rq.tried) < 2 && !crowded:
+	case failed && len(rq.tried) < 2 && !refuses:
 		ls.send(now, rq)
 	case failed && !rq.returning:
 		ls.retryOnce(now, rq)
@@ -243,33 +243,33 @@
 // requests wait in the queue.
 func TestQueueIsKeptShort(t *testing.T) {
 	for seed := range uint64(5) {
-		heeding, waiting := newLoadSim(seed, true), newLoadSim(seed, false)
-		with, without := heeding.play(), waiting.play()
+		withReports, withoutReports := newLoadSim(seed, true), newLoadSim(seed, false)
+		with, without := withReports.run(), withoutReports.run()
 		t.Logf("seed %d: in time %.2f, without reports %.2f; late %d and %d of %d, refused %d and %d", seed, with, without,
-			heeding.late, waiting.late, heeding.requestCount, heeding.refused, waiting.refused)
+			withReports.late, withoutReports.late, withReports.requestCount, withReports.refused, withoutReports.refused)
 		assert.Assert(t, with >= 0.5, "seed %d: %.2f in time", seed, with)
 		assert.Assert(t, with >= 1.25*without, "seed %d: %.2f in time, %.2f without reports", seed, with, without)
-		assert.Assert(t, heeding.late <= heeding.requestCount/10, "seed %d: %d late", seed, heeding.late)
+		assert.Assert(t, withReports.late <= withReports.requestCount/10, "seed %d: %d late", seed, withReports.late)
 	}
 }
 
 // With free capacity no request is refused, and old load reports lose their effect.
 func TestNoRefusalsWithFreeCapacity(t *testing.T) {
-	var cr queueEstimate
-	assert.Equal(t, cr.refusalPart(0, loadObjective, maxWaitPart), 0.0)
+	var qe queueEstimate
+	assert.Equal(t, qe.refusalPart(0, loadObjective, maxWaitPart), 0.0)
 	for now := clock.Millis(1); now < 1000; now += 100 {
-		cr.observe(now, Load{Running: 6, Slots: 6}, 60)
+		qe.observe(now, Load{Running: 6, Slots: 6}, 60)
 	}
-	assert.Equal(t, cr.refusalPart(1000, loadObjective, maxWaitPart), 0.0)
+	assert.Equal(t, qe.refusalPart(1000, loadObjective, maxWaitPart), 0.0)
 	for now := clock.Millis(1000); now < 2000; now += 100 {
-		cr.observe(now, Load{Running: 6, Waiting: 24, Slots: 6}, 300)
+		qe.observe(now, Load{Running: 6, Waiting: 24, Slots: 6}, 300)
 	}
-	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart)
-	assert.Equal(t, cr.refusalPart(2000, 0, maxWaitPart), 0.0, "without an objective no request is late")
-	assert.Equal(t, cr.refusalPart(2000, 50, maxWaitPart), 0.0, "the objective can't be met anyway")
-	assert.Equal(t, cr.refusalPart(2000+6*waitHalfLife, loadObjective, maxWaitPart), 0.0)
-	cr.observe(2000, Load{}, 60)
-	assert.Equal(t, cr.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart, "a report without slots is ignored")
+	assert.Equal(t, qe.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart)
+	assert.Equal(t, qe.refusalPart(2000, 0, maxWaitPart), 0.0, "without an objective no request is late")
+	assert.Equal(t, qe.refusalPart(2000, 50, maxWaitPart), 0.0, "the objective can't be met anyway")
+	assert.Equal(t, qe.refusalPart(2000+6*waitHalfLife, loadObjective, maxWaitPart), 0.0)
+	qe.observe(2000, Load{}, 60)
+	assert.Equal(t, qe.refusalPart(2000, loadObjective, maxWaitPart), maxRefusalPart, "a report without slots is ignored")
 }
 
 // A burst of one sender is at that sender's expense. From two seconds after its beginning,
@@ -279,12 +279,12 @@
 	for seed := range uint64(5) {
 		fair, alike := newLoadSim(seed, true), newLoadSim(seed, true)
 		fair.nameSenders = true
-		with, without := fair.play(), alike.play()
+		with, without := fair.run(), alike.run()
 		ot, was := fair.others, alike.others
 		t.Logf("seed %d: others in time %.2f, without senders %.2f; refused %.3f and %.3f; all in time %.2f and %.2f", seed,
-			float64(ot.inTime)/float64(ot.asked), float64(was.inTime)/float64(was.asked),
-			float64(ot.refused)/float64(ot.asked), float64(was.refused)/float64(was.asked), with, without)
-		assert.Assert(t, ot.refused*20 <= ot.asked, "seed %d: %d of %d refused", seed, ot.refused, ot.asked)
+			float64(ot.inTime)/float64(ot.requests), float64(was.inTime)/float64(was.requests),
+			float64(ot.refused)/float64(ot.requests), float64(was.refused)/float64(was.requests), with, without)
+		assert.Assert(t, ot.refused*20 <= ot.requests, "seed %d: %d of %d refused", seed, ot.refused, ot.requests)
 		assert.Assert(t, with >= without-0.03, "seed %d: %.2f of all in time, %.2f without senders", seed, with, without)
 	}
 }
--- a/internal/balance/example_test.go
+++ b/internal/balance/example_test.go
@@ -17,8 +17,8 @@
 		{ID: "kiosk-1", Service: "kiosk-api", Role: board.Plain},
 		{ID: "kiosk-2", Service: "kiosk-api", Role: board.Plain, Leaving: true},
 	}}, 6)
-	ask := balance.Request{Service: "kiosk-api", Customer: "hoa-lua", Share: 0.5}
-	server, err := ch.Pick(10, ask)
+	req := balance.Request{Service: "kiosk-api", Customer: "hoa-lua", Share: 0.5}
+	server, err := ch.Pick(10, req)
 	fmt.Println(server, err)
 	ch.Done(25, server, balance.Outcome{Customer: "hoa-lua", Result: balance.Success})
 
--- a/internal/balance/fair.go
+++ b/internal/balance/fair.go
@@ -51,8 +51,8 @@
 // evictSmallest drops the sender with the smallest count.
 func (se *senders) evictSmallest(now clock.Millis) {
 	least, fewest := "", math.Inf(1)
-	for name, md := range se.counts {
-		if count := md.valueAt(now); count < fewest {
+	for name, dc := range se.counts {
+		if count := dc.valueAt(now); count < fewest {
 			least, fewest = name, count
 		}
 	}
@@ -68,8 +68,8 @@
 	}
 	counts := make([]float64, 0, len(se.counts))
 	sum := 0.0
-	for _, md := range se.counts {
-		count := md.valueAt(now)
+	for _, dc := range se.counts {
+		count := dc.valueAt(now)
 		counts = append(counts, count)
 		sum += count
 	}
@@ -79,13 +79,13 @@
 
 // fairLevel returns the largest limit for each of some counts, given in ascending
 // order, with which the limited counts sum up to at most a total.
-func fairLevel(counts []float64, all float64) float64 {
+func fairLevel(counts []float64, total float64) float64 {
 	for ix, count := range counts {
-		each := all / float64(len(counts)-ix)
+		each := total / float64(len(counts)-ix)
 		if count >= each {
 			return each
 		}
-		all -= count
+		total -= count
 	}
 	return math.Inf(1)
 }
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -126,13 +126,13 @@
 	return srv.backoffUntil != 0 && now < srv.backoffUntil
 }
 
-func (srv *server) ejected(now clock.Millis) bool { return now < srv.ejectedUntil }
+func (srv *server) isEjected(now clock.Millis) bool { return now < srv.ejectedUntil }
 
 // failed counts a failure and reports whether the server should be ejected. After an
 // ejection the first failure suffices, until the server has answered once. Requests
 // that end while the server is ejected are ignored, because they were sent before.
 func (srv *server) failed(now clock.Millis, st Settings) bool {
-	if srv.ejected(now) {
+	if srv.isEjected(now) {
 		return false
 	}
 	srv.failures++
--- a/internal/charge/bound_test.go
+++ b/internal/charge/bound_test.go
@@ -28,21 +28,21 @@
 // boundSeeds is the number of simulations. Larger numbers are set by hand.
 var boundSeeds = flag.Uint64("seeds", 3, "seeds of the simulated fleet with failing keepers")
 
-// ran records the requests that ran.
-type ran struct {
+// ranRequests records the requests that ranRequests.
+type ranRequests struct {
 	mu     sync.Mutex
 	at     []time.Duration
 	tokens []float64
 }
 
-func (rn *ran) add(at time.Duration, tokens float64) {
+func (rn *ranRequests) add(at time.Duration, tokens float64) {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	rn.at, rn.tokens = append(rn.at, at), append(rn.tokens, tokens)
 }
 
-// most returns the largest number of tokens that ran in any window.
-func (rn *ran) most(window time.Duration) float64 {
+// maxInWindow returns the largest number of tokens that ran in any window.
+func (rn *ranRequests) maxInWindow(window time.Duration) float64 {
 	sum, most, first := 0.0, 0.0, 0
 	for ix, at := range rn.at {
 		sum += rn.tokens[ix]
@@ -65,12 +65,12 @@
 		if rnd.IntN(2) == 0 {
 			name = nt.keeper
 		}
-		nt.cut[name] = true
+		nt.unresponsive[name] = true
 		nt.mu.Unlock()
 		time.AfterFunc(time.Duration(rnd.Int64N(int64(4*time.Second))), func() {
 			nt.mu.Lock()
 			defer nt.mu.Unlock()
-			delete(nt.cut, name)
+			delete(nt.unresponsive, name)
 		})
 		next := names[rnd.IntN(len(names))]
 		time.AfterFunc(time.Duration(rnd.Int64N(int64(2*time.Second))), func() {
@@ -82,7 +82,7 @@
 }
 
 // overload sends requests of all sizes to a VM without regard to the limit.
-func overload(t *testing.T, nt *testNet, name string, rnd *rand.Rand, lim quota.Limit, rn *ran, start time.Time) {
+func overload(t *testing.T, nt *testNet, name string, rnd *rand.Rand, lim quota.Limit, rn *ranRequests, start time.Time) {
 	var open sync.WaitGroup
 	for time.Since(start) < boundSpan {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / boundRequestRate * float64(time.Second)))
@@ -111,7 +111,7 @@
 	worst := 0.0
 	for seed := range *boundSeeds {
 		for _, lim := range []quota.Limit{lostLimit, {Rate: 10000, Burst: 10000}, {Rate: 163000, Burst: 40000}} {
-			rn := &ran{}
+			rn := &ranRequests{}
 			synctest.Test(t, func(t *testing.T) {
 				rnd := rand.New(rand.NewPCG(seed, 35))
 				names := vmNames(boundVMs)
@@ -131,7 +131,7 @@
 				time.Sleep(5 * time.Second) // until the disturbances have ended
 			})
 			may := (lim.Rate*8+lim.Burst)*(1+settings.Excess) + settings.Slack
-			got := rn.most(settings.Window.Std())
+			got := rn.maxInWindow(settings.Window.Std())
 			worst = max(worst, got/may)
 			assert.Assert(t, got <= may, "seed %d, rate %v: %.0f tokens in a window, %.0f may run", seed, lim.Rate, got, may)
 		}
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -179,13 +179,13 @@
 // Run renews this VM's leases until the context ends.
 func (ch *Charger) Run(ctx context.Context) {
 	ch.ensureShards()
-	forgot := ch.now()
+	evictedAt := ch.now()
 	for clock.Sleep(ctx, leaseCheckInterval) {
 		if ch.Limited() {
 			ch.renewAll(ctx)
 		}
-		if now := ch.now(); now-forgot >= evictInterval {
-			forgot = now
+		if now := ch.now(); now-evictedAt >= evictInterval {
+			evictedAt = now
 			ch.evict()
 		}
 	}
--- a/internal/charge/charge_test.go
+++ b/internal/charge/charge_test.go
@@ -20,14 +20,14 @@
 type (
 	// testNet connects the VMs of a test.
 	testNet struct {
-		mu       sync.Mutex
-		vms      map[string]*charge.Charger
-		names    []string
-		keeper   string          // of the first shard
-		second   string          // keeper of the second shard; empty: the VM after the first one
-		cut      map[string]bool // unresponsive VMs
-		requests int
-		delay    time.Duration
+		mu           sync.Mutex
+		vms          map[string]*charge.Charger
+		names        []string
+		keeper       string          // of the first shard
+		second       string          // keeper of the second shard; empty: the VM after the first one
+		unresponsive map[string]bool // unresponsive VMs
+		requests     int
+		delay        time.Duration
 
 		unlimited bool // no customer has a limit
 	}
@@ -43,9 +43,9 @@
 )
 
 var (
-	limit    = quota.Limit{Rate: 10000, Burst: 10000}
-	settings = quota.Settings{Window: 8 * clock.Second, Excess: 0.1, Slack: 120000}
-	errCut   = errors.New("no answer")
+	limit         = quota.Limit{Rate: 10000, Burst: 10000}
+	settings      = quota.Settings{Window: 8 * clock.Second, Excess: 0.1, Slack: 120000}
+	errNoResponse = errors.New("no answer")
 )
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
@@ -64,20 +64,20 @@
 
 func (pe peers) VMs() int { return len(pe.net.vms) }
 
-func (pe peers) AskQuota(ctx context.Context, vm string, ask quota.Request) (quota.Response, error) {
+func (pe peers) AskQuota(ctx context.Context, vm string, req quota.Request) (quota.Response, error) {
 	pe.net.mu.Lock()
 	pe.net.requests++
-	cut := pe.net.cut[vm]
+	unresponsive := pe.net.unresponsive[vm]
 	pe.net.mu.Unlock()
-	if cut {
+	if unresponsive {
 		<-ctx.Done()
-		return quota.Response{}, errCut
+		return quota.Response{}, errNoResponse
 	}
 	time.Sleep(pe.net.delay)
-	return pe.net.vms[vm].Handle(pe.self, 1, ask), nil
+	return pe.net.vms[vm].Handle(pe.self, 1, req), nil
 }
 
-func (pe peers) TellQuota(vm string, ask quota.Request) { pe.net.vms[vm].Handle(pe.self, 1, ask) }
+func (pe peers) TellQuota(vm string, req quota.Request) { pe.net.vms[vm].Handle(pe.self, 1, req) }
 
 func (nt *testNet) requestCount() int {
 	nt.mu.Lock()
@@ -94,7 +94,7 @@
 // newNet creates VMs, the first of which is a keeper, and runs them until the test ends.
 func newNet(t *testing.T, st quota.Settings, names ...string) *testNet {
 	t.Helper()
-	nt := &testNet{vms: make(map[string]*charge.Charger), names: names, keeper: names[0], cut: make(map[string]bool), delay: 3 * time.Millisecond}
+	nt := &testNet{vms: make(map[string]*charge.Charger), names: names, keeper: names[0], unresponsive: make(map[string]bool), delay: 3 * time.Millisecond}
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	for ix, name := range names {
@@ -182,7 +182,7 @@
 		nt := newNet(t, settings, "a", "b", "c", "d")
 		time.Sleep(5 * time.Second)
 		nt.mu.Lock()
-		nt.cut["a"] = true
+		nt.unresponsive["a"] = true
 		nt.mu.Unlock()
 		assert.NilError(t, nt.vms["b"].Charge(t.Context(), order(200)))
 		began := time.Now()
--- a/internal/charge/lost_test.go
+++ b/internal/charge/lost_test.go
@@ -36,8 +36,8 @@
 	count, refused int
 }
 
-// ask sends requests of one size to random VMs for a span.
-func (rc *requestCounts) ask(t *testing.T, nt *testNet, rnd *rand.Rand, names []string, span time.Duration, tokens, perSecond float64) {
+// sendRequests sends requests of one size to random VMs for a span.
+func (rc *requestCounts) sendRequests(t *testing.T, nt *testNet, rnd *rand.Rand, names []string, span time.Duration, tokens, perSecond float64) {
 	var open sync.WaitGroup
 	for end := time.Now().Add(span); ; {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
@@ -58,9 +58,9 @@
 	open.Wait()
 }
 
-// playKeeperLoss simulates the loss of a keeper and counts the requests in the span
+// simulateKeeperLoss simulates the loss of a keeper and counts the requests in the span
 // after it.
-func playKeeperLoss(t *testing.T, seed uint64) (plain, generations *requestCounts) {
+func simulateKeeperLoss(t *testing.T, seed uint64) (plain, generations *requestCounts) {
 	plain, generations = &requestCounts{}, &requestCounts{}
 	synctest.Test(t, func(t *testing.T) {
 		var names []string
@@ -76,10 +76,10 @@
 			var open sync.WaitGroup
 			rest := rand.New(rand.NewPCG(seed, 34))
 			open.Go(func() {
-				plain.ask(t, nt, rest, names, span, plainTokens, 0.1*lossUtilization*lostLimit.Rate/plainTokens)
+				plain.sendRequests(t, nt, rest, names, span, plainTokens, 0.1*lossUtilization*lostLimit.Rate/plainTokens)
 			})
 			open.Go(func() {
-				generations.ask(t, nt, rnd, names, span, generationTokens, 0.9*lossUtilization*lostLimit.Rate/generationTokens)
+				generations.sendRequests(t, nt, rnd, names, span, generationTokens, 0.9*lossUtilization*lostLimit.Rate/generationTokens)
 			})
 			open.Wait()
 		}
@@ -88,7 +88,7 @@
 		both(10*time.Second, names, before, before)
 		assert.Equal(t, before.refused, 0, "below the limit nothing is refused")
 		nt.mu.Lock()
-		nt.cut[names[0]] = true
+		nt.unresponsive[names[0]] = true
 		nt.mu.Unlock()
 		time.AfterFunc(lossNoticeDelay, func() {
 			nt.mu.Lock()
@@ -105,7 +105,7 @@
 func TestKeeperLost(t *testing.T) {
 	var plain, generations, lostPlain, lostGenerations int
 	for seed := range uint64(30) {
-		pl, ge := playKeeperLoss(t, seed)
+		pl, ge := simulateKeeperLoss(t, seed)
 		plain, lostPlain = plain+pl.count, lostPlain+pl.refused
 		generations, lostGenerations = generations+ge.count, lostGenerations+ge.refused
 	}
--- a/internal/charge/shard.go
+++ b/internal/charge/shard.go
@@ -84,8 +84,8 @@
 	ch.mu.Lock()
 	req := sh.account.NewRequest(ch.now(), vms, vm, or.Customer, lim, or.Tokens)
 	ch.mu.Unlock()
-	ans, err := ch.exchange(ctx, sh, vm, vms, req, lim)
-	return ans, err == nil && ans.Known
+	rsp, err := ch.exchange(ctx, sh, vm, vms, req, lim)
+	return rsp, err == nil && rsp.Known
 }
 
 // requestCredit requests credit only.
@@ -98,14 +98,14 @@
 
 // exchange sends a request to a keeper, which may be this VM, and applies its response.
 func (ch *Charger) exchange(ctx context.Context, sh *shard, vm string, vms int, req quota.Request, lim quota.Limit) (quota.Response, error) {
-	asked := ch.now()
-	var ans quota.Response
+	requestedAt := ch.now()
+	var rsp quota.Response
 	var err error
 	if vm == ch.Self {
-		ans = ch.Handle(vm, 0, req)
+		rsp = ch.Handle(vm, 0, req)
 	} else {
 		within, stop := context.WithTimeout(ctx, requestTimeout.Std())
-		ans, err = ch.Peers.AskQuota(within, vm, req)
+		rsp, err = ch.Peers.AskQuota(within, vm, req)
 		stop()
 	}
 	ch.mu.Lock()
@@ -115,11 +115,11 @@
 		if ctx.Err() == nil {
 			ch.markUnresponsive(now, sh, vm, err)
 		}
-		return ans, err
+		return rsp, err
 	}
-	sh.account.ApplyResponse(now, asked, vms, vm, req, lim, ans)
+	sh.account.ApplyResponse(now, requestedAt, vms, vm, req, lim, rsp)
 	ch.logHolderChange(now, sh)
-	return ans, nil
+	return rsp, nil
 }
 
 // Handle handles the request of another VM as the keeper of a shard.
--- a/internal/charge/sizes_test.go
+++ b/internal/charge/sizes_test.go
@@ -32,8 +32,8 @@
 // lossCounts counts requests and refusals.
 type lossCounts struct{ plain, plainRefused, generations, generationsRefused int }
 
-// play counts the requests in the two seconds after the loss.
-func (kl keeperLoss) play(t *testing.T, seed uint64) (lc lossCounts) {
+// run counts the requests in the two seconds after the loss.
+func (kl keeperLoss) run(t *testing.T, seed uint64) (lc lossCounts) {
 	synctest.Test(t, func(t *testing.T) {
 		names := vmNames(kl.vms)
 		nt := newNet(t, settings, names...)
@@ -45,30 +45,30 @@
 		nt.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		rnd := rand.New(rand.NewPCG(seed, 38))
-		kl.ask(t, nt, names, rnd, 5*time.Second)
+		kl.sendRequests(t, nt, names, rnd, 5*time.Second)
 		nt.mu.Lock()
 		for _, ix := range kl.lost {
-			nt.cut[names[ix]] = true
+			nt.unresponsive[names[ix]] = true
 		}
 		nt.mu.Unlock()
 		time.AfterFunc(lossNoticeDelay, func() {
 			nt.mu.Lock()
 			defer nt.mu.Unlock()
-			if nt.cut[nt.keeper] {
+			if nt.unresponsive[nt.keeper] {
 				nt.keeper = names[2]
 			}
-			if nt.cut[nt.second] {
+			if nt.unresponsive[nt.second] {
 				nt.second = names[3]
 			}
 		})
-		lc = kl.ask(t, nt, names[2:], rnd, lossSpan)
+		lc = kl.sendRequests(t, nt, names[2:], rnd, lossSpan)
 	})
 	return lc
 }
 
-// ask sends generations and plain requests to random VMs for a span. A tenth of the
+// sendRequests sends generations and plain requests to random VMs for a span. A tenth of the
 // tokens is for plain requests.
-func (kl keeperLoss) ask(t *testing.T, nt *testNet, names []string, rnd *rand.Rand, span time.Duration) lossCounts {
+func (kl keeperLoss) sendRequests(t *testing.T, nt *testNet, names []string, rnd *rand.Rand, span time.Duration) lossCounts {
 	var open sync.WaitGroup
 	var mu sync.Mutex
 	var lc lossCounts
@@ -97,10 +97,10 @@
 	return lc
 }
 
-// playAll sums the counts of several seeds.
-func (kl keeperLoss) playAll(t *testing.T, seeds uint64) (sum lossCounts) {
+// runAll sums the counts of several seeds.
+func (kl keeperLoss) runAll(t *testing.T, seeds uint64) (sum lossCounts) {
 	for seed := range seeds {
-		lc := kl.play(t, seed)
+		lc := kl.run(t, seed)
 		sum.plain, sum.plainRefused = sum.plain+lc.plain, sum.plainRefused+lc.plainRefused
 		sum.generations, sum.generationsRefused = sum.generations+lc.generations, sum.generationsRefused+lc.generationsRefused
 	}
@@ -115,8 +115,8 @@
 		for _, lim := range []quota.Limit{{Rate: 29000, Burst: 29000}, {Rate: 163000, Burst: 163000}} {
 			for _, lost := range [][]int{nil, {0}, {1}} {
 				t.Run(fmt.Sprintf("%d VMs, %.0f tokens a second, lost %v", vms, lim.Rate, lost), func(t *testing.T) {
-					as := keeperLoss{vms: vms, limit: lim, lost: lost}.playAll(t, seeds)
-					assert.Assert(t, (as.plainRefused+as.generationsRefused)*100 <= as.plain+as.generations)
+					lc := keeperLoss{vms: vms, limit: lim, lost: lost}.runAll(t, seeds)
+					assert.Assert(t, (lc.plainRefused+lc.generationsRefused)*100 <= lc.plain+lc.generations)
 				})
 			}
 		}
@@ -126,6 +126,6 @@
 // If both keepers are lost at once, generations are refused until other keepers hold the
 // leases.
 func TestBothKeepersLost(t *testing.T) {
-	as := keeperLoss{vms: 24, limit: lostLimit, lost: []int{0, 1}}.playAll(t, 10)
-	assert.Assert(t, as.generationsRefused < as.generations)
+	lc := keeperLoss{vms: 24, limit: lostLimit, lost: []int{0, 1}}.runAll(t, 10)
+	assert.Assert(t, lc.generationsRefused < lc.generations)
 }
--- a/internal/charge/take.go
+++ b/internal/charge/take.go
@@ -27,7 +27,7 @@
 		return attempt{granted: true, answered: true}
 	}
 	replies := ch.localReplies(keepers, or)
-	open := askable(replies)
+	open := eligible(replies)
 	part := or.withTokens(or.Tokens / float64(max(1, len(open))))
 	ch.requestEach(ctx, open, vms, part)
 	if ch.completeGrants(ctx, open, vms, part) || ch.takeLocal(replies, vms, or) {
@@ -54,20 +54,20 @@
 		vm := sh.keeperFor(now, keepers[ix])
 		replies[ix] = &reply{sh: sh, vm: vm, unavailable: vm == "" || now < sh.unresponsiveUntil[vm]}
 	}
-	for open := askable(replies); len(open) > 0; open = askable(replies) {
+	for open := eligible(replies); len(open) > 0; open = eligible(replies) {
 		part := or.Tokens / float64(len(open))
 		for _, re := range open {
 			re.wait, re.denied = re.sh.cachedDenial(now, or.Customer, part)
 		}
-		if len(askable(replies)) == len(open) {
+		if len(eligible(replies)) == len(open) {
 			break
 		}
 	}
 	return replies
 }
 
-// askable returns the replies of shards that may be asked for tokens.
-func askable(replies []*reply) []*reply {
+// eligible returns the replies of shards that may be asked for tokens.
+func eligible(replies []*reply) []*reply {
 	var open []*reply
 	for _, re := range replies {
 		if !re.unavailable && !re.denied {
@@ -79,18 +79,18 @@
 
 // requestEach requests a part of the tokens from each of the shards concurrently.
 func (ch *Charger) requestEach(ctx context.Context, open []*reply, vms int, part Order) {
-	var asks sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, re := range open {
-		asks.Go(func() {
-			ans, known := ch.requestTokens(ctx, re.sh, re.vm, vms, part)
-			re.granted, re.denied, re.unavailable = known && ans.Granted, known && !ans.Granted, !known
+		requests.Go(func() {
+			rsp, known := ch.requestTokens(ctx, re.sh, re.vm, vms, part)
+			re.granted, re.denied, re.unavailable = known && rsp.Granted, known && !rsp.Granted, !known
 			if re.denied {
-				re.wait = ans.Wait
-				ch.cacheDenial(re.sh, part, ans.Wait)
+				re.wait = rsp.Wait
+				ch.cacheDenial(re.sh, part, rsp.Wait)
 			}
 		})
 	}
-	asks.Wait()
+	requests.Wait()
 }
 
 // completeGrants reports whether the shards granted all of the tokens. If only some
@@ -110,8 +110,8 @@
 	case missing == 0:
 		return true
 	}
-	ans, known := ch.requestTokens(ctx, granted[0].sh, granted[0].vm, vms, part.withTokens(part.Tokens*float64(missing)))
-	if known && ans.Granted {
+	rsp, known := ch.requestTokens(ctx, granted[0].sh, granted[0].vm, vms, part.withTokens(part.Tokens*float64(missing)))
+	if known && rsp.Granted {
 		return true
 	}
 	for _, re := range granted {
@@ -149,13 +149,13 @@
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	now, lim := ch.now(), or.Limit.PerShard()
-	var away []*shard
+	var unavailable []*shard
 	for _, re := range replies {
 		if re.unavailable {
-			away = append(away, re.sh)
+			unavailable = append(unavailable, re.sh)
 		}
 	}
-	return vms > 0 && len(away) > 0 && takeFrom(away, or.Tokens, func(sh *shard) float64 {
+	return vms > 0 && len(unavailable) > 0 && takeFrom(unavailable, or.Tokens, func(sh *shard) float64 {
 		return sh.account.LocalTokens(now, vms, or.Customer, lim)
 	}, func(sh *shard, tokens float64) {
 		sh.account.TakeLocal(now, vms, or.Customer, lim, tokens)
--- a/internal/pool/pace_test.go
+++ b/internal/pool/pace_test.go
@@ -13,7 +13,7 @@
 	for _, tc := range []struct {
 		name  string
 		sizes []int
-		ask   int
+		size  int
 		want  clock.Millis
 	}{
 		{"nothing observed", nil, 5000, 0},
@@ -27,7 +27,7 @@
 			for _, size := range tc.sizes {
 				pc.add(size, line(size))
 			}
-			got := pc.estimate(tc.ask)
+			got := pc.estimate(tc.size)
 			assert.Assert(t, got >= tc.want-1 && got <= tc.want+1, "%s", got)
 		})
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -36,13 +36,13 @@
 	return out
 }
 
-// decoders lists the candidates for a request without a memory limit.
-func decoders(po *pool.Pool, now clock.Millis, tokens int) []board.BackendServer {
+// decodeCandidates lists the candidates for a request without a memory limit.
+func decodeCandidates(po *pool.Pool, now clock.Millis, tokens int) []board.BackendServer {
 	return po.DecodeCandidates(now, pool.Requirements{Tokens: tokens, Limit: 1, Peak: func(string, int) int { return 0 }})
 }
 
-// prefiller chooses among engines that have no prompts queued.
-func prefiller(po *pool.Pool, now clock.Millis) (board.BackendServer, bool) {
+// choosePrefill chooses among engines that have no prompts queued.
+func choosePrefill(po *pool.Pool, now clock.Millis) (board.BackendServer, bool) {
 	pf, ok := po.ChoosePrefill(now, pool.Prompt{Tokens: 1000, QueuedTokens: func(string) int { return 0 }})
 	return pf.Server, ok
 }
@@ -80,9 +80,9 @@
 func TestDecodeCandidatesKeepHeadroom(t *testing.T) {
 	po := newPool(board.Decode, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300}
-	need := func(id string, more int) int { return needs[id] + 150*(more-1) }
-	for spare, want := range [][]string{{"b", "a"}, {"b"}, {"b"}, nil} {
-		assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Limit: 649, Headroom: spare, Peak: need})), want)
+	peak := func(id string, more int) int { return needs[id] + 150*(more-1) }
+	for headroom, want := range [][]string{{"b", "a"}, {"b"}, {"b"}, nil} {
+		assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Limit: 649, Headroom: headroom, Peak: peak})), want)
 	}
 }
 
@@ -90,26 +90,26 @@
 func TestLastResortEnginesComeLast(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Decode)
 	needs := map[string]int{"a": 0, "b": 300, "c": 200}
-	want := pool.Requirements{Limit: 500, Peak: func(id string, _ int) int { return needs[id] }, LastResort: func(id string) bool { return id == "a" }}
-	assert.DeepEqual(t, ids(po.DecodeCandidates(0, want)), []string{"c", "b", "a"})
+	rq := pool.Requirements{Limit: 500, Peak: func(id string, _ int) int { return needs[id] }, LastResort: func(id string) bool { return id == "a" }}
+	assert.DeepEqual(t, ids(po.DecodeCandidates(0, rq)), []string{"c", "b", "a"})
 }
 
 func TestDecodeCandidatesByLowestPeak(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 100, "d": 0}
-	need := func(id string, more int) int { return needs[id] + 100*(more-1) }
-	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 500, Peak: need})), []string{"d", "b", "a"})
-	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 499, Peak: need})), []string{"d", "b"})
+	peak := func(id string, more int) int { return needs[id] + 100*(more-1) }
+	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 500, Peak: peak})), []string{"d", "b", "a"})
+	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 499, Peak: peak})), []string{"d", "b"})
 }
 
 // A request leaves the room that requests ahead of it will take.
 func TestDecodeCandidatesLeaveRoomForRequestsAhead(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300, "d": 100}
-	need := func(id string, more int) int { return needs[id] + 150*(more-1) }
+	peak := func(id string, more int) int { return needs[id] + 150*(more-1) }
 	for _, tc := range []struct {
-		before int
-		want   []string
+		ahead int
+		want  []string
 	}{
 		{0, []string{"d", "b"}},
 		{1, []string{"d", "b"}}, // d has room for two, and with one more it needs less than b
@@ -117,20 +117,20 @@
 		{3, nil},
 		{9, nil},
 	} {
-		assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Limit: 399, Ahead: tc.before, Peak: need})), tc.want)
+		assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Limit: 399, Ahead: tc.ahead, Peak: peak})), tc.want)
 	}
 }
 
 func TestFullEngineIsRetriedLaterOrForLess(t *testing.T) {
 	po := newPool(board.Decode)
 	po.MarkFull(100, "a", 1000)
-	assert.Equal(t, len(decoders(po, 101, 1000)), 0)
-	assert.Equal(t, len(decoders(po, 101, 999)), 1, "a smaller reservation may fit")
-	assert.Equal(t, len(decoders(po, 5000, 1000)), 1)
+	assert.Equal(t, len(decodeCandidates(po, 101, 1000)), 0)
+	assert.Equal(t, len(decodeCandidates(po, 101, 999)), 1, "a smaller reservation may fit")
+	assert.Equal(t, len(decodeCandidates(po, 5000, 1000)), 1)
 	po.MarkFull(100, "a", 1000)
 	po.AddRun("a")
 	po.EndRun("a")
-	assert.Equal(t, len(decoders(po, 101, 1000)), 1, "a run of this VM ended there")
+	assert.Equal(t, len(decodeCandidates(po, 101, 1000)), 1, "a run of this VM ended there")
 }
 
 func TestLeavingEngineGetsNothing(t *testing.T) {
@@ -138,8 +138,8 @@
 	list := engines(board.Decode, board.Prefill)
 	list[0].Leaving, list[1].Leaving = true, true
 	po.Update(list)
-	assert.Equal(t, len(decoders(po, 0, 1)), 0)
-	_, ok := prefiller(po, 0)
+	assert.Equal(t, len(decodeCandidates(po, 0, 1)), 0)
+	_, ok := choosePrefill(po, 0)
 	assert.Assert(t, !ok)
 	assert.Assert(t, !po.AcceptsWork(0, "a"))
 }
@@ -147,16 +147,16 @@
 func TestFailedEngineIsPassedOver(t *testing.T) {
 	po := newPool(board.Prefill, board.Prefill, board.Decode)
 	po.MarkFailed(0, "a")
-	bs, _ := prefiller(po, 1)
+	bs, _ := choosePrefill(po, 1)
 	assert.Equal(t, bs.ID, "b")
 	po.MarkFailed(0, "b")
-	_, ok := prefiller(po, 1)
+	_, ok := choosePrefill(po, 1)
 	assert.Assert(t, !ok, "a decode engine can compute the prompt instead")
 	po.MarkWorking("a")
-	bs, _ = prefiller(po, 1)
+	bs, _ = choosePrefill(po, 1)
 	assert.Equal(t, bs.ID, "a")
 	po.MarkFailed(0, "c")
-	assert.Equal(t, len(decoders(po, 1, 1)), 1, "a failed engine is better than none")
+	assert.Equal(t, len(decodeCandidates(po, 1, 1)), 1, "a failed engine is better than none")
 }
 
 // An engine that contradicted its entry gets nothing until the entry changes,
@@ -165,10 +165,10 @@
 	po := newPool(board.Decode, board.Decode)
 	po.RejectEntry("a")
 	po.Update(engines(board.Decode, board.Decode))
-	assert.DeepEqual(t, ids(decoders(po, 0, 1)), []string{"b"})
+	assert.DeepEqual(t, ids(decodeCandidates(po, 0, 1)), []string{"b"})
 	assert.Assert(t, !po.AcceptsWork(0, "a"))
 	po.Update(engines(board.Prefill, board.Decode))
-	bs, ok := prefiller(po, 0)
+	bs, ok := choosePrefill(po, 0)
 	assert.Assert(t, ok)
 	assert.Equal(t, bs.ID, "a")
 }
@@ -229,20 +229,20 @@
 func TestBackedOffEngineGetsNothing(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill)
 	po.BackOff(0, "a", 500)
-	assert.DeepEqual(t, ids(decoders(po, 499, 1)), []string{"b"})
+	assert.DeepEqual(t, ids(decodeCandidates(po, 499, 1)), []string{"b"})
 	assert.Equal(t, po.BackoffLeft(0), clock.Millis(0), "b is not backing off")
 	po.BackOff(0, "b", 800)
 	po.BackOff(0, "c", 900)
 	po.BackOff(0, "nobody", 900)
-	assert.Equal(t, len(decoders(po, 499, 1)), 0)
+	assert.Equal(t, len(decodeCandidates(po, 499, 1)), 0)
 	assert.Equal(t, po.BackoffLeft(100), clock.Millis(400))
 	assert.Assert(t, !po.AcceptsWork(499, "a") && po.AcceptsWork(500, "a"))
 	assert.DeepEqual(t, po.Unavailable(600), []string{"b", "c"})
-	_, ok := prefiller(po, 899)
+	_, ok := choosePrefill(po, 899)
 	assert.Assert(t, !ok && !po.CanPrefill(899, "c"))
 	po.BackOff(600, "b", 1)
-	assert.DeepEqual(t, ids(decoders(po, 700, 1)), []string{"a"}) // a shorter backoff does not end a longer one
-	assert.Equal(t, len(decoders(po, 900, 1)), 2)
-	_, ok = prefiller(po, 900)
+	assert.DeepEqual(t, ids(decodeCandidates(po, 700, 1)), []string{"a"}) // a shorter backoff does not end a longer one
+	assert.Equal(t, len(decodeCandidates(po, 900, 1)), 2)
+	_, ok = choosePrefill(po, 900)
 	assert.Assert(t, ok)
 }
--- a/internal/pool/prefill.go
+++ b/internal/pool/prefill.go
@@ -142,14 +142,14 @@
 		return false
 	}
 	left := st.Objective - st.Spent - po.firstEventPace.estimate(0)
-	itself := po.decoderPrefillTime(ahead + tokens)
+	decoderTime := po.decoderPrefillTime(ahead + tokens)
 	switch {
 	case pf.ExpectedTime <= left:
 		return false
-	case itself <= left:
+	case decoderTime <= left:
 		return true
 	default:
-		return lateFactor*itself < pf.ExpectedTime
+		return lateFactor*decoderTime < pf.ExpectedTime
 	}
 }
 
--- a/internal/pool/prefill_test.go
+++ b/internal/pool/prefill_test.go
@@ -111,9 +111,9 @@
 		length    = 4 * clock.Second
 	)
 	for _, tc := range []struct {
-		name   string
-		every  clock.Millis
-		itself bool
+		name          string
+		every         clock.Millis
+		wantAtDecoder bool
 	}{
 		{"burst", 40, true},
 		{"steady load", 110, false},
@@ -125,15 +125,15 @@
 				po.ObservePrefill(pool.Prefill{Server: board.BackendServer{ID: "a"}}, size, clock.Millis(size/40))
 				po.ObserveFirstEvent(60)
 			}
-			// read queues a prompt at an engine and returns when it is computed.
-			read := func(now clock.Millis, id string, perMilli int) clock.Millis {
+			// compute queues a prompt at an engine and returns when it is computed.
+			compute := func(now clock.Millis, id string, perMilli int) clock.Millis {
 				free[id] = max(now, free[id]) + clock.Millis(tokens/perMilli)
 				return free[id]
 			}
 			ahead := func(now clock.Millis, perMilli int) func(id string) int {
 				return func(id string) int { return int(max(0, free[id]-now)) * perMilli }
 			}
-			var late, itself int
+			var late, atDecoder int
 			decoders := []string{"d1", "d2", "d3", "d4", "d5", "d6"}
 			for now, nth := clock.Millis(0), 0; now < length; now, nth = now+tc.every, nth+1 {
 				pf, ok := po.ChoosePrefill(now, pool.Prompt{Tokens: tokens, QueuedTokens: ahead(now, 40)})
@@ -141,17 +141,17 @@
 				decoder := decoders[nth%len(decoders)]
 				var done clock.Millis
 				if po.ShouldPrefillAtDecoder(pf, tokens, ahead(now, 14)(decoder), pool.StartBudget{Objective: objective}) {
-					itself++
-					done = read(now, decoder, 14)
+					atDecoder++
+					done = compute(now, decoder, 14)
 				} else {
-					done = read(now, pf.Server.ID, 40)
+					done = compute(now, pf.Server.ID, 40)
 				}
 				if done+60 > now+objective {
 					late++
 				}
 			}
 			assert.Equal(t, late, 0)
-			assert.Equal(t, itself > 0, tc.itself, "%d prompts", itself)
+			assert.Equal(t, atDecoder > 0, tc.wantAtDecoder, "%d prompts", atDecoder)
 		})
 	}
 }
--- a/internal/pool/prompts_test.go
+++ b/internal/pool/prompts_test.go
@@ -84,15 +84,15 @@
 	delaySample struct{ at, delay clock.Millis }
 )
 
-// play runs the simulation and returns the largest delay of a prompt and the mean
+// run runs the simulation and returns the largest delay of a prompt and the mean
 // delay in the worst window.
-func (ps *promptSim) play() (most, mean clock.Millis) {
+func (ps *promptSim) run() (most, mean clock.Millis) {
 	rate := float64(promptRatePerEngine*len(ps.list)) / float64(clock.Second)
 	for due := 0.0; ps.now < promptSpan; due += ps.rnd.ExpFloat64() / rate {
 		ps.now = clock.Millis(due)
 		ps.finish()
 		if ps.now >= ps.nextScheduler {
-			ps.po = newPool(roles(len(ps.list))...)
+			ps.po = newPool(prefillRoles(len(ps.list))...)
 			ps.nextScheduler = ps.now + clock.Millis(ps.rnd.ExpFloat64()*float64(meanSchedulerTerm))
 		}
 		ps.place(500 + int(ps.rnd.ExpFloat64()*1500))
@@ -112,7 +112,7 @@
 	return most, mean
 }
 
-func roles(count int) []board.Role {
+func prefillRoles(count int) []board.Role {
 	out := make([]board.Role, count)
 	for ix := range out {
 		out[ix] = board.Prefill
@@ -172,14 +172,14 @@
 // No prompt is done much later than at the engine that would finish it first:
 // not if the scheduling VM has observed little, not after a change to a VM that
 // has observed nothing, and not if engines still have some prompts cached.
-func TestPromptsGoWhereTheyAreDoneFirst(t *testing.T) {
+func TestPromptDelayIsBounded(t *testing.T) {
 	for _, tc := range []struct{ vms, engines int }{{7, 3}, {69, 9}, {300, 40}} {
 		t.Run(fmt.Sprint(tc.vms), func(t *testing.T) {
 			t.Parallel()
 			var most, mean clock.Millis
 			for seed := range *promptSeeds {
-				ps := &promptSim{t: t, rnd: rand.New(rand.NewPCG(seed, 40)), vms: tc.vms, list: engines(roles(tc.engines)...), jobs: make(map[string][]promptJob)}
-				mo, me := ps.play()
+				ps := &promptSim{t: t, rnd: rand.New(rand.NewPCG(seed, 40)), vms: tc.vms, list: engines(prefillRoles(tc.engines)...), jobs: make(map[string][]promptJob)}
+				mo, me := ps.run()
 				if mo > maxPromptDelay || me > maxMeanPromptDelay {
 					t.Errorf("seed %d: largest delay %v, mean delay in the worst window %v", seed, mo, me)
 				}
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -29,12 +29,12 @@
 // that the order of arrival would be no fairer.
 func (po *Pool) Enter(now clock.Millis, req Request) *Ticket {
 	tk := &Ticket{request: req, turn: usage.NewTurn(req.Priority, po.Rand.Uint32()), since: now}
-	at, _ := slices.BinarySearchFunc(po.queue, tk, compare)
+	at, _ := slices.BinarySearchFunc(po.queue, tk, compareTickets)
 	po.queue = slices.Insert(po.queue, at, tk)
 	return tk
 }
 
-func compare(ta, tb *Ticket) int {
+func compareTickets(ta, tb *Ticket) int {
 	if byPriority := cmp.Compare(usage.PriorityOf(ta.turn), usage.PriorityOf(tb.turn)); byPriority != 0 {
 		return byPriority
 	}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -174,8 +174,8 @@
 	return true
 }
 
-// endSlack records that a keeper has released its lease.
-func (ac *Account) endSlack(now clock.Millis, rsp Response) {
+// endSlackLoan records that a keeper has released its lease.
+func (ac *Account) endSlackLoan(now clock.Millis, rsp Response) {
 	switch {
 	case ac.slack.keeper != rsp.KeeperID:
 	case rsp.InDebt:
@@ -212,7 +212,7 @@
 
 // ApplyResponse applies a keeper's response to a request sent at the given time. If
 // another keeper holds the lease, the response changes only the credit.
-func (ac *Account) ApplyResponse(now, asked clock.Millis, vms int, vm string, req Request, lim Limit, rsp Response) {
+func (ac *Account) ApplyResponse(now, requestedAt clock.Millis, vms int, vm string, req Request, lim Limit, rsp Response) {
 	ac.advance(now, vms)
 	if rsp.Credit > 0 {
 		ac.credits[req.Customer] = ac.creditOf(req.Customer, lim, vms) + rsp.Credit
@@ -221,15 +221,15 @@
 	switch {
 	case same && req.Release:
 		ac.lent.until = min(ac.lent.until, now)
-		ac.endSlack(now, rsp)
+		ac.endSlackLoan(now, rsp)
 		return
 	case !same && now < ac.lent.until, same && ac.lent.releasing && now < ac.lent.until:
 		return
 	case same && rsp.Time < ac.lent.keeperTime:
 		return // a newer response was applied before
 	}
-	told := same && now < ac.lent.until && ac.lent.announced
-	ac.lent = loan{vm: vm, id: rsp.KeeperID, keeperTime: rsp.Time, requestedAt: asked, until: max(ac.lent.until, now+LeaseDuration), announced: told}
+	announced := same && now < ac.lent.until && ac.lent.announced
+	ac.lent = loan{vm: vm, id: rsp.KeeperID, keeperTime: rsp.Time, requestedAt: requestedAt, until: max(ac.lent.until, now+LeaseDuration), announced: announced}
 }
 
 // Evict drops the state of customers that are not wanted any more.
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,9 +8,9 @@
 	"alderdyke/pkg/clock"
 )
 
-// BenchmarkAnswer measures one request to a keeper to which so many VMs lend their
+// BenchmarkKeeperHandle measures one request to a keeper to which so many VMs lend their
 // parts.
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkKeeperHandle(b *testing.B) {
 	for _, vms := range []int{7, 69, 300} {
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
 			ke := quota.Keeper{ID: 1, Settings: simSettings}
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -159,12 +159,12 @@
 
 // acceptReturn reports whether the tokens that a request returns were not returned
 // before, and records the return.
-func (ke *Keeper) acceptReturn(vm string, incarnation, number uint64) bool {
+func (ke *Keeper) acceptReturn(vm string, incarnation, sequence uint64) bool {
 	le := ke.leases[vm]
-	if incarnation < le.incarnation || number <= le.lastReturn {
+	if incarnation < le.incarnation || sequence <= le.lastReturn {
 		return false
 	}
-	le.lastReturn = number
+	le.lastReturn = sequence
 	ke.leases[vm] = le
 	return true
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,7 +12,7 @@
 // quotaPair is a fleet of two VMs, one of which is the keeper.
 type quotaPair struct {
 	ke            *quota.Keeper
-	borrower      *quota.Account // of the other VM
+	otherAccount  *quota.Account // of the other VM
 	keeperAccount *quota.Account // of the keeper's VM
 	lim           quota.Limit
 	keeperVM      string
@@ -33,14 +33,14 @@
 )
 
 func newPair(st quota.Settings) *quotaPair {
-	return &quotaPair{ke: &quota.Keeper{ID: 1, Settings: st}, borrower: &quota.Account{Settings: st}, keeperAccount: &quota.Account{Settings: st}, lim: pairLimit, keeperVM: vmA}
+	return &quotaPair{ke: &quota.Keeper{ID: 1, Settings: st}, otherAccount: &quota.Account{Settings: st}, keeperAccount: &quota.Account{Settings: st}, lim: pairLimit, keeperVM: vmA}
 }
 
 // renew has both VMs renew their leases.
 func (pa *quotaPair) renew(now clock.Millis) {
-	for vm, ac := range map[string]*quota.Account{vmA: pa.keeperAccount, vmB: pa.borrower} {
-		ask := ac.LeaseRequest(now, pairSize, pa.keeperVM)
-		ac.ApplyResponse(now, now, pairSize, pa.keeperVM, ask, pa.lim, pa.ke.Handle(now, pairSize, vm, 1, ask, &pa.lim))
+	for vm, ac := range map[string]*quota.Account{vmA: pa.keeperAccount, vmB: pa.otherAccount} {
+		req := ac.LeaseRequest(now, pairSize, pa.keeperVM)
+		ac.ApplyResponse(now, now, pairSize, pa.keeperVM, req, pa.lim, pa.ke.Handle(now, pairSize, vm, 1, req, &pa.lim))
 	}
 }
 
@@ -51,12 +51,12 @@
 	}
 }
 
-// need asks the keeper for tokens.
-func (pa *quotaPair) need(now clock.Millis, tokens float64) quota.Response {
-	ask := pa.borrower.NewRequest(now, pairSize, pa.keeperVM, customer, pa.lim, tokens)
-	ans := pa.ke.Handle(now, pairSize, vmB, 1, ask, &pa.lim)
-	pa.borrower.ApplyResponse(now, now, pairSize, pa.keeperVM, ask, pa.lim, ans)
-	return ans
+// requestTokens asks the keeper for tokens.
+func (pa *quotaPair) requestTokens(now clock.Millis, tokens float64) quota.Response {
+	req := pa.otherAccount.NewRequest(now, pairSize, pa.keeperVM, customer, pa.lim, tokens)
+	rsp := pa.ke.Handle(now, pairSize, vmB, 1, req, &pa.lim)
+	pa.otherAccount.ApplyResponse(now, now, pairSize, pa.keeperVM, req, pa.lim, rsp)
+	return rsp
 }
 
 // A keeper that takes over does not know what was granted before, so it starts with
@@ -64,36 +64,36 @@
 func TestKeeperStartsEmpty(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800) // the first leases count from 400
-	assert.Assert(t, !pa.need(800, 401).Granted)
-	assert.Assert(t, pa.need(800, 400).Granted)
+	assert.Assert(t, !pa.requestTokens(800, 401).Granted)
+	assert.Assert(t, pa.requestTokens(800, 400).Granted)
 	pa.renewUntil(1200, 4000)
-	assert.Assert(t, pa.need(4000, 500).Granted)
-	assert.Assert(t, !pa.need(4000, 1).Granted)
+	assert.Assert(t, pa.requestTokens(4000, 500).Granted)
+	assert.Assert(t, !pa.requestTokens(4000, 1).Granted)
 }
 
 func TestWaitIsUntilThereIsRoom(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
-	assert.Assert(t, pa.need(800, 400).Granted)
-	ans := pa.need(800, 300)
-	assert.Equal(t, ans.Wait, 300*clock.Millis(1))
-	assert.Assert(t, !pa.need(1099, 300).Granted)
-	assert.Assert(t, pa.need(1100, 300).Granted)
+	assert.Assert(t, pa.requestTokens(800, 400).Granted)
+	rsp := pa.requestTokens(800, 300)
+	assert.Equal(t, rsp.Wait, 300*clock.Millis(1))
+	assert.Assert(t, !pa.requestTokens(1099, 300).Granted)
+	assert.Assert(t, pa.requestTokens(1100, 300).Granted)
 }
 
 // A keeper that was paused or partitioned grants no more than its leases covered.
 func TestKeeperResumesWithoutLeases(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
-	assert.Assert(t, pa.need(4000, 500).Granted)
+	assert.Assert(t, pa.requestTokens(4000, 500).Granted)
 	// The leases end at 5500, so no tokens accrue after that.
-	ask := quota.Request{Sequence: 100, Customer: customer, Need: 1}
-	assert.Assert(t, !pa.ke.Handle(60*clock.Second, pairSize, vmB, 1, ask, &pa.lim).Granted)
+	req := quota.Request{Sequence: 100, Customer: customer, Need: 1}
+	assert.Assert(t, !pa.ke.Handle(60*clock.Second, pairSize, vmB, 1, req, &pa.lim).Granted)
 	// Tokens from before the keeper lost its leases may have been granted by others since.
 	pa = newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
-	assert.Assert(t, pa.need(4000, 1).Granted)
-	pa.borrower, pa.keeperAccount = &quota.Account{Settings: withoutSlack}, &quota.Account{Settings: withoutSlack}
+	assert.Assert(t, pa.requestTokens(4000, 1).Granted)
+	pa.otherAccount, pa.keeperAccount = &quota.Account{Settings: withoutSlack}, &quota.Account{Settings: withoutSlack}
 	for _, now := range []clock.Millis{60 * clock.Second, 60*clock.Second + 1} {
 		pa.renew(now)
 	}
@@ -106,15 +106,15 @@
 func TestLeaseEndsAtTheKeeperFirst(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
-	late := pa.borrower.LeaseRequest(1000, pairSize, vmA) // echoes the keeper's time, 800
+	late := pa.otherAccount.LeaseRequest(1000, pairSize, vmA) // echoes the keeper's time, 800
 	assert.Equal(t, late.KeeperTime, 800*clock.Millis(1))
-	pa.need(1000, 1)
+	pa.requestTokens(1000, 1)
 	for now := 2 * clock.Second; now < 10*clock.Second; now += renewEvery {
 		pa.ke.Handle(now, pairSize, vmB, 1, late, &pa.lim) // is delivered repeatedly
 	}
-	ans := pa.ke.Handle(10*clock.Second, pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 1e6}, &pa.lim)
-	assert.Equal(t, ans.Wait, quota.LeaseDuration, "the keeper holds no leases: %v", ans)
-	assert.Equal(t, pa.borrower.LeaseLeft(1000), quota.LeaseDuration, "the VM counts from the keeper's last response")
+	rsp := pa.ke.Handle(10*clock.Second, pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 1e6}, &pa.lim)
+	assert.Equal(t, rsp.Wait, quota.LeaseDuration, "the keeper holds no leases: %v", rsp)
+	assert.Equal(t, pa.otherAccount.LeaseLeft(1000), quota.LeaseDuration, "the VM counts from the keeper's last response")
 }
 
 // A VM lends its part to one keeper at a time.
@@ -122,60 +122,60 @@
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
 	other := quota.Keeper{ID: 2, Settings: withoutSlack}
-	word := func(now clock.Millis) quota.Request {
-		ask := pa.borrower.LeaseRequest(now, pairSize, "c")
-		pa.borrower.ApplyResponse(now, now, pairSize, "c", ask, pa.lim, other.Handle(now, pairSize, vmB, 1, ask, &pa.lim))
-		return ask
+	renewAtOther := func(now clock.Millis) quota.Request {
+		req := pa.otherAccount.LeaseRequest(now, pairSize, "c")
+		pa.otherAccount.ApplyResponse(now, now, pairSize, "c", req, pa.lim, other.Handle(now, pairSize, vmB, 1, req, &pa.lim))
+		return req
 	}
-	word(900)
-	assert.Equal(t, pa.borrower.Holder(1000), vmA)
-	assert.Equal(t, word(1000).KeeperID, uint64(0))
-	word(2400)
-	assert.Equal(t, pa.borrower.Holder(2400), "c")
-	assert.Equal(t, word(2500).KeeperID, uint64(2))
+	renewAtOther(900)
+	assert.Equal(t, pa.otherAccount.Holder(1000), vmA)
+	assert.Equal(t, renewAtOther(1000).KeeperID, uint64(0))
+	renewAtOther(2400)
+	assert.Equal(t, pa.otherAccount.Holder(2400), "c")
+	assert.Equal(t, renewAtOther(2500).KeeperID, uint64(2))
 	// Tokens of its own part accrue while nobody holds a lease on it.
-	assert.Assert(t, !pa.borrower.TakeLocal(2500, pairSize, customer, pa.lim, 100))
-	assert.Assert(t, !pa.borrower.TakeLocal(2500+quota.LeaseDuration+199, pairSize, customer, pa.lim, 100))
-	assert.Assert(t, pa.borrower.TakeLocal(2500+quota.LeaseDuration+200, pairSize, customer, pa.lim, 100))
+	assert.Assert(t, !pa.otherAccount.TakeLocal(2500, pairSize, customer, pa.lim, 100))
+	assert.Assert(t, !pa.otherAccount.TakeLocal(2500+quota.LeaseDuration+199, pairSize, customer, pa.lim, 100))
+	assert.Assert(t, pa.otherAccount.TakeLocal(2500+quota.LeaseDuration+200, pairSize, customer, pa.lim, 100))
 }
 
 // A released lease ends at once, and earlier requests that arrive late don't renew it.
 func TestRelease(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
-	late := pa.borrower.LeaseRequest(850, pairSize, vmA)
-	ask := pa.borrower.ReleaseRequest(900, pairSize)
-	assert.Equal(t, pa.borrower.LeaseRequest(900, pairSize, vmA).KeeperID, uint64(0), "a lease being released is not renewed")
-	ans := pa.ke.Handle(900, pairSize, vmB, 1, ask, &pa.lim)
-	assert.Equal(t, pa.borrower.Holder(900), vmA)
-	pa.borrower.ApplyResponse(901, 900, pairSize, vmA, ask, pa.lim, ans)
-	assert.Equal(t, pa.borrower.Holder(901), "")
+	late := pa.otherAccount.LeaseRequest(850, pairSize, vmA)
+	req := pa.otherAccount.ReleaseRequest(900, pairSize)
+	assert.Equal(t, pa.otherAccount.LeaseRequest(900, pairSize, vmA).KeeperID, uint64(0), "a lease being released is not renewed")
+	rsp := pa.ke.Handle(900, pairSize, vmB, 1, req, &pa.lim)
+	assert.Equal(t, pa.otherAccount.Holder(900), vmA)
+	pa.otherAccount.ApplyResponse(901, 900, pairSize, vmA, req, pa.lim, rsp)
+	assert.Equal(t, pa.otherAccount.Holder(901), "")
 	pa.keeperAccount.ReleaseRequest(900, pairSize)
 	before := pa.ke.Handle(902, pairSize, vmA, 1, quota.Request{Sequence: 50, Release: true}, &pa.lim)
 	assert.Assert(t, !before.Known)
 	pa.ke.Handle(903, pairSize, vmB, 1, late, &pa.lim)
-	ans = pa.ke.Handle(903, pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 1e6}, &pa.lim)
-	assert.Equal(t, ans.Wait, quota.LeaseDuration, "the keeper holds no leases")
+	rsp = pa.ke.Handle(903, pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 1e6}, &pa.lim)
+	assert.Equal(t, rsp.Wait, quota.LeaseDuration, "the keeper holds no leases")
 }
 
 // Unused tokens are returned once, even if the request is delivered repeatedly.
 func TestTokensAreReturnedOnce(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
-	assert.Assert(t, pa.need(4000, 400).Granted)
-	ask, tell := pa.borrower.GiveBack(4000, pairSize, customer, pa.lim, 300)
-	assert.Assert(t, tell && ask.Returned == 300)
+	assert.Assert(t, pa.requestTokens(4000, 400).Granted)
+	req, send := pa.otherAccount.GiveBack(4000, pairSize, customer, pa.lim, 300)
+	assert.Assert(t, send && req.Returned == 300)
 	for range 3 {
-		pa.ke.Handle(4000, pairSize, vmB, 1, ask, &pa.lim)
+		pa.ke.Handle(4000, pairSize, vmB, 1, req, &pa.lim)
 	}
-	assert.Assert(t, !pa.need(4000, 401).Granted)
-	assert.Assert(t, pa.need(4000, 400).Granted)
+	assert.Assert(t, !pa.requestTokens(4000, 401).Granted)
+	assert.Assert(t, pa.requestTokens(4000, 400).Granted)
 	// A return never fills a bucket beyond its size.
 	pa.renewUntil(4000, 8000)
-	ask, _ = pa.borrower.GiveBack(8000, pairSize, customer, pa.lim, 300)
-	pa.ke.Handle(8000, pairSize, vmB, 1, ask, &pa.lim)
-	assert.Assert(t, pa.need(8000, 500).Granted)
-	assert.Assert(t, !pa.need(8000, 1).Granted)
+	req, _ = pa.otherAccount.GiveBack(8000, pairSize, customer, pa.lim, 300)
+	pa.ke.Handle(8000, pairSize, vmB, 1, req, &pa.lim)
+	assert.Assert(t, pa.requestTokens(8000, 500).Granted)
+	assert.Assert(t, !pa.requestTokens(8000, 1).Granted)
 }
 
 // Credit is deducted when it is granted, and can be used only for its customer.
@@ -183,19 +183,19 @@
 	st := quota.Settings{Window: 8 * clock.Second, Slack: 4000}
 	pa := newPair(st)
 	pa.renewUntil(0, 4000)
-	ans := pa.need(4000, 100)
-	assert.Assert(t, ans.Granted)
-	assert.Equal(t, ans.Credit, 500.0-100-500/4, "a quarter of the burst is kept for present requests")
-	assert.Assert(t, pa.borrower.Take(4000, pairSize, customer, pa.lim, 200))
-	assert.Assert(t, !pa.borrower.Take(4000, pairSize, customer, pa.lim, 200))
-	assert.Assert(t, !pa.borrower.Take(4000, pairSize, "another", pa.lim, 1))
-	assert.Assert(t, pa.borrower.NeedsCredit(pairSize, customer, pa.lim, 100))
+	rsp := pa.requestTokens(4000, 100)
+	assert.Assert(t, rsp.Granted)
+	assert.Equal(t, rsp.Credit, 500.0-100-500/4, "a quarter of the burst is kept for present requests")
+	assert.Assert(t, pa.otherAccount.Take(4000, pairSize, customer, pa.lim, 200))
+	assert.Assert(t, !pa.otherAccount.Take(4000, pairSize, customer, pa.lim, 200))
+	assert.Assert(t, !pa.otherAccount.Take(4000, pairSize, "another", pa.lim, 1))
+	assert.Assert(t, pa.otherAccount.NeedsCredit(pairSize, customer, pa.lim, 100))
 	// What the keeper has left, including its part of the slack below empty.
-	left := 500 - 100 - ans.Credit + 0.15*4000
-	assert.Assert(t, !pa.need(4000, left+1).Granted)
-	assert.Assert(t, pa.need(4000, left).Granted)
+	left := 500 - 100 - rsp.Credit + 0.15*4000
+	assert.Assert(t, !pa.requestTokens(4000, left+1).Granted)
+	assert.Assert(t, pa.requestTokens(4000, left).Granted)
 	// A smaller part of the slack caps the credit that was granted before.
-	assert.Assert(t, !pa.borrower.Take(4000, 100*pairSize, customer, pa.lim, 50))
+	assert.Assert(t, !pa.otherAccount.Take(4000, 100*pairSize, customer, pa.lim, 50))
 }
 
 // A VM without a responding keeper may use a part of the slack, again in each window.
@@ -206,12 +206,12 @@
 		pa.renew(now)
 	}
 	most := 0.15 * 8000 / pairSize
-	assert.Assert(t, !pa.borrower.TakeLocal(40000, pairSize, customer, pa.lim, most+1))
-	assert.Assert(t, pa.borrower.TakeLocal(40000, pairSize, customer, pa.lim, most))
-	assert.Assert(t, !pa.borrower.TakeLocal(40400, pairSize, customer, pa.lim, most/2))
+	assert.Assert(t, !pa.otherAccount.TakeLocal(40000, pairSize, customer, pa.lim, most+1))
+	assert.Assert(t, pa.otherAccount.TakeLocal(40000, pairSize, customer, pa.lim, most))
+	assert.Assert(t, !pa.otherAccount.TakeLocal(40400, pairSize, customer, pa.lim, most/2))
 	pa.renewUntil(40400, 48000)
-	assert.Assert(t, !pa.borrower.TakeLocal(44000, pairSize, customer, pa.lim, 0.6*most))
-	assert.Assert(t, pa.borrower.TakeLocal(48000, pairSize, customer, pa.lim, 0.9*most))
+	assert.Assert(t, !pa.otherAccount.TakeLocal(44000, pairSize, customer, pa.lim, 0.6*most))
+	assert.Assert(t, pa.otherAccount.TakeLocal(48000, pairSize, customer, pa.lim, 0.9*most))
 }
 
 // A keeper without a limit for the customer says so. Evicted customers start with
@@ -222,11 +222,11 @@
 	for _, lim := range []*quota.Limit{nil, {}} {
 		assert.Assert(t, !pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 90, Customer: customer, Need: 1}, lim).Known)
 	}
-	pa.need(800, 1)
+	pa.requestTokens(800, 1)
 	pa.renewUntil(800, 4000)
 	pa.ke.Evict(func(string) bool { return false })
-	pa.borrower.Evict(func(string) bool { return false })
-	assert.Assert(t, !pa.need(4000, 1).Granted, "the customer starts with an empty bucket")
+	pa.otherAccount.Evict(func(string) bool { return false })
+	assert.Assert(t, !pa.requestTokens(4000, 1).Granted, "the customer starts with an empty bucket")
 }
 
 // A request that is larger than the burst is granted when the bucket is full, and
@@ -236,25 +236,25 @@
 	pa := newPair(withoutSlack)
 	pa.lim = quota.Limit{Rate: 1000}
 	pa.renewUntil(0, 4000)
-	assert.Assert(t, pa.need(4000, 700).Granted)
-	ans := pa.need(4000, 700)
-	assert.Assert(t, !ans.Granted)
-	assert.Equal(t, ans.Wait, 700*clock.Millis(1))
+	assert.Assert(t, pa.requestTokens(4000, 700).Granted)
+	rsp := pa.requestTokens(4000, 700)
+	assert.Assert(t, !rsp.Granted)
+	assert.Equal(t, rsp.Wait, 700*clock.Millis(1))
 	pa.renewUntil(4000, 4700)
 	pa.renew(4700)
-	assert.Assert(t, pa.need(4700, 700).Granted)
+	assert.Assert(t, pa.requestTokens(4700, 700).Granted)
 	pa = newPair(withoutSlack)
 	pa.renewUntil(0, 4000)
-	assert.Assert(t, pa.need(4000, 1500).Granted)
+	assert.Assert(t, pa.requestTokens(4000, 1500).Granted)
 	pa.renewUntil(4000, 5400)
-	assert.Assert(t, !pa.need(5499, 1500).Granted)
-	assert.Assert(t, pa.need(5500, 1500).Granted)
+	assert.Assert(t, !pa.requestTokens(5499, 1500).Granted)
+	assert.Assert(t, pa.requestTokens(5500, 1500).Granted)
 
 	few := quota.Keeper{ID: 1, Settings: withoutSlack}
 	var ac quota.Account
 	for now := clock.Millis(0); now < 9000; now += renewEvery {
-		ask := ac.LeaseRequest(now, 2*pairSize, vmA)
-		ac.ApplyResponse(now, now, 2*pairSize, vmA, ask, pairLimit, few.Handle(now, 2*pairSize, vmB, 1, ask, &pairLimit))
+		req := ac.LeaseRequest(now, 2*pairSize, vmA)
+		ac.ApplyResponse(now, now, 2*pairSize, vmA, req, pairLimit, few.Handle(now, 2*pairSize, vmB, 1, req, &pairLimit))
 	}
 	assert.Assert(t, few.Handle(9000, 2*pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 100}, &pairLimit).Granted)
 	assert.Assert(t, !few.Handle(9000, 2*pairSize, vmB, 1, quota.Request{Sequence: 99, Customer: customer, Need: 600}, &pairLimit).Granted)
@@ -264,15 +264,15 @@
 // buckets are still empty for lack of time.
 func TestKeeperSettles(t *testing.T) {
 	pa := newPair(withoutSlack)
-	ans := pa.ke.Handle(0, pairSize, vmB, 1, quota.Request{Sequence: 1, Customer: customer, Need: 1}, &pa.lim)
-	assert.Assert(t, !ans.Known && !ans.Granted)
+	rsp := pa.ke.Handle(0, pairSize, vmB, 1, quota.Request{Sequence: 1, Customer: customer, Need: 1}, &pa.lim)
+	assert.Assert(t, !rsp.Known && !rsp.Granted)
 	pa.renewUntil(0, 800)
-	ans = pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 90, Customer: customer, Need: 450}, &pa.lim)
-	assert.Assert(t, !ans.Known && !ans.Granted)
-	ans = pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 91, Customer: customer, Need: 300}, &pa.lim)
-	assert.Assert(t, ans.Known && ans.Granted, "tokens that have accrued may be granted")
-	ans = pa.ke.Handle(1000, pairSize, vmB, 1, quota.Request{Sequence: 92, Customer: customer, Need: 450}, &pa.lim)
-	assert.Assert(t, ans.Known && !ans.Granted)
+	rsp = pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 90, Customer: customer, Need: 450}, &pa.lim)
+	assert.Assert(t, !rsp.Known && !rsp.Granted)
+	rsp = pa.ke.Handle(800, pairSize, vmB, 1, quota.Request{Sequence: 91, Customer: customer, Need: 300}, &pa.lim)
+	assert.Assert(t, rsp.Known && rsp.Granted, "tokens that have accrued may be granted")
+	rsp = pa.ke.Handle(1000, pairSize, vmB, 1, quota.Request{Sequence: 92, Customer: customer, Need: 450}, &pa.lim)
+	assert.Assert(t, rsp.Known && !rsp.Granted)
 }
 
 // Successive keepers do not each spend the VMs' parts of the slack; otherwise a fleet
@@ -280,10 +280,10 @@
 // keeper when a window is over, or at once if the previous keeper was not in debt.
 func TestSlackIsLentOnceInAWindow(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		owes bool
-		wait clock.Millis // until the next keeper is used
-		want bool
+		name   string
+		inDebt bool
+		wait   clock.Millis // until the next keeper is used
+		want   bool
 	}{
 		{"the first keeper is in debt", true, clock.Second, false},
 		{"the first keeper was in debt a window ago", true, 9 * clock.Second, true},
@@ -293,19 +293,19 @@
 			st := quota.Settings{Window: 8 * clock.Second, Slack: 4000}
 			pa := newPair(st)
 			pa.renewUntil(0, 4000)
-			if tc.owes {
-				assert.Assert(t, pa.need(4000, 700).Granted, "takes the bucket below empty")
+			if tc.inDebt {
+				assert.Assert(t, pa.requestTokens(4000, 700).Granted, "takes the bucket below empty")
 			}
-			for _, ac := range []*quota.Account{pa.keeperAccount, pa.borrower} {
-				ask := ac.ReleaseRequest(4000, pairSize)
+			for _, ac := range []*quota.Account{pa.keeperAccount, pa.otherAccount} {
+				req := ac.ReleaseRequest(4000, pairSize)
 				vm := map[bool]string{true: vmA, false: vmB}[ac == pa.keeperAccount]
-				ac.ApplyResponse(4000, 4000, pairSize, pa.keeperVM, ask, pa.lim, pa.ke.Handle(4000, pairSize, vm, 1, ask, &pa.lim))
+				ac.ApplyResponse(4000, 4000, pairSize, pa.keeperVM, req, pa.lim, pa.ke.Handle(4000, pairSize, vm, 1, req, &pa.lim))
 			}
 			pa.ke, pa.keeperVM = &quota.Keeper{ID: 2, Settings: st}, vmB
 			now := 4000 + tc.wait
 			pa.renew(now)
 			pa.renew(now)
-			assert.Equal(t, pa.need(now, 500).Granted, tc.want, "the next keeper's buckets are empty")
+			assert.Equal(t, pa.requestTokens(now, 500).Granted, tc.want, "the next keeper's buckets are empty")
 		})
 	}
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -106,7 +106,7 @@
 	return sm.rnd.Float64() < perSecond*float64(simStep)/float64(clock.Second)
 }
 
-func (sm *sim) up(vm *simVM) bool { return sm.now >= vm.down && sm.now >= vm.frozen }
+func (sm *sim) isUp(vm *simVM) bool { return sm.now >= vm.down && sm.now >= vm.frozen }
 
 // updateView sets the VM's view of the keeper: the first running VM on its side.
 func (sm *sim) updateView(vm *simVM) {
@@ -115,7 +115,7 @@
 	}
 	vm.nextView = sm.now + simViewDelay/2 + clock.Millis(sm.rnd.Int64N(int64(simViewDelay/2)))
 	for _, name := range sm.order {
-		if other := sm.vms[name]; sm.up(other) && other.side == vm.side {
+		if other := sm.vms[name]; sm.isUp(other) && other.side == vm.side {
 			vm.view = name
 			return
 		}
@@ -134,8 +134,8 @@
 	to.inbox = append(to.inbox, ms)
 }
 
-// faults injects random partitions, crashes and pauses.
-func (sm *sim) faults() {
+// injectFaults injects random partitions, crashes and pauses.
+func (sm *sim) injectFaults() {
 	if sm.now >= sm.cutUntil {
 		for _, vm := range sm.vms {
 			vm.side = 0
@@ -188,9 +188,9 @@
 		sm.sendRequest(vm, holder, vm.ac.ReleaseRequest(sm.now, simVMs), 0)
 	}
 	if holder := vm.ac.Holder(sm.now); (holder == "" || holder == vm.view) && vm.ac.RenewalDue(sm.now, vm.view) && sm.now >= vm.unresponsiveUntil[vm.view] {
-		ask := vm.ac.LeaseRequest(sm.now, simVMs, vm.view)
+		req := vm.ac.LeaseRequest(sm.now, simVMs, vm.view)
 		vm.unresponsiveUntil[vm.view] = sm.now + 100
-		sm.sendRequest(vm, vm.view, ask, 0)
+		sm.sendRequest(vm, vm.view, req, 0)
 	}
 	for sm.rnd.Float64() < perSecond*float64(simStep)/float64(clock.Second) {
 		tokens := simSmall
@@ -257,31 +257,31 @@
 		sm.ran = append(sm.ran, ranAt{sm.now, tokens})
 		return
 	}
-	if ask, tell := vm.ac.GiveBack(sm.now, simVMs, customer, sm.lim, tokens); tell {
-		sm.sendRequest(vm, vm.ac.Holder(sm.now), ask, 0)
+	if req, send := vm.ac.GiveBack(sm.now, simVMs, customer, sm.lim, tokens); send {
+		sm.sendRequest(vm, vm.ac.Holder(sm.now), req, 0)
 	}
 }
 
-// play advances the simulation by a span, with the given demand, with or without faults.
-func (sm *sim) play(span clock.Millis, perSecond float64, faults bool) {
+// run advances the simulation by a span, with the given demand, with or without faults.
+func (sm *sim) run(span clock.Millis, perSecond float64, faults bool) {
 	sm.faulty, sm.delay = faults, simDelay
 	if faults {
 		sm.delay = simSlow
 	}
 	for end := sm.now + span; sm.now < end; sm.now += simStep {
 		if faults {
-			sm.faults()
+			sm.injectFaults()
 		}
 		for _, name := range sm.order {
-			if vm := sm.vms[name]; sm.up(vm) {
+			if vm := sm.vms[name]; sm.isUp(vm) {
 				sm.serve(vm, perSecond)
 			}
 		}
 	}
 }
 
-// most returns the largest number of tokens that ran in any window.
-func (sm *sim) most(window clock.Millis) float64 {
+// maxInWindow returns the largest number of tokens that ran in any window.
+func (sm *sim) maxInWindow(window clock.Millis) float64 {
 	sum, most, first := 0.0, 0.0, 0
 	for _, ra := range sm.ran {
 		sum += ra.tokens
@@ -319,8 +319,8 @@
 	for seed := range *seeds {
 		for _, lim := range []quota.Limit{simLimit, {Rate: 163000, Burst: 163000}, {Rate: 26000, Burst: 94000}} {
 			sm := newSim(seed, lim, simSettings)
-			sm.play(simSpan, 40, true)
-			got, may := sm.most(simSettings.Window), bound(lim, simSettings)
+			sm.run(simSpan, 40, true)
+			got, may := sm.maxInWindow(simSettings.Window), bound(lim, simSettings)
 			worst = max(worst, got/may)
 			assert.Assert(t, got <= may, "seed %d, rate %v: %.0f tokens in a window, %.0f may run", seed, lim.Rate, got, may)
 		}
@@ -337,8 +337,8 @@
 			may := bound(lim.PerShard(), simSettings.PerShard())
 			assert.Equal(t, may*quota.Shards, bound(lim, simSettings))
 			sm := newSim(seed, lim.PerShard(), simSettings.PerShard())
-			sm.play(simSpan, 40, true)
-			got := sm.most(simSettings.Window)
+			sm.run(simSpan, 40, true)
+			got := sm.maxInWindow(simSettings.Window)
 			worst = max(worst, got/may)
 			assert.Assert(t, got <= may, "seed %d, rate %v: %.0f tokens in a window, %.0f may run", seed, lim.Rate, got, may)
 		}
@@ -350,13 +350,13 @@
 // permitted part of the slack, no window exceeds the limit by more than 1 %.
 func TestLimitIsUsed(t *testing.T) {
 	sm := newSim(1, simLimit, simSettings)
-	sm.play(10*clock.Second, 0, false)
-	sm.play(30*clock.Second, 40, false)
+	sm.run(10*clock.Second, 0, false)
+	sm.run(30*clock.Second, 40, false)
 	window := float64(simSettings.Window) / float64(clock.Second)
 	limit := simLimit.Rate*window + simLimit.Burst
 	assert.Assert(t, sm.total() >= 0.97*(30*simLimit.Rate+simLimit.Burst), "%.0f in total", sm.total())
 	spare := bound(simLimit, simSettings) - limit
-	assert.Assert(t, sm.most(simSettings.Window) <= 1.01*limit+0.6*spare, "%.0f in a window, limit %.0f", sm.most(simSettings.Window), limit)
+	assert.Assert(t, sm.maxInWindow(simSettings.Window) <= 1.01*limit+0.6*spare, "%.0f in a window, limit %.0f", sm.maxInWindow(simSettings.Window), limit)
 	ran := slices.DeleteFunc(slices.Clone(sm.ran), func(ra ranAt) bool { return ra.at < 20*clock.Second })
 	sum := 0.0
 	for _, ra := range ran {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -118,7 +118,7 @@
 
 // Any history of a request's attempts ends before the deadline, and a request that is
 // not idempotent is never retried once it may have run.
-func TestHistories(t *testing.T) {
+func TestAttemptHistories(t *testing.T) {
 	reasons := []refusal.Reason{refusal.BackendFailed, refusal.NoBackend, refusal.VMLost, refusal.BadRequest, refusal.QueueFull}
 	rapid.Check(t, func(rt *rapid.T) {
 		po := policy(rapid.Uint64().Draw(rt, "seed"))
@@ -133,7 +133,7 @@
 			switch vd := po.Decide(now, at).(type) {
 			case Retry:
 				now += vd.After
-				checkAgain(rt, now, at, mayHaveRun)
+				checkRetry(rt, now, at, mayHaveRun)
 				at.Number++
 				at.EarlierMayHaveRun = mayHaveRun
 				now += clock.Millis(rapid.Int64Range(0, 300).Draw(rt, "took"))
@@ -145,7 +145,7 @@
 	})
 }
 
-func checkAgain(rt *rapid.T, now clock.Millis, at Attempt, mayHaveRun bool) {
+func checkRetry(rt *rapid.T, now clock.Millis, at Attempt, mayHaveRun bool) {
 	if mayHaveRun && !at.Idempotent {
 		rt.Fatal("retried although it may have run")
 	}
@@ -181,17 +181,17 @@
 	assert.Assert(t, po.backoff(40) <= DefaultMaxBackoff)
 }
 
-func hedgeAsk() HedgeRequest {
+func hedgeRequest() HedgeRequest {
 	return HedgeRequest{Customer: "cu", Service: "svc", Idempotent: true, Quick: true, Deadline: clock.Minute}
 }
 
 func TestHedge(t *testing.T) {
 	po := policy(6)
-	assert.Equal(t, po.Hedge(0, hedgeAsk()), Hedging(NoHedge{NoHedgeUnknown}))
+	assert.Equal(t, po.Hedge(0, hedgeRequest()), Hedging(NoHedge{NoHedgeUnknown}))
 	for ix := range 100 {
 		po.ObserveLatency("svc", clock.Millis(ix%20+1))
 	}
-	assert.Equal(t, po.Hedge(0, hedgeAsk()), Hedging(Hedge{After: 19}))
+	assert.Equal(t, po.Hedge(0, hedgeRequest()), Hedging(Hedge{After: 19}))
 	cases := map[Reason]func(*HedgeRequest){
 		NoHedgeNotIdempotent: func(ha *HedgeRequest) { ha.Idempotent = false },
 		NoHedgePatient:       func(ha *HedgeRequest) { ha.Quick = false },
@@ -199,10 +199,10 @@
 		NoHedgeDeadline:      func(ha *HedgeRequest) { ha.Deadline = 15 },
 	}
 	for want, change := range cases {
-		ask := hedgeAsk()
-		change(&ask)
-		assert.Equal(t, po.Hedge(0, ask), Hedging(NoHedge{want}))
-		got, ok := po.SpendHedge(0, ask)
+		req := hedgeRequest()
+		change(&req)
+		assert.Equal(t, po.Hedge(0, req), Hedging(NoHedge{want}))
+		got, ok := po.SpendHedge(0, req)
 		assert.Assert(t, !ok)
 		assert.Equal(t, got, want)
 	}
@@ -221,9 +221,9 @@
 	for range requests {
 		now += 10
 		po.RecordRequest(now, "cu", "svc")
-		ask := hedgeAsk()
-		ask.Deadline = now + clock.Second
-		if why, ok := po.SpendHedge(now+10, ask); ok {
+		req := hedgeRequest()
+		req.Deadline = now + clock.Second
+		if why, ok := po.SpendHedge(now+10, req); ok {
 			hedges++
 		} else {
 			assert.Equal(t, why, NoHedgeBudget)
--- a/internal/retry/storm_test.go
+++ b/internal/retry/storm_test.go
@@ -74,10 +74,10 @@
 			continue
 		}
 		se.at.Last = refusal.Refusal{Ran: refusal.MayHaveRun, Reason: refusal.BackendFailed}
-		if ag, ok := sm.policy.Decide(now, se.at).(Retry); ok {
+		if rt, ok := sm.policy.Decide(now, se.at).(Retry); ok {
 			next := *se
 			next.at.Number++
-			when := now + max(ag.After, 1)
+			when := now + max(rt.After, 1)
 			sm.retries[when] = append(sm.retries[when], &next)
 		}
 	}
@@ -92,9 +92,9 @@
 	return float64(sum) * float64(stormInterval) / float64((to-from)*clock.Second)
 }
 
-// recovered returns the number of seconds from the end of the stall until goodput is
+// recoverySeconds returns the number of seconds from the end of the stall until goodput is
 // full again, or -1 if it never is.
-func (sm *storm) recovered() clock.Millis {
+func (sm *storm) recoverySeconds() clock.Millis {
 	for sec := stormStallEnd / clock.Second; sec < stormSpan/clock.Second; sec++ {
 		if sm.goodput(sec, stormSpan/clock.Second) > 0.99 {
 			return sec - stormStallEnd/clock.Second
@@ -118,7 +118,7 @@
 		sm.run()
 		before, after := sm.goodput(10, 20), sm.goodput(45, 60)
 		t.Logf("%-14s: goodput %.2f before the stall, %.2f from 22 s after it, full after %d s; %d answers computed",
-			tc.name, before, after, sm.recovered(), sm.computed)
+			tc.name, before, after, sm.recoverySeconds(), sm.computed)
 		assert.Assert(t, before > 0.99, "%f", before)
 		if tc.recover {
 			assert.Assert(t, after > 0.99, "%f", after)
--- a/internal/roles/keeper_test.go
+++ b/internal/roles/keeper_test.go
@@ -21,7 +21,7 @@
 	"alderdyke/pkg/clock"
 )
 
-var errMoved = errors.New("the register has moved on")
+var errRevisionChanged = errors.New("the register has moved on")
 
 type (
 	// testCell holds a register and the engines of one service in memory.
@@ -66,7 +66,7 @@
 	vw.ce.mu.Lock()
 	defer vw.ce.mu.Unlock()
 	if vw.ce.storeDown || vw.ce.entry.Revision != base {
-		return &logsvc.AppendError{Effect: logsvc.NotAppended, Err: errMoved}
+		return &logsvc.AppendError{Effect: logsvc.NotAppended, Err: errRevisionChanged}
 	}
 	vw.ce.swaps++
 	vw.ce.entry = register.Entry{Key: vw.ce.entry.Key, Revision: base + 3, ID: id, Value: value}
@@ -96,9 +96,9 @@
 	return nil
 }
 
-func (ce *testCell) keeper(name string, mine func() bool) *roles.Keeper {
+func (ce *testCell) keeper(name string, shouldOrder func() bool) *roles.Keeper {
 	vw := view{ce, name}
-	return &roles.Keeper{Register: vw, Orders: vw, ShouldOrder: mine, Clock: bubbleClock{time.Now()},
+	return &roles.Keeper{Register: vw, Orders: vw, ShouldOrder: shouldOrder, Clock: bubbleClock{time.Now()},
 		Holder: &register.Holder{Resource: "r", Self: name, Rand: rand.New(rand.NewPCG(1, uint64(len(name))))},
 		Services: func() map[string]roles.Service {
 			ce.mu.Lock()
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestNoStoreNoOrder(t *testing.T) {
+func TestNoOrdersWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(4, 4), storeDown: true}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/usage/assumed.go
+++ b/internal/usage/assumed.go
@@ -32,7 +32,7 @@
 	assumption struct {
 		vm          string
 		run         Run
-		givenAt     clock.Millis
+		assignedAt  clock.Millis
 		runUntil    clock.Millis // when the run stops counting; zero: it was reported
 		prefill     string       // engine that computes the prompt; empty: none
 		promptUntil clock.Millis // when the prompt stops counting
@@ -43,7 +43,7 @@
 // VM reports them, so that the next VM that asks is placed elsewhere.
 func (le *Ledger) AssumePlacement(now clock.Millis, vm string, run Run, prefill string) {
 	le.assumed.expire(now)
-	le.assumed.list = append(le.assumed.list, assumption{vm: vm, run: run, givenAt: now, runUntil: now + assumedRunTTL, prefill: prefill, promptUntil: now + assumedPromptTTL})
+	le.assumed.list = append(le.assumed.list, assumption{vm: vm, run: run, assignedAt: now, runUntil: now + assumedRunTTL, prefill: prefill, promptUntil: now + assumedPromptTTL})
 }
 
 func (am *assumptions) expire(now clock.Millis) {
@@ -55,15 +55,15 @@
 // include it. More returns how many runs the VM has at an engine beyond those in
 // its previous report.
 func (am *assumptions) reconcile(vm string, more func(engine string) int) {
-	told := make(map[string]int) // by engine: newly reported places that were matched
+	matched := make(map[string]int) // by engine: newly reported places that were matched
 	for ix := range am.list {
 		as := &am.list[ix]
 		if as.vm != vm || as.runUntil == 0 {
 			continue
 		}
-		as.runUntil = min(as.runUntil, as.givenAt+unreportedRunTTL)
-		if engine := as.run.Engine; told[engine] < more(engine) {
-			told[engine]++
+		as.runUntil = min(as.runUntil, as.assignedAt+unreportedRunTTL)
+		if engine := as.run.Engine; matched[engine] < more(engine) {
+			matched[engine]++
 			as.runUntil = 0
 		}
 	}
--- a/internal/usage/lengths.go
+++ b/internal/usage/lengths.go
@@ -34,8 +34,8 @@
 )
 
 // observe records the length of a completed answer and its caller's estimate.
-func (ls *lengths) observe(route string, guess, generated int) {
-	if guess <= 0 || generated <= 0 {
+func (ls *lengths) observe(route string, estimate, generated int) {
+	if estimate <= 0 || generated <= 0 {
 		return
 	}
 	if ls.routes == nil {
@@ -44,7 +44,7 @@
 	if ls.routes[route] == nil {
 		ls.routes[route] = &ratios{}
 	}
-	ratio := float64(generated) / float64(guess)
+	ratio := float64(generated) / float64(estimate)
 	ls.routes[route].add(ratio)
 	ls.all.add(ratio)
 }
--- a/internal/usage/reports_test.go
+++ b/internal/usage/reports_test.go
@@ -18,7 +18,7 @@
 	some := rapid.SliceOfNDistinct(rapid.SampledFrom(engines), 0, 3, rapid.ID[string])
 	rapid.Check(t, func(t *rapid.T) {
 		var rs reports
-		told := make(map[string]receivedReport)
+		newest := make(map[string]receivedReport)
 		now := clock.Millis(0)
 		for range rapid.IntRange(1, 20).Draw(t, "words") {
 			now += clock.Millis(rapid.IntRange(0, 1500).Draw(t, "after"))
@@ -32,19 +32,19 @@
 			}
 			vm := fmt.Sprintf("vm-%d", rapid.IntRange(0, 3).Draw(t, "vm"))
 			rs.apply(now, vm, rp)
-			told[vm] = receivedReport{at: now, report: rp}
+			newest[vm] = receivedReport{at: now, report: rp}
 		}
 		now += clock.Millis(rapid.IntRange(0, 3000).Draw(t, "later"))
 		for _, engine := range engines {
-			checkReports(t, &rs, told, now, engine)
+			checkReports(t, &rs, newest, now, engine)
 		}
 	})
 }
 
 // checkReports compares the index with the reports themselves.
-func checkReports(t *rapid.T, rs *reports, told map[string]receivedReport, now clock.Millis, engine string) {
+func checkReports(t *rapid.T, rs *reports, newest map[string]receivedReport, now clock.Millis, engine string) {
 	held, prompts, avoided, failing, short := 0, 0, false, false, false
-	for _, rc := range told {
+	for _, rc := range newest {
 		short = short || rc.report.Shortage && now-rc.at < shortageTTL
 		if now-rc.at >= ReportTTL {
 			continue
@@ -90,7 +90,7 @@
 	for _, tc := range []struct {
 		name         string
 		at           clock.Millis
-		told         bool
+		reported     bool
 		run, prompts int
 	}{
 		{"at once", 0, false, 5, 5},
@@ -101,7 +101,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			le := ledgerWithoutMargin()
 			le.AssumePlacement(0, "vm-2", Run{Engine: "e", Tokens: 5}, "f")
-			if tc.told {
+			if tc.reported {
 				le.ApplyReport(tc.at, "vm-2", Report{Runs: []Run{{Engine: "e", Tokens: 7}}})
 			}
 			assert.Equal(t, le.Peak(tc.at, "e", Run{}, 0), tc.run)
--- a/internal/usage/turn_test.go
+++ b/internal/usage/turn_test.go
@@ -22,11 +22,11 @@
 	var le Ledger
 	le.ApplyReport(1000, "vm-2", Report{Waiting: []WaitingRequest{
 		{Service: "s", Returning: true, Turn: NewTurn(0, 9<<8), Age: 10}, {Service: "s", Turn: NewTurn(2, 1<<8), Age: 10}}})
-	mayWait := func(bool) clock.Millis { return 500 }
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(3, 0)}, mayWait), 2)
+	maxWait := func(bool) clock.Millis { return 500 }
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, maxWait), 1)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, maxWait), 1)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(3, 0)}, maxWait), 2)
 	le.MarkShortage(1010)
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, mayWait), 1)
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, mayWait), 0, "new requests go first during a shortage")
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(1, 5<<8)}, maxWait), 1)
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: NewTurn(0, 5<<8)}, maxWait), 0, "new requests go first during a shortage")
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -84,7 +84,7 @@
 	Entry struct {
 		run        Run
 		generated  int
-		guess      int
+		estimate   int
 		lastGrowth clock.Millis // zero: no tokens were generated yet
 	}
 
@@ -109,7 +109,7 @@
 	if le.own == nil {
 		le.own = make(map[*Entry]struct{})
 	}
-	en := &Entry{run: run, guess: run.Left}
+	en := &Entry{run: run, estimate: run.Left}
 	le.own[en] = struct{}{}
 	return en
 }
@@ -133,7 +133,7 @@
 	en.lastGrowth = now
 	en.generated += tokens
 	en.run.Tokens += tokens
-	en.run.Left = max(en.guess-en.generated, int(residualPart*float64(en.guess)))
+	en.run.Left = max(en.estimate-en.generated, int(residualPart*float64(en.estimate)))
 }
 
 func (le *Ledger) updateSpeed(speed float64) {
@@ -156,14 +156,14 @@
 
 // ObserveAnswer records the length of a completed answer of a route and its
 // caller's estimate, both in tokens.
-func (le *Ledger) ObserveAnswer(route string, guess, generated int) {
-	le.lengths.observe(route, guess, generated)
+func (le *Ledger) ObserveAnswer(route string, estimate, generated int) {
+	le.lengths.observe(route, estimate, generated)
 }
 
 // ExpectedTokens returns the expected length of an answer of a route for its
 // caller's estimate.
-func (le *Ledger) ExpectedTokens(route string, guess int) int {
-	return int(le.lengths.mean(route) * float64(guess))
+func (le *Ledger) ExpectedTokens(route string, estimate int) int {
+	return int(le.lengths.mean(route) * float64(estimate))
 }
 
 // AddPrompt adds tokens of a prompt to those being computed at an engine; a
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -27,7 +27,7 @@
 }
 
 // The peak equals the largest sum of a step-by-step simulation of the growth.
-func TestPeakEqualsGrowth(t *testing.T) {
+func TestPeakMatchesSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Run {
 			return Run{Tokens: rapid.IntRange(0, 30).Draw(t, "tokens"), Left: rapid.IntRange(0, 30).Draw(t, "left")}
@@ -82,7 +82,7 @@
 	assert.Equal(t, le.Peak(now, "e1", Run{Tokens: 900, Left: 100}, 1), 800+900+2*100)
 }
 
-func TestRunThatOutgrowsItsGuess(t *testing.T) {
+func TestRunThatOutgrowsItsEstimate(t *testing.T) {
 	var le Ledger
 	en := le.Begin(Run{Engine: "e1", Tokens: 0, Left: 1000})
 	le.Grow(1, en, 2000)
@@ -129,7 +129,7 @@
 }
 
 func TestCountAhead(t *testing.T) {
-	mayWait := func(back bool) clock.Millis {
+	maxWait := func(back bool) clock.Millis {
 		if back {
 			return 3000
 		}
@@ -143,7 +143,7 @@
 	for _, tc := range []struct {
 		name string
 		now  clock.Millis
-		ask  WaitingRequest
+		req  WaitingRequest
 		want int
 	}{
 		{"new request behind a new and a returning one", 1010, WaitingRequest{Service: "s", Turn: 4}, 2},
@@ -154,8 +154,8 @@
 		{"request beyond its longest wait", 1190, WaitingRequest{Service: "s", Turn: 9}, 1},
 		{"expired report", 1000 + ReportTTL, WaitingRequest{Service: "s", Turn: 9}, 0},
 	} {
-		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, le.CountAhead(tc.now, tc.ask, mayWait), tc.want) })
+		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, le.CountAhead(tc.now, tc.req, maxWait), tc.want) })
 	}
 	le.ApplyReport(1000, "vm-3", Report{Shortage: true})
-	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: 9}, mayWait), 2, "during a shortage returning requests wait")
+	assert.Equal(t, le.CountAhead(1010, WaitingRequest{Service: "s", Turn: 9}, maxWait), 2, "during a shortage returning requests wait")
 }
--- a/pkg/place/scan.go
+++ b/pkg/place/scan.go
@@ -65,7 +65,7 @@
 func (sc *scan) run() bool {
 	sc.parser.Reset(sc.text)
 	for sc.parser.NextExpression() {
-		sc.expression(sc.parser.Expression())
+		sc.addExpression(sc.parser.Expression())
 	}
 	for ix := range sc.expressions {
 		sc.expressions[ix].last = len(sc.breaks) + 1
@@ -94,14 +94,14 @@
 	return ix + 1
 }
 
-func (sc *scan) expression(nd *unstable.Node) {
+func (sc *scan) addExpression(nd *unstable.Node) {
 	if nd.Kind == unstable.Comment {
 		return
 	}
 	names, line := sc.key(nd)
 	before := len(sc.problems)
-	inside := sc.typ == nil && nd.Kind == unstable.KeyValue
-	if !inside {
+	inUnknownTable := sc.typ == nil && nd.Kind == unstable.KeyValue
+	if !inUnknownTable {
 		sc.checkExpression(nd, names, line)
 	}
 	path := sc.at
@@ -111,7 +111,7 @@
 	sc.expressions = append(sc.expressions, expression{
 		path:  path,
 		first: line,
-		valid: !inside && before == len(sc.problems),
+		valid: !inUnknownTable && before == len(sc.problems),
 	})
 }
 
@@ -124,7 +124,7 @@
 			sc.typ = nil
 		}
 	case unstable.ArrayTable:
-		sc.arrayTable(names, line)
+		sc.checkArrayTable(names, line)
 	case unstable.KeyValue:
 		path, typ := sc.resolve(sc.at, sc.typ, names, line)
 		if typ != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (sc *scan) arrayTable(names []string, line int) {
+func (sc *scan) checkArrayTable(names []string, line int) {
 	last := len(names) - 1
 	above, typ := sc.resolve("", sc.root, names[:last], line)
 	if typ != nil {
