--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -8,11 +8,12 @@
 // can't be decoded. The pool orders the engines by their projected memory use
 // and remembers which of them recently declined because they were full.
 //
-// A request that was refused before and came back goes first, because a second
-// refusal costs its caller twice. New requests go first while new requests are
-// being refused somewhere in the fleet. Among equal requests a randomly drawn
-// turn decides. All VMs order requests by their turns, and each leaves capacity
-// for the requests at other VMs that are ahead ([Requirements.Ahead]).
+// Requests of a higher priority go first. Within a priority, a request that was
+// refused before and came back goes first, because a second refusal costs its
+// caller twice. New requests go first while new requests are being refused
+// somewhere in the fleet. Among equal requests a randomly drawn turn decides.
+// All VMs order requests by their turns, and each leaves capacity for the
+// requests at other VMs that are ahead ([Requirements.Ahead]).
 //
 // A prompt is computed by the prefill engine that is expected to finish it
 // first, judged by observed durations ([Pool.ChoosePrefill]), or by the decode
@@ -62,7 +63,7 @@
 	// Requirements is what a request needs of a decode engine.
 	Requirements struct {
 		Tokens   int // to reserve
-		Limit    int // largest projected memory use of an engine, in tokens
+		Limit    int // largest permitted projected memory use of an engine, in tokens
 		Ahead    int // requests at other VMs that are placed before this one
 		Headroom int // further requests of this size that must fit beside it
 		// Peak returns the projected memory use of an engine, in tokens, with the
@@ -82,7 +83,7 @@
 		queue   []*Ticket // by priority, then returning requests first, then by turn
 
 		prefillPace        pace // of prompts at all prefill engines
-		decoderPrefillPace pace // of prompts that decode engines compute beside their runs
+		decoderPrefillPace pace // of prompts that decode engines compute while they decode other requests
 		firstEventPace     pace // of decodes, from the order to the first event
 	}
 
@@ -256,6 +257,7 @@
 	}
 }
 
+// sortByLoad sorts engines by their load, and shuffles those with equal loads.
 func (po *Pool) sortByLoad(list []*engine, load func(en *engine) int) {
 	// The iteration order of a map is not uniformly random. Sorting by ID first
 	// makes the shuffle reproducible from the seed.
@@ -303,7 +305,8 @@
 	return first
 }
 
-// MarkFull records that an engine declined a reservation of so many tokens.
+// MarkFull records that an engine declined a reservation of the given number of
+// tokens for lack of memory. For a while only smaller reservations are tried there.
 func (po *Pool) MarkFull(now clock.Millis, id string, tokens int) {
 	en := po.engines[id]
 	if en == nil {
@@ -344,8 +347,8 @@
 	}
 }
 
-// MarkFailed records that an engine broke off, sent an invalid answer or did not
-// answer, and returns until when it is skipped.
+// MarkFailed records that an engine broke off an answer, sent an invalid one or
+// did not answer, and returns until when it is skipped.
 func (po *Pool) MarkFailed(now clock.Millis, id string) clock.Millis {
 	en := po.engines[id]
 	if en == nil {
@@ -360,8 +363,8 @@
 	return en.failedUntil
 }
 
-// MarkWorking records that an engine did what it was asked to do, and ends its
-// failures.
+// MarkWorking records that an engine did what was requested of it. It is no longer
+// skipped, and its next failure counts as the first.
 func (po *Pool) MarkWorking(id string) {
 	if en := po.engines[id]; en != nil {
 		en.failures, en.failedUntil = 0, 0
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -36,12 +36,13 @@
 	return out
 }
 
-// decodeCandidates lists the candidates for a request without a memory limit.
+// decodeCandidates lists the candidates for a request that no engine's memory
+// limit excludes.
 func decodeCandidates(po *pool.Pool, now clock.Millis, tokens int) []board.BackendServer {
 	return po.DecodeCandidates(now, pool.Requirements{Tokens: tokens, Limit: 1, Peak: func(string, int) int { return 0 }})
 }
 
-// choosePrefill chooses among engines that have no prompts queued.
+// choosePrefill chooses the engine for a prompt while no engine has prompts queued.
 func choosePrefill(po *pool.Pool, now clock.Millis) (board.BackendServer, bool) {
 	pf, ok := po.ChoosePrefill(now, pool.Prompt{Tokens: 1000, QueuedTokens: func(string) int { return 0 }})
 	return pf.Server, ok
@@ -102,7 +103,7 @@
 	assert.DeepEqual(t, ids(po.DecodeCandidates(0, pool.Requirements{Tokens: 10, Limit: 499, Peak: peak})), []string{"d", "b"})
 }
 
-// A request leaves the room that requests ahead of it will take.
+// A request leaves the capacity that requests ahead of it will take.
 func TestDecodeCandidatesLeaveRoomForRequestsAhead(t *testing.T) {
 	po := newPool(board.Decode, board.Decode, board.Prefill, board.Decode)
 	needs := map[string]int{"a": 500, "b": 300, "d": 100}
@@ -144,6 +145,8 @@
 	assert.Assert(t, !po.AcceptsWork(0, "a"))
 }
 
+// A failed engine is skipped for a while, except that a failed decode engine is
+// used if there is no other.
 func TestFailedEngineIsPassedOver(t *testing.T) {
 	po := newPool(board.Prefill, board.Prefill, board.Decode)
 	po.MarkFailed(0, "a")
--- a/internal/pool/prefill.go
+++ b/internal/pool/prefill.go
@@ -89,7 +89,8 @@
 	return Prefill{Server: best.server, QueuedTokens: ahead[best], ExpectedTime: po.prefillTime(best, ahead[best]+pr.Tokens)}, true
 }
 
-// PrefillAt returns the prefill at an engine that another VM chose. The second
+// PrefillAt returns the prefill at an engine that another VM chose, with the given
+// numbers of queued tokens ahead and of tokens of the prompt itself. The second
 // result is false if the engine is unknown.
 func (po *Pool) PrefillAt(id string, ahead, tokens int) (Prefill, bool) {
 	en := po.engines[id]
@@ -106,8 +107,8 @@
 	return en != nil && en.acceptsWork(now) && en.server.Role == board.Prefill && now >= en.failedUntil
 }
 
-// prefillTime returns how long an engine takes for so many tokens of prompts, or
-// zero if no prompt was observed at any engine.
+// prefillTime returns how long an engine takes for prompts with the given number
+// of tokens in total, or zero if no prompt was observed at any engine.
 func (po *Pool) prefillTime(en *engine, tokens int) clock.Millis {
 	all := po.prefillPace.estimate(tokens)
 	own := en.prefillPace.estimate(tokens)
@@ -134,9 +135,9 @@
 // ShouldPrefillAtDecoder reports whether the decode engine should compute a
 // prompt itself, after the given tokens of other prompts queued there. This
 // delays the engine's other runs, by a tenth of an engine's work for each of
-// them. It is meant for bursts of prompts: if the prefill engine would miss the
-// request's objective and the decode engine would meet it, or if both would miss
-// it and the prefill engine by far.
+// them, so it is limited to bursts of prompts: the prefill engine would miss the
+// request's objective and the decode engine would meet it, or both would miss it
+// and the prefill engine by far.
 func (po *Pool) ShouldPrefillAtDecoder(pf Prefill, tokens, ahead int, st StartBudget) bool {
 	if st.Objective == 0 || pf.ExpectedTime == 0 {
 		return false
@@ -153,8 +154,8 @@
 	}
 }
 
-// decoderPrefillTime returns how long a decode engine takes for prompts beside
-// its runs.
+// decoderPrefillTime returns how long a decode engine takes to compute prompts
+// with the given number of tokens while it decodes other requests.
 func (po *Pool) decoderPrefillTime(tokens int) clock.Millis {
 	if took := po.decoderPrefillPace.estimate(tokens); took > 0 {
 		return took
--- a/internal/pool/prompts_test.go
+++ b/internal/pool/prompts_test.go
@@ -67,8 +67,8 @@
 		vms           int
 		list          []board.BackendServer
 		now           clock.Millis
-		po            *pool.Pool // of the scheduling VM
-		nextScheduler clock.Millis
+		po            *pool.Pool             // of the scheduling VM
+		nextScheduler clock.Millis           // when another VM becomes the scheduling VM
 		jobs          map[string][]promptJob // by engine, in order of completion
 		delays        []delaySample
 	}
@@ -112,6 +112,7 @@
 	return most, mean
 }
 
+// prefillRoles returns the roles of a number of prefill engines.
 func prefillRoles(count int) []board.Role {
 	out := make([]board.Role, count)
 	for ix := range out {
@@ -120,7 +121,7 @@
 	return out
 }
 
-// place has the scheduling VM place a prompt, and records how much later it is
+// place lets the scheduling VM place a prompt, and records how much later it is
 // done than at the engine that would finish it first.
 func (ps *promptSim) place(tokens int) {
 	pf, ok := ps.po.ChoosePrefill(ps.now, pool.Prompt{Tokens: tokens, QueuedTokens: ps.ahead})
@@ -147,6 +148,7 @@
 	return ps.now
 }
 
+// ahead returns the tokens of all prompts at an engine that are not done.
 func (ps *promptSim) ahead(id string) int {
 	sum := 0
 	for _, jo := range ps.jobs[id] {
@@ -169,9 +171,9 @@
 	}
 }
 
-// No prompt is done much later than at the engine that would finish it first:
-// not if the scheduling VM has observed little, not after a change to a VM that
-// has observed nothing, and not if engines still have some prompts cached.
+// No prompt is done much later than at the engine that would finish it first. This
+// also holds if the scheduling VM has observed only a few prompts, after a change
+// to a VM that has observed none, and if engines still have some prompts cached.
 func TestPromptDelayIsBounded(t *testing.T) {
 	for _, tc := range []struct{ vms, engines int }{{7, 3}, {69, 9}, {300, 40}} {
 		t.Run(fmt.Sprint(tc.vms), func(t *testing.T) {
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -19,8 +19,8 @@
 	Ticket struct {
 		request Request
 		turn    usage.Turn
-		since   clock.Millis
-		tried   bool // no place was found so far
+		since   clock.Millis // when the request entered the queue
+		tried   bool         // no place was found so far
 	}
 )
 
@@ -34,6 +34,8 @@
 	return tk
 }
 
+// compareTickets orders tickets by priority, then returning requests first, then
+// by turn.
 func compareTickets(ta, tb *Ticket) int {
 	if byPriority := cmp.Compare(usage.PriorityOf(ta.turn), usage.PriorityOf(tb.turn)); byPriority != 0 {
 		return byPriority
