--- a/internal/usage/ask.go
+++ b/internal/usage/ask.go
@@ -18,11 +18,11 @@
 	// PlacementReply answers a PlacementRequest. The place at the first of Engines
 	// and the prompt at Prefill count as taken by the requesting VM.
 	PlacementReply struct {
-		Informed      bool     // the replying VM has reports of the others; otherwise the other fields are unset
+		Informed      bool     // the replying VM has reports of the other VMs; otherwise the other fields are unset
 		Engines       []string // to try for a reservation, in this order
 		RequestsAhead int      // requests at other VMs that are placed first
-		Shortage      bool     // places are short somewhere in the fleet
-		Prefill       string   // engine that computes the prompt; empty: none is healthy
+		Shortage      bool     // some VM recently refused a new request for lack of a place
+		Prefill       string   // engine that computes the prompt; empty: no prefill engine is healthy
 		QueuedTokens  int      // tokens of prompts queued there
 		// Doubtful reports that the first of Engines may be dead.
 		Doubtful bool
--- a/internal/usage/assumed.go
+++ b/internal/usage/assumed.go
@@ -8,12 +8,12 @@
 
 const (
 	// assumedRunTTL is how long a place that was assigned to a VM counts without a
-	// report of it. It covers the way of the reply to the VM and the loss of one
-	// report.
+	// report of it. It covers the delivery of the reply to the VM and the loss of
+	// one report.
 	assumedRunTTL = 300 * clock.Millis(1)
 	// assumedPromptTTL is the same for a prompt. The VM first reserves the place,
-	// which takes 5 to 10 ms, and its report of that does not include the prompt
-	// yet.
+	// which takes 5 to 10 ms, and its report of the reservation does not include the
+	// prompt yet.
 	assumedPromptTTL = 40 * clock.Millis(1)
 	// unreportedRunTTL is how long a place counts if reports of the VM arrive that
 	// do not include it. A report sent before the VM received the reply can't
@@ -52,8 +52,8 @@
 
 // reconcile matches a VM's assumed places with its new report. A reported place
 // stops being assumed. Any other one counts only until the VM's next report must
-// include it. More returns how many runs the VM has at an engine beyond those in
-// its previous report.
+// include it. The function more returns how many runs the VM has at an engine
+// beyond those in its previous report.
 func (am *assumptions) reconcile(vm string, more func(engine string) int) {
 	matched := make(map[string]int) // by engine: newly reported places that were matched
 	for ix := range am.list {
@@ -69,6 +69,7 @@
 	}
 }
 
+// appendRuns appends the assumed runs at an engine to a list.
 func (am *assumptions) appendRuns(list []Run, now clock.Millis, engine string) []Run {
 	for _, as := range am.list {
 		if now < as.runUntil && as.run.Engine == engine {
@@ -78,6 +79,7 @@
 	return list
 }
 
+// promptTokens returns the tokens of assumed prompts at an engine.
 func (am *assumptions) promptTokens(now clock.Millis, engine string) int {
 	sum := 0
 	for _, as := range am.list {
--- a/internal/usage/lengths.go
+++ b/internal/usage/lengths.go
@@ -10,8 +10,8 @@
 	priorMean   = 1.13
 	priorSpread = 0.53
 	// priorWeight is the number of answers that the prior counts for. After
-	// maxWeight answers, older ones begin to count less. From 20 answers the
-	// spread is known to a sixth of its value.
+	// maxWeight answers, older ones begin to count less. Twenty answers give the
+	// spread to within a sixth of its value.
 	priorWeight = 20
 	maxWeight   = 400
 	// growthDeviations is the margin, in standard deviations, on the joint growth
--- a/internal/usage/reports.go
+++ b/internal/usage/reports.go
@@ -14,7 +14,7 @@
 	reports struct {
 		byVM           map[string]receivedReport
 		runs           byEngine[[]Run]
-		promptTokensBy byEngine[int] // tokens of prompts
+		promptTokensBy byEngine[int] // tokens of prompts being computed
 		avoidedBy      byEngine[struct{}]
 		failingBy      byEngine[struct{}]
 		waiting        map[string]struct{} // VMs with waiting requests
@@ -117,6 +117,8 @@
 	return false
 }
 
+// promptTokens returns the tokens of prompts that an engine is computing for the
+// other VMs.
 func (rs *reports) promptTokens(now clock.Millis, engine string) int {
 	sum := 0
 	for vm, tokens := range rs.promptTokensBy[engine] {
--- a/internal/usage/reports_test.go
+++ b/internal/usage/reports_test.go
@@ -20,10 +20,10 @@
 		var rs reports
 		newest := make(map[string]receivedReport)
 		now := clock.Millis(0)
-		for range rapid.IntRange(1, 20).Draw(t, "words") {
+		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			now += clock.Millis(rapid.IntRange(0, 1500).Draw(t, "after"))
 			rp := Report{Prompts: make(map[string]int), Avoided: some.Draw(t, "avoided"), Failing: some.Draw(t, "failing"),
-				Shortage: rapid.Bool().Draw(t, "short")}
+				Shortage: rapid.Bool().Draw(t, "shortage")}
 			for _, engine := range some.Draw(t, "prompts") {
 				rp.Prompts[engine] = rapid.IntRange(1, 9).Draw(t, "tokens")
 			}
--- a/internal/usage/turns.go
+++ b/internal/usage/turns.go
@@ -6,7 +6,7 @@
 type WaitingRequest struct {
 	Service   string
 	Returning bool         // refused before
-	Turn      uint32       // random; the lowest of all VMs goes first
+	Turn      uint32       // a [Turn]; the lowest of all VMs goes first
 	Age       clock.Millis // time that it has waited
 }
 
@@ -14,9 +14,10 @@
 // those of a higher priority and, within its priority, those of the kind that
 // goes first and those of its own kind with a lower turn. During a shortage new
 // requests go first, otherwise returning ones. A reported request counts for as
-// long as such a request may wait. Turns are random and do not depend on the
-// time that a request has waited: reports reach the VMs with different delays,
-// so the VMs would disagree and two requests would both be first.
+// long as such a request may wait. Within a priority turns are random and do not
+// depend on the time that a request has waited: reports reach the VMs with
+// different delays, so the VMs would disagree and two requests would both be
+// first.
 func (le *Ledger) CountAhead(now clock.Millis, req WaitingRequest, maxWait func(returning bool) clock.Millis) int {
 	short, count := le.HasShortage(now), 0
 	for _, other := range le.others.waitingRequests(now) {
@@ -27,7 +28,8 @@
 	return count
 }
 
-// precedes reports whether the request is placed before another one.
+// precedes reports whether the request is placed before another one, where short
+// tells whether there is a shortage.
 func (wr WaitingRequest) precedes(other WaitingRequest, short bool) bool {
 	switch {
 	case PriorityOf(wr.Turn) != PriorityOf(other.Turn):
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -37,8 +37,8 @@
 )
 
 const (
-	// speedGain is the weight of a new event in the average speed: the events of
-	// one run, about 70, count as much as all before them.
+	// speedGain is the weight of a new event of a run in the average speed: the
+	// events of one run, about 70, count as much as all before them.
 	speedGain = 0.02
 	// shortageTTL is how long a refusal for lack of a place counts as a shortage:
 	// a tenth of the length of a burst.
@@ -83,18 +83,18 @@
 	// Entry is a run of this VM in its ledger.
 	Entry struct {
 		run        Run
-		generated  int
-		estimate   int
+		generated  int          // tokens so far
+		estimate   int          // tokens expected at the beginning
 		lastGrowth clock.Millis // zero: no tokens were generated yet
 	}
 
 	// Ledger holds the runs of all VMs as far as one VM knows them.
 	Ledger struct {
 		own                 map[*Entry]struct{}
-		prompts             map[string]int
+		prompts             map[string]int          // tokens of this VM's prompts that are being computed, by engine
 		avoided             map[string]clock.Millis // by engine, until when
 		failing             map[string]clock.Millis // by engine, until when
-		shortageUntil       clock.Millis            // end of a shortage that this VM caused
+		shortageUntil       clock.Millis            // end of a shortage that this VM observed
 		remoteShortageUntil clock.Millis            // end of a shortage that a scheduler reported
 		others              reports
 		assumed             assumptions
@@ -184,8 +184,8 @@
 }
 
 // Avoid records that an engine accepts no new work until the given time, because
-// it was ordered to change its role or declined a run that it had confirmed a
-// reservation for. The report carries this to the other VMs.
+// it was ordered to change its role or declined a run for which it had confirmed
+// a reservation. The report carries this to the other VMs.
 func (le *Ledger) Avoid(engine string, until clock.Millis) {
 	if le.avoided == nil {
 		le.avoided = make(map[string]clock.Millis)
@@ -193,7 +193,7 @@
 	le.avoided[engine] = max(until, le.avoided[engine])
 }
 
-// Readmit ends an Avoid by this VM.
+// Readmit revokes what this VM recorded with Avoid.
 func (le *Ledger) Readmit(engine string) { delete(le.avoided, engine) }
 
 // Avoided reports whether this VM or another one avoids an engine.
@@ -208,8 +208,8 @@
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// MarkFailed records that an engine broke off or did not answer this VM, and
-// until when that counts. The report carries this to the other VMs.
+// MarkFailed records that an engine broke off an answer to this VM or did not
+// answer it, and until when that counts. The report carries this to the other VMs.
 func (le *Ledger) MarkFailed(engine string, until clock.Millis) {
 	if le.failing == nil {
 		le.failing = make(map[string]clock.Millis)
@@ -217,12 +217,12 @@
 	le.failing[engine] = until
 }
 
-// ClearFailed ends a MarkFailed by this VM.
+// ClearFailed revokes what this VM recorded with MarkFailed.
 func (le *Ledger) ClearFailed(engine string) { delete(le.failing, engine) }
 
 // Failing reports whether an engine recently failed another VM. The other VM may
-// be the one that is cut off, so such an engine is a last resort rather than
-// excluded.
+// be the one that is partitioned from the network, so such an engine is a last
+// resort rather than excluded.
 func (le *Ledger) Failing(now clock.Millis, engine string) bool {
 	return le.others.failing(now, engine)
 }
@@ -243,7 +243,8 @@
 	return now < le.shortageUntil || now < le.remoteShortageUntil || le.others.hasShortage(now)
 }
 
-// MarkRemoteShortage records that a scheduler reported such refusals.
+// MarkRemoteShortage records that a scheduler reported refusals of new requests at
+// other VMs for lack of a place.
 func (le *Ledger) MarkRemoteShortage(now clock.Millis) { le.remoteShortageUntil = now + shortageTTL }
 
 // Report returns this VM's report, without its waiting requests.
@@ -324,7 +325,8 @@
 	return list
 }
 
-// grownBy returns the run after it has generated so many more tokens.
+// grownBy returns the run after it has generated the given number of further
+// tokens, but at most those that it has left.
 func (ru Run) grownBy(tokens int) Run {
 	grown := min(tokens, ru.Left)
 	ru.Tokens += grown
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -53,6 +53,8 @@
 	return &Ledger{lengths: lengths{all: ratios{weight: many, sum: many, squares: many}}}
 }
 
+// The peak includes the runs of this VM and those that other VMs reported, until
+// the reports expire.
 func TestPeakOfOwnAndRemoteRuns(t *testing.T) {
 	le := ledgerWithoutMargin()
 	en := le.Begin(Run{Engine: "e1", Tokens: 100, Left: 50})
@@ -82,6 +84,8 @@
 	assert.Equal(t, le.Peak(now, "e1", Run{Tokens: 900, Left: 100}, 1), 800+900+2*100)
 }
 
+// A run that has generated more tokens than estimated is expected to have a part of
+// the estimate left.
 func TestRunThatOutgrowsItsEstimate(t *testing.T) {
 	var le Ledger
 	en := le.Begin(Run{Engine: "e1", Tokens: 0, Left: 1000})
