--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -7,15 +7,15 @@
 	// fields before use.
 	Account struct {
 		Settings Settings
-		Shard    int // whose keepers it uses
+		Shard    int // index of the shard
 
 		lent     loan
 		slack    slackLoan
-		sequence uint64
-		own      map[string]*ownBucket
-		credits  map[string]float64
-		now      clock.Millis
-		ownTime  float64 // pool time in ms for which this VM used its own part
+		sequence uint64                // of the last request
+		own      map[string]*ownBucket // by customer
+		credits  map[string]float64    // tokens held as credit, by customer
+		now      clock.Millis          // of the last call
+		ownTime  float64               // pool time in ms for which this VM used its own part
 	}
 
 	// ownBucket holds a customer's tokens of this VM's own part.
@@ -83,7 +83,7 @@
 	return true
 }
 
-// advance adds the time for which this VM had its own part.
+// advance adds the time for which this VM had its own part since the last call.
 func (ac *Account) advance(now clock.Millis, vms int) {
 	if ac.own == nil {
 		ac.own, ac.credits, ac.now = make(map[string]*ownBucket), make(map[string]float64), now
@@ -95,6 +95,7 @@
 	ac.now = now
 }
 
+// ownBucketOf returns a customer's bucket of this VM's own part. A new one is empty.
 func (ac *Account) ownBucketOf(customer string) *ownBucket {
 	bu := ac.own[customer]
 	if bu == nil {
@@ -113,6 +114,8 @@
 	ob.recoveredAt = now
 }
 
+// creditOf returns a customer's credit, at most this VM's present part of the slack
+// tokens, which becomes smaller when the limit is lowered or the fleet grows.
 func (ac *Account) creditOf(customer string, lim Limit, vms int) float64 {
 	return min(ac.credits[customer], ac.Settings.slackTokensPerVM(lim, vms))
 }
@@ -164,7 +167,8 @@
 }
 
 // lendSlack lends this VM's part of the slack to the keeper that holds the lease,
-// unless another keeper may have spent it within the window.
+// unless another keeper may have spent it within the window. It reports whether the
+// part is lent.
 func (ac *Account) lendSlack(now clock.Millis) bool {
 	other := ac.slack.keeper != 0 && ac.slack.keeper != ac.lent.id
 	if other && now < ac.slack.until+ac.Settings.Window {
@@ -174,7 +178,8 @@
 	return true
 }
 
-// endSlackLoan records that a keeper has released its lease.
+// endSlackLoan records that a keeper has confirmed the end of its lease. If that
+// keeper is not in debt, the next one may get the VM's part of the slack at once.
 func (ac *Account) endSlackLoan(now clock.Millis, rsp Response) {
 	switch {
 	case ac.slack.keeper != rsp.KeeperID:
@@ -210,8 +215,9 @@
 	return req, true
 }
 
-// ApplyResponse applies a keeper's response to a request sent at the given time. If
-// another keeper holds the lease, the response changes only the credit.
+// ApplyResponse applies a keeper's response to a request that was sent to vm at
+// requestedAt. If another keeper holds the lease, the response changes only the
+// credit.
 func (ac *Account) ApplyResponse(now, requestedAt clock.Millis, vms int, vm string, req Request, lim Limit, rsp Response) {
 	ac.advance(now, vms)
 	if rsp.Credit > 0 {
@@ -232,7 +238,7 @@
 	ac.lent = loan{vm: vm, id: rsp.KeeperID, keeperTime: rsp.Time, requestedAt: requestedAt, until: max(ac.lent.until, now+LeaseDuration), announced: announced}
 }
 
-// Evict drops the state of customers that are not wanted any more.
+// Evict drops the state of all customers for which wanted returns false.
 func (ac *Account) Evict(wanted func(customer string) bool) {
 	for customer := range ac.own {
 		if !wanted(customer) {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,8 +8,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// BenchmarkKeeperHandle measures one request to a keeper to which so many VMs lend their
-// parts.
+// BenchmarkKeeperHandle measures one request to a keeper to which all VMs of a fleet
+// lend their parts.
 func BenchmarkKeeperHandle(b *testing.B) {
 	for _, vms := range []int{7, 69, 300} {
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -17,12 +17,12 @@
 		Settings Settings
 		ID       uint64 // of the process; not zero, and different after each start
 
-		leases     map[string]lease
-		buckets    map[string]*bucket
-		now        clock.Millis
-		pooledTime float64      // pool time: span in ms for which all parts of the fleet would have been held
-		unleasedAt clock.Millis // last time without any lease
-		fillStart  float64      // pool time from which new buckets fill
+		leases     map[string]lease   // by VM
+		buckets    map[string]*bucket // by customer
+		now        clock.Millis       // of the last call
+		pooledTime float64            // pool time: span in ms for which all parts of the fleet would have been held
+		unleasedAt clock.Millis       // last time without any lease
+		fillStart  float64            // pool time from which new buckets fill
 	}
 
 	// lease is the lease on the part of one VM, in one of its incarnations.
@@ -99,9 +99,9 @@
 	}
 }
 
-// emptyBuckets removes all tokens from the buckets: while this keeper has no leases
-// others grant tokens, and those that accrued here before must not be granted in
-// addition.
+// emptyBuckets removes all tokens from the buckets. While this keeper has no leases,
+// other keepers and the VMs themselves grant tokens, and those that accrued here
+// before must not be granted in addition.
 func (ke *Keeper) emptyBuckets() {
 	ke.unleasedAt, ke.fillStart = ke.now, ke.pooledTime
 	for _, bu := range ke.buckets {
@@ -110,8 +110,9 @@
 }
 
 // applyLease renews or ends the lease on a VM's part. The lease is renewed from the
-// time at which the VM last received a response of this keeper. Requests of one VM
-// may arrive out of order.
+// keeper's time in the last response that the VM received. Requests of one VM may
+// arrive out of order, so a request that is older than the last release, or from an
+// earlier incarnation of the VM, does not change the lease.
 func (ke *Keeper) applyLease(now clock.Millis, vm string, incarnation uint64, req Request) {
 	le := ke.leases[vm]
 	if incarnation > le.incarnation {
@@ -147,7 +148,8 @@
 	return min(1, float64(held)/all), min(1, float64(lent)/all)
 }
 
-// inDebt reports whether any customer was granted tokens that have not accrued yet.
+// inDebt reports whether the keeper granted any customer tokens that have not
+// accrued yet.
 func (ke *Keeper) inDebt() bool {
 	for _, bu := range ke.buckets {
 		if bu.inDebt(ke.pooledTime) {
@@ -169,8 +171,8 @@
 	return true
 }
 
-// bucketOf returns a customer's bucket. A new bucket starts with what accrued since
-// this keeper has held leases, because nobody granted those tokens.
+// bucketOf returns a customer's bucket. A new bucket starts with the tokens that
+// accrued since this keeper has held leases, because none of them were granted.
 func (ke *Keeper) bucketOf(customer string) *bucket {
 	bu := ke.buckets[customer]
 	if bu == nil {
@@ -180,8 +182,8 @@
 	return bu
 }
 
-// Evict drops the state of customers that are not wanted any more, and of VMs whose
-// leases expired long ago.
+// Evict drops the state of all customers for which wanted returns false, and of VMs
+// whose leases expired longer than evictAfter ago.
 func (ke *Keeper) Evict(wanted func(customer string) bool) {
 	for customer := range ke.buckets {
 		if !wanted(customer) {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -15,8 +15,8 @@
 // partitioned fleet, each side has a keeper with that side's part of the rate.
 // No quorum is needed and the store is not involved.
 //
-// A keeper that starts or takes over does not know what was granted before, so
-// its buckets begin empty and fill from then on.
+// A keeper that starts or takes over does not know how many tokens were granted
+// before, so its buckets begin empty and fill from then on.
 //
 // # Shards
 //
@@ -30,12 +30,13 @@
 //
 // # Use of the slack
 //
-// Limits have a slack ([Settings]) for what a fleet can't know in time. Some of it
-// is spent on requests: keepers, and VMs without a responding keeper, may take a
-// bucket below empty, and VMs hold credit, which is tokens taken from a keeper in
-// advance so that plain requests need not wait for a response. The rest covers
-// VMs that restart while the lease of their previous incarnation still counts,
-// and VMs that learn late of a change in the fleet's size.
+// Limits have a slack ([Settings]) for tokens that a fleet grants before it can
+// know that they exceed the limit. Some of it is spent on requests: keepers, and
+// VMs without a responding keeper, may take a bucket below empty, and VMs hold
+// credit, which is tokens taken from a keeper in advance so that plain requests
+// need not wait for a response. The rest covers VMs that restart while the lease
+// of their previous incarnation still counts, and VMs that learn late of a change
+// in the fleet's size.
 //
 // A VM lends its part of the slack together with its part of the rate, but to
 // only one keeper per window. The next keeper gets it when the window is over,
@@ -82,9 +83,10 @@
 	// creditThreshold is the part of a full bucket that must be left for a keeper to
 	// grant credit, because scarce tokens go to present requests first.
 	creditThreshold = 0.25
-	// majorityPart is the part of the fleet's parts that at most one keeper can
-	// exceed. Only that keeper grants requests that are larger than a full bucket.
-	// If each of many small keepers did, a partitioned fleet would exceed its limits.
+	// majorityPart is the fraction of the fleet's parts that at most one keeper can
+	// exceed. Only a keeper that holds more grants requests that are larger than a
+	// full bucket. If each of many small keepers did, a partitioned fleet would
+	// exceed its limits.
 	majorityPart = 0.5
 )
 
@@ -130,7 +132,7 @@
 
 	// bucket holds one customer's tokens at a keeper or at a VM.
 	bucket struct {
-		level float64
+		level float64 // tokens; below zero: more were granted than had accrued
 		at    float64 // pool time of the last fill
 		rate  float64 // of the limit at the last fill
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -27,11 +27,12 @@
 )
 
 var (
-	// withoutSlack makes the limit itself observable.
+	// withoutSlack permits no slack, so that tests observe the limit itself.
 	withoutSlack = quota.Settings{Window: 8 * clock.Second}
 	pairLimit    = quota.Limit{Rate: 1000, Burst: 500}
 )
 
+// newPair returns a pair whose VMs hold no leases yet.
 func newPair(st quota.Settings) *quotaPair {
 	return &quotaPair{ke: &quota.Keeper{ID: 1, Settings: st}, otherAccount: &quota.Account{Settings: st}, keeperAccount: &quota.Account{Settings: st}, lim: pairLimit, keeperVM: vmA}
 }
@@ -71,6 +72,7 @@
 	assert.Assert(t, !pa.requestTokens(4000, 1).Granted)
 }
 
+// The wait in a denial ends when the requested tokens have accrued.
 func TestWaitIsUntilThereIsRoom(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -43,7 +43,7 @@
 		ac                quota.Account
 		down              clock.Millis // until when it is stopped
 		frozen            clock.Millis // until when it is paused
-		side              int          // of a partitioned network
+		side              int          // side of the partitioned network that it is on
 		unresponsiveUntil map[string]clock.Millis
 		view              string // the VM that it considers to be the keeper
 		nextView          clock.Millis
@@ -94,6 +94,7 @@
 	return sm
 }
 
+// start starts a new incarnation of a VM, which has no state of the previous one.
 func (sm *sim) start(vm *simVM) {
 	vm.incarnation++
 	vm.ke = quota.Keeper{Settings: sm.st, ID: sm.rnd.Uint64() | 1}
@@ -102,6 +103,7 @@
 	vm.nextView = 0
 }
 
+// happens reports whether an event with the given mean rate happens in this step.
 func (sm *sim) happens(perSecond float64) bool {
 	return sm.rnd.Float64() < perSecond*float64(simStep)/float64(clock.Second)
 }
@@ -231,7 +233,8 @@
 	sm.send(vm, sm.vms[to], ms)
 }
 
-// handle handles a message: a request as the keeper, or the response to an own request.
+// handle handles a message: a request as the keeper, or the response to one of the VM's
+// own requests.
 func (sm *sim) handle(vm *simVM, ms message) {
 	if ms.response == nil {
 		rsp := vm.ke.Handle(sm.now, simVMs, ms.requester, ms.incarnation, ms.request, &sm.lim)
@@ -294,6 +297,7 @@
 	return most
 }
 
+// total returns the number of all tokens that ran.
 func (sm *sim) total() float64 {
 	sum := 0.0
 	for _, ra := range sm.ran {
