--- a/internal/charge/bound_test.go
+++ b/internal/charge/bound_test.go
@@ -55,8 +55,8 @@
 	return most
 }
 
-// disturb makes VMs, keepers more than others, unresponsive for a while, and changes
-// the keeper at random.
+// disturb repeatedly makes a random VM or, half of the time, the keeper unresponsive for
+// a while, and makes a random VM the keeper.
 func disturb(nt *testNet, rnd *rand.Rand, names []string, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		time.Sleep(time.Duration(rnd.Int64N(int64(1500 * time.Millisecond))))
@@ -139,7 +139,7 @@
 	t.Logf("the worst window had %.2f of the tokens that may run", worst)
 }
 
-// vmNames returns the names of so many VMs.
+// vmNames returns the names of a number of VMs.
 func vmNames(count int) []string {
 	var names []string
 	for ix := range count {
--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -34,16 +34,17 @@
 	// keeperRetryInterval is the pause before a request without a response from any
 	// keeper tries again.
 	keeperRetryInterval = 30 * clock.Millis(1)
-	// minRetryAfter is the shortest time after which a caller beyond its quota is
-	// told to return, because each return takes a new connection.
+	// minRetryAfter is the shortest RetryAfter of a refusal because of the quota. It
+	// bounds how often a caller returns, because each return takes a new connection.
 	minRetryAfter = 50 * clock.Millis(1)
-	// retryAfterJitter is the largest random part that is added to the time, so that
-	// callers who were refused together don't return together.
+	// retryAfterJitter is the largest random part that is added to RetryAfter, as a
+	// fraction of it, so that callers who were refused together don't return together.
 	retryAfterJitter = 0.25
-	// leaseCheckInterval is the interval at which leases are checked.
+	// leaseCheckInterval is the interval at which leases are checked for renewal.
 	leaseCheckInterval = 100 * clock.Millis(1)
 	// freeAfter is how long no request of a customer must be refused before its
-	// quota counts as free again. At the limit, some requests pass and some don't.
+	// quota counts as free again. At the limit, some requests are granted and others
+	// are refused.
 	freeAfter = 2 * clock.Second
 	// evictInterval is the interval at which the state of removed customers and VMs
 	// is dropped.
@@ -73,8 +74,9 @@
 		MaxWait  clock.Millis // how long the request may wait while no keeper responds
 	}
 
-	// Charger charges the requests of one VM, and serves as the keeper of a shard for
-	// all VMs while this VM is the one. Set the exported fields before use.
+	// Charger charges the requests of one VM. While this VM is the keeper of a shard,
+	// it also grants that shard's tokens to all VMs. Set the exported fields before
+	// use.
 	Charger struct {
 		Self     string // name of this VM
 		ID       uint64 // of the process; not zero, and different after each start
@@ -132,15 +134,15 @@
 	}
 }
 
-// retryAfter returns when a caller is told to return if there is room after a span.
+// retryAfter returns the RetryAfter of a refusal if there will be room after a span.
 func retryAfter(wait clock.Millis) clock.Millis {
 	wait = max(minRetryAfter, wait)
 	return wait + clock.Millis(retryAfterJitter*rand.Float64()*float64(wait))
 }
 
-// retryAfterUnavailable returns when a caller is told to return because no keeper
-// responded: when a new keeper has settled, or when the lease of an unresponsive one
-// has expired.
+// retryAfterUnavailable returns the RetryAfter of a refusal because no keeper
+// responded: the time until a new keeper has settled, or until the lease of an
+// unresponsive one has expired.
 func (ch *Charger) retryAfterUnavailable() clock.Millis {
 	ch.ensureShards()
 	ch.mu.Lock()
--- a/internal/charge/charge_test.go
+++ b/internal/charge/charge_test.go
@@ -50,7 +50,7 @@
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
 
-// Keepers returns two VMs if there are that many.
+// Keepers returns two different VMs if there are at least two.
 func (pe peers) Keepers() [quota.Shards]string {
 	pe.net.mu.Lock()
 	defer pe.net.mu.Unlock()
@@ -110,10 +110,13 @@
 	return nt
 }
 
+// order returns the charge for a request of the test's customer.
 func order(tokens float64) charge.Order {
 	return charge.Order{Customer: "c", Limit: limit, Tokens: tokens, MaxWait: 180}
 }
 
+// refusalOf returns the refusal that an error holds, and checks that it says that the
+// request did not run.
 func refusalOf(t *testing.T, err error) refusal.Refusal {
 	t.Helper()
 	rf, ok := errors.AsType[refusal.Refusal](err)
@@ -175,8 +178,9 @@
 	})
 }
 
-// An unresponsive keeper is detected soon. Until another one holds the leases, a VM
-// uses its part of the slack and tells refused callers when to return.
+// While a keeper is unresponsive, a VM uses its part of the slack. Beyond that it refuses
+// requests shortly after their longest wait, with a RetryAfter. Once another keeper holds
+// the leases, requests are granted again.
 func TestUnresponsiveKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nt := newNet(t, settings, "a", "b", "c", "d")
--- a/internal/charge/lost_test.go
+++ b/internal/charge/lost_test.go
@@ -16,15 +16,15 @@
 
 const (
 	lostVMs = 24
-	// lossNoticeDelay is the time until the VMs learn that the keeper is lost.
+	// lossNoticeDelay is the time until the VMs detect that the keeper is lost.
 	lossNoticeDelay = time.Second
 	// lossSpan is how long the loss of a keeper may have effects.
 	lossSpan = 2 * time.Second
 	// lossUtilization is the part of its limit that the customer uses, a tenth of that
 	// for plain requests.
 	lossUtilization  = 0.55
-	generationTokens = 7700
-	plainTokens      = 100
+	generationTokens = 7700 // of a generation
+	plainTokens      = 100  // of one plain request
 )
 
 // lostLimit is the limit of a small customer, which allows four generations per second.
--- a/internal/charge/shard.go
+++ b/internal/charge/shard.go
@@ -35,8 +35,8 @@
 
 	// denial is a keeper's response that there is no room.
 	denial struct {
-		tokens float64 // that were requested
-		until  clock.Millis
+		tokens float64      // that were requested
+		until  clock.Millis // when the denial is no longer reused
 		roomAt clock.Millis // when there will be room
 	}
 )
@@ -50,8 +50,8 @@
 	return keeper
 }
 
-// cachedDenial reports whether the keeper recently denied so many tokens, and how
-// long there will be no room for them.
+// cachedDenial reports whether the keeper recently denied this number of tokens or
+// fewer, and the time until there is room for them.
 func (sh *shard) cachedDenial(now clock.Millis, customer string, tokens float64) (wait clock.Millis, denied bool) {
 	de := sh.denials[customer]
 	if now >= de.until || tokens < de.tokens {
@@ -66,7 +66,7 @@
 		sh.account.NeedsCredit(vms, or.Customer, or.Limit.PerShard(), or.Tokens/quota.Shards)
 }
 
-// evict drops the state of customers that are not wanted any more.
+// evict drops the state of all customers for which wanted returns false.
 func (sh *shard) evict(wanted func(customer string) bool) {
 	sh.keeper.Evict(wanted)
 	sh.account.Evict(wanted)
@@ -88,7 +88,7 @@
 	return rsp, err == nil && rsp.Known
 }
 
-// requestCredit requests credit only.
+// requestCredit requests credit without tokens for a request.
 func (ch *Charger) requestCredit(sh *shard, vm string, vms int, or Order) {
 	_, _ = ch.requestTokens(context.Background(), sh, vm, vms, or.withTokens(0)) // on failure, the next request without credit requests its own tokens
 	ch.mu.Lock()
@@ -122,7 +122,8 @@
 	return rsp, nil
 }
 
-// Handle handles the request of another VM as the keeper of a shard.
+// Handle handles the request of a VM, which may be this one, as the keeper of a
+// shard.
 func (ch *Charger) Handle(vm string, incarnation uint64, req quota.Request) quota.Response {
 	ch.ensureShards()
 	var lim *quota.Limit
@@ -138,7 +139,8 @@
 	return ch.shards[req.Shard].keeper.Handle(ch.now(), vms, vm, incarnation, req, lim)
 }
 
-// giveBack returns unused tokens of a shard.
+// giveBack returns unused tokens to a shard. What this VM does not keep as credit is
+// sent to the keeper that holds the lease.
 func (ch *Charger) giveBack(sh *shard, customer string, lim quota.Limit, tokens float64) {
 	vms := ch.Peers.VMs()
 	ch.mu.Lock()
--- a/internal/charge/sizes_test.go
+++ b/internal/charge/sizes_test.go
@@ -32,7 +32,7 @@
 // lossCounts counts requests and refusals.
 type lossCounts struct{ plain, plainRefused, generations, generationsRefused int }
 
-// run counts the requests in the two seconds after the loss.
+// run runs the simulation and counts the requests in the two seconds after the loss.
 func (kl keeperLoss) run(t *testing.T, seed uint64) (lc lossCounts) {
 	synctest.Test(t, func(t *testing.T) {
 		names := vmNames(kl.vms)
--- a/internal/charge/take.go
+++ b/internal/charge/take.go
@@ -8,15 +8,14 @@
 	"alderdyke/pkg/clock"
 )
 
-// reply is a shard's reply to a request. The shard may be asked for tokens unless it
-// denied the request or its keeper is unavailable.
+// reply is the outcome of a request at one shard, as far as it is known.
 type reply struct {
 	sh          *shard
 	vm          string // its keeper
 	granted     bool
 	denied      bool
-	unavailable bool         // it has no responding keeper
-	wait        clock.Millis // until there is room, if it denied the request
+	unavailable bool         // the shard has no responding keeper
+	wait        clock.Millis // until there is room, if the keeper denied the request
 }
 
 // attempt takes the tokens held by this VM, or requests them once from the keepers.
@@ -42,9 +41,9 @@
 }
 
 // localReplies returns the replies that are known without a request to the keepers.
-// Shards with an unresponsive keeper or a cached denial are not asked, and the others
-// share their tokens. A shard with room for its equal part may have denied the larger
-// part that results, so the check repeats with that part.
+// Nothing is requested from shards with an unresponsive keeper or a cached denial, so
+// the others must grant larger parts of the tokens. A shard with room for the smaller
+// part may have denied the larger one, so the check is repeated with that part.
 func (ch *Charger) localReplies(keepers [quota.Shards]string, or Order) []*reply {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -66,7 +65,8 @@
 	return replies
 }
 
-// eligible returns the replies of shards that may be asked for tokens.
+// eligible returns the replies of the shards from which tokens may be requested:
+// those that have a responding keeper and did not deny the request.
 func eligible(replies []*reply) []*reply {
 	var open []*reply
 	for _, re := range replies {
@@ -94,8 +94,8 @@
 }
 
 // completeGrants reports whether the shards granted all of the tokens. If only some
-// granted their parts, the first of these is asked for the missing tokens. If it does
-// not grant them, all granted parts are given back.
+// granted their parts, the missing tokens are requested from the first of these. If it
+// does not grant them, all granted parts are given back.
 func (ch *Charger) completeGrants(ctx context.Context, asked []*reply, vms int, part Order) bool {
 	var granted []*reply
 	for _, re := range asked {
@@ -162,8 +162,9 @@
 	})
 }
 
-// takeFrom takes tokens from shards that together have enough, in equal parts as far
-// as each has its own. The lock must be held.
+// takeFrom takes tokens from shards in equal parts. What a shard lacks of its part is
+// taken from the others. It reports whether the shards together have enough tokens;
+// otherwise nothing is taken. The lock must be held.
 func takeFrom(shards []*shard, tokens float64, has func(*shard) float64, take func(*shard, float64)) bool {
 	sum := 0.0
 	for _, sh := range shards {
