--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -35,6 +35,7 @@
 	return bk
 }
 
+// dropFull removes the budgets that are full now.
 func (po *Policy) dropFull(now clock.Millis) {
 	for ac, bk := range po.budgets {
 		bk.refill(now, po.Settings)
@@ -53,8 +54,11 @@
 	bk.at = now
 }
 
+// earn adds a number of retries, which need not be whole, up to a largest number.
 func (bk *bucket) earn(part, most float64) { bk.tokens = min(bk.tokens+part, most) }
 
+// spend takes the cost and reports whether the bucket held enough; otherwise nothing is
+// taken.
 func (bk *bucket) spend(cost float64) bool {
 	if bk.tokens < cost {
 		return false
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -22,7 +22,8 @@
 )
 
 type (
-	// HedgeRequest is a request whose first attempt was just sent.
+	// HedgeRequest is a request whose first attempt was just sent. Quick means that
+	// its class has the urgency Quick; other requests are not hedged.
 	HedgeRequest struct {
 		Customer, Service string
 		Idempotent, Quick bool
@@ -40,10 +41,10 @@
 
 	// latencies holds the recent latencies of a service in a ring buffer.
 	latencies struct {
-		ring         []float64 // milliseconds
-		next         int
-		sinceRefresh int // answers since slow was computed
-		slow         clock.Millis
+		ring         []float64    // milliseconds
+		next         int          // index in ring for the next answer
+		sinceRefresh int          // answers since slow was computed
+		slow         clock.Millis // hedgeQuantile of the ring
 	}
 )
 
@@ -62,7 +63,7 @@
 }
 
 // Hedge decides whether and when a second attempt may be sent in addition to the
-// first. It spends nothing yet.
+// first. The budget is charged only by SpendHedge.
 func (po *Policy) Hedge(now clock.Millis, req HedgeRequest) Hedging {
 	po.prepare()
 	slow, why := po.hedgeDelay(req)
@@ -109,6 +110,7 @@
 	}
 }
 
+// add adds a latency to the ring, and computes the quantile again from time to time.
 func (lt *latencies) add(took float64) {
 	if len(lt.ring) < sampleWindow {
 		lt.ring = append(lt.ring, took)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -83,7 +83,7 @@
 		Customer, Service string
 		Idempotent        bool
 		Number            int // of this attempt, counted from 1
-		// Last is the refusal of this attempt. Its RetryAfter is observed.
+		// Last is the refusal of this attempt. A retry waits for at least its RetryAfter.
 		Last refusal.Refusal
 		// EarlierMayHaveRun reports that an attempt before this one may have run, even
 		// if this one did not.
@@ -130,7 +130,8 @@
 	po.bucket(now, account{customer, service}).earn(po.Settings.Ratio, po.Settings.Burst)
 }
 
-// Decide decides what follows a failed attempt. A Retry has already been paid for.
+// Decide decides what follows a failed attempt. The cost of a Retry is already taken
+// from the budget.
 func (po *Policy) Decide(now clock.Millis, at Attempt) Verdict {
 	po.prepare()
 	ran := refusal.NotRun
@@ -179,9 +180,9 @@
 	po.bucket(now, account{customer, service}).earn(cost, po.Settings.Burst)
 }
 
-// isTransient reports whether another attempt may not fail in the same way. All other
-// reasons are due to the request itself, or are returned to the caller at once
-// because a retry would add load under overload.
+// isTransient reports whether another attempt may succeed after a failure with the given
+// reason. All other reasons are due to the request itself, or are returned to the caller
+// at once because a retry would add load under overload.
 func isTransient(rs refusal.Reason) bool {
 	switch rs {
 	case refusal.BackendFailed, refusal.NoBackend, refusal.SchedulerAway, refusal.HomeUnreachable, refusal.VMLost:
@@ -191,7 +192,8 @@
 	}
 }
 
-// backoff returns a uniformly random span up to a bound that doubles with each attempt.
+// backoff returns a uniformly random span up to a bound that doubles with each attempt,
+// up to Settings.MaxBackoff.
 func (po *Policy) backoff(number int) clock.Millis {
 	bound := po.Settings.BaseBackoff
 	for range number - 1 {
@@ -200,11 +202,15 @@
 	return clock.Millis(po.Rand.Int64N(int64(bound) + 1))
 }
 
+// exhausted returns the refusal for a request that is not retried any more although
+// another attempt might succeed.
 func (po *Policy) exhausted(last refusal.Refusal, detail string) refusal.Refusal {
 	last.Reason = refusal.RetriesExhausted
 	return last.WithDetail(detail).WithRetryAfter(max(last.RetryAfter, po.Settings.RetryAfter))
 }
 
+// deadlinePassed returns the refusal for a request whose deadline leaves no time for
+// another attempt.
 func deadlinePassed(last refusal.Refusal) refusal.Refusal {
 	last.Reason = refusal.DeadlinePassed
 	return last.WithDetail("another attempt would end after the deadline").WithRetryAfter(0)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -145,6 +145,7 @@
 	})
 }
 
+// checkRetry checks that a retry was permitted.
 func checkRetry(rt *rapid.T, now clock.Millis, at Attempt, mayHaveRun bool) {
 	if mayHaveRun && !at.Idempotent {
 		rt.Fatal("retried although it may have run")
@@ -154,6 +155,7 @@
 	}
 }
 
+// checkGiveUp checks what the final refusal says and the number of attempts.
 func checkGiveUp(rt *rapid.T, vd GiveUp, at Attempt, mayHaveRun bool) {
 	if (vd.Refusal.Ran == refusal.NotRun) == mayHaveRun {
 		rt.Fatalf("refusal says %s", vd.Refusal.Ran)
@@ -181,6 +183,7 @@
 	assert.Assert(t, po.backoff(40) <= DefaultMaxBackoff)
 }
 
+// hedgeRequest returns a request that may be hedged.
 func hedgeRequest() HedgeRequest {
 	return HedgeRequest{Customer: "cu", Service: "svc", Idempotent: true, Quick: true, Deadline: clock.Minute}
 }
--- a/internal/retry/storm_test.go
+++ b/internal/retry/storm_test.go
@@ -20,6 +20,7 @@
 	computed       int                  // all answers, including late ones
 }
 
+// sentAttempt is an attempt in the server's queue.
 type sentAttempt struct {
 	at       Attempt
 	began    clock.Millis
@@ -57,6 +58,7 @@
 	sm.queue = append(sm.queue, &sentAttempt{at: at, began: now})
 }
 
+// answer answers the first attempt in the queue.
 func (sm *storm) answer(now clock.Millis) {
 	se := sm.queue[0]
 	sm.queue = sm.queue[1:]
@@ -67,7 +69,7 @@
 	}
 }
 
-// giveUp has the policy decide about the attempts that reach the callers' timeout.
+// giveUp lets the policy decide about the attempts that reach the callers' timeout.
 func (sm *storm) giveUp(now clock.Millis) {
 	for _, se := range sm.queue {
 		if now-se.began != stormTimeout+1 {
