--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -6,7 +6,7 @@
 // must be drained. This package decides how many engines of each role there
 // should be ([Plan]) and orders the changes ([Keeper]). Only one VM gives orders:
 // the holder of a lease whose revision is the fencing token. The lease is checked
-// once more when the connection to the engine is established.
+// before an order and once more when the connection to the engine is established.
 //
 // The lease is not released after an order but expires, because two holders must
 // not give orders shortly after one another.
@@ -35,7 +35,7 @@
 	// leaseCheckInterval is the interval at which roles and lease are checked.
 	leaseCheckInterval = 500 * clock.Millis(1)
 	// fencedPause is how long no orders are given after an engine declined the
-	// fencing token, because another VM has a newer one.
+	// fencing token, because that means that another VM has a newer one.
 	fencedPause = 15 * clock.Second
 	// orderTimeout bounds the time of one order.
 	orderTimeout = clock.Second
@@ -80,9 +80,9 @@
 		Clock     clock.Source
 		Log       event.Logger
 
-		plans            map[string]*Plan
-		pausedUntil      clock.Millis // no orders are given before
-		leaseWantedUntil clock.Millis // the lease is acquired and renewed until then
+		plans            map[string]*Plan // by service
+		pausedUntil      clock.Millis     // no orders are given before
+		leaseWantedUntil clock.Millis     // the lease is acquired and renewed until then
 	}
 )
 
@@ -90,7 +90,7 @@
 // change needs no new lease.
 const leaseLinger = 4 * clock.Second
 
-// Run keeps the engines divided until the context ends.
+// Run orders the changes of roles that are due until the context ends.
 func (ke *Keeper) Run(ctx context.Context) {
 	ke.plans = make(map[string]*Plan)
 	ke.Holder.Lapses = true
@@ -128,6 +128,7 @@
 	}
 }
 
+// dueChanges returns the changes that are due, at most one for each service.
 func (ke *Keeper) dueChanges(now clock.Millis) []Change {
 	var out []Change
 	for name, svc := range ke.Services() {
@@ -167,6 +168,8 @@
 	}
 }
 
+// appendLease writes the holder's record to the register, passes the result to the
+// holder, and reads the register again.
 func (ke *Keeper) appendLease(ctx context.Context, in register.LeaseAppend) {
 	rec, err := register.Parse(0, in.Data)
 	pub, ok := rec.(register.Publish)
@@ -213,6 +216,8 @@
 	}
 }
 
+// recordOrder records in the service's plan that a change was ordered, or may have been,
+// and calls OnOrdered.
 func (ke *Keeper) recordOrder(now clock.Millis, ch Change) {
 	until := ke.plans[ch.Server.Service].RecordOrder(now, ch)
 	if ke.OnOrdered != nil {
--- a/internal/roles/keeper_test.go
+++ b/internal/roles/keeper_test.go
@@ -21,7 +21,7 @@
 	"alderdyke/pkg/clock"
 )
 
-var errRevisionChanged = errors.New("the register has moved on")
+var errRevisionChanged = errors.New("the revision of the register has changed")
 
 type (
 	// testCell holds a register and the engines of one service in memory.
@@ -29,22 +29,24 @@
 		mu          sync.Mutex
 		entry       register.Entry
 		engines     []board.BackendServer
-		token       uint64
+		token       uint64 // largest fencing token that an engine accepted
 		orders      []givenOrder
 		lostReplies int // number of replies to lose from now on
 		storeDown   bool
 		swaps       int // number of writes of the lease
 	}
 
+	// givenOrder is an order that an engine accepted.
 	givenOrder struct {
-		by    string
+		by    string // name of the VM
 		token uint64
 		at    time.Time
 	}
 
+	// view gives the keeper of one VM access to the register and the engines.
 	view struct {
 		ce   *testCell
-		name string
+		name string // of the VM
 	}
 
 	// bubbleClock counts from the start of a synctest bubble.
@@ -96,6 +98,7 @@
 	return nil
 }
 
+// keeper returns the keeper of a VM.
 func (ce *testCell) keeper(name string, shouldOrder func() bool) *roles.Keeper {
 	vw := view{ce, name}
 	return &roles.Keeper{Register: vw, Orders: vw, ShouldOrder: shouldOrder, Clock: bubbleClock{time.Now()},
@@ -182,6 +185,7 @@
 	})
 }
 
+// Without the store no VM can hold the lease, so no orders are given.
 func TestNoOrdersWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(4, 4), storeDown: true}
@@ -193,6 +197,7 @@
 	})
 }
 
+// An order whose reply was lost may have been carried out, so it is not repeated.
 func TestLostReplyIsNotOrderedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ce := &testCell{engines: engines(3, 5), lostReplies: 1}
--- a/internal/roles/plan.go
+++ b/internal/roles/plan.go
@@ -54,19 +54,20 @@
 		Settings   Settings
 		SwitchTime clock.Millis // duration of a change at an engine
 
-		ordered      map[string]order
-		pendingSince clock.Millis // when pendingRole was first needed
-		pendingRole  board.Role
+		ordered      map[string]order // by engine
+		pendingSince clock.Millis     // when pendingRole was first needed
+		pendingRole  board.Role       // role with too few engines; empty: none
 	}
 
 	// order is a change that was ordered and may not be listed yet.
 	order struct {
 		to    board.Role
-		until clock.Millis
+		until clock.Millis // when it no longer takes precedence over the listed role
 	}
 )
 
-// Next returns the change that is due, if there is one.
+// Next returns the change that is due, if there is one. It must be called regularly,
+// because a change is due only if it was needed at all calls for Settings.Dwell.
 func (pl *Plan) Next(now clock.Millis, engines []board.BackendServer) (Change, bool) {
 	st := pl.Settings.withDefaults()
 	roles := pl.effectiveRoles(now, engines)
--- a/internal/roles/plan_test.go
+++ b/internal/roles/plan_test.go
@@ -11,6 +11,7 @@
 	"alderdyke/pkg/clock"
 )
 
+// engines returns the engines of one service, spread over four failure domains.
 func engines(prefill, decode int) []board.BackendServer {
 	var out []board.BackendServer
 	for ix := range prefill + decode {
@@ -50,6 +51,8 @@
 	}
 }
 
+// An ordered change is not ordered again while the list of engines may still show the
+// old role. If the list shows it for longer, the change is due again.
 func TestOrderedChangeCountsBeforeItIsListed(t *testing.T) {
 	pl := roles.Plan{SwitchTime: 6 * clock.Second}
 	list := engines(3, 5)
