--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -10,7 +10,8 @@
 //
 // A server that fails repeatedly is ejected for a span that grows with each
 // ejection, but no more than half of a service's servers are ejected at a time. A
-// server that returns for any reason gets its part of the requests gradually.
+// server that is new, or returns after any absence, gets its part of the requests
+// gradually.
 //
 // A customer's share of a service applies to the whole fleet. Each VM grants its
 // part of the share, but at least one request, and lends what is unused.
@@ -43,7 +44,7 @@
 	Success   Result = "Success"   // complete answer, including one that reports an error of the caller
 	Failure   Result = "Failure"   // error of the server, or a broken connection
 	Timeout   Result = "Timeout"   // no answer in time
-	Busy      Result = "Busy"      // declined by the server for lack of room
+	Busy      Result = "Busy"      // declined by the server for lack of capacity
 	Gone      Result = "Gone"      // another server answered at its address
 	Cancelled Result = "Cancelled" // given up by this VM or the caller; does not reflect on the server
 )
@@ -111,21 +112,21 @@
 		Rand     *rand.Rand // must be set
 		Settings Settings
 
-		vms      int
-		servers  map[string]*server
-		services map[string]*service
+		vms      int                 // number of serving VMs
+		servers  map[string]*server  // by ID
+		services map[string]*service // by name
 	}
 
 	// service holds the servers and the customers of one plain service.
 	service struct {
 		servers   []*server // sorted by ID, without leaving ones
 		customers map[string]*customer
-		inFlight  int
+		inFlight  int // requests of this VM at all servers
 		queue     queueEstimate
 		senders   senders
 
-		comparedAt clock.Millis
-		overloaded bool // the reported load exceeds the slots
+		comparedAt clock.Millis // last call of findOutliers
+		overloaded bool         // the reported load exceeds the slots
 	}
 )
 
@@ -160,6 +161,8 @@
 	}
 }
 
+// updateServer applies a server's entry and report. A server that appears after the
+// first update begins with a slow start.
 func (ch *Chooser) updateServer(now clock.Millis, bs board.BackendServer, rep board.LoadReport, first bool) {
 	srv := ch.servers[bs.ID]
 	if srv == nil {
@@ -221,8 +224,8 @@
 	return srv.id, nil
 }
 
-// rejectsForQueue decides whether a request is refused because of the queue at the
-// servers.
+// rejectsForQueue decides at random whether a request is refused because of the queue at
+// the servers. Senders with few requests are refused only at a longer queue.
 func (ch *Chooser) rejectsForQueue(now clock.Millis, svc *service, req Request) bool {
 	svc.senders.add(now, req.Sender)
 	part := svc.queue.refusalPart(now, req.Objective, maxWaitPart)
@@ -324,6 +327,7 @@
 	return available
 }
 
+// filter returns the servers for which wanted returns true, in a new list.
 func filter(from []*server, wanted func(*server) bool) []*server {
 	out := make([]*server, 0, len(from))
 	for _, srv := range from {
@@ -345,6 +349,7 @@
 	return 2*(out+1) <= len(svc.servers)
 }
 
+// service returns a service, which it creates at the first call.
 func (ch *Chooser) service(name string) *service {
 	svc := ch.services[name]
 	if svc == nil {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -30,6 +30,8 @@
 	return bk
 }
 
+// pick sends a request of the customer cu, which must be admitted, and returns its
+// server.
 func pick(t *testing.T, ch *Chooser, now clock.Millis, exclude ...string) string {
 	t.Helper()
 	id, err := ch.Pick(now, Request{Service: svcName, Customer: "cu", Share: 1, Exclude: exclude})
@@ -37,7 +39,8 @@
 	return id
 }
 
-// sendOne sends one request and ends it at once.
+// sendOne sends one request, ends it at once with the result for its server, and returns
+// the server.
 func sendOne(t *testing.T, ch *Chooser, now clock.Millis, result func(id string) Result) string {
 	t.Helper()
 	id := pick(t, ch, now)
@@ -47,6 +50,7 @@
 
 func always(rs Result) func(string) Result { return func(string) Result { return rs } }
 
+// only returns the given result at one server and Success at all others.
 func only(bad string, rs Result) func(string) Result {
 	return func(id string) Result {
 		if id == bad {
@@ -56,7 +60,8 @@
 	}
 }
 
-// countPicks sends many requests that end at once.
+// countPicks sends n requests one after the other, each of which ends at once, and
+// returns how many each server got.
 func countPicks(t *testing.T, ch *Chooser, now clock.Millis, n int, result func(id string) Result) map[string]int {
 	t.Helper()
 	got := map[string]int{}
@@ -66,6 +71,8 @@
 	return got
 }
 
+// refusalOf returns the refusal that an error holds, and checks that it says that the
+// request did not run.
 func refusalOf(t *testing.T, err error) refusal.Refusal {
 	t.Helper()
 	var rf refusal.Refusal
@@ -118,6 +125,8 @@
 	pick(t, ch, 0, "s00", "s01", "s02")
 }
 
+// Each ejection lasts twice as long as the last one. Once the server has worked for long
+// enough, the ejections are forgiven.
 func TestEjectionGrowsAndEnds(t *testing.T) {
 	ch := chooser(4)
 	ch.Update(0, backends(4, 8), 1)
@@ -228,6 +237,7 @@
 	})
 }
 
+// checkCounts checks the number of ejected servers and the counts of requests in flight.
 func checkCounts(rt *rapid.T, ch *Chooser, now clock.Millis, flights int) {
 	svc := ch.services[svcName]
 	var out, inFlight, ofCustomers int
@@ -248,7 +258,8 @@
 	}
 }
 
-// admitted sends requests that stay in flight until one is refused.
+// admitted sends up to most requests, which stay in flight, until one is refused, and
+// returns their servers.
 func admitted(t *testing.T, ch *Chooser, now clock.Millis, customer string, share float64, most int) []string {
 	t.Helper()
 	var ids []string
@@ -263,6 +274,8 @@
 	return ids
 }
 
+// What one customer does not use of its part is lent to others, until it sends requests
+// itself.
 func TestUnusedSharesAreLentAndReclaimed(t *testing.T) {
 	const slots, vms = 30, 6 // 4 servers: 120 slots in total, 20 for this VM, 33 with slack; half of it 10, 16 with slack
 	ch := chooser(8)
--- a/internal/balance/compare_test.go
+++ b/internal/balance/compare_test.go
@@ -57,18 +57,19 @@
 		customer trialCustomer
 		vm       int
 		arrived  clock.Millis
-		takes    clock.Millis
+		takes    clock.Millis // service time
 	}
 
 	trialEvent struct {
 		at  clock.Millis
-		seq int
+		seq int // order of events at the same time
 		do  func(now clock.Millis)
 	}
 
+	// events is a heap of the events to come, the next one first.
 	events struct {
 		heap []trialEvent
-		seq  int
+		seq  int // of the last event that was scheduled
 	}
 )
 
@@ -113,7 +114,8 @@
 	return stat.Mean(waits, nil), stat.Quantile(0.99, stat.Empirical, waits, nil), float64(tl.refused[customer]) / all
 }
 
-// arrive generates all requests of a customer in one millisecond.
+// arrive generates all requests of a customer in one millisecond, and schedules itself for
+// the next one.
 func (tl *trial) arrive(now clock.Millis, cu trialCustomer) {
 	perMilli := cu.load * (float64(tl.servers) - 1 + 1/tl.slowdown) * trialSlots / trialMean
 	for gap := tl.rng.ExpFloat64(); gap < perMilli; gap += tl.rng.ExpFloat64() {
@@ -135,6 +137,7 @@
 	}
 }
 
+// start starts queued jobs at a server while it has free slots.
 func (tl *trial) start(now clock.Millis, srv int) {
 	for tl.running[srv] < trialSlots && len(tl.queues[srv]) > 0 {
 		jb := tl.queues[srv][0]
@@ -261,6 +264,7 @@
 	polOracle        = "oracle"
 )
 
+// newTrial returns a trial with the policy of the given name and without customers.
 func newTrial(name string, seed uint64, vms, servers int) *trial {
 	tl := &trial{rng: rand.New(rand.NewPCG(seed, 7)), vms: vms, servers: servers, slowdown: 1, span: clock.Minute}
 	draw := rand.New(rand.NewPCG(seed, 8))
@@ -286,8 +290,9 @@
 	ratio        map[string]float64 // largest ratio of the chooser's mean wait to that of each policy
 }
 
-// Compares the policies for the same requests, with a few VMs and with many VMs that get
-// few requests each. The bounds are ratios of the mean waits and hold for each seed.
+// The mean wait with the Chooser stays within given ratios of the mean waits with simpler
+// policies for the same requests, both with a few VMs and with many VMs that get few
+// requests each. The ratios hold for each seed.
 func TestComparePolicies(t *testing.T) {
 	for _, sh := range []trialConfig{
 		{6, 8, 0.8, 1, map[string]float64{polRoundRobin: 0.2, polLeastReported: 0.01, polTwoByReport: 0.01}},
@@ -323,8 +328,9 @@
 	}
 }
 
-// One customer offers three times the capacity. The other one, within its share, is
-// hardly ever refused and hardly waits.
+// One customer sends three times as many requests as there is capacity for. Of the other
+// one, within its share, the Chooser refuses less than 0.5 %, and they wait on average at
+// most a fifth of the mean service time.
 func TestFloodOfOneCustomer(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		for _, name := range []string{polRoundRobin, polChooser} {
--- a/internal/balance/crowd.go
+++ b/internal/balance/crowd.go
@@ -11,8 +11,8 @@
 	// A VM of a large fleet sends it about five requests per second, so the reports
 	// of the last half second have the most weight.
 	waitGain = 0.3
-	// waitHalfLife is the time in which the expected wait decays to a half while no
-	// server reports.
+	// waitHalfLife is the time in which the expected wait halves while no server
+	// reports.
 	waitHalfLife = 500 * clock.Millis(1)
 	// workGain is the weight of an answer in the average service time.
 	workGain = 0.05
@@ -27,11 +27,12 @@
 	// be in time, and keeps the queues of other senders from displacing them.
 	maxWaitPartLight = 0.4
 	// assumedRefusalPart is the part of all requests that is assumed to be refused
-	// when deciding which senders have few requests.
+	// when it is decided which senders have few requests.
 	assumedRefusalPart = 0.5
-	// refusalSlope is how fast refusals increase with the expected wait beyond the
-	// largest one. At about three times that wait refusals reach their maximum. Twice
-	// the slope answers as many in time and refuses 20 to 30 more in 1,000.
+	// refusalSlope is the increase of the refused part of requests per multiple of the
+	// largest accepted wait by which the expected wait exceeds it. At about three times
+	// that wait refusals reach their maximum. With twice the slope as many requests are
+	// answered in time, and 20 to 30 more in 1,000 are refused.
 	refusalSlope = 0.5
 	// maxRefusalPart is the largest part of requests that is refused because of the
 	// expected wait. The others show whether the estimate still holds.
--- a/internal/balance/crowd_test.go
+++ b/internal/balance/crowd_test.go
@@ -24,8 +24,8 @@
 	loadObjective    = 300 * clock.Millis(1)
 	loadRetryDelay   = 50 * clock.Millis(1) // until a refused caller returns, once
 	loadFailurePart  = 1.0 / 7              // part of requests that fail at a server
-	loadNetworkDelay = 3 * clock.Millis(1)
-	loadRate         = 211.0 // requests per second; a burst has loadBurst times as many
+	loadNetworkDelay = 3 * clock.Millis(1)  // between a VM and a server, one way
+	loadRate         = 211.0                // requests per second; a burst has loadBurst times as many
 	loadBurst        = 2.8
 	loadBurstFrom    = 4 * clock.Second
 	loadBurstTo      = 9 * clock.Second
@@ -53,7 +53,7 @@
 
 	loadServer struct {
 		id      string
-		speed   float64
+		speed   float64 // relative to the usual one
 		running int
 		queue   []*loadRequest
 	}
@@ -61,9 +61,9 @@
 	loadRequest struct {
 		vm        int
 		sender    string
-		began     clock.Millis
-		sent      clock.Millis
-		returning bool // its caller was refused before
+		began     clock.Millis // when the caller first sent it
+		sent      clock.Millis // when a VM last sent it to a server
+		returning bool         // its caller was refused before
 		tried     []string
 		fails     bool // at every server
 		server    string
@@ -128,9 +128,12 @@
 	return fmt.Sprint("sender ", ls.senderRand.IntN(loadSenders))
 }
 
-// inBurst reports whether a request arrived during the burst.
+// inBurst reports whether a request arrived during the burst. Only such requests are
+// counted.
 func (rq *loadRequest) inBurst() bool { return rq.began >= loadBurstFrom && rq.began < loadBurstTo }
 
+// count counts a request that ended by its outcome, which is the counter that count points
+// to.
 func (ls *loadSim) count(rq *loadRequest, count *int) {
 	if rq.inBurst() {
 		ls.requestCount++
@@ -148,6 +151,7 @@
 	}
 }
 
+// send lets the request's VM choose a server and send the request there.
 func (ls *loadSim) send(now clock.Millis, rq *loadRequest) {
 	req := Request{Service: "s", Share: 1, Exclude: rq.tried}
 	if ls.useReports {
@@ -166,6 +170,7 @@
 	ls.schedule(now+loadNetworkDelay, func(now clock.Millis) { ls.arrive(now, rq) })
 }
 
+// retryOnce lets a refused caller return to another VM, unless it already did.
 func (ls *loadSim) retryOnce(now clock.Millis, rq *loadRequest) {
 	if rq.returning {
 		ls.count(rq, &ls.refused)
@@ -176,6 +181,7 @@
 	ls.schedule(now+loadRetryDelay, func(now clock.Millis) { ls.send(now, rq) })
 }
 
+// arrive starts or queues a request at its server, which declines it if its queue is full.
 func (ls *loadSim) arrive(now clock.Millis, rq *loadRequest) {
 	srv := ls.servers[rq.server]
 	switch {
@@ -211,6 +217,7 @@
 	ls.schedule(now+loadNetworkDelay, func(now clock.Millis) { ls.answered(now, srv, rq, ld) })
 }
 
+// answered handles a server's answer at the request's VM.
 func (ls *loadSim) answered(now clock.Millis, srv *loadServer, rq *loadRequest, ld Load) {
 	ch := ls.vms[rq.vm]
 	out := Outcome{Result: Success, Took: now - rq.sent}
--- a/internal/balance/customer.go
+++ b/internal/balance/customer.go
@@ -8,13 +8,13 @@
 
 // customer is one customer's use of one service through this VM.
 type customer struct {
-	share    float64
+	share    float64 // part of the service's slots in the whole fleet, from 0 to 1
 	inFlight int
 
 	// The largest numbers of requests in flight, in the present span of
 	// Settings.ActiveSpan and in the previous one.
 	peak, previousPeak int
-	spanBegan          clock.Millis
+	spanBegan          clock.Millis // when the present span began
 	lastRequest        clock.Millis
 }
 
@@ -53,8 +53,9 @@
 }
 
 // part returns the number of requests that the customer may always have in flight
-// through this VM: its share of all slots, divided by the number of VMs, with slack
-// for callers who are spread unevenly over the VMs, and at least one.
+// through this VM: its share of this VM's part of the slots (room: all slots divided by
+// the number of VMs), with slack for callers who are spread unevenly over the VMs, and at
+// least one.
 func (cu *customer) part(room float64, st Settings) int {
 	return max(1, int(withSlack(cu.share*room, st.PartSlack)))
 }
@@ -89,6 +90,7 @@
 	return left >= 1
 }
 
+// totalSlots returns the number of slots of all servers of the service.
 func (svc *service) totalSlots() int {
 	sum := 0
 	for _, srv := range svc.servers {
--- a/internal/balance/fair.go
+++ b/internal/balance/fair.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// senderHalfLife is the time in which a sender's count decays to a half. In a
-	// large fleet, one VM gets a request of a sender only every few seconds.
+	// senderHalfLife is the time in which a sender's count halves without further
+	// requests. In a large fleet, one VM gets a request of a sender only every few
+	// seconds.
 	senderHalfLife = 2 * clock.Second
 	// maxSenders bounds the number of senders that are counted.
 	maxSenders = 256
@@ -30,6 +31,7 @@
 	}
 )
 
+// valueAt returns the count as it has decayed by now.
 func (dc decayingCount) valueAt(now clock.Millis) float64 {
 	return dc.count * math.Exp2(-float64(now-dc.at)/float64(senderHalfLife))
 }
@@ -77,8 +79,8 @@
 	return se.counts[name].valueAt(now) <= fairLevel(counts, (1-part)*sum)
 }
 
-// fairLevel returns the largest limit for each of some counts, given in ascending
-// order, with which the limited counts sum up to at most a total.
+// fairLevel returns the largest limit such that the counts, each capped at the limit,
+// sum up to at most total. The counts must be in ascending order.
 func fairLevel(counts []float64, total float64) float64 {
 	for ix, count := range counts {
 		each := total / float64(len(counts)-ix)
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// reportGain is the weight of a new report against earlier ones. The load one
-	// second ago says little about the load now. The load over many seconds reveals
-	// a slow server, or one that is used more by other VMs.
+	// reportGain is the weight of a new report against earlier ones in the smoothed
+	// load. The load one second ago says little about the load now. The load over many
+	// seconds reveals a slow server, or one that is used more by other VMs.
 	reportGain = 0.1
 	// recentGain is the same for the sum over all servers, in which random variation
 	// evens out.
@@ -126,6 +126,8 @@
 	return srv.backoffUntil != 0 && now < srv.backoffUntil
 }
 
+// isEjected reports whether the server is excluded because of its failures: it gets a
+// request only if all servers that the request has not tried are ejected or replaced.
 func (srv *server) isEjected(now clock.Millis) bool { return now < srv.ejectedUntil }
 
 // failed counts a failure and reports whether the server should be ejected. After an
@@ -139,6 +141,8 @@
 	return srv.probation || srv.failures >= st.Failures
 }
 
+// eject ejects the server, for a span that doubles with each consecutive ejection up to
+// Settings.MaxEjection. A slow start follows.
 func (srv *server) eject(now clock.Millis, st Settings) {
 	span := st.BaseEjection
 	for range srv.ejections {
