--- a/pkg/place/decode.go
+++ b/pkg/place/decode.go
@@ -18,7 +18,7 @@
 // Decode decodes TOML into the struct that target points to, then calls check,
 // which returns the problems of the decoded value by their keys. The error is
 // nil or an [Errors] that holds all problems, ordered by line. If there are more
-// than [MaxProblems], the last entry tells how many were left out.
+// than [MaxProblems], the last entry states how many were left out.
 //
 // Expressions that are invalid by themselves are left out of the decoded value. A
 // problem that check finds at the key of such an expression, or below it, is not
@@ -80,7 +80,8 @@
 	return ""
 }
 
-// validText returns the text with the lines of invalid expressions blanked.
+// validText returns the text with the lines of invalid expressions left empty, so that
+// the line numbers of the others stay the same.
 func (sc *scan) validText() []byte {
 	lines := bytes.Split(sc.text, []byte("\n"))
 	for _, ex := range sc.expressions {
@@ -119,7 +120,8 @@
 	return 0
 }
 
-// parent returns the key above, or the empty string if there is none.
+// parent returns the key above a key, which for an element of an array is the array, or
+// the empty string if there is none.
 func parent(key string) string {
 	return key[:max(0, strings.LastIndexAny(key, ".["))]
 }
--- a/pkg/place/place.go
+++ b/pkg/place/place.go
@@ -1,6 +1,6 @@
 // Package place reports the problems of a text that a person wrote, each with its
-// place and a way to mend it, and decodes TOML so that all problems of a text are
-// reported together.
+// place (file, line and key) and a way to mend it, and decodes TOML so that all
+// problems of a text are reported together.
 //
 // Keys are matched exactly, letter case included, and a key that the target
 // does not have is an error. A value whose type implements
@@ -22,7 +22,7 @@
 )
 
 type (
-	// Error is one problem at one place. It is an immutable value.
+	// Error is one problem at one place of a text. It is an immutable value.
 	Error struct {
 		File  string // empty for a value that came from no file
 		Line  int    // counts from 1; zero if unknown
--- a/pkg/place/place_test.go
+++ b/pkg/place/place_test.go
@@ -33,6 +33,7 @@
 		private string
 	}
 
+	// hidden is a text type whose values must not be shown.
 	hidden struct{ text *string }
 )
 
@@ -47,6 +48,7 @@
 	return nil
 }
 
+// Each problem is reported at its line and key.
 func TestDecodePlaces(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
@@ -137,6 +139,8 @@
 	assert.Equal(t, es[place.MaxProblems].Error(), "some.toml: mend these first; there are 7 more")
 }
 
+// For any text, Decode returns nil or an Errors whose entries have a mend and a line that is
+// not negative.
 func FuzzDecode(f *testing.F) {
 	f.Add("Share = 1\n[[List]]\nName = 'a'\n[List.X]\n[Inner]\nSpan = '1s'")
 	f.Add("Inner = {Name = 'x', Parts = ['a', 1]}\nSeeds = ['1.2.3.4:5']")
--- a/pkg/place/scan.go
+++ b/pkg/place/scan.go
@@ -30,11 +30,11 @@
 		parser      unstable.Parser
 		breaks      []int // offsets of line breaks
 		expressions []expression
-		lines       map[string]int  // line of each key path
+		lines       map[string]int  // line of each key path, counted from 1
 		bad         map[string]bool // key paths with a problem
 		counts      map[string]int  // number of elements of each array of tables
 		problems    Errors
-		undecodable bool // no value could be decoded
+		undecodable bool // the text is not valid TOML or could not be decoded
 
 		at  string       // path of the current table
 		typ reflect.Type // of the current table; nil if it is unknown
@@ -48,6 +48,7 @@
 	}
 )
 
+// newScan returns a scan of a text for a value of the struct type root.
 func newScan(text []byte, root reflect.Type) *scan {
 	sc := &scan{
 		text: text, root: root, typ: root,
@@ -61,7 +62,8 @@
 	return sc
 }
 
-// run checks all expressions. It returns false if the text is not valid TOML.
+// run checks all expressions and finds their lines. It returns false if the text is not
+// valid TOML.
 func (sc *scan) run() bool {
 	sc.parser.Reset(sc.text)
 	for sc.parser.NextExpression() {
@@ -94,6 +96,8 @@
 	return ix + 1
 }
 
+// addExpression checks an expression and records its path and first line. Key-value pairs
+// in an unknown table are invalid, but not reported one by one.
 func (sc *scan) addExpression(nd *unstable.Node) {
 	if nd.Kind == unstable.Comment {
 		return
@@ -115,6 +119,7 @@
 	})
 }
 
+// checkExpression checks the value of a key-value pair, or enters the table of a header.
 func (sc *scan) checkExpression(nd *unstable.Node, names []string, line int) {
 	switch nd.Kind {
 	case unstable.Table:
@@ -134,6 +139,7 @@
 	}
 }
 
+// checkArrayTable enters the next element of an array of tables.
 func (sc *scan) checkArrayTable(names []string, line int) {
 	last := len(names) - 1
 	above, typ := sc.resolve("", sc.root, names[:last], line)
@@ -164,8 +170,9 @@
 	return names, line
 }
 
-// resolve follows a dotted key from a struct type. The type is nil if a part of the key
-// is unknown, which was reported then.
+// resolve follows a dotted key from the struct type typ at path, and returns the path and
+// the type of the key. A part that names an array of tables stands for its last element.
+// The type is nil if a part of the key is unknown, which is then already reported.
 func (sc *scan) resolve(path string, typ reflect.Type, names []string, line int) (string, reflect.Type) {
 	for _, name := range names {
 		if path, typ = sc.field(path, typ, name, line); typ == nil {
@@ -178,7 +185,9 @@
 	return path, typ
 }
 
-// field follows one part of a key.
+// field follows one part of a key from the type typ at path, and records the line of the
+// part where it occurs first. The type is nil if the part is unknown, which is then already
+// reported.
 func (sc *scan) field(path string, typ reflect.Type, name string, line int) (string, reflect.Type) {
 	path = join(path, name)
 	if !isTable(typ) {
@@ -218,6 +227,8 @@
 	}
 }
 
+// checkText checks a value that a type decodes from text by itself. The value is not shown
+// if its type is Concealed.
 func (sc *scan) checkText(path string, typ reflect.Type, nd *unstable.Node, line int) {
 	if !sc.expectKind(nd.Kind == unstable.String, path, nd, line, "a string in quotes, with its unit if it has one") {
 		return
@@ -280,6 +291,7 @@
 	return ok
 }
 
+// report adds a problem at a key path.
 func (sc *scan) report(path string, line int, value, mend string) {
 	sc.bad[path] = true
 	sc.problems = append(sc.problems, Error{Line: line, Key: path, Value: value, Mend: mend})
@@ -290,6 +302,7 @@
 	return typ.Kind() == reflect.Struct && !reflect.PointerTo(typ).Implements(textUnmarshalerType)
 }
 
+// join returns the path of a name below another path.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -297,4 +310,5 @@
 	return path + "." + name
 }
 
+// element returns the path of an element of an array.
 func element(path string, ix int) string { return fmt.Sprintf("%s[%d]", path, ix) }
