--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -147,7 +147,7 @@
 
 // A failed engine is skipped for a while, except that a failed decode engine is
 // used if there is no other.
-func TestFailedEngineIsPassedOver(t *testing.T) {
+func TestFailedEngineIsSkipped(t *testing.T) {
 	po := newPool(board.Prefill, board.Prefill, board.Decode)
 	po.MarkFailed(0, "a")
 	bs, _ := choosePrefill(po, 1)
