--- a/internal/charge/charge.go
+++ b/internal/charge/charge.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// evict drops the state of customers that have no limit any more.
+// evict drops the state of customers that no longer have a limit.
 func (ch *Charger) evict() {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -37,8 +37,8 @@
 		keeperTime  clock.Millis // keeper's own time in its last response
 		requestedAt clock.Millis // when that response was requested
 		until       clock.Millis // end of the lease by this VM's clock
-		releasing   bool         // not renewed any more
-		announced   bool         // the keeper was told that it holds the lease
+		releasing   bool         // its end was requested, so it is not renewed
+		announced   bool         // a request that lends the part was sent to the keeper
 	}
 )
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -23,8 +23,8 @@
 // Each limit is split into [Shards] equal shards ([Limit.PerShard],
 // [Settings.PerShard]), each with its own Keeper and with an Account at every VM. A
 // request takes an equal part of its tokens from each shard. If the keeper of
-// one shard does not answer, the other one is asked for all of the tokens, so
-// that the loss of a VM leaves half of the rate and of the burst usable. Each
+// one shard does not answer, all of the tokens are requested from the other one,
+// so that the loss of a VM leaves half of the rate and of the burst usable. Each
 // shard is bounded like a limit, so the sum of the shards is bounded like the
 // whole limit.
 //
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// requestTokens asks the keeper for tokens.
+// requestTokens requests tokens from the keeper.
 func (pa *quotaPair) requestTokens(now clock.Millis, tokens float64) quota.Response {
 	req := pa.otherAccount.NewRequest(now, pairSize, pa.keeperVM, customer, pa.lim, tokens)
 	rsp := pa.ke.Handle(now, pairSize, vmB, 1, req, &pa.lim)
@@ -135,7 +135,7 @@
 	renewAtOther(2400)
 	assert.Equal(t, pa.otherAccount.Holder(2400), "c")
 	assert.Equal(t, renewAtOther(2500).KeeperID, uint64(2))
-	// Tokens of its own part accrue while nobody holds a lease on it.
+	// Tokens of its own part accrue while no keeper holds a lease on it.
 	assert.Assert(t, !pa.otherAccount.TakeLocal(2500, pairSize, customer, pa.lim, 100))
 	assert.Assert(t, !pa.otherAccount.TakeLocal(2500+quota.LeaseDuration+199, pairSize, customer, pa.lim, 100))
 	assert.Assert(t, pa.otherAccount.TakeLocal(2500+quota.LeaseDuration+200, pairSize, customer, pa.lim, 100))
@@ -216,8 +216,8 @@
 	assert.Assert(t, pa.otherAccount.TakeLocal(48000, pairSize, customer, pa.lim, 0.9*most))
 }
 
-// A keeper without a limit for the customer says so. Evicted customers start with
-// empty buckets.
+// A keeper without a limit for the customer responds that it knows none. Evicted
+// customers start with empty buckets.
 func TestUnknownLimitAndEviction(t *testing.T) {
 	pa := newPair(withoutSlack)
 	pa.renewUntil(0, 800)
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// SpendHedge pays for a hedge when its time has come. The reason is Hedged, or why the
-// hedge must not be sent.
+// SpendHedge takes the cost of a hedge from the budget when the hedge is due. The reason
+// is Hedged, or why the hedge must not be sent.
 func (po *Policy) SpendHedge(now clock.Millis, req HedgeRequest) (Reason, bool) {
 	po.prepare()
 	slow, why := po.hedgeDelay(req)
--- a/internal/roles/keeper.go
+++ b/internal/roles/keeper.go
@@ -116,7 +116,8 @@
 		ke.leaseWantedUntil = now + leaseLinger
 	}
 	// The register is also observed while no lease is wanted, because another VM's
-	// lease must be waited out from the time at which it was first observed.
+	// lease counts as expired only after its duration, counted from when this VM
+	// first observed it.
 	ke.observe(ctx)
 	if now >= ke.leaseWantedUntil {
 		ke.stepHolder(ctx, register.LeaseWanted{}) // a lease that is still held expires
--- a/internal/usage/turns.go
+++ b/internal/usage/turns.go
@@ -28,8 +28,8 @@
 	return count
 }
 
-// precedes reports whether the request is placed before another one, where short
-// tells whether there is a shortage.
+// precedes reports whether the request is placed before another one. The argument
+// short states whether there is a shortage.
 func (wr WaitingRequest) precedes(other WaitingRequest, short bool) bool {
 	switch {
 	case PriorityOf(wr.Turn) != PriorityOf(other.Turn):
