--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -284,7 +284,7 @@
 func (dt *Detector) announceLeave() {
 	told := 0
 	for _, mb := range dt.shuffled(dt.table.members) {
-		if mb.vm.Health != board.Alive || !mb.confirmed {
+		if mb.vm.Health != board.Alive || !mb.observed {
 			continue
 		}
 		dt.send(mb, newNotice())
--- a/internal/membership/fault_test.go
+++ b/internal/membership/fault_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestFailureDomainLostAndBack(t *testing.T) {
+func TestFailureDomainLostAndRestarted(t *testing.T) {
 	eachFleet(t, func(t *testing.T, size, domains int, seed uint64) {
 		tf := faultyFleet(size, domains, seed, variant{})
 		for _, vm := range tf.vms {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -57,16 +57,16 @@
 	}
 
 	testVM struct {
-		dt            *Detector
-		self          board.VM
-		up            bool
-		pausedUntil   clock.Millis
-		tickAt        clock.Millis
-		fleet         *board.Fleet
-		generations   map[string]generation // of the other VMs, according to its last snapshot
-		quorateUntil  clock.Millis
-		refutedDeaths int
-		sent, got     traffic
+		dt             *Detector
+		self           board.VM
+		up             bool
+		pausedUntil    clock.Millis
+		tickAt         clock.Millis
+		fleet          *board.Fleet
+		generations    map[string]generation // of the other VMs, according to its last snapshot
+		quorateUntil   clock.Millis
+		refutedDeaths  int
+		sent, received traffic
 	}
 
 	// generation is one span of a VM's existence, from its start or from when it
@@ -125,7 +125,7 @@
 		vm.dt.startedAt = -joinPeriod
 		for _, other := range tf.vms {
 			if other != vm {
-				vm.dt.table.add(&member{vm: other.self, confirmed: true, joinedAt: -introductionPeriod})
+				vm.dt.table.add(&member{vm: other.self, observed: true, joinedAt: -introductionPeriod})
 			}
 		}
 		vm.dt.rumours.drop(vm.self.ID)
@@ -235,7 +235,7 @@
 		ev.vm.tickAt = 0
 	}
 	if _, ok := ev.ev.(Received); ok {
-		ev.vm.got.add(ev.size)
+		ev.vm.received.add(ev.size)
 	}
 	tf.step(ev.vm, ev.ev)
 }
@@ -452,7 +452,7 @@
 // resetTraffic resets the traffic counts.
 func (tf *testFleet) resetTraffic() {
 	for _, vm := range tf.vms {
-		vm.sent, vm.got = traffic{}, traffic{}
+		vm.sent, vm.received = traffic{}, traffic{}
 	}
 }
 
@@ -461,9 +461,9 @@
 func (tf *testFleet) perVM(span clock.Millis) (bytes, messages, most float64) {
 	sec := float64(span) / float64(clock.Second)
 	for _, vm := range tf.live() {
-		all := float64(vm.sent.bytes+vm.got.bytes) / sec
+		all := float64(vm.sent.bytes+vm.received.bytes) / sec
 		bytes += all
-		messages += float64(vm.sent.messages+vm.got.messages) / sec
+		messages += float64(vm.sent.messages+vm.received.messages) / sec
 		most = max(most, all)
 	}
 	count := float64(len(tf.live()))
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -36,15 +36,15 @@
 
 	// probe is one probe in progress.
 	probe struct {
-		number        uint64
-		target        *member
-		directOnly    bool // no helpers are requested, and the result is not a fair sample of the fleet
-		sent          clock.Millis
-		nextAt        clock.Millis // when the next helper is requested, or the probe fails
-		deadline      clock.Millis
-		helpers       []*member // chosen when the first one is needed
-		helpersAsked  int
-		helpersMissed int // helpers that reported a missed ack
+		number           uint64
+		target           *member
+		directOnly       bool // no helpers are requested, and the result is not a fair sample of the fleet
+		sent             clock.Millis
+		nextAt           clock.Millis // when the next helper is requested, or the probe fails
+		deadline         clock.Millis
+		helpers          []*member // chosen when the first one is needed
+		helpersRequested int
+		helpersMissed    int // helpers that reported a missed ack
 	}
 
 	// relay is an indirect probe on behalf of another VM.
@@ -161,16 +161,16 @@
 }
 
 // sendProbe probes a member, with or without the help of others.
-func (dt *Detector) sendProbe(mb *member, alone bool) {
-	if len(dt.prober.open) >= maxOpenProbes || (alone && len(dt.prober.open) >= maxDirectProbes) {
+func (dt *Detector) sendProbe(mb *member, directOnly bool) {
+	if len(dt.prober.open) >= maxOpenProbes || (directOnly && len(dt.prober.open) >= maxDirectProbes) {
 		return
 	}
 	dt.Counters.Probes++
 	dt.prober.number++
-	pr := &probe{number: dt.prober.number, target: mb, sent: dt.now, directOnly: alone}
+	pr := &probe{number: dt.prober.number, target: mb, sent: dt.now, directOnly: directOnly}
 	pr.nextAt = dt.now + dt.scaleTimeout(dt.Settings.ProbeTimeout)
 	pr.deadline = dt.now + dt.scaleTimeout(dt.Settings.ProbeDeadline)
-	if alone || dt.disabled.helpers || !mb.maybeAlive() {
+	if directOnly || dt.disabled.helpers || !mb.maybeAlive() {
 		pr.nextAt = pr.deadline
 	}
 	dt.prober.open[pr.number] = pr
@@ -215,20 +215,20 @@
 	if pr.helpers == nil {
 		pr.helpers = dt.chooseHelpers(pr.target)
 	}
-	for pr.helpersAsked < len(pr.helpers) {
-		dt.send(pr.helpers[pr.helpersAsked], &peerpb.Datagram{
+	for pr.helpersRequested < len(pr.helpers) {
+		dt.send(pr.helpers[pr.helpersRequested], &peerpb.Datagram{
 			Body: &peerpb.Datagram_IndirectProbe{IndirectProbe: &peerpb.IndirectProbe{
 				Number: pr.number,
 				Target: pr.target.vm.ID,
 			}},
 		})
-		pr.helpersAsked++
+		pr.helpersRequested++
 		if !dt.disabled.stagger {
 			break
 		}
 	}
 	pr.nextAt += dt.scaleTimeout(dt.Settings.HelperStagger)
-	if pr.helpersAsked == len(pr.helpers) {
+	if pr.helpersRequested == len(pr.helpers) {
 		pr.nextAt = pr.deadline
 		dt.send(pr.target, newProbeDatagram(pr.number, pr.target)) // the first may have been lost
 	}
@@ -261,14 +261,14 @@
 func (dt *Detector) handleMissedProbe(pr *probe) {
 	dt.Counters.Missed++
 	mb := pr.target
-	if pr.helpersAsked > 0 && pr.helpersMissed == 0 {
+	if pr.helpersRequested > 0 && pr.helpersMissed == 0 {
 		dt.adjustHealth(1)
 	}
 	if dt.table.byID[mb.vm.ID] != mb {
 		return
 	}
 	switch {
-	case !mb.confirmed:
+	case !mb.observed:
 		mb.missedProbes++
 	case mb.maybeAlive() && !pr.directOnly: // a single lost datagram must not cause a suspicion
 		dt.recordSample(pr, false)
@@ -296,7 +296,7 @@
 	}
 	news := dt.applyRumours(dg)
 	from := dt.table.byID[dg.GetFrom()]
-	if from == nil || !from.confirmed || dg.GetIncarnation() < from.vm.Incarnation {
+	if from == nil || !from.observed || dg.GetIncarnation() < from.vm.Incarnation {
 		dt.Counters.UnknownSenders++
 		dt.sendCorrection(from)
 		return
@@ -313,7 +313,7 @@
 
 // sendCorrection tells a VM that it uses an outdated incarnation.
 func (dt *Detector) sendCorrection(from *member) {
-	if from == nil || !from.confirmed || dt.left {
+	if from == nil || !from.observed || dt.left {
 		return
 	}
 	dg := newNotice()
@@ -364,8 +364,8 @@
 }
 
 func (dt *Detector) replyToRequester(rl relay, ack *peerpb.Ack) {
-	if asker := dt.table.byID[rl.requester]; asker != nil {
-		dt.send(asker, &peerpb.Datagram{Body: &peerpb.Datagram_Ack{Ack: ack}})
+	if requester := dt.table.byID[rl.requester]; requester != nil {
+		dt.send(requester, &peerpb.Datagram{Body: &peerpb.Datagram_Ack{Ack: ack}})
 	}
 }
 
@@ -387,7 +387,7 @@
 		return
 	}
 	direct := ack.GetTarget() == "" && pr.target == from
-	helped := ack.GetTarget() == pr.target.vm.ID && slices.Contains(pr.helpers[:pr.helpersAsked], from)
+	helped := ack.GetTarget() == pr.target.vm.ID && slices.Contains(pr.helpers[:pr.helpersRequested], from)
 	switch {
 	case helped && ack.GetMissed():
 		pr.helpersMissed++
--- a/internal/membership/rumour.go
+++ b/internal/membership/rumour.go
@@ -98,13 +98,13 @@
 // recipient goes first, so that the recipient can refute it.
 func (dt *Detector) attachRumours(to *member, dg *peerpb.Datagram) {
 	room := dt.Settings.MaxDatagram - proto.Size(dg) - maxSequenceSize
-	if !to.confirmed || dt.now-to.joinedAt < introductionPeriod {
+	if !to.observed || dt.now-to.joinedAt < introductionPeriod {
 		room = dt.appendRumour(dg, room, dt.selfRumour())
 	}
 	if to.vm.Health == board.Suspect || to.confirmedDead() {
 		room = dt.appendRumour(dg, room, dt.memberRumour(to, dt.selfHash, false))
 	}
-	if to.confirmed && to.vm.Health != board.Alive {
+	if to.observed && to.vm.Health != board.Alive {
 		// The recipient is probably not running, so the queue is not sent. But
 		// two VMs may suspect each other, so this VM's refutation is included.
 		self := dt.selfRumour()
@@ -155,7 +155,7 @@
 	}
 	mb := dt.table.byID[ru.id]
 	switch {
-	case mb == nil || !mb.confirmed || mb.localOnly:
+	case mb == nil || !mb.observed || mb.localOnly:
 		return nil
 	case ru.by != 0 && mb.vm.Health != board.Suspect:
 		return nil
@@ -170,10 +170,10 @@
 	return rr
 }
 
-// memberRumour describes the state of a member, with its addresses if whole.
-func (dt *Detector) memberRumour(mb *member, by uint32, whole bool) *peerpb.Rumour {
+// memberRumour describes the state of a member, with its addresses if withAddresses is set.
+func (dt *Detector) memberRumour(mb *member, by uint32, withAddresses bool) *peerpb.Rumour {
 	rr := &peerpb.Rumour{VM: mb.vm.ID, Incarnation: mb.vm.Incarnation, Health: uint32(mb.vm.Health)}
-	if whole {
+	if withAddresses {
 		rr = fullRumour(mb.vm)
 	}
 	rr.Refutation = mb.refutation
@@ -288,12 +288,12 @@
 // addMember adds a VM that was not known. A rumour without an address is ignored,
 // since the VM could not be reached.
 func (dt *Detector) addMember(rr *peerpb.Rumour, hl board.Health) bool {
-	gv, gone := dt.table.removed[rr.GetVM()]
+	gv, wasRemoved := dt.table.removed[rr.GetVM()]
 	if len(dt.table.members) >= maxMembers {
 		dt.Counters.Ignored++
 		return false
 	}
-	if rr.GetPeer() == "" || hl == board.Left || (gone && rr.GetIncarnation() <= gv.incarnation) {
+	if rr.GetPeer() == "" || hl == board.Left || (wasRemoved && rr.GetIncarnation() <= gv.incarnation) {
 		return false
 	}
 	mb := &member{vm: board.VM{VMRef: board.VMRef{ID: rr.GetVM()}}, healthSince: dt.now}
@@ -309,9 +309,9 @@
 		mb.healthSince = dt.now
 		mb.joinedAt = dt.now
 	}
-	wasProbed := mb.confirmed && mb.maybeAlive()
-	expected := !mb.confirmed && mb.vm.Listed // the VM list informed the others too
-	mb.confirmed = true
+	wasProbed := mb.observed && mb.maybeAlive()
+	expected := !mb.observed && mb.vm.Listed // the VM list informed the others too
+	mb.observed = true
 	mb.vm.Incarnation = rr.GetIncarnation()
 	mb.refutation = rr.GetRefutation()
 	mb.leaving = mb.leaving || rr.GetLeaving()
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -57,10 +57,10 @@
 // scheduleSuspicion sets when a suspicion ends. A VM that only received the suspicion
 // probes the member itself once during DeadDelay, in case it missed the refutation.
 func (dt *Detector) scheduleSuspicion(su *suspicion) {
-	ranOut := su.started + dt.suspicionSpan(len(su.reporters)-1)
-	su.deadline = ranOut + dt.Settings.DeadDelay
+	timeoutAt := su.started + dt.suspicionSpan(len(su.reporters)-1)
+	su.deadline = timeoutAt + dt.Settings.DeadDelay
 	if !su.ownProbe {
-		su.recheck = ranOut + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.DeadDelay)/2+1))
+		su.recheck = timeoutAt + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.DeadDelay)/2+1))
 	}
 }
 
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -92,7 +92,7 @@
 // joining reports whether this VM is new or listed VMs were never reached.
 func (dt *Detector) joining() bool {
 	return dt.now-dt.startedAt < joinPeriod || slices.ContainsFunc(dt.table.members, func(mb *member) bool {
-		return !mb.confirmed && mb.missedProbes < maxJoinProbes
+		return !mb.observed && mb.missedProbes < maxJoinProbes
 	})
 }
 
@@ -146,7 +146,7 @@
 func (dt *Detector) allRumours() []*peerpb.Rumour {
 	all := []*peerpb.Rumour{dt.selfRumour()}
 	for _, mb := range dt.table.members {
-		if mb.confirmed && !mb.localOnly && mb.vm.Health != board.Left {
+		if mb.observed && !mb.localOnly && mb.vm.Health != board.Left {
 			all = append(all, dt.memberRumour(mb, 0, true))
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -28,8 +28,8 @@
 	member struct {
 		vm            board.VM // as it appears in the snapshot
 		refutation    uint32
-		confirmed     bool         // it sent a datagram, or a rumour about it was received
-		missedProbes  int          // probes that it missed before it was confirmed
+		observed      bool         // it sent a datagram, or a rumour about it was received
+		missedProbes  int          // probes that it missed before it was observed
 		leaving       bool         // it announced its stop
 		listedLeaving bool         // the VM list marks it as leaving
 		localOnly     bool         // Dead or Suspect by this VM's decision alone while it was not quorate
@@ -90,12 +90,12 @@
 // confirmedDead reports whether the member is dead to others as well. No refutation
 // within the same generation reverts that.
 func (mb *member) confirmedDead() bool {
-	return mb.confirmed && mb.vm.Health == board.Dead && !mb.localOnly
+	return mb.observed && mb.vm.Health == board.Dead && !mb.localOnly
 }
 
 // inProbeRound reports whether the member is part of the regular probe round.
 func (mb *member) inProbeRound() bool {
-	return mb.maybeAlive() || (!mb.confirmed && mb.missedProbes < maxJoinProbes)
+	return mb.maybeAlive() || (!mb.observed && mb.missedProbes < maxJoinProbes)
 }
 
 // inRoster reports whether the member counts towards the size of a majority.
@@ -161,7 +161,7 @@
 		dt.invalidate()
 		mb.vm.Listed = false
 		mb.unlistedAt = dt.now
-		if !mb.confirmed {
+		if !mb.observed {
 			dt.table.remove(mb)
 		}
 	}
@@ -188,7 +188,7 @@
 		dt.table.add(mb)
 		dt.prober.addToRound(mb, dt.Rand)
 	}
-	if !mb.confirmed {
+	if !mb.observed {
 		mb.vm.Peer, mb.vm.Caller = vm.Peer, vm.Caller
 		mb.vm.FailureDomain, mb.vm.Region = vm.FailureDomain, vm.Region
 	}
@@ -206,7 +206,7 @@
 func (dt *Detector) probeNewMembers() {
 	asked := 0
 	for _, mb := range dt.shuffled(dt.table.members) {
-		if mb.confirmed {
+		if mb.observed {
 			continue
 		}
 		dt.sendProbe(mb, true)
@@ -219,7 +219,7 @@
 // removeExpired removes VMs from the roster that are dead or left, and not listed, for RemoveAfter.
 func (dt *Detector) removeExpired() {
 	for _, mb := range slices.Clone(dt.table.members) {
-		if mb.maybeAlive() || mb.vm.Listed || !mb.confirmed {
+		if mb.maybeAlive() || mb.vm.Listed || !mb.observed {
 			continue
 		}
 		if dt.now-max(mb.healthSince, mb.unlistedAt) < dt.Settings.RemoveAfter {
--- a/internal/register/adapter_test.go
+++ b/internal/register/adapter_test.go
@@ -16,12 +16,12 @@
 
 // logFollower executes a Follower's intents one after another against a log service.
 type logFollower struct {
-	fo       *Follower
-	cl       *logsvc.Client
-	now      clock.Millis
-	todo     []Intent
-	verdicts []Verdict
-	inForce  *board.Templates
+	fo              *Follower
+	cl              *logsvc.Client
+	now             clock.Millis
+	todo            []Intent
+	verdicts        []Verdict
+	activeTemplates *board.Templates
 }
 
 func (wd *logFollower) step(ev Event) {
@@ -45,7 +45,7 @@
 		case Verdict:
 			wd.verdicts = append(wd.verdicts, in)
 		case TemplatesChanged:
-			wd.inForce = in.Templates
+			wd.activeTemplates = in.Templates
 		}
 	}
 }
@@ -75,8 +75,8 @@
 	assert.Equal(tt, srv.Counts().LostReplies, 1)
 
 	second := join("vm1")
-	second.runIntents(10, func() bool { return second.inForce != nil && second.inForce.Ready })
-	assert.Assert(tt, second.inForce != nil)
-	assert.DeepEqual(tt, second.inForce.ByCustomer["kedelsyn"],
+	second.runIntents(10, func() bool { return second.activeTemplates != nil && second.activeTemplates.Ready })
+	assert.Assert(tt, second.activeTemplates != nil)
+	assert.DeepEqual(tt, second.activeTemplates.ByCustomer["kedelsyn"],
 		board.ActiveTemplate{Template: *sample("kedelsyn", "p1"), Revision: 1})
 }
--- a/internal/register/follower_test.go
+++ b/internal/register/follower_test.go
@@ -10,7 +10,7 @@
 	"alderdyke/pkg/clock"
 )
 
-const inForceBound = 4 * clock.Second
+const activationBound = 4 * clock.Second
 
 func publishRequest(id string, base uint64) PublishRequest {
 	return PublishRequest{ID: id, Customer: "kedelsyn", Base: base, Template: sample("kedelsyn", id)}
@@ -55,7 +55,7 @@
 	hn.run(clock.Second)
 	assert.Equal(tt, onlyVerdict(tt, withdraw).Result, Published)
 	for _, vm := range hn.vms {
-		assert.Equal(tt, len(vm.inForce.ByCustomer), 0)
+		assert.Equal(tt, len(vm.activeTemplates.ByCustomer), 0)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	slices.Sort(spans)
 	tt.Logf("in force at 3 of 7 VMs cut off from the log: median %v, longest %v of 100", spans[50], spans[99])
-	assert.Assert(tt, spans[98] <= inForceBound, "%v", spans)
+	assert.Assert(tt, spans[98] <= activationBound, "%v", spans)
 }
 
 func TestStartDuringAnOutage(tt *testing.T) {
@@ -142,8 +142,8 @@
 	hn.run(clock.Second)
 	hn.vms[2].start()
 	hn.run(5 * clock.Second)
-	assert.Assert(tt, hn.vms[2].inForce.Ready)
-	assert.Equal(tt, hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision, onlyVerdict(tt, wi).Revision)
+	assert.Assert(tt, hn.vms[2].activeTemplates.Ready)
+	assert.Equal(tt, hn.vms[2].activeTemplates.ByCustomer["kedelsyn"].Revision, onlyVerdict(tt, wi).Revision)
 	asks := hn.vms[1].intents["RequestRecords"]
 	hn.run(clock.Minute)
 	tt.Logf("requests to peers by one VM in a minute of an outage: %d", hn.vms[1].intents["RequestRecords"]-asks)
@@ -166,8 +166,8 @@
 		hn.run(clock.Minute)
 		vm.start()
 		hn.run(9 * clock.Minute)
-		assert.Assert(tt, vm.inForce.Ready, "round %d", round)
-		assert.Equal(tt, vm.inForce.ByCustomer["kedelsyn"].Revision, revision)
+		assert.Assert(tt, vm.activeTemplates.Ready, "round %d", round)
+		assert.Equal(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Revision, revision)
 	}
 	tt.Logf("%d appends in 10 h for %d buckets, %d records dropped", hn.appends, DefaultBuckets, hn.first)
 	assert.Assert(tt, hn.first > DefaultBuckets)
@@ -180,8 +180,8 @@
 	hn.run(clock.Second)
 	vm.start()
 	hn.run(5 * clock.Second)
-	assert.Assert(tt, vm.inForce.Ready)
-	assert.Equal(tt, vm.inForce.ByCustomer["kedelsyn"].Revision, revision)
+	assert.Assert(tt, vm.activeTemplates.Ready)
+	assert.Equal(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Revision, revision)
 }
 
 // TestMissedRecords makes the log drop records that a VM, partitioned from the log and its
@@ -200,12 +200,12 @@
 		hn.run(5 * clock.Minute)
 		base = onlyVerdict(tt, wi).Revision
 	}
-	old := hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision
+	old := hn.vms[2].activeTemplates.ByCustomer["kedelsyn"].Revision
 	assert.Assert(tt, old < uint64(hn.first))
 	hn.vms[2].cut = false
 	hn.run(30 * clock.Second)
 	assert.Equal(tt, hn.vms[2].events["LogRecordsMissed"], 1)
-	assert.Equal(tt, hn.vms[2].inForce.ByCustomer["kedelsyn"].Revision, base)
+	assert.Equal(tt, hn.vms[2].activeTemplates.ByCustomer["kedelsyn"].Revision, base)
 	hn.checkAgree()
 }
 
@@ -239,17 +239,17 @@
 	slices.Sort(spans)
 	tt.Logf("%d changes, one VM of 6 cut off each time: 50%% in force everywhere in %v, 99%% in %v, all in %v",
 		changes, spans[changes/2], spans[changes*99/100], spans[changes-1])
-	assert.Assert(tt, spans[changes*99/100] <= inForceBound)
+	assert.Assert(tt, spans[changes*99/100] <= activationBound)
 
 	// Two operators race for each customer, all at the same time.
-	var wishes []*publishAttempt
+	var attempts []*publishAttempt
 	for ix := range burst {
-		wishes = append(wishes, publish(changes+ix, ix%len(hn.vms)))
+		attempts = append(attempts, publish(changes+ix, ix%len(hn.vms)))
 	}
 	hn.run(10 * clock.Second)
 	var longest clock.Millis
 	published := 0
-	for _, wi := range wishes {
+	for _, wi := range attempts {
 		if ve := onlyVerdict(tt, wi); ve.Result == Published {
 			published++
 			longest = max(longest, longestDelay(tt, hn, ve.Revision))
@@ -259,7 +259,7 @@
 	}
 	tt.Logf("burst of %d, two for each customer: %d published, in force everywhere in %v", burst, published, longest)
 	assert.Equal(tt, published, customers)
-	assert.Assert(tt, longest <= inForceBound)
+	assert.Assert(tt, longest <= activationBound)
 	hn.checkAgree()
 	hn.checkVerdicts()
 }
@@ -306,8 +306,8 @@
 	hn.run(30 * clock.Second)
 	for _, vm := range hn.vms {
 		assert.Equal(tt, vm.events["LogRecordsMissed"], 1)
-		assert.Assert(tt, vm.inForce.Ready && !vm.fo.Ready())
-		assert.Equal(tt, vm.inForce.ByCustomer["kedelsyn"].Revision, revision)
+		assert.Assert(tt, vm.activeTemplates.Ready && !vm.fo.Ready())
+		assert.Equal(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Revision, revision)
 	}
 	early := hn.publish(1, publishRequest("p2", revision))
 	hn.run(10 * clock.Second)
@@ -317,10 +317,10 @@
 	hn.run(2 * clock.Minute)
 	for _, vm := range hn.vms {
 		assert.Assert(tt, vm.fo.Ready())
-		assert.Assert(tt, vm.inForce.ByCustomer["kedelsyn"].Revision > revision)
-		assert.DeepEqual(tt, vm.inForce.ByCustomer["kedelsyn"].Template, *sample("kedelsyn", "p1"))
+		assert.Assert(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Revision > revision)
+		assert.DeepEqual(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Template, *sample("kedelsyn", "p1"))
 	}
-	base := hn.vms[0].inForce.ByCustomer["kedelsyn"].Revision
+	base := hn.vms[0].activeTemplates.ByCustomer["kedelsyn"].Revision
 	next := hn.publish(1, publishRequest("p3", base))
 	hn.run(clock.Second)
 	assert.Equal(tt, onlyVerdict(tt, next).Result, Published)
@@ -334,8 +334,8 @@
 	hn.run(2 * clock.Minute)
 	for _, vm := range hn.vms {
 		assert.Equal(tt, vm.events["BucketRecovered"], 0)
-		assert.Assert(tt, vm.inForce.ByCustomer["kedelsyn"].Revision > revision)
-		assert.DeepEqual(tt, vm.inForce.ByCustomer["kedelsyn"].Template, *sample("kedelsyn", "late"))
+		assert.Assert(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Revision > revision)
+		assert.DeepEqual(tt, vm.activeTemplates.ByCustomer["kedelsyn"].Template, *sample("kedelsyn", "late"))
 	}
 	hn.checkAgree()
 }
@@ -356,10 +356,10 @@
 		vm.start()
 	}
 	hn.run(10 * clock.Minute)
-	assert.Assert(tt, !hn.vms[0].inForce.Ready)
+	assert.Assert(tt, !hn.vms[0].activeTemplates.Ready)
 	hn.run(5 * clock.Minute)
 	for _, vm := range hn.vms {
-		assert.Assert(tt, vm.inForce.Ready)
+		assert.Assert(tt, vm.activeTemplates.Ready)
 	}
 	wi := hn.publish(1, publishRequest("p2", 0))
 	hn.run(clock.Second)
--- a/internal/register/harness_test.go
+++ b/internal/register/harness_test.go
@@ -42,8 +42,8 @@
 		appends     int
 		bytesRead   int
 
-		vms     []*follower
-		changes map[string]*publishAttempt
+		vms      []*follower
+		attempts map[string]*publishAttempt
 	}
 
 	record struct {
@@ -52,28 +52,28 @@
 	}
 
 	follower struct {
-		hn          *harness
-		id          string
-		run         uint64 // incremented by every restart; answers to an earlier run are dropped
-		up          bool
-		cut         bool // disconnected from the log
-		isolated    bool // disconnected from peers
-		fo          *Follower
-		wake        clock.Millis
-		inForce     *board.Templates
-		activeSince map[uint64]clock.Millis // when a revision became active here
-		intents     map[string]int
-		events      map[string]int
+		hn              *harness
+		id              string
+		run             uint64 // incremented by every restart; answers to an earlier run are dropped
+		up              bool
+		cut             bool // disconnected from the log
+		isolated        bool // disconnected from peers
+		fo              *Follower
+		wake            clock.Millis
+		activeTemplates *board.Templates
+		activeSince     map[uint64]clock.Millis // when a revision became active here
+		intents         map[string]int
+		events          map[string]int
 	}
 
 	// publishAttempt records an operator's requests with one ID and their verdicts.
 	publishAttempt struct {
-		change     PublishRequest
-		requests   int
-		repeatedAt map[string]bool // VMs that received it marked as a repeat
-		askedAt    clock.Millis
-		answeredAt clock.Millis
-		verdicts   []Verdict
+		request     PublishRequest
+		requests    int
+		repeatedAt  map[string]bool // VMs that received it marked as a repeat
+		requestedAt clock.Millis
+		answeredAt  clock.Millis
+		verdicts    []Verdict
 	}
 
 	timer struct {
@@ -99,7 +99,7 @@
 
 func newHarness(tt rapid.TB, seed uint64, vms int, se Settings) *harness {
 	se.Content = Templates
-	hn := &harness{tt: tt, rng: rand.New(rand.NewPCG(seed, 1)), settings: se, changes: map[string]*publishAttempt{}}
+	hn := &harness{tt: tt, rng: rand.New(rand.NewPCG(seed, 1)), settings: se, attempts: map[string]*publishAttempt{}}
 	for ix := range vms {
 		hn.vms = append(hn.vms, &follower{hn: hn, id: fmt.Sprint("vm", ix)})
 	}
@@ -156,10 +156,10 @@
 
 // publish sends a publish request to a VM; the same ID may be sent again.
 func (hn *harness) publish(vm int, ch PublishRequest) *publishAttempt {
-	wi := hn.changes[ch.ID]
+	wi := hn.attempts[ch.ID]
 	if wi == nil {
-		wi = &publishAttempt{change: ch, askedAt: hn.now, repeatedAt: map[string]bool{}}
-		hn.changes[ch.ID] = wi
+		wi = &publishAttempt{request: ch, requestedAt: hn.now, repeatedAt: map[string]bool{}}
+		hn.attempts[ch.ID] = wi
 	}
 	wi.requests++
 	ch.Repeated = wi.requests > 1
@@ -176,7 +176,7 @@
 		Rand:     rand.New(rand.NewPCG(vm.hn.rng.Uint64(), vm.run)),
 		Settings: vm.hn.settings,
 	}
-	vm.inForce = &board.Templates{}
+	vm.activeTemplates = &board.Templates{}
 	vm.activeSince = map[uint64]clock.Millis{}
 	vm.intents, vm.events = map[string]int{}, map[string]int{}
 	vm.wake = never
@@ -196,11 +196,11 @@
 		return
 	}
 	for _, in := range vm.fo.Step(vm.hn.now, ev) {
-		vm.carryOut(in)
+		vm.execute(in)
 	}
 }
 
-func (vm *follower) carryOut(in Intent) {
+func (vm *follower) execute(in Intent) {
 	hn := vm.hn
 	switch in := in.(type) {
 	case ReadLog:
@@ -221,9 +221,9 @@
 			return PeerSnapshot{VM: in.VM.VMRef, Data: data, Err: err}
 		}, PeerSnapshot{Err: errCut})
 	case TemplatesChanged:
-		vm.takeTemplates(in.Templates)
+		vm.setTemplates(in.Templates)
 	case Verdict:
-		wi := hn.changes[in.ID]
+		wi := hn.attempts[in.ID]
 		if in.Result == NotPublished && wi.repeatedAt[vm.id] {
 			hn.tt.Errorf("%s answers %+v although %s was requested before", vm.id, in, in.ID)
 		}
@@ -244,16 +244,16 @@
 	}
 }
 
-// takeTemplates checks that no customer's revision decreases.
-func (vm *follower) takeTemplates(tp *board.Templates) {
-	for name, old := range vm.inForce.ByCustomer {
+// setTemplates checks that no customer's revision decreases.
+func (vm *follower) setTemplates(tp *board.Templates) {
+	for name, old := range vm.activeTemplates.ByCustomer {
 		now, ok := tp.ByCustomer[name]
 		en, _ := vm.fo.Entry(name)
 		if !ok && !en.Withdrawn() || ok && now.Revision < old.Revision {
 			vm.hn.tt.Errorf("%s: %s reverted from revision %d to %d", vm.id, name, old.Revision, now.Revision)
 		}
 	}
-	vm.inForce = tp
+	vm.activeTemplates = tp
 	for _, inf := range tp.ByCustomer {
 		if _, ok := vm.activeSince[inf.Revision]; !ok {
 			vm.activeSince[inf.Revision] = vm.hn.now
@@ -376,7 +376,7 @@
 // checkVerdicts compares the verdicts with the oracle.
 func (hn *harness) checkVerdicts() {
 	_, revisions := hn.oracle()
-	for id, wi := range hn.changes {
+	for id, wi := range hn.attempts {
 		rev, accepted := revisions[id]
 		for _, ve := range wi.verdicts {
 			switch ve.Result {
--- a/internal/register/lease_test.go
+++ b/internal/register/lease_test.go
@@ -138,7 +138,7 @@
 	return -1
 }
 
-func TestLeaseIsRenewedAndGivenBack(tt *testing.T) {
+func TestLeaseIsRenewedAndReleased(tt *testing.T) {
 	lw := newLeaseWorld(tt, 2, 1)
 	lw.tick()
 	lw.want(0, true)
@@ -175,7 +175,7 @@
 	assert.Assert(tt, !may)
 }
 
-func TestLostReplyCountsFromTheFirstAppend(tt *testing.T) {
+func TestLeaseCountsFromFirstAppendAfterLostReply(tt *testing.T) {
 	lw := newLeaseWorld(tt, 1, 3)
 	vm := lw.holders[0]
 	lw.tick()
--- a/internal/register/record_test.go
+++ b/internal/register/record_test.go
@@ -46,7 +46,7 @@
 	assert.DeepEqual(tt, rec, again)
 }
 
-func TestBucketHasABound(tt *testing.T) {
+func TestBucketSizeLimit(tt *testing.T) {
 	st := &State{Content: Leases, Buckets: 1}
 	value, err := json.Marshal(Lease{Holder: strings.Repeat("x", MaxValue-100), Duration: 1000})
 	assert.NilError(tt, err)
--- a/internal/register/schedule_test.go
+++ b/internal/register/schedule_test.go
@@ -33,7 +33,7 @@
 		hn.run(5 * clock.Minute)
 		hn.checkAgree()
 		hn.checkVerdicts()
-		for id, wi := range hn.changes {
+		for id, wi := range hn.attempts {
 			// A request gets no verdict only if its VM was replaced.
 			replaced := hn.vms[2].run > 1 || hn.vms[3].run > 1
 			assert.Assert(rt, len(wi.verdicts) > 0 || replaced, "%s never got a verdict", id)
@@ -48,16 +48,16 @@
 		vm := rapid.IntRange(0, 3).Draw(rt, "vm")
 		en, _ := hn.vms[vm].fo.Entry("kedelsyn")
 		ch := publishRequest(fmt.Sprint("p", number), en.Revision)
-		if wi := hn.changes[ch.ID]; wi != nil {
-			ch = wi.change
+		if wi := hn.attempts[ch.ID]; wi != nil {
+			ch = wi.request
 		}
 		if hn.vms[vm].up {
 			hn.publish(vm, ch)
 		}
 	}
 	return map[string]func(*rapid.T){
-		"publish": func(rt *rapid.T) { ask(rt, len(hn.changes)) },
-		"again":   func(rt *rapid.T) { ask(rt, max(0, len(hn.changes)-1)) },
+		"publish": func(rt *rapid.T) { ask(rt, len(hn.attempts)) },
+		"again":   func(rt *rapid.T) { ask(rt, max(0, len(hn.attempts)-1)) },
 		"cut":     func(rt *rapid.T) { toggle(&draw(rt, 0).cut) },
 		"alone": func(rt *rapid.T) {
 			toggle(&draw(rt, 0).isolated)
@@ -134,7 +134,7 @@
 func (hn *harness) history() []porcupine.Operation {
 	_, revisions := hn.oracle()
 	var ops []porcupine.Operation
-	for id, wi := range hn.changes {
+	for id, wi := range hn.attempts {
 		out := swapOutput{result: Unknown, revision: revisions[id]}
 		told := int64(hn.now) + 1
 		if len(wi.verdicts) > 0 && wi.verdicts[0].Result != Unknown {
@@ -142,8 +142,8 @@
 			told = int64(wi.answeredAt)
 		}
 		ops = append(ops, porcupine.Operation{
-			ClientId: len(ops), Input: swapInput{base: wi.change.Base}, Output: out,
-			Call: int64(wi.askedAt), Return: told,
+			ClientId: len(ops), Input: swapInput{base: wi.request.Base}, Output: out,
+			Call: int64(wi.requestedAt), Return: told,
 		})
 	}
 	return ops
@@ -171,7 +171,7 @@
 		}
 		hn.logDown = false
 		hn.run(30 * clock.Second)
-		for _, wi := range hn.changes {
+		for _, wi := range hn.attempts {
 			results[onlyVerdict(tt, wi).Result]++
 		}
 		assert.Assert(tt, porcupine.CheckOperations(model, hn.history()), "seed %d", seed)
--- a/internal/topic/availability.go
+++ b/internal/topic/availability.go
@@ -65,9 +65,9 @@
 	av.markAnswered(now)
 }
 
-// merge applies the report of another VM, the teller: the store has been available for
+// merge applies the report of another VM, the reporter: the store has been available for
 // span up to now, and ended says whether an outage came before that.
-func (av *availability) merge(now, span clock.Millis, ended bool, teller string) {
+func (av *availability) merge(now, span clock.Millis, ended bool, reporter string) {
 	since := now - span
 	gap := since-av.lastAnswer >= av.maxGap() || ended && since-av.lastAnswer >= outageMin
 	if gap || since < av.since {
@@ -77,7 +77,7 @@
 		}
 		av.since, av.previous = since, Outage{}
 		if ended || gap && av.failed {
-			av.previous = Outage{Since: began, Until: since, ReportedBy: teller}
+			av.previous = Outage{Since: began, Until: since, ReportedBy: reporter}
 		}
 	}
 	av.markAnswered(now)
@@ -90,9 +90,9 @@
 	return av.lastFailure == 0 && until-av.since >= outageMin && until-av.lastAnswer < outageMin
 }
 
-// noteRestore records that the store was restored from an older copy. That counts as an
+// recordRestore records that the store was restored from an older copy. That counts as an
 // outage which no earlier answer refutes.
-func (av *availability) noteRestore(now clock.Millis) {
+func (av *availability) recordRestore(now clock.Millis) {
 	*av = availability{since: now, lastAnswer: now, previous: Outage{Since: av.lastAnswer, Until: now}}
 }
 
--- a/internal/topic/availability_test.go
+++ b/internal/topic/availability_test.go
@@ -35,7 +35,7 @@
 			Outage{Since: at, Until: at + 4900, ReportedBy: "vm-2"}, at + 4900},
 		{"another VM's calls failed", []func(*availability){merge(at+800, 1, true), merge(at+1600, 801, true)}, Outage{}, 1000},
 		{"paused during an outage", []func(*availability){answer(at + 9000), merge(at+9100, 1100, true)}, Outage{Since: at, Until: at + 8000, ReportedBy: "vm-2"}, at + 8000},
-		{"store restored from an older copy", []func(*availability){func(av *availability) { av.noteRestore(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
+		{"store restored from an older copy", []func(*availability){func(av *availability) { av.recordRestore(at + 100) }, answer(at + 200)}, Outage{Since: at, Until: at + 100}, at + 100},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			av := availability{since: 1000, lastAnswer: at}
--- a/internal/topic/follower.go
+++ b/internal/topic/follower.go
@@ -214,11 +214,11 @@
 		apply = true
 	}
 	if apply {
-		fo.caughtUp()
+		fo.reportCaughtUp()
 	}
 }
 
-func (fo *Follower) caughtUp() {
+func (fo *Follower) reportCaughtUp() {
 	if fo.OnCaughtUp != nil {
 		fo.OnCaughtUp()
 	}
@@ -247,7 +247,7 @@
 		fo.recordResult(ctx, err)
 		if err != nil {
 			now := fo.now()
-			if now-failed > standbyBackoffMax && fo.updatedSince(failed) {
+			if now-failed > nonReaderBackoffMax && fo.updatedSince(failed) {
 				failures = 0 // a new outage
 			}
 			failed = now
@@ -403,7 +403,7 @@
 	}
 	fo.next = max(fo.next, next)
 	fo.updatedAt = fo.now()
-	fo.caughtUp()
+	fo.reportCaughtUp()
 	return news
 }
 
@@ -414,7 +414,7 @@
 		return
 	}
 	fo.Log.Log(event.StoreReturned, event.F("Topic", fo.Name), event.F("Era", EraOf(next)))
-	fo.avail.noteRestore(fo.now()) // entries of live servers may be missing, as after an outage
+	fo.avail.recordRestore(fo.now()) // entries of live servers may be missing, as after an outage
 	fo.reportOutage()
 	if fo.OnStoreRestored != nil {
 		fo.OnStoreRestored()
--- a/internal/topic/follower_test.go
+++ b/internal/topic/follower_test.go
@@ -312,7 +312,7 @@
 	})
 }
 
-func TestReaderLosesTheStore(t *testing.T) {
+func TestChangeAfterOutageAndDroppedRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
--- a/internal/topic/line.go
+++ b/internal/topic/line.go
@@ -25,11 +25,11 @@
 	// retryTimeout bounds a read after a failed one, so that the store's recovery is
 	// noticed soon even if earlier calls hang.
 	retryTimeout = 500 * clock.Millis(1)
-	// standbyBackoffMin and standbyBackoffMax bound the backoff of a VM that does not
+	// nonReaderBackoffMin and nonReaderBackoffMax bound the backoff of a VM that does not
 	// read for others, since the readers report to it when the store has recovered. In
 	// an outage of 8 s it makes two or three calls for each topic instead of ten.
-	standbyBackoffMin = 2 * clock.Second
-	standbyBackoffMax = 4 * clock.Second
+	nonReaderBackoffMin = 2 * clock.Second
+	nonReaderBackoffMax = 4 * clock.Second
 )
 
 // silenceLimit returns how long this VM waits for updates before it reads. The caller
@@ -69,7 +69,7 @@
 	first, most := backoffMin, backoffMax
 	rank := fo.rank()
 	if fo.listed && rank >= MaxReaders && rank != RankAlone {
-		first, most = standbyBackoffMin, standbyBackoffMax
+		first, most = nonReaderBackoffMin, nonReaderBackoffMax
 	}
 	pause := min(most, first<<min(failures, 10))
 	if fo.listed && rank < MaxReaders {
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -319,8 +319,8 @@
 	vm.st.check(vm.st.clk.Now(), vm)
 }
 
-// playSite runs a site of seven VMs and two servers under the faults that play injects.
-func playSite(t *testing.T, seed uint64, play func(st *site)) (faults []string) {
+// simulateSite runs a site of seven VMs and two servers under the faults that inject causes.
+func simulateSite(t *testing.T, seed uint64, inject func(st *site)) (faults []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -329,7 +329,7 @@
 		st.add("leaves")
 		st.run(ctx)
 		time.Sleep(5 * time.Second)
-		play(st)
+		inject(st)
 		time.Sleep(8 * time.Second)
 		faults = st.firstViolations()
 	})
@@ -341,8 +341,8 @@
 func TestLocalFaultIsNotAnOutage(t *testing.T) {
 	const s = time.Second
 	for _, tc := range []struct {
-		name string
-		play func(st *site)
+		name   string
+		inject func(st *site)
 	}{
 		{"the store refuses the first reader", func(st *site) {
 			st.setVM(0, refused)
@@ -368,7 +368,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.DeepEqual(t, playSite(t, 1, tc.play), []string(nil))
+			assert.DeepEqual(t, simulateSite(t, 1, tc.inject), []string(nil))
 		})
 	}
 }
@@ -376,11 +376,11 @@
 // The first reader, back from a partition, must learn at once that the store was available.
 func TestReturningReaderLearnsStoreWasAvailable(t *testing.T) {
 	for late := 0 * time.Second; late < 2*time.Second; late += 100 * time.Millisecond {
-		t.Run(late.String(), func(t *testing.T) { playReturningReader(t, late) })
+		t.Run(late.String(), func(t *testing.T) { testReturningReader(t, late) })
 	}
 }
 
-func playReturningReader(t *testing.T, late time.Duration) {
+func testReturningReader(t *testing.T, late time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -414,7 +414,7 @@
 			{"a VM refused meanwhile", func(st *site) { st.setVM(1, refused) }},
 		} {
 			t.Run(fmt.Sprint(tc.name, " ", down), func(t *testing.T) {
-				assert.DeepEqual(t, playSite(t, 2, func(st *site) {
+				assert.DeepEqual(t, simulateSite(t, 2, func(st *site) {
 					tc.play(st)
 					st.setStore(down)
 					time.Sleep(6 * s)
@@ -454,7 +454,7 @@
 func TestGracePeriodEndsWithoutTheReader(t *testing.T) {
 	for late := 1800 * time.Millisecond; late < 2400*time.Millisecond; late += 100 * time.Millisecond {
 		t.Run(late.String(), func(t *testing.T) {
-			assert.DeepEqual(t, playSite(t, 1, func(st *site) {
+			assert.DeepEqual(t, simulateSite(t, 1, func(st *site) {
 				st.leave("leaves", false)
 				st.setStore(refused)
 				time.Sleep(2 * time.Second)
@@ -471,7 +471,7 @@
 func TestUndetectedSecondOutage(t *testing.T) {
 	for early := 100 * time.Millisecond; early < 1200*time.Millisecond; early += 50 * time.Millisecond {
 		t.Run(early.String(), func(t *testing.T) {
-			assert.DeepEqual(t, playSite(t, 1, func(st *site) {
+			assert.DeepEqual(t, simulateSite(t, 1, func(st *site) {
 				// Servers renew at 6.0, 7.2, 8.4, 9.6 and 10.8 s.
 				time.Sleep(time.Second + early)
 				st.setStore(refused)
@@ -492,13 +492,13 @@
 	for phase := 0 * time.Millisecond; phase < 1200*time.Millisecond; phase += 50 * time.Millisecond {
 		for _, delay := range []clock.Millis{2, 200} {
 			t.Run(fmt.Sprint(phase, " ", delay), func(t *testing.T) {
-				assert.DeepEqual(t, playSite(t, 1, func(st *site) { playPartitionDuringOutage(st, phase, delay) }), []string(nil))
+				assert.DeepEqual(t, simulateSite(t, 1, func(st *site) { partitionDuringOutage(st, phase, delay) }), []string(nil))
 			})
 		}
 	}
 }
 
-func playPartitionDuringOutage(st *site, phase time.Duration, delay clock.Millis) {
+func partitionDuringOutage(st *site, phase time.Duration, delay clock.Millis) {
 	// Servers renew at 4.8 and 9.6 s.
 	time.Sleep(500 * time.Millisecond)
 	st.setStore(refused)
@@ -522,7 +522,7 @@
 // Servers leave while VMs and the store have random faults.
 func TestServersLeaveUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSites) {
-		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
+		faults := simulateSite(t, seed, func(st *site) { injectRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 		assert.Assert(t, len(faults) == 0, "seed %d: %v", seed, faults)
 	}
 }
@@ -531,7 +531,7 @@
 // short (4188), or ended after VMs counted as connected again.
 func TestGracePeriodUnderRepeatedFaults(t *testing.T) {
 	for _, seed := range []uint64{2205, 4188, 5320} {
-		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
+		faults := simulateSite(t, seed, func(st *site) { injectRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 		assert.Check(t, len(faults) == 0, "seed %d: %v", seed, faults)
 	}
 }
@@ -540,7 +540,7 @@
 // before they had caught up, or kept the backoff of an earlier outage (1985).
 func TestRandomFaultRegressions(t *testing.T) {
 	for _, seed := range []uint64{762, 1985, 6173, 7674, 10338, 13903, 14980} {
-		faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
+		faults := simulateSite(t, seed, func(st *site) { injectRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 		assert.Check(t, len(faults) == 0, "seed %d: %v", seed, faults)
 	}
 }
@@ -549,11 +549,11 @@
 // time out. A VM that was partitioned then keeps a server that left for too long.
 func TestFirstAnswerAfterHungCalls(t *testing.T) {
 	const seed = 7244
-	faults := playSite(t, seed, func(st *site) { playRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
+	faults := simulateSite(t, seed, func(st *site) { injectRandomFaults(st, rand.New(rand.NewPCG(seed, 2))) })
 	assert.Check(t, len(faults) == 0, "seed %d: %v", seed, faults)
 }
 
-func playRandomFaults(st *site, rnd *rand.Rand) {
+func injectRandomFaults(st *site, rnd *rand.Rand) {
 	st.mu.Lock()
 	if rnd.IntN(3) == 0 {
 		st.loss, st.delay = 0.1, 200
--- a/internal/topic/position_test.go
+++ b/internal/topic/position_test.go
@@ -86,7 +86,7 @@
 			defer stop()
 			var mu sync.Mutex
 			known := [2]map[string]string{{}, {}}
-			last, returned := [2]uint64{}, [2]int{}
+			last, reported := [2]uint64{}, [2]int{}
 			var fos [2]*topic.Follower
 			for ix := range fos {
 				take := func(rec topic.Record) {
@@ -97,7 +97,7 @@
 					known[ix][rec.Key] = string(rec.Value)
 				}
 				fos[ix] = &topic.Follower{Source: ds, Name: "t", Pause: 50, Clock: bubbleClock{time.Now()}, StandbyAfter: 200, SelfReadAfter: 400,
-					Rank: func() int { return ix * topic.MaxReaders }, OnSnapshot: topic.ApplyEach(take), OnChange: take, OnStoreRestored: func() { returned[ix]++ }}
+					Rank: func() int { return ix * topic.MaxReaders }, OnSnapshot: topic.ApplyEach(take), OnChange: take, OnStoreRestored: func() { reported[ix]++ }}
 			}
 			fos[0].Broadcast = fos[1].Receive
 			fos[1].Broadcast = func(topic.Update) {}
@@ -105,11 +105,11 @@
 			for _, fo := range fos {
 				go fo.Run(ctx)
 			}
-			drills := 0
+			restores := 0
 			for step := range 60 {
 				if rnd.IntN(8) == 0 {
 					ds.restoreOlder(rnd.IntN(6))
-					drills++
+					restores++
 				}
 				ds.put(fmt.Sprint("k", rnd.IntN(5)), fmt.Sprint(step))
 				time.Sleep(time.Duration(rnd.IntN(80)) * time.Millisecond)
@@ -127,7 +127,7 @@
 					}
 					assert.Equal(t, known[ix][rec.Key], want, "seed %d: key %s at follower %d", seed, rec.Key, ix)
 				}
-				assert.Assert(t, returned[ix] <= drills && (drills == 0 || returned[ix] > 0), "seed %d: %d returns for %d drills", seed, returned[ix], drills)
+				assert.Assert(t, reported[ix] <= restores && (restores == 0 || reported[ix] > 0), "seed %d: %d restores reported for %d", seed, reported[ix], restores)
 			}
 		})
 	}
