--- a/internal/topic/follower.go
+++ b/internal/topic/follower.go
@@ -10,8 +10,8 @@
 // or that missed records, reads for itself: no VM depends on another for longer
 // than [Follower.SelfReadAfter].
 //
-// A VM does not treat its own failed calls as an [Outage] of the store either:
-// updates carry for how long the store has answered other VMs.
+// A VM does not treat its own failed calls as an [Outage] of the store, since
+// updates report for how long the store has answered other VMs.
 //
 // # Usage
 //
@@ -38,7 +38,7 @@
 	ErrRecordsDropped = errors.New("the records were dropped")
 	// ErrStoreRestored is an ErrRecordsDropped after which the store was restored from an
 	// older copy: records that were read may be missing, and so may entries of live servers.
-	ErrStoreRestored = fmt.Errorf("the store came back from an older copy: %w", ErrRecordsDropped)
+	ErrStoreRestored = fmt.Errorf("the store was restored from an older copy: %w", ErrRecordsDropped)
 	// errReadCancelled reports that a read was cancelled in favour of a new one.
 	errReadCancelled = errors.New("the read was cancelled")
 )
@@ -85,7 +85,7 @@
 	Follower struct {
 		Source      Source
 		Name        string
-		Wait        clock.Millis // for which a read waits for a change; zero: returns at once
+		Wait        clock.Millis // how long a read waits for a change; zero: it returns at once
 		Pause       clock.Millis // between two reads
 		GracePeriod clock.Millis // after an outage, for entries to be renewed; this VM reads at its end
 		SkipPause   func() bool  // reports whether to skip the pause for now; may be nil
@@ -117,7 +117,7 @@
 
 		mu             sync.Mutex
 		everListed     bool // a listing has succeeded
-		listed         bool
+		listed         bool // next follows a listing; false again after records were dropped
 		next           uint64
 		relisted       bool               // no read has followed the last listing
 		updatedAt      clock.Millis       // when the last update or read left no gap
@@ -218,6 +218,7 @@
 	}
 }
 
+// reportCaughtUp calls OnCaughtUp if it is set.
 func (fo *Follower) reportCaughtUp() {
 	if fo.OnCaughtUp != nil {
 		fo.OnCaughtUp()
@@ -428,6 +429,8 @@
 	return fo.next
 }
 
+// recordResult records whether the store answered the last read. It logs when the store
+// stops answering and when it answers again.
 func (fo *Follower) recordResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
--- a/internal/topic/follower_test.go
+++ b/internal/topic/follower_test.go
@@ -312,6 +312,8 @@
 	})
 }
 
+// A change that is written during an outage must reach all VMs, even if the store has
+// dropped the records before it.
 func TestChangeAfterOutageAndDroppedRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -324,14 +326,14 @@
 		fl.st.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		for _, mb := range fl.members {
-			assert.Assert(t, mb.outages.Load() > 0, "each VM detects the outage")
+			assert.Assert(t, mb.outages.Load() > 0, "a VM did not detect the outage")
 		}
 		fl.st.put("a", "1")
 		fl.st.mu.Lock()
 		fl.st.down, fl.st.first = false, 1
 		fl.st.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond)
-		assert.NilError(t, fl.allHave("a", "1"), "also after the history was dropped")
+		assert.NilError(t, fl.allHave("a", "1"), "after the history was dropped")
 	})
 }
 
@@ -488,7 +490,7 @@
 		back := began.Now()
 		time.Sleep(1500 * time.Millisecond)
 		for ix, mb := range fl.members {
-			assert.Assert(t, clock.Millis(mb.outageUntil.Load()) > back-1200, "member %d: %d, back at %d", ix, mb.outageUntil.Load(), back)
+			assert.Assert(t, clock.Millis(mb.outageUntil.Load()) > back-1200, "member %d: outage ended at %d, store recovered at %d", ix, mb.outageUntil.Load(), back)
 		}
 	})
 }
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -445,7 +445,7 @@
 			time.Sleep(350 * time.Millisecond)
 			st.mu.Lock()
 			defer st.mu.Unlock()
-			assert.Assert(t, st.answeredAt >= st.upSince, "nobody asked in 0.35 s after the return (outage of 6 s and %s)", phase)
+			assert.Assert(t, st.answeredAt >= st.upSince, "the store answered no call within 0.35 s of its recovery (outage of 6 s and %s)", phase)
 		})
 	}
 }
--- a/internal/topic/position_test.go
+++ b/internal/topic/position_test.go
@@ -92,7 +92,7 @@
 				take := func(rec topic.Record) {
 					mu.Lock()
 					defer mu.Unlock()
-					assert.Check(t, rec.Offset >= last[ix], "seed %d: %x came behind %x", seed, rec.Offset, last[ix])
+					assert.Check(t, rec.Offset >= last[ix], "seed %d: record at %x was applied after the one at %x", seed, rec.Offset, last[ix])
 					last[ix] = rec.Offset
 					known[ix][rec.Key] = string(rec.Value)
 				}
