--- a/internal/invariant/fleet.go
+++ b/internal/invariant/fleet.go
@@ -12,7 +12,7 @@
 		until := lv.Since.Add(MaxStartAfterLeaving.Std())
 		for name, began := range hs.lastStartsAt(lv.Server) {
 			if began.After(until) {
-				out = append(out, violation(UsedLeaving, lv.Server, "%s began %v after it was leaving", name, began.Sub(lv.Since)))
+				out = append(out, violation(UsedLeaving, lv.Server, "%s started %v after the server began to leave", name, began.Sub(lv.Since)))
 			}
 		}
 	}
@@ -53,12 +53,12 @@
 	var out []Violation
 	for _, st := range hs.PlannedStops {
 		if st.Ended.IsZero() || st.ExitCode != 0 {
-			out = append(out, violation(CutOff, st.VM, "the planned stop ended with code %d (at all: %t)", st.ExitCode, !st.Ended.IsZero()))
+			out = append(out, violation(CutOff, st.VM, "the planned stop has exit code %d (stop ended: %t)", st.ExitCode, !st.Ended.IsZero()))
 		}
 		for _, ca := range hs.Calls {
 			during := ca.Ended.After(st.Began) && (st.Ended.IsZero() || ca.Began.Before(st.Ended))
 			if during && !ca.complete() && !ca.callerLeft() {
-				out = append(out, violation(CutOff, ca.RequestName(), "no whole answer during the planned stop of %s: %v", st.VM, ca.Outcomes))
+				out = append(out, violation(CutOff, ca.RequestName(), "no complete answer during the planned stop of %s: %v", st.VM, ca.Outcomes))
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 	for _, sg := range hs.ObservedRevisions {
 		pl := place{sg.VM, sg.Customer}
 		if sg.Revision < newest[pl] {
-			out = append(out, violation(Reverted, sg.VM, "%s went from revision %d to %d", sg.Customer, newest[pl], sg.Revision))
+			out = append(out, violation(Reverted, sg.VM, "%s reverted from revision %d to %d", sg.Customer, newest[pl], sg.Revision))
 		}
 		newest[pl] = max(newest[pl], sg.Revision)
 	}
@@ -90,9 +90,9 @@
 			at, ok := hs.firstSeen(vm, pb)
 			switch {
 			case !ok:
-				out = append(out, violation(LateInForce, vm, "%s never had revision %d", pb.Customer, pb.Revision))
+				out = append(out, violation(LateInForce, vm, "%s: revision %d never became active", pb.Customer, pb.Revision))
 			case at.Sub(pb.Accepted) > MaxActivationDelay.Std():
-				out = append(out, violation(LateInForce, vm, "%s had revision %d after %v", pb.Customer, pb.Revision, at.Sub(pb.Accepted)))
+				out = append(out, violation(LateInForce, vm, "%s: revision %d became active after %v", pb.Customer, pb.Revision, at.Sub(pb.Accepted)))
 			}
 		}
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -82,19 +82,19 @@
 		rule    invariant.Rule
 		corrupt func(hs *invariant.History)
 	}{
-		"a slot is held":         {invariant.Held, func(hs *invariant.History) { hs.Engines[1].SlotsHeld = 1 }},
-		"a KV cache is kept":     {invariant.Held, func(hs *invariant.History) { hs.Engines[0].KVKept = 1 }},
-		"a run has not ended":    {invariant.Held, func(hs *invariant.History) { hs.Engines[0].Unfinished = 1 }},
-		"a run ended late":       {invariant.Held, func(hs *invariant.History) { hs.Engines[1].Runs[0].EndedAt = 7001 }},
-		"a run goes on for none": {invariant.Held, func(hs *invariant.History) { hs.Engines[1].Runs[0].Outcome = "" }},
-		"no end":                 {invariant.OneEnd, func(hs *invariant.History) { hs.Calls[2].Outcomes = nil }},
+		"a slot is held":                 {invariant.Held, func(hs *invariant.History) { hs.Engines[1].SlotsHeld = 1 }},
+		"a KV cache is kept":             {invariant.Held, func(hs *invariant.History) { hs.Engines[0].KVKept = 1 }},
+		"a run has not ended":            {invariant.Held, func(hs *invariant.History) { hs.Engines[0].Unfinished = 1 }},
+		"a run ended late":               {invariant.Held, func(hs *invariant.History) { hs.Engines[1].Runs[0].EndedAt = 7001 }},
+		"a run continues without a call": {invariant.Held, func(hs *invariant.History) { hs.Engines[1].Runs[0].Outcome = "" }},
+		"no outcome":                     {invariant.OneEnd, func(hs *invariant.History) { hs.Calls[2].Outcomes = nil }},
 		"an answer and a refusal": {invariant.OneEnd, func(hs *invariant.History) {
 			hs.Calls[0].Outcomes = append(hs.Calls[0].Outcomes, mayHaveRun)
 		}},
-		"whole twice": {invariant.OneEnd, func(hs *invariant.History) {
+		"two complete outcomes": {invariant.OneEnd, func(hs *invariant.History) {
 			hs.Calls[0].Outcomes = append(hs.Calls[0].Outcomes, invariant.Complete{})
 		}},
-		"two answers of one key": {invariant.OneEnd, func(hs *invariant.History) {
+		"two answers for one key": {invariant.OneEnd, func(hs *invariant.History) {
 			other := hs.Calls[0]
 			other.Request = invariant.Chat{Prompt: note, Tokens: 2}
 			other.Received = strings.Join(standin.Answer(note, 2), "")
@@ -104,11 +104,11 @@
 		"the last token is missing": {invariant.WrongAnswer, func(hs *invariant.History) {
 			hs.Calls[0].Received = answer[:len(answer)-9]
 		}},
-		"a token came twice": {invariant.WrongAnswer, func(hs *invariant.History) { hs.Calls[0].Received = answer + answer[27:] }},
-		"another's answer": {invariant.WrongAnswer, func(hs *invariant.History) {
+		"a token is repeated": {invariant.WrongAnswer, func(hs *invariant.History) { hs.Calls[0].Received = answer + answer[27:] }},
+		"the answer to another call": {invariant.WrongAnswer, func(hs *invariant.History) {
 			hs.Calls[1].Received = standin.Reply("POST", "/payments", []byte("other"))
 		}},
-		"another's token before a refusal": {invariant.WrongAnswer, func(hs *invariant.History) {
+		"a token of another answer before a refusal": {invariant.WrongAnswer, func(hs *invariant.History) {
 			hs.Calls[0].Received = standin.Answer("other notes", 1)[0]
 			hs.Calls[0].Outcomes = []invariant.Outcome{mayHaveRun}
 			hs.PlannedStops = nil
@@ -130,17 +130,17 @@
 		}},
 		"a leaving server was used": {invariant.UsedLeaving, func(hs *invariant.History) { hs.Services[0].Runs[0].At = 3009 }},
 		"a leaving engine was used": {invariant.UsedLeaving, func(hs *invariant.History) { hs.Engines[0].Runs[0].Stages[0].At = 3010 }},
-		"a stop cut off a call": {invariant.CutOff, func(hs *invariant.History) {
+		"a stop interrupted a call": {invariant.CutOff, func(hs *invariant.History) {
 			hs.Calls[0].Outcomes, hs.Calls[0].Received = []invariant.Outcome{mayHaveRun}, answer[:9]
 		}},
 		"a stop never ended":      {invariant.CutOff, func(hs *invariant.History) { hs.PlannedStops[0].Ended = time.Time{} }},
 		"a stop ended in failure": {invariant.CutOff, func(hs *invariant.History) { hs.PlannedStops[0].ExitCode = 1 }},
-		"a revision went back": {invariant.Reverted, func(hs *invariant.History) {
+		"a revision decreased": {invariant.Reverted, func(hs *invariant.History) {
 			hs.ObservedRevisions = append(hs.ObservedRevisions, invariant.ObservedRevision{VM: "vm-1", Customer: "cu", Revision: 2, At: at(950)})
 		}},
-		"a revision came late":  {invariant.LateInForce, func(hs *invariant.History) { hs.ObservedRevisions[1].At = at(4501) }},
-		"a revision never came": {invariant.LateInForce, func(hs *invariant.History) { hs.Publications[0].Revision = 4 }},
-		"a VM never had it": {invariant.LateInForce, func(hs *invariant.History) {
+		"a revision became active late":  {invariant.LateInForce, func(hs *invariant.History) { hs.ObservedRevisions[1].At = at(4501) }},
+		"a revision never became active": {invariant.LateInForce, func(hs *invariant.History) { hs.Publications[0].Revision = 4 }},
+		"a revision never became active at one VM": {invariant.LateInForce, func(hs *invariant.History) {
 			hs.Publications[0].VMs = append(hs.Publications[0].VMs, "vm-2")
 		}},
 	} {
@@ -156,7 +156,7 @@
 	}
 }
 
-// A caller that left is owed no answer. A refusal with NotRun is true even if
+// A caller that left need not receive an answer. A refusal with NotRun is true even if
 // another call with the same key ran.
 func TestAllowedHistories(t *testing.T) {
 	hs := validHistory()
@@ -174,5 +174,5 @@
 	for _, vi := range invariant.Check(hs) {
 		fmt.Println(vi.Error())
 	}
-	// Output: OneEnd: cu/k: 0 ends
+	// Output: OneEnd: cu/k: 0 outcomes
 }
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -30,14 +30,14 @@
 	var out []Violation
 	for _, ca := range hs.Calls {
 		if len(ca.Outcomes) != 1 {
-			out = append(out, violation(OneEnd, ca.RequestName(), "%d ends", len(ca.Outcomes)))
+			out = append(out, violation(OneEnd, ca.RequestName(), "%d outcomes", len(ca.Outcomes)))
 		}
 		want := ca.Request.expectedAnswer()
 		switch {
 		case ca.complete() && ca.Received != want:
-			out = append(out, violation(WrongAnswer, ca.RequestName(), "a whole answer of %d bytes differs from the one of %d bytes", len(ca.Received), len(want)))
+			out = append(out, violation(WrongAnswer, ca.RequestName(), "the complete answer of %d bytes differs from the expected one of %d bytes", len(ca.Received), len(want)))
 		case !strings.HasPrefix(want, ca.Received):
-			out = append(out, violation(WrongAnswer, ca.RequestName(), "%d bytes are not the start of its answer", len(ca.Received)))
+			out = append(out, violation(WrongAnswer, ca.RequestName(), "the %d bytes received are not a prefix of the expected answer", len(ca.Received)))
 		}
 	}
 	return out
@@ -48,13 +48,13 @@
 	var out []Violation
 	for _, rq := range requestsOf(hs) {
 		if rq.starts > 0 && rq.allNotRun() {
-			out = append(out, violation(FalseNotRun, rq.name, "all callers were told NotRun, and it began %d times", rq.starts))
+			out = append(out, violation(FalseNotRun, rq.name, "all calls were refused with NotRun, but the request started %d times", rq.starts))
 		}
 		if !rq.idempotent && rq.executions > 1 {
 			out = append(out, violation(RanTwice, rq.name, "ran %d times", rq.executions))
 		}
 		if answers := rq.distinctAnswers(); answers > 1 {
-			out = append(out, violation(OneEnd, rq.name, "%d answers that differ", answers))
+			out = append(out, violation(OneEnd, rq.name, "%d different answers", answers))
 		}
 	}
 	return out
@@ -65,7 +65,7 @@
 	var out []Violation
 	for _, en := range hs.Engines {
 		if en.SlotsHeld+en.KVKept+en.Unfinished > 0 {
-			out = append(out, violation(Held, en.Server, "%d slots, %d KV caches and %d runs at the end",
+			out = append(out, violation(Held, en.Server, "%d slots, %d KV caches and %d unfinished runs when the history was taken",
 				en.SlotsHeld, en.KVKept, en.Unfinished))
 		}
 	}
@@ -78,7 +78,7 @@
 			ended, known := last[requestName(rec.Request)]
 			late := runEnd(en, rec).Sub(ended)
 			if known && late > hs.MaxHoldAfterEnd.Std() {
-				out = append(out, violation(Held, en.Server, "%s held until %v after its last call ended", rec.Request, late))
+				out = append(out, violation(Held, en.Server, "%s was held until %v after its last call ended", rec.Request, late))
 			}
 		}
 	}
@@ -104,6 +104,7 @@
 	return out
 }
 
+// requestsOf groups the calls by request and counts the runs of each request.
 func requestsOf(hs History) []*request {
 	byName := make(map[string]*request)
 	var out []*request
@@ -134,6 +135,8 @@
 	return out
 }
 
+// count counts a run at an engine: a prefill as a start, a decode that produced output as
+// an execution.
 func (rq *request) count(rec *enginesim.Run) {
 	switch {
 	case rec.Role == board.Prefill:
