--- a/internal/register/bucket.go
+++ b/internal/register/bucket.go
@@ -6,6 +6,8 @@
 	"slices"
 )
 
+// applyRestate applies a Restate. It decides a bucket that is unknown. If the bucket is known,
+// the Restate is only compared with it.
 func (st *State) applyRestate(offset uint64, rst Restate) ([]Outcome, error) {
 	if err := st.checkBucketKeys(offset, rst.Bucket, rst.Buckets, rst.Entries); err != nil {
 		return nil, err
@@ -26,6 +28,8 @@
 	return st.adoptContent(sl, rst.AsOf, rst.Entries), nil
 }
 
+// checkBucketKeys checks that a Restate or Recover was written for the same number of buckets
+// and contains only keys of its bucket.
 func (st *State) checkBucketKeys(offset uint64, bucket, buckets int, ens []Entry) error {
 	if buckets != st.Buckets {
 		return &RecordError{Offset: offset, Detail: "written for another number of buckets"}
--- a/internal/register/explore_test.go
+++ b/internal/register/explore_test.go
@@ -296,7 +296,7 @@
 	for _, out := range outs {
 		want := views[out.Offset+1].ruling
 		if out.Ruling != Undetermined && (out.Ruling != want.Ruling || out.Revision != want.Revision) {
-			ex.violation = fmt.Sprintf("offset %d was ruled %s %d; the log says %s %d",
+			ex.violation = fmt.Sprintf("offset %d was ruled %s %d; the reference fold says %s %d",
 				out.Offset, out.Ruling, out.Revision, want.Ruling, want.Revision)
 		}
 		if out.Offset+1 < st.next {
@@ -330,7 +330,7 @@
 	}
 	for key, want := range views[st.next].entries {
 		if st.bucket(key) == sx && (sl.entries[key].Revision != want.Revision || sl.entries[key].ID != want.ID) {
-			ex.violation = fmt.Sprintf("at offset %d %s has revision %d; the log says %d",
+			ex.violation = fmt.Sprintf("at offset %d %s has revision %d; the reference fold says %d",
 				st.next, key, sl.entries[key].Revision, want.Revision)
 		}
 	}
@@ -382,7 +382,7 @@
 	vi.entries[pub.Key] = Entry{Revision: rev, ID: pub.ID, Earlier: cur.earlier()}
 	race := fmt.Sprint(pub.Key, pub.Base, "/", vi.recovered)
 	if pl.winners[race] != "" {
-		pl.fault = "two publications won with one base"
+		pl.fault = "two publications with one base were accepted"
 	}
 	pl.winners[race] = pub.ID
 	return Outcome{Ruling: Accepted, Revision: rev}
@@ -519,8 +519,8 @@
 		tt.Run(tc.name, func(tt *testing.T) {
 			tt.Parallel()
 			ex := explore(scenarios[tc.scenario], tc.broken)
-			assert.Assert(tt, ex.violation != "", "not caught in %d states", len(ex.seen))
-			tt.Logf("caught in %q after %d states: %s", tc.scenario, len(ex.seen), ex.violation)
+			assert.Assert(tt, ex.violation != "", "no violation in %d states", len(ex.seen))
+			tt.Logf("violation in scenario %q after %d states: %s", tc.scenario, len(ex.seen), ex.violation)
 		})
 	}
 }
--- a/internal/register/follower_test.go
+++ b/internal/register/follower_test.go
@@ -127,7 +127,7 @@
 		spans = append(spans, longestDelay(tt, hn, onlyVerdict(tt, wi).Revision))
 	}
 	slices.Sort(spans)
-	tt.Logf("in force at 3 of 7 VMs cut off from the log: median %v, longest %v of 100", spans[50], spans[99])
+	tt.Logf("active at 3 of 7 VMs disconnected from the log: median %v, longest %v of 100", spans[50], spans[99])
 	assert.Assert(tt, spans[98] <= activationBound, "%v", spans)
 }
 
@@ -237,7 +237,7 @@
 		hn.run(36 * clock.Second)
 	}
 	slices.Sort(spans)
-	tt.Logf("%d changes, one VM of 6 cut off each time: 50%% in force everywhere in %v, 99%% in %v, all in %v",
+	tt.Logf("%d changes, one VM of 6 disconnected each time: 50%% active everywhere in %v, 99%% in %v, all in %v",
 		changes, spans[changes/2], spans[changes*99/100], spans[changes-1])
 	assert.Assert(tt, spans[changes*99/100] <= activationBound)
 
@@ -257,7 +257,7 @@
 			assert.Equal(tt, ve.Result, Conflict)
 		}
 	}
-	tt.Logf("burst of %d, two for each customer: %d published, in force everywhere in %v", burst, published, longest)
+	tt.Logf("burst of %d, two for each customer: %d published, active everywhere in %v", burst, published, longest)
 	assert.Equal(tt, published, customers)
 	assert.Assert(tt, longest <= activationBound)
 	hn.checkAgree()
--- a/internal/register/harness_test.go
+++ b/internal/register/harness_test.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// setTemplates checks that no customer's revision decreases.
+// setTemplates stores the active templates and checks that no customer's revision decreases.
 func (vm *follower) setTemplates(tp *board.Templates) {
 	for name, old := range vm.activeTemplates.ByCustomer {
 		now, ok := tp.ByCustomer[name]
@@ -381,12 +381,12 @@
 		for _, ve := range wi.verdicts {
 			switch ve.Result {
 			case Published:
-				assert.Assert(hn.tt, accepted && rev == ve.Revision, "%s was told %+v", id, ve)
+				assert.Assert(hn.tt, accepted && rev == ve.Revision, "%s got the verdict %+v", id, ve)
 			case Conflict:
-				assert.Assert(hn.tt, !accepted, "%s was told %+v", id, ve)
+				assert.Assert(hn.tt, !accepted, "%s got the verdict %+v", id, ve)
 			case NotPublished:
 				// A repeated request may have been published later.
-				assert.Assert(hn.tt, !accepted || wi.requests > 1, "%s was told %+v", id, ve)
+				assert.Assert(hn.tt, !accepted || wi.requests > 1, "%s got the verdict %+v", id, ve)
 			case Unknown:
 			}
 		}
--- a/internal/register/lease.go
+++ b/internal/register/lease.go
@@ -150,6 +150,7 @@
 	return append(out, ho.plan(now)...)
 }
 
+// handleObserved handles the resource's register as this VM last read it.
 func (ho *Holder) handleObserved(now clock.Millis, ev LeaseObserved) []HolderIntent {
 	if ho.Lossy && ev.Known && !ho.known {
 		ho.freeAt = max(ho.freeAt, now+ho.Duration+ho.Margin+ho.jitter(ho.Margin))
@@ -254,6 +255,7 @@
 	return ho.attempt
 }
 
+// send appends the record of an attempt, and plans the next append in case this one fails.
 func (ho *Holder) send(now clock.Millis, at *attempt) []HolderIntent {
 	ho.notBefore = now + ho.Margin + ho.jitter(ho.Margin)
 	wake := ho.notBefore
@@ -286,6 +288,7 @@
 	case mine && !ho.wanted:
 		return max(now, ho.notBefore), true
 	case mine:
+		// a third of the duration after the append
 		third := ho.usableUntil + ho.Margin - ho.Duration*2/3
 		return max(third, ho.notBefore), false
 	case !ho.wanted:
@@ -304,10 +307,12 @@
 	return never
 }
 
+// jitter returns a random span up to the given one.
 func (ho *Holder) jitter(span clock.Millis) clock.Millis {
 	return clock.Millis(ho.Rand.Int64N(int64(span) + 1))
 }
 
+// effectOf returns the effect of a failed append; MayBeAppended if the error does not say.
 func effectOf(err error) logsvc.Effect {
 	var ae *logsvc.AppendError
 	if errors.As(err, &ae) {
--- a/internal/register/lease_test.go
+++ b/internal/register/lease_test.go
@@ -163,7 +163,7 @@
 	lw.want(1, true)
 	lw.holders[0].paused = true
 	lw.run(7 * clock.Second)
-	assert.Equal(tt, lw.holder(), 0, "still within its lease if it wakes now")
+	assert.Equal(tt, lw.holder(), 0, "the lease has not expired if it resumes now")
 	lw.run(10 * clock.Second)
 	assert.Equal(tt, lw.holder(), 1)
 	token, _ := lw.holders[1].ho.MayOrder(lw.now)
@@ -213,7 +213,7 @@
 		}
 		lw.want(0, true)
 		lw.run(30 * clock.Second)
-		assert.Assert(rt, lw.holder() >= 0, "nobody holds the lease")
+		assert.Assert(rt, lw.holder() >= 0, "no VM holds the lease")
 	})
 }
 
--- a/internal/register/publish.go
+++ b/internal/register/publish.go
@@ -64,6 +64,7 @@
 	return NotPublished
 }
 
+// newPublish returns the publication for a request; false if it is invalid or exceeds a limit.
 func newPublish(ev PublishRequest) (Publish, bool) {
 	pub := Publish{ID: ev.ID, Key: ev.Customer, Base: ev.Base}
 	if ev.Template != nil {
@@ -117,6 +118,7 @@
 	return ""
 }
 
+// keyHashTaken reports whether an API key of the template belongs to another customer.
 func (fo *Follower) keyHashTaken(tpl template.Template) bool {
 	for _, hash := range tpl.KeyHashes {
 		if owner, ok := fo.activeTemplates.ByKeyHash[hash]; ok && owner != tpl.Customer {
--- a/internal/register/reading.go
+++ b/internal/register/reading.go
@@ -46,6 +46,7 @@
 	}
 )
 
+// planRead requests the next read of the log if it is due. It returns when that will be.
 func (fo *Follower) planRead(now clock.Millis) clock.Millis {
 	rd := &fo.reading
 	if rd.open {
@@ -203,6 +204,7 @@
 // reset drops all records; the next ones start at the offset.
 func (rc *recent) reset(offset uint64) { *rc = recent{first: offset, next: offset} }
 
+// batch returns the kept records from an offset on, up to the given number.
 func (rc *recent) batch(from uint64, most int) logsvc.Batch {
 	ba := logsvc.Batch{First: rc.first, Next: rc.next, End: rc.next}
 	for _, rec := range rc.records {
--- a/internal/register/record.go
+++ b/internal/register/record.go
@@ -76,6 +76,8 @@
 		Err    error
 	}
 
+	// envelope is the encoded form of a record. Exactly one field besides
+	// Version is set.
 	envelope struct {
 		Version int
 		Publish *Publish        `json:",omitempty"`
@@ -123,6 +125,8 @@
 	return len(en.Earlier) < maxEarlier || en.Earlier[0].Revision <= revision
 }
 
+// size returns the bytes that the register counts towards MaxBucket. Each publication that
+// it remembers counts with the longest ID and 40 bytes for its revision and the JSON.
 func (en Entry) size() int {
 	return len(en.Key) + len(en.Value) + (1+len(en.Earlier))*(MaxID+40)
 }
@@ -192,6 +196,8 @@
 	return found[0], err
 }
 
+// checked returns the publication with its value in canonical form, and an error if it is
+// invalid or exceeds a limit.
 func (pub Publish) checked() (Publish, error) {
 	switch {
 	case pub.ID == "" || len(pub.ID) > MaxID:
@@ -207,6 +213,7 @@
 	return pub, err
 }
 
+// checkBucket checks the content of a Restate or Recover that was read at an offset.
 func checkBucket(asOf, offset uint64, bucket, buckets int, ens []Entry) error {
 	if asOf > offset {
 		return fmt.Errorf("content as of offset %d, after its own record", asOf)
--- a/internal/register/record_test.go
+++ b/internal/register/record_test.go
@@ -16,16 +16,16 @@
 	cases := []struct{ name, data string }{
 		{"not JSON", `{`},
 		{"other version", `{"Version":2,"Publish":{"ID":"a","Key":"b"}}`},
-		{"recovery of the future", `{"Version":1,"Recover":{"AsOf":8,"Buckets":1}}`},
-		{"nothing", `{"Version":1}`},
-		{"both", `{"Version":1,"Publish":{"ID":"a","Key":"b"},"Restate":{"Buckets":1}}`},
+		{"recovery as of a later offset", `{"Version":1,"Recover":{"AsOf":8,"Buckets":1}}`},
+		{"no record", `{"Version":1}`},
+		{"two records", `{"Version":1,"Publish":{"ID":"a","Key":"b"},"Restate":{"Buckets":1}}`},
 		{"no ID", `{"Version":1,"Publish":{"Key":"b"}}`},
 		{"long ID", `{"Version":1,"Publish":{"Key":"b","ID":"` + strings.Repeat("x", MaxID+1) + `"}}`},
 		{"long key", `{"Version":1,"Publish":{"ID":"b","Key":"` + strings.Repeat("x", MaxKey+1) + `"}}`},
 		{"long value", `{"Version":1,"Publish":{"ID":"b","Key":"k","Value":"` + strings.Repeat("<", MaxValue/6+1) + `"}}`},
-		{"as of the future", `{"Version":1,"Restate":{"AsOf":8,"Buckets":1}}`},
+		{"restatement as of a later offset", `{"Version":1,"Restate":{"AsOf":8,"Buckets":1}}`},
 		{"bucket out of bounds", `{"Version":1,"Restate":{"Bucket":3,"Buckets":3}}`},
-		{"entry of the future", `{"Version":1,"Restate":{"AsOf":5,"Buckets":1,"Entries":[{"Key":"a","Revision":6}]}}`},
+		{"entry newer than its restatement", `{"Version":1,"Restate":{"AsOf":5,"Buckets":1,"Entries":[{"Key":"a","Revision":6}]}}`},
 		{"entries out of order", `{"Version":1,"Restate":{"AsOf":5,"Buckets":1,"Entries":[{"Key":"b","Revision":1},{"Key":"a","Revision":2}]}}`},
 	}
 	for _, tc := range cases {
@@ -162,5 +162,5 @@
 	assert.Assert(tt, st.Known())
 	_, err = st.Import(Snapshot{Content: Leases, Buckets: 2, AsOf: 9, Covered: []uint64{0, 0}})
 	var se *SnapshotError
-	assert.Assert(tt, errors.As(err, &se), "took the registers back")
+	assert.Assert(tt, errors.As(err, &se), "a snapshot that reverts a register was imported")
 }
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -162,7 +162,7 @@
 			return bad("not a lease")
 		}
 		if le.Holder == "" || le.Duration <= 0 || le.Duration > maxLease {
-			return bad("has no holder or no proper duration")
+			return bad("has no holder or a duration out of range")
 		}
 	default:
 		return bad("unknown content")
--- a/internal/register/restate.go
+++ b/internal/register/restate.go
@@ -129,6 +129,8 @@
 	return due + clock.Millis(fo.rank(ix))*fo.Settings.Retention/(restateFraction*restateFraction)
 }
 
+// rank returns this VM's rank for a bucket: how many VMs restate or recover it before this
+// one, at most maxRank. The ranks are computed again when the fleet changes.
 func (fo *Follower) rank(ix int) int {
 	ro := &fo.restating
 	if ro.fleet != fo.fleet {
@@ -158,7 +160,7 @@
 	if ro.unknownSince == 0 {
 		ro.unknownSince = now
 	}
-	stale := ro.requestedAt + 2*emptyRecoverFactor*se.RecoverAfter
+	stale := ro.requestedAt + 2*emptyRecoverFactor*se.RecoverAfter // the request is repeated then
 	knownTo := fo.state.missedKnownTo()
 	if ro.requested == 0 || now >= stale || knownTo > fo.state.requestKnownTo {
 		due := ro.unknownSince + se.RequestAfter + clock.Millis(fo.rank(0))*requestSpacing
--- a/internal/register/state.go
+++ b/internal/register/state.go
@@ -18,7 +18,7 @@
 		Content Content
 		Buckets int // zero means DefaultBuckets
 
-		begun bool
+		begun bool   // start and next are set
 		start uint64 // every record from here to next was read
 		next  uint64 // offset of the next record
 		slots []slot
@@ -38,7 +38,7 @@
 		// the entries are then the last known ones.
 		known        bool
 		entries      map[string]Entry
-		bytes        int
+		bytes        int           // total size of the entries, limited by MaxBucket
 		held         []heldPublish // publications held back while not known, in log order
 		restatedAsOf uint64        // highest AsOf of the Restates read
 		covered      uint64        // offset of the newest valid Restate or Recover, plus one
@@ -155,6 +155,8 @@
 	st.begun = true
 }
 
+// apply applies the records of a batch from next on. bad holds the errors of records that
+// are invalid or contradict the state.
 func (st *State) apply(ba logsvc.Batch) (outs []Outcome, bad []error) {
 	for _, raw := range ba.Records {
 		if raw.Offset < st.next {
@@ -189,6 +191,7 @@
 	return outs, bad
 }
 
+// publish decides a publication, or holds it back while its bucket is unknown.
 func (st *State) publish(offset uint64, pub Publish) []Outcome {
 	sl := &st.slots[st.bucket(pub.Key)]
 	if !sl.known {
@@ -220,6 +223,7 @@
 	return out
 }
 
+// refusalReason returns why an entry that would replace cur is refused; empty if it is not.
 func (st *State) refusalReason(sl *slot, cur, next Entry) Reason {
 	switch {
 	case len(next.Value) == 0 && cur.Revision == 0:
