--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -10,6 +10,7 @@
 	"alderdyke/pkg/clock"
 )
 
+// noDeadDelay is the shortest DeadDelay; zero would select the default.
 const noDeadDelay = clock.Millis(1)
 
 // variants are compared without DeadDelay, which would hide their false deaths; the
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -21,7 +21,7 @@
 //
 // A VM that is not quorate still marks VMs as Dead locally, so that it can
 // continue to serve, but does not tell others. Otherwise a single partitioned
-// VM would make the whole fleet refute its death.
+// VM would make every other VM refute its own death.
 //
 // A Detector does no I/O: it takes events and the time, and returns intents.
 // It is not safe for concurrent use.
@@ -249,6 +249,7 @@
 	return span * clock.Millis(1+dt.localHealth)
 }
 
+// advance handles everything that is due at the current time.
 func (dt *Detector) advance() {
 	dt.expireProbes()
 	dt.expireSuspicions()
@@ -263,6 +264,7 @@
 	}
 }
 
+// leave announces a planned stop. After a final one, this VM sends nothing more.
 func (dt *Detector) leave(final bool) {
 	if dt.left {
 		return
@@ -309,6 +311,7 @@
 	return dt.out
 }
 
+// nextWake returns when the next timeout or probe is due.
 func (dt *Detector) nextWake() clock.Millis {
 	at := min(dt.nextCleanup, dt.prober.next)
 	if dt.quorum.until > dt.now {
--- a/internal/membership/fault_test.go
+++ b/internal/membership/fault_test.go
@@ -27,6 +27,7 @@
 	return tf
 }
 
+// eachFleet runs a test on fleets of three sizes, each with one or more seeds.
 func eachFleet(t *testing.T, test func(t *testing.T, size, domains int, seed uint64)) {
 	t.Parallel()
 	for _, fl := range []struct{ size, domains int }{{7, 4}, {24, 8}, {96, 8}} {
@@ -39,6 +40,7 @@
 	}
 }
 
+// refutations returns how often the VMs refuted their own deaths.
 func (tf *testFleet) refutations(vms []*testVM) int {
 	count := 0
 	for _, vm := range vms {
@@ -283,7 +285,7 @@
 }
 
 // VM 1 moves from one side of a partition to the other. Its acks on the first side must
-// not complete a majority there while it is part of another majority here.
+// not complete a majority there while it is part of a majority on the other side.
 func TestMajoritiesDoNotOverlap(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -247,7 +247,8 @@
 	}
 }
 
-// schedulePause sets when a VM pauses next: an unstable one every 5 s on average.
+// schedulePause sets when a VM pauses next: an unstable one 2 to 4 s after its last pause,
+// any other after a random span.
 func (tf *testFleet) schedulePause(vm *testVM) {
 	switch {
 	case tf.unstable[vm.self.ID]:
@@ -419,7 +420,8 @@
 	}
 }
 
-// countViews counts the pairs of live VMs in which the first sees the second with a health.
+// countViews counts the pairs of live VMs in which the first sees the second in the given
+// health state.
 func (tf *testFleet) countViews(hl board.Health) int {
 	count := 0
 	for _, vm := range tf.vms {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -97,6 +97,8 @@
 	}
 }
 
+// nextInRound returns the next member to probe; nil if there is none. It starts a new round
+// when the current one has ended.
 func (dt *Detector) nextInRound() *member {
 	if dt.prober.inserted > len(dt.prober.round)/4 {
 		dt.startRound() // too many random positions for the round to sample all domains evenly
@@ -276,6 +278,7 @@
 	}
 }
 
+// suspectMissed suspects a member that missed a probe.
 func (dt *Detector) suspectMissed(mb *member) {
 	if dt.disabled.suspicion {
 		dt.markDead(mb)
@@ -336,6 +339,8 @@
 	}
 }
 
+// ackProbe acks a probe. If the sender suspects this VM, the rumour about this VM's own
+// state is queued again, since the sender may have missed it.
 func (dt *Detector) ackProbe(from *member, pb *peerpb.Probe) {
 	if pb.GetSuspected() {
 		dt.rumours.push(dt.Self.ID, 0)
@@ -346,6 +351,7 @@
 	}}})
 }
 
+// relayProbe probes a member on behalf of another VM.
 func (dt *Detector) relayProbe(from *member, ip *peerpb.IndirectProbe) {
 	target := dt.table.byID[ip.GetTarget()]
 	if target == nil || len(dt.prober.relays) >= maxRelays {
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -157,7 +157,7 @@
 func (qr *quorum) majority() bool {
 	// The floating-point sum of shares is inexact. The slack is far below the
 	// share of one VM and keeps exactly half from counting as a majority. It
-	// also absorbs that map iteration sums in varying order.
+	// also covers that the sum depends on the order of the map iteration.
 	const slack = 1e-6
 	if qr.roster > samplingThreshold && 2*qr.alive <= qr.roster {
 		return false
--- a/internal/membership/rumour.go
+++ b/internal/membership/rumour.go
@@ -31,7 +31,7 @@
 	maxIncarnation = 1 << 62
 	maxRefutation  = 1 << 30
 	maxRumourSize  = 350
-	maxMembers     = 4096
+	maxMembers     = 4096 // VMs in the table
 )
 
 type (
@@ -187,6 +187,7 @@
 	return rr
 }
 
+// fullRumour describes a VM with its addresses.
 func fullRumour(vm board.VM) *peerpb.Rumour {
 	return &peerpb.Rumour{
 		VM:            vm.ID,
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -83,7 +83,7 @@
 			dt.markDead(mb)
 			continue
 		}
-		if dt.now >= su.deadline { // it dates from when this VM was partitioned: only a probe with helpers decides
+		if dt.now >= su.deadline { // marked Dead during a partition and not reported since: only a probe with helpers decides
 			su.deadline = dt.now + dt.Settings.DeadDelay
 			dt.sendProbe(mb, false)
 		}
@@ -132,9 +132,9 @@
 	}
 }
 
-// refute answers a rumour that Self is suspect or dead. It does so within the
-// incarnation, which identifies this process to everything that it has in progress
-// elsewhere; claims decide about work that others took over meanwhile. A death starts a
+// refute answers a rumour that Self is suspect or dead. It normally keeps the incarnation, since
+// that identifies this process to everything that it has in progress elsewhere. Claims (see
+// package claim) decide about work that others took over meanwhile. A death starts a
 // new generation. Only a rumour about a later incarnation, or that this one left,
 // requires a new incarnation.
 func (dt *Detector) refute(incarnation uint64, refutation uint32, hl board.Health) {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -34,6 +34,7 @@
 	pages         int
 }
 
+// digest returns the digest over all VMs that may be alive.
 func (dt *Detector) digest() uint64 {
 	dt.computeDigests()
 	return dt.syncer.total
@@ -96,6 +97,7 @@
 	})
 }
 
+// requestSync requests the members of the buckets that differ at another VM.
 func (dt *Detector) requestSync(mb *member) {
 	dt.computeDigests()
 	dt.Counters.Syncs++
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -143,6 +143,8 @@
 	dt.invalidate()
 }
 
+// applyList applies the VM list. VMs that it no longer contains are unlisted, and removed
+// if they were never observed.
 func (dt *Detector) applyList(vms []board.VM) {
 	if len(vms) == 0 {
 		return // an empty list is invalid, since at least Self exists
@@ -170,6 +172,8 @@
 	}
 }
 
+// applyListed adds or updates a listed VM. The addresses of an observed VM stay as it
+// announced them.
 func (dt *Detector) applyListed(vm board.VM) {
 	if vm.ID == dt.Self.ID {
 		dt.dirty = dt.dirty || !dt.Self.Listed
