--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -284,13 +284,13 @@
 
 // announceLeave notifies a few VMs at once, since this VM sends nothing afterwards.
 func (dt *Detector) announceLeave() {
-	told := 0
+	notified := 0
 	for _, mb := range dt.shuffled(dt.table.members) {
 		if mb.vm.Health != board.Alive || !mb.observed {
 			continue
 		}
 		dt.send(mb, newNotice())
-		if told++; told == 2*dt.Settings.Helpers {
+		if notified++; notified == 2*dt.Settings.Helpers {
 			return
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -208,13 +208,13 @@
 
 // probeNewMembers probes a few VMs at once, so that a new VM need not wait for its round.
 func (dt *Detector) probeNewMembers() {
-	asked := 0
+	probed := 0
 	for _, mb := range dt.shuffled(dt.table.members) {
 		if mb.observed {
 			continue
 		}
 		dt.sendProbe(mb, true)
-		if asked++; asked == dt.Settings.Helpers {
+		if probed++; probed == dt.Settings.Helpers {
 			return
 		}
 	}
--- a/internal/register/lease_test.go
+++ b/internal/register/lease_test.go
@@ -181,14 +181,14 @@
 	lw.tick()
 	vm.lose = true
 	lw.want(0, true)
-	asked := lw.now
+	requestedAt := lw.now
 	vm.cut = true
 	lw.run(2 * clock.Second)
 	vm.cut = false
 	lw.run(clock.Second)
 	_, may := vm.ho.MayOrder(lw.now)
 	assert.Assert(tt, may)
-	assert.Assert(tt, vm.ho.usableUntil <= asked+vm.ho.Duration-vm.ho.Margin)
+	assert.Assert(tt, vm.ho.usableUntil <= requestedAt+vm.ho.Duration-vm.ho.Margin)
 }
 
 // TestLeaseUnderRandomFaults pauses VMs, disconnects them and loses replies at random.
--- a/internal/register/schedule_test.go
+++ b/internal/register/schedule_test.go
@@ -136,14 +136,14 @@
 	var ops []porcupine.Operation
 	for id, wi := range hn.attempts {
 		out := swapOutput{result: Unknown, revision: revisions[id]}
-		told := int64(hn.now) + 1
+		answeredAt := int64(hn.now) + 1
 		if len(wi.verdicts) > 0 && wi.verdicts[0].Result != Unknown {
 			out = swapOutput{result: wi.verdicts[0].Result, revision: wi.verdicts[0].Revision}
-			told = int64(wi.answeredAt)
+			answeredAt = int64(wi.answeredAt)
 		}
 		ops = append(ops, porcupine.Operation{
 			ClientId: len(ops), Input: swapInput{base: wi.request.Base}, Output: out,
-			Call: int64(wi.requestedAt), Return: told,
+			Call: int64(wi.requestedAt), Return: answeredAt,
 		})
 	}
 	return ops
--- a/internal/topic/follower.go
+++ b/internal/topic/follower.go
@@ -321,9 +321,9 @@
 	within, stop := context.WithCancel(ctx)
 	defer stop()
 	fo.mu.Lock()
-	listed, from, wait, heard, gap := fo.listed, fo.next, fo.Wait, fo.updatedAt, fo.gap
+	listed, from, wait, updatedAt, gap := fo.listed, fo.next, fo.Wait, fo.updatedAt, fo.gap
 	rank := fo.rank()
-	standby := rank > 0 && rank < MaxReaders && fo.now()-heard >= fo.silenceLimit()
+	standby := rank > 0 && rank < MaxReaders && fo.now()-updatedAt >= fo.silenceLimit()
 	if standby && !fo.leading || fo.storeLost {
 		wait = 0 // the others have already waited, and would soon read for themselves
 	}
@@ -355,7 +355,7 @@
 		}
 		return err
 	}
-	fo.leading = standby && fo.updatedAt == heard // false if another reader's update arrived meanwhile
+	fo.leading = standby && fo.updatedAt == updatedAt // false if another reader's update arrived meanwhile
 	news := fo.applyRead(listed, recs, next)
 	if !fo.broadcasts() {
 		return nil
--- a/internal/topic/follower_test.go
+++ b/internal/topic/follower_test.go
@@ -207,7 +207,7 @@
 		}
 		fl.run(ctx)
 		time.Sleep(2 * time.Second)
-		asked := fl.st.count()
+		before := fl.st.count()
 		for round := range 10 {
 			for ix := range 100 {
 				fl.st.put(fmt.Sprintf("k%d", ix), "1")
@@ -217,9 +217,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, fl.allHave("a", "9"))
-		told := fl.members[0].recordsSent.Load() + fl.members[1].recordsSent.Load()
-		assert.Assert(t, told >= 10 && told <= 20, "%d records broadcast", told)
-		assert.Assert(t, fl.st.count()-asked <= 2*20, "%d calls", fl.st.count()-asked)
+		sent := fl.members[0].recordsSent.Load() + fl.members[1].recordsSent.Load()
+		assert.Assert(t, sent >= 10 && sent <= 20, "%d records broadcast", sent)
+		assert.Assert(t, fl.st.count()-before <= 2*20, "%d calls", fl.st.count()-before)
 	})
 }
 
--- a/internal/topic/outage_test.go
+++ b/internal/topic/outage_test.go
@@ -35,7 +35,7 @@
 const (
 	reachable linkFault = iota
 	refused
-	silent
+	unresponsive
 	cut // disconnected from the other VMs as well
 )
 
@@ -223,7 +223,7 @@
 	}
 	vm.st.mu.Unlock()
 	span := 4 * clock.Millis(1)
-	if down >= silent {
+	if down >= unresponsive {
 		span = callTimeout
 	}
 	if !clock.Sleep(ctx, span) {
@@ -360,7 +360,7 @@
 			}
 		}},
 		{"the store does not respond to the first reader", func(st *site) {
-			st.setVM(0, silent)
+			st.setVM(0, unresponsive)
 			time.Sleep(4 * s)
 			st.leave("leaves", false)
 			time.Sleep(5 * s)
@@ -404,7 +404,7 @@
 // occur at the same time.
 func TestOutageDropsNoLiveServer(t *testing.T) {
 	const s = time.Second
-	for _, down := range []linkFault{refused, silent} {
+	for _, down := range []linkFault{refused, unresponsive} {
 		for _, tc := range []struct {
 			name string
 			play func(st *site)
@@ -439,7 +439,7 @@
 			st.add("stays")
 			st.run(ctx)
 			time.Sleep(5 * time.Second)
-			st.setStore(silent)
+			st.setStore(unresponsive)
 			time.Sleep(6*time.Second + phase)
 			st.setStore(reachable)
 			time.Sleep(350 * time.Millisecond)
@@ -460,7 +460,7 @@
 				time.Sleep(2 * time.Second)
 				st.setStore(reachable)
 				time.Sleep(late)
-				st.setVM(0, silent)
+				st.setVM(0, unresponsive)
 			}), []string(nil))
 		})
 	}
