--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -57,10 +57,10 @@
 // scheduleSuspicion sets when a suspicion ends. A VM that only received the suspicion
 // probes the member itself once during DeadDelay, in case it missed the refutation.
 func (dt *Detector) scheduleSuspicion(su *suspicion) {
-	ranOut := su.started + dt.suspicionSpan(len(su.reporters)-1)
-	su.deadline = ranOut + dt.Settings.DeadDelay
+	timeoutAt := su.started + dt.suspicionSpan(len(su.reporters)-1)
+	su.deadline = timeoutAt + dt.Settings.DeadDelay
 	if !su.ownProbe {
-		su.recheck = ranOut + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.DeadDelay)/2+1))
+		su.recheck = timeoutAt + clock.Millis(dt.Rand.Int64N(int64(dt.Settings.DeadDelay)/2+1))
 	}
 }
 
@@ -83,7 +83,7 @@
 			dt.markDead(mb)
 			continue
 		}
-		if dt.now >= su.deadline { // it dates from when this VM was partitioned: only a probe with helpers decides
+		if dt.now >= su.deadline { // marked Dead during a partition and not reported since: only a probe with helpers decides
 			su.deadline = dt.now + dt.Settings.DeadDelay
 			dt.sendProbe(mb, false)
 		}
@@ -132,9 +132,9 @@
 	}
 }
 
-// refute answers a rumour that Self is suspect or dead. It does so within the
-// incarnation, which identifies this process to everything that it has in progress
-// elsewhere; claims decide about work that others took over meanwhile. A death starts a
+// refute answers a rumour that Self is suspect or dead. It normally keeps the incarnation, since
+// that identifies this process to everything that it has in progress elsewhere. Claims (see
+// package claim) decide about work that others took over meanwhile. A death starts a
 // new generation. Only a rumour about a later incarnation, or that this one left,
 // requires a new incarnation.
 func (dt *Detector) refute(incarnation uint64, refutation uint32, hl board.Health) {
--- a/internal/register/lease_test.go
+++ b/internal/register/lease_test.go
@@ -138,7 +138,7 @@
 	return -1
 }
 
-func TestLeaseIsRenewedAndGivenBack(tt *testing.T) {
+func TestLeaseIsRenewedAndReleased(tt *testing.T) {
 	lw := newLeaseWorld(tt, 2, 1)
 	lw.tick()
 	lw.want(0, true)
@@ -163,7 +163,7 @@
 	lw.want(1, true)
 	lw.holders[0].paused = true
 	lw.run(7 * clock.Second)
-	assert.Equal(tt, lw.holder(), 0, "still within its lease if it wakes now")
+	assert.Equal(tt, lw.holder(), 0, "the lease has not expired if it resumes now")
 	lw.run(10 * clock.Second)
 	assert.Equal(tt, lw.holder(), 1)
 	token, _ := lw.holders[1].ho.MayOrder(lw.now)
@@ -175,20 +175,20 @@
 	assert.Assert(tt, !may)
 }
 
-func TestLostReplyCountsFromTheFirstAppend(tt *testing.T) {
+func TestLeaseCountsFromFirstAppendAfterLostReply(tt *testing.T) {
 	lw := newLeaseWorld(tt, 1, 3)
 	vm := lw.holders[0]
 	lw.tick()
 	vm.lose = true
 	lw.want(0, true)
-	asked := lw.now
+	requestedAt := lw.now
 	vm.cut = true
 	lw.run(2 * clock.Second)
 	vm.cut = false
 	lw.run(clock.Second)
 	_, may := vm.ho.MayOrder(lw.now)
 	assert.Assert(tt, may)
-	assert.Assert(tt, vm.ho.usableUntil <= asked+vm.ho.Duration-vm.ho.Margin)
+	assert.Assert(tt, vm.ho.usableUntil <= requestedAt+vm.ho.Duration-vm.ho.Margin)
 }
 
 // TestLeaseUnderRandomFaults pauses VMs, disconnects them and loses replies at random.
@@ -213,7 +213,7 @@
 		}
 		lw.want(0, true)
 		lw.run(30 * clock.Second)
-		assert.Assert(rt, lw.holder() >= 0, "nobody holds the lease")
+		assert.Assert(rt, lw.holder() >= 0, "no VM holds the lease")
 	})
 }
 
--- a/internal/topic/follower.go
+++ b/internal/topic/follower.go
@@ -10,8 +10,8 @@
 // or that missed records, reads for itself: no VM depends on another for longer
 // than [Follower.SelfReadAfter].
 //
-// A VM does not treat its own failed calls as an [Outage] of the store either:
-// updates carry for how long the store has answered other VMs.
+// A VM does not treat its own failed calls as an [Outage] of the store, since
+// updates report for how long the store has answered other VMs.
 //
 // # Usage
 //
@@ -38,7 +38,7 @@
 	ErrRecordsDropped = errors.New("the records were dropped")
 	// ErrStoreRestored is an ErrRecordsDropped after which the store was restored from an
 	// older copy: records that were read may be missing, and so may entries of live servers.
-	ErrStoreRestored = fmt.Errorf("the store came back from an older copy: %w", ErrRecordsDropped)
+	ErrStoreRestored = fmt.Errorf("the store was restored from an older copy: %w", ErrRecordsDropped)
 	// errReadCancelled reports that a read was cancelled in favour of a new one.
 	errReadCancelled = errors.New("the read was cancelled")
 )
@@ -85,7 +85,7 @@
 	Follower struct {
 		Source      Source
 		Name        string
-		Wait        clock.Millis // for which a read waits for a change; zero: returns at once
+		Wait        clock.Millis // how long a read waits for a change; zero: it returns at once
 		Pause       clock.Millis // between two reads
 		GracePeriod clock.Millis // after an outage, for entries to be renewed; this VM reads at its end
 		SkipPause   func() bool  // reports whether to skip the pause for now; may be nil
@@ -117,7 +117,7 @@
 
 		mu             sync.Mutex
 		everListed     bool // a listing has succeeded
-		listed         bool
+		listed         bool // next follows a listing; false again after records were dropped
 		next           uint64
 		relisted       bool               // no read has followed the last listing
 		updatedAt      clock.Millis       // when the last update or read left no gap
@@ -214,11 +214,12 @@
 		apply = true
 	}
 	if apply {
-		fo.caughtUp()
+		fo.reportCaughtUp()
 	}
 }
 
-func (fo *Follower) caughtUp() {
+// reportCaughtUp calls OnCaughtUp if it is set.
+func (fo *Follower) reportCaughtUp() {
 	if fo.OnCaughtUp != nil {
 		fo.OnCaughtUp()
 	}
@@ -247,7 +248,7 @@
 		fo.recordResult(ctx, err)
 		if err != nil {
 			now := fo.now()
-			if now-failed > standbyBackoffMax && fo.updatedSince(failed) {
+			if now-failed > nonReaderBackoffMax && fo.updatedSince(failed) {
 				failures = 0 // a new outage
 			}
 			failed = now
@@ -320,9 +321,9 @@
 	within, stop := context.WithCancel(ctx)
 	defer stop()
 	fo.mu.Lock()
-	listed, from, wait, heard, gap := fo.listed, fo.next, fo.Wait, fo.updatedAt, fo.gap
+	listed, from, wait, updatedAt, gap := fo.listed, fo.next, fo.Wait, fo.updatedAt, fo.gap
 	rank := fo.rank()
-	standby := rank > 0 && rank < MaxReaders && fo.now()-heard >= fo.silenceLimit()
+	standby := rank > 0 && rank < MaxReaders && fo.now()-updatedAt >= fo.silenceLimit()
 	if standby && !fo.leading || fo.storeLost {
 		wait = 0 // the others have already waited, and would soon read for themselves
 	}
@@ -354,7 +355,7 @@
 		}
 		return err
 	}
-	fo.leading = standby && fo.updatedAt == heard // false if another reader's update arrived meanwhile
+	fo.leading = standby && fo.updatedAt == updatedAt // false if another reader's update arrived meanwhile
 	news := fo.applyRead(listed, recs, next)
 	if !fo.broadcasts() {
 		return nil
@@ -403,7 +404,7 @@
 	}
 	fo.next = max(fo.next, next)
 	fo.updatedAt = fo.now()
-	fo.caughtUp()
+	fo.reportCaughtUp()
 	return news
 }
 
@@ -414,7 +415,7 @@
 		return
 	}
 	fo.Log.Log(event.StoreReturned, event.F("Topic", fo.Name), event.F("Era", EraOf(next)))
-	fo.avail.noteRestore(fo.now()) // entries of live servers may be missing, as after an outage
+	fo.avail.recordRestore(fo.now()) // entries of live servers may be missing, as after an outage
 	fo.reportOutage()
 	if fo.OnStoreRestored != nil {
 		fo.OnStoreRestored()
@@ -428,6 +429,8 @@
 	return fo.next
 }
 
+// recordResult records whether the store answered the last read. It logs when the store
+// stops answering and when it answers again.
 func (fo *Follower) recordResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
--- a/internal/topic/follower_test.go
+++ b/internal/topic/follower_test.go
@@ -207,7 +207,7 @@
 		}
 		fl.run(ctx)
 		time.Sleep(2 * time.Second)
-		asked := fl.st.count()
+		before := fl.st.count()
 		for round := range 10 {
 			for ix := range 100 {
 				fl.st.put(fmt.Sprintf("k%d", ix), "1")
@@ -217,9 +217,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, fl.allHave("a", "9"))
-		told := fl.members[0].recordsSent.Load() + fl.members[1].recordsSent.Load()
-		assert.Assert(t, told >= 10 && told <= 20, "%d records broadcast", told)
-		assert.Assert(t, fl.st.count()-asked <= 2*20, "%d calls", fl.st.count()-asked)
+		sent := fl.members[0].recordsSent.Load() + fl.members[1].recordsSent.Load()
+		assert.Assert(t, sent >= 10 && sent <= 20, "%d records broadcast", sent)
+		assert.Assert(t, fl.st.count()-before <= 2*20, "%d calls", fl.st.count()-before)
 	})
 }
 
@@ -312,7 +312,9 @@
 	})
 }
 
-func TestReaderLosesTheStore(t *testing.T) {
+// A change that is written during an outage must reach all VMs, even if the store has
+// dropped the records before it.
+func TestChangeAfterOutageAndDroppedRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -324,14 +326,14 @@
 		fl.st.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		for _, mb := range fl.members {
-			assert.Assert(t, mb.outages.Load() > 0, "each VM detects the outage")
+			assert.Assert(t, mb.outages.Load() > 0, "a VM did not detect the outage")
 		}
 		fl.st.put("a", "1")
 		fl.st.mu.Lock()
 		fl.st.down, fl.st.first = false, 1
 		fl.st.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond)
-		assert.NilError(t, fl.allHave("a", "1"), "also after the history was dropped")
+		assert.NilError(t, fl.allHave("a", "1"), "after the history was dropped")
 	})
 }
 
@@ -488,7 +490,7 @@
 		back := began.Now()
 		time.Sleep(1500 * time.Millisecond)
 		for ix, mb := range fl.members {
-			assert.Assert(t, clock.Millis(mb.outageUntil.Load()) > back-1200, "member %d: %d, back at %d", ix, mb.outageUntil.Load(), back)
+			assert.Assert(t, clock.Millis(mb.outageUntil.Load()) > back-1200, "member %d: outage ended at %d, store recovered at %d", ix, mb.outageUntil.Load(), back)
 		}
 	})
 }
