--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestEventsComeBackAsTheyWereAdded(t *testing.T) {
+func TestEventsAreReadAsTheyWereAdded(t *testing.T) {
 	st := NewStream()
 	for _, text := range []string{"weld", "", " 7"} {
 		assert.NilError(t, st.Token([]byte(text)))
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -236,7 +236,7 @@
 
 // Control for the test above: the same server does make net/http repeat a request
 // that Send did not modify.
-func TestServerProvokesRepetition(t *testing.T) {
+func TestUnmodifiedRequestIsRepeated(t *testing.T) {
 	var orders atomic.Int64
 	addr := cutSecondRequest(t, &orders)
 	hc := &http.Client{Transport: &http.Transport{}}
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -75,9 +75,9 @@
 	in.set(server, reported{incarnation: max(incarnation, was.incarnation), times: was.times + 1})
 }
 
-func (in *Incarnations) set(server string, td reported) {
+func (in *Incarnations) set(server string, rp reported) {
 	if in.byServer == nil {
 		in.byServer = make(map[string]reported)
 	}
-	in.byServer[server] = td
+	in.byServer[server] = rp
 }
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, len(rg.rn.started), 0)
 }
 
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestPlannedStopLetsStreamsFinish(t *testing.T) {
 	linger, asked := make(chan time.Time), make(chan clock.Millis, 1)
 	rg := serve(t, func(rg *rig) {
 		rg.Limits.HeaderWait = 1
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -71,7 +71,7 @@
 	name    string
 	server  string
 	prepare func(ctx context.Context, bn enginePair) error
-	give    func(ctx context.Context, bn enginePair) error
+	send    func(ctx context.Context, bn enginePair) error
 	effects func(bn enginePair) int
 }
 
@@ -152,7 +152,7 @@
 					}
 					ctx, cancel := context.WithTimeout(t.Context(), 700*time.Millisecond)
 					defer cancel()
-					err := od.give(ctx, bn)
+					err := od.send(ctx, bn)
 					oc, _ := backend.OutcomeOf(err)
 					assert.Equal(t, oc, ft.want, "%v", err)
 					assert.Equal(t, od.effects(bn), ft.effect)
@@ -165,13 +165,13 @@
 
 // An order whose sender gave up is still executed once the engine reaches it, unless
 // a cancel order was processed first.
-func TestOrderGivenUpIsCarriedOutLater(t *testing.T) {
+func TestAbandonedOrderIsExecutedLater(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		run(t, func(t *testing.T, bn enginePair) {
 			bn.pre.Control.Set(standin.Faults{Slow: 5000, Paths: []string{engine.PrefillPath}})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			err := orders()[0].give(ctx, bn)
+			err := orders()[0].send(ctx, bn)
 			assert.Assert(t, !backend.NotRun(err), "%v", err)
 			if cancelled {
 				assert.NilError(t, bn.ec.Cancel(t.Context(), bn.ps, "r1"))
@@ -199,7 +199,7 @@
 func TestStreamCutAndResumed(t *testing.T) {
 	run(t, func(t *testing.T, bn enginePair) {
 		for _, od := range orders()[:2] {
-			assert.NilError(t, od.give(t.Context(), bn))
+			assert.NilError(t, od.send(t.Context(), bn))
 		}
 		bn.dec.Control.Set(standin.Faults{ResetAtToken: 3, Count: 1})
 		st, err := bn.ec.Decode(t.Context(), bn.ds, engine.DecodeOrder{Request: "r1", Attempt: 1, MaxTokens: 8})
@@ -238,7 +238,7 @@
 func TestCancelEndsStream(t *testing.T) {
 	run(t, func(t *testing.T, bn enginePair) {
 		for _, od := range orders()[:2] {
-			assert.NilError(t, od.give(t.Context(), bn))
+			assert.NilError(t, od.send(t.Context(), bn))
 		}
 		st, err := bn.ec.Decode(t.Context(), bn.ds, engine.DecodeOrder{Request: "r1", Attempt: 1, MaxTokens: 1000})
 		assert.NilError(t, err)
@@ -299,7 +299,7 @@
 	}
 }
 
-func TestPrefixesShareOnlyWhatIsShared(t *testing.T) {
+func TestPrefixesDifferAfterTheCommonBlocks(t *testing.T) {
 	block := strings.Repeat("s", engine.BlockBytes)
 	pa, pb := engine.Prefixes(block+block+"tail"), engine.Prefixes(block+strings.Repeat("t", engine.BlockBytes)+block)
 	assert.Equal(t, len(pa), 2)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -117,7 +117,7 @@
 	}
 	asker := func() (*fleet.Member, []string) {
 		for _, mb := range fleets {
-			if vms, here := mb.Before(); !here && len(vms) == 3 {
+			if vms, here := mb.SchedulerVMs(); !here && len(vms) == 3 {
 				return mb, vms
 			}
 		}
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -312,12 +312,12 @@
 	vm.fl.handleDatagram(dg, netip.AddrPort{})
 }
 
-// Before lists the VMs to request a placement from.
-func (vm *simVM) Before() (vms []string, here bool) {
+// SchedulerVMs lists the VMs to request a placement from.
+func (vm *simVM) SchedulerVMs() (vms []string, here bool) {
 	if vm.alwaysFirst {
 		return nil, true
 	}
-	return vm.mb.Before()
+	return vm.mb.SchedulerVMs()
 }
 
 // Ask requests a placement from a VM over the simulated network.
--- a/internal/fleet/schedulers.go
+++ b/internal/fleet/schedulers.go
@@ -72,10 +72,10 @@
 	return ""
 }
 
-// Before lists the VMs to request a placement from before this VM selects engines itself.
+// SchedulerVMs lists the VMs to request a placement from before this VM selects engines itself.
 // The second result reports whether it may do that: it is a scheduler too, or all VMs
 // receive all usage reports.
-func (mb *Member) Before() (vms []string, here bool) {
+func (mb *Member) SchedulerVMs() (vms []string, here bool) {
 	fl := mb.currentFleet()
 	if fl == nil {
 		return nil, true
--- a/internal/fleet/schedulers_test.go
+++ b/internal/fleet/schedulers_test.go
@@ -66,11 +66,11 @@
 	}{{order[0], nil, true}, {order[1], order[:1], true}, {order[2], order[:2], true}, {"stranger", order, false}} {
 		mb := &Member{Self: board.VM{VMRef: board.VMRef{ID: tc.self}}, fleet: &Fleet{}}
 		mb.fleet.schedulers.Store(selectSchedulers(view))
-		asked, here := mb.Before()
+		asked, here := mb.SchedulerVMs()
 		assert.DeepEqual(t, asked, tc.vms)
 		assert.Equal(t, here, tc.here)
 	}
 	mb := &Member{}
-	asked, here := mb.Before()
+	asked, here := mb.SchedulerVMs()
 	assert.Assert(t, len(asked) == 0 && here, "a VM that has not joined selects engines itself")
 }
--- a/internal/relay/arrivals_test.go
+++ b/internal/relay/arrivals_test.go
@@ -63,13 +63,13 @@
 		}
 		return newResponse(http.StatusOK, eventTwo, nil), nil
 	}
-	givenUp := func(int, board.BackendServer) error { return errReset }
+	lostPrefill := func(int, board.BackendServer) error { return errReset }
 	for _, tc := range []struct {
 		name, route string
 		prepare     func(sv *servers)
 	}{
 		{"broken streams", "resumable", func(sv *servers) { sv.onSend = broken }},
-		{"abandoned prefills", "draft", func(sv *servers) { sv.onPrefill = givenUp }},
+		{"abandoned prefills", "draft", func(sv *servers) { sv.onPrefill = lostPrefill }},
 		{"declined prefills", "draft", func(sv *servers) {
 			sv.onPrefill = func(int, board.BackendServer) error { return errFull }
 		}},
@@ -82,7 +82,7 @@
 			}
 		}},
 		{"broken streams and abandoned prefills", "thrice", func(sv *servers) {
-			sv.onSend, sv.onPrefill = broken, givenUp
+			sv.onSend, sv.onPrefill = broken, lostPrefill
 		}},
 		{"failing servers", "again", func(sv *servers) {
 			sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
@@ -162,15 +162,15 @@
 // within a retry window would spend the fleet's allowance again at each start. Seven
 // VMs that start four times within ten seconds made 140 retries where 82 are allowed.
 func TestRetryBudgetOfRestartedVMs(t *testing.T) {
-	const slack, vms, lives, requests = 54, 7, 4, 10
+	const slack, vms, starts, requests = 54, 7, 4, 10
 	synctest.Test(t, func(t *testing.T) {
 		beyond := 0
-		for range lives * vms {
+		for range starts * vms {
 			rl, sv := newFleetRig(t, slack)
 			rl.SetFleetSize(vms)
 			beyond += extraArrivalsOfFailing(t, rl, sv, requests)
 		}
-		assert.Assert(t, float64(beyond) <= slack+rigRatio*lives*vms*requests, "%d arrivals beyond the first", beyond)
+		assert.Assert(t, float64(beyond) <= slack+rigRatio*starts*vms*requests, "%d arrivals beyond the first", beyond)
 	})
 }
 
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -37,14 +37,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				rl, sv := newRig(t)
 				withOneOther(rl)
-				tell := func() {
+				reportUsage := func() {
 					rp := usage.Report{Shortage: true}
 					for _, engine := range []string{"d1", "d2"} {
 						rp.Runs = append(rp.Runs, usage.Run{Engine: engine, Tokens: tc.tokens})
 					}
 					rl.ReceiveUsage("vm-2", rp)
 				}
-				tell()
+				reportUsage()
 				_, err := sendGeneration(t, rl, 14*clock.Second, 2000)
 				assert.NilError(t, err, "a new request")
 				ticker := time.NewTicker(200 * time.Millisecond)
@@ -54,7 +54,7 @@
 					for {
 						select {
 						case <-ticker.C:
-							tell()
+							reportUsage()
 						case <-ended:
 							return
 						}
--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -121,7 +121,7 @@
 // If an answer is delimited by the end of its connection, it also ends in order when
 // this VM stopped its run to move it. The answer is not complete then: the rest is
 // read from the engine that the run moved to.
-func TestStoppedRunIsNotAWholeAnswer(t *testing.T) {
+func TestStoppedRunIsNotACompleteAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		moveAfterFirstEvent(rl, sv, nil, func() *http.Response { return newResponse(http.StatusOK, eventTwo+eventThree, nil) })
@@ -308,7 +308,7 @@
 func TestResumeIgnoresPromptOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		lives := func(again bool) []board.BackendServer {
+		serverList := func(again bool) []board.BackendServer {
 			out := slices.Clone(allServers)
 			for ix := range out {
 				out[ix].Name = out[ix].ID
@@ -318,10 +318,10 @@
 			}
 			return out
 		}
-		rl.SetBackends(rl.Clock.Now(), lives(false))
+		rl.SetBackends(rl.Clock.Now(), serverList(false))
 		sv.onPrefill = func(nth int, _ board.BackendServer) error {
 			if nth == 2 {
-				go rl.SetBackends(rl.Clock.Now(), lives(true))
+				go rl.SetBackends(rl.Clock.Now(), serverList(true))
 				synctestPause()
 			}
 			return nil
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -21,7 +21,7 @@
 	return string(out)
 }
 
-func TestSplitterHoldsBackPartOfAnEvent(t *testing.T) {
+func TestSplitterWithholdsAnIncompleteEvent(t *testing.T) {
 	var sp splitter
 	assert.Equal(t, mustAdd(t, &sp, "id: 7\nda"), "")
 	assert.Equal(t, mustAdd(t, &sp, "ta: x\n\nid: 8\n"), "id: 7\ndata: x\n\n")
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -102,7 +102,7 @@
 // A VM that knows the usage of all others reserves little more than the prompt, and
 // leaves out engines whose runs will need their memory. A VM that is partitioned, or
 // has no recent report from another VM, must not assume that the engines are empty.
-func TestReservationWithoutTheOthers(t *testing.T) {
+func TestReservationByKnownUsage(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		others []string
@@ -134,7 +134,7 @@
 }
 
 // No failure on the way may leave anything held at an engine.
-func TestNothingStaysHeld(t *testing.T) {
+func TestFailedDecodeFreesTheEngines(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		prepare func(sv *servers)
@@ -177,7 +177,7 @@
 
 // An expired prompt is declined: the same engine computes it at the place that is
 // still reserved, and the prefill engine is skipped.
-func TestLapsedPromptIsComputedByTheDecodeEngine(t *testing.T) {
+func TestExpiredPromptIsComputedByTheDecodeEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
@@ -201,7 +201,7 @@
 // A decode engine that is gone, or has changed its role, has taken nothing of a
 // computed prompt: the decode at the next place uses it, and no engine computes it
 // again, which the budget would have to pay for.
-func TestPromptOutlivesADecodeThatWasDeclined(t *testing.T) {
+func TestPromptIsReusedAfterADeclinedDecode(t *testing.T) {
 	for _, err := range []error{errUnknownRun, errWrongRole, errRefused} {
 		t.Run(err.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -226,7 +226,7 @@
 }
 
 // If no decode follows, the computed prompt is freed.
-func TestPromptOfARefusedRequestIsForgotten(t *testing.T) {
+func TestPromptOfARefusedRequestIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) { return nil, errUnknownRun }
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestResumableStreamGoesOnBehindItsLastEvent(t *testing.T) {
+func TestResumableStreamContinuesAfterItsLastEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
@@ -378,7 +378,7 @@
 	})
 }
 
-func TestLeavingCallerFreesTheEngines(t *testing.T) {
+func TestDisconnectedCallerFreesTheEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		closed := make(chan struct{})
--- a/internal/relay/lives.go
+++ b/internal/relay/lives.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// dropPreviousInstances ends the calls to servers that have restarted, and counts
+// cancelCallsToRestarted ends the calls to servers that have restarted, and counts
 // them by server. The lock is held.
-func (rl *Relay) dropPreviousInstances(bk *board.Backends) map[string]int {
+func (rl *Relay) cancelCallsToRestarted(bk *board.Backends) map[string]int {
 	ended := make(map[string]int)
 	for cl := range rl.calls {
 		if bk.Restarted(cl.server) {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -37,8 +37,8 @@
 func (rl *Relay) moveFromLeavingEngines(bk *board.Backends) {
 	for rn := range rl.runs {
 		at, listed := bk.Server(rn.pl.server.ID)
-		stays := listed && !at.Leaving || bk.Restarted(rn.pl.server) // an earlier incarnation has nothing left to move
-		if rn.moving || rn.broken || stays || rn.ex.svc.Engines == nil || !rn.ex.svc.Engines.Moves {
+		stayUntil := listed && !at.Leaving || bk.Restarted(rn.pl.server) // an earlier incarnation has nothing left to move
+		if rn.moving || rn.broken || stayUntil || rn.ex.svc.Engines == nil || !rn.ex.svc.Engines.Moves {
 			continue
 		}
 		rn.moving = true
@@ -68,10 +68,10 @@
 }
 
 // moveAway moves a run to the first engine that accepts it.
-func (rl *Relay) moveAway(ctx context.Context, rn *run, from place, stays clock.Millis) movedRun {
+func (rl *Relay) moveAway(ctx context.Context, rn *run, from place, stayUntil clock.Millis) movedRun {
 	mv := movedRun{err: errNoTarget}
 	for _, to := range rl.moveTargets(from) {
-		mv = rl.moveTo(ctx, rn, from.server, to, stays)
+		mv = rl.moveTo(ctx, rn, from.server, to, stayUntil)
 		if _, why := backend.OutcomeOf(mv.err); mv.stopped || !backend.NotRun(mv.err) || why == backend.Unknown {
 			break // it was moved, may have been stopped, or has ended
 		}
@@ -82,7 +82,7 @@
 // moveTo copies a run to another engine while it continues, and stops it to copy the
 // rest. An unused copy is freed. A run that was stopped but not moved continues where
 // it was, until the given time.
-func (rl *Relay) moveTo(ctx context.Context, rn *run, from, to board.BackendServer, stays clock.Millis) movedRun {
+func (rl *Relay) moveTo(ctx context.Context, rn *run, from, to board.BackendServer, stayUntil clock.Millis) movedRun {
 	first, err := rl.Servers.Move(ctx, from, to, rn.ex.req.ID, false)
 	if err != nil {
 		return movedRun{err: err}
@@ -95,7 +95,7 @@
 	if err == nil {
 		return movedRun{target: to, source: last}
 	}
-	if last.ID != "" && rl.now() < stays {
+	if last.ID != "" && rl.now() < stayUntil {
 		// The first copy expires by itself: freeing it might also free the memory
 		// that the run continues with.
 		return movedRun{target: from, source: last}
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -38,7 +38,7 @@
 // An engine stops a run before it finds that there is no room for the copy. No
 // further engine may be asked then: if that one answered that the run has ended, the
 // stopped answer would look complete.
-func TestRunThatStoppedWithoutRoomIsNotWhole(t *testing.T) {
+func TestRunStoppedWithoutRoomIsNotComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		all := withDecoders(rl, "d3", "d4")
@@ -69,7 +69,7 @@
 // leaving engine stopped the run for a copy, the other engine had no room, and
 // nothing continued with the memory that the first engine kept. The run must continue
 // where it was, even if its route may not be resumed.
-func TestRunThatStoppedWithoutRoomGoesOnWhereItWas(t *testing.T) {
+func TestRunStoppedWithoutRoomContinuesWhereItWas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.kept = "kept"
@@ -130,7 +130,7 @@
 }
 
 // An answer that ends before its move has stopped anything ends immediately.
-func TestMoveDoesNotHoldUpTheEnd(t *testing.T) {
+func TestMoveDoesNotDelayTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		ended := make(chan struct{})
@@ -150,7 +150,7 @@
 }
 
 // The copy of a run is freed if the caller disconnects before the copy was used.
-func TestCopyIsFreedWhenTheCallerLeaves(t *testing.T) {
+func TestCopyIsFreedWhenTheCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		ctx, leave := context.WithCancel(t.Context())
--- a/internal/relay/need.go
+++ b/internal/relay/need.go
@@ -66,20 +66,20 @@
 			silent++
 		}
 	}
-	hears := whole && silent <= len(others)/silentDivisor
-	rl.setInSync(hears, len(others), silent, whole)
-	return hears
+	known := whole && silent <= len(others)/silentDivisor
+	rl.setInSync(known, len(others), silent, whole)
+	return known
 }
 
 // setInSync records, and logs a change of, whether this VM knows the usage of the
 // others. The lock is held.
-func (rl *Relay) setInSync(hears bool, others, silent int, whole bool) {
-	if hears == rl.synced {
+func (rl *Relay) setInSync(known bool, others, silent int, whole bool) {
+	if known == rl.synced {
 		return
 	}
-	rl.synced = hears
+	rl.synced = known
 	ev := event.UsageUnknown
-	if hears {
+	if known {
 		ev = event.UsageKnown
 	}
 	rl.Log.Log(ev, event.F("Others", others), event.F("Silent", silent), event.F("Whole", whole))
--- a/internal/relay/plain_test.go
+++ b/internal/relay/plain_test.go
@@ -16,7 +16,7 @@
 	"alderdyke/pkg/refusal"
 )
 
-func TestPlainAnswerIsPassedOn(t *testing.T) {
+func TestPlainAnswerIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestIdempotentIsTriedAgain(t *testing.T) {
+func TestIdempotentRequestIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
@@ -120,7 +120,7 @@
 }
 
 // A server that hangs does not use up the time of an idempotent request.
-func TestIdempotentLeavesAServerThatHangs(t *testing.T) {
+func TestIdempotentRequestIsRetriedAfterAServerHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(ctx context.Context, nth int, _ sent) (*http.Response, error) {
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestCallerWhoLeftIsCancelled(t *testing.T) {
+func TestRequestOfADisconnectedCallerIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		cancelled := false
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -14,7 +14,7 @@
 	rl.guardOnce.Do(func() {
 		gd := &rl.guard
 		gd.Clock, gd.Log, gd.Scope = rl.Clock, rl.Log, rl.Scope
-		gd.Key, gd.Broadcast, gd.VMs = rl.MarkKey, rl.SendServerEnd, rl.livingVMs
+		gd.Key, gd.Broadcast, gd.VMs = rl.MarkKey, rl.SendServerCrash, rl.livingVMs
 		gd.Probe, gd.Backends = rl.probe, rl.Backends
 	})
 	return &rl.guard
@@ -73,12 +73,12 @@
 		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Concurrent: beside})
 }
 
-// ShareServerEnds periodically sends the other VMs, until the context ends, what is
+// ShareServerCrashes periodically sends the other VMs, until the context ends, what is
 // known of requests at which servers crashed.
-func (rl *Relay) ShareServerEnds(ctx context.Context) { rl.poisonGuard().Share(ctx) }
+func (rl *Relay) ShareServerCrashes(ctx context.Context) { rl.poisonGuard().Share(ctx) }
 
-// ReceiveServerEnd records a server crash that another VM observed.
-func (rl *Relay) ReceiveServerEnd(en suspect.Crash) { rl.poisonGuard().RecordRemote(en) }
+// ReceiveServerCrash records a server crash that another VM observed.
+func (rl *Relay) ReceiveServerCrash(en suspect.Crash) { rl.poisonGuard().RecordRemote(en) }
 
 // otherRunsAt returns the number of other runs at an engine, as far as this VM knows.
 func (rl *Relay) otherRunsAt(engine string) int {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -161,9 +161,9 @@
 		// a version, and reports whether there is one; nil: there is none. It is
 		// called for callers with unknown keys, of which there may be many.
 		AwaitNewerConfig func(ctx context.Context, version uint64) bool
-		// SendServerEnd sends the other VMs the crash of a server that was running a
+		// SendServerCrash sends the other VMs the crash of a server that was running a
 		// request; nil sends nothing.
-		SendServerEnd func(en suspect.Crash)
+		SendServerCrash func(en suspect.Crash)
 
 		guard     poison.Guard // access through poisonGuard
 		guardOnce sync.Once
@@ -294,7 +294,7 @@
 		}
 	}
 	rl.wakeWaiters()
-	ended = rl.dropPreviousInstances(bk)
+	ended = rl.cancelCallsToRestarted(bk)
 	rl.moveFromLeavingEngines(bk)
 	return ended
 }
--- a/internal/relay/rest.go
+++ b/internal/relay/rest.go
@@ -34,10 +34,10 @@
 func (rl *Relay) refuseIfAllBackOff(ctx context.Context, ex *exchange, po *pool.Pool, until clock.Millis) error {
 	rl.mu.Lock()
 	now := rl.now()
-	rests := po.BackoffLeft(now)
+	left := po.BackoffLeft(now)
 	rl.mu.Unlock()
-	if rests == 0 || now+rests <= until {
+	if left == 0 || now+left <= until {
 		return nil
 	}
-	return rl.finalRefusal(ctx, ex, refuse(refusal.NoBackend, rests, "all decode engines asked for rest"))
+	return rl.finalRefusal(ctx, ex, refuse(refusal.NoBackend, left, "all decode engines asked for rest"))
 }
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -43,9 +43,9 @@
 	// on that: an engine confirms each place itself, and a VM without an answer
 	// reserves the size that a run may reach.
 	Schedulers interface {
-		// Before lists the VMs to ask before this VM chooses by itself, and reports
+		// SchedulerVMs lists the VMs to ask before this VM chooses by itself, and reports
 		// whether it may.
-		Before() (vms []string, here bool)
+		SchedulerVMs() (vms []string, here bool)
 		// Ask asks one of them for a place.
 		Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error)
 	}
@@ -88,9 +88,9 @@
 		defer rl.mu.Unlock()
 		return rl.chooseHere(now, ex, po, tk)
 	}
-	ask := rl.placeAsk(now, ex, po, tk)
+	ask := rl.placementRequest(now, ex, po, tk)
 	rl.mu.Unlock()
-	ans, by, ok := rl.askPlace(ctx, vms, ask)
+	ans, by, ok := rl.askSchedulers(ctx, vms, ask)
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	switch {
@@ -108,7 +108,7 @@
 	if rl.Schedulers == nil {
 		return nil, true
 	}
-	vms, here = rl.Schedulers.Before()
+	vms, here = rl.Schedulers.SchedulerVMs()
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now := rl.now()
@@ -119,9 +119,9 @@
 func (rl *Relay) chooseHere(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) choice {
 	ch := choice{need: rl.needOf(ex, rl.inSync()), short: rl.ledger.HasShortage(now)}
 	if ch.need.limit != noLimit {
-		ch.before = rl.ledger.CountAhead(now, askOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
+		ch.before = rl.ledger.CountAhead(now, waitingRequestOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
 	}
-	ch.list = po.DecodeCandidates(now, rl.decodeWant(now, ch.need, ch.before, spareRequests(tk.Request().Returning, ch.short)))
+	ch.list = po.DecodeCandidates(now, rl.decodeRequirements(now, ch.need, ch.before, spareRequests(tk.Request().Returning, ch.short)))
 	ch.doubtful = len(ch.list) > 0 && rl.ledger.Doubtful(now, ch.list[0].ID)
 	return ch
 }
@@ -130,25 +130,25 @@
 func (rl *Relay) chooseByOwnRuns(now clock.Millis, ex *exchange, po *pool.Pool) choice {
 	rl.setInSync(false, 0, 0, false)
 	ch := choice{need: rl.needOf(ex, false), short: rl.ledger.HasShortage(now)}
-	ch.list = po.DecodeCandidates(now, rl.decodeWant(now, ch.need, 0, 0))
+	ch.list = po.DecodeCandidates(now, rl.decodeRequirements(now, ch.need, 0, 0))
 	return ch
 }
 
-// decodeWant returns what a request needs of the decode engines. The lock is held.
-func (rl *Relay) decodeWant(now clock.Millis, nd memoryNeed, before, spare int) pool.Requirements {
+// decodeRequirements returns what a request needs of the decode engines. The lock is held.
+func (rl *Relay) decodeRequirements(now clock.Millis, nd memoryNeed, before, spare int) pool.Requirements {
 	return pool.Requirements{Tokens: nd.reserve, Limit: nd.limit, Ahead: before, Headroom: spare, Peak: rl.peakAt(now, nd.run), LastResort: rl.askedLast(now)}
 }
 
-// placeAsk returns the request to a scheduler. The lock is held.
-func (rl *Relay) placeAsk(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) usage.PlacementRequest {
+// placementRequest returns the request to a scheduler. The lock is held.
+func (rl *Relay) placementRequest(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) usage.PlacementRequest {
 	nd := rl.needOf(ex, true)
 	skip := po.Unavailable(now)
-	return usage.PlacementRequest{Waiting: askOf(now, ex.svc.Name, tk), Run: nd.run, ReserveTokens: nd.reserve, NeedsPrefill: true,
+	return usage.PlacementRequest{Waiting: waitingRequestOf(now, ex.svc.Name, tk), Run: nd.run, ReserveTokens: nd.reserve, NeedsPrefill: true,
 		MaxWait: rl.placeWait(ex.rt, false), MaxWaitReturning: rl.placeWait(ex.rt, true), Excluded: skip[:min(len(skip), maxExcluded)]}
 }
 
-// askPlace asks the VMs in turn until one has an answer.
-func (rl *Relay) askPlace(ctx context.Context, vms []string, ask usage.PlacementRequest) (ans usage.PlacementReply, by string, ok bool) {
+// askSchedulers asks the VMs in turn until one has an answer.
+func (rl *Relay) askSchedulers(ctx context.Context, vms []string, ask usage.PlacementRequest) (ans usage.PlacementReply, by string, ok bool) {
 	for _, vm := range vms {
 		within, stop := context.WithTimeout(ctx, askTimeout.Std())
 		ans, err := rl.Schedulers.Ask(within, vm, ask)
@@ -234,7 +234,7 @@
 		return ask.MaxWait
 	})
 	nd := memoryNeed{run: ask.Run, reserve: ask.ReserveTokens, limit: rl.memoryLimit(svc)}
-	list := po.DecodeCandidates(now, rl.decodeWant(now, nd, ans.RequestsAhead, spareRequests(ask.Waiting.Returning, ans.Shortage)))
+	list := po.DecodeCandidates(now, rl.decodeRequirements(now, nd, ans.RequestsAhead, spareRequests(ask.Waiting.Returning, ans.Shortage)))
 	list = slices.DeleteFunc(list, func(bs board.BackendServer) bool { return slices.Contains(ask.Excluded, bs.ID) })
 	for _, bs := range list[:min(len(list), maxChoices)] {
 		ans.Engines = append(ans.Engines, bs.ID)
@@ -296,7 +296,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), 2*askTimeout.Std())
 		defer stop()
 		ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: from.service, Turn: 1}, Run: usage.Run{Tokens: run.Tokens, Left: run.Left}, ReserveTokens: run.Tokens}
-		if ans, _, ok := rl.askPlace(ctx, vms, ask); ok && len(ans.Engines) > 0 {
+		if ans, _, ok := rl.askSchedulers(ctx, vms, ask); ok && len(ans.Engines) > 0 {
 			rl.mu.Lock()
 			defer rl.mu.Unlock()
 			return rl.availableEngines(po, ans.Engines)
--- a/internal/relay/schedule_test.go
+++ b/internal/relay/schedule_test.go
@@ -27,7 +27,9 @@
 	answer func(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error)
 }
 
-func (sc *schedulers) Before() ([]string, bool) { return append([]string(nil), sc.vms...), sc.here }
+func (sc *schedulers) SchedulerVMs() ([]string, bool) {
+	return append([]string(nil), sc.vms...), sc.here
+}
 
 func (sc *schedulers) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	sc.mu.Lock()
@@ -44,7 +46,7 @@
 
 // A VM of a large fleet takes the place and the prefill of the first scheduler that
 // knows the usage; it reserves as little as a VM that knows the usage itself.
-func TestPlaceByAScheduler(t *testing.T) {
+func TestPlaceChosenByAScheduler(t *testing.T) {
 	known := usage.PlacementReply{Informed: true, Engines: []string{"gone", "d2"}, Prefill: "f2", QueuedTokens: 5}
 	for _, tc := range []struct {
 		name    string
@@ -203,17 +205,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		rl, _ := newRig(t)
 		rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
-		tell := func(tokens int) {
+		reportUsage := func(tokens int) {
 			rl.ReceiveUsage("vm-2", usage.Report{Runs: []usage.Run{{Engine: "d1", Tokens: tokens}, {Engine: "d2", Tokens: tokens}}})
 		}
 		engines := func(tokens int) int {
 			ask := usage.PlacementRequest{Waiting: usage.WaitingRequest{Service: "model"}, Run: usage.Run{Tokens: tokens}, ReserveTokens: tokens}
 			return len(rl.AnswerPlace("vm-2", ask).Engines)
 		}
-		tell(8000)
+		reportUsage(8000)
 		assert.Equal(t, engines(5000), 0)
 		assert.Equal(t, engines(1000), 2, "a smaller request")
-		tell(1000)
+		reportUsage(1000)
 		assert.Equal(t, engines(5000), 0, "the same moment")
 		time.Sleep(20 * time.Millisecond)
 		assert.Equal(t, engines(5000), 2)
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -64,7 +64,7 @@
 
 // A stream of a plain service may last as long as a generation: if it were accepted
 // late, the end of the stop would cut it.
-func TestStreamsAreTurnedAwayWithGenerations(t *testing.T) {
+func TestStreamsAreRefusedLikeGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		rl.BeginStop()
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// endServersOnSend makes each server crash that runs the request, before its first
+// crashServersOnSend makes each server crash that runs the request, before its first
 // event.
-func endServersOnSend(sv *servers) {
+func crashServersOnSend(sv *servers) {
 	sv.ended = make(map[string]bool)
 	sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
 		time.Sleep(60 * time.Millisecond)
@@ -28,11 +28,11 @@
 // Guards against one request that crashes ten engines: each attempt of its callers is
 // a new request to each VM, and each was started and resumed at the remaining
 // engines. The attempts have everything in common except the ID of the attempt.
-func TestRequestThatEndsItsServersIsNotSentOn(t *testing.T) {
+func TestRequestThatCrashesServersIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		withDecoders(rl, "d3", "d4", "d5", "d6", "d7", "d8", "d9", "d10")
-		endServersOnSend(sv)
+		crashServersOnSend(sv)
 		for range 6 { // callers, each with two attempts
 			for range 2 {
 				_, _ = serve(t.Context(), rl, "resumable")
--- a/internal/relay/suspended_test.go
+++ b/internal/relay/suspended_test.go
@@ -28,7 +28,7 @@
 // Guards against requests that outlive their deadline after the VM was suspended:
 // timers stand still meanwhile, so after 20 s of suspension a timer of 14 s fires 34
 // s after the request came, when its caller has long disconnected.
-func TestRequestsEndWhenTheirVMResumes(t *testing.T) {
+func TestRequestsEndAfterTheirVMWasSuspended(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		away    clock.Millis
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -84,19 +84,19 @@
 			}
 			return rp
 		}
-		tell := func(rp usage.Report) {
+		reportUsage := func(rp usage.Report) {
 			for _, rl := range rls {
 				rl.ReceiveUsage("vm-far", rp)
 			}
 		}
-		tell(full("d1", "d2"))
+		reportUsage(full("d1", "d2"))
 		for ix, rl := range rls {
 			time.Sleep(time.Millisecond) // so that they wait for different times
 			go func() { _, _ = serveWithLimit(ctx, rl, "draft", 14*clock.Second+clock.Millis(ix)) }()
 		}
 		time.Sleep(20 * time.Millisecond)
 		assert.Equal(t, len(placeCounts(rls)), 0)
-		tell(full("d1")) // d2 has room for one request
+		reportUsage(full("d1")) // d2 has room for one request
 		time.Sleep(20 * time.Millisecond)
 		got := placeCounts(rls)
 		assert.Equal(t, got["d2"], 1)
@@ -126,7 +126,7 @@
 
 // Callers initially allow different times. Only a caller that allows less by at least
 // what a refused caller is told to wait counts as returning.
-func TestWhoCountsAsReturning(t *testing.T) {
+func TestReturningCallerIsRecognized(t *testing.T) {
 	for _, tc := range []struct {
 		left clock.Millis
 		back bool
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -33,13 +33,13 @@
 
 // ShareUsage reports this VM's usage of the engines until the context ends: on each
 // change, and periodically.
-func (rl *Relay) ShareUsage(ctx context.Context, tell func(rp usage.Report)) {
+func (rl *Relay) ShareUsage(ctx context.Context, send func(rp usage.Report)) {
 	for {
 		rl.mu.Lock()
 		rl.initialize()
 		rp, changed := rl.report(rl.now()), rl.usageChanged
 		rl.mu.Unlock()
-		tell(rp)
+		send(rp)
 		if !clock.Sleep(ctx, minReportInterval) {
 			return
 		}
@@ -59,15 +59,15 @@
 	for name, po := range rl.pools {
 		for _, tk := range po.TriedTickets() {
 			if len(rp.Waiting) < maxWaitingReported {
-				rp.Waiting = append(rp.Waiting, askOf(now, name, tk))
+				rp.Waiting = append(rp.Waiting, waitingRequestOf(now, name, tk))
 			}
 		}
 	}
 	return rp
 }
 
-// askOf returns a waiting request as other VMs see it.
-func askOf(now clock.Millis, service string, tk *pool.Ticket) usage.WaitingRequest {
+// waitingRequestOf returns a waiting request as other VMs see it.
+func waitingRequestOf(now clock.Millis, service string, tk *pool.Ticket) usage.WaitingRequest {
 	return usage.WaitingRequest{Service: service, Returning: tk.Request().Returning, Turn: tk.Turn(), Age: tk.Waited(now)}
 }
 
