--- a/internal/relay/arrivals_test.go
+++ b/internal/relay/arrivals_test.go
@@ -50,11 +50,10 @@
 	return out
 }
 
-// Guards against calls that bypass the retry budget: servers got 126 extra arrivals
-// for 120 requests, where 78 are allowed, when only attempts after a failed attempt
-// were charged, at a fixed cost. The first resumption of a stream, and a decode
-// engine that computes a prompt whose prefill was given up elsewhere, must be charged
-// too.
+// Guards against calls that bypass the retry budget. If only attempts after a failed
+// attempt are charged, at a fixed cost, servers get 126 extra arrivals for 120
+// requests, where 78 are allowed. The first resumption of a stream, and a decode engine
+// that computes a prompt whose prefill was abandoned elsewhere, must be charged too.
 func TestRepeatedArrivalsAreBudgeted(t *testing.T) {
 	const requests = 20
 	broken := func(_ context.Context, _ int, se sent) (*http.Response, error) {
@@ -160,7 +159,8 @@
 
 // Guards against a VM that starts with a full budget: VMs that restart several times
 // within a retry window would spend the fleet's allowance again at each start. Seven
-// VMs that start four times within ten seconds made 140 retries where 82 are allowed.
+// VMs that start four times within ten seconds would make 140 retries, where 82 are
+// allowed.
 func TestRetryBudgetOfRestartedVMs(t *testing.T) {
 	const slack, vms, starts, requests = 54, 7, 4, 10
 	synctest.Test(t, func(t *testing.T) {
@@ -192,8 +192,8 @@
 	})
 }
 
-// A fleet that has shrunk permanently divides the allowance by its new size after a
-// while.
+// A fleet that has shrunk permanently divides the allowance by its new size once the
+// largest size seen has expired.
 func TestRetryBudgetOfAShrunkFleet(t *testing.T) {
 	const slack, vms, left = 204, 82, 10
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/relay/burst_test.go
+++ b/internal/relay/burst_test.go
@@ -16,7 +16,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// withOneOther makes one other VM known to a relay.
+// withOneOther makes a relay believe that vm-2 is the only other VM.
 func withOneOther(rl *relay.Relay) {
 	rl.OtherVMs = func() ([]string, bool) { return []string{"vm-2"}, true }
 }
--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -204,15 +204,15 @@
 	}
 }
 
-// A stream of a plain service has no place that a new run could take: it is cut where
-// it breaks.
+// A stream of a plain service has no place that a new run could take, so it is cut
+// when it breaks.
 func TestStreamWithoutAPlaceIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 			return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 		}
-		rec, err := serve(t.Context(), rl, "told")
+		rec, err := serve(t.Context(), rl, "plain-stream")
 		assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
 		assert.Equal(t, rec.Body.String(), eventOne)
 	})
@@ -280,7 +280,7 @@
 	}
 }
 
-// All new runs after the first are paid from the retry budget, also if each engine
+// All new runs after the first are paid from the retry budget, even if each engine
 // answers with events that do not follow.
 func TestResumedRunsAreBudgeted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/relay/crowd_test.go
+++ b/internal/relay/crowd_test.go
@@ -20,9 +20,9 @@
 	return rsp
 }
 
-// While the servers report a long queue, an idempotent request that one of them
-// failed is not sent again, and other requests are refused at once with a
-// retry-after. When the queue is gone, both are as before.
+// While the servers report a long queue, an idempotent request that failed at one of
+// them is not sent again, and other requests are refused at once with a retry-after.
+// Once the queue is empty, requests are accepted and sent again as before.
 func TestLongQueueRefusesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/first_test.go
+++ b/internal/relay/first_test.go
@@ -13,9 +13,9 @@
 	"alderdyke/pkg/refusal"
 )
 
-// Guards against a data race at the start: the first request read the settings while
-// another goroutine of the start filled in their defaults, so its caller could be
-// told to come back immediately instead of after the default time.
+// Guards against a data race at the start: if the first request reads the settings
+// while another goroutine fills in their defaults, its refusal may tell the caller to
+// retry immediately instead of after the default time.
 func TestFirstRequestGetsRetryAfter(t *testing.T) {
 	rl := &relay.Relay{Servers: &servers{}, Rand: rand.New(rand.NewPCG(1, 2))}
 	req := &relay.Request{ID: "r-1", Method: http.MethodGet, Host: "h", URI: "/x", Path: "/x", Header: http.Header{}, Arrived: clock.OrBoottime(nil).Now()}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -18,9 +18,10 @@
 	// prefillTimeout bounds one prefill. The work of a prefill that times out is
 	// wasted, so the timeout is meant for engines that no longer answer.
 	prefillTimeout = 1200 * clock.Millis(1)
-	// replacedAvoidTime outlasts the registry entry of an engine whose address was
-	// reused. The engine at that address accepts reservations for the earlier engine,
-	// so each VM that has to find out by itself pays for a prefill.
+	// replacedAvoidTime is how long an engine is avoided whose address was reused; it
+	// outlasts the registry entry of that engine. The new engine at the address accepts
+	// reservations for the earlier engine, so each VM that has to find out by itself
+	// pays for a prefill.
 	replacedAvoidTime = 4 * clock.Second
 	// generationRetryCost is the minimum that another attempt at a generation costs
 	// the budget: one more decode arrives. A prefill before it is paid for when it is
@@ -49,6 +50,8 @@
 	dec.end()
 }
 
+// newDecoding describes a decode that is about to be sent. If the engine computes the
+// prompt itself, the prompt is counted there.
 func (rl *Relay) newDecoding(ex *exchange, pl place, itself bool) decoding {
 	dec := decoding{orderedAt: rl.now(), computesPrompt: itself, promptDone: func() {}, end: func() {}}
 	if itself {
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// Reservations are sized by the hint, within the limit of the request.
+// Reservations are sized by the caller's hint, within the request's own limit.
 func TestReservationFollowsTheHint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -100,8 +100,9 @@
 }
 
 // A VM that knows the usage of all others reserves little more than the prompt, and
-// leaves out engines whose runs will need their memory. A VM that is partitioned, or
-// has no recent report from another VM, must not assume that the engines are empty.
+// skips engines whose runs will need their memory. A VM that is partitioned, or has no
+// recent report from another VM, must not assume that the engines are empty: it
+// reserves the size that the run may reach.
 func TestReservationByKnownUsage(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -133,7 +134,7 @@
 	}
 }
 
-// No failure on the way may leave anything held at an engine.
+// A decode that fails leaves nothing reserved or kept at an engine.
 func TestFailedDecodeFreesTheEngines(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -198,9 +199,9 @@
 	})
 }
 
-// A decode engine that is gone, or has changed its role, has taken nothing of a
-// computed prompt: the decode at the next place uses it, and no engine computes it
-// again, which the budget would have to pay for.
+// A decode engine that does not know the request, has changed its role or refuses the
+// connection has not fetched the computed prompt: the decode at the next place uses
+// it, and no engine computes it again, which the budget would have to pay for.
 func TestPromptIsReusedAfterADeclinedDecode(t *testing.T) {
 	for _, err := range []error{errUnknownRun, errWrongRole, errRefused} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -349,7 +350,7 @@
 	}
 }
 
-// synctestPause lets everything else run that can.
+// synctestPause lets all other goroutines of the bubble run until they block.
 func synctestPause() { time.Sleep(time.Millisecond) }
 
 // A run that can't be moved because no engine has room ends where it is.
--- a/internal/relay/lives.go
+++ b/internal/relay/lives.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// cancelCallsToRestarted ends the calls to servers that have restarted, and counts
+// cancelCallsToRestarted cancels the calls to servers that have restarted, and counts
 // them by server. The lock is held.
 func (rl *Relay) cancelCallsToRestarted(bk *board.Backends) map[string]int {
 	ended := make(map[string]int)
--- a/internal/relay/lives_test.go
+++ b/internal/relay/lives_test.go
@@ -127,8 +127,8 @@
 	return hd, err
 }
 
-// Reports of this and other VMs about an earlier incarnation do not count for the new
-// one: it is empty and has failed nobody.
+// What this and other VMs reported about an earlier incarnation does not count for the
+// new one, which is empty and has not failed.
 func TestRestartedServerHasNoHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -47,7 +47,7 @@
 }
 
 // move moves a run away from an engine that leaves. The first copy is made while the
-// run continues; only what is new since then is copied after the run was stopped.
+// run continues; what was added since then is copied after the run was stopped.
 func (rl *Relay) move(rn *run, from place, result chan<- movedRun) {
 	stays := rl.now() + stayTimeout
 	ctx, stop := context.WithTimeout(context.Background(), moveTimeout.Std())
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -66,9 +66,9 @@
 }
 
 // Guards against cutting an accepted answer because its run could not be moved: the
-// leaving engine stopped the run for a copy, the other engine had no room, and
-// nothing continued with the memory that the first engine kept. The run must continue
-// where it was, even if its route may not be resumed.
+// leaving engine stops the run for a copy, the other engine has no room, and nothing
+// continues with the memory that the first engine kept. The run must continue where it
+// was, even if its route may not be resumed.
 func TestRunStoppedWithoutRoomContinuesWhereItWas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -129,7 +129,7 @@
 	})
 }
 
-// An answer that ends before its move has stopped anything ends immediately.
+// An answer that ends before its move has stopped the run ends without a delay.
 func TestMoveDoesNotDelayTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/need.go
+++ b/internal/relay/need.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// blockTokens is the unit in which engines allocate memory.
+	// blockTokens is the unit in which engines allocate memory, in tokens.
 	blockTokens = 16
 	// silentDivisor limits the other VMs that may be silent to one in twenty: the
 	// usage of a twentieth is within the margin that MemoryFill leaves.
@@ -71,8 +71,8 @@
 	return known
 }
 
-// setInSync records, and logs a change of, whether this VM knows the usage of the
-// others. The lock is held.
+// setInSync records whether this VM knows the usage of the others, and logs a change of
+// it. The lock is held.
 func (rl *Relay) setInSync(known bool, others, silent int, whole bool) {
 	if known == rl.synced {
 		return
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -27,7 +27,7 @@
 	// cleanupTimeout bounds a call that frees something at a server.
 	cleanupTimeout = clock.Second
 	// reserveTimeout bounds a reservation; a healthy engine answers within two
-	// crossings of a failure domain.
+	// network hops between failure domains.
 	reserveTimeout = 150 * clock.Millis(1)
 )
 
@@ -215,10 +215,10 @@
 	return place{}, false
 }
 
-// spareRequests returns how many further requests a place must leave room for. A returning
-// request takes no room that new requests are about to need; but if there is more
-// room than that, it need not wait until the shortage ends: of 400 requests that were
-// refused twice, 150 were refused while an engine was half empty.
+// spareRequests returns how many further requests a place must leave room for. A
+// returning request takes no room that new requests are about to need; but if there
+// is more room than that, it need not wait until the shortage ends: of 400 requests
+// that were refused twice, 150 were refused while an engine was half empty.
 func spareRequests(returning, short bool) int {
 	if short && returning {
 		return spareWhileShort
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -20,19 +20,21 @@
 
 const (
 	// minPlainRetryTime is the least time in which another attempt at a plain service
-	// is useful: two crossings of a failure domain and the usual processing time.
+	// is useful: two network hops between failure domains and the usual processing
+	// time.
 	minPlainRetryTime = 25 * clock.Millis(1)
 	// plainRetryCost is what another attempt at a plain service costs the budget.
 	plainRetryCost = 1
-	// maxDeclinedAttempts limits the attempts at servers that decline.
+	// maxDeclinedAttempts limits the attempts at one request: servers that decline it
+	// do not count against the route's own limit.
 	maxDeclinedAttempts = 3
 )
 
 // attempt is the result of one attempt at a plain service.
 type attempt struct {
-	wh   bufferedAnswer
-	rest io.Reader
-	rsp  *http.Response
+	wh   bufferedAnswer // the part of the answer that was read
+	rest io.Reader      // the part that was not read; nil if there is none
+	rsp  *http.Response // nil if no response came
 	err  error
 	end  context.CancelFunc // releases what the attempt holds
 }
@@ -181,7 +183,8 @@
 }
 
 // awaitPlainRetry reports whether an idempotent request that the server answered with
-// a failure is sent again, and waits for the backoff if so.
+// a failure is sent again, and waits for the backoff if so. It is not sent again while
+// the servers are overloaded or backing off.
 func (rl *Relay) awaitPlainRetry(ctx context.Context, ex *exchange, number int, at attempt) bool {
 	if at.wh.status < http.StatusInternalServerError || !ex.rt.MayRepeat() || rl.crowded(ex) {
 		return false
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -20,6 +20,7 @@
 	return &rl.guard
 }
 
+// probe reports whether the server of a broken call has crashed.
 func (rl *Relay) probe(ctx context.Context, cl poison.Call) poison.Finding {
 	if rl.Servers.Ended(ctx, cl.Server) {
 		return poison.Crashed
@@ -27,6 +28,7 @@
 	return poison.Alive
 }
 
+// livingVMs returns the number of VMs that are alive, including this one.
 func (rl *Relay) livingVMs() int {
 	if rl.OtherVMs == nil {
 		return 1
@@ -73,8 +75,8 @@
 		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Concurrent: beside})
 }
 
-// ShareServerCrashes periodically sends the other VMs, until the context ends, what is
-// known of requests at which servers crashed.
+// ShareServerCrashes periodically sends the other VMs, until the context ends, what
+// this VM knows about requests during which servers crashed.
 func (rl *Relay) ShareServerCrashes(ctx context.Context) { rl.poisonGuard().Share(ctx) }
 
 // ReceiveServerCrash records a server crash that another VM observed.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -80,8 +80,9 @@
 		// then KeyFault is the reason.
 		KeyHash  string
 		KeyFault error
-		// Keyed and Customer are set by the relay: whether callers have keys, which
-		// are not forwarded, and whose key this one is; empty: nobody's.
+		// Keyed and Customer are set by the relay. Keyed reports whether callers have
+		// API keys, which are not forwarded; Customer is the customer to whom the key
+		// belongs, or empty if it belongs to none.
 		Keyed    bool
 		Customer string
 	}
@@ -161,8 +162,8 @@
 		// a version, and reports whether there is one; nil: there is none. It is
 		// called for callers with unknown keys, of which there may be many.
 		AwaitNewerConfig func(ctx context.Context, version uint64) bool
-		// SendServerCrash sends the other VMs the crash of a server that was running a
-		// request; nil sends nothing.
+		// SendServerCrash reports to the other VMs the crash of a server that was
+		// running a request; nil reports nothing.
 		SendServerCrash func(en suspect.Crash)
 
 		guard     poison.Guard // access through poisonGuard
@@ -277,7 +278,8 @@
 	rl.readmitChangedRoles(rl.Backends(), list)
 	bk := rl.Backends().WithServers(list)
 	rl.backends.Store(bk)
-	// The fleet size only divides shares of customers, and there are none here.
+	// The chooser uses the fleet size only to divide shares of customers, and there
+	// are none here.
 	rl.chooser.Update(now, bk, 1)
 	byService := make(map[string][]board.BackendServer)
 	for _, bs := range list {
@@ -353,7 +355,7 @@
 	ex.priority = rt.Priority
 	if err := rl.authenticate(tb, ex, rt); err != nil {
 		if req.KeyHash != "" && rl.AwaitNewerConfig != nil && rl.AwaitNewerConfig(ctx, tb.Version()) {
-			return rl.resolve(ctx, req) // AwaitNewerConfig does not wait again for a long time
+			return rl.resolve(ctx, req) // does not wait for long: each call needs a newer configuration
 		}
 		return ex, err
 	}
@@ -382,6 +384,8 @@
 // timeLeft returns the time until the request's deadline.
 func (rl *Relay) timeLeft(ex *exchange) clock.Millis { return max(0, ex.deadline-rl.now()) }
 
+// initialize applies the default settings and creates the maps and channels, on the
+// first call only. The lock is held.
 func (rl *Relay) initialize() {
 	if rl.initialized {
 		return
@@ -400,6 +404,8 @@
 	rl.usageChanged = make(chan struct{}, 1)
 }
 
+// poolOf returns the engines of a service; an empty pool is created if there is none.
+// The lock is held.
 func (rl *Relay) poolOf(service string) *pool.Pool {
 	po := rl.pools[service]
 	if po == nil {
--- a/internal/relay/rig_test.go
+++ b/internal/relay/rig_test.go
@@ -26,15 +26,15 @@
 	"alderdyke/pkg/refusal"
 )
 
-// The limit of a rig's retry budget, and what a request adds to it.
+// The burst of a rig's retry budget, and what each request adds to the budget.
 const (
 	rigBurst = 3
 	rigRatio = 0.1
 )
 
 type (
-	// servers is an in-memory implementation of the backend servers' side. A test
-	// sets the result of a call; by default calls succeed.
+	// servers is an in-memory implementation of relay.Servers. A test sets the result
+	// of a call with the functions; by default calls succeed.
 	servers struct {
 		mu       sync.Mutex
 		sent     []sent
@@ -54,6 +54,7 @@
 		onMove    func(nth int, to board.BackendServer, stop bool) error
 	}
 
+	// sent is one request that was sent to a server.
 	sent struct {
 		server string
 		op     relay.Options
@@ -188,6 +189,7 @@
 	return len(sv.taken) + len(sv.handles)
 }
 
+// sentTo lists the servers that requests were sent to, in order.
 func (sv *servers) sentTo() []string {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -204,6 +206,8 @@
 	{ID: "p1", Service: "plain", Role: board.Plain}, {ID: "p2", Service: "plain", Role: board.Plain},
 }
 
+// newRig creates a relay with in-memory servers and a configuration with plain and
+// model routes.
 func newRig(t *testing.T) (*relay.Relay, *servers) {
 	t.Helper()
 	return newRigOf(t, 2)
@@ -230,7 +234,7 @@
 			Attempts: 2, Resumable: true},
 		{Name: "thrice", Host: "h", Prefix: "/thrice/", Kind: route.Stream, Shares: one("model"), Timeout: 14 * clock.Second,
 			Attempts: 3, Resumable: true},
-		{Name: "told", Host: "h", Prefix: "/told/", Kind: route.Stream, Shares: one("plain"), Timeout: clock.Second, Attempts: 2, Resumable: true},
+		{Name: "plain-stream", Host: "h", Prefix: "/plain-stream/", Kind: route.Stream, Shares: one("plain"), Timeout: clock.Second, Attempts: 2, Resumable: true},
 	}, []route.Service{{Name: "plain"}, {Name: "model", Engines: engines}})
 	assert.NilError(t, err)
 	assert.Assert(t, rl.Configure(tb))
@@ -238,11 +242,13 @@
 	return rl, sv
 }
 
-// serve serves one request and returns its refusal, if it ended in one.
+// serve serves one request to the named route and returns its recorded answer.
 func serve(ctx context.Context, rl *relay.Relay, name string) (*httptest.ResponseRecorder, error) {
 	return serveWithLimit(ctx, rl, name, 0)
 }
 
+// serveWithLimit is serve for a caller that waits for the given time at most; zero: it
+// does not say.
 func serveWithLimit(ctx context.Context, rl *relay.Relay, name string, left clock.Millis) (*httptest.ResponseRecorder, error) {
 	rec := httptest.NewRecorder()
 	req := &relay.Request{ID: "r-" + name, Method: http.MethodPost, Host: "h", URI: "/" + name + "/x", Path: "/" + name + "/x",
@@ -260,6 +266,8 @@
 		Header: http.Header{}, Arrived: rl.Clock.Now(), WaitLimit: left, Prompt: &relay.Prompt{Tokens: tokens, MaxOutput: 800, Hint: 100}}
 }
 
+// refusalOf returns the refusal that an error wraps, and fails the test if there is
+// none.
 func refusalOf(t *testing.T, err error) refusal.Refusal {
 	t.Helper()
 	var rf refusal.Refusal
@@ -276,6 +284,7 @@
 	errRefused    = backend.NotSentError{Server: "x", Call: "Send", Err: io.ErrClosedPipe}
 )
 
+// distinct counts the different names.
 func distinct(names []string) int {
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -20,9 +20,9 @@
 	// unresponsiveFor is how long a VM that did not answer is not asked again. A dead
 	// VM is detected within a second.
 	unresponsiveFor = 500 * clock.Millis(1)
-	// noRoomTTL is how long a request of a size for which no engine had room is taken
-	// to find none, so that a scheduler on a small VM answers in time during a burst
-	// (BenchmarkAnswerPlace).
+	// noRoomTTL is how long the result is cached that no engine has room for a
+	// request of a size, so that a scheduler on a small VM answers in time during a
+	// burst (BenchmarkAnswerPlace).
 	noRoomTTL = 15 * clock.Millis(1)
 	// syncCacheTime is how long a scheduler relies on having recent reports from all
 	// others; the reports are valid for fifty times that.
@@ -36,15 +36,15 @@
 )
 
 type (
-	// Schedulers is the other VMs that choose engines for the whole fleet. In a fleet
-	// of hundreds each VM places a request every few seconds, and processing the
-	// reports of all others would be most of the work of a VM. Instead a few VMs
-	// receive all reports, and the others ask them. No guarantee to callers depends
-	// on that: an engine confirms each place itself, and a VM without an answer
-	// reserves the size that a run may reach.
+	// Schedulers gives access to the other VMs that choose engines for the whole
+	// fleet. In a fleet of hundreds each VM places a request every few seconds, and
+	// processing the reports of all others would be most of the work of a VM. Instead
+	// a few VMs receive all reports, and the others ask them. No guarantee to callers
+	// depends on that: an engine confirms each place itself, and a VM without an
+	// answer reserves the size that a run may reach.
 	Schedulers interface {
-		// SchedulerVMs lists the VMs to ask before this VM chooses by itself, and reports
-		// whether it may.
+		// SchedulerVMs lists the VMs to ask before this VM chooses by itself. The
+		// second result reports whether this VM may choose by itself.
 		SchedulerVMs() (vms []string, here bool)
 		// Ask asks one of them for a place.
 		Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error)
@@ -103,7 +103,8 @@
 	}
 }
 
-// schedulers lists the VMs to ask, without those that recently did not answer.
+// schedulers lists the VMs to ask, without those that recently did not answer, and
+// reports whether this VM may choose engines itself.
 func (rl *Relay) schedulers() (vms []string, here bool) {
 	if rl.Schedulers == nil {
 		return nil, true
@@ -134,7 +135,8 @@
 	return ch
 }
 
-// decodeRequirements returns what a request needs of the decode engines. The lock is held.
+// decodeRequirements returns what a request needs of the decode engines. The lock is
+// held.
 func (rl *Relay) decodeRequirements(now clock.Millis, nd memoryNeed, before, spare int) pool.Requirements {
 	return pool.Requirements{Tokens: nd.reserve, Limit: nd.limit, Ahead: before, Headroom: spare, Peak: rl.peakAt(now, nd.run), LastResort: rl.askedLast(now)}
 }
@@ -308,6 +310,7 @@
 	return po.DecodeCandidates(now, pool.Requirements{Limit: noLimit, Peak: rl.peakAt(now, run)})
 }
 
+// lockedPool is poolOf for callers that do not hold the lock.
 func (rl *Relay) lockedPool(service string) *pool.Pool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
--- a/internal/relay/schedule_test.go
+++ b/internal/relay/schedule_test.go
@@ -38,7 +38,7 @@
 	return sc.answer(ctx, vm, ask)
 }
 
-// hang is a VM that does not answer.
+// hang is the answer of a VM that does not answer within the context.
 func hang(ctx context.Context) (usage.PlacementReply, error) {
 	<-ctx.Done()
 	return usage.PlacementReply{}, ctx.Err()
--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -15,7 +15,8 @@
 	// waits for a place: a refusal is most useful to its caller within a quarter of
 	// the objective, and the rest is for the network.
 	DefaultWaitFraction = 0.2
-	// DefaultPlaceWait is how long it waits if the route has no objective.
+	// DefaultPlaceWait is how long a new request waits for a place if its route has no
+	// objective.
 	DefaultPlaceWait = 180 * clock.Millis(1)
 	// DefaultStartTime is the part of the callers' patience that remains for a
 	// request that was refused before and gets a place at the last moment: a prefill
@@ -41,8 +42,8 @@
 	// are still accepted: they run for 4 s on average and up to 8 s, and the process
 	// has 8 s.
 	DefaultStopGenerate = 1500 * clock.Millis(1)
-	// DefaultStopAccept is the same for other requests: callers keep an address for
-	// 4.5 s at most.
+	// DefaultStopAccept is how long after the start of a planned stop all other
+	// requests are still accepted: callers keep an address for 4.5 s at most.
 	DefaultStopAccept = 4600 * clock.Millis(1)
 	// DefaultStopRetryAfter is when a caller that a leaving VM refused may retry:
 	// immediately, because it then picks another VM.
--- a/internal/relay/stop.go
+++ b/internal/relay/stop.go
@@ -8,8 +8,8 @@
 
 // BeginStop begins a planned stop. Requests in progress continue. New ones are still
 // served for a while, because callers keep an address for some time: generations as
-// long as they can end within the stop, other requests for longer. After that,
-// callers are told immediately to use another VM.
+// long as they can end within the stop, other requests for longer. After that, new
+// requests are refused immediately, so that callers use another VM.
 func (rl *Relay) BeginStop() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// admitLongRequest does the same for a request that takes long: a generation or another
-// stream.
+// admitLongRequest refuses a new request that takes long, a generation or another
+// stream, if this VM can't finish it before it exits.
 func (rl *Relay) admitLongRequest(req *Request, rt route.Route) error {
 	since, stopping := rl.stoppingFor()
 	long := req.Prompt != nil || rt.Kind == route.Stream
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -69,7 +69,7 @@
 		rl, sv := newRig(t)
 		rl.BeginStop()
 		time.Sleep(relay.DefaultStopGenerate.Std())
-		_, err := serve(t.Context(), rl, "told")
+		_, err := serve(t.Context(), rl, "plain-stream")
 		assert.Equal(t, refusalOf(t, err).Reason, refusal.Draining)
 		assert.Equal(t, len(sv.sent), 0)
 	})
--- a/internal/relay/suspect_test.go
+++ b/internal/relay/suspect_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// crashServersOnSend makes each server crash that runs the request, before its first
+// crashServersOnSend makes each server that runs the request crash before its first
 // event.
 func crashServersOnSend(sv *servers) {
 	sv.ended = make(map[string]bool)
@@ -26,8 +26,9 @@
 }
 
 // Guards against one request that crashes ten engines: each attempt of its callers is
-// a new request to each VM, and each was started and resumed at the remaining
-// engines. The attempts have everything in common except the ID of the attempt.
+// a new request to each VM, and each would be started and resumed at the remaining
+// engines. All that identifies the request, except the ID of the attempt, is the same
+// in its attempts.
 func TestRequestThatCrashesServersIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
--- a/internal/relay/suspended_test.go
+++ b/internal/relay/suspended_test.go
@@ -25,9 +25,9 @@
 	return sc.bubbleClock.Now() + clock.Millis(sc.suspended.Load())
 }
 
-// Guards against requests that outlive their deadline after the VM was suspended:
-// timers stand still meanwhile, so after 20 s of suspension a timer of 14 s fires 34
-// s after the request came, when its caller has long disconnected.
+// Guards against requests that outlive their deadline after their VM was suspended:
+// timers do not run meanwhile, so after 20 s of suspension a timer of 14 s fires 34 s
+// after the request came, when its caller disconnected long ago.
 func TestRequestsEndAfterTheirVMWasSuspended(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -17,8 +17,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// fleetOf connects relays with one configuration: reports of the others arrive after
-// two milliseconds, and an engine answers after three.
+// fleetOf creates relays with the same configuration that report their usage to each
+// other: a report arrives after two milliseconds, and an engine answers after three.
 func fleetOf(ctx context.Context, t *testing.T, count int) []*relay.Relay {
 	t.Helper()
 	var rls []*relay.Relay
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// promptsAt returns a function for the number of prompt tokens queued at an engine.
-// The lock is held.
+// promptsAt returns a function for the number of prompt tokens queued at an engine; an
+// engine that is avoided is reported as full. The lock is held.
 func (rl *Relay) promptsAt(now clock.Millis) func(id string) int {
 	return func(id string) int {
 		if rl.ledger.Avoided(now, id) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// TriggerUsageReport sends the other VMs a report, whatever they already know.
+// TriggerUsageReport makes ShareUsage send a report, even if nothing has changed.
 func (rl *Relay) TriggerUsageReport() {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
