--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -87,7 +87,7 @@
 	type place struct {
 		addr Address
 		hash uint64
-		turn int
+		turn int // position among the addresses of its failure domain
 	}
 	pool := make([]place, len(list))
 	for ix, addr := range list {
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -153,6 +153,7 @@
 	return strings.TrimSuffix(buf.String(), "\n"), nil
 }
 
+// prefixHash computes Chat.PrefixHash.
 func (cb chatBody) prefixHash(prompt string) (uint64, error) {
 	lead := 0
 	for lead < len(cb.Messages) && (cb.Messages[lead].Role == "system" || cb.Messages[lead].Role == "developer") {
@@ -227,6 +228,7 @@
 	return span, nil
 }
 
+// fingerprint computes Request.Fingerprint.
 func (ch *Chat) fingerprint(class string) []byte {
 	return digest("chat", class, ch.Model, ch.Prompt, fmt.Sprint(ch.MaxTokens))
 }
--- a/internal/caller/client_test.go
+++ b/internal/caller/client_test.go
@@ -12,8 +12,8 @@
 	"alderdyke/pkg/client"
 )
 
-// Breaks the client's connection to one VM in the middle of an answer; the client
-// must continue at the other VM.
+// If the client's connection to one VM breaks in the middle of an answer, the client
+// continues at the other VM.
 func TestClientResumesThroughTwoServers(t *testing.T) {
 	one := serve(t, nil)
 	two := serve(t, func(rg *rig) {
--- a/internal/caller/handlers.go
+++ b/internal/caller/handlers.go
@@ -17,12 +17,12 @@
 )
 
 // parser parses a request of a customer. Along with an error it returns what it has
-// parsed so far; the class of that labels the refusal.
+// parsed so far, because the refusal is counted under the request's class.
 type parser func(tpl template.Template, req *http.Request, body []byte) (run Request, streamed bool, err error)
 
 // wrap passes the standard library's response writer to a handler and keeps iris from
-// writing a status after it. The deadline covers what net/http writes by itself, such
-// as "100 Continue"; every other write sets its own.
+// writing a status after the handler has returned. The deadline covers what net/http
+// writes by itself, such as "100 Continue"; every other write sets its own.
 func (srv *Server) wrap(fn http.HandlerFunc) iris.Handler {
 	return func(ctx iris.Context) {
 		iw := ctx.ResponseWriter()
@@ -169,6 +169,7 @@
 	}
 }
 
+// deliver sends an answer to the caller, as it is produced or once it is complete.
 func (dl *delivery) deliver(st *answer.Stream, streamed bool) {
 	if streamed {
 		dl.stream(st)
--- a/internal/caller/limits_test.go
+++ b/internal/caller/limits_test.go
@@ -63,6 +63,7 @@
 	assert.Equal(t, rg.openStreams(), 0)
 }
 
+// dialRaw opens a connection and sends bytes on it.
 func dialRaw(t *testing.T, rg *rig, sent string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", rg.Addr().String())
@@ -139,6 +140,7 @@
 	ln.rejecting <- struct{}{} // the first rejection has ended
 }
 
+// A caller that disconnects, or that does not read, no longer follows its answer.
 func TestDisconnectedAndStalledCallersAreDetached(t *testing.T) {
 	rg := serve(t, func(rg *rig) {
 		// Data may stay unacknowledged for twice as long, after which the kernel
--- a/internal/caller/listen.go
+++ b/internal/caller/listen.go
@@ -12,11 +12,11 @@
 	"alderdyke/pkg/clock"
 )
 
-// Limits of the responses to connections above a limit.
+// Limits on the refusal of connections above a connection limit.
 const (
-	maxRejecting    = 64
-	rejectTimeout   = time.Second
-	rejectReadBytes = 64 << 10
+	maxRejecting    = 64          // connections at the same time; further ones are closed without a response
+	rejectTimeout   = time.Second // of one connection
+	rejectReadBytes = 64 << 10    // that are read from one connection and discarded
 )
 
 // rejectionBody is the refusal that a connection above a limit gets.
--- a/internal/caller/plain.go
+++ b/internal/caller/plain.go
@@ -174,6 +174,7 @@
 	return out
 }
 
+// fingerprint computes Request.Fingerprint.
 func (pl *Plain) fingerprint(class string) []byte {
 	parts := []string{"plain", class, pl.Service, pl.Method, pl.Path, pl.Query, string(pl.Body)}
 	names := make([]string, 0, len(pl.Header))
--- a/internal/caller/refuse.go
+++ b/internal/caller/refuse.go
@@ -21,6 +21,7 @@
 	ownPrefix      = "Alderdyke-"
 )
 
+// statusOf holds the HTTP status of each reason.
 var statusOf = map[refusal.Reason]int{
 	refusal.BadRequest:         http.StatusBadRequest,
 	refusal.TooLarge:           http.StatusRequestEntityTooLarge,
@@ -106,6 +107,7 @@
 	srv.writeWhole(wr, code, body)
 }
 
+// wholeSeconds rounds up to seconds.
 func wholeSeconds(span clock.Millis) int64 {
 	return int64((span + clock.Second - 1) / clock.Second)
 }
--- a/internal/caller/rig_test.go
+++ b/internal/caller/rig_test.go
@@ -43,6 +43,7 @@
 		list          []Address
 	}
 
+	// rig is a running server and a client of it.
 	rig struct {
 		*Server
 		rn    *fakeRunner
@@ -154,6 +155,8 @@
 	assert.NilError(t, err)
 }
 
+// do sends a request with the test's API key. The header holds names and values in
+// turn.
 func (rg *rig) do(t *testing.T, method, path, body string, header ...string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest(method, rg.base+path, strings.NewReader(body))
@@ -173,6 +176,7 @@
 	return rg.do(t, http.MethodPost, "/v1/chat/completions", chatText, header...)
 }
 
+// counterSum adds up the counters of a name, or those of them with the given reason.
 func (rg *rig) counterSum(name, reason string) int64 {
 	var sum int64
 	for _, ct := range rg.scope.Snapshot().Counters() {
@@ -183,6 +187,7 @@
 	return sum
 }
 
+// text reads the body of a response.
 func text(t *testing.T, resp *http.Response) string {
 	t.Helper()
 	data, err := io.ReadAll(resp.Body)
@@ -209,6 +214,7 @@
 	return content, ids
 }
 
+// refusalIn returns the refusal in a response and checks its header.
 func refusalIn(t *testing.T, resp *http.Response) refusal.Refusal {
 	t.Helper()
 	var body errorBody
@@ -217,6 +223,7 @@
 	return body.Error
 }
 
+// answerWith returns a start function that produces a complete answer of these tokens.
 func answerWith(parts ...string) func(Request, *answer.Stream) error {
 	return func(_ Request, st *answer.Stream) error {
 		for _, part := range parts {
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -39,8 +39,9 @@
 		Scope  tally.Scope // nil records no metrics
 		Logger event.Logger
 
-		// Linger returns the channel that ends the wait, during a planned stop, until
-		// no caller uses the address any more. Nil waits for the given duration.
+		// Linger returns a channel that becomes readable when no caller uses the
+		// address any more; a planned stop waits for it. Nil waits for the given
+		// duration.
 		Linger func(span clock.Millis) <-chan time.Time
 
 		limits           Limits
@@ -54,7 +55,7 @@
 		addr    net.Addr
 		ready   chan struct{}
 		streams map[string]int // open requests, by customer
-		open    int
+		open    int            // open requests of all customers
 	}
 )
 
--- a/internal/caller/stream.go
+++ b/internal/caller/stream.go
@@ -43,11 +43,11 @@
 		class       string
 		key         string
 		model       string
-		lastSeen    int    // ID of the last event that the caller has
-		headerSent  bool   // the status was sent
-		partialChar []byte // bytes of an incomplete character
-		text        strings.Builder
-		tokens      int
+		lastSeen    int             // ID of the last event that the caller has
+		headerSent  bool            // the status was sent
+		partialChar []byte          // bytes of an incomplete character
+		text        strings.Builder // of a complete answer, as far as it was read
+		tokens      int             // read so far
 	}
 
 	chatAnswer struct {
--- a/internal/caller/stream_test.go
+++ b/internal/caller/stream_test.go
@@ -71,6 +71,8 @@
 	assert.Equal(t, len(rg.rn.streams), runs, "a new run is not the rest of an old one")
 }
 
+// Every reason has the same status and headers, whether the runner refuses the request
+// or the answer ends in the refusal.
 func TestRefusalsHaveTheirStatus(t *testing.T) {
 	for reason, code := range statusOf {
 		rf := refusal.Refusal{Ran: refusal.NotRun, Reason: reason, RetryAfter: 1001, Detail: "why"}
