--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -59,15 +59,15 @@
 
 	// Stream is the answer of one request. Create it with NewStream.
 	//
-	// Tokens are stored back to back in text rather than as events, because an event
-	// takes some hundred bytes on top of the few bytes that it carries.
+	// Tokens are stored back to back in text rather than as events, because an
+	// event takes some hundred bytes in addition to the few bytes of its token.
 	Stream struct {
 		mu         sync.Mutex
-		text       []byte // append-only; bytes that were written are never changed
-		ends       []int  // end offset in text of each token
-		last       Event  // the final event
-		final      bool
-		watchers   int
+		text       []byte        // append-only; bytes that were written are never changed
+		ends       []int         // end offset in text of each token
+		last       Event         // the final event
+		final      bool          // last is set, and nothing follows
+		watchers   int           // readers that are attached
 		changed    chan struct{} // closed and replaced at every change
 		onWatchers func(watchers int)
 	}
@@ -192,6 +192,7 @@
 	return st.text[begin:st.ends[ix]:st.ends[ix]]
 }
 
+// notify wakes all readers that wait for an event. The lock is held.
 func (st *Stream) notify() {
 	close(st.changed)
 	st.changed = make(chan struct{})
@@ -204,7 +205,7 @@
 	return st.count(), st.final
 }
 
-// Last returns the final event, if the stream has ended.
+// Last returns the final event, and whether the stream has ended.
 func (st *Stream) Last() (Event, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -239,6 +240,7 @@
 	return &Reader{st: st, next: from}
 }
 
+// addWatchers changes the number of attached readers and reports it to OnWatchers.
 func (st *Stream) addWatchers(by int) {
 	st.mu.Lock()
 	st.watchers += by
@@ -272,6 +274,8 @@
 	}
 }
 
+// eventAt returns the event with an ID and whether the stream has it. If not, the
+// channel is closed at the next change.
 func (st *Stream) eventAt(ix int) (Event, bool, <-chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -11,6 +11,7 @@
 	"alderdyke/pkg/refusal"
 )
 
+// collect reads the events from an ID to the final event, as "kind:data".
 func collect(t *testing.T, st *Stream, from int) []string {
 	t.Helper()
 	rd := st.Attach(from)
@@ -59,7 +60,7 @@
 	assert.NilError(t, st.Add(Event{ID: 1, Kind: End}))
 }
 
-// A token must not change while later ones are appended.
+// A token that a reader got must not change while later ones are appended.
 func TestReadersSeeWholeTokensWhileTheStreamGrows(t *testing.T) {
 	const tokens = 2000
 	st := NewStream()
