--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -35,9 +35,9 @@
 const (
 	DefaultConnections = 256
 	DefaultDialTimeout = 2 * clock.Second
-	idleConnections    = 4
-	idleTimeout        = 30 * clock.Second
-	headerBytes        = 64 << 10
+	idleConnections    = 4                 // kept for each backend server
+	idleTimeout        = 30 * clock.Second // of a kept connection
+	headerBytes        = 64 << 10          // of a response
 )
 
 // Causes of call errors.
@@ -85,6 +85,7 @@
 		hc   *http.Client
 	}
 
+	// freshConnectionKey is the context key of calls on a fresh connection.
 	freshConnectionKey struct{}
 
 	// transport sends calls with an effect on fresh connections and all other calls
@@ -148,7 +149,9 @@
 	return ht.hc
 }
 
-func (lm Limits) transport(once bool) *http.Transport {
+// transport returns a transport that opens a fresh connection for each call, or one
+// that keeps connections.
+func (lm Limits) transport(fresh bool) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			cn, err := lm.Dial(ctx, network, address)
@@ -157,7 +160,7 @@
 			}
 			return &gatedConn{Conn: cn}, nil
 		},
-		DisableKeepAlives:      once,
+		DisableKeepAlives:      fresh,
 		DisableCompression:     true,
 		MaxConnsPerHost:        lm.Connections,
 		MaxIdleConnsPerHost:    idleConnections,
@@ -194,6 +197,7 @@
 	return gc.Conn.Write(data)
 }
 
+// mark returns the number of writes so far, for a later call of seal.
 func (gc *gatedConn) mark() uint64 {
 	gc.mu.Lock()
 	defer gc.mu.Unlock()
@@ -212,6 +216,8 @@
 	return true
 }
 
+// gotConn records a connection that the call was given. If the call is no longer
+// allowed, nothing can be written to the connection from then on.
 func (cr *connTracker) gotConn(info httptrace.GotConnInfo) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -18,6 +18,7 @@
 	"alderdyke/pkg/clock"
 )
 
+// secret is in every request and in some answers, and must appear in no error.
 const secret = "prompt-and-answer"
 
 // rawServer passes each connection, with its number counted from 1, to fn.
@@ -59,6 +60,7 @@
 	return req
 }
 
+// closedAddress returns an address at which nothing listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	ls, err := net.Listen("tcp", "127.0.0.1:0")
@@ -213,29 +215,29 @@
 	}
 }
 
-// A fresh connection avoids the doubt that a server leaves a call in when it closes a
-// kept connection.
+// A server that closes a kept connection leaves the call on it in doubt; a call on a
+// fresh connection is not affected.
 func TestFreshConnectionIsNotLeftInDoubt(t *testing.T) {
-	for _, once := range []bool{false, true} {
+	for _, fresh := range []bool{false, true} {
 		var orders atomic.Int64
 		hc := NewHTTP(Limits{})
 		defer hc.CloseIdleConnections()
 		addr := cutSecondRequest(t, &orders)
 		warm(t, hc, addr)
-		if once {
+		if fresh {
 			hc.CloseIdleConnections() // the raw server takes one connection at a time
 		}
-		rsp, err := Send(t.Context(), hc, Call{Request: post(t, addr), FreshConnection: once})
+		rsp, err := Send(t.Context(), hc, Call{Request: post(t, addr), FreshConnection: fresh})
 		oc, _ := OutcomeOf(err)
-		assert.Equal(t, oc == Done, once, "%v", err)
+		assert.Equal(t, oc == Done, fresh, "%v", err)
 		if err == nil {
 			assert.NilError(t, rsp.Body.Close())
 		}
 	}
 }
 
-// Control for the test above: the same server does make net/http repeat a request
-// that Send did not modify.
+// Control for TestNeverRepeated: without Send, net/http does repeat the request at the
+// same server.
 func TestUnmodifiedRequestIsRepeated(t *testing.T) {
 	var orders atomic.Int64
 	addr := cutSecondRequest(t, &orders)
@@ -251,6 +253,7 @@
 	assert.Equal(t, orders.Load(), int64(2))
 }
 
+// warm makes one call, so that the client keeps a connection to the server.
 func warm(t *testing.T, hc *http.Client, addr string) {
 	t.Helper()
 	rsp, err := hc.Get("http://" + addr + "/warm")
@@ -272,8 +275,8 @@
 	defer srv.Close()
 	hc := NewHTTP(Limits{})
 	defer hc.CloseIdleConnections()
-	send := func(once bool) {
-		rsp, err := Send(t.Context(), hc, Call{Request: post(t, srv.Listener.Addr().String()), FreshConnection: once})
+	send := func(fresh bool) {
+		rsp, err := Send(t.Context(), hc, Call{Request: post(t, srv.Listener.Addr().String()), FreshConnection: fresh})
 		assert.NilError(t, err)
 		_, err = ReadAll(rsp.Body, 10)
 		assert.NilError(t, err)
@@ -318,13 +321,13 @@
 	defer srv.Close()
 	hc := NewHTTP(Limits{})
 	defer hc.CloseIdleConnections()
-	for _, once := range []bool{false, true} {
-		b.Run(fmt.Sprintf("Once=%t", once), func(b *testing.B) {
+	for _, fresh := range []bool{false, true} {
+		b.Run(fmt.Sprintf("FreshConnection=%t", fresh), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				req, err := http.NewRequest(http.MethodPost, srv.URL, strings.NewReader(secret))
 				assert.NilError(b, err)
-				rsp, err := Send(b.Context(), hc, Call{Request: req, FreshConnection: once})
+				rsp, err := Send(b.Context(), hc, Call{Request: req, FreshConnection: fresh})
 				assert.NilError(b, err)
 				_, err = ReadAll(rsp.Body, 10)
 				assert.NilError(b, err)
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -19,7 +19,7 @@
 	byServer map[string]reported
 }
 
-// reported is what a server reported.
+// reported is what a server has reported of its incarnations.
 type reported struct {
 	incarnation uint64 // the highest
 	times       uint64 // number of reports
@@ -39,8 +39,8 @@
 	return in.byServer[server].times
 }
 
-// FirstMissing reports whether nothing is known of a server, and true only once for
-// each server.
+// FirstMissing reports whether a server has reported no incarnation yet. It returns
+// true only once for each server, so that its incarnation is requested only once.
 func (in *Incarnations) FirstMissing(server string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -52,6 +52,7 @@
 // not exclude it indefinitely.
 const maxRetryAfter = 5 * clock.Minute
 
+// knownReasons are all reasons except Other.
 var knownReasons = map[Reason]bool{
 	Full: true, Leaving: true, StaleFence: true, NoKV: true, TransferFailed: true,
 	Cancelled: true, WrongRole: true, Unknown: true, Unauthorized: true,
@@ -158,7 +159,7 @@
 }
 
 // RetryAfterOf returns the server that declined a call and how long this VM is to
-// send it nothing; zero if the server asked for no pause.
+// send it nothing, at most maxRetryAfter; zero if the server asked for no pause.
 func RetryAfterOf(err error) (server string, span clock.Millis) {
 	de, _ := errors.AsType[DeclinedError](err)
 	return de.Server, min(de.RetryAfter, maxRetryAfter)
