--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -41,9 +41,9 @@
 
 // Size limits of what is read from an engine, in bytes.
 const (
-	documentBytes = 64 << 10
-	listBytes     = 4 << 20
-	lineBytes     = 64 << 10
+	documentBytes = 64 << 10 // one document
+	listBytes     = 4 << 20  // a list of runs or of cache events
+	lineBytes     = 64 << 10 // one line of a token stream
 )
 
 // ErrStatus reports that an engine answered with a status that is neither success nor
@@ -138,6 +138,7 @@
 	return ec.resume(ctx, srv, request, from, false)
 }
 
+// resume opens a stream; with take, the decode runs on behalf of this VM from then on.
 func (ec *Client) resume(ctx context.Context, srv board.BackendServer, request string, from int, take bool) (*Stream, error) {
 	qy := url.Values{"Request": {request}, "From": {strconv.Itoa(from)}, "Take": {strconv.FormatBool(take)}}
 	cl := call{srv: srv, name: "Resume", method: http.MethodGet, path: ResumePath, query: qy}
@@ -240,6 +241,7 @@
 	return err
 }
 
+// sendAndDecode sends a call and parses the response into out, unless that is nil.
 func (ec *Client) sendAndDecode(ctx context.Context, cl call, bound int64, out any) error {
 	rsp, err := ec.send(ctx, cl)
 	if err != nil {
@@ -279,6 +281,7 @@
 	return rsp, nil
 }
 
+// request encodes a call as an HTTP request.
 func (ec *Client) request(ctx context.Context, cl call) (*http.Request, error) {
 	var body bytes.Buffer
 	if cl.body != nil {
@@ -316,6 +319,8 @@
 	}
 }
 
+// inDoubt returns the error of a call that was answered with status 200 and may have
+// had its effect.
 func (cl call) inDoubt(err error) error {
 	return InDoubtError{Server: cl.srv.ID, Call: cl.name, Status: http.StatusOK, Err: err}
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -33,6 +33,7 @@
 	nw       *standin.Network
 }
 
+// run runs a test with two in-memory engines in a synctest bubble.
 func run(t *testing.T, fn func(t *testing.T, bn enginePair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -185,6 +186,7 @@
 	}
 }
 
+// assertCounted checks that a call was counted once with its outcome.
 func assertCounted(t *testing.T, bn enginePair, call string, oc backend.Outcome) {
 	t.Helper()
 	for _, ct := range bn.ec.Scope.(tally.TestScope).Snapshot().Counters() {
--- a/internal/engine/order_test.go
+++ b/internal/engine/order_test.go
@@ -16,8 +16,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// A lease holder whose lease expires while the connection is being made, for example
-// in a pause, is checked after that, and no byte of its order is sent.
+// OrderIf checks the lease once the connection is established: if the lease expired
+// meanwhile, for example in a pause of the process, no byte of the order is sent.
 func TestOrderIfChecksOnceConnected(t *testing.T) {
 	const lease, connects = 5 * clock.Second, 6 * clock.Second
 	for _, tc := range []struct {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -44,6 +44,7 @@
 		endErr error
 	}
 
+	// item is a token or the error that ends the stream.
 	item struct {
 		tok Token
 		err error
@@ -58,6 +59,7 @@
 	return st, err
 }
 
+// connectStream sends the call and starts reading the stream.
 func (ec *Client) connectStream(ctx context.Context, cl call, from int) (*Stream, error) {
 	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, cancel)
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -63,7 +63,7 @@
 		Request      string
 		Customer     string
 		Attempt      int
-		Quick        bool // overtakes patient work in the queue
+		Quick        bool // queued before orders that are not quick
 		Prompt       string
 		PromptTokens int
 		// Answered holds the output tokens of an earlier attempt. They are part of
@@ -87,7 +87,7 @@
 		Request  string
 		Customer string
 		Attempt  int
-		Quick    bool   // overtakes patient transfers on the links
+		Quick    bool   // transferred before KV caches of orders that are not quick
 		KV       string // the KV of PrefillResult
 		From     string // "IP:port" of the prefill engine
 	}
@@ -139,7 +139,8 @@
 		Runs []Running
 	}
 
-	// LoadDoc is an engine's load report. It lags behind.
+	// LoadDoc is an engine's load report. It describes the load of some time ago; see
+	// Age.
 	LoadDoc struct {
 		Role      board.Role // current role; empty if the engine does not report it
 		Running   int
