--- a/internal/relay/arrivals.go
+++ b/internal/relay/arrivals.go
@@ -43,7 +43,7 @@
 
 // record takes the end of a paid call into account and returns how much of its price
 // is refunded: all of it if nothing arrived, or if it was the first prefill.
-func (ar *arrivals) record(call string, price float64, err error) (back float64) {
+func (ar *arrivals) record(call string, price float64, err error) (refund float64) {
 	switch {
 	case notSent(err):
 		return price
@@ -68,12 +68,12 @@
 	rl.applyRetryAfter(err)
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	back := ex.arrivals.record(call, price, err)
-	ex.arrivals.credit += back
-	if back < price || price == 0 && !notSent(err) {
+	refund := ex.arrivals.record(call, price, err)
+	ex.arrivals.credit += refund
+	if refund < price || price == 0 && !notSent(err) {
 		rl.count("Arrivals", map[string]string{"Service": ex.svc.Name, "Call": call, "Way": arrivalTag(price)})
 	}
-	return []event.Field{event.F("Arrivals", ex.arrivals.counted), event.F("Paid", price-back)}, err
+	return []event.Field{event.F("Arrivals", ex.arrivals.counted), event.F("Paid", price-refund)}, err
 }
 
 func notSent(err error) bool {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -35,7 +35,7 @@
 // decoding is a decode that was sent to an engine.
 type decoding struct {
 	rsp            *http.Response
-	orderedAt      clock.Millis // when the decode was sent
+	sentAt         clock.Millis // when the decode was sent
 	computesPrompt bool         // the engine computes the prompt too
 	tokensAhead    int          // tokens of prompts queued at the engine before this one
 	events         int          // received from the decode
@@ -52,11 +52,11 @@
 
 // newDecoding describes a decode that is about to be sent. If the engine computes the
 // prompt itself, the prompt is counted there.
-func (rl *Relay) newDecoding(ex *exchange, pl place, itself bool) decoding {
-	dec := decoding{orderedAt: rl.now(), computesPrompt: itself, promptDone: func() {}, end: func() {}}
-	if itself {
+func (rl *Relay) newDecoding(ex *exchange, pl place, atDecoder bool) decoding {
+	dec := decoding{sentAt: rl.now(), computesPrompt: atDecoder, promptDone: func() {}, end: func() {}}
+	if atDecoder {
 		rl.mu.Lock()
-		dec.tokensAhead = rl.ledger.PromptTokens(dec.orderedAt, pl.server.ID)
+		dec.tokensAhead = rl.ledger.PromptTokens(dec.sentAt, pl.server.ID)
 		rl.mu.Unlock()
 		dec.promptDone = rl.countLocalPrompt(pl, ex.req.Prompt.Tokens)
 	}
@@ -274,18 +274,18 @@
 // there. It returns false if the decode engine is to compute it.
 func (rl *Relay) choosePrefill(ex *exchange, pl place) (pool.Prefill, bool) {
 	st := pool.StartBudget{Spent: rl.now() - ex.req.Arrived, Objective: ex.rt.Objective}
-	pf, itself := rl.assignPrefill(ex, pl, st)
-	rl.count("Prompts", map[string]string{"Itself": strconv.FormatBool(itself)})
-	if itself {
+	pf, atDecoder := rl.assignPrefill(ex, pl, st)
+	rl.count("Prompts", map[string]string{"Itself": strconv.FormatBool(atDecoder)})
+	if atDecoder {
 		rl.Log.Log(event.RelayNoPrefill, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("Doubt", pl.doubtful),
 			event.F("Best", pf.Server.ID), event.F("Ahead", pf.QueuedTokens), event.F("Would", pf.ExpectedTime.String()), event.F("Spent", st.Spent.String()))
 	}
-	return pf, !itself
+	return pf, !atDecoder
 }
 
 // assignPrefill chooses the engine and counts the prompt there, or reports that the
 // decode engine computes it itself.
-func (rl *Relay) assignPrefill(ex *exchange, pl place, st pool.StartBudget) (pf pool.Prefill, itself bool) {
+func (rl *Relay) assignPrefill(ex *exchange, pl place, st pool.StartBudget) (pf pool.Prefill, atDecoder bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now, tokens := rl.now(), ex.req.Prompt.Tokens
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -19,7 +19,7 @@
 	}
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	po, took := rl.poolOf(rn.ex.svc.Name), rl.now()-rn.orderedAt
+	po, took := rl.poolOf(rn.ex.svc.Name), rl.now()-rn.sentAt
 	switch {
 	case !rn.computesPrompt:
 		po.ObserveFirstEvent(took)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -68,9 +68,9 @@
 // findPlace waits for a place at a decode engine. The error is a refusal.
 func (rl *Relay) findPlace(ctx context.Context, ex *exchange) (place, error) {
 	rl.mu.Lock()
-	back := rl.isReturning(ex)
+	returning := rl.isReturning(ex)
 	po := rl.poolOf(ex.svc.Name)
-	tk := po.Enter(rl.now(), pool.Request{Returning: back, Priority: ex.priority})
+	tk := po.Enter(rl.now(), pool.Request{Returning: returning, Priority: ex.priority})
 	waiting := po.Waiting()
 	rl.mu.Unlock()
 	defer func() {
@@ -80,25 +80,25 @@
 		rl.wakeWaiters()
 		rl.mu.Unlock()
 	}()
-	until := min(rl.now()+rl.placeWait(ex.rt, back), ex.deadline)
+	until := min(rl.now()+rl.placeWait(ex.rt, returning), ex.deadline)
 	asked := 0
 	for {
 		tr := rl.tryPlace(ctx, ex, po, tk, until)
 		asked += tr.asked
 		if pl := tr.place; pl.server.ID != "" {
 			rl.Log.Log(event.RelayPlaced, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("By", pl.chosenBy),
-				event.F("Tokens", ex.req.Prompt.Tokens), event.F("Returning", back), event.F("Left", ex.req.WaitLimit.String()),
+				event.F("Tokens", ex.req.Prompt.Tokens), event.F("Returning", returning), event.F("Left", ex.req.WaitLimit.String()),
 				event.F("Waited", (rl.now()-ex.req.Arrived).String()))
 			return pl, nil
 		}
 		if err := rl.refuseIfAllBackOff(ctx, ex, po, until); err != nil {
 			return place{}, err
 		}
-		if err := rl.awaitPlace(ctx, until, back); err != nil {
-			if !back {
+		if err := rl.awaitPlace(ctx, until, returning); err != nil {
+			if !returning {
 				rl.reportShortage()
 			}
-			rl.logNoPlace(ex, po, event.F("Returning", back), event.F("Waiting", waiting),
+			rl.logNoPlace(ex, po, event.F("Returning", returning), event.F("Waiting", waiting),
 				event.F("Before", tr.before), event.F("Asked", asked), event.F("Short", tr.short))
 			return place{}, rl.refuseNoPlace(ctx, ex)
 		}
@@ -119,9 +119,9 @@
 // placeWait returns how long a request of the route waits for a place. A new request
 // is refused early enough that the refusal is useful; a returning request waits as
 // long as its caller waits for a first event.
-func (rl *Relay) placeWait(rt route.Route, back bool) clock.Millis {
+func (rl *Relay) placeWait(rt route.Route, returning bool) clock.Millis {
 	switch {
-	case back:
+	case returning:
 		return rt.Patience() - rl.Settings.StartTime
 	case rt.Objective > 0:
 		return clock.Millis(rl.Settings.WaitFraction * float64(rt.Objective))
@@ -131,7 +131,7 @@
 }
 
 // awaitPlace waits until a place may have become free, or until the deadline.
-func (rl *Relay) awaitPlace(ctx context.Context, until clock.Millis, back bool) error {
+func (rl *Relay) awaitPlace(ctx context.Context, until clock.Millis, returning bool) error {
 	left := until - rl.now()
 	if left <= 0 {
 		return context.DeadlineExceeded
@@ -139,7 +139,7 @@
 	rl.mu.Lock()
 	moved := rl.placeFreed
 	rl.mu.Unlock()
-	timer := time.NewTimer(min(left.Std(), rl.turnPollInterval(back)))
+	timer := time.NewTimer(min(left.Std(), rl.turnPollInterval(returning)))
 	defer timer.Stop()
 	select {
 	case <-moved:
@@ -159,9 +159,9 @@
 func (rl *Relay) refuseNoPlace(ctx context.Context, ex *exchange) error {
 	rl.mu.Lock()
 	least := rl.minRetryAfter()
-	back := least + clock.Millis(rl.Rand.Int64N(int64(2*(rl.Settings.RetryAfter-least))+1))
+	retryAfter := least + clock.Millis(rl.Rand.Int64N(int64(2*(rl.Settings.RetryAfter-least))+1))
 	rl.mu.Unlock()
-	return rl.finalRefusal(ctx, ex, refuse(refusal.QueueFull, back, "no decode engine has room"))
+	return rl.finalRefusal(ctx, ex, refuse(refusal.QueueFull, retryAfter, "no decode engine has room"))
 }
 
 // tryPlace asks the engines for a place if it is the request's turn.
--- a/internal/relay/schedule.go
+++ b/internal/relay/schedule.go
@@ -120,7 +120,7 @@
 func (rl *Relay) chooseHere(now clock.Millis, ex *exchange, po *pool.Pool, tk *pool.Ticket) choice {
 	ch := choice{need: rl.needOf(ex, rl.inSync()), short: rl.ledger.HasShortage(now)}
 	if ch.need.limit != noLimit {
-		ch.before = rl.ledger.CountAhead(now, waitingRequestOf(now, ex.svc.Name, tk), func(back bool) clock.Millis { return rl.placeWait(ex.rt, back) })
+		ch.before = rl.ledger.CountAhead(now, waitingRequestOf(now, ex.svc.Name, tk), func(returning bool) clock.Millis { return rl.placeWait(ex.rt, returning) })
 	}
 	ch.list = po.DecodeCandidates(now, rl.decodeRequirements(now, ch.need, ch.before, spareRequests(tk.Request().Returning, ch.short)))
 	ch.doubtful = len(ch.list) > 0 && rl.ledger.Doubtful(now, ch.list[0].ID)
@@ -229,8 +229,8 @@
 	if !rl.hasRoom(now, po, svc, ask) {
 		return ans
 	}
-	ans.RequestsAhead = rl.ledger.CountAhead(now, ask.Waiting, func(back bool) clock.Millis {
-		if back {
+	ans.RequestsAhead = rl.ledger.CountAhead(now, ask.Waiting, func(returning bool) clock.Millis {
+		if returning {
 			return ask.MaxWaitReturning
 		}
 		return ask.MaxWait
@@ -321,12 +321,12 @@
 // asks again, if no place is known to have become free. A VM that asks a scheduler is
 // not notified of free places, so a new request asks twice as often as it otherwise
 // would. A returning request waits for seconds.
-func (rl *Relay) turnPollInterval(back bool) time.Duration {
+func (rl *Relay) turnPollInterval(returning bool) time.Duration {
 	_, here := rl.schedulers()
 	switch {
 	case here:
 		return rl.Settings.PollInterval.Std()
-	case back:
+	case returning:
 		return (2 * rl.Settings.PollInterval).Std()
 	default:
 		return (rl.Settings.PollInterval / 2).Std()
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -128,8 +128,8 @@
 // what a refused caller is told to wait counts as returning.
 func TestReturningCallerIsRecognized(t *testing.T) {
 	for _, tc := range []struct {
-		left clock.Millis
-		back bool
+		left      clock.Millis
+		returning bool
 	}{
 		{14 * clock.Second, false},
 		{12 * clock.Second, false},
@@ -144,7 +144,7 @@
 				began := time.Now()
 				_, err = serveWithLimit(t.Context(), rl, "draft", tc.left)
 				refusalOf(t, err)
-				assert.Equal(t, time.Since(began) > relay.DefaultPlaceWait.Std(), tc.back)
+				assert.Equal(t, time.Since(began) > relay.DefaultPlaceWait.Std(), tc.returning)
 			})
 		})
 	}
