--- a/internal/relay/continue_test.go
+++ b/internal/relay/continue_test.go
@@ -121,7 +121,7 @@
 // If an answer is delimited by the end of its connection, it also ends in order when
 // this VM stopped its run to move it. The answer is not complete then: the rest is
 // read from the engine that the run moved to.
-func TestStoppedRunIsNotAWholeAnswer(t *testing.T) {
+func TestStoppedRunIsNotACompleteAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		moveAfterFirstEvent(rl, sv, nil, func() *http.Response { return newResponse(http.StatusOK, eventTwo+eventThree, nil) })
@@ -204,15 +204,15 @@
 	}
 }
 
-// A stream of a plain service has no place that a new run could take: it is cut where
-// it breaks.
+// A stream of a plain service has no place that a new run could take, so it is cut
+// when it breaks.
 func TestStreamWithoutAPlaceIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) {
 			return newResponse(http.StatusOK, eventOne+"id: 2\nda", io.ErrUnexpectedEOF), nil
 		}
-		rec, err := serve(t.Context(), rl, "told")
+		rec, err := serve(t.Context(), rl, "plain-stream")
 		assert.Assert(t, errors.Is(err, relay.ErrCut), "%v", err)
 		assert.Equal(t, rec.Body.String(), eventOne)
 	})
@@ -280,7 +280,7 @@
 	}
 }
 
-// All new runs after the first are paid from the retry budget, also if each engine
+// All new runs after the first are paid from the retry budget, even if each engine
 // answers with events that do not follow.
 func TestResumedRunsAreBudgeted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -308,7 +308,7 @@
 func TestResumeIgnoresPromptOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
-		lives := func(again bool) []board.BackendServer {
+		serverList := func(again bool) []board.BackendServer {
 			out := slices.Clone(allServers)
 			for ix := range out {
 				out[ix].Name = out[ix].ID
@@ -318,10 +318,10 @@
 			}
 			return out
 		}
-		rl.SetBackends(rl.Clock.Now(), lives(false))
+		rl.SetBackends(rl.Clock.Now(), serverList(false))
 		sv.onPrefill = func(nth int, _ board.BackendServer) error {
 			if nth == 2 {
-				go rl.SetBackends(rl.Clock.Now(), lives(true))
+				go rl.SetBackends(rl.Clock.Now(), serverList(true))
 				synctestPause()
 			}
 			return nil
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -18,9 +18,10 @@
 	// prefillTimeout bounds one prefill. The work of a prefill that times out is
 	// wasted, so the timeout is meant for engines that no longer answer.
 	prefillTimeout = 1200 * clock.Millis(1)
-	// replacedAvoidTime outlasts the registry entry of an engine whose address was
-	// reused. The engine at that address accepts reservations for the earlier engine,
-	// so each VM that has to find out by itself pays for a prefill.
+	// replacedAvoidTime is how long an engine is avoided whose address was reused; it
+	// outlasts the registry entry of that engine. The new engine at the address accepts
+	// reservations for the earlier engine, so each VM that has to find out by itself
+	// pays for a prefill.
 	replacedAvoidTime = 4 * clock.Second
 	// generationRetryCost is the minimum that another attempt at a generation costs
 	// the budget: one more decode arrives. A prefill before it is paid for when it is
@@ -34,7 +35,7 @@
 // decoding is a decode that was sent to an engine.
 type decoding struct {
 	rsp            *http.Response
-	orderedAt      clock.Millis // when the decode was sent
+	sentAt         clock.Millis // when the decode was sent
 	computesPrompt bool         // the engine computes the prompt too
 	tokensAhead    int          // tokens of prompts queued at the engine before this one
 	events         int          // received from the decode
@@ -49,11 +50,13 @@
 	dec.end()
 }
 
-func (rl *Relay) newDecoding(ex *exchange, pl place, itself bool) decoding {
-	dec := decoding{orderedAt: rl.now(), computesPrompt: itself, promptDone: func() {}, end: func() {}}
-	if itself {
+// newDecoding describes a decode that is about to be sent. If the engine computes the
+// prompt itself, the prompt is counted there.
+func (rl *Relay) newDecoding(ex *exchange, pl place, atDecoder bool) decoding {
+	dec := decoding{sentAt: rl.now(), computesPrompt: atDecoder, promptDone: func() {}, end: func() {}}
+	if atDecoder {
 		rl.mu.Lock()
-		dec.tokensAhead = rl.ledger.PromptTokens(dec.orderedAt, pl.server.ID)
+		dec.tokensAhead = rl.ledger.PromptTokens(dec.sentAt, pl.server.ID)
 		rl.mu.Unlock()
 		dec.promptDone = rl.countLocalPrompt(pl, ex.req.Prompt.Tokens)
 	}
@@ -271,18 +274,18 @@
 // there. It returns false if the decode engine is to compute it.
 func (rl *Relay) choosePrefill(ex *exchange, pl place) (pool.Prefill, bool) {
 	st := pool.StartBudget{Spent: rl.now() - ex.req.Arrived, Objective: ex.rt.Objective}
-	pf, itself := rl.assignPrefill(ex, pl, st)
-	rl.count("Prompts", map[string]string{"Itself": strconv.FormatBool(itself)})
-	if itself {
+	pf, atDecoder := rl.assignPrefill(ex, pl, st)
+	rl.count("Prompts", map[string]string{"Itself": strconv.FormatBool(atDecoder)})
+	if atDecoder {
 		rl.Log.Log(event.RelayNoPrefill, event.F("Request", ex.req.ID), event.F("Server", pl.server.ID), event.F("Doubt", pl.doubtful),
 			event.F("Best", pf.Server.ID), event.F("Ahead", pf.QueuedTokens), event.F("Would", pf.ExpectedTime.String()), event.F("Spent", st.Spent.String()))
 	}
-	return pf, !itself
+	return pf, !atDecoder
 }
 
 // assignPrefill chooses the engine and counts the prompt there, or reports that the
 // decode engine computes it itself.
-func (rl *Relay) assignPrefill(ex *exchange, pl place, st pool.StartBudget) (pf pool.Prefill, itself bool) {
+func (rl *Relay) assignPrefill(ex *exchange, pl place, st pool.StartBudget) (pf pool.Prefill, atDecoder bool) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now, tokens := rl.now(), ex.req.Prompt.Tokens
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// Reservations are sized by the hint, within the limit of the request.
+// Reservations are sized by the caller's hint, within the request's own limit.
 func TestReservationFollowsTheHint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
@@ -100,9 +100,10 @@
 }
 
 // A VM that knows the usage of all others reserves little more than the prompt, and
-// leaves out engines whose runs will need their memory. A VM that is partitioned, or
-// has no recent report from another VM, must not assume that the engines are empty.
-func TestReservationWithoutTheOthers(t *testing.T) {
+// skips engines whose runs will need their memory. A VM that is partitioned, or has no
+// recent report from another VM, must not assume that the engines are empty: it
+// reserves the size that the run may reach.
+func TestReservationByKnownUsage(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		others []string
@@ -133,8 +134,8 @@
 	}
 }
 
-// No failure on the way may leave anything held at an engine.
-func TestNothingStaysHeld(t *testing.T) {
+// A decode that fails leaves nothing reserved or kept at an engine.
+func TestFailedDecodeFreesTheEngines(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		prepare func(sv *servers)
@@ -177,7 +178,7 @@
 
 // An expired prompt is declined: the same engine computes it at the place that is
 // still reserved, and the prefill engine is skipped.
-func TestLapsedPromptIsComputedByTheDecodeEngine(t *testing.T) {
+func TestExpiredPromptIsComputedByTheDecodeEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, _ int, se sent) (*http.Response, error) {
@@ -198,10 +199,10 @@
 	})
 }
 
-// A decode engine that is gone, or has changed its role, has taken nothing of a
-// computed prompt: the decode at the next place uses it, and no engine computes it
-// again, which the budget would have to pay for.
-func TestPromptOutlivesADecodeThatWasDeclined(t *testing.T) {
+// A decode engine that does not know the request, has changed its role or refuses the
+// connection has not fetched the computed prompt: the decode at the next place uses
+// it, and no engine computes it again, which the budget would have to pay for.
+func TestPromptIsReusedAfterADeclinedDecode(t *testing.T) {
 	for _, err := range []error{errUnknownRun, errWrongRole, errRefused} {
 		t.Run(err.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -226,7 +227,7 @@
 }
 
 // If no decode follows, the computed prompt is freed.
-func TestPromptOfARefusedRequestIsForgotten(t *testing.T) {
+func TestPromptOfARefusedRequestIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(context.Context, int, sent) (*http.Response, error) { return nil, errUnknownRun }
@@ -256,7 +257,7 @@
 	}
 }
 
-func TestResumableStreamGoesOnBehindItsLastEvent(t *testing.T) {
+func TestResumableStreamContinuesAfterItsLastEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		sv.onSend = func(_ context.Context, nth int, _ sent) (*http.Response, error) {
@@ -349,7 +350,7 @@
 	}
 }
 
-// synctestPause lets everything else run that can.
+// synctestPause lets all other goroutines of the bubble run until they block.
 func synctestPause() { time.Sleep(time.Millisecond) }
 
 // A run that can't be moved because no engine has room ends where it is.
@@ -378,7 +379,7 @@
 	})
 }
 
-func TestLeavingCallerFreesTheEngines(t *testing.T) {
+func TestDisconnectedCallerFreesTheEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rl, sv := newRig(t)
 		closed := make(chan struct{})
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -14,12 +14,13 @@
 	rl.guardOnce.Do(func() {
 		gd := &rl.guard
 		gd.Clock, gd.Log, gd.Scope = rl.Clock, rl.Log, rl.Scope
-		gd.Key, gd.Broadcast, gd.VMs = rl.MarkKey, rl.SendServerEnd, rl.livingVMs
+		gd.Key, gd.Broadcast, gd.VMs = rl.MarkKey, rl.SendServerCrash, rl.livingVMs
 		gd.Probe, gd.Backends = rl.probe, rl.Backends
 	})
 	return &rl.guard
 }
 
+// probe reports whether the server of a broken call has crashed.
 func (rl *Relay) probe(ctx context.Context, cl poison.Call) poison.Finding {
 	if rl.Servers.Ended(ctx, cl.Server) {
 		return poison.Crashed
@@ -27,6 +28,7 @@
 	return poison.Alive
 }
 
+// livingVMs returns the number of VMs that are alive, including this one.
 func (rl *Relay) livingVMs() int {
 	if rl.OtherVMs == nil {
 		return 1
@@ -73,12 +75,12 @@
 		Request: ex.req.ID, Mark: rl.markOf(ex), Server: bs, Instance: bs.ID, Answered: answered, Concurrent: beside})
 }
 
-// ShareServerEnds periodically sends the other VMs, until the context ends, what is
-// known of requests at which servers crashed.
-func (rl *Relay) ShareServerEnds(ctx context.Context) { rl.poisonGuard().Share(ctx) }
+// ShareServerCrashes periodically sends the other VMs, until the context ends, what
+// this VM knows about requests during which servers crashed.
+func (rl *Relay) ShareServerCrashes(ctx context.Context) { rl.poisonGuard().Share(ctx) }
 
-// ReceiveServerEnd records a server crash that another VM observed.
-func (rl *Relay) ReceiveServerEnd(en suspect.Crash) { rl.poisonGuard().RecordRemote(en) }
+// ReceiveServerCrash records a server crash that another VM observed.
+func (rl *Relay) ReceiveServerCrash(en suspect.Crash) { rl.poisonGuard().RecordRemote(en) }
 
 // otherRunsAt returns the number of other runs at an engine, as far as this VM knows.
 func (rl *Relay) otherRunsAt(engine string) int {
