--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -85,9 +85,9 @@
 	// crashingWriter crashes the server after a number of writes.
 	crashingWriter struct {
 		http.ResponseWriter
-		left     int
-		declined bool
-		crash    func()
+		writesLeft int
+		declined   bool
+		crash      func()
 	}
 
 	// reservationFilter drops reservations while reject is set.
@@ -105,7 +105,7 @@
 }
 
 func (dw *crashingWriter) Write(part []byte) (int, error) {
-	if dw.left--; dw.left < 0 && !dw.declined {
+	if dw.writesLeft--; dw.writesLeft < 0 && !dw.declined {
 		dw.crash()
 	}
 	return dw.ResponseWriter.Write(part)
@@ -197,7 +197,7 @@
 	if end.writes < 0 {
 		stop()
 	}
-	dw := &crashingWriter{ResponseWriter: wr, left: end.writes, crash: stop}
+	dw := &crashingWriter{ResponseWriter: wr, writesLeft: end.writes, crash: stop}
 	next.ServeHTTP(dw, req)
 	switch {
 	case dw.declined:
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -214,14 +214,14 @@
 	}
 }
 
-func TestRefusalOnTheWireIsNeverBetterThanItWas(t *testing.T) {
+func TestDecodedRefusalNeverGuaranteesMore(t *testing.T) {
 	rf := refusal.Refusal{Ran: refusal.NotRun, Reason: refusal.QueueFull, RetryAfter: 1500, Detail: "full"}
 	assert.DeepEqual(t, refusalFromWire(refusalToWire(rf)), rf)
 	assert.Equal(t, refusalFromWire(&peerpb.Refusal{Ran: "Perhaps"}).Ran, refusal.MayHaveRun)
 	assert.Equal(t, refusalFromWire(nil).Ran, refusal.MayHaveRun)
 }
 
-func TestRunEndsWhenNobodyComesBack(t *testing.T) {
+func TestRunIsCancelledWhenNoCallerReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vm := &VM{Clock: clock.Monotonic{}, runCtx: t.Context()}
 		vm.traces.clk = vm.Clock
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -83,7 +83,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if ok {
-		rn.awaitRole(ctx)
+		rn.awaitRoleWithTimeout(ctx)
 	}
 	if !ok || !rn.hasRole(running) {
 		cn.Send(doneFrame())
@@ -113,9 +113,9 @@
 	}
 }
 
-// awaitRole waits until it is decided whether this VM runs the request. Seats may
+// awaitRoleWithTimeout waits until it is decided whether this VM runs the request. Seats may
 // announce its claim to other VMs before the last grant arrives here.
-func (rn *run) awaitRole(ctx context.Context) {
+func (rn *run) awaitRoleWithTimeout(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, claimTimeout.Std())
 	defer stop()
 	rn.awaitRoleDecision(ctx)
--- a/internal/entry/model_test.go
+++ b/internal/entry/model_test.go
@@ -91,10 +91,10 @@
 // last one.
 func TestAnswerContinuesOnlyFromItsOwnDecode(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		has  []string
-		told fakeDecode
-		kept bool // the answer is complete and has the decode's tokens
+		name   string
+		has    []string
+		decode fakeDecode
+		kept   bool // the answer is complete and has the decode's tokens
 	}{
 		{"its own", []string{"a", "b"}, fakeDecode{tokens: []string{"a", "b", "c"}, complete: true}, true},
 		{"its own, only the end is missing", []string{"a", "b"}, fakeDecode{tokens: []string{"a", "b"}, complete: true}, true},
@@ -114,14 +114,14 @@
 			{"followed", func(rn *run, dec claim.Decided) bool { return rn.followDecode(t.Context(), dec) }},
 		} {
 			t.Run(tc.name+", "+way.name, func(t *testing.T) {
-				told := tc.told
-				rn, dec := newDecodeRun(t, &told, tc.has)
+				decode := tc.decode
+				rn, dec := newDecodeRun(t, &decode, tc.has)
 				assert.Equal(t, way.on(rn, dec), tc.kept)
 				last, final := rn.st.Last()
 				assert.Equal(t, final, tc.kept)
 				if tc.kept {
 					assert.Equal(t, last.Kind, answer.End)
-					assert.DeepEqual(t, rn.st.Tokens(), told.tokens)
+					assert.DeepEqual(t, rn.st.Tokens(), decode.tokens)
 				}
 			})
 		}
@@ -133,9 +133,9 @@
 // decode. It may cancel a decode only if the decode fails while the VM still holds the key.
 func TestDecodeOfATakenOverKeyIsNotCancelled(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		cause error // of the end of the run; nil if only the stream broke
-		freed bool
+		name      string
+		cause     error // of the end of the run; nil if only the stream broke
+		cancelled bool
 	}{
 		{"the key went to another VM", errKeyLost, false},
 		{"the stream failed", nil, true},
@@ -143,10 +143,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			rn, dec := newDecodeRun(t, &fakeDecode{tokens: []string{"a", "b"}, stalls: tc.cause != nil}, nil)
-			freed := make(chan string, 1)
+			cancelled := make(chan string, 1)
 			rn.vm.janitor.find = func(id string) (board.BackendServer, bool) { return board.BackendServer{ID: id}, true }
 			rn.vm.janitor.cancel = func(_ context.Context, srv board.BackendServer, _ string, _ int) error {
-				freed <- srv.ID
+				cancelled <- srv.ID
 				return nil
 			}
 			mine, lose := context.WithCancelCause(t.Context())
@@ -156,7 +156,7 @@
 			}
 			assert.Assert(t, !rn.resumeDecode(mine, dec))
 			rn.vm.janitor.wg.Wait()
-			assert.Equal(t, len(freed) == 1, tc.freed)
+			assert.Equal(t, len(cancelled) == 1, tc.cancelled)
 		})
 	}
 }
--- a/internal/entry/order_test.go
+++ b/internal/entry/order_test.go
@@ -92,10 +92,10 @@
 		"preempted": {granted: true, preempted: true, stage: sched.Prefilling, prefill: "p", decode: "d"},
 	}}
 	dm := hc.demand()
-	got, err := json.Marshal([]any{dm.quick, dm.patient, dm.work})
+	got, err := json.Marshal([]any{dm.quick, dm.patient, dm.granted})
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), `[1,2,{"d":2,"p":1}]`)
-	assert.DeepEqual(t, dm.prompts, map[string]int{"p": 1})
+	assert.DeepEqual(t, dm.pendingPrompts, map[string]int{"p": 1})
 }
 
 // A prefill engine keeps a KV cache until a decode engine has it, and must not change its role
@@ -104,7 +104,7 @@
 	for _, stage := range []sched.Stage{sched.Prefilled, sched.Transferring, sched.Rejected} {
 		hc := &heldCell{held: map[string]*heldRequest{"waits": {granted: true, stage: stage, prefill: "p", decode: "d"}}}
 		dm := hc.demand()
-		assert.DeepEqual(t, dm.work, map[string]int{"p": 1, "d": 1})
-		assert.Equal(t, len(dm.prompts), 0, "%s", stage)
+		assert.DeepEqual(t, dm.granted, map[string]int{"p": 1, "d": 1})
+		assert.Equal(t, len(dm.pendingPrompts), 0, "%s", stage)
 	}
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -38,14 +38,14 @@
 		lease *lease
 
 		mu      sync.Mutex
-		answers map[string]chan orders.OperatorReply
+		replies map[string]chan orders.OperatorReply
 	}
 
 	// demand is the load that the requests of a cell put on it.
 	demand struct {
 		quick, patient int            // queued requests
-		work           map[string]int // granted requests, by each engine that they use
-		prompts        map[string]int // granted requests whose prompts are not computed yet, by prefill engine
+		granted        map[string]int // granted requests, by each engine that they use
+		pendingPrompts map[string]int // granted requests whose prompts are not computed yet, by prefill engine
 	}
 
 	// reportedRole is the role that an engine reported.
@@ -57,7 +57,7 @@
 
 func (hc *heldCell) newOrderer(ctx context.Context, name string) *orderer {
 	vm := hc.vm
-	or := &orderer{hc: hc, answers: make(map[string]chan orders.OperatorReply)}
+	or := &orderer{hc: hc, replies: make(map[string]chan orders.OperatorReply)}
 	ce := &orders.Cell{Settings: orders.Settings{NoRoleChanges: !vm.Settings.Roles.Enabled, Dwell: vm.Settings.Roles.Dwell}}
 	or.ac = actor.New[orders.Event, orders.Intent](vm.Clock, orders.Tick{}, ordersTick)
 	or.ac.Step = ce.Step
@@ -159,12 +159,12 @@
 func (or *orderer) giveOrder(ctx context.Context, gv orders.OperatorOrder) orders.OperatorReply {
 	ch := make(chan orders.OperatorReply, 1)
 	or.mu.Lock()
-	or.answers[gv.ID] = ch
+	or.replies[gv.ID] = ch
 	or.mu.Unlock()
 	defer func() {
 		or.mu.Lock()
 		defer or.mu.Unlock()
-		delete(or.answers, gv.ID)
+		delete(or.replies, gv.ID)
 	}()
 	or.ac.Tell(ctx, gv)
 	select {
@@ -180,9 +180,9 @@
 func (or *orderer) deliver(an orders.OperatorReply) {
 	or.mu.Lock()
 	defer or.mu.Unlock()
-	if ch, ok := or.answers[an.ID]; ok {
+	if ch, ok := or.replies[an.ID]; ok {
 		ch <- an
-		delete(or.answers, an.ID)
+		delete(or.replies, an.ID)
 	}
 }
 
@@ -201,8 +201,8 @@
 			RoleAt:         kr.at,
 			ChecksFencing:  srv.ChecksFencing,
 			Usable:         ok && rc.misses[srv.ID] < maxReportMisses && !rc.leaving[srv.ID] && !srv.Leaving,
-			Granted:        dm.work[srv.ID],
-			PendingPrompts: dm.prompts[srv.ID],
+			Granted:        dm.granted[srv.ID],
+			PendingPrompts: dm.pendingPrompts[srv.ID],
 			Running:        rp.Running,
 			Slots:          rp.Slots,
 			Queued:         rp.Queued,
@@ -262,7 +262,7 @@
 // demand counts the queued requests, and the granted ones by the engines that they
 // use at their stage.
 func (hc *heldCell) demand() demand {
-	dm := demand{work: make(map[string]int), prompts: make(map[string]int)}
+	dm := demand{granted: make(map[string]int), pendingPrompts: make(map[string]int)}
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
 	for _, hr := range hc.held {
@@ -273,12 +273,12 @@
 		case waits:
 			dm.patient++
 		default:
-			dm.work[hr.decode]++
+			dm.granted[hr.decode]++
 			if hr.stage != sched.Decoding {
-				dm.work[hr.prefill]++
+				dm.granted[hr.prefill]++
 			}
 			if hr.stage == sched.Prefilling {
-				dm.prompts[hr.prefill]++
+				dm.pendingPrompts[hr.prefill]++
 			}
 		}
 	}
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -84,16 +84,16 @@
 // hanging.
 const eventuallyTimeout = 2 * time.Minute
 
-func startFleet(t *testing.T, vms int, checks bool, roles settings.Roles) *testFleet {
+func startFleet(t *testing.T, vms int, checksFencing bool, roles settings.Roles) *testFleet {
 	t.Helper()
-	return startFleetOf(t, vms, 3, checks, roles)
+	return startFleetOf(t, vms, 3, checksFencing, roles)
 }
 
 // startFleetOf starts a fleet with some prefill engines and one decode engine.
-func startFleetOf(t *testing.T, vms, prefill int, checks bool, roles settings.Roles) *testFleet {
+func startFleetOf(t *testing.T, vms, prefill int, checksFencing bool, roles settings.Roles) *testFleet {
 	t.Helper()
 	set := enginesim.DefaultSettings()
-	set.Slots, set.TPOT, set.ChecksFencing = 4, 10, checks
+	set.Slots, set.TPOT, set.ChecksFencing = 4, 10, checksFencing
 	fl := &testFleet{t: t, log: &logBuffer{}, dp: &deployment.Deployment{
 		Model: model, Prefill: prefill, Decode: 1, FailureDomains: []string{"a", "b"}, Region: "here", Engine: set,
 	}}
@@ -246,10 +246,10 @@
 func TestRolesFollowTheLoad(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		name   string
-		checks bool
-		faults standin.Faults
-		event  event.Event
+		name          string
+		checksFencing bool
+		faults        standin.Faults
+		event         event.Event
 	}{
 		{"Checking", true, standin.Faults{}, event.RoleChanged},
 		{"Ignoring", false, standin.Faults{}, event.RoleChanged},
@@ -258,7 +258,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			fl := startFleet(t, 1, tc.checks, quickRoles)
+			fl := startFleet(t, 1, tc.checksFencing, quickRoles)
 			for _, en := range fl.dp.Engines {
 				en.Control.Set(tc.faults)
 			}
@@ -294,7 +294,7 @@
 	}
 }
 
-func TestRolesStayWhereTheyAreSwitchedOff(t *testing.T) {
+func TestNoRoleChangesWhenDisabled(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, 1, true, settings.Roles{Dwell: 100})
 	stop := fl.startCallers(8)
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -42,7 +42,7 @@
 // Only the reservation limits the lifetime of the stream to the scheduler. If the stream is
 // opened under the context of the dial, it is closed as soon as it is open, and every request
 // is placed by load reports.
-func TestStreamToTheAccountantOutlivesItsOpening(t *testing.T) {
+func TestSchedulerStreamOutlivesItsOpening(t *testing.T) {
 	far := &peer.Transport{
 		Self:    board.VMRef{ID: "vm-far", Incarnation: 1},
 		Listen:  "127.0.0.1:0",
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -117,10 +117,10 @@
 
 // isCatchUpSender reports whether this VM sends another one the notices that it missed.
 func (vm *VM) isCatchUpSender(fl *board.Fleet, other board.VM) bool {
-	tellers := rendezvous.Top(other.ID, fl.VMs, catchUpSenders, func(one *board.VM) bool {
+	senders := rendezvous.Top(other.ID, fl.VMs, catchUpSenders, func(one *board.VM) bool {
 		return one.Health == board.Alive && one.ID != other.ID
 	})
-	return slices.ContainsFunc(tellers, func(one board.VM) bool { return one.ID == vm.Self.ID })
+	return slices.ContainsFunc(senders, func(one board.VM) bool { return one.ID == vm.Self.ID })
 }
 
 // mark returns the mark of the request, which is the same for all its attempts.
--- a/internal/entry/poison_test.go
+++ b/internal/entry/poison_test.go
@@ -17,15 +17,15 @@
 			fl.VMs = append(fl.VMs, board.VM{VMRef: board.VMRef{ID: fmt.Sprintf("vm-%d", ix), Incarnation: 1}, Health: board.Alive})
 		}
 		fl.VMs = append(fl.VMs, board.VM{VMRef: board.VMRef{ID: "dead", Incarnation: 1}, Health: board.Dead})
-		started, tellers := fl.VMs[0], 0
+		started, senders := fl.VMs[0], 0
 		for _, one := range fl.VMs {
 			vm := &VM{Self: one.VMRef}
 			if vm.isCatchUpSender(fl, started) {
 				assert.Equal(t, one.Health, board.Alive)
 				assert.Assert(t, one.ID != started.ID)
-				tellers++
+				senders++
 			}
 		}
-		assert.Equal(t, tellers, min(catchUpSenders, size-1))
+		assert.Equal(t, senders, min(catchUpSenders, size-1))
 	}
 }
--- a/internal/entry/scale_test.go
+++ b/internal/entry/scale_test.go
@@ -77,7 +77,7 @@
 
 // A VM reads four load reports of plain servers per second. The four servers of a small service
 // are read every second, and any server within three.
-func TestPlainReportsAreBounded(t *testing.T) {
+func TestPlainPollRateIsBounded(t *testing.T) {
 	assert.Equal(t, plainPollDelay(0), plainPollInterval)
 	assert.Equal(t, plainPollDelay(4), plainPollInterval)
 	assert.Equal(t, plainPollDelay(8), 2*clock.Second)
--- a/internal/entry/unsent_test.go
+++ b/internal/entry/unsent_test.go
@@ -31,10 +31,10 @@
 	vm.Board.SetFleet(&board.Fleet{VMs: []board.VM{{VMRef: vm.Self}}})
 	vm.initBook()
 	vm.bookState.FromLogStart = true
-	still := false
+	paused := false
 	vm.book.Step = func(now clock.Millis, ev claim.Event) []claim.Intent {
-		if ask, ok := ev.(claim.Asked); ok && ask.Ask.GetConfirm() && !still {
-			still = true
+		if ask, ok := ev.(claim.Asked); ok && ask.Ask.GetConfirm() && !paused {
+			paused = true
 			time.Sleep(2 * callTimeout.Std())
 		}
 		return vm.stepBook(now, ev)
