--- a/internal/entry/absence_test.go
+++ b/internal/entry/absence_test.go
@@ -11,7 +11,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// pausedClock runs ahead of the timers, like the clock of a process after a pause.
+// pausedClock runs ahead of the timers, like the clock of a process that was paused.
 type pausedClock struct {
 	clock.Monotonic
 	paused atomic.Int64
--- a/internal/entry/accountant.go
+++ b/internal/entry/accountant.go
@@ -31,7 +31,7 @@
 		cells map[string]*heldCell
 	}
 
-	// heldCell is one cell that this VM schedules.
+	// heldCell is one cell that this VM schedules, with its loops and its requests.
 	heldCell struct {
 		vm   *VM
 		ctx  context.Context // ends when another VM schedules the cell
@@ -56,8 +56,8 @@
 		stage     sched.Stage // last reported stage
 		preempted bool        // the grant was revoked; the request is queued again
 		attempt   int         // number of the grant
-		prefill   string
-		decode    string
+		prefill   string      // ID of the engine
+		decode    string      // ID of the engine
 	}
 )
 
@@ -155,6 +155,8 @@
 	return hc.cell.Servers
 }
 
+// serve adds the request to the cell, and passes the runner's frames to the scheduling
+// loop until the stream ends.
 func (hc *heldCell) serve(ctx context.Context, from board.VMRef, ask *peerpb.ReserveAsk, cn frameStream) {
 	hr := hc.addRequest(from, ask)
 	go hr.write(cn)
@@ -224,6 +226,8 @@
 	}
 }
 
+// addRequest adds the request of a reservation. It replaces the entry of an earlier stream
+// of the same request, whose end streamLost then ignores.
 func (hc *heldCell) addRequest(from board.VMRef, ask *peerpb.ReserveAsk) *heldRequest {
 	hr := &heldRequest{
 		runner:  from,
@@ -326,6 +330,8 @@
 	}
 }
 
+// sendToRunner records a decision with note and queues its frame for the runner. It does
+// nothing if the cell no longer holds the request.
 func (hc *heldCell) sendToRunner(request string, fr *peerpb.Frame, note func(*heldRequest)) {
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
@@ -337,8 +343,8 @@
 	hr.send(fr)
 }
 
-// send queues a frame. A runner that lets its outbox fill up loses frames, which
-// it handles like a lost stream.
+// send queues a frame. If the runner lets its outbox fill up, the frame is dropped, which
+// has the same effect for the runner as a lost stream.
 func (hr *heldRequest) send(fr *peerpb.Frame) {
 	select {
 	case hr.outbox <- fr:
--- a/internal/entry/again.go
+++ b/internal/entry/again.go
@@ -11,13 +11,13 @@
 	"alderdyke/pkg/refusal"
 )
 
-// awaitRetry asks the retry policy about a failed attempt and waits for the
+// awaitRetry applies the retry policy to a failed attempt and waits for the
 // backoff that the policy sets. The first attempt has number zero. It returns nil
 // if another attempt may follow, and otherwise the error that ends the request.
 func (rn *run) awaitRetry(ctx context.Context, number int, err error) error {
 	var rf refusal.Refusal
 	if errors.As(err, &rf) {
-		return err // the scheduler refused the request
+		return err // a refusal, for example of the scheduler, is final
 	}
 	at := retry.Attempt{
 		Customer:          rn.id.Customer,
--- a/internal/entry/cells_test.go
+++ b/internal/entry/cells_test.go
@@ -20,6 +20,7 @@
 	return out
 }
 
+// A cell without engines of both roles can't run a request.
 func TestCellsHoldBothRolesAndStayBounded(t *testing.T) {
 	tests := []struct {
 		name            string
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -26,8 +26,8 @@
 	bookTick        = 1 * clock.Second
 	askerTick       = 1 * clock.Minute
 	handoffTimeout  = 5 * clock.Second
-	claimRetention  = 10 * clock.Minute
-	claimLinger     = 1 * clock.Second
+	claimRetention  = 10 * clock.Minute // for which the seats keep a key after its request has ended
+	claimLinger     = 1 * clock.Second  // of a claimant, to send its final updates
 )
 
 type (
@@ -61,7 +61,7 @@
 	vm.book.WakeAt = actor.WakeOf[claim.Intent](func(wk claim.Wake) clock.Millis { return wk.At })
 }
 
-// stepBook executes one step of the book and logs what changed.
+// stepBook executes one step of the claim book and logs what changed.
 func (vm *VM) stepBook(now clock.Millis, ev claim.Event) []claim.Intent {
 	bk := vm.bookState
 	before := bk.Counts()
@@ -268,6 +268,7 @@
 	}
 }
 
+// revalidate has the seats confirm the claim again.
 func (cm *claimant) revalidate() {
 	cm.ac.Tell(cm.ctx, claim.Revalidate{Seats: cm.vm.seats.Load(), Fleet: cm.vm.Board.Fleet()})
 }
--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -13,7 +13,7 @@
 )
 
 // The only prefill engine of a cell loses two requests and is closed for a second. The
-// caller has a wait of twenty seconds, so it gets its answer.
+// caller can wait for twenty seconds, so it must get its answer.
 func TestCallerWaitsForTheOnlyPrefillEngine(t *testing.T) {
 	t.Parallel()
 	fl := startFleetOf(t, 1, 1, true, settings.Roles{Dwell: clock.Minute})
--- a/internal/entry/conn.go
+++ b/internal/entry/conn.go
@@ -32,6 +32,7 @@
 		remote *closer
 	}
 
+	// closer closes its channel at most once.
 	closer struct {
 		once sync.Once
 		done chan struct{}
--- a/internal/entry/deadly_test.go
+++ b/internal/entry/deadly_test.go
@@ -8,9 +8,9 @@
 	"alderdyke/internal/engine"
 )
 
-// A request whose input crashes every server that runs it is sent on by retries, by
-// transfers to another engine and by its callers' repetitions at any VM, until no server
-// is left.
+// A request whose input crashes every server that runs it can be passed on by retries, by
+// transfers to another engine and by its callers' repetitions at any VM, until no server is
+// left. The VMs must refuse it before it has crashed more than five.
 func TestPoisonRequestCrashesFiveServersAtMost(t *testing.T) {
 	var (
 		prompt = crashPoint{engine.PrefillPath, 0}
--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -41,7 +41,8 @@
 	// poisonMarker marks the content and the keys of a request that crashes its servers.
 	poisonMarker = "deadly"
 	poisonPath   = "/records/deadly"
-	// crashAfterAnswer is after all writes: the answer is complete, and then the server crashes.
+	// crashAfterAnswer is more than any number of writes: the server crashes after its
+	// complete answer.
 	crashAfterAnswer = math.MaxInt
 )
 
@@ -328,8 +329,8 @@
 	}
 }
 
-// sendUntilServed repeats a request, like callers that retry after a refusal for lack of
-// servers, until it reaches a server or is refused as a poison request.
+// sendUntilServed repeats a request until it reaches a server or is refused as a poison
+// request, like a caller that retries when no server was available.
 func (rg *poisonRig) sendUntilServed(t *testing.T, vm *testVM, key string, ask poisonRequest) {
 	t.Helper()
 	for ix := range 100 {
@@ -371,8 +372,8 @@
 	t.Fatalf("a request with other content got no answer: %+v", rf)
 }
 
-// targetVM returns the VM for an attempt. Without a scheduler, it avoids the VM that schedules
-// its own requests.
+// targetVM returns the VM for an attempt. While reservations are rejected, it skips the
+// scheduler of the cell, which needs no reservation at another VM.
 func (rg *poisonRig) targetVM(ix int) *testVM {
 	at, _ := schedulerOf("model/0", rg.vms[0].Board.Fleet())
 	if rg.rejectReservations.Load() && rg.vms[ix].Self.ID == at.ID {
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// joinExpired joins errAnswerExpired to an answer.OtherError.
+// joinExpired joins errAnswerExpired to an answer.OtherAnswerError.
 func joinExpired(err error) error {
 	if _, other := errors.AsType[answer.OtherAnswerError](err); other {
 		return errors.Join(errAnswerExpired, err)
@@ -113,8 +113,8 @@
 	}
 }
 
-// awaitRoleWithTimeout waits until it is decided whether this VM runs the request. Seats may
-// announce its claim to other VMs before the last grant arrives here.
+// awaitRoleWithTimeout waits until it is decided whether this VM runs the request. Seats
+// may name this VM as the runner to other VMs before the last grant arrives here.
 func (rn *run) awaitRoleWithTimeout(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, claimTimeout.Std())
 	defer stop()
--- a/internal/entry/follower.go
+++ b/internal/entry/follower.go
@@ -69,6 +69,7 @@
 	return fw
 }
 
+// step executes one event: a query, or an event of the register's follower.
 func (fw *logFollower) step(now clock.Millis, ev register.Event) []register.Intent {
 	switch ev := ev.(type) {
 	case query:
--- a/internal/entry/hedge_test.go
+++ b/internal/entry/hedge_test.go
@@ -71,8 +71,8 @@
 	return rg
 }
 
-// slowFirstServer makes the server that is called first respond late. That is the one
-// without the call that slowFirstServer leaves in flight.
+// slowFirstServer makes the server that is called first respond late. It leaves a call in
+// flight at one server, so the other one is called first.
 func (rg *hedgeRig) slowFirstServer(t *testing.T) {
 	t.Helper()
 	id, err := rg.vm.pickServer(balance.Request{Service: "kiosk-api", Customer: "other", Share: 1})
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// leaseDuration is how long another VM waits after the last sign of the
-	// holder of a cell's lease. The lease is held only while an order is pending,
-	// and renewed after a third of the duration.
+	// leaseDuration is how long another VM waits after the holder's last record
+	// before it may acquire a cell's lease. The lease is held only while an order
+	// is pending, and renewed after a third of the duration.
 	leaseDuration = 20 * clock.Second
 	leaseTick     = 250 * clock.Millis(1)
 	leaseReadWait = 5 * clock.Second // long-poll wait of a read of the lease stream
@@ -26,7 +26,7 @@
 	vm     *VM
 	ctx    context.Context
 	ac     *actor.Actor[register.HolderEvent, register.HolderIntent]
-	notify func(ev orders.Event) // receives Held and Lapsed
+	notify func(ev orders.Event) // receives LeaseHeld and LeaseLapsed
 
 	mu         sync.Mutex
 	ho         *register.Holder
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -77,6 +77,9 @@
 	}
 }
 
+// attemptModel makes one attempt: it waits for a slot, runs the prefill, transfers the KV
+// cache and decodes. If the scheduler revokes the grant, the same attempt waits for
+// another slot.
 func (rn *run) attemptModel(ctx context.Context, try int) (err error) {
 	if err := rn.checkPoison(); err != nil {
 		return err
--- a/internal/entry/model_test.go
+++ b/internal/entry/model_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// loseAfterFirstToken calls lose when the answer has its first token.
+// loseAfterFirstToken calls lose once the answer has its first token.
 func loseAfterFirstToken(rn *run, lose func()) {
 	rd := rn.st.Attach(0)
 	defer rd.Detach()
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -137,6 +137,7 @@
 	}
 }
 
+// outcomeOf translates the result of an order for the decision loop.
 func outcomeOf(res engine.OrderResult, err error) orders.Outcome {
 	oc, why := backend.OutcomeOf(err)
 	switch {
@@ -155,7 +156,7 @@
 	}
 }
 
-// giveOrder has an operator's order executed and waits for the result.
+// giveOrder passes an operator's order to the decision loop and waits for the result.
 func (or *orderer) giveOrder(ctx context.Context, gv orders.OperatorOrder) orders.OperatorReply {
 	ch := make(chan orders.OperatorReply, 1)
 	or.mu.Lock()
@@ -186,7 +187,7 @@
 	}
 }
 
-// observeCell passes the state of the cell to the decisions on orders.
+// observeCell passes the state of the cell to the loop that decides on orders.
 func (rc *reconciler) observeCell() {
 	hc := rc.hc
 	dm := hc.demand()
@@ -238,7 +239,7 @@
 	return true
 }
 
-// refreshRole requests a load report at once from an engine that declined an order
+// refreshRole requests a load report at once from an engine that declined a request
 // because of its role.
 func (rc *reconciler) refreshRole(ctx context.Context, server string) {
 	srv, ok := rc.hc.server(server)
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -24,7 +24,7 @@
 	// pingAttempts is how often a server that cuts a connection is pinged: a single
 	// connection may also break in the network.
 	pingAttempts = 2
-	// catchUpSenders is how many VMs send a started VM the notices that it missed.
+	// catchUpSenders is how many VMs send a started VM the crash notices that it missed.
 	catchUpSenders = 2
 )
 
@@ -32,7 +32,7 @@
 type sentCall struct {
 	server             board.BackendServer
 	holdsRequest       bool         // the server's incarnation is the one that holds the request
-	incarnationReports uint64       // number of the server's incarnation reports before the call
+	incarnationReports uint64       // number of incarnation reports that the server had sent before the call
 	began              clock.Millis // time at which the request was sent to the server; zero if unknown
 	answered           bool         // tokens were received
 }
@@ -115,7 +115,8 @@
 	}
 }
 
-// isCatchUpSender reports whether this VM sends another one the notices that it missed.
+// isCatchUpSender reports whether this VM sends another one the crash notices that it
+// missed.
 func (vm *VM) isCatchUpSender(fl *board.Fleet, other board.VM) bool {
 	senders := rendezvous.Top(other.ID, fl.VMs, catchUpSenders, func(one *board.VM) bool {
 		return one.Health == board.Alive && one.ID != other.ID
@@ -123,7 +124,8 @@
 	return slices.ContainsFunc(senders, func(one board.VM) bool { return one.ID == vm.Self.ID })
 }
 
-// mark returns the mark of the request, which is the same for all its attempts.
+// mark returns the mark that identifies the content of the request. It is the same for
+// all attempts at the request, under any key.
 func (rn *run) mark() suspect.Mark { return rn.vm.poison.Mark(rn.req.Fingerprint) }
 
 // checkPoison refuses a request that crashed servers.
@@ -185,6 +187,8 @@
 	}
 }
 
+// recordBrokenCall reports a call that broke off to the poison guard, with the incarnation
+// of the server that the call reached, as far as it is known.
 func (rn *run) recordBrokenCall(ctx context.Context, sc sentCall) {
 	if !sc.holdsRequest {
 		sc.server.Incarnation = rn.vm.incarnations.Latest(sc.server.ID)
--- a/internal/entry/reconcile.go
+++ b/internal/entry/reconcile.go
@@ -82,6 +82,8 @@
 	}
 }
 
+// run polls the engines of the cell, and lists their runs when that is due, until the
+// context ends.
 func (rc *reconciler) run(ctx context.Context) {
 	rc.absentLists = make(map[string]int)
 	rc.strays = make(map[stray]clock.Millis)
@@ -161,6 +163,8 @@
 	return before != rp.Leaving || turned
 }
 
+// recordMiss counts a failed load report, and reports whether it is the one that makes
+// the engine unfit for new work.
 func (rc *reconciler) recordMiss(srv board.BackendServer, err error) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
--- a/internal/entry/rescue.go
+++ b/internal/entry/rescue.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// runsAt asks a VM whether it runs the request.
+// runsAt queries a VM whether it runs the request.
 func (rn *run) runsAt(ctx context.Context, runner board.VMRef) bool {
 	to, ok := rn.vm.Board.Fleet().VM(runner.ID)
 	if !ok || to.Incarnation != runner.Incarnation {
--- a/internal/entry/rescue_test.go
+++ b/internal/entry/rescue_test.go
@@ -26,7 +26,7 @@
 
 // An engine that holds the decode of a caller's answer may be too busy to respond in time
 // when two VMs were lost. It must be queried again: if it counts as holding nothing, the
-// caller is told that its answer has expired, and a second run begins.
+// caller is refused because its answer has expired, and a second run begins.
 func TestIncompleteDecodeListIsFetchedAgain(t *testing.T) {
 	var asked atomic.Int64
 	holds := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, _ *http.Request) {
@@ -67,8 +67,8 @@
 	lost        board.VMRef
 	list        func(asked int) []engine.Running // of the engine; returns nil if it is too busy to respond
 	asked       int
-	busyResumes int // number of first resume calls without a response
-	resumes     int // number of resume calls
+	busyResumes int // the engine does not respond to this many resume calls, from the first on
+	resumes     int // number of resume calls so far
 }
 
 func newRecoveryRig(t *testing.T) *recoveryRig {
@@ -132,7 +132,7 @@
 	return rn
 }
 
-// A VM follows a decode at its engine until it considers the runner dead, and then asks the
+// A VM follows a decode at its engine until it considers the runner dead, and then queries the
 // engines for the decode to take it over. A decode that produces its last token in between is
 // listed as ended and can be resumed. If the VM looks only for decodes in progress, it refuses
 // an answer that is complete at the engine.
--- a/internal/entry/reservation.go
+++ b/internal/entry/reservation.go
@@ -22,7 +22,7 @@
 	// schedulerTimeout is how long a request that may wait tries to reach its
 	// scheduler before it is placed by load reports.
 	schedulerTimeout = 2 * clock.Second
-	reopenDelay      = 50 * clock.Millis(1)
+	reopenDelay      = 50 * clock.Millis(1) // before a broken stream is opened again
 )
 
 var errSchedulerAway = errors.New("the scheduler can't be reached")
@@ -99,7 +99,8 @@
 }
 
 // awaitDecision waits until the given time for a Transfer or a Preempt of the newest
-// grant. It returns a nil frame if none arrived by then.
+// grant. It returns a nil frame if none arrived by then, or if no more decisions can
+// arrive.
 func (rs *reservation) awaitDecision(ctx context.Context, until clock.Millis) (*peerpb.Frame, error) {
 	wait, stop := context.WithTimeout(ctx, (until - rs.vm.Clock.Now()).Std())
 	defer stop()
@@ -211,6 +212,7 @@
 	}
 }
 
+// timeout returns how long the request tries to reach its scheduler.
 func (rs *reservation) timeout() clock.Millis {
 	if rs.ask.GetQuick() {
 		return quickSchedulerTimeout(clock.Millis(rs.ask.GetTTFT()))
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -124,6 +124,7 @@
 	rn.absence.Start()
 }
 
+// abandon ends the run because no caller returned for the answer in time.
 func (rn *run) abandon() {
 	rn.cancel(refusal.Refusal{
 		Ran:    refusal.MayHaveRun,
@@ -290,6 +291,8 @@
 	return errReclaim
 }
 
+// serveClaimed runs the request under the claim. If the caller has a part of the answer, or
+// if the claim was taken over from a lost VM, it continues the earlier answer where it can.
 func (rn *run) serveClaimed(ctx context.Context, dec claim.Decided) error {
 	if rn.arrivedDraining {
 		return drainingRefusal()
--- a/internal/entry/runs.go
+++ b/internal/entry/runs.go
@@ -78,6 +78,7 @@
 }
 
 // evict removes the oldest ended runs while they exceed the retention or the size limit.
+// The caller holds the lock.
 func (rs *runs) evict(now clock.Millis) {
 	for len(rs.ended) > 0 {
 		old := rs.ended[0]
@@ -90,6 +91,7 @@
 	}
 }
 
+// remove removes a run. The caller holds the lock.
 func (rs *runs) remove(rn *run) {
 	if rs.byID[rn.id] == rn {
 		delete(rs.byID, rn.id)
--- a/internal/entry/scale_test.go
+++ b/internal/entry/scale_test.go
@@ -10,8 +10,8 @@
 	"alderdyke/pkg/clock"
 )
 
-// A small deployment reads the list every second; a fleet of 380 VMs and 600 workers reads it
-// every few seconds, with a jitter of a quarter of the interval.
+// A small deployment reads the list every second; a fleet of 380 VMs and 600 backend servers
+// reads it every few seconds, with a jitter of a quarter of the interval.
 func TestListIsReadLessOftenTheLongerItIs(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	tests := []struct {
@@ -60,7 +60,8 @@
 	assert.Equal(t, runningDelay(10_000), maxRunningInterval)
 }
 
-// A lost or restarted VM changes the digest, a suspected one does not.
+// A lost or restarted VM puts the runs in doubt, so it changes the digest; a suspected one
+// does not.
 func TestLossDigestIgnoresSuspicion(t *testing.T) {
 	fleet := func(health board.Health, incarnation uint64) uint64 {
 		return lossDigest(&board.Fleet{VMs: []board.VM{
--- a/internal/entry/transfer.go
+++ b/internal/entry/transfer.go
@@ -40,7 +40,7 @@
 	if err := ma.awaitDecodeChoice(ctx, now); err != nil {
 		return err
 	}
-	for ; ; ma.number++ { // an engine declines an attempt that it was told to cancel
+	for ; ; ma.number++ { // a new number each time, because an engine declines an attempt that was cancelled there
 		if err := ma.rn.checkPoison(); err != nil {
 			return err
 		}
--- a/internal/entry/transfer_test.go
+++ b/internal/entry/transfer_test.go
@@ -71,8 +71,9 @@
 	assert.ErrorIs(t, <-ended, errPreempted)
 }
 
-// The scheduler may revoke a grant during the import, for example when its decision and a second
-// order cross. The runner must then stop the import, which no slot accounts for any more.
+// The scheduler may revoke a grant during the import, for example when its decision and a
+// second import order cross. The runner must then stop the import, which no slot accounts for
+// any more.
 func TestImportEndsWithItsGrant(t *testing.T) {
 	began := make(chan struct{})
 	tr := newTransferRig(t, func(_ http.ResponseWriter, req *http.Request) {
@@ -90,7 +91,7 @@
 }
 
 // A transfer that stalled at e1 and was declined by e2 returns to e1. Its order must have a new
-// attempt number: e1 was told to cancel the first attempt and declines an order with its number.
+// attempt number: e1 got a cancel of the first attempt and declines an order with its number.
 func TestEachImportHasItsOwnAttemptNumber(t *testing.T) {
 	began, attempts := make(chan struct{}, 3), make(chan int, 3)
 	tr := newTransferRig(t, func(wr http.ResponseWriter, req *http.Request) {
--- a/internal/entry/vm.go
+++ b/internal/entry/vm.go
@@ -7,6 +7,16 @@
 // writer: membership writes the fleet, the reader of the VM list writes the backend
 // servers, and the follower of the log writes the templates.
 //
+// # Terms
+//
+// The runner of a request is the VM that runs it. Other VMs that receive the same
+// request follow the runner: they forward its answer. The seats of a key are the VMs
+// that store the claims on it, each in its book. A VM claims the key there before it
+// runs the request; an idempotent request runs without a claim if the seats can't be
+// reached. A cell is a group of model engines, and its scheduler is the VM that grants
+// their slots; a runner holds a reservation there. An orphan is a granted request whose
+// stream from its runner was lost. A stray is a request that an engine runs for a lost
+// VM.
 // # Usage
 //
 //	vm := &entry.VM{Settings: set, Incarnation: uint64(time.Now().UnixMilli()), Log: logger}
@@ -102,22 +112,22 @@
 		members          *actor.Actor[membership.Event, membership.Intent]
 		templateFollower *logFollower
 		leaseFollower    *logFollower
-		book             *actor.Actor[claim.Event, claim.Intent]
+		book             *actor.Actor[claim.Event, claim.Intent] // claims that this VM stores as a seat
 
 		bookState     *claim.Book      // owned by the loop of book once it runs
 		restoredSeats *claim.SeatTable // loaded from a peer before the book started
 		claimSeed     atomic.Uint64
 		leaseSeed     atomic.Uint64
-		nextCell      atomic.Uint64
+		nextCell      atomic.Uint64            // distributes requests without a prefix over the cells
 		cells         atomic.Pointer[cellList] // cached list
 		loopCtx       context.Context          // ends after the last request
 
 		backendsMu sync.Mutex // serializes the writers of the board's backend servers
 
-		quorateUntil atomic.Int64 // time in clock.Millis until which this VM is quorate
-		seats        atomic.Pointer[claim.SeatTable]
-		refuted      signal // other VMs considered this VM dead, but it still runs
-		fleetChanged signal // the fleet or the seats changed
+		quorateUntil atomic.Int64                    // time in clock.Millis until which this VM is quorate
+		seats        atomic.Pointer[claim.SeatTable] // seat table in force; nil until it is known
+		refuted      signal                          // other VMs considered this VM dead, but it still runs
+		fleetChanged signal                          // the fleet or the seats changed
 		runEnded     signal
 		replies      pending[*claimReply]
 		verdicts     verdicts
@@ -178,6 +188,8 @@
 	return err
 }
 
+// waitForStop waits until a planned stop is requested or a part of the VM has failed. It
+// returns the error of the part.
 func (vm *VM) waitForStop(ctx, failed context.Context, callersDone <-chan error) error {
 	select {
 	case <-ctx.Done():
