--- a/internal/entry/absence_test.go
+++ b/internal/entry/absence_test.go
@@ -37,13 +37,13 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clk := &pausedClock{}
-				gone := make(chan time.Time, 1)
-				ab := &absenceTimer{timeout: wait, clk: clk, onExpire: func() { gone <- time.Now() }}
+				expired := make(chan time.Time, 1)
+				ab := &absenceTimer{timeout: wait, clk: clk, onExpire: func() { expired <- time.Now() }}
 				ab.Start()
 				time.Sleep(row.active.Std())
 				clk.paused.Add(int64(row.pause))
 				woke := time.Now()
-				after := clock.Of((<-gone).Sub(woke))
+				after := clock.Of((<-expired).Sub(woke))
 				assert.Assert(t, after >= row.least && after <= row.most, "%v", after)
 			})
 		})
@@ -53,8 +53,8 @@
 // The timer stops when the caller returns, and restarts when the caller leaves again.
 func TestAbsenceTimerStopsWhenCallerReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var gone atomic.Int64
-		ab := &absenceTimer{timeout: clock.Second, clk: clock.Monotonic{}, onExpire: func() { gone.Add(1) }}
+		var expirations atomic.Int64
+		ab := &absenceTimer{timeout: clock.Second, clk: clock.Monotonic{}, onExpire: func() { expirations.Add(1) }}
 		ab.Start()
 		time.Sleep(900 * time.Millisecond)
 		ab.Stop()
@@ -62,9 +62,9 @@
 		ab.Start()
 		time.Sleep(900 * time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, gone.Load(), int64(0))
+		assert.Equal(t, expirations.Load(), int64(0))
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, gone.Load(), int64(1))
+		assert.Equal(t, expirations.Load(), int64(1))
 	})
 }
--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -250,7 +250,7 @@
 	vm := &VM{Settings: dv.set, Incarnation: uint64(time.Now().UnixMilli())}
 	assert.NilError(rg.t, vm.init())
 	vm.Peers.Handler = reservationFilter{peerHandler{vm}, &rg.rejectReservations}
-	heard, lost := vm.Peers.OnDatagram, make(map[string]bool)
+	forward, lost := vm.Peers.OnDatagram, make(map[string]bool)
 	vm.Peers.OnDatagram = func(dg *peerpb.Datagram, from netip.AddrPort) {
 		if re := dg.GetRequestEnd(); re != nil && !lost[re.GetServer()] {
 			rg.mu.Lock()
@@ -260,7 +260,7 @@
 				return
 			}
 		}
-		heard(dg, from)
+		forward(dg, from)
 	}
 	core, kill := context.WithCancel(context.Background())
 	vm.runCtx, vm.stopRuns = context.WithCancel(core)
