--- a/internal/entry/deadlyrig_test.go
+++ b/internal/entry/deadlyrig_test.go
@@ -41,7 +41,8 @@
 	// poisonMarker marks the content and the keys of a request that crashes its servers.
 	poisonMarker = "deadly"
 	poisonPath   = "/records/deadly"
-	// crashAfterAnswer is after all writes: the answer is complete, and then the server crashes.
+	// crashAfterAnswer is more than any number of writes: the server crashes after its
+	// complete answer.
 	crashAfterAnswer = math.MaxInt
 )
 
@@ -85,9 +86,9 @@
 	// crashingWriter crashes the server after a number of writes.
 	crashingWriter struct {
 		http.ResponseWriter
-		left     int
-		declined bool
-		crash    func()
+		writesLeft int
+		declined   bool
+		crash      func()
 	}
 
 	// reservationFilter drops reservations while reject is set.
@@ -105,7 +106,7 @@
 }
 
 func (dw *crashingWriter) Write(part []byte) (int, error) {
-	if dw.left--; dw.left < 0 && !dw.declined {
+	if dw.writesLeft--; dw.writesLeft < 0 && !dw.declined {
 		dw.crash()
 	}
 	return dw.ResponseWriter.Write(part)
@@ -197,7 +198,7 @@
 	if end.writes < 0 {
 		stop()
 	}
-	dw := &crashingWriter{ResponseWriter: wr, left: end.writes, crash: stop}
+	dw := &crashingWriter{ResponseWriter: wr, writesLeft: end.writes, crash: stop}
 	next.ServeHTTP(dw, req)
 	switch {
 	case dw.declined:
@@ -249,7 +250,7 @@
 	vm := &VM{Settings: dv.set, Incarnation: uint64(time.Now().UnixMilli())}
 	assert.NilError(rg.t, vm.init())
 	vm.Peers.Handler = reservationFilter{peerHandler{vm}, &rg.rejectReservations}
-	heard, lost := vm.Peers.OnDatagram, make(map[string]bool)
+	forward, lost := vm.Peers.OnDatagram, make(map[string]bool)
 	vm.Peers.OnDatagram = func(dg *peerpb.Datagram, from netip.AddrPort) {
 		if re := dg.GetRequestEnd(); re != nil && !lost[re.GetServer()] {
 			rg.mu.Lock()
@@ -259,7 +260,7 @@
 				return
 			}
 		}
-		heard(dg, from)
+		forward(dg, from)
 	}
 	core, kill := context.WithCancel(context.Background())
 	vm.runCtx, vm.stopRuns = context.WithCancel(core)
@@ -328,8 +329,8 @@
 	}
 }
 
-// sendUntilServed repeats a request, like callers that retry after a refusal for lack of
-// servers, until it reaches a server or is refused as a poison request.
+// sendUntilServed repeats a request until it reaches a server or is refused as a poison
+// request, like a caller that retries when no server was available.
 func (rg *poisonRig) sendUntilServed(t *testing.T, vm *testVM, key string, ask poisonRequest) {
 	t.Helper()
 	for ix := range 100 {
@@ -371,8 +372,8 @@
 	t.Fatalf("a request with other content got no answer: %+v", rf)
 }
 
-// targetVM returns the VM for an attempt. Without a scheduler, it avoids the VM that schedules
-// its own requests.
+// targetVM returns the VM for an attempt. While reservations are rejected, it skips the
+// scheduler of the cell, which needs no reservation at another VM.
 func (rg *poisonRig) targetVM(ix int) *testVM {
 	at, _ := schedulerOf("model/0", rg.vms[0].Board.Fleet())
 	if rg.rejectReservations.Load() && rg.vms[ix].Self.ID == at.ID {
