--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -43,11 +43,11 @@
 }
 
 // New creates an actor that receives the tick event at least once per interval.
-func New[Event, Intent any](clk clock.Source, tick Event, every clock.Millis) *Actor[Event, Intent] {
+func New[Event, Intent any](clk clock.Source, tick Event, interval clock.Millis) *Actor[Event, Intent] {
 	return &Actor[Event, Intent]{
 		clk:          clk,
 		tick:         tick,
-		tickInterval: every,
+		tickInterval: interval,
 		Events:       make(chan Event, maxQueuedEvents),
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -22,7 +22,7 @@
 	return rec.Body.String()
 }
 
-func TestReasons(t *testing.T) {
+func TestRefusalsAndRetriesByReason(t *testing.T) {
 	mt := metrics.New("vm-1")
 	rf := &metrics.Refusals{Scope: mt.Scope.SubScope("Caller")}
 	rt := &metrics.Retries{Scope: mt.Scope}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,17 +25,17 @@
 	var rg registry.Registry
 	rg.Set(server("b"))
 	rg.Set(server("a"))
-	list, moved := rg.Servers(0)
+	list, changed := rg.Servers(0)
 	assert.DeepEqual(t, ids(list), []string{"a", "b"})
-	assert.Assert(t, moved)
+	assert.Assert(t, changed)
 	rg.Set(server("a")) // a renewal, which changes nothing
-	_, moved = rg.Servers(0)
-	assert.Assert(t, !moved)
+	_, changed = rg.Servers(0)
+	assert.Assert(t, !changed)
 	leaving := server("a")
 	leaving.Leaving = true
 	rg.Set(leaving)
-	list, moved = rg.Servers(0)
-	assert.Assert(t, moved && list[0].Leaving)
+	list, changed = rg.Servers(0)
+	assert.Assert(t, changed && list[0].Leaving)
 	rg.Remove(0, "a")
 	list, _ = rg.Servers(0)
 	assert.DeepEqual(t, ids(list), []string{"b"})
@@ -76,19 +76,19 @@
 // A renewal that takes effect late does not make a leaving server ready again; its
 // next incarnation is ready.
 func TestLateRenewalDoesNotRevokeLeaving(t *testing.T) {
-	life := func(incarnation uint64, leaving bool) board.BackendServer {
+	newServer := func(incarnation uint64, leaving bool) board.BackendServer {
 		return board.BackendServer{ID: fmt.Sprintf("a.%d", incarnation), Name: "a", Incarnation: incarnation, Leaving: leaving}
 	}
 	var rg registry.Registry
-	rg.Set(life(5, false))
-	rg.Set(life(5, true))
+	rg.Set(newServer(5, false))
+	rg.Set(newServer(5, true))
 	rg.Servers(0)
-	assert.Assert(t, rg.IsRedundant(life(5, false)))
-	rg.Set(life(5, false))
-	list, moved := rg.Servers(0)
-	assert.Assert(t, !moved)
+	assert.Assert(t, rg.IsRedundant(newServer(5, false)))
+	rg.Set(newServer(5, false))
+	list, changed := rg.Servers(0)
+	assert.Assert(t, !changed)
 	assert.Assert(t, list[0].Leaving)
-	rg.Set(life(6, false))
+	rg.Set(newServer(6, false))
 	list, _ = rg.Servers(0)
 	assert.Assert(t, !list[0].Leaving)
 }
@@ -96,22 +96,22 @@
 // A server that restarts reuses its entry. Delayed writes of an earlier incarnation
 // are redundant, and removing the entry removes the server whatever its incarnation.
 func TestServerRestart(t *testing.T) {
-	life := func(incarnation uint64) board.BackendServer {
+	newServer := func(incarnation uint64) board.BackendServer {
 		return board.BackendServer{ID: fmt.Sprintf("a.%d", incarnation), Name: "a", Incarnation: incarnation, Address: "a:1"}
 	}
 	var rg registry.Registry
-	rg.Set(life(5))
-	list, moved := rg.Servers(0)
-	assert.Assert(t, moved)
+	rg.Set(newServer(5))
+	list, changed := rg.Servers(0)
+	assert.Assert(t, changed)
 	assert.DeepEqual(t, ids(list), []string{"a.5"})
-	rg.Set(life(7))
-	list, moved = rg.Servers(0)
-	assert.Assert(t, moved)
+	rg.Set(newServer(7))
+	list, changed = rg.Servers(0)
+	assert.Assert(t, changed)
 	assert.DeepEqual(t, ids(list), []string{"a.7"})
-	assert.Assert(t, rg.IsRedundant(life(5)))
-	rg.Set(life(5))
-	list, moved = rg.Servers(0)
-	assert.Assert(t, !moved)
+	assert.Assert(t, rg.IsRedundant(newServer(5)))
+	rg.Set(newServer(5))
+	list, changed = rg.Servers(0)
+	assert.Assert(t, !changed)
 	assert.DeepEqual(t, ids(list), []string{"a.7"})
 	rg.Remove(0, "a")
 	list, _ = rg.Servers(0)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -100,8 +100,8 @@
 }
 
 func TestInvalidCallIsNotSent(t *testing.T) {
-	asked := false
-	srv := serve(t, func(http.ResponseWriter, *http.Request) { asked = true })
+	called := false
+	srv := serve(t, func(http.ResponseWriter, *http.Request) { called = true })
 	sc := &Client{}
 	for _, rq := range []Request{
 		{Method: "GET", Path: "relative"}, {Method: "GET", Path: "http://10.0.0.9/"},
@@ -111,7 +111,7 @@
 		_, ok := errors.AsType[NotSentError](err)
 		assert.Assert(t, ok, "%q: %v", rq.Path, err)
 	}
-	assert.Assert(t, !asked)
+	assert.Assert(t, !called)
 }
 
 func FuzzDestination(f *testing.F) {
--- a/internal/trace/losses.go
+++ b/internal/trace/losses.go
@@ -76,23 +76,23 @@
 
 // Counts lists the outcomes that occurred, from best to worst.
 func (ls *Outcomes) Counts() []OutcomeCount {
-	byFate := make(map[Outcome]*OutcomeCount)
+	byOutcome := make(map[Outcome]*OutcomeCount)
 	for _, lines := range ls.lines {
 		slices.SortStableFunc(lines, func(la, lb Line) int { return strings.Compare(la.Time, lb.Time) })
 		placed, ok := lastEvent(lines, event.RelayPlaced, event.RelayNoPlace)
-		var ft Outcome
+		var outcome Outcome
 		switch {
 		case ok:
-			ft = outcomeOf(lines, placed)
+			outcome = outcomeOf(lines, placed)
 		case refusedOverQuota(lines):
-			ft = OverQuota
+			outcome = OverQuota
 		default:
 			continue // not a generation
 		}
-		lo := byFate[ft]
+		lo := byOutcome[outcome]
 		if lo == nil {
-			lo = &OutcomeCount{Outcome: ft, CountByPeriod: make(map[time.Time]int)}
-			byFate[ft] = lo
+			lo = &OutcomeCount{Outcome: outcome, CountByPeriod: make(map[time.Time]int)}
+			byOutcome[outcome] = lo
 		}
 		lo.Count++
 		lo.PromptTokens += fieldInt(placed, "Tokens")
@@ -101,8 +101,8 @@
 		}
 	}
 	var out []OutcomeCount
-	for _, ft := range outcomeOrder {
-		if lo := byFate[ft]; lo != nil {
+	for _, outcome := range outcomeOrder {
+		if lo := byOutcome[outcome]; lo != nil {
 			out = append(out, *lo)
 		}
 	}
@@ -163,10 +163,10 @@
 	} else {
 		fmt.Fprintf(&sb, "%-13s %6d generations, %6.0f prompt tokens on average; most at", lo.Outcome, lo.Count, float64(lo.PromptTokens)/float64(max(1, lo.Count)))
 	}
-	spans := slices.SortedFunc(maps.Keys(lo.CountByPeriod), func(ta, tb time.Time) int {
+	periods := slices.SortedFunc(maps.Keys(lo.CountByPeriod), func(ta, tb time.Time) int {
 		return cmp.Or(cmp.Compare(lo.CountByPeriod[tb], lo.CountByPeriod[ta]), ta.Compare(tb))
 	})
-	for _, at := range spans[:min(3, len(spans))] {
+	for _, at := range periods[:min(3, len(periods))] {
 		fmt.Fprintf(&sb, " %s (%d)", at.Format(time.TimeOnly), lo.CountByPeriod[at])
 	}
 	return sb.String()
--- a/internal/trace/losses_test.go
+++ b/internal/trace/losses_test.go
@@ -22,21 +22,21 @@
 		cut      = `{"time":"2026-05-01T10:00:05Z","VM":"v","Event":2202,"Name":"RelayCut","Request":"r"}`
 		gone     = `{"time":"2026-05-01T10:00:04Z","VM":"v","Event":2215,"Name":"RelayCallerGone","Request":"r"}`
 	)
-	in := fmt.Sprintf
+	sprintf := fmt.Sprintf
 	for _, tc := range []struct {
 		want  trace.Outcome
 		lines []string
 	}{
-		{trace.InTime, []string{in(placed, false, "5ms"), in(prefill, "120ms"), in(answered, "200ms")}},
-		{trace.LatePlace, []string{in(placed, false, "700ms"), in(prefill, "120ms"), in(answered, "950ms")}},
-		{trace.LatePrompt, []string{in(placed, false, "20ms"), in(prefill, "800ms"), in(answered, "950ms")}},
-		{trace.LateBegin, []string{in(placed, false, "20ms"), in(prefill, "100ms"), in(answered, "950ms")}},
-		{trace.LateReturned, []string{in(placed, true, "20ms"), in(prefill, "100ms"), in(answered, "200ms")}},
-		{trace.Refused, []string{in(noPlace, false), in(refused, "QueueFull")}},
-		{trace.RefusedAgain, []string{in(noPlace, true), in(refused, "QueueFull")}},
-		{trace.Left, []string{in(placed, false, "5ms"), gone, cut}},
-		{trace.Broken, []string{in(placed, false, "5ms"), cut}},
-		{trace.NoEnd, []string{in(placed, false, "5ms"), "a line of another process"}},
+		{trace.InTime, []string{sprintf(placed, false, "5ms"), sprintf(prefill, "120ms"), sprintf(answered, "200ms")}},
+		{trace.LatePlace, []string{sprintf(placed, false, "700ms"), sprintf(prefill, "120ms"), sprintf(answered, "950ms")}},
+		{trace.LatePrompt, []string{sprintf(placed, false, "20ms"), sprintf(prefill, "800ms"), sprintf(answered, "950ms")}},
+		{trace.LateBegin, []string{sprintf(placed, false, "20ms"), sprintf(prefill, "100ms"), sprintf(answered, "950ms")}},
+		{trace.LateReturned, []string{sprintf(placed, true, "20ms"), sprintf(prefill, "100ms"), sprintf(answered, "200ms")}},
+		{trace.Refused, []string{sprintf(noPlace, false), sprintf(refused, "QueueFull")}},
+		{trace.RefusedAgain, []string{sprintf(noPlace, true), sprintf(refused, "QueueFull")}},
+		{trace.Left, []string{sprintf(placed, false, "5ms"), gone, cut}},
+		{trace.Broken, []string{sprintf(placed, false, "5ms"), cut}},
+		{trace.NoEnd, []string{sprintf(placed, false, "5ms"), "a line of another process"}},
 	} {
 		t.Run(string(tc.want), func(t *testing.T) {
 			var ls trace.Outcomes
@@ -50,7 +50,7 @@
 	}
 	for _, why := range []string{"ShareExceeded", "QuotaAway"} {
 		var ls trace.Outcomes
-		assert.NilError(t, ls.Read(strings.NewReader(in(refused, why))))
+		assert.NilError(t, ls.Read(strings.NewReader(sprintf(refused, why))))
 		assert.Equal(t, len(ls.Counts()), 1)
 		assert.Equal(t, ls.Counts()[0].Outcome, trace.OverQuota)
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -29,9 +29,9 @@
 			assert.NilError(t, err)
 			defer file.Close()
 			assert.NilError(t, tr.Read(file))
-			verdict, err := tr.Summary()
+			summary, err := tr.Summary()
 			assert.NilError(t, err)
-			assert.Equal(t, verdict, tc.want)
+			assert.Equal(t, summary, tc.want)
 			assert.Equal(t, tr.SkippedLines, 2, "one line of another program and one truncated line")
 		})
 	}
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -231,7 +231,7 @@
 		}
 		list.Servers = append(list.Servers, srv)
 	}
-	return list, list.sort()
+	return list, list.sortAndCheckUnique()
 }
 
 func (en VMEntry) vm(ix int) (board.VM, error) {
@@ -273,7 +273,7 @@
 	}, ck.err()
 }
 
-func (li List) sort() error {
+func (li List) sortAndCheckUnique() error {
 	slices.SortStableFunc(li.VMs, func(va, vb board.VM) int { return cmp.Compare(va.ID, vb.ID) })
 	slices.SortStableFunc(li.Servers, func(sa, sb board.BackendServer) int { return cmp.Compare(sa.ID, sb.ID) })
 	for ix := 1; ix < len(li.VMs); ix++ {
