--- a/internal/route/customer.go
+++ b/internal/route/customer.go
@@ -2,8 +2,8 @@
 
 import "alderdyke/internal/apikey"
 
-// WithCustomers returns a copy of the table with the given customers, after which
-// callers need a customer's key. A key that two customers share belongs to neither.
+// WithCustomers returns a copy of the table with the given customers. Callers then
+// need a customer's key. A key that two customers share identifies neither of them.
 func (tb *Table) WithCustomers(list []Customer) *Table {
 	out := *tb
 	out.hasLimits = false
@@ -49,8 +49,8 @@
 	return cu, apikey.ContainsHash(hash, cu.KeyHashes)
 }
 
-// Cost returns the amount that a request counts towards the limit. The parameter is
-// the number of tokens that the request states; zero if it states none.
+// Cost returns the amount that a request counts towards the limit; tokens is the
+// number of tokens that the request states, or zero if it states none.
 func (cu Customer) Cost(tokens int) float64 {
 	switch {
 	case cu.CountRequests:
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -63,7 +63,7 @@
 		MemoryTokens   int          // tokens that fit into the memory of one engine
 		TokensPerEvent int          // tokens in one event of a stream
 		MaxReservation clock.Millis // longest lifetime of a reservation
-		PromptTTL      clock.Millis // lifetime of a computed prompt that nobody fetched
+		PromptTTL      clock.Millis // lifetime of a computed prompt that no decode engine fetched
 		RoleChangeTime clock.Millis // duration of a change of role
 		Migration      bool         // a run can be moved to another engine
 		Backup         bool         // a run can be copied while it is in progress
@@ -79,7 +79,7 @@
 	Customer struct {
 		Name      string
 		KeyHashes []string // hex SHA-256 of its API keys
-		Priority  int      // overrides that of the route; below zero means none
+		Priority  int      // overrides that of the route; below zero, that of the route applies
 		Limit     quota.Limit
 		// CountRequests makes each request count as one towards the limit;
 		// otherwise its tokens count, or DefaultTokens if it states none.
