--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -99,8 +99,9 @@
 	return en.server, ok
 }
 
-// Remove processes the expiry or withdrawal of one entry. It reports whether the
-// server is kept because the store recently had an outage.
+// Remove removes the server of an entry that expired or was withdrawn. If an outage
+// of the store ended less than RenewalGrace ago, it keeps the server, which may
+// still renew its entry, and reports true.
 func (rg *Registry) Remove(now clock.Millis, key string) (kept bool) {
 	en, ok := rg.servers[key]
 	if !ok {
@@ -118,8 +119,8 @@
 	return false
 }
 
-// Replace processes a complete listing: servers that are not in it have no entry.
-// It returns the keys of those that are kept nevertheless.
+// Replace applies a complete listing: it sets the listed entries and removes the
+// servers that are not listed. It returns the keys of those that Remove kept.
 func (rg *Registry) Replace(now clock.Millis, list []board.BackendServer) (kept []string) {
 	listed := make(map[string]bool, len(list))
 	for _, bs := range list {
