--- a/internal/trace/losses.go
+++ b/internal/trace/losses.go
@@ -17,9 +17,9 @@
 const (
 	InTime       Outcome = "InTime"       // the first event met the objective
 	LateReturned Outcome = "LateReturned" // it had been refused before and therefore started late
-	LatePlace    Outcome = "LatePlace"    // late, mainly because it waited for a place
-	LatePrompt   Outcome = "LatePrompt"   // late, mainly because its prompt waited or took long
-	LateBegin    Outcome = "LateBegin"    // late, mainly because the decode started late after the prompt
+	LatePlace    Outcome = "LatePlace"    // late, mainly because it waited for a decode engine's reservation
+	LatePrompt   Outcome = "LatePrompt"   // late, mainly because its prefill waited or took long
+	LateBegin    Outcome = "LateBegin"    // late, mainly because the decode started late after the prefill
 	Refused      Outcome = "Refused"
 	RefusedAgain Outcome = "RefusedAgain" // it had been refused before
 	OverQuota    Outcome = "OverQuota"    // its customer's quota was used up or unavailable; includes plain requests
@@ -32,7 +32,7 @@
 var outcomeOrder = []Outcome{InTime, LateReturned, LatePlace, LatePrompt, LateBegin, Refused, RefusedAgain, OverQuota, Left, Broken, NoEnd}
 
 type (
-	// Outcome is the outcome of a generation.
+	// Outcome is the outcome of a generation: a request to a service with model engines.
 	Outcome string
 
 	// Outcomes counts the outcomes of the generations in many log files, and
@@ -117,7 +117,8 @@
 	return ok && (why == string(refusal.ShareExceeded) || why == string(refusal.QuotaAway))
 }
 
-// outcomeOf returns the outcome of a generation, given its last line on placement.
+// outcomeOf returns the outcome of a generation; placed is the last line about its
+// placement.
 func outcomeOf(lines []Line, placed Line) Outcome {
 	returned := fieldText(placed, "Returning") == "true"
 	end, ended := lastEvent(lines, event.RelayAnswered, event.RelayRefused, event.RelayCut)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -198,6 +198,7 @@
 	return fmt.Sprintf("no decode engine had capacity (%s requests waited on this VM, %s%s placement requests were declined)", fieldText(ln, "Waiting"), before, fieldText(ln, "Asked"))
 }
 
+// lastEvent returns the last line that has the number of one of the events.
 func lastEvent(lines []Line, events ...event.Event) (Line, bool) {
 	for _, ln := range slices.Backward(lines) {
 		if slices.ContainsFunc(events, func(ev event.Event) bool { return ev.Number == ln.Number }) {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -44,6 +44,7 @@
 	assert.Assert(t, errors.Is(err, trace.ErrRequestNotFound))
 }
 
+// FuzzRead checks that Summary is never empty, whatever the log contains.
 func FuzzRead(f *testing.F) {
 	f.Add(`{"time":"t","VM":"v","Event":2201,"Name":"RelayRefused","Request":"r","Reason":"QueueFull"}`)
 	f.Fuzz(func(t *testing.T, text string) {
