--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,12 +1,13 @@
 // Package actor runs one decision package in one goroutine: it passes events
-// to the package and executes the returned intents in order. Decision packages
-// have no locks, so only their actor may call them.
+// to the package and executes the returned intents in order. A decision package
+// does no I/O: its Step function turns an event into the intents to carry out.
+// Decision packages have no locks, so only their actor may call them.
 //
 // # Usage
 //
 //	ac := actor.New[membership.Event, membership.Intent](clk, membership.Tick{}, 100)
 //	ac.Step = detector.Step
-//	ac.Execute = carryOut
+//	ac.Execute = execute
 //	ac.WakeTime = actor.WakeTimeFunc[membership.Intent](func(wk membership.Wake) clock.Millis { return wk.At })
 //	go ac.Run(ctx)
 //	ac.Send(ctx, membership.Leave{})
@@ -93,7 +94,7 @@
 }
 
 // WakeTimeFunc returns a WakeTime function for decision packages that request a
-// tick with an intent of type Wake.
+// tick with an intent of type Wake; at returns the time of the requested tick.
 func WakeTimeFunc[Intent, Wake any](at func(wk Wake) clock.Millis) func(in Intent) (clock.Millis, bool) {
 	return func(in Intent) (clock.Millis, bool) {
 		wk, ok := any(in).(Wake)
