--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,5 @@
-// Package service is the HTTP client for the servers of plain services.
+// Package service is the HTTP client for the servers of plain services, which have
+// no model engines.
 //
 // A call is sent once and its whole response, of any status, is returned. The
 // outcomes are those of package backend: done, [NotSentError],
@@ -164,6 +165,8 @@
 	return sc.exchangeBounded(ctx, srv, rq, bound)
 }
 
+// exchangeBounded sends the request once and returns the whole response, or an
+// InDoubtError if its body is longer than bound, in bytes.
 func (sc *Client) exchangeBounded(ctx context.Context, srv board.BackendServer, rq Request, bound int64) (Response, error) {
 	req, err := sc.request(ctx, srv, rq)
 	if err != nil {
@@ -244,6 +247,7 @@
 
 func (sc *Client) now() clock.Millis { return clock.OrBoottime(sc.Clock).Now() }
 
+// countCall counts a call by its outcome, and logs a request whose outcome is in doubt.
 func (sc *Client) countCall(srv board.BackendServer, name string, err error) {
 	oc := backend.Count(sc.Scope, "ServiceCalls", name, err)
 	if oc == backend.InDoubt && name == "Call" {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -114,6 +114,7 @@
 	assert.Assert(t, !called)
 }
 
+// FuzzDestination checks that no path of a caller changes the host of a call.
 func FuzzDestination(f *testing.F) {
 	f.Add("/a?b=c")
 	f.Add("//evil/x")
@@ -130,6 +131,8 @@
 	})
 }
 
+// FuzzLoad checks that an invalid load document never counts as a call that did not
+// run, because the server has responded.
 func FuzzLoad(f *testing.F) {
 	f.Add(`{"Running":1,"Age":"20ms"}`)
 	f.Add(`[`)
