--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is the client of the platform's VM list: the entry VMs and the
-// backend servers, live and leaving.
+// Package vmlist is the client of the platform's VM list: the entry VMs, which
+// handle callers' requests, and the backend servers, live and leaving.
 //
 // The list lags and can be unavailable. It is one input among others and never
 // decides by itself which VMs and servers are alive.
@@ -41,7 +41,7 @@
 
 // Defaults of the limits that a Client leaves at zero.
 const (
-	DefaultMaxBody = 4 << 20
+	DefaultMaxBody = 4 << 20 // bytes
 	DefaultTimeout = 3 * clock.Second
 )
 
@@ -60,8 +60,8 @@
 		ID            string
 		FailureDomain string
 		Region        string
-		Caller        string // "IP:port"
-		Peer          string // "IP:port"
+		Caller        string // "IP:port" for callers' connections
+		Peer          string // "IP:port" for TCP and UDP between VMs
 		State         State
 	}
 
@@ -72,7 +72,7 @@
 		Role          board.Role
 		Address       string // "IP:port"
 		FailureDomain string
-		ChecksFencing bool // false if the entry omits it
+		ChecksFencing bool // rejects orders with an outdated fencing token; false if the entry omits it
 		State         State
 	}
 
@@ -273,6 +273,8 @@
 	}, ck.err()
 }
 
+// sortAndCheckUnique sorts both parts by ID and rejects an ID that occurs twice in
+// one part.
 func (li List) sortAndCheckUnique() error {
 	slices.SortStableFunc(li.VMs, func(va, vb board.VM) int { return cmp.Compare(va.ID, vb.ID) })
 	slices.SortStableFunc(li.Servers, func(sa, sb board.BackendServer) int { return cmp.Compare(sa.ID, sb.ID) })
