--- a/internal/logsvc/client.go
+++ b/internal/logsvc/client.go
@@ -22,8 +22,8 @@
 
 // Defaults of the limits that a Client leaves at zero.
 const (
-	DefaultMaxRecord = 1 << 20
-	DefaultMaxBatch  = 8 << 20
+	DefaultMaxRecord = 1 << 20 // bytes
+	DefaultMaxBatch  = 8 << 20 // bytes
 	DefaultGrace     = clock.Millis(700)
 )
 
@@ -36,7 +36,7 @@
 
 	MaxRecord int          // bytes of one record; zero means DefaultMaxRecord
 	MaxBatch  int64        // bytes of one response; zero means DefaultMaxBatch
-	Grace     clock.Millis // time allowed for a response beyond Wait; zero means DefaultGrace
+	Grace     clock.Millis // time allowed for a response beyond the wait of a read; zero means DefaultGrace
 
 	once sync.Once
 }
@@ -157,6 +157,8 @@
 	return req, nil
 }
 
+// do sends a request and returns the body of the response. The error is a
+// *StatusError if the status is not 200.
 func (cl *Client) do(req *http.Request) ([]byte, error) {
 	rsp, err := cl.client().Do(req)
 	if err != nil {
--- a/internal/logsvc/logsvc.go
+++ b/internal/logsvc/logsvc.go
@@ -1,9 +1,10 @@
 // Package logsvc is the client of the platform's append-only log service.
 //
-// The service holds streams. An append gets the next offset of its stream and
-// is kept for a limited time; the oldest records are dropped first. The
-// service can be down or slow, and a reply can be lost after the append took
-// effect, so [AppendError] states whether the record may have been appended.
+// The service holds streams of records. An appended record gets the next offset
+// of its stream and is kept for a limited time; the oldest records are dropped
+// first. The service can be down or slow, and a response can be lost after the
+// append took effect, so [AppendError] states whether the record may have been
+// appended.
 //
 // # Usage
 //
