--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -8,11 +8,12 @@
 // other signal terminates the program. SIGQUIT and SIGKILL still do, for operators
 // who do not want a graceful shutdown.
 //
-// Initializing the packages takes milliseconds, and hundreds of them on a small
-// VM. Therefore this package, which has few dependencies and is initialized among
-// the first, handles signals from then on, and [Listen] takes over those that
-// arrived before it. A signal that arrives while the operating system is still
-// loading the program terminates it, because none of its instructions has run.
+// Initializing all packages of a program takes milliseconds, and hundreds of
+// milliseconds on a small VM. Therefore this package, which has few dependencies
+// and is initialized among the first, handles signals from then on, and [Listen]
+// takes over those that arrived before it. A signal that arrives while the operating
+// system is still loading the program terminates it, because none of its
+// instructions has run.
 //
 // # Usage
 //
