--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -100,8 +100,8 @@
 }
 
 func TestInvalidCallIsNotSent(t *testing.T) {
-	asked := false
-	srv := serve(t, func(http.ResponseWriter, *http.Request) { asked = true })
+	called := false
+	srv := serve(t, func(http.ResponseWriter, *http.Request) { called = true })
 	sc := &Client{}
 	for _, rq := range []Request{
 		{Method: "GET", Path: "relative"}, {Method: "GET", Path: "http://10.0.0.9/"},
@@ -111,9 +111,10 @@
 		_, ok := errors.AsType[NotSentError](err)
 		assert.Assert(t, ok, "%q: %v", rq.Path, err)
 	}
-	assert.Assert(t, !asked)
+	assert.Assert(t, !called)
 }
 
+// FuzzDestination checks that no path of a caller changes the host of a call.
 func FuzzDestination(f *testing.F) {
 	f.Add("/a?b=c")
 	f.Add("//evil/x")
@@ -130,6 +131,8 @@
 	})
 }
 
+// FuzzLoad checks that an invalid load document never counts as a call that did not
+// run, because the server has responded.
 func FuzzLoad(f *testing.F) {
 	f.Add(`{"Running":1,"Age":"20ms"}`)
 	f.Add(`[`)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -29,9 +29,9 @@
 			assert.NilError(t, err)
 			defer file.Close()
 			assert.NilError(t, tr.Read(file))
-			verdict, err := tr.Summary()
+			summary, err := tr.Summary()
 			assert.NilError(t, err)
-			assert.Equal(t, verdict, tc.want)
+			assert.Equal(t, summary, tc.want)
 			assert.Equal(t, tr.SkippedLines, 2, "one line of another program and one truncated line")
 		})
 	}
@@ -44,6 +44,7 @@
 	assert.Assert(t, errors.Is(err, trace.ErrRequestNotFound))
 }
 
+// FuzzRead checks that Summary is never empty, whatever the log contains.
 func FuzzRead(f *testing.F) {
 	f.Add(`{"time":"t","VM":"v","Event":2201,"Name":"RelayRefused","Request":"r","Reason":"QueueFull"}`)
 	f.Fuzz(func(t *testing.T, text string) {
