--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -88,7 +88,7 @@
 )
 
 func newPlacementSim(t *testing.T, seed uint64) *placementSim {
-	ps := &placementSim{simNet: newNet(seed), t: t, relays: make(map[*simVM]*relay.Relay), engines: make(map[string]*simEngine)}
+	ps := &placementSim{simNet: newSimNet(seed), t: t, relays: make(map[*simVM]*relay.Relay), engines: make(map[string]*simEngine)}
 	for ix := range simEngineCount {
 		ps.engines[fmt.Sprintf("d%02d", ix)] = &simEngine{held: make(map[string]*time.Timer)}
 	}
@@ -99,7 +99,7 @@
 func (ps *placementSim) startVM(ctx context.Context, ix int) *simVM {
 	rl := &relay.Relay{Clock: ps.clock, Rand: rand.New(rand.NewPCG(ps.seed, uint64(ix))),
 		Settings: relay.Settings{Budget: retry.Settings{Burst: 3, Refill: 0.001, Ratio: 0.1, BaseBackoff: 1}}}
-	vm := ps.newVM(ctx, ix, simHandlers{usage: rl.ReceiveUsage, place: rl.AnswerPlace, moved: rl.TriggerUsageReport})
+	vm := ps.newVM(ctx, ix, simHandlers{usage: rl.ReceiveUsage, placementRequest: rl.AnswerPlace, schedulersChange: rl.TriggerUsageReport})
 	rl.Servers, rl.OtherVMs, rl.Schedulers = simServers{ps, vm}, vm.mb.Others, vm
 	ps.configure(rl)
 	ps.mu.Lock()
--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -30,19 +30,19 @@
 
 // State of a VM's link to the store during a tick.
 const (
-	linkWhole     = iota
+	linkUp        = iota
 	linkNoReplies // its writes arrive a tick later, the replies to them are lost
 	linkCut       // nothing arrives
 	linkFrozen    // the VM itself does not run
-	links
+	linkStates
 )
 
 type (
 	// exploreLimits limits the events of a world.
 	exploreLimits struct {
 		calm, ticks             int // ticks without events, and ticks with events after them
-		restores, others        int
-		changes                 int // of the link to the store, for each VM
+		restores, otherWrites   int
+		linkChanges             int // of the link to the store, for each VM
 		vms, restarts, releases int
 	}
 
@@ -62,14 +62,14 @@
 
 	// exploreVM is one VM. Its holder is immutable and is replaced by each step.
 	exploreVM struct {
-		view     leaseView
-		ho       *register.Holder
-		next     uint64 // position to read from; zero: it has listed nothing yet
-		listed   bool
-		releases bool // it does not want the lease any more
-		link     int
-		changes  int
-		inFlight *exploreAppend // write on its way to the store
+		view        leaseView
+		ho          *register.Holder
+		next        uint64 // position to read from; zero: it has listed nothing yet
+		listed      bool
+		releases    bool // it does not want the lease any more
+		link        int
+		linkChanges int
+		inFlight    *exploreAppend // write on its way to the store
 	}
 
 	exploreAppend struct {
@@ -80,16 +80,16 @@
 
 	// exploreWorld is immutable; each step makes a new one.
 	exploreWorld struct {
-		now      clock.Millis
-		era      uint64
-		log      []exploreRecord
-		vms      []exploreVM
-		restores int
-		others   int
-		starts   int
-		releases int
-		token    uint64 // highest one that was used
-		history  *exploreHistory
+		now         clock.Millis
+		era         uint64
+		log         []exploreRecord
+		vms         []exploreVM
+		restores    int
+		otherWrites int
+		starts      int
+		releases    int
+		token       uint64 // highest one that was used
+		history     *exploreHistory
 	}
 
 	// exploreHistory is the steps that led to a world, newest first.
@@ -117,8 +117,8 @@
 // first draw.
 func (minSource) Uint64() uint64 { return 1 << 32 }
 
-func exploreLeases(lim exploreLimits, broken exploreOmissions) *leaseExplorer {
-	le := &leaseExplorer{lim: lim, omit: broken, seen: make(map[uint64]struct{}), coverage: make(map[string]int)}
+func exploreLeases(lim exploreLimits, omit exploreOmissions) *leaseExplorer {
+	le := &leaseExplorer{lim: lim, omit: omit, seen: make(map[uint64]struct{}), coverage: make(map[string]int)}
 	wo := exploreWorld{era: 1}
 	for ix := range lim.vms {
 		wo.vms = append(wo.vms, le.newVM(fmt.Sprint("vm", ix)))
@@ -171,9 +171,9 @@
 	if le.calm(wo) {
 		return out
 	}
-	if wo.others < le.lim.others {
+	if wo.otherWrites < le.lim.otherWrites {
 		next := wo.withStep("a record of another key is written")
-		next.others++
+		next.otherWrites++
 		out = append(out, next.withRecord(exploreRecord{rec: topic.Record{Key: vmKeyPrefix + "x", Value: []byte("{}")}, enc: "o"}))
 	}
 	if wo.restores < le.lim.restores {
@@ -194,15 +194,15 @@
 		return []exploreWorld{le.runVM(wo, ix)}
 	}
 	var out []exploreWorld
-	for link := range links {
+	for link := range linkStates {
 		vm := wo.vms[ix]
-		if link != vm.link && vm.changes >= le.lim.changes {
+		if link != vm.link && vm.linkChanges >= le.lim.linkChanges {
 			continue
 		}
 		next := wo
 		if link != vm.link {
-			vm.changes++
-			next = next.withStep(fmt.Sprintf("vm%d: its link to the store is now %s", ix, [links]string{"whole", "without replies", "cut", "frozen"}[link]))
+			vm.linkChanges++
+			next = next.withStep(fmt.Sprintf("vm%d: its link to the store is now %s", ix, [linkStates]string{"whole", "without replies", "cut", "frozen"}[link]))
 		}
 		vm.link = link
 		out = append(out, le.runVM(next.withVM(ix, vm), ix))
@@ -229,7 +229,7 @@
 	if vm.link == linkFrozen {
 		return wo
 	}
-	if vm.link == linkWhole {
+	if vm.link == linkUp {
 		vm = le.read(wo, vm)
 	}
 	ho := *vm.ho
@@ -244,7 +244,7 @@
 		}
 	}
 	wo = wo.withVM(ix, vm)
-	if vm.link == linkWhole && vm.inFlight != nil {
+	if vm.link == linkUp && vm.inFlight != nil {
 		return le.applyInFlight(wo, ix)
 	}
 	return wo
@@ -284,7 +284,7 @@
 		data = withEra(data, wo.era)
 	}
 	wo = wo.withRecord(exploreRecord{rec: topic.Record{Key: LeaseKey, Value: data}, enc: fl.id})
-	if vm.link == linkWhole && !late {
+	if vm.link == linkUp && !late {
 		rec := le.records(wo)[len(wo.log)-1]
 		ho := *vm.ho
 		vm.ho = &ho
@@ -418,7 +418,7 @@
 
 func (le *leaseExplorer) push(wo exploreWorld) {
 	buf := le.buf[:0]
-	for _, num := range []uint64{uint64(wo.now), wo.era, uint64(wo.restores), uint64(wo.others), uint64(wo.starts), uint64(wo.releases), wo.token} {
+	for _, num := range []uint64{uint64(wo.now), wo.era, uint64(wo.restores), uint64(wo.otherWrites), uint64(wo.starts), uint64(wo.releases), wo.token} {
 		buf = binary.AppendUvarint(buf, num)
 	}
 	for _, er := range wo.log {
@@ -436,7 +436,7 @@
 }
 
 func (vm *exploreVM) encode(buf []byte) []byte {
-	buf = append(buf, '|', byte(vm.link), byte(vm.changes), bit(vm.view.restored), bit(vm.listed), bit(vm.releases))
+	buf = append(buf, '|', byte(vm.link), byte(vm.linkChanges), bit(vm.view.restored), bit(vm.listed), bit(vm.releases))
 	for _, num := range []uint64{vm.view.entry.Revision, vm.view.end, vm.next} {
 		buf = binary.AppendUvarint(buf, num)
 	}
@@ -479,11 +479,11 @@
 }
 
 var leaseWorlds = map[string]exploreLimits{
-	"from the start":     {vms: 2, ticks: 10, restores: 1, others: 1, changes: 1},
-	"one restore":        {vms: 2, calm: 6, ticks: 8, restores: 1, changes: 2},
-	"offsets that match": {vms: 2, calm: 6, ticks: 5, restores: 1, others: 1, changes: 2},
-	"two restores":       {vms: 2, calm: 6, ticks: 7, restores: 2, changes: 1},
-	"a VM restarts":      {vms: 2, calm: 6, ticks: 6, restores: 1, changes: 1, restarts: 1},
+	"from the start":     {vms: 2, ticks: 10, restores: 1, otherWrites: 1, linkChanges: 1},
+	"one restore":        {vms: 2, calm: 6, ticks: 8, restores: 1, linkChanges: 2},
+	"offsets that match": {vms: 2, calm: 6, ticks: 5, restores: 1, otherWrites: 1, linkChanges: 2},
+	"two restores":       {vms: 2, calm: 6, ticks: 7, restores: 2, linkChanges: 1},
+	"a VM restarts":      {vms: 2, calm: 6, ticks: 6, restores: 1, linkChanges: 1, restarts: 1},
 }
 
 // In no execution of a small world do two VMs give orders or does a token decrease, even
@@ -510,7 +510,7 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		name, world string
-		broken      exploreOmissions
+		omit        exploreOmissions
 	}{
 		{"restores are detected", "one restore", exploreOmissions{noRestoreNotice: true}},
 		{"positions have an era", "one restore", exploreOmissions{noEra: true}},
@@ -519,7 +519,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			le := exploreLeases(leaseWorlds[tc.world], tc.broken)
+			le := exploreLeases(leaseWorlds[tc.world], tc.omit)
 			assert.Assert(t, le.violation != "", "not detected in %d states", len(le.seen))
 			t.Logf("detected after %d states: %s", len(le.seen), le.violation)
 		})
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -68,10 +68,10 @@
 
 	// simHandlers handles other VMs' messages; a nil field drops them.
 	simHandlers struct {
-		usage func(vm string, rp usage.Report)
-		place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
-		moved func()
-		news  func(nw topic.Update)
+		usage            func(vm string, rp usage.Report)
+		placementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply
+		schedulersChange func()
+		topicUpdate      func(nw topic.Update)
 	}
 
 	// violations counts violated requirements, by kind. The zero value is empty.
@@ -110,7 +110,7 @@
 	return out
 }
 
-func newNet(seed uint64) *simNet {
+func newSimNet(seed uint64) *simNet {
 	return &simNet{seed: seed, clock: bubbleClock{time.Now()}, vms: make(map[string]*simVM), incarnations: make(map[string]uint64),
 		blocked: make(map[[2]string]bool), extraDelay: make(map[string]time.Duration),
 		lastArrival: make(map[[2]string]time.Time)}
@@ -145,10 +145,10 @@
 	self.Incarnation = sn.incarnations[self.ID]
 	vm := &simVM{net: sn, self: self, inbox: make(chan []byte, inboxDatagrams)}
 	vm.ctx, vm.stop = context.WithCancel(ctx)
-	vm.mb = &Member{Self: self, TopicName: "t", OnFleetSize: func(int) {}, OnSchedulersChange: orNoop(handlers.moved)}
+	vm.mb = &Member{Self: self, TopicName: "t", OnFleetSize: func(int) {}, OnSchedulersChange: orNoop(handlers.schedulersChange)}
 	vm.fl = &Fleet{Self: self, Clock: sn.clock, Rand: rand.New(rand.NewPCG(sn.seed, uint64(ix)<<8|self.Incarnation)),
 		Settings: membership.Settings{ProbeInterval: probeInterval, ProbeTimeout: probeInterval, ProbeDeadline: probeDeadline},
-		OnUsage:  handlers.usage, OnPlacementRequest: handlers.place, OnTopicUpdate: handlers.news, OnViewChange: vm.mb.handleViewChange}
+		OnUsage:  handlers.usage, OnPlacementRequest: handlers.placementRequest, OnTopicUpdate: handlers.topicUpdate, OnViewChange: vm.mb.handleViewChange}
 	vm.fl.Prepare()
 	vm.mb.fleet = vm.fl
 	step := vm.fl.members.Step
--- a/internal/fleet/readers_test.go
+++ b/internal/fleet/readers_test.go
@@ -68,7 +68,7 @@
 )
 
 func newReaderSim(seed uint64) *readerSim {
-	return &readerSim{simNet: newNet(seed), followers: make(map[*simVM]*simFollower), unreachable: make(map[string]bool),
+	return &readerSim{simNet: newSimNet(seed), followers: make(map[*simVM]*simFollower), unreachable: make(map[string]bool),
 		storeDelay: make(map[string]clock.Millis)}
 }
 
@@ -195,7 +195,7 @@
 // startVM starts a further incarnation of a VM.
 func (rs *readerSim) startVM(ctx context.Context, ix int) {
 	sf := &simFollower{rs: rs, startedAt: rs.clock.Now(), known: make(map[string]int)}
-	sf.vm = rs.newVM(ctx, ix, simHandlers{news: func(nw topic.Update) { sf.fo.Receive(nw) }})
+	sf.vm = rs.newVM(ctx, ix, simHandlers{topicUpdate: func(nw topic.Update) { sf.fo.Receive(nw) }})
 	sf.fo = &topic.Follower{Source: sf, Name: "t", Pause: 700, StandbyAfter: 950, SelfReadAfter: 1100, Clock: rs.clock,
 		Rank: sf.vm.mb.Rank, Broadcast: sf.vm.broadcastUpdate, IsNew: sf.isNew, OnSnapshot: topic.ApplyEach(sf.apply), OnChange: sf.apply}
 	if rs.mutate != nil {
@@ -436,12 +436,12 @@
 
 // runReaderSim simulates a fault while the topic changes, and lists the violated
 // requirements. All VMs start at once.
-func runReaderSim(t *testing.T, seed uint64, fa readFault, mutant func(sf *simFollower)) (out []string) {
+func runReaderSim(t *testing.T, seed uint64, fa readFault, mutate func(sf *simFollower)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		rs := newReaderSim(seed)
-		rs.mutate = mutant
+		rs.mutate = mutate
 		go rs.write(ctx)
 		for ix := range netVMs {
 			rs.startVM(ctx, ix)
@@ -499,7 +499,7 @@
 	for _, tc := range []struct {
 		name   string
 		fault  string
-		mutant func(sf *simFollower)
+		mutate func(sf *simFollower)
 		want   string
 	}{
 		{"every received record is applied", "partition with a first VM on each side", func(sf *simFollower) {
@@ -519,7 +519,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := slices.IndexFunc(readFaults, func(fa readFault) bool { return fa.name == tc.fault })
-			got := strings.Join(runReaderSim(t, 0, readFaults[at], tc.mutant), "\n")
+			got := strings.Join(runReaderSim(t, 0, readFaults[at], tc.mutate), "\n")
 			assert.Assert(t, strings.Contains(got, tc.want), "%s", got)
 		})
 	}
--- a/internal/fleet/returned_test.go
+++ b/internal/fleet/returned_test.go
@@ -26,9 +26,9 @@
 	}
 	vmRecord := topic.Record{Key: vmKeyPrefix + "me", Value: []byte("{}"), Offset: topic.Position(1, 3)}
 	for _, tc := range []struct {
-		name    string
-		older   []topic.Record // contents of the copy
-		dropped bool
+		name         string
+		older        []topic.Record // contents of the copy
+		entryRemoved bool
 	}{
 		{"all records lost", nil, true},
 		{"lease lost", []topic.Record{vmRecord}, false},
@@ -49,7 +49,7 @@
 			assert.Assert(t, !appends(ho.Step(now, register.LeaseObserved{Entry: mb.lease.entry, Known: true})))
 			assert.Assert(t, !appends(ho.Step(now+4*clock.Second, register.LeaseTick{})))
 			assert.Assert(t, appends(ho.Step(now+7*clock.Second, register.LeaseTick{})))
-			assert.Equal(t, mb.takeEntryRemoved(), tc.dropped, "this VM's entry is written again")
+			assert.Equal(t, mb.takeEntryRemoved(), tc.entryRemoved, "this VM's entry is written again")
 		})
 	}
 }
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -13,8 +13,8 @@
 )
 
 // maxDirectVMs is the largest number of VMs to which this VM sends a message itself. In a
-// larger fleet one VM of each group forwards it, which takes less time (BenchmarkWord) and
-// crosses failure domains less often, where traffic costs most.
+// larger fleet one VM of each group forwards it, which takes less time
+// (BenchmarkBroadcast) and crosses failure domains less often, where traffic costs most.
 const maxDirectVMs = 32
 
 // Broadcaster sends messages to the VMs of a fleet. Messages may be lost, and their
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -20,7 +20,7 @@
 // timestamps, in bytes.
 const segmentHeaders = 52
 
-func benchStart(tb testing.TB, tr *peer.Transport) *peer.Transport {
+func startBenchTransport(tb testing.TB, tr *peer.Transport) *peer.Transport {
 	tb.Helper()
 	tr.Listen, tr.Secret = "127.0.0.1:0", secret
 	ctx, cancel := context.WithCancel(context.Background())
@@ -38,7 +38,7 @@
 	return board.VM{VMRef: tr.Self, Peer: tr.Address().String()}
 }
 
-func value(scope tally.TestScope, name string) int64 {
+func counterValue(scope tally.TestScope, name string) int64 {
 	if cs := scope.Snapshot().Counters()[name+"+"]; cs != nil {
 		return cs.Value()
 	}
@@ -56,7 +56,7 @@
 
 // benchHub serves the other VMs of a benchmark and dials none itself.
 func benchHub(tb testing.TB, clk clock.Source) *peer.Transport {
-	return benchStart(tb, &peer.Transport{Self: ref("hub", 1), Handler: echo, Clock: clk,
+	return startBenchTransport(tb, &peer.Transport{Self: ref("hub", 1), Handler: echo, Clock: clk,
 		Limits: peer.Limits{MaxSessions: 1 << 12, MaxStreams: 1 << 12}})
 }
 
@@ -68,7 +68,7 @@
 		hub := benchHub(b, nil)
 		var from []*peer.Transport
 		for ix := range spokes {
-			from = append(from, benchStart(b, &peer.Transport{Self: ref(fmt.Sprint("spoke", ix), 1)}))
+			from = append(from, startBenchTransport(b, &peer.Transport{Self: ref(fmt.Sprint("spoke", ix), 1)}))
 		}
 		bytes, routines := memoryInUse()
 		began := time.Now()
@@ -99,7 +99,7 @@
 	const streams = 1000
 	for b.Loop() {
 		hub := benchHub(b, nil)
-		tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1)})
+		tr := startBenchTransport(b, &peer.Transport{Self: ref("spoke", 1)})
 		_, err := tr.Call(context.Background(), benchVM(hub), explain("key"))
 		assert.NilError(b, err)
 		awaitQuiescence()
@@ -128,10 +128,10 @@
 func BenchmarkCall(b *testing.B) {
 	scope := tally.NewTestScope("", nil)
 	hub := benchHub(b, nil)
-	tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1), Scope: scope})
+	tr := startBenchTransport(b, &peer.Transport{Self: ref("spoke", 1), Scope: scope})
 	_, err := tr.Call(context.Background(), benchVM(hub), explain("key"))
 	assert.NilError(b, err)
-	sent := value(scope, "PeerBytesSent") + value(scope, "PeerBytesReceived")
+	sent := counterValue(scope, "PeerBytesSent") + counterValue(scope, "PeerBytesReceived")
 	b.ReportAllocs()
 	calls := 0
 	for b.Loop() {
@@ -141,7 +141,7 @@
 		}
 		calls++
 	}
-	sent = value(scope, "PeerBytesSent") + value(scope, "PeerBytesReceived") - sent
+	sent = counterValue(scope, "PeerBytesSent") + counterValue(scope, "PeerBytesReceived") - sent
 	b.ReportMetric(float64(sent)/float64(calls), "TCP-B/call")
 }
 
@@ -149,7 +149,7 @@
 func BenchmarkDatagram(b *testing.B) {
 	scope := tally.NewTestScope("", nil)
 	hub := benchHub(b, nil)
-	tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1), Scope: scope})
+	tr := startBenchTransport(b, &peer.Transport{Self: ref("spoke", 1), Scope: scope})
 	b.ReportAllocs()
 	sends := 0
 	for b.Loop() {
@@ -159,10 +159,10 @@
 		}
 		sends++
 	}
-	b.ReportMetric(float64(value(scope, "PeerDatagramBytesSent"))/float64(sends), "UDP-B/datagram")
+	b.ReportMetric(float64(counterValue(scope, "PeerDatagramBytesSent"))/float64(sends), "UDP-B/datagram")
 }
 
-// broadcastVMs is how many other VMs receive a message in BenchmarkWord.
+// broadcastVMs is how many other VMs receive a message in BenchmarkBroadcast.
 const broadcastVMs = 88
 
 // usageDatagram makes a message of the usual size: six engines with two runs each.
@@ -174,16 +174,16 @@
 	return &peerpb.Datagram{Body: &peerpb.Datagram_Usage{Usage: us}}
 }
 
-// BenchmarkWord reports the cost of sending a message to all other VMs, once as a
+// BenchmarkBroadcast reports the cost of sending a message to all other VMs, once as a
 // separate datagram for each and once as the same datagram for all.
-func BenchmarkWord(b *testing.B) {
+func BenchmarkBroadcast(b *testing.B) {
 	hub := benchHub(b, nil)
-	tr := benchStart(b, &peer.Transport{Self: ref("spoke", 1)})
+	tr := startBenchTransport(b, &peer.Transport{Self: ref("spoke", 1)})
 	vms := make([]board.VM, broadcastVMs)
 	for ix := range vms {
 		vms[ix] = benchVM(hub)
 	}
-	b.Run("EachItsOwn", func(b *testing.B) {
+	b.Run("SendDatagram", func(b *testing.B) {
 		for b.Loop() {
 			for _, vm := range vms {
 				if err := tr.SendDatagram(vm, usageDatagram()); err != nil {
@@ -221,7 +221,7 @@
 	pings := func() int64 { return sa.counted("PeerPings", "") }
 	ping := func(upTo int64) {
 		eventually(t, "pings with replies", func() bool {
-			if sa.Waiting() {
+			if sa.PingPending() {
 				return false
 			}
 			if pings() >= upTo {
--- a/internal/peer/export_test.go
+++ b/internal/peer/export_test.go
@@ -1,7 +1,7 @@
 package peer
 
-// Waiting reports whether a ping has no reply yet.
-func (tr *Transport) Waiting() bool {
+// PingPending reports whether a ping has no reply yet.
+func (tr *Transport) PingPending() bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	for ss := range tr.sessions {
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -27,7 +27,7 @@
 	return tr
 }
 
-func sealed(tb testing.TB, tr *Transport, dg *peerpb.Datagram) []byte {
+func mustSeal(tb testing.TB, tr *Transport, dg *peerpb.Datagram) []byte {
 	tb.Helper()
 	raw, err := seal(tr.id.datagramKey, dg)
 	assert.NilError(tb, err)
@@ -39,7 +39,7 @@
 	tr := receiver(t, board.VMRef{ID: "b"}, secret)
 	other := receiver(t, board.VMRef{ID: "b"}, "a secret that nobody shares")
 	datagramTo := func(from string, inc uint64, to string, seq uint64) []byte {
-		return sealed(t, tr, &peerpb.Datagram{From: from, Incarnation: inc, To: to, Sequence: seq})
+		return mustSeal(t, tr, &peerpb.Datagram{From: from, Incarnation: inc, To: to, Sequence: seq})
 	}
 	broadcast := func(body any, seq uint64) []byte {
 		dg := &peerpb.Datagram{From: "a", Incarnation: 3, Sequence: seq}
@@ -49,7 +49,7 @@
 		case *peerpb.Datagram_Probe:
 			dg.Body = body
 		}
-		return sealed(t, tr, dg)
+		return mustSeal(t, tr, dg)
 	}
 	altered := datagramTo("a", 1, "b", 9)
 	altered[2] ^= 1
@@ -74,7 +74,7 @@
 		{"duplicate broadcast", broadcast(&peerpb.Datagram_Usage{Usage: &peerpb.Usage{Short: true}}, 6), droppedReplayed},
 		{"probe without receiver", broadcast(&peerpb.Datagram_Probe{Probe: &peerpb.Probe{Number: 1}}, 7), droppedWrongVM},
 		{"altered", altered, droppedBadMAC},
-		{"other secret", sealed(t, other, &peerpb.Datagram{From: "a", Incarnation: 3, To: "b", Sequence: 3}), droppedBadMAC},
+		{"other secret", mustSeal(t, other, &peerpb.Datagram{From: "a", Incarnation: 3, To: "b", Sequence: 3}), droppedBadMAC},
 		{"no sender", datagramTo("", 3, "b", 4), droppedMalformed},
 		{"no sequence number", datagramTo("a", 3, "b", 0), droppedMalformed},
 		{"not protobuf", notProto, droppedMalformed},
@@ -90,7 +90,7 @@
 
 // A window accepts each number once, and all numbers that are less than windowBits behind
 // the highest, in any order.
-func TestWindowAgainstSet(t *testing.T) {
+func TestReplayWindowAgainstSet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var wd replayWindow
 		seen := make(map[uint64]bool)
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestWindowsAreBounded(t *testing.T) {
+func TestReplayWindowsAreBounded(t *testing.T) {
 	ws := replayWindows{max: 3}
 	for ix := range 100 {
 		vd := ws.check(board.VMRef{ID: fmt.Sprint(ix), Incarnation: 1}, 1, clock.Millis(ix))
@@ -159,7 +159,7 @@
 // twice nor make the receiver fail.
 func FuzzCheckDatagram(f *testing.F) {
 	tr := receiver(f, board.VMRef{ID: "b"}, "a secret that all VMs share")
-	good := sealed(f, tr, &peerpb.Datagram{From: "a", Incarnation: 1, To: "b", Sequence: 1})
+	good := mustSeal(f, tr, &peerpb.Datagram{From: "a", Incarnation: 1, To: "b", Sequence: 1})
 	f.Add(good)
 	f.Add(good[:len(good)-macSize])
 	f.Fuzz(func(t *testing.T, raw []byte) {
