--- a/internal/fleet/ask.go
+++ b/internal/fleet/ask.go
@@ -53,8 +53,8 @@
 	delete(pr.waiting, number)
 }
 
-// call sends a request under a new number and waits for its reply. It doesn't resend:
-// a caller without a reply requests from another VM.
+// call sends a request under a new number and waits for its reply. It doesn't resend: a
+// caller that gets no reply sends its request to another VM.
 func (pr *pendingRequests[A]) call(ctx context.Context, send func(number uint64) error) (A, error) {
 	var none A
 	number, answer := pr.register()
@@ -70,7 +70,7 @@
 	}
 }
 
-// requestPlacement requests a placement from a VM.
+// requestPlacement sends a placement request to a VM and waits for the reply.
 func (fl *Fleet) requestPlacement(ctx context.Context, vm board.VM, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	return fl.placementRequests.call(ctx, func(number uint64) error {
 		return fl.peers.SendDatagram(vm, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAsk{PlaceAsk: placementRequestToWire(number, ask)}})
@@ -85,7 +85,7 @@
 	}
 	answer := placementReplyToWire(pa.GetNumber(), fl.OnPlacementRequest(vm, placementRequestFromWire(pa)))
 	to := board.VM{VMRef: board.VMRef{ID: vm}, Peer: from.String()}
-	// If the reply is lost, the sender requests from the next VM.
+	// If the reply is lost, the sender sends its request to the next VM.
 	_ = fl.peers.SendDatagram(to, &peerpb.Datagram{Body: &peerpb.Datagram_PlaceAnswer{PlaceAnswer: answer}})
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// SetListed sets which VMs may exist.
+// SetListed passes the VMs that the fleet's topic lists to membership.
 func (fl *Fleet) SetListed(ctx context.Context, vms []board.VM) {
 	fl.members.Send(ctx, membership.Listed{VMs: vms})
 }
@@ -172,7 +172,7 @@
 }
 
 // handleFragment adds a fragment of a large record, and passes the record on as an
-// update once it is complete.
+// update once all fragments were received.
 func (fl *Fleet) handleFragment(tp *peerpb.TopicPiece) {
 	if fl.reassemblies == nil {
 		fl.reassemblies = make(map[string]*reassembly)
@@ -194,7 +194,7 @@
 func (fl *Fleet) handleIntent(in membership.Intent) {
 	switch in := in.(type) {
 	case membership.Send:
-		// Membership expects datagrams to be lost.
+		// Membership tolerates lost datagrams.
 		_ = fl.peers.SendDatagram(in.To, in.Datagram)
 	case membership.FleetChanged:
 		LogChanges(fl.Log, fl.View(), in.Fleet)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -96,7 +96,7 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(20*time.Millisecond))
 }
 
-// A scheduler answers placement requests over the network, also those of a VM that it
+// A scheduler answers placement requests over the network, even those of a VM that it
 // doesn't know. A request to a VM that is not a scheduler fails at once.
 func TestPlacementRequestToScheduler(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -72,7 +72,7 @@
 		engineFree clock.Millis // for how long some engine had had capacity by then
 	}
 
-	// simServers is the engines as one VM accesses them.
+	// simServers implements the relay's access to the engines for one VM.
 	simServers struct {
 		ps *placementSim
 		vm *simVM
@@ -213,7 +213,8 @@
 	delete(en.held, id)
 }
 
-// travel is one direction to or from an engine; false if the VM stopped or the call ended.
+// travel waits for one message to or from an engine; false if the VM stopped or the call
+// ended.
 func (sv simServers) travel(ctx context.Context) bool {
 	return sv.vm.waitResumed() && clock.Sleep(ctx, 1) && sv.vm.waitResumed()
 }
@@ -264,7 +265,8 @@
 	return relay.Handle{}, errors.New("runs can't be moved in this simulation")
 }
 
-// Read returns the first event at once and the last one when the run ends.
+// Read returns the first event at once and the last one when the run ends. It frees the
+// run's place at the engine then.
 func (sb *simBody) Read(data []byte) (int, error) {
 	if len(sb.parts) == 0 {
 		return 0, io.EOF
@@ -325,9 +327,9 @@
 	// request to each scheduler, and an engine that declines.
 	maxRequestWait = relay.DefaultPlaceWait + 100*clock.Millis(1)
 
-	// agreeWithin is how long after that all VMs name the same schedulers: a VM that
-	// was frozen when another one died detects that by a probe of its own, which may
-	// be the last one in a round.
+	// agreeWithin is how long after the recovery all VMs must name the same
+	// schedulers: a VM that was frozen when another one died detects that by a probe
+	// of its own, which may be the last one in a round.
 	agreeWithin = netVMs*probeInterval + probeDeadline
 
 	// A fault begins faultStart after the start and lasts for faultDuration. The
@@ -450,8 +452,8 @@
 	}
 }
 
-// combinedFaults is faults that begin one after the other and end together, drawn by the
-// seed from those after which all VMs are alive again.
+// combinedFaults begins several faults one after the other and ends them together. The seed
+// selects them from those after which all VMs are alive again.
 var combinedFaults = fault{"combined", func(ctx context.Context, ps *placementSim) func() {
 	var list []fault
 	for _, fa := range faults {
@@ -484,7 +486,7 @@
 
 // runPlacementSim simulates a fault while there are requests for more places than exist,
 // and lists the violated requirements. All VMs start at once. The function mutate changes a
-// VM before it starts; nil changes none.
+// VM before it starts, to make it faulty; it may be nil.
 func runPlacementSim(t *testing.T, seed uint64, fa fault, mutate func(vm *simVM)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -22,16 +22,16 @@
 // leaseEntry is the lease as stored in the topic.
 type leaseEntry struct {
 	ID    string
-	Era   uint64 // of the store, as the writer knew it
+	Era   uint64 // era of the store that the writer knew
 	Value json.RawMessage
 }
 
 // leaseView is the lease on orders to engines as one VM has read it.
 type leaseView struct {
 	entry    register.Entry
-	end      uint64       // position after the last record at the last read
+	end      uint64       // position at which the topic ended at the last read
 	restored bool         // the store was restored from an older copy, and the topic was not listed since
-	duration clock.Millis // of a lease
+	duration clock.Millis // how long a lease lasts
 }
 
 // WithRestore returns the view after the store was restored from an older copy.
@@ -54,11 +54,11 @@
 	return lv, all
 }
 
-// withUnknownHolder assumes that another VM holds the lease, so that its duration is
-// waited out, if the older copy has no lease. The record by which the lease is held may be
-// lost, even one that this VM never read, and its holder has stopped by the time that a
-// further lease would have ended. If the copy has a lease, that one has a later position
-// than the known one and is waited out too.
+// withUnknownHolder assumes that another VM holds the lease, if the older copy has no lease,
+// so that this VM waits for the duration of a lease. The record by which the lease is held
+// may be lost, even one that this VM never read, and its holder has stopped giving orders by
+// the time that a further lease would have ended. If the copy has a lease, that one has a
+// later position than the known one, and this VM waits until that one has ended.
 func (lv leaseView) withUnknownHolder(recs []topic.Record) leaseView {
 	if containsKey(recs, LeaseKey) {
 		return lv
@@ -84,7 +84,7 @@
 // WithRecord returns the view after a further record of the topic. An unreadable lease
 // record changes only the end. If a lease record's writer knew an earlier era than the one
 // that the record is in, it replaced a lease that the store no longer has, or it belongs to
-// the older copy itself: its writer does not rely on it, and all VMs wait out its duration.
+// the older copy itself: its writer does not rely on it, and all VMs wait until it has ended.
 func (lv leaseView) WithRecord(rec topic.Record) (leaseView, error) {
 	lv = lv.WithEnd(rec.Offset + 1)
 	if rec.Key != LeaseKey {
@@ -92,7 +92,7 @@
 	}
 	var en leaseEntry
 	if err := json.Unmarshal(rec.Value, &en); err != nil {
-		return lv, fmt.Errorf("read the lease at %d: %w", rec.Offset, err)
+		return lv, fmt.Errorf("decode the lease record at position %d: %w", rec.Offset, err)
 	}
 	revision := rec.Offset + 1
 	switch {
--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -34,11 +34,11 @@
 	linkNoReplies // its writes arrive a tick later, the replies to them are lost
 	linkCut       // nothing arrives
 	linkFrozen    // the VM itself does not run
-	linkStates
+	linkStates    // number of states
 )
 
 type (
-	// exploreLimits limits the events of a world.
+	// exploreLimits limits the number of events in a world, by kind.
 	exploreLimits struct {
 		calm, ticks             int // ticks without events, and ticks with events after them
 		restores, otherWrites   int
@@ -55,6 +55,8 @@
 		noInitialWait   bool // a VM that has read no lease assumes that there is none
 	}
 
+	// exploreRecord is a record of the store; enc represents it in the encoding of a
+	// world.
 	exploreRecord struct {
 		rec topic.Record
 		enc string
@@ -72,6 +74,8 @@
 		inFlight    *exploreAppend // write on its way to the store
 	}
 
+	// exploreAppend is a write of the lease; at is the position at which the topic
+	// must end for it.
 	exploreAppend struct {
 		id   string
 		data []byte
@@ -98,6 +102,8 @@
 		earlier *exploreHistory
 	}
 
+	// leaseExplorer searches all worlds that are reachable within the limits, and
+	// stops at the first violation.
 	leaseExplorer struct {
 		lim       exploreLimits
 		omit      exploreOmissions
@@ -160,6 +166,7 @@
 	}
 }
 
+// calm reports whether no events happen yet.
 func (le *leaseExplorer) calm(wo exploreWorld) bool {
 	return wo.now <= clock.Millis(le.lim.calm)*exploreTick
 }
@@ -202,7 +209,7 @@
 		next := wo
 		if link != vm.link {
 			vm.linkChanges++
-			next = next.withStep(fmt.Sprintf("vm%d: its link to the store is now %s", ix, [linkStates]string{"whole", "without replies", "cut", "frozen"}[link]))
+			next = next.withStep(fmt.Sprintf("vm%d: its link to the store is now %s", ix, [linkStates]string{"up", "without replies", "cut", "frozen"}[link]))
 		}
 		vm.link = link
 		out = append(out, le.runVM(next.withVM(ix, vm), ix))
@@ -250,7 +257,7 @@
 	return wo
 }
 
-// send writes what a holder appends, as the lease register does.
+// send puts the write of what a holder appends in flight, as the lease register does.
 func (le *leaseExplorer) send(vm exploreVM, in register.LeaseAppend) exploreVM {
 	rec, err := register.Parse(0, in.Data)
 	if err != nil {
@@ -266,7 +273,7 @@
 	return vm
 }
 
-// applyInFlight applies the write that a VM sent in the last tick, if its offset matches.
+// applyInFlight applies the VM's write in flight, if the topic ends at the write's offset.
 func (le *leaseExplorer) applyInFlight(wo exploreWorld, ix int) exploreWorld {
 	vm := wo.vms[ix]
 	fl := vm.inFlight
@@ -340,7 +347,7 @@
 	var holders []int
 	for ix, vm := range wo.vms {
 		if vm.link == linkFrozen {
-			continue // it checks the time before it orders once it resumes
+			continue // it checks the time before it gives orders once it resumes
 		}
 		token, may := vm.ho.MayOrder(wo.now)
 		if !may {
@@ -348,12 +355,12 @@
 		}
 		holders = append(holders, ix)
 		if token < wo.token {
-			le.fail(wo, fmt.Sprintf("vm%d orders with token %s after %s", ix, position(token), position(wo.token)))
+			le.fail(wo, fmt.Sprintf("vm%d gives orders with token %s after %s", ix, position(token), position(wo.token)))
 		}
 		wo.token = max(wo.token, token)
 	}
 	if len(holders) > 1 {
-		le.fail(wo, fmt.Sprintf("%d VMs may order", len(holders)))
+		le.fail(wo, fmt.Sprintf("%d VMs may give orders", len(holders)))
 	}
 	if len(holders) > 0 && wo.restores > 0 {
 		le.coverage["orders after a restore"]++
@@ -361,6 +368,7 @@
 	return wo
 }
 
+// position formats a revision as its era and offset.
 func position(revision uint64) string {
 	return fmt.Sprint(topic.EraOf(revision), "/", topic.OffsetOf(revision))
 }
@@ -416,6 +424,7 @@
 	return wo
 }
 
+// push adds a world to those to explore, unless an equal one was added before.
 func (le *leaseExplorer) push(wo exploreWorld) {
 	buf := le.buf[:0]
 	for _, num := range []uint64{uint64(wo.now), wo.era, uint64(wo.restores), uint64(wo.otherWrites), uint64(wo.starts), uint64(wo.releases), wo.token} {
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -13,7 +13,7 @@
 }
 
 // LogChanges logs the differences between two views of the fleet. A VM that is only
-// listed and from which no message was ever received is not logged.
+// listed, so that its incarnation is not known, is not logged.
 func LogChanges(lg event.Logger, old, now *board.Fleet) {
 	// Both views are sorted by ID, so one pass over each suffices (BenchmarkView).
 	walk := vmWalk{vms: old.VMs}
--- a/internal/fleet/neighbours.go
+++ b/internal/fleet/neighbours.go
@@ -26,8 +26,8 @@
 	// LeaseKey is the key of the lease on orders to engines.
 	LeaseKey = "lease/roles"
 
-	secretKey   = "secret" // shared by the VMs to authenticate each other
-	vmKeyPrefix = "vm/"
+	secretKey   = "secret" // key of the secret by which the VMs authenticate each other
+	vmKeyPrefix = "vm/"    // followed by the ID of the VM that has the entry
 )
 
 const (
@@ -36,10 +36,13 @@
 	// topicReadWait is how long a read of the fleet's topic waits for a change: the
 	// topic changes only when VMs start and leases are taken.
 	topicReadWait = 8 * clock.Second
-	// topicReadPause lets one read return the entries of VMs that start together.
+	// topicReadPause is the pause between two reads, so that one read returns the
+	// entries of all VMs that start together.
 	topicReadPause = clock.Second
-	// topicStandbyAfter is longer than a read and its pause, and
-	// topicSelfReadAfter than that and the read of the second in line.
+	// topicStandbyAfter is how long the second reader waits for an update before it
+	// reads the topic too; it is longer than a read and its pause. VMs that are not
+	// readers wait for topicSelfReadAfter, which is longer than that and the second
+	// reader's read.
 	topicStandbyAfter  = 10 * clock.Second
 	topicSelfReadAfter = 12 * clock.Second
 	// maxProposalDelay is the time over which VMs that start together spread their
@@ -88,17 +91,17 @@
 		fleet         *Fleet // nil until the secret is known
 		stopFleet     func() // stops the fleet and waits until its address is free
 		joinedEra     uint64 // era of the store in which the fleet was joined
-		secret        []byte // as the topic has it
+		secret        []byte // as read from the topic
 		listed        map[string]vmEntry
 		entryRemoved  bool                    // this VM's entry was removed
 		deadSince     map[string]clock.Millis // by listed VM: since when it is dead or has left
-		lease         leaseView               // on orders to engines
-		readSignal    chan struct{}
-		rankedView    *board.Fleet // view for which rank was computed
+		lease         leaseView               // lease on orders to engines
+		readSignal    chan struct{}           // wakes Run after a read of the topic
+		rankedView    *board.Fleet            // view for which rank was computed
 		rank          int
 		countedView   *board.Fleet // view for which vmCount was computed
 		vmCount       int
-		schedulersKey string // names of the VMs that are schedulers
+		schedulersKey string // Fleet.schedulersKey of the last view
 	}
 
 	// vmEntry is a VM's entry in the topic.
@@ -120,7 +123,7 @@
 		OnSnapshot: mb.applySnapshot, OnChange: mb.applyRecord, OnCaughtUp: mb.signalRead, OnStoreRestored: mb.storeRestored}
 }
 
-// lacksSecret reports that this VM can't join the fleet yet.
+// lacksSecret reports whether this VM can't join the fleet yet because it has no secret.
 func (mb *Member) lacksSecret() bool {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -153,7 +156,7 @@
 	case isVM:
 		var en vmEntry
 		if err := json.Unmarshal(rec.Value, &en); err != nil {
-			mb.logUnreadable(rec.Key, fmt.Errorf("read the entry at %d: %w", rec.Offset, err))
+			mb.logUnreadable(rec.Key, fmt.Errorf("decode the entry at position %d: %w", rec.Offset, err))
 			return
 		}
 		mb.listed[name] = en
@@ -185,15 +188,16 @@
 	}
 }
 
-// fleetAndSecret returns the fleet, if it was joined, and the secret as the topic has it.
+// fleetAndSecret returns the fleet, nil before this VM joins it, and the secret as read
+// from the topic.
 func (mb *Member) fleetAndSecret() (*Fleet, []byte) {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
 	return mb.fleet, mb.secret
 }
 
-// join starts membership once the secret is known, and proposes a secret if there is
-// none.
+// join joins the fleet once the secret is known, proposes a secret if there is none, and
+// returns the fleet that this VM is in, or nil.
 func (mb *Member) join(ctx context.Context) *Fleet {
 	fl, secret := mb.fleetAndSecret()
 	switch {
@@ -219,7 +223,7 @@
 	mb.fleet, mb.joinedEra = fl, topic.EraOf(mb.lease.end)
 	mb.stopFleet = func() {
 		stop()
-		<-ended // the address is free after that
+		<-ended // its address is free after that
 	}
 	mb.mu.Unlock()
 	go func() {
@@ -248,9 +252,10 @@
 }
 
 // proposeSecret writes a secret, a new one or that of this VM's fleet, if the topic still
-// ends where it was read. The first write wins; each VM first waits for a random time, in
-// which another VM's secret may arrive. A failed write is tried again at the next read. The
-// topic's follower logs that the store is unreachable.
+// ends where this VM last read it. The first write wins; each VM first waits for a random
+// time, in which another VM's secret may arrive. A failed write is tried again after
+// writeRetryPause, or at the next read if that comes first. The topic's follower logs that
+// the store is unreachable.
 func (mb *Member) proposeSecret(ctx context.Context, secret []byte) {
 	wait := clock.Millis(mathrand.Int64N(int64(maxProposalDelay)))
 	if !clock.Sleep(ctx, wait) || !mb.secretNeedsWrite(secret) {
@@ -359,8 +364,8 @@
 	}
 }
 
-// Others returns the IDs of the other VMs that this one sees alive. Whole is false
-// while it sees less than half of the fleet alive: then the VMs that it considers dead
+// Others returns the IDs of the other VMs that this one sees alive. The result whole is
+// false while it sees less than half of the fleet alive: then the VMs that it considers dead
 // may be alive, and this VM may be the one that is partitioned.
 func (mb *Member) Others() (ids []string, whole bool) {
 	view := mb.View()
--- a/internal/fleet/neighbours_test.go
+++ b/internal/fleet/neighbours_test.go
@@ -12,7 +12,7 @@
 )
 
 // A VM that sees less than half of the others alive may be the one that is partitioned,
-// and then doesn't have the others' state.
+// and the others may have state that it lacks.
 func TestOthersDuringPartition(t *testing.T) {
 	vm := func(id string, health board.Health) board.VM {
 		return board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health}
@@ -76,7 +76,7 @@
 	assert.Assert(t, !mb.takeEntryRemoved())
 }
 
-// A VM that leaves, or that knows no other VM, ranks behind all readers.
+// A VM that leaves ranks behind all readers; one that sees no other VM alive has RankAlone.
 func TestRank(t *testing.T) {
 	vm := func(id string, health board.Health, leaving bool) board.VM {
 		return board.VM{VMRef: board.VMRef{ID: id, Incarnation: 1}, Health: health, Leaving: leaving}
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// netVMs is the size of a fleet that is large enough for schedulers.
+	// netVMs is the number of VMs in the simulated fleet, which is large enough to have
+	// schedulers.
 	netVMs = maxDirectVMs + 3
 	// netDomains is the number of its failure domains.
 	netDomains = 4
@@ -87,7 +88,7 @@
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
 
-// recordIf records a violation if is is true.
+// recordIf records a violation at a time, if is is true.
 func (vi *violations) recordIf(is bool, at clock.Millis, kind string) {
 	if !is {
 		return
@@ -241,8 +242,8 @@
 	vm.net.transmit(vm.self.ID, to, number, raw)
 }
 
-// transmit takes one to two milliseconds plus the extra delay of slow VMs. Datagrams from
-// one VM to another arrive in order unless some are lost.
+// transmit delivers a datagram after one to two milliseconds plus the extra delay of slow
+// VMs. Datagrams from one VM to another arrive in order unless some are lost.
 func (sn *simNet) transmit(from, to string, number uint64, raw []byte) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
@@ -408,8 +409,8 @@
 	return out
 }
 
-// schedulerDisagreements lists VMs that name other schedulers than the first VM does, and
-// schedulers that are not running.
+// schedulerDisagreements lists the VMs that name other schedulers than the first running VM
+// does, and schedulers that are not running.
 func (sn *simNet) schedulerDisagreements() (out []string) {
 	list := sn.running()
 	key := list[0].fl.schedulersKey()
--- a/internal/fleet/pieces.go
+++ b/internal/fleet/pieces.go
@@ -13,9 +13,9 @@
 const (
 	// maxFragments limits the datagrams of one record: a configuration of 30
 	// routes deflates to two of them. Each VM reads a record that doesn't fit into
-	// 16 from the store.
+	// 16 datagrams from the store.
 	maxFragments = 16
-	// maxRecordBytes limits an inflated record; the store has the same limit.
+	// maxRecordBytes limits an inflated record; the store limits records to the same size.
 	maxRecordBytes = 256 << 10
 )
 
@@ -28,7 +28,7 @@
 	received int
 }
 
-// fragmentRecord splits a record into fragments; none if it is too large.
+// fragmentRecord deflates a record and splits it into fragments; none if it is too large.
 func fragmentRecord(name string, rec topic.Record) ([]*peerpb.TopicPiece, error) {
 	var packed bytes.Buffer
 	wr, err := flate.NewWriter(&packed, flate.DefaultCompression)
@@ -54,8 +54,8 @@
 	return out, nil
 }
 
-// add adds a fragment and returns the record once it is complete. Fragments of an older
-// record are dropped: a VM that misses that record notices the gap.
+// add adds a fragment and returns the record once all fragments were received. Fragments of
+// an older record are dropped: a VM that misses that record notices the gap.
 func (ra *reassembly) add(tp *peerpb.TopicPiece) (rec topic.Record, whole bool, err error) {
 	count := tp.GetCount()
 	if count == 0 || count > maxFragments || tp.GetIndex() >= count {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -15,7 +15,7 @@
 // keeperRankKey is the rendezvous key by which VMs are ranked as keepers.
 const keeperRankKey = "quotas"
 
-// keepers holds the ID of the VM that keeps each shard of the customers' quotas.
+// keepers holds the ID of the VM that keeps each shard of the customers' quotas, by shard.
 type keepers [quota.Shards]string
 
 // selectKeepers selects the keepers from a view of the fleet. Each VM is a candidate for
@@ -114,11 +114,11 @@
 // TellQuota sends a keeper a request that needs no response.
 func (mb *Member) TellQuota(vm string, ask quota.Request) {
 	if fl, to, err := mb.resolvePeer(vm); err == nil {
-		_ = fl.peers.SendDatagram(to, quotaRequestToWire(0, ask)) // lost tokens were the customer's and are refilled
+		_ = fl.peers.SendDatagram(to, quotaRequestToWire(0, ask)) // tokens in a lost message were the customer's and are refilled
 	}
 }
 
-// resolvePeer returns the fleet and a VM of its current view.
+// resolvePeer returns the fleet, and the VM with an ID as the fleet's current view has it.
 func (mb *Member) resolvePeer(vm string) (*Fleet, board.VM, error) {
 	fl := mb.currentFleet()
 	if fl == nil {
@@ -131,7 +131,8 @@
 	return fl, to, nil
 }
 
-// handleQuotaRequest answers a quota request, to the address that it came from.
+// handleQuotaRequest answers a quota request at the address that it came from. A request
+// with number 0 needs no response.
 func (fl *Fleet) handleQuotaRequest(dg *peerpb.Datagram, from netip.AddrPort) {
 	if fl.OnQuotaRequest == nil {
 		return
--- a/internal/fleet/readers_test.go
+++ b/internal/fleet/readers_test.go
@@ -249,6 +249,8 @@
 	}
 }
 
+// check records a violation for each required value that a VM lacks, unless the VM started
+// or resumed too recently.
 func (rs *readerSim) check(vm *simVM, required map[string]int, now clock.Millis) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -366,8 +368,8 @@
 	{"store unreachable for all VMs", false, func(_ context.Context, rs *readerSim) func() { return rs.blockStore(allNames()...) }},
 }
 
-// combinedReadFaults is faults that begin one after the other and end together, drawn by
-// the seed from those after which all VMs are alive again.
+// combinedReadFaults begins several faults one after the other and ends them together. The
+// seed selects them from those after which all VMs are alive again.
 var combinedReadFaults = readFault{"combined", false, func(ctx context.Context, rs *readerSim) func() {
 	var list []readFault
 	for _, fa := range readFaults {
@@ -383,8 +385,8 @@
 	return runAll(ends...)
 }}
 
-// reader returns one of the VMs that read for all, by their own view; another VM if none
-// has that rank in its own view.
+// reader returns a VM that has the given rank among the readers in its own view; some other
+// VM if there is none.
 func (rs *readerSim) reader(rank int) *simVM {
 	list := rs.running()
 	for _, vm := range list {
@@ -435,7 +437,8 @@
 }
 
 // runReaderSim simulates a fault while the topic changes, and lists the violated
-// requirements. All VMs start at once.
+// requirements. All VMs start at once. The function mutate changes a follower before it
+// starts, to make it faulty; it may be nil.
 func runReaderSim(t *testing.T, seed uint64, fa readFault, mutate func(sf *simFollower)) (out []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/fleet/returned.go
+++ b/internal/fleet/returned.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// reportRewrite logs and reports what this VM wrote again.
+// reportRewrite logs, and reports to OnRewrite, what this VM wrote again.
 func (mb *Member) reportRewrite(kind string) {
 	mb.Log.Log(event.WrittenAgain, event.F("Kind", kind), event.F("Era", topic.EraOf(mb.Topic.Next())))
 	if mb.OnRewrite != nil {
--- a/internal/fleet/schedulers.go
+++ b/internal/fleet/schedulers.go
@@ -23,7 +23,7 @@
 // are tried; none in a fleet small enough for every VM to send its reports to all others.
 type schedulers struct {
 	vms []board.VM
-	key string // names of the VMs, to detect changes
+	key string // IDs of the VMs, to detect changes
 }
 
 // selectSchedulers selects the schedulers from a view of the fleet. The fleet's size
@@ -45,7 +45,8 @@
 	return sc
 }
 
-// isKnown reports whether a VM has been in contact, and is not only listed.
+// isKnown reports whether the VM is this one, or its incarnation is known: a VM that is only
+// listed has incarnation 0.
 func isKnown(view *board.Fleet, vm *board.VM) bool {
 	return vm.Incarnation != 0 || vm.ID == view.Self.ID
 }
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// schedulersKey returns the names of the schedulers as one string.
+// schedulersKey returns the IDs of the schedulers as one string.
 func (fl *Fleet) schedulersKey() string {
 	if sc := fl.schedulers.Load(); sc != nil {
 		return sc.key
@@ -72,9 +73,9 @@
 	return ""
 }
 
-// Before lists the VMs to request a placement from before this VM selects engines itself.
-// The second result reports whether it may do that: it is a scheduler too, or all VMs
-// receive all usage reports.
+// Before lists the schedulers to request a placement from, in order, before this VM selects
+// engines itself. The result here reports whether it may do that: it is a scheduler too, or
+// all VMs receive all usage reports.
 func (mb *Member) Before() (vms []string, here bool) {
 	fl := mb.currentFleet()
 	if fl == nil {
@@ -90,7 +91,7 @@
 	return vms, len(list) == 0
 }
 
-// Ask requests a placement from a scheduler.
+// Ask requests a placement from a scheduler; it fails if the VM is not a scheduler any more.
 func (mb *Member) Ask(ctx context.Context, vm string, ask usage.PlacementRequest) (usage.PlacementReply, error) {
 	fl := mb.currentFleet()
 	if fl == nil {
--- a/internal/fleet/schedulers_test.go
+++ b/internal/fleet/schedulers_test.go
@@ -16,8 +16,8 @@
 	return out
 }
 
-// In a small fleet each VM selects engines itself; in a large one three VMs do for all,
-// and all VMs name the same three.
+// In a small fleet each VM selects engines itself; in a large one three VMs select them for
+// all, and all VMs name the same three.
 func TestSchedulerSelection(t *testing.T) {
 	for _, tc := range []struct{ vms, want int }{{1, 0}, {7, 0}, {maxDirectVMs + 1, 0}, {maxDirectVMs + 2, 3}, {295, 3}, {1000, 3}} {
 		vms := largeFleet(tc.vms, 6)
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -85,7 +85,7 @@
 	return out
 }
 
-// group is VMs of one failure domain that get a message through one of them.
+// group holds VMs of one failure domain that get a message through one of them.
 type group struct {
 	vms  []board.VM
 	wire *peerpb.Group
@@ -132,7 +132,7 @@
 }
 
 // inGroup reports whether a VM belongs to a group. The last group of a failure domain has
-// no upper bound.
+// no upper bound of IDs, and the first one no lower bound.
 func inGroup(gr *peerpb.Group, vm board.VM) bool {
 	return vm.FailureDomain == gr.GetFailureDomain() && vm.ID > gr.GetAfter() && (gr.GetUpTo() == "" || vm.ID <= gr.GetUpTo())
 }
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -59,8 +59,8 @@
 	return dropped
 }
 
-// sweepEntries removes the entries of VMs that will not return: a VM that starts would
-// probe each of them, and list it to callers until it is suspect.
+// sweepEntries removes the entries of VMs that will not return. Otherwise a VM that starts
+// would probe each of them, and list it to callers until it is suspect.
 func (mb *Member) sweepEntries(ctx context.Context) {
 	for clock.Sleep(ctx, sweepInterval) {
 		gone := mb.expiredEntries(clock.OrBoottime(mb.Clock).Now())
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -14,7 +14,7 @@
 	"alderdyke/pkg/clock"
 )
 
-// maxUpdateBytes limits the keys and values of one message; the rest of a datagram is
+// maxUpdateBytes limits the keys and values in one message; 300 bytes of a datagram are
 // reserved for the names and numbers around them.
 const maxUpdateBytes = peer.MaxDatagram - 300
 
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -81,7 +81,7 @@
 }
 
 // A configuration of the usual size, larger than a datagram, is sent in fragments, so that
-// the VMs need not each read it, and one that can't reach the store gets it too.
+// not every VM has to read it, and a VM that can't reach the store gets it too.
 func TestLargeRecordIsFragmented(t *testing.T) {
 	var text strings.Builder
 	for ix := range 40 {
