--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -21,7 +21,7 @@
 
 // pendingHandshakes holds the connections that have not authenticated yet, the oldest
 // first. A new connection evicts the oldest: a VM needs a few milliseconds for its
-// handshake, while a slow stranger takes as long as it may.
+// handshake, while a slow unauthenticated client uses all the time that it gets.
 type pendingHandshakes struct {
 	conns []net.Conn
 }
@@ -110,6 +110,8 @@
 	tr.serveSession(ss)
 }
 
+// recordRefusal counts a refused connection, and logs the refusals that a wrong secret, a
+// wrong VM or the limit of sessions causes.
 func (tr *Transport) recordRefusal(reason string, raw net.Conn, err error) {
 	tr.count.refused[reason].Inc(1)
 	address := event.F("Address", raw.RemoteAddr().String())
@@ -188,8 +190,8 @@
 	return ss, "", nil
 }
 
-// checkLimits refuses sessions over the limit and those of an earlier incarnation of a
-// VM, and abandons the sessions of the incarnations before this one.
+// checkLimits refuses a session over the limit, and one of a VM that has a session of a later
+// incarnation. It abandons the sessions of the VM's earlier incarnations.
 func (tr *Transport) checkLimits(from board.VMRef) (string, error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -24,9 +24,9 @@
 	ss      *session
 	st      *yamux.Stream
 	ctx     context.Context
-	detach  func() bool
-	limit   int
-	timeout time.Duration
+	detach  func() bool   // keeps the end of ctx from calling unblock
+	limit   int           // bytes of one encoded frame
+	timeout time.Duration // for a frame to be completed, and for a new stream's first frame
 
 	mu    sync.Mutex
 	ended bool // the context ended or Close was called
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -17,7 +17,7 @@
 
 // Reasons for which a datagram is dropped; each has a counter.
 const (
-	accepted                verdict = ""
+	accepted                verdict = "" // it is not dropped
 	droppedBadMAC           verdict = "BadMAC"
 	droppedReplayed         verdict = "Replayed"
 	droppedStaleIncarnation verdict = "StaleIncarnation"
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -37,8 +37,8 @@
 
 // Broadcast sends one datagram to each of the VMs, as [Transport.SendDatagram] does, but
 // encodes and signs it once: a message of 300 bytes to 88 VMs takes 0.29 ms instead of
-// 0.85 ms (BenchmarkBroadcast), during which a small VM does nothing else. The message must be
-// one that names no single receiver.
+// 0.85 ms (BenchmarkBroadcast), during which a small VM does nothing else. The message must
+// be one that names no single receiver.
 func (tr *Transport) Broadcast(vms []board.VM, dg *peerpb.Datagram) error {
 	dg.To = ""
 	uc, raw, err := tr.seal(dg)
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -154,7 +154,8 @@
 	return !ss.mux.IsClosed() && ss.dialed == vm.Peer && ss.peer.Incarnation >= vm.Incarnation
 }
 
-// covers reports whether an earlier dial can be used instead of a new one.
+// covers reports whether an earlier dial can be used instead of a new one: it is in progress,
+// or it failed for the same address no longer than RedialAfter ago.
 func (tr *Transport) covers(dl *dial, vm board.VM) bool {
 	if !dl.isDone() {
 		return true
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -36,10 +36,10 @@
 		pinging atomic.Bool
 
 		// Guarded by Transport.mu.
-		pendingOpens int // calls of Open that have no stream yet
-		retired      bool
-		idle         bool
-		idleSince    clock.Millis
+		pendingOpens int          // calls of Open that have no stream yet
+		retired      bool         // replaced by a new dial; closed once it has no streams
+		idle         bool         // it had no streams at the last sweep
+		idleSince    clock.Millis // when idle became true
 	}
 
 	// trackedConn is the TCP connection below TLS. It records when it last read data
@@ -75,6 +75,7 @@
 	return sent, err
 }
 
+// silence returns the time since data was last read from the peer.
 func (tc *trackedConn) silence() clock.Millis {
 	return tc.clock.Now() - clock.Millis(tc.lastRead.Load())
 }
@@ -170,6 +171,7 @@
 	}
 }
 
+// checkIdle closes a session that has had no streams for long enough, or that is retired.
 func (tr *Transport) checkIdle(ss *session, now clock.Millis) {
 	if !ss.idle {
 		ss.idle, ss.idleSince = true, now
@@ -186,6 +188,8 @@
 	tr.group.Go(ss.close)
 }
 
+// checkBusy abandons a session that the peer dialled if it is silent for too long, and pings
+// a silent one that this VM dialled.
 func (tr *Transport) checkBusy(ss *session) {
 	silence := ss.tcp.silence()
 	if ss.dialed == "" {
@@ -199,6 +203,7 @@
 	}
 }
 
+// pingBusy sends one ping and abandons the session if there is no reply.
 func (tr *Transport) pingBusy(ss *session) {
 	defer ss.pinging.Store(false)
 	tr.count.pinged.Inc(1)
@@ -212,7 +217,7 @@
 	}
 }
 
-// abandon gives up a session whose peer doesn't answer; tr.mu is held.
+// abandon records the loss of a session, removes it and aborts it; tr.mu is held.
 func (tr *Transport) abandon(ss *session) {
 	tr.recordLoss(ss)
 	tr.removeSession(ss)
@@ -220,7 +225,7 @@
 }
 
 // removeClosed removes a closed session from the lists. If streams are still open, the
-// peer broke the session off. tr.mu is held.
+// peer ended the session, which is recorded as a loss. tr.mu is held.
 func (tr *Transport) removeClosed(ss *session) {
 	if _, known := tr.sessions[ss]; known && !tr.stopped && ss.mux.NumStreams() > 0 {
 		tr.recordLoss(ss)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -38,8 +38,8 @@
 )
 
 const (
-	sweepInterval = 250 * time.Millisecond
-	warnInterval  = 10 * time.Second
+	sweepInterval = 250 * time.Millisecond // between two checks of all sessions
+	warnInterval  = 10 * time.Second       // between two events of warnLimited
 	// maxListenAttempts limits the search for a port that is free for both TCP and
 	// UDP, if any port will do.
 	maxListenAttempts = 16
@@ -107,8 +107,8 @@
 	Handler interface {
 		// Serve is called in a goroutine of its own for each stream, before any
 		// frame is read. The stream is closed when Serve returns. The context ends
-		// with the session or the transport. If the peer closes only the stream,
-		// Serve learns that from Recv, or through Watch.
+		// with the session or the transport, but not if the peer closes only the
+		// stream: then Recv returns an error and the context of Watch ends.
 		Serve(ctx context.Context, from board.VMRef, cn *Conn)
 	}
 )
@@ -273,8 +273,8 @@
 	tr.group.Wait()
 }
 
-// warnLimited logs an event that strangers or a faulty VM could cause at will, at most
-// once in warnInterval.
+// warnLimited logs an event that unauthenticated clients or a faulty VM could cause at
+// will, at most once in warnInterval.
 func (tr *Transport) warnLimited(ev event.Event, fields ...event.Field) {
 	if tr.warnLimiter.Allow() {
 		tr.Log.Log(ev, fields...)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -421,7 +421,7 @@
 	sb.awaitCount(t, "PeerRefused", "TooManySessions", 1)
 }
 
-// Strangers that connect and send nothing can't keep a VM out, and are disconnected.
+// Clients that connect and send nothing can't keep a VM out, and are disconnected.
 func TestSlowHandshakesAreEvicted(t *testing.T) {
 	sb := start(t, &peer.Transport{Self: ref("b", 1), Handler: echo, HandshakeTimeout: clock.Minute,
 		Limits: peer.Limits{MaxHandshakes: 4}})
--- a/internal/peer/window.go
+++ b/internal/peer/window.go
@@ -30,7 +30,8 @@
 	}
 )
 
-// check records a datagram and drops it if its number is not new.
+// check records a datagram. It returns the reason for dropping it if its number is not new
+// or its incarnation is not the latest.
 func (ws *replayWindows) check(from board.VMRef, sequence uint64, now clock.Millis) verdict {
 	wd := ws.byVM[from.ID]
 	switch {
@@ -70,6 +71,8 @@
 	delete(ws.byVM, oldest)
 }
 
+// accept records a sequence number, and reports whether it is new and less than windowBits
+// behind the highest one.
 func (wd *replayWindow) accept(sequence uint64) bool {
 	if sequence > wd.highest {
 		wd.slide(sequence)
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -98,7 +98,7 @@
 		for _, seq := range rapid.SliceOf(rapid.Uint64Range(1, 1200)).Draw(rt, "sequence") {
 			want := !seen[seq] && (seq > highest || highest-seq < windowBits)
 			if got := wd.accept(seq); got != want {
-				rt.Fatalf("take(%d) = %v, highest %d, seen %v", seq, got, highest, seen[seq])
+				rt.Fatalf("accept(%d) = %v, highest %d, seen %v", seq, got, highest, seen[seq])
 			}
 			seen[seq] = true
 			highest = max(highest, seq)
