--- a/internal/fleet/ask.go
+++ b/internal/fleet/ask.go
@@ -24,6 +24,7 @@
 	waiting    map[uint64]chan A
 }
 
+// register returns the number of a new request, and the channel that gets its reply.
 func (pr *pendingRequests[A]) register() (number uint64, answer <-chan A) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -47,6 +48,7 @@
 	}
 }
 
+// remove ends the wait for a reply; a later one is dropped.
 func (pr *pendingRequests[A]) remove(number uint64) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -112,7 +112,8 @@
 // Leave announces a planned stop.
 func (fl *Fleet) Leave(ctx context.Context) { fl.members.Send(ctx, membership.Leave{}) }
 
-// handleDatagram dispatches a datagram. The transport calls it for one at a time.
+// handleDatagram forwards a datagram to the group that it names, if any, and passes it to
+// the handler of its kind. The transport calls it for one at a time.
 func (fl *Fleet) handleDatagram(dg *peerpb.Datagram, from netip.AddrPort) {
 	fl.broadcaster().Forward(dg)
 	switch {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -147,6 +147,7 @@
 	return slices.Clone(ms.recs), uint64(len(ms.recs)), nil
 }
 
+// Read returns the records from an offset on; it waits for the first one.
 func (ms *memoryStore) Read(ctx context.Context, _ string, from uint64, wait clock.Millis) ([]topic.Record, uint64, error) {
 	for waited := clock.Millis(0); ; waited += 20 {
 		ms.mu.Lock()
--- a/internal/fleet/lease_explore_test.go
+++ b/internal/fleet/lease_explore_test.go
@@ -373,6 +373,7 @@
 	return fmt.Sprint(topic.EraOf(revision), "/", topic.OffsetOf(revision))
 }
 
+// fail records the first violation, with the steps that led to it.
 func (le *leaseExplorer) fail(wo exploreWorld, what string) {
 	if le.violation == "" {
 		le.violation = what + " at " + wo.now.String() + wo.history.String()
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -45,6 +45,7 @@
 // ascending order.
 type vmWalk struct{ vms []board.VM }
 
+// find returns the VM with an ID, and false if there is none. It skips the VMs before it.
 func (vw *vmWalk) find(id string) (board.VM, bool) {
 	for len(vw.vms) > 0 && vw.vms[0].ID < id {
 		vw.vms = vw.vms[1:]
