--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -96,7 +96,7 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(20*time.Millisecond))
 }
 
-// A scheduler answers placement requests over the network, also those of a VM that it
+// A scheduler answers placement requests over the network, even those of a VM that it
 // doesn't know. A request to a VM that is not a scheduler fails at once.
 func TestPlacementRequestToScheduler(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
@@ -147,6 +147,7 @@
 	return slices.Clone(ms.recs), uint64(len(ms.recs)), nil
 }
 
+// Read returns the records from an offset on; it waits for the first one.
 func (ms *memoryStore) Read(ctx context.Context, _ string, from uint64, wait clock.Millis) ([]topic.Record, uint64, error) {
 	for waited := clock.Millis(0); ; waited += 20 {
 		ms.mu.Lock()
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -13,7 +13,7 @@
 }
 
 // LogChanges logs the differences between two views of the fleet. A VM that is only
-// listed and from which no message was ever received is not logged.
+// listed, so that its incarnation is not known, is not logged.
 func LogChanges(lg event.Logger, old, now *board.Fleet) {
 	// Both views are sorted by ID, so one pass over each suffices (BenchmarkView).
 	walk := vmWalk{vms: old.VMs}
@@ -45,6 +45,7 @@
 // ascending order.
 type vmWalk struct{ vms []board.VM }
 
+// find returns the VM with an ID, and false if there is none. It skips the VMs before it.
 func (vw *vmWalk) find(id string) (board.VM, bool) {
 	for len(vw.vms) > 0 && vw.vms[0].ID < id {
 		vw.vms = vw.vms[1:]
--- a/internal/fleet/net_test.go
+++ b/internal/fleet/net_test.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// netVMs is the size of a fleet that is large enough for schedulers.
+	// netVMs is the number of VMs in the simulated fleet, which is large enough to have
+	// schedulers.
 	netVMs = maxDirectVMs + 3
 	// netDomains is the number of its failure domains.
 	netDomains = 4
@@ -68,10 +69,10 @@
 
 	// simHandlers handles other VMs' messages; a nil field drops them.
 	simHandlers struct {
-		usage func(vm string, rp usage.Report)
-		place func(vm string, ask usage.PlacementRequest) usage.PlacementReply
-		moved func()
-		news  func(nw topic.Update)
+		usage            func(vm string, rp usage.Report)
+		placementRequest func(vm string, ask usage.PlacementRequest) usage.PlacementReply
+		schedulersChange func()
+		topicUpdate      func(nw topic.Update)
 	}
 
 	// violations counts violated requirements, by kind. The zero value is empty.
@@ -87,7 +88,7 @@
 
 func (bc bubbleClock) Now() clock.Millis { return clock.Of(time.Since(bc.start)) }
 
-// recordIf records a violation if is is true.
+// recordIf records a violation at a time, if is is true.
 func (vi *violations) recordIf(is bool, at clock.Millis, kind string) {
 	if !is {
 		return
@@ -110,7 +111,7 @@
 	return out
 }
 
-func newNet(seed uint64) *simNet {
+func newSimNet(seed uint64) *simNet {
 	return &simNet{seed: seed, clock: bubbleClock{time.Now()}, vms: make(map[string]*simVM), incarnations: make(map[string]uint64),
 		blocked: make(map[[2]string]bool), extraDelay: make(map[string]time.Duration),
 		lastArrival: make(map[[2]string]time.Time)}
@@ -145,10 +146,10 @@
 	self.Incarnation = sn.incarnations[self.ID]
 	vm := &simVM{net: sn, self: self, inbox: make(chan []byte, inboxDatagrams)}
 	vm.ctx, vm.stop = context.WithCancel(ctx)
-	vm.mb = &Member{Self: self, TopicName: "t", OnFleetSize: func(int) {}, OnSchedulersChange: orNoop(handlers.moved)}
+	vm.mb = &Member{Self: self, TopicName: "t", OnFleetSize: func(int) {}, OnSchedulersChange: orNoop(handlers.schedulersChange)}
 	vm.fl = &Fleet{Self: self, Clock: sn.clock, Rand: rand.New(rand.NewPCG(sn.seed, uint64(ix)<<8|self.Incarnation)),
 		Settings: membership.Settings{ProbeInterval: probeInterval, ProbeTimeout: probeInterval, ProbeDeadline: probeDeadline},
-		OnUsage:  handlers.usage, OnPlacementRequest: handlers.place, OnTopicUpdate: handlers.news, OnViewChange: vm.mb.handleViewChange}
+		OnUsage:  handlers.usage, OnPlacementRequest: handlers.placementRequest, OnTopicUpdate: handlers.topicUpdate, OnViewChange: vm.mb.handleViewChange}
 	vm.fl.Prepare()
 	vm.mb.fleet = vm.fl
 	step := vm.fl.members.Step
@@ -241,8 +242,8 @@
 	vm.net.transmit(vm.self.ID, to, number, raw)
 }
 
-// transmit takes one to two milliseconds plus the extra delay of slow VMs. Datagrams from
-// one VM to another arrive in order unless some are lost.
+// transmit delivers a datagram after one to two milliseconds plus the extra delay of slow
+// VMs. Datagrams from one VM to another arrive in order unless some are lost.
 func (sn *simNet) transmit(from, to string, number uint64, raw []byte) {
 	sn.mu.Lock()
 	defer sn.mu.Unlock()
@@ -408,8 +409,8 @@
 	return out
 }
 
-// schedulerDisagreements lists VMs that name other schedulers than the first VM does, and
-// schedulers that are not running.
+// schedulerDisagreements lists the VMs that name other schedulers than the first running VM
+// does, and schedulers that are not running.
 func (sn *simNet) schedulerDisagreements() (out []string) {
 	list := sn.running()
 	key := list[0].fl.schedulersKey()
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -13,8 +13,8 @@
 )
 
 // maxDirectVMs is the largest number of VMs to which this VM sends a message itself. In a
-// larger fleet one VM of each group forwards it, which takes less time (BenchmarkWord) and
-// crosses failure domains less often, where traffic costs most.
+// larger fleet one VM of each group forwards it, which takes less time
+// (BenchmarkBroadcast) and crosses failure domains less often, where traffic costs most.
 const maxDirectVMs = 32
 
 // Broadcaster sends messages to the VMs of a fleet. Messages may be lost, and their
@@ -85,7 +85,7 @@
 	return out
 }
 
-// group is VMs of one failure domain that get a message through one of them.
+// group holds VMs of one failure domain that get a message through one of them.
 type group struct {
 	vms  []board.VM
 	wire *peerpb.Group
@@ -132,7 +132,7 @@
 }
 
 // inGroup reports whether a VM belongs to a group. The last group of a failure domain has
-// no upper bound.
+// no upper bound of IDs, and the first one no lower bound.
 func inGroup(gr *peerpb.Group, vm board.VM) bool {
 	return vm.FailureDomain == gr.GetFailureDomain() && vm.ID > gr.GetAfter() && (gr.GetUpTo() == "" || vm.ID <= gr.GetUpTo())
 }
