--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -121,7 +121,7 @@
 	for name, tc := range map[string]struct {
 		args []string
 		code int
-		says string // in either stream
+		want string // in either stream
 	}{
 		"nothing":            {nil, cli.ExitOK, "publish"},
 		"help":               {[]string{"--help"}, cli.ExitOK, "explain"},
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			code := tm.run(t, tc.args...)
 			assert.Equal(t, code, tc.code, tm.err)
-			assert.Assert(t, strings.Contains(tm.out+tm.err, tc.says), "%s%s", tm.out, tm.err)
+			assert.Assert(t, strings.Contains(tm.out+tm.err, tc.want), "%s%s", tm.out, tm.err)
 			assert.Equal(t, tm.err == "", tc.code == cli.ExitOK, tm.err)
 		})
 	}
--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -123,7 +123,7 @@
 		return template.Template{}, place.Errors{{File: file, Mend: "give a file that can be read: " + err.Error()}}
 	}
 	defer fl.Close()
-	text, err := io.ReadAll(io.LimitReader(fl, template.MaxText+1))
+	text, err := io.ReadAll(io.LimitReader(fl, template.MaxTextBytes+1))
 	if err != nil {
 		return template.Template{}, place.Errors{{File: file, Mend: "give a file that can be read: " + err.Error()}}
 	}
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -97,7 +97,7 @@
 			return Publication{}, err
 		}
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(wr, req.Body, template.MaxText))
+	text, err := io.ReadAll(http.MaxBytesReader(wr, req.Body, template.MaxTextBytes))
 	if err != nil {
 		return Publication{}, bodyFault(err)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -235,7 +235,7 @@
 		"unknown media":      {"POST", "/templates/kedelsyn", bearer, "image/png", text, 415, operator.UnknownMedia},
 		"broken media":       {"POST", "/templates/kedelsyn", bearer, "application/", text, 415, operator.UnknownMedia},
 		"broken JSON":        {"POST", "/templates/kedelsyn", bearer, "application/json", `{"Customer":`, 422, operator.InvalidTemplate},
-		"too large":          {"POST", "/templates/kedelsyn", bearer, "", strings.Repeat("#", template.MaxText+1), 413, operator.TooLarge},
+		"too large":          {"POST", "/templates/kedelsyn", bearer, "", strings.Repeat("#", template.MaxTextBytes+1), 413, operator.TooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req, err := http.NewRequestWithContext(t.Context(), tc.method, "http://"+cl.Address+tc.path, strings.NewReader(tc.body))
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,8 +12,8 @@
 
 // Size limits of files, in bytes.
 const (
-	maxFile       = 256 << 10
-	maxSecretFile = 4 << 10
+	maxFileBytes       = 256 << 10
+	maxSecretFileBytes = 4 << 10
 )
 
 type (
@@ -35,7 +35,7 @@
 func Load(path string) (Settings, error) { return load(path, readFile) }
 
 func load(path string, read fileReader) (Settings, error) {
-	text, err := read(path, maxFile)
+	text, err := read(path, maxFileBytes)
 	if err != nil {
 		return Settings{}, place.Errors{{File: path, Mend: "give a file that can be read: " + err.Error()}}
 	}
@@ -84,7 +84,7 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
 	}
-	text, err := read(path, maxSecretFile)
+	text, err := read(path, maxSecretFileBytes)
 	if err != nil {
 		return fmt.Errorf("name a file that can be read: %w", err)
 	}
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -11,8 +11,8 @@
 // redacted replaces a secret in all output.
 const redacted = "***"
 
-// MinSecret is the minimum length of a secret, in bytes.
-const MinSecret = 16
+// MinSecretBytes is the minimum length of a secret, in bytes.
+const MinSecretBytes = 16
 
 // Secret is a token or key. It is printed as "***" by every format verb, in JSON
 // and in TOML; only [Secret.Reveal] returns the text. The zero Secret is not set,
@@ -66,8 +66,8 @@
 // UnmarshalText sets the secret. The error never contains the text.
 func (sc *Secret) UnmarshalText(text []byte) error {
 	value := string(text)
-	if len(value) < MinSecret {
-		return fmt.Errorf("write at least %d characters, made at random", MinSecret)
+	if len(value) < MinSecretBytes {
+		return fmt.Errorf("write at least %d characters, made at random", MinSecretBytes)
 	}
 	if strings.ContainsFunc(value, func(ch rune) bool { return ch <= ' ' || ch > '~' }) {
 		return errors.New("write printable ASCII characters without spaces")
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -29,7 +29,7 @@
 	set.checkSpans(&es)
 	for _, src := range set.secretSources() {
 		if src.required && src.secret.IsZero() && src.file == "" {
-			es.Add(src.key, "", fmt.Sprintf("write a secret of at least %d characters, or set %sFile", MinSecret, src.key))
+			es.Add(src.key, "", fmt.Sprintf("write a secret of at least %d characters, or set %sFile", MinSecretBytes, src.key))
 		}
 	}
 	switch set.Logging.Level {
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -37,7 +37,7 @@
 		keys            []string
 		lastIDs         []string
 		waits           []clock.Millis
-		list            []string
+		addrs           []string
 		manual          clock.Manual
 	}
 )
@@ -48,9 +48,9 @@
 	for range vms {
 		srv := httptest.NewServer(http.HandlerFunc(fl.serve))
 		t.Cleanup(srv.Close)
-		fl.list = append(fl.list, srv.Listener.Addr().String())
+		fl.addrs = append(fl.addrs, srv.Listener.Addr().String())
 	}
-	fl.Client = &Client{Bootstrap: fl.list[:1], APIKey: "secret", Clock: &fl.manual, Attempts: 6}
+	fl.Client = &Client{Bootstrap: fl.addrs[:1], APIKey: "secret", Clock: &fl.manual, Attempts: 6}
 	fl.Wait = func(ctx context.Context, span clock.Millis) error {
 		fl.waits = append(fl.waits, span)
 		return ctx.Err()
@@ -66,7 +66,7 @@
 		defer fl.mu.Unlock()
 		fl.addressRequests++
 		var body addressesBody
-		for _, addr := range fl.list {
+		for _, addr := range fl.addrs {
 			body.Addresses = append(body.Addresses, struct{ Address string }{addr})
 		}
 		body.KeepFor = 30 * clock.Second
@@ -123,45 +123,45 @@
 	assert.Equal(t, ans.Tokens, 7)
 	assert.DeepEqual(t, fl.lastIDs, []string{"", "1", "2"})
 	assert.DeepEqual(t, fl.keys, []string{ans.Key, ans.Key, ans.Key})
-	assert.DeepEqual(t, fl.vms, fl.list)
+	assert.DeepEqual(t, fl.vms, fl.addrs)
 	assert.Equal(t, len(fl.waits), 0)
 }
 
 func TestChatOutcomes(t *testing.T) {
 	no, may := refusal.NotRun, refusal.MayHaveRun
 	for name, tc := range map[string]struct {
-		steps    []step
-		own      bool
-		idem     bool
-		ran      refusal.Ran // "" is an answer
-		tries    int
-		sameKeys bool
-		waits    int
+		steps      []step
+		callerKey  bool
+		idempotent bool
+		ran        refusal.Ran // "" is an answer
+		tries      int
+		sameKeys   bool
+		waits      int
 	}{
 		"answer":                         {steps: []step{completeAnswer}, tries: 1, sameKeys: true},
 		"not run, then answer":           {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, tries: 2, waits: 1},
-		"not run, own key":               {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, own: true, tries: 2, sameKeys: true, waits: 1},
+		"not run, own key":               {steps: []step{refuse(no, refusal.QueueFull, 100), completeAnswer}, callerKey: true, tries: 2, sameKeys: true, waits: 1},
 		"not run, no retry":              {steps: []step{refuse(no, refusal.BadRequest, 0)}, ran: no, tries: 1, sameKeys: true},
 		"not run, crashes servers":       {steps: []step{refuse(no, refusal.EndsServers, 300000)}, ran: no, tries: 1, sameKeys: true},
 		"always not run":                 {steps: []step{refuse(no, refusal.QueueFull, 100)}, ran: no, tries: 6, waits: 5},
 		"may have run":                   {steps: []step{refuse(may, refusal.VMLost, 100)}, ran: may, tries: 1, sameKeys: true},
-		"may have run, idempotent":       {steps: []step{refuse(may, refusal.VMLost, 100), completeAnswer}, idem: true, tries: 2, waits: 1},
-		"may have run, idempotent, own":  {steps: []step{refuse(may, refusal.VMLost, 100)}, idem: true, own: true, ran: may, tries: 1, sameKeys: true},
+		"may have run, idempotent":       {steps: []step{refuse(may, refusal.VMLost, 100), completeAnswer}, idempotent: true, tries: 2, waits: 1},
+		"may have run, idempotent, own":  {steps: []step{refuse(may, refusal.VMLost, 100)}, idempotent: true, callerKey: true, ran: may, tries: 1, sameKeys: true},
 		"break, then not run":            {steps: []step{brokenStream, refuse(no, refusal.BadRequest, 0)}, ran: may, tries: 2, sameKeys: true},
 		"break, then not run, then done": {steps: []step{brokenStream, refuse(no, refusal.HomeUnreachable, 100), completeAnswer}, tries: 3, sameKeys: true, waits: 1},
 		"break, then may have run":       {steps: []step{brokenStream, refuse(may, refusal.KeyInDoubt, 100)}, ran: may, tries: 2, sameKeys: true},
 		"always breaks":                  {steps: []step{brokenStream}, ran: may, tries: 6, sameKeys: true, waits: 1},
 		"draining VM":                    {steps: []step{refuse(no, refusal.Draining, 100), completeAnswer}, tries: 2},
 		"all draining":                   {steps: []step{refuse(no, refusal.Draining, 100)}, ran: no, tries: 6, waits: 1},
-		"text, then refusal":             {steps: []step{stream(0, "a", "!"), refuse(may, refusal.VMLost, 100)}, idem: true, ran: may, tries: 2, sameKeys: true},
+		"text, then refusal":             {steps: []step{stream(0, "a", "!"), refuse(may, refusal.VMLost, 100)}, idempotent: true, ran: may, tries: 2, sameKeys: true},
 		"gap in the events":              {steps: []step{stream(1, "b", "."), completeAnswer}, tries: 2, sameKeys: true},
 		"end without final event":        {steps: []step{stream(0, "ok"), stream(1, ".")}, tries: 2, sameKeys: true},
 		"unexpected response":            {steps: []step{func(http.ResponseWriter, *http.Request) {}, completeAnswer}, tries: 2, sameKeys: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fl := newFleet(t, 3, tc.steps...)
-			req := ChatRequest{Model: "m", Idempotent: tc.idem}
-			if tc.own {
+			req := ChatRequest{Model: "m", Idempotent: tc.idempotent}
+			if tc.callerKey {
 				req.Key = "own"
 			}
 			ans, err := fl.Chat(t.Context(), req)
@@ -261,7 +261,7 @@
 }
 
 func ExampleClient_Chat() {
-	vm := httptest.NewServer((&fleet{list: []string{"127.0.0.1:1"}}).example())
+	vm := httptest.NewServer((&fleet{addrs: []string{"127.0.0.1:1"}}).example())
 	defer vm.Close()
 	cl := &Client{Bootstrap: []string{vm.Listener.Addr().String()}, APIKey: "secret"}
 	defer cl.Close()
@@ -281,7 +281,7 @@
 // example serves one complete answer at its own address.
 func (fl *fleet) example() http.HandlerFunc {
 	return func(wr http.ResponseWriter, req *http.Request) {
-		fl.list[0], fl.steps = req.Host, []step{completeAnswer}
+		fl.addrs[0], fl.steps = req.Host, []step{completeAnswer}
 		fl.serve(wr, req)
 	}
 }
--- a/pkg/template/parse.go
+++ b/pkg/template/parse.go
@@ -14,13 +14,13 @@
 	"alderdyke/pkg/place"
 )
 
-// MaxText is the maximum length of the text of one template, in bytes.
-const MaxText = 256 << 10
+// MaxTextBytes is the maximum length of the text of one template, in bytes.
+const MaxTextBytes = 256 << 10
 
 // Parse parses a template from TOML and validates it. The error is a
 // [place.Errors] with all problems of the text.
 func Parse(name string, text []byte) (Template, error) {
-	if len(text) > MaxText {
+	if len(text) > MaxTextBytes {
 		return Template{}, place.Errors{tooLongError(name)}
 	}
 	var tp Template
@@ -43,7 +43,7 @@
 // DecodeJSON decodes a template from JSON and validates it. Unknown keys and data
 // after the template are errors. The error is a [place.Errors].
 func DecodeJSON(name string, text []byte) (Template, error) {
-	if len(text) > MaxText {
+	if len(text) > MaxTextBytes {
 		return Template{}, place.Errors{tooLongError(name)}
 	}
 	var tp Template
@@ -79,7 +79,7 @@
 }
 
 func tooLongError(name string) place.Error {
-	return place.Error{File: name, Mend: fmt.Sprintf("write at most %d bytes", MaxText)}
+	return place.Error{File: name, Mend: fmt.Sprintf("write at most %d bytes", MaxTextBytes)}
 }
 
 func lineOf(text []byte, err error) int {
--- a/pkg/template/parse_test.go
+++ b/pkg/template/parse_test.go
@@ -114,7 +114,7 @@
 		assert.Assert(t, strings.HasPrefix(lines[pe.Line-1], name), "line %d: %q", pe.Line, lines[pe.Line-1])
 	}
 
-	_, err = template.Parse("big.toml", make([]byte, template.MaxText+1))
+	_, err = template.Parse("big.toml", make([]byte, template.MaxTextBytes+1))
 	assert.ErrorContains(t, err, "at most")
 }
 
@@ -169,7 +169,7 @@
 		"cut":         string(text[:len(text)-1]),
 		"invalid":     strings.Replace(string(text), `"kedelsyn"`, `""`, 1),
 		"empty":       "",
-		"too long":    strings.Repeat(" ", template.MaxText+1),
+		"too long":    strings.Repeat(" ", template.MaxTextBytes+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := template.DecodeJSON("t", []byte(bad))
