--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -85,8 +85,9 @@
 	return out, err
 }
 
-// Order orders a model engine to load something. After InDoubt the order may be
-// sent again.
+// Order sends an order to load a model, an adapter or a version to a model
+// engine. After InDoubt the order may be sent again, because orders are
+// idempotent.
 func (cl Client) Order(ctx context.Context, od Order) (OrderReply, error) {
 	body, err := json.Marshal(od)
 	if err != nil {
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -215,7 +215,8 @@
 	writeReply(ctx, iris.StatusOK, ExplainReply{Customer: customer, Key: key, Lines: lines})
 }
 
-// order orders a model engine to load something.
+// order reads an order to load a model, an adapter or a version, and has the VM
+// send it to the model engine.
 func (srv *Server) order(ctx iris.Context) {
 	limit, cancel := context.WithTimeout(ctx.Request().Context(), orderTimeout.Std())
 	defer cancel()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -6,7 +6,7 @@
 //	GET  /templates/{customer}                           one template in force
 //	GET  /status                                         state of this VM and its view of the fleet
 //	GET  /explain/{customer}/{key}                       history of a request
-//	POST /orders                                         order a model engine to load something
+//	POST /orders                                         order a model engine to load a model, an adapter or a version
 //	POST /drain                                          begin a planned stop
 //	GET  /metrics                                        counters, in the Prometheus text format
 //
@@ -51,7 +51,7 @@
 	UnknownServer   Reason = "UnknownServer"
 	Elsewhere       Reason = "Elsewhere"   // another VM gives orders to the engine; send the order to that one
 	NotOrdered      Reason = "NotOrdered"  // the engine did not execute the order
-	InDoubt         Reason = "InDoubt"     // the publication may take effect; repeat it with the same ID
+	InDoubt         Reason = "InDoubt"     // the publication or order may take effect; repeat it, a publication with the same ID
 	Unreachable     Reason = "Unreachable" // set by the client: no request was sent
 	BadReply        Reason = "BadReply"    // set by the client: the reply can't be read
 )
@@ -91,8 +91,9 @@
 		// Explain collects the history of a request from all VMs. An empty
 		// list means that none of them has a record of it.
 		Explain(ctx context.Context, customer, key string) ([]ExplainLine, error)
-		// Order orders a model engine to load something and waits for the
-		// outcome. The error is a Fault.
+		// Order orders a model engine to load a model, an adapter or a version
+		// and waits for the outcome. The error should be a Fault; any other
+		// error is reported to the operator as InDoubt.
 		Order(ctx context.Context, od Order) (OrderReply, error)
 		// Drain begins the planned stop and does not wait for its end. A
 		// second call has no effect.
@@ -143,12 +144,12 @@
 		Template template.Template
 	}
 
-	// Order is an operator's order to a model engine to load something. Orders
-	// are idempotent.
+	// Order is an operator's order to a model engine to load a model, an adapter
+	// or a version. Orders are idempotent.
 	Order struct {
 		Server string
 		Kind   engine.OrderKind // LoadModel, LoadAdapter or LoadVersion
-		Name   string
+		Name   string           // of the model, adapter or version
 	}
 
 	// OrderReply reports that an order was executed.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -293,7 +293,7 @@
 	_, err = cl.Publish(t.Context(), operator.Publication{ID: "one", Customer: "kedelsyn", Template: tpl})
 	assert.Equal(t, reasonOf(err), operator.InDoubt, "%v", err)
 
-	// No connection at all.
+	// The listener is closed, so the connection is refused.
 	assert.NilError(t, ln.Close())
 	_, err = cl.Publish(t.Context(), operator.Publication{ID: "one", Customer: "kedelsyn", Template: tpl})
 	assert.Equal(t, reasonOf(err), operator.Unreachable, "%v", err)
