--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -29,7 +29,7 @@
 	ExitFailed  = 1 // failure; a retry may help
 	ExitUsage   = 2 // invalid command line
 	ExitRefused = 3 // settings, a template or a publication was not accepted
-	ExitInDoubt = 4 // a publication may have taken effect; repeat it with the same ID
+	ExitInDoubt = 4 // a publication or an order may have taken effect; repeat it, a publication with the same ID
 )
 
 // Environment variables.
@@ -45,7 +45,9 @@
 	// exported fields before Main.
 	Program struct {
 		Run func(ctx context.Context, set settings.Settings) error // runs an entry VM until the context ends
-		// Demo runs the demonstration; with a directory, only its stand-ins.
+		// Demo runs the demonstration. With a directory it runs only the stand-ins
+		// of the platform and the backend servers, and writes settings for VMs
+		// there.
 		Demo    func(ctx context.Context, dir string, out io.Writer) error
 		Version string
 		Getenv  func(key string) string // nil: os.Getenv
--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -91,7 +91,7 @@
 }
 
 // findConflicts reports the customer and the API keys that a template shares with
-// earlier templates and must not share.
+// earlier templates: each customer has one template, and each API key one customer.
 func findConflicts(file string, tpl template.Template, byCustomer, byHash map[string]string) place.Errors {
 	var found place.Errors
 	if other, taken := byCustomer[tpl.Customer]; taken {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err // already names the file
 	}
-	again := cm.id != "" // the ID flag is given only to repeat a publication in doubt
+	again := cm.id != "" // --id is given only to repeat a publication that is in doubt
 	if !again {
 		cm.id = uuid.NewString()
 	}
@@ -244,7 +244,7 @@
 	if err != nil {
 		return fmt.Errorf("order %s: %w", cm.order.Server, err)
 	}
-	fmt.Fprintf(st.out, "carried out: %s %s at %s, ordered by VM %s\n", rep.Kind, rep.Name, rep.Server, rep.VM)
+	fmt.Fprintf(st.out, "executed: %s %s at %s, sent by VM %s\n", rep.Kind, rep.Name, rep.Server, rep.VM)
 	return nil
 }
 
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -95,13 +95,13 @@
 	{name: "check", help: "Check a settings file and any number of templates, without starting anything.", positional: []string{"SETTINGS", "[TEMPLATE...]"}, variadic: true},
 	{name: "publish", help: "Publish a customer's template.", positional: []string{"TEMPLATE"}, flags: publishFlags},
 	{name: "templates", help: "List the templates in force, or print one of them as TOML.", positional: []string{"[CUSTOMER]"}, flags: readFlags},
-	{name: "status", help: "Show how a VM is and what it sees.", flags: readFlags},
-	{name: "explain", help: "Tell what became of a request, from any VM.", positional: []string{"CUSTOMER", "KEY"}, flags: readFlags},
-	{name: "trace", help: "Tell what became of a request from log files of VMs, without asking any.", positional: []string{"REQUEST", "FILE"}, variadic: true},
-	{name: "losses", help: "Count from log files of VMs what became of the generations: in time, late and why, refused, lost; and when.", positional: []string{"FILE"}, variadic: true},
-	{name: "order", help: "Have a model engine load something: load-model, load-adapter or load-version, and its name. Ask the VM that accounts for the engine; any other one names it.", positional: []string{"SERVER", "KIND"}, variadic: true, flags: clientFlags},
-	{name: "drain", help: "Begin a planned stop of a VM; no request in progress is cut off.", flags: clientFlags},
-	{name: "demo", help: "Run three entry VMs, stand-ins for all they speak to, and some callers, in this process. With DIR: run only the stand-ins, and write there the settings for three VMs to be run by hand.", positional: []string{"[DIR]"}},
+	{name: "status", help: "Show the state of a VM and its view of the fleet.", flags: readFlags},
+	{name: "explain", help: "Show the history of a request; any VM can collect it.", positional: []string{"CUSTOMER", "KEY"}, flags: readFlags},
+	{name: "trace", help: "Show the history and the outcome of a request from log files of VMs, without a running VM.", positional: []string{"REQUEST", "FILE"}, variadic: true},
+	{name: "losses", help: "Count the outcomes of the generations from log files of VMs: in time, late and why, refused, lost; and when.", positional: []string{"FILE"}, variadic: true},
+	{name: "order", help: "Order a model engine to load a model, an adapter or a version: load-model, load-adapter or load-version, and its name. Send the order to the VM that schedules the engine; any other VM replies with the name of that one.", positional: []string{"SERVER", "KIND"}, variadic: true, flags: clientFlags},
+	{name: "drain", help: "Begin a planned stop of a VM; no request in progress is interrupted.", flags: clientFlags},
+	{name: "demo", help: "Run three entry VMs, stand-ins of the platform and the backend servers, and some callers, in this process. With DIR: run only the stand-ins, and write the settings for three VMs to DIR, to be started by hand.", positional: []string{"[DIR]"}},
 }
 
 func clientFlags(sc *flaggy.Subcommand, op *options) {
@@ -117,7 +117,7 @@
 func publishFlags(sc *flaggy.Subcommand, op *options) {
 	clientFlags(sc, op)
 	sc.UInt64(&op.base, "b", "base", "Revision that the template was revised from; 0 for a new customer.")
-	sc.String(&op.id, "i", "id", "ID of the publication, to repeat one that is in doubt; made up if not given.")
+	sc.String(&op.id, "i", "id", "ID of the publication, to repeat one that is in doubt; generated if not given.")
 }
 
 // parse parses a command line.
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -61,7 +61,7 @@
 	fmt.Fprintf(out, "Quorate\t%t\n", rep.Quorate)
 	fmt.Fprintf(out, "VMs that keep request keys\t%d\n", rep.Seats)
 	fmt.Fprintf(out, "Requests in progress\t%d\n", rep.InProgress)
-	fmt.Fprintf(out, "Cancels not confirmed\t%d\n", rep.Unconfirmed)
+	fmt.Fprintf(out, "Cancellations not confirmed\t%d\n", rep.Unconfirmed)
 	fmt.Fprintf(out, "Answers kept\t%d\n", rep.Kept)
 	fmt.Fprintf(out, "Log\toffset %d, ready %t, reachable %t, read %v ago\n", rep.Log.Position, rep.Log.Ready, rep.Log.Reachable, rep.Log.ReadAge)
 
@@ -69,7 +69,7 @@
 	for _, vm := range rep.Fleet {
 		fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%t\t%t\n", vm.ID, vm.Incarnation, vm.FailureDomain, vm.Caller, vm.Health, vm.Leaving, vm.Listed)
 	}
-	fmt.Fprintf(out, "\nCELL ACCOUNTED FOR\tWAITING\tGRANTED\n")
+	fmt.Fprintf(out, "\nSCHEDULED CELL\tWAITING\tGRANTED\n")
 	for _, ce := range rep.Cells {
 		fmt.Fprintf(out, "%s\t%d\t%d\n", ce.Name, ce.Waiting, ce.Granted)
 	}
@@ -86,7 +86,7 @@
 
 func showExplain(out io.Writer, rep operator.ExplainReply) error {
 	if len(rep.Lines) == 0 {
-		fmt.Fprintf(out, "No VM that could be asked knows request %q of customer %s.\n", rep.Key, rep.Customer)
+		fmt.Fprintf(out, "No reachable VM has a record of request %q of customer %s.\n", rep.Key, rep.Customer)
 		return nil
 	}
 	names := map[int]string{}
