--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// readSecrets reads the secrets that are stored in files.
+// readSecrets reads the secrets that are stored in files. A secret that is also set by
+// its key is a problem.
 func (set *Settings) readSecrets(dir string, read fileReader) place.Errors {
 	var es place.Errors
 	for _, src := range set.secretSources() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,7 +96,7 @@
 		TokenFile string
 	}
 
-	// Limits bound the load that one VM accepts.
+	// Limits bounds the load that one VM accepts.
 	Limits struct {
 		MaxBody         Bytes        // of one request; 4MiB by default
 		MaxHeader       Bytes        // of one request's headers; 16KiB by default
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -93,7 +93,7 @@
 		"host name of seed":   {`"10.1.2.1:7946"`, `"vm-2:7946"`, []string{"Peer.Seeds[1]"}},
 		"no port":             {`"10.1.9.2:8700"`, `"10.1.9.2"`, []string{"VMList.Address"}},
 		"unreachable seed":    {`"10.1.2.1:7946"`, `"0.0.0.0:7946"`, []string{"Peer.Seeds[1]"}},
-		"listen everywhere":   {`"10.1.1.1:8080"`, `"0.0.0.0:8080"`, []string{"Caller.Advertise"}},
+		"listen on all IPs":   {`"10.1.1.1:8080"`, `"0.0.0.0:8080"`, []string{"Caller.Advertise"}},
 		"same port twice":     {`"10.1.1.1:9090"`, `"10.1.1.1:8080"`, []string{"Operator.Listen"}},
 		"no name":             {`ID = "aarhus-a-1"`, "", []string{"ID"}},
 		"bad name":            {`Region = "dk-jylland"`, `Region = "DK Jylland"`, []string{"Region"}},
@@ -185,7 +185,8 @@
 	})
 }
 
-// Port 0, with which the system chooses the port, is valid for listening, as in tests.
+// Port 0, with which the operating system chooses the port, is valid for listening, as
+// in tests.
 func TestValidateAllowsPortZero(t *testing.T) {
 	set := Default()
 	set.ID, set.FailureDomain, set.Region = "vm-1", "fd-1", "r-1"
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -9,6 +9,7 @@
 	"alderdyke/pkg/place"
 )
 
+// namePattern is the form of IDs, failure domains, regions and streams.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // Validate checks the settings. The error is nil or a [place.Errors] with all
@@ -113,7 +114,8 @@
 	}
 }
 
-// checkAdvertised accepts port 0 if the port is chosen when listening.
+// checkAdvertised checks the address that others connect to. Port 0 is valid if the
+// address is the one listened on, because its port is then chosen when listening.
 func checkAdvertised(es *place.Errors, table string, listen, advertise netip.AddrPort) {
 	if !listen.IsValid() || (advertise == listen && listen.Port() == 0 && !listen.Addr().IsUnspecified()) {
 		return
