--- a/pkg/template/parse.go
+++ b/pkg/template/parse.go
@@ -82,6 +82,7 @@
 	return place.Error{File: name, Mend: fmt.Sprintf("write at most %d bytes", MaxTextBytes)}
 }
 
+// lineOf returns the line of a JSON error, or 0 if the error has no position.
 func lineOf(text []byte, err error) int {
 	var se *json.SyntaxError
 	var te *json.UnmarshalTypeError
--- a/pkg/template/parse_test.go
+++ b/pkg/template/parse_test.go
@@ -53,9 +53,9 @@
 		change func(tp *template.Template, findings, records *template.Class)
 		want   []string
 	}{
-		"sound":            {func(*template.Template, *template.Class, *template.Class) {}, nil},
+		"valid":            {func(*template.Template, *template.Class, *template.Class) {}, nil},
 		"no customer":      {func(tp *template.Template, _, _ *template.Class) { tp.Customer = "" }, []string{"Customer"}},
-		"customer's form":  {func(tp *template.Template, _, _ *template.Class) { tp.Customer = "a/b" }, []string{"Customer"}},
+		"invalid customer": {func(tp *template.Template, _, _ *template.Class) { tp.Customer = "a/b" }, []string{"Customer"}},
 		"no key hash":      {func(tp *template.Template, _, _ *template.Class) { tp.KeyHashes = nil }, []string{"KeyHashes"}},
 		"bad hash":         {func(tp *template.Template, _, _ *template.Class) { tp.KeyHashes[0] = "sk-secret" }, []string{"KeyHashes[0]"}},
 		"upper-case hash":  {func(tp *template.Template, _, _ *template.Class) { tp.KeyHashes[0] = strings.Repeat("AB", 32) }, []string{"KeyHashes[0]"}},
@@ -76,7 +76,7 @@
 		"wait negative":    {func(_ *template.Template, fi, _ *template.Class) { fi.StreamWait = -1 }, []string{"Classes[0].StreamWait"}},
 		"no tokens":        {func(_ *template.Template, fi, _ *template.Class) { fi.MaxTokens = 0 }, []string{"Classes[0].MaxTokens"}},
 		"tokens of plain":  {func(_ *template.Template, _, re *template.Class) { re.MaxTokens, re.TPOT = 5, 5 }, []string{"Classes[1].TPOT", "Classes[1].MaxTokens"}},
-		"path's form":      {func(_ *template.Template, _, re *template.Class) { re.Paths[0] = "/a/../b" }, []string{"Classes[1].Paths[0]"}},
+		"invalid path":     {func(_ *template.Template, _, re *template.Class) { re.Paths[0] = "/a/../b" }, []string{"Classes[1].Paths[0]"}},
 		"path twice":       {func(_ *template.Template, _, re *template.Class) { re.Paths = []string{"/a", "/a"} }, []string{"Classes[1].Paths[1]"}},
 		"model and plain":  {func(_ *template.Template, _, re *template.Class) { re.Service, re.Share = "rapportmodel", 0.3 }, []string{"Classes[1].Paths"}},
 		"shares above 1": {func(tp *template.Template, fi, _ *template.Class) {
@@ -166,7 +166,7 @@
 		"trailing":    string(text) + "{}",
 		"span":        strings.Replace(string(text), `"20s"`, `"20"`, 1),
 		"type":        strings.Replace(string(text), `"kedelsyn"`, `5`, 1),
-		"cut":         string(text[:len(text)-1]),
+		"truncated":   string(text[:len(text)-1]),
 		"invalid":     strings.Replace(string(text), `"kedelsyn"`, `""`, 1),
 		"empty":       "",
 		"too long":    strings.Repeat(" ", template.MaxTextBytes+1),
--- a/pkg/template/validate.go
+++ b/pkg/template/validate.go
@@ -22,6 +22,7 @@
 	// shareTolerance allows for rounding errors in shares that should add up to 1.
 	shareTolerance = 1e-9
 
+	// nameMend is the suggested fix of an invalid name.
 	nameMend = "write 1 to 63 lower-case letters, digits, dots, dashes or underscores, with a letter or digit first"
 )
 
@@ -31,7 +32,7 @@
 	pathPattern = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,254}$`)
 )
 
-// serviceUsage accumulates the classes of one service.
+// serviceUsage accumulates the classes of one service, to find conflicts among them.
 type serviceUsage struct {
 	share float64
 	plain bool           // the first class of the service has paths
@@ -72,7 +73,8 @@
 	return es
 }
 
-// checkKeyHashes never reports a value: it may be the API key itself, not its hash.
+// checkKeyHashes checks the hashes of API keys. A reported problem never contains the
+// value, because it may be the API key itself instead of its hash.
 func (tp Template) checkKeyHashes(es *place.Errors) {
 	if len(tp.KeyHashes) == 0 || len(tp.KeyHashes) > MaxKeyHashes {
 		es.Add("KeyHashes", fmt.Sprintf("%d hashes", len(tp.KeyHashes)),
@@ -151,7 +153,8 @@
 	}
 }
 
-// add adds a class to the usage of its service.
+// add adds a class to the usage of its service. It reports a mix of classes with and
+// without paths, a path that two classes have, and shares that add up to more than 1.
 func (us *serviceUsage) add(at string, ix int, cl Class, es *place.Errors) {
 	if us.plain != (len(cl.Paths) > 0) {
 		es.Add(at+"Paths", "", fmt.Sprintf("give all classes of service %s paths, or none", quoteName(cl.Service)))
@@ -170,6 +173,7 @@
 	}
 }
 
+// checkPositive rejects spans that are not positive or exceed MaxSpan.
 func checkPositive(key string, span clock.Millis, es *place.Errors) {
 	if span <= 0 || span > MaxSpan {
 		es.Add(key, span.String(), fmt.Sprintf("write a span above zero and up to %v, such as 400ms", MaxSpan))
