--- a/pkg/client/addresses.go
+++ b/pkg/client/addresses.go
@@ -26,12 +26,13 @@
 	addressBook struct {
 		mu    sync.Mutex
 		addrs []string
-		until clock.Millis
+		until clock.Millis // when addrs expire
 	}
 
+	// addressesBody is the response of a VM with the addresses to use.
 	addressesBody struct {
-		Addresses []struct{ Address string }
-		KeepFor   clock.Millis
+		Addresses []struct{ Address string } // "IP:port", best first
+		KeepFor   clock.Millis               // how long the addresses may be cached
 	}
 )
 
@@ -105,6 +106,7 @@
 	return body, nil
 }
 
+// best returns the first address, if the addresses have not expired.
 func (bk *addressBook) best(now clock.Millis) (string, bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
--- a/pkg/client/chat.go
+++ b/pkg/client/chat.go
@@ -57,6 +57,7 @@
 		Key          string
 	}
 
+	// chatCall is a call of a model service.
 	chatCall struct {
 		cs     *callState
 		req    ChatRequest
@@ -73,6 +74,7 @@
 		data string
 	}
 
+	// chatChunk is the data of one event of an answer.
 	chatChunk struct {
 		Choices []struct {
 			Delta        struct{ Content string } `json:"delta"`
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -78,8 +78,8 @@
 		key            string
 		callerKey      bool // the application set the key
 		inDoubt        bool // a broken attempt may have reached a VM
-		failedAttempts int  // consecutive attempts without progress
-		failedRounds   int  // times that all addresses had failed
+		failedAttempts int  // failed attempts since the last delay
+		failedRounds   int  // delays after all known addresses had failed
 	}
 )
 
@@ -212,6 +212,8 @@
 	return fmt.Errorf("%w: %w", cs.adjustRefusal(rf), err)
 }
 
+// delayAfterRefusal waits for the refusal's RetryAfter. It does not wait if the refusal
+// concerns only this VM and another address has not been tried since the last delay.
 func (cl *Client) delayAfterRefusal(ctx context.Context, cs *callState, addr string, rf refusal.Refusal) error {
 	if isVMLocal(rf.Reason) && cl.addresses.demote(addr) > cs.failedAttempts+1 {
 		cs.failedAttempts++
@@ -221,6 +223,9 @@
 	return cl.wait(ctx, rf.RetryAfter)
 }
 
+// delayAfterBreak waits for a backoff once all known addresses have failed, and makes
+// the next attempt fetch addresses again. Before that it does not wait, because another
+// address can be tried immediately.
 func (cl *Client) delayAfterBreak(ctx context.Context, cs *callState, addr string) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// refuse responds with a refusal.
 func refuse(ran refusal.Ran, reason refusal.Reason, after clock.Millis) step {
 	return func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set(headerRefusal, string(reason))
@@ -286,6 +287,8 @@
 	}
 }
 
+// For any text, the parsed addresses, and the outcome of reading it as a stream, are
+// well-formed.
 func FuzzStream(f *testing.F) {
 	f.Add("id: 0\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"},\"finish_reason\":\"stop\"}]}\n\n")
 	f.Add("event: refusal\ndata: {\"Ran\":\"NotRun\",\"Reason\":\"QueueFull\",\"RetryAfter\":\"1s\"}\n\n")
--- a/pkg/client/plain.go
+++ b/pkg/client/plain.go
@@ -35,6 +35,7 @@
 		Key    string
 	}
 
+	// plainCall is a call of a plain service.
 	plainCall struct {
 		cs  *callState
 		req PlainRequest
@@ -46,6 +47,7 @@
 // error that wraps a refusal.Refusal.
 func (cl *Client) Call(ctx context.Context, req PlainRequest) (PlainAnswer, error) {
 	pc := &plainCall{cs: &callState{key: req.Key}, req: req}
+	// Only checks that the request can be created; the address is not contacted.
 	if _, err := pc.request(ctx, "192.0.2.1:1"); err != nil {
 		return PlainAnswer{}, fmt.Errorf("%w: %w", errNotRun("the request can't be made"), err)
 	}
--- a/pkg/client/try.go
+++ b/pkg/client/try.go
@@ -43,7 +43,9 @@
 	return got, err
 }
 
-// attempt sends the request once and reads the response.
+// attempt sends the request once and reads the response. The idle timeout starts when
+// the request has been written. A request counts as sent once it has a connection,
+// because from then on it may reach the VM.
 func (cl *Client) attempt(ctx context.Context, addr string, cc call) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -81,6 +83,7 @@
 	return oc
 }
 
+// withCause adds the cause of the context's end, such as errIdleTimeout, to the error.
 func withCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", context.Cause(ctx), err)
