--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -29,6 +29,7 @@
 	Hour          = 60 * Minute
 )
 
+// processStart is the zero point of Monotonic.
 var processStart = time.Now()
 
 type (
--- a/pkg/clock/deadline_test.go
+++ b/pkg/clock/deadline_test.go
@@ -28,7 +28,7 @@
 	for _, tc := range []struct {
 		name  string
 		at    clock.Millis
-		ahead clock.Millis // the jump, after 500 ms
+		ahead clock.Millis // how far the clock is ahead of the timers after 500 ms
 		want  time.Duration
 	}{
 		{"in time", 4 * clock.Second, 0, 4 * time.Second},
--- a/pkg/refusal/refusal.go
+++ b/pkg/refusal/refusal.go
@@ -72,7 +72,7 @@
 	}
 )
 
-// Error makes a Refusal usable as an error.
+// Error returns the outcome, the reason and the detail.
 func (rf Refusal) Error() string {
 	return fmt.Sprintf("refused (%s): %s: %s", rf.Ran, rf.Reason, rf.Detail)
 }
