--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -90,6 +90,7 @@
 	return all
 }
 
+// register adds an event to the catalogue.
 func register(number int, name string, lv Level, meaning, action string) Event {
 	ev := Event{Number: number, Name: name, Level: lv, Meaning: meaning, Action: action}
 	catalogue = append(catalogue, ev)
--- a/internal/event/relay.go
+++ b/internal/event/relay.go
@@ -40,7 +40,7 @@
 	RelayServerReborn = register(2218, "RelayServerReborn", Warn,
 		"a backend server restarted; its earlier calls are lost", "check the backend server if it recurs")
 	SchedulerSilent = register(2219, "SchedulerSilent", Warn,
-		"a VM that chooses engines for all VMs did not respond, or does not receive the others' usage; the next one is asked",
+		"a VM that chooses engines for all VMs did not respond, or does not receive the others' usage; the next such VM is used",
 		"none if it is dead or starting; otherwise check UDP between the VMs")
 	RelaySuspect = register(2220, "RelaySuspect", Info,
 		"a backend server crashed while it had the request with this mark", "none; if one mark appears with many servers, examine its requests")
@@ -81,15 +81,15 @@
 	ServerAsksForRest = register(2322, "ServerAsksForRest", Info,
 		"a backend server declined a call and requested a backoff; it gets no calls for that time", "none; if it is often the same server, check it")
 	StoreReturned = register(2323, "StoreReturned", Warn,
-		"the store was restored from an older copy; this VM reads the topic again, and the fleet writes again what it had written", "none")
+		"the store was restored from an older copy; this VM rereads the topic, and the fleet rewrites the entries that are missing from it", "none")
 	WrittenAgain = register(2324, "WrittenAgain", Info,
-		"this VM wrote again what the store had lost of the fleet's entries, or others had removed: the secret, or its own entry", "none")
+		"this VM rewrote an entry that the store had lost or others had removed: the secret of the fleet, or its own entry", "none")
 	ServerGone = register(2303, "ServerGone", Info,
 		"a backend server's entry was removed", "none")
 	ServerKept = register(2325, "ServerKept", Info,
 		"a backend server's entry was removed, and the server stays listed because the store was unavailable to all VMs; the outage lasted from Began to Outage milliseconds ago, and Teller is the VM that reported it, empty for this VM's own calls", "none")
 	ServerTakesBack = register(2326, "ServerTakesBack", Warn,
-		"the entry of a backend server no longer says that it is leaving, although the server did not restart; this is ignored", "none if the store applies writes late; otherwise check the backend server")
+		"the entry of a backend server no longer marks it as leaving, although the server did not restart; the change is ignored", "none if the store applies writes late; otherwise check the backend server")
 	StoreLost = register(2304, "StoreLost", Warn,
 		"the platform's store does not respond; the last known state stays in use", "check the platform")
 	StoreBack = register(2305, "StoreBack", Info,
