--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -101,7 +101,8 @@
 	return code
 }
 
-// settingsFile writes the example settings, after a change, and their secrets.
+// settingsFile writes the example settings, modified by change, and the files of their
+// secrets. It returns the path of the settings.
 func settingsFile(t *testing.T, change func(text string) string) string {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../examples/entry.toml")
--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -156,6 +156,7 @@
 	return nil
 }
 
+// templates prints one customer's template, or lists the revisions in force.
 func templates(ctx context.Context, cm templatesCommand, st streams) error {
 	if cm.customer != "" {
 		rep, err := cm.client.Template(ctx, cm.customer)
@@ -216,6 +217,7 @@
 	}
 }
 
+// readLogs passes the content of log files to a reader of their lines.
 func readLogs(to interface{ Read(rd io.Reader) error }, names []string) error {
 	for _, name := range names {
 		file, err := os.Open(name)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -32,7 +32,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 type (
-	// fakeVM decides publications like a log with a single reader.
+	// fakeVM decides publications like a VM that applies the log in order: a
+	// publication is accepted only if its base is the revision in force.
 	fakeVM struct {
 		mu        sync.Mutex
 		inForce   board.Templates
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -34,6 +34,7 @@
 // [place.Errors] with all problems.
 func Load(path string) (Settings, error) { return load(path, readFile) }
 
+// load is [Load] with the given way to read files.
 func load(path string, read fileReader) (Settings, error) {
 	text, err := read(path, maxFileBytes)
 	if err != nil {
--- a/pkg/client/chat.go
+++ b/pkg/client/chat.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// handleEvent handles one event. The outcome is nil while the answer continues.
+// handleEvent handles one event. The outcome is nil while the answer continues. The text
+// of an event that was received before is skipped.
 func (cc *chatCall) handleEvent(ev sseEvent) (outcome, error) {
 	switch {
 	case ev.name == "refusal":
