--- a/internal/cli/do.go
+++ b/internal/cli/do.go
@@ -91,7 +91,7 @@
 }
 
 // findConflicts reports the customer and the API keys that a template shares with
-// earlier templates and must not share.
+// earlier templates: each customer has one template, and each API key one customer.
 func findConflicts(file string, tpl template.Template, byCustomer, byHash map[string]string) place.Errors {
 	var found place.Errors
 	if other, taken := byCustomer[tpl.Customer]; taken {
@@ -123,7 +123,7 @@
 		return template.Template{}, place.Errors{{File: file, Mend: "give a file that can be read: " + err.Error()}}
 	}
 	defer fl.Close()
-	text, err := io.ReadAll(io.LimitReader(fl, template.MaxText+1))
+	text, err := io.ReadAll(io.LimitReader(fl, template.MaxTextBytes+1))
 	if err != nil {
 		return template.Template{}, place.Errors{{File: file, Mend: "give a file that can be read: " + err.Error()}}
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err // already names the file
 	}
-	again := cm.id != "" // the ID flag is given only to repeat a publication in doubt
+	again := cm.id != "" // --id is given only to repeat a publication that is in doubt
 	if !again {
 		cm.id = uuid.NewString()
 	}
@@ -156,6 +156,7 @@
 	return nil
 }
 
+// templates prints one customer's template, or lists the revisions in force.
 func templates(ctx context.Context, cm templatesCommand, st streams) error {
 	if cm.customer != "" {
 		rep, err := cm.client.Template(ctx, cm.customer)
@@ -216,6 +217,7 @@
 	}
 }
 
+// readLogs passes the content of log files to a reader of their lines.
 func readLogs(to interface{ Read(rd io.Reader) error }, names []string) error {
 	for _, name := range names {
 		file, err := os.Open(name)
@@ -244,7 +246,7 @@
 	if err != nil {
 		return fmt.Errorf("order %s: %w", cm.order.Server, err)
 	}
-	fmt.Fprintf(st.out, "carried out: %s %s at %s, ordered by VM %s\n", rep.Kind, rep.Name, rep.Server, rep.VM)
+	fmt.Fprintf(st.out, "executed: %s %s at %s, sent by VM %s\n", rep.Kind, rep.Name, rep.Server, rep.VM)
 	return nil
 }
 
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -97,7 +97,7 @@
 			return Publication{}, err
 		}
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(wr, req.Body, template.MaxText))
+	text, err := io.ReadAll(http.MaxBytesReader(wr, req.Body, template.MaxTextBytes))
 	if err != nil {
 		return Publication{}, bodyFault(err)
 	}
@@ -215,7 +215,8 @@
 	writeReply(ctx, iris.StatusOK, ExplainReply{Customer: customer, Key: key, Lines: lines})
 }
 
-// order orders a model engine to load something.
+// order reads an order to load a model, an adapter or a version, and has the VM
+// send it to the model engine.
 func (srv *Server) order(ctx iris.Context) {
 	limit, cancel := context.WithTimeout(ctx.Request().Context(), orderTimeout.Std())
 	defer cancel()
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -32,7 +32,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 type (
-	// fakeVM decides publications like a log with a single reader.
+	// fakeVM decides publications like a VM that applies the log in order: a
+	// publication is accepted only if its base is the revision in force.
 	fakeVM struct {
 		mu        sync.Mutex
 		inForce   board.Templates
@@ -235,7 +236,7 @@
 		"unknown media":      {"POST", "/templates/kedelsyn", bearer, "image/png", text, 415, operator.UnknownMedia},
 		"broken media":       {"POST", "/templates/kedelsyn", bearer, "application/", text, 415, operator.UnknownMedia},
 		"broken JSON":        {"POST", "/templates/kedelsyn", bearer, "application/json", `{"Customer":`, 422, operator.InvalidTemplate},
-		"too large":          {"POST", "/templates/kedelsyn", bearer, "", strings.Repeat("#", template.MaxText+1), 413, operator.TooLarge},
+		"too large":          {"POST", "/templates/kedelsyn", bearer, "", strings.Repeat("#", template.MaxTextBytes+1), 413, operator.TooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req, err := http.NewRequestWithContext(t.Context(), tc.method, "http://"+cl.Address+tc.path, strings.NewReader(tc.body))
@@ -293,7 +294,7 @@
 	_, err = cl.Publish(t.Context(), operator.Publication{ID: "one", Customer: "kedelsyn", Template: tpl})
 	assert.Equal(t, reasonOf(err), operator.InDoubt, "%v", err)
 
-	// No connection at all.
+	// The listener is closed, so the connection is refused.
 	assert.NilError(t, ln.Close())
 	_, err = cl.Publish(t.Context(), operator.Publication{ID: "one", Customer: "kedelsyn", Template: tpl})
 	assert.Equal(t, reasonOf(err), operator.Unreachable, "%v", err)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,8 +12,8 @@
 
 // Size limits of files, in bytes.
 const (
-	maxFile       = 256 << 10
-	maxSecretFile = 4 << 10
+	maxFileBytes       = 256 << 10
+	maxSecretFileBytes = 4 << 10
 )
 
 type (
@@ -34,8 +34,9 @@
 // [place.Errors] with all problems.
 func Load(path string) (Settings, error) { return load(path, readFile) }
 
+// load is [Load] with the given way to read files.
 func load(path string, read fileReader) (Settings, error) {
-	text, err := read(path, maxFile)
+	text, err := read(path, maxFileBytes)
 	if err != nil {
 		return Settings{}, place.Errors{{File: path, Mend: "give a file that can be read: " + err.Error()}}
 	}
@@ -61,7 +62,8 @@
 	}
 }
 
-// readSecrets reads the secrets that are stored in files.
+// readSecrets reads the secrets that are stored in files. A secret that is also set by
+// its key is a problem.
 func (set *Settings) readSecrets(dir string, read fileReader) place.Errors {
 	var es place.Errors
 	for _, src := range set.secretSources() {
@@ -84,7 +86,7 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
 	}
-	text, err := read(path, maxSecretFile)
+	text, err := read(path, maxSecretFileBytes)
 	if err != nil {
 		return fmt.Errorf("name a file that can be read: %w", err)
 	}
--- a/pkg/client/chat.go
+++ b/pkg/client/chat.go
@@ -57,6 +57,7 @@
 		Key          string
 	}
 
+	// chatCall is a call of a model service.
 	chatCall struct {
 		cs     *callState
 		req    ChatRequest
@@ -73,6 +74,7 @@
 		data string
 	}
 
+	// chatChunk is the data of one event of an answer.
 	chatChunk struct {
 		Choices []struct {
 			Delta        struct{ Content string } `json:"delta"`
@@ -149,7 +151,8 @@
 	}
 }
 
-// handleEvent handles one event. The outcome is nil while the answer continues.
+// handleEvent handles one event. The outcome is nil while the answer continues. The text
+// of an event that was received before is skipped.
 func (cc *chatCall) handleEvent(ev sseEvent) (outcome, error) {
 	switch {
 	case ev.name == "refusal":
