--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestNamed(t *testing.T) {
+func TestStudiesNamed(t *testing.T) {
 	all, err := StudiesNamed(nil)
 	assert.NilError(t, err)
 	assert.Equal(t, len(all), len(Studies()))
