--- a/internal/slope/claims.go
+++ b/internal/slope/claims.go
@@ -221,7 +221,8 @@
 	return float64((ended - began).Microseconds()) / claimSpan, nil
 }
 
-// measureSeats measures the same load in fleets of several sizes.
+// measureSeats measures the cost of request keys without duplicates in fleets of several
+// sizes.
 func measureSeats(rp *Report) error {
 	along := func(name, unit string, kind Kind, shape Shape) *Series {
 		return rp.addSeries(Series{Name: name, Along: "VMs with seats", Unit: unit, Kind: kind, Shape: shape, Target: fleetTarget})
--- a/internal/slope/cost.go
+++ b/internal/slope/cost.go
@@ -102,7 +102,7 @@
 func serve(handler http.Handler) (*localServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen on loopback: %w", err)
 	}
 	st := &localServer{hs: &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}, addr: ln.Addr().String()}
 	go st.hs.Serve(ln)
--- a/internal/slope/platform.go
+++ b/internal/slope/platform.go
@@ -25,7 +25,7 @@
 	return measureLog(ctx, rp)
 }
 
-// listOf returns a list in which two of five entries are entry VMs.
+// listOf returns a list in which about two of five entries are entry VMs.
 func listOf(entries int) vmlist.Document {
 	var doc vmlist.Document
 	vms := entries * fleetTarget / listTarget
--- a/internal/slope/streams.go
+++ b/internal/slope/streams.go
@@ -99,10 +99,10 @@
 func (cs *callerServer) sendRequest(request string) (net.Conn, *bufio.Reader, error) {
 	cn, err := net.Dial("tcp", cs.srv.Addr().String())
 	if err != nil {
-		return nil, nil, fmt.Errorf("dial: %w", err)
+		return nil, nil, fmt.Errorf("dial the caller server: %w", err)
 	}
 	if _, err := io.WriteString(cn, request); err != nil {
-		return cn, nil, fmt.Errorf("send: %w", err)
+		return cn, nil, fmt.Errorf("send the request: %w", err)
 	}
 	return cn, bufio.NewReaderSize(cn, 1<<10), nil
 }
@@ -161,7 +161,9 @@
 	}
 }
 
-// holdConnections sends one request on each connection and keeps the connections open.
+// holdConnections sends one request on each connection, keeps the connections open and
+// adds the memory that they hold at each count. A first connection is not counted,
+// because it allocates what all connections share.
 func holdConnections(ctx context.Context, memory *Series, request string, read func(rd *bufio.Reader) error) error {
 	cs, err := startCallerServer(ctx)
 	if err != nil {
--- a/internal/slope/wire.go
+++ b/internal/slope/wire.go
@@ -267,7 +267,7 @@
 	defer stop()
 	for _, wv := range vms[1:] {
 		if _, err := vms[0].tr.Call(within, wv.vm(), claimAskFrame(0)); err != nil {
-			return fmt.Errorf("call: %w", err)
+			return fmt.Errorf("call the other VM: %w", err)
 		}
 	}
 	memory.addPoint(count, memoryInUse()-empty)
@@ -293,7 +293,7 @@
 		_, err = near.tr.Call(ctx, far.vm(), claimAskFrame(0))
 		near.close()
 		if err != nil {
-			return fmt.Errorf("call: %w", err)
+			return fmt.Errorf("call the other VM: %w", err)
 		}
 	}
 	ended, err := processorTime()
@@ -320,7 +320,7 @@
 	}
 	defer far.close()
 	if _, err := near.tr.Call(ctx, far.vm(), claimAskFrame(0)); err != nil {
-		return fmt.Errorf("call: %w", err)
+		return fmt.Errorf("call the other VM: %w", err)
 	}
 	empty := memoryInUse()
 	var conns []*peer.Conn
