--- a/cmd/alderbench/report.go
+++ b/cmd/alderbench/report.go
@@ -167,15 +167,15 @@
 	for _, load := range loads {
 		for _, po := range policies {
 			rs := rp.results[runKey{dp, load, po, bench.NoFault, -1, set}]
-			fmt.Fprintf(buf, "| %.1f | %s | %s | %s | %s | %s | %s | %.1f | %d | %d |\n", load, po, goodput(rs),
+			fmt.Fprintf(buf, "| %.1f | %s | %s | %s | %s | %s | %s | %.1f | %d | %d |\n", load, po, goodputColumns(rs),
 				quantiles(rs, true, bench.QuickWork), quantiles(rs, true, bench.PatientWork),
 				quantiles(rs, false, bench.QuickWork), quantiles(rs, false, bench.PatientWork), messages(rs), rs.Unended, rs.FalseNotRun)
 		}
 	}
 }
 
-// goodput formats the five columns that all tables share.
-func goodput(rs bench.Result) string {
+// goodputColumns formats the five columns that the load, fault and weight tables share.
+func goodputColumns(rs bench.Result) string {
 	return fmt.Sprintf("%.4f | %.4f | %.4f | %.4f | %.3f", rs.Goodput(bench.QuickWork),
 		rs.Goodput(bench.PatientWork), rs.GoodputAll(), rs.WastedShare(), rs.Occupancy)
 }
@@ -234,7 +234,7 @@
 				if fault == bench.NoFault {
 					name = "none"
 				}
-				fmt.Fprintf(buf, "| %.1f | %s | %s | %s | %s | %s | %d | %d |\n", load, name, po, goodput(rs),
+				fmt.Fprintf(buf, "| %.1f | %s | %s | %s | %s | %s | %d | %d |\n", load, name, po, goodputColumns(rs),
 					quantiles(rs, true, bench.QuickWork), reasons(rs), rs.Unended, rs.FalseNotRun)
 			}
 		}
@@ -245,6 +245,6 @@
 	header(buf, "PrefillWeight", "Quick", "Patient", "Both", "Wasted", "Places used")
 	for _, weight := range weights {
 		rs := rp.results[runKey{dp, weightLoad, bench.Cell, bench.NoFault, weight, seedSets[0].name}]
-		fmt.Fprintf(buf, "| %.2f | %s |\n", weight, goodput(rs))
+		fmt.Fprintf(buf, "| %.2f | %s |\n", weight, goodputColumns(rs))
 	}
 }
--- a/internal/sched/bench/bench_test.go
+++ b/internal/sched/bench/bench_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// assertSound checks the invariants of every run.
-func assertSound(t *testing.T, rs Result) {
+// assertInvariants checks the invariants of every run.
+func assertInvariants(t *testing.T, rs Result) {
 	t.Helper()
 	assert.Equal(t, rs.Unended, 0, "requests without exactly one end")
 	assert.Equal(t, rs.FalseNotRun, 0, "NotRun refusals of requests that an engine had received")
@@ -79,7 +79,7 @@
 	forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
 		rs := runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds)
 		t.Logf("quick %.4f, both %.4f, wasted %.4f", rs.Goodput(QuickWork), rs.GoodputAll(), rs.WastedShare())
-		assertSound(t, rs)
+		assertInvariants(t, rs)
 		assert.Assert(t, rs.Goodput(QuickWork) >= 0.99, "quick goodput %.4f", rs.Goodput(QuickWork))
 		assert.Assert(t, rs.WastedShare() < 0.01, "wasted prefill %.4f", rs.WastedShare())
 		rs = runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell}, seeds[:1])
@@ -96,7 +96,7 @@
 		rs := runSeeds(Setup{Deployment: dp, Load: 2.0, Policy: Cell}, seeds)
 		t.Logf("quick %.4f, patient %.4f, wasted %.4f, slots in use %.3f",
 			rs.Goodput(QuickWork), rs.Goodput(PatientWork), rs.WastedShare(), rs.Occupancy)
-		assertSound(t, rs)
+		assertInvariants(t, rs)
 		assert.Assert(t, rs.Goodput(QuickWork) >= 0.97, "quick goodput %.4f", rs.Goodput(QuickWork))
 		assert.Assert(t, rs.WastedShare() < 0.03, "wasted prefill %.4f", rs.WastedShare())
 		assert.Assert(t, rs.Occupancy >= 0.8, "patient work should fill the remaining slots: %.3f in use", rs.Occupancy)
@@ -112,7 +112,7 @@
 			su.Policy = Cell
 			rs := runSeeds(su, seeds[:1])
 			t.Logf("load %.1f: %.4f, oracle %.4f", load, rs.GoodputAll(), best.GoodputAll())
-			assertSound(t, rs)
+			assertInvariants(t, rs)
 			assert.Assert(t, rs.GoodputAll() >= 0.95*best.GoodputAll(),
 				"load %.1f: %.4f, oracle %.4f", load, rs.GoodputAll(), best.GoodputAll())
 		}
@@ -126,7 +126,7 @@
 			forEachDeployment(t, func(t *testing.T, dp Deployment, seeds []uint64) {
 				rs := runSeeds(Setup{Deployment: dp, Load: 1.0, Policy: Cell, Fault: fault}, seeds[:1])
 				t.Logf("quick %.4f, both %.4f, wasted %.4f", rs.Goodput(QuickWork), rs.GoodputAll(), rs.WastedShare())
-				assertSound(t, rs)
+				assertInvariants(t, rs)
 				assert.Assert(t, rs.Goodput(QuickWork) >= 0.95, "quick goodput %.4f", rs.Goodput(QuickWork))
 				assert.Assert(t, rs.WastedShare() < 0.06, "wasted prefill %.4f", rs.WastedShare())
 			})
@@ -141,7 +141,7 @@
 		su := Setup{Deployment: dp, Load: 2.0, SecondHalfLoad: 0.8, Policy: Cell, MeasureFrom: 85 * clock.Second}
 		rs := runSeeds(su, extendSeeds(seeds, recoverySeeds))
 		t.Logf("quick %.4f of %d, patient %.4f", rs.Goodput(QuickWork), rs.Offered[QuickWork], rs.Goodput(PatientWork))
-		assertSound(t, rs)
+		assertInvariants(t, rs)
 		assert.Assert(t, rs.Goodput(QuickWork) >= 0.99, "quick goodput %.4f", rs.Goodput(QuickWork))
 		assert.Assert(t, rs.Goodput(PatientWork) >= 0.95, "patient goodput %.4f", rs.Goodput(PatientWork))
 	})
@@ -170,7 +170,7 @@
 		flood := runSeeds(Setup{Deployment: dp, Load: 0.9, Policy: Cell, FloodFactor: 3}, seeds[:1])
 		before, after := calm.Customers[other].Value(), flood.Customers[other].Value()
 		t.Logf("%s: %.4f, during the flood %.4f", other, before, after)
-		assertSound(t, flood)
+		assertInvariants(t, flood)
 		assert.Assert(t, after >= before-0.03, "%s: %.4f, during the flood %.4f", other, before, after)
 	})
 }
