--- a/internal/slope/fleet.go
+++ b/internal/slope/fleet.go
@@ -106,6 +106,7 @@
 	return nil
 }
 
+// startFleet starts the stand-ins and the given number of VMs.
 func startFleet(ctx context.Context, count int) (*realFleet, error) {
 	ctx, stop := context.WithCancel(ctx)
 	rf := &realFleet{stop: stop, group: &errgroup.Group{}}
--- a/internal/slope/streams.go
+++ b/internal/slope/streams.go
@@ -107,6 +107,7 @@
 	return cn, bufio.NewReaderSize(cn, 1<<10), nil
 }
 
+// close closes the connections, ends all answers and stops the server.
 func (cs *callerServer) close(conns []net.Conn) {
 	for _, cn := range conns {
 		cn.Close()
