--- a/internal/sched/bench/attempt.go
+++ b/internal/sched/bench/attempt.go
@@ -4,8 +4,9 @@
 	"alderdyke/pkg/refusal"
 )
 
-// notifyVM sends a notification about the current attempt to the request's VM. It is
-// dropped if the attempt has been replaced or the request has ended by then.
+// notifyVM sends a notification about the current attempt to the request's VM. It
+// arrives after the network delay and an extra delay in milliseconds. It is dropped if
+// the attempt has been replaced or the request has ended by then.
 func (sm *sim) notifyVM(rq *request, domain int, news func(), extra float64) {
 	att := rq.attempt
 	sm.after(sm.delay(domain, sm.vmDomain(rq.vm))+extra, func() {
--- a/internal/sched/bench/cell.go
+++ b/internal/sched/bench/cell.go
@@ -59,6 +59,8 @@
 	cp.newCell()
 }
 
+// newCell replaces the cell. The new one starts from the list of backend servers and
+// from the accounting VM's own load reports.
 func (cp *cellPolicy) newCell() {
 	cp.cell = &sched.Cell{Name: cp.sm.Deployment.Service}
 	cp.step(sched.Servers{Servers: cp.list})
@@ -266,6 +268,8 @@
 		return
 	}
 	att := rq.attempt
+	// If the accounting VM failed before it ordered the import, the VM orders it itself,
+	// or else the KV cache would expire.
 	cp.sm.after(kvCacheTTL/4, func() {
 		if cp.failureDetected && rq.attempt == att && rq.endCount == 0 && rn.stage == sched.Prefilled && rn.expectedDecode != "" {
 			rn.byFallback = true
@@ -308,7 +312,7 @@
 	}
 }
 
-// sendAdopt registers a request that runs already with the accounting VM.
+// sendAdopt reports to the accounting VM a request that is already running.
 func (cp *cellPolicy) sendAdopt(rq *request) {
 	rn := cp.runs[rq]
 	cp.sendEvent(rq.vm, sched.Adopt{Spec: cp.requestSpec(rq), Stage: rn.stage, Prefill: rn.prefill, Decode: rn.decode,
--- a/internal/sched/bench/cellfault.go
+++ b/internal/sched/bench/cellfault.go
@@ -22,6 +22,8 @@
 	cp.submit(rq)
 }
 
+// engineView returns the engines as one VM sees them: their last reports and the
+// requests that the VM placed on them without the accounting VM.
 func (cp *cellPolicy) engineView(vm int) sched.EngineView {
 	own := make(map[string]int)
 	for _, rq := range cp.sortedRequests() {
--- a/internal/sched/bench/local.go
+++ b/internal/sched/bench/local.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxReportedQueue = 4    // reported queue at which patient work waits instead of going to a prefill engine
+	maxReportedQueue = 4    // estimated queue of a prefill engine at which patient work waits
 	dispatchInterval = 50.0 // milliseconds between dispatches of a VM's queue without an event
 	importBackoff    = 50.0 // milliseconds before a rejected import is retried
 	maxAttempts      = 3
@@ -92,6 +92,8 @@
 	return now+float64(rq.prompt)/prefillRate+float64(rq.prompt)/linkRate+fullTPOT > rq.firstTokenDue()
 }
 
+// dispatch starts queued requests until one has to wait. It refuses those whose target
+// cannot be met.
 func (lp *localPolicy) dispatch(lv *localVM) {
 	for len(lv.queue) > 0 {
 		rq := lv.queue[0]
@@ -120,6 +122,8 @@
 	return rf
 }
 
+// mayStart reports whether a request may be sent now. Patient work waits for a short
+// prefill queue; Optimistic also waits for estimated free slots.
 func (lp *localPolicy) mayStart(lv *localVM, rq *request, pre, dec string) bool {
 	if rq.cls.Work == PatientWork && lv.estimatedLoad(pre) >= maxReportedQueue {
 		return false
@@ -143,6 +147,8 @@
 	return ld.Running + lv.sentSinceReport[id]
 }
 
+// chooseEngine returns an engine of the role by the policy's rule, or an empty ID if all
+// have failed.
 func (lp *localPolicy) chooseEngine(lv *localVM, role board.Role) string {
 	ids := lp.sm.aliveEngines(role)
 	if len(ids) == 0 {
@@ -181,7 +187,7 @@
 	return ld.Running
 }
 
-// aliveEngines returns the IDs of the listed engines of a role.
+// aliveEngines returns the IDs of a role's engines that have not failed.
 func (sm *sim) aliveEngines(role board.Role) []string {
 	if out, ok := sm.aliveByRole[role]; ok {
 		return out
@@ -220,6 +226,7 @@
 
 func (lp *localPolicy) attemptLost(rq *request) {
 	lp.sm.cancel(rq)
+	// A lost attempt counts twice: when it started and when it was cancelled.
 	if rq.attempt >= 2*maxAttempts && !rq.hasFirstToken {
 		lp.sm.refuse(rq, refusal.Refusal{Ran: refusal.MayHaveRun, Reason: refusal.RetriesExhausted, RetryAfter: clock.Second})
 		return
--- a/internal/sched/bench/oracle.go
+++ b/internal/sched/bench/oracle.go
@@ -7,8 +7,8 @@
 	"alderdyke/internal/board"
 )
 
-// oracleSlack is how long before its target the oracle refuses a patient request. Its
-// prefill could still be delayed by quick work.
+// oracleSlack is how many milliseconds before its target the oracle refuses a patient
+// request, because quick work could still delay the request's prefill.
 const oracleSlack = 1000.0
 
 const oracleInterval = 20.0 // milliseconds between dispatches without an event
@@ -231,7 +231,7 @@
 	op.dispatch()
 }
 
-// removeDecode forgets the predicted end of a running decode.
+// removeDecode removes the predicted end of a running decode.
 func (op *oraclePolicy) removeDecode(rq *request) {
 	if end, ok := op.decodeEnds[rq]; ok {
 		at, _ := slices.BinarySearch(op.sortedEnds, end)
--- a/internal/sched/bench/result.go
+++ b/internal/sched/bench/result.go
@@ -23,12 +23,12 @@
 		Customers   map[string]Ratio // goodput of each customer
 		TTFT        map[Work]*hdrhistogram.Histogram
 		TPOT        map[Work]*hdrhistogram.Histogram
-		Computed    float64 // prompt tokens
+		Computed    float64 // prompt tokens that engines computed
 		Wasted      float64 // those that became part of no answer
 		Occupancy   float64 // share of the decode slots in use
 		Unended     int     // requests without exactly one end
 		FalseNotRun int     // NotRun refusals of requests that an engine had received
-		Retries     int     // attempts after the first
+		Retries     int     // starts and cancellations of attempts after the first start
 		Steps       int     // steps counted by the cell's decisions
 		Decisions   int
 		Arrivals    int // requests of the whole run, including the warm-up
--- a/internal/sched/bench/shares.go
+++ b/internal/sched/bench/shares.go
@@ -9,7 +9,7 @@
 
 const (
 	borrowInterval     = 20.0     // milliseconds between borrow requests of one VM
-	shareLease         = 10_000.0 // milliseconds until the slots of a dead VM are redistributed
+	shareLease         = 10_000.0 // milliseconds until the slots of a dead VM can be borrowed again
 	maxPatientPrefills = 2        // prefills that a VM has on one engine before its patient work waits
 )
 
@@ -90,6 +90,8 @@
 	return sum
 }
 
+// dispatch starts queued requests while the VM has free slots, and borrows if it has too
+// few.
 func (sp *sharesPolicy) dispatch(vm *shareVM) {
 	for len(vm.queue) > 0 {
 		rq := vm.queue[0]
@@ -99,7 +101,7 @@
 		}
 		need := 1
 		if rq.cls.Work == PatientWork {
-			need = 6
+			need = 6 // leaves five free slots to quick work
 		}
 		if vm.totalFree() < need {
 			sp.borrow(vm)
@@ -170,6 +172,8 @@
 	sp.sm.after(max(borrowInterval/2, 2*span+0.1), func() { vm.borrowing = false })
 }
 
+// lend gives away half of the VM's free slots, rounded up. It does not count one slot
+// that the VM keeps while it has queued requests.
 func (vm *shareVM) lend() map[string]int {
 	got := make(map[string]int)
 	if vm.unresponsive {
@@ -229,8 +233,8 @@
 	sortByUrgency(vm.queue)
 }
 
-// failVM stops one VM from lending, either during a pause or, if it died, until its
-// lease expires and its slots are redistributed.
+// failVM stops one VM from lending: during a pause, or after its death until its lease
+// expires. From then on the others can borrow the dead VM's slots again.
 func (sp *sharesPolicy) failVM() {
 	vm := sp.vms[0]
 	vm.unresponsive = true
--- a/internal/sched/bench/sim.go
+++ b/internal/sched/bench/sim.go
@@ -29,22 +29,22 @@
 	RoundRobin Policy = "RoundRobin" // baseline
 	LeastLoad  Policy = "LeastLoad"  // baseline: least reported load
 	TwoChoices Policy = "TwoChoices" // baseline: the less loaded of two random engines
-	Oracle     Policy = "Oracle"     // upper bound: knows the true state at once, including output lengths
+	Oracle     Policy = "Oracle"     // upper bound: decides from the true state without delay, including output lengths
 )
 
 const (
 	defaultSpan        = 120_000.0 // milliseconds of arrivals
 	warmUp             = 20_000.0  // milliseconds at the start that are not measured
 	drainTime          = 400_000.0 // milliseconds after the arrivals by which every request must have ended
-	faultAt            = 60_000.0
+	faultAt            = 60_000.0  // milliseconds since the start
 	secondFaultAt      = 75_000.0
-	slowFactor         = 0.2
-	laggingReportDelay = 5000.0
-	pauseTime          = 3000.0
+	slowFactor         = 0.2    // share of its rate that a slow link keeps
+	laggingReportDelay = 5000.0 // milliseconds
+	pauseTime          = 3000.0 // milliseconds
 	takeoverTime       = 3000.0 // milliseconds from the death of the accounting VM to its successor's first step
 	detectionTime      = 250.0  // milliseconds until the other VMs detect that the accounting VM does not answer
 	lossDetectionTime  = 30.0   // milliseconds until a broken connection to an engine is detected
-	listUpdateDelay    = 1000.0
+	listUpdateDelay    = 1000.0 // milliseconds until the list of backend servers omits a failed engine
 )
 
 type (
@@ -105,9 +105,9 @@
 		prefillJobs   map[*request]*prefillJob
 		policy        decider
 		requests      []*request
-		messages      int // between VMs
-		ended         int // number of requests that have ended
-		lag           float64
+		messages      int     // between VMs
+		ended         int     // number of requests that have ended
+		lag           float64 // current age of load reports on arrival, in milliseconds
 		span          float64
 		measureFrom   float64
 		occupiedSlots float64 // sum over the samples of the measured time
@@ -321,6 +321,8 @@
 	}
 }
 
+// killDecode fails a decode engine. Its requests lose their attempts once the broken
+// connections are detected.
 func (sm *sim) killDecode(de *decodeEngine) {
 	de.dead = true
 	clear(sm.aliveByRole)
--- a/internal/sched/bench/standin.go
+++ b/internal/sched/bench/standin.go
@@ -216,6 +216,7 @@
 	lk.scheduleFinish()
 }
 
+// advance subtracts the tokens sent since the last update from the active transfers.
 func (lk *link) advance() {
 	if len(lk.active) > 0 {
 		part := (lk.sm.now - lk.updatedAt) * lk.rate / float64(len(lk.active))
@@ -226,6 +227,8 @@
 	lk.updatedAt = lk.sm.now
 }
 
+// scheduleFinish schedules the end of the transfer that completes first at the current
+// rate. It invalidates what was scheduled before.
 func (lk *link) scheduleFinish() {
 	lk.version++
 	if len(lk.active) == 0 {
