--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -34,8 +34,8 @@
 		complete bool
 		correct  bool // the answer is the one that the engines generate for the prompt
 		ttft     clock.Millis
-		tpot     float64 // milliseconds between tokens
-		reason   refusal.Reason
+		tpot     float64        // milliseconds between tokens
+		reason   refusal.Reason // empty if the call failed without a refusal
 	}
 
 	// answerTimer records when the first and the last text of an answer arrive.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -34,7 +34,7 @@
 const (
 	readyTimeout   = 3 * clock.Minute
 	readyPoll      = 200 * clock.Millis(1)
-	kvBytes        = 128 << 10 // KV cache of one prompt token
+	kvBytes        = 128 << 10 // bytes of KV cache for one prompt token
 	addressKeepFor = 10 * clock.Minute
 	streamWait     = 5 * clock.Second
 )
@@ -75,6 +75,7 @@
 	return rn.offerLoad(ctx)
 }
 
+// start starts the stand-ins and creates the settings of the VMs.
 func (rn *Run) start() error {
 	bd := rn.Deployment
 	rn.dp = &deployment.Deployment{
@@ -118,7 +119,8 @@
 	return set
 }
 
-// awaitReady waits until the VMs form one fleet and have applied all templates.
+// awaitReady waits until the VMs form one fleet, publishes the templates and waits until
+// every VM has applied them.
 func (rn *Run) awaitReady(ctx context.Context) error {
 	ctx, stop := context.WithTimeoutCause(ctx, readyTimeout.Std(), errNotReady)
 	defer stop()
@@ -146,6 +148,7 @@
 	return operator.Client{Address: set.Operator.Listen.String(), Token: set.Operator.Token}
 }
 
+// publish publishes a template and waits until every VM has applied it.
 func (rn *Run) publish(ctx context.Context, tpl template.Template) error {
 	pub := operator.Publication{ID: "load-" + tpl.Customer, Customer: tpl.Customer, Template: tpl}
 	reply, err := operatorClient(rn.sets[0]).Publish(ctx, pub)
--- a/internal/load/meter.go
+++ b/internal/load/meter.go
@@ -31,7 +31,7 @@
 		WrongAnswers int // answers that differ from what the engines generate for the prompt
 		Refused      map[refusal.Reason]int
 		TTFT         map[bench.Work]*hdrhistogram.Histogram
-		Computed     int // prompt tokens
+		Computed     int // prompt tokens that engines computed
 		Wasted       int // those whose decode never began
 		SlotsHeld    int // slots that engines hold at the end
 	}
