--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -39,7 +39,7 @@
 		mu           sync.Mutex
 		classes      map[string]*classOutcome
 		refusals     map[refusal.Reason]int
-		wrongAnswers []string // answers that differ from what the engines generated
+		wrongAnswers []string // answers that differ from what the engines generate, and errors other than refusals
 	}
 
 	classOutcome struct {
@@ -49,10 +49,11 @@
 		target   clock.Millis
 	}
 
-	// callerRequest is one caller's request.
+	// callerRequest is one caller's request. call invokes its argument first at the
+	// first text, or at the whole answer of a plain service.
 	callerRequest struct {
 		class  string
-		target clock.Millis // for the first text, or for the whole answer of a plain service
+		target clock.Millis // maximum time until call invokes first
 		call   func(ctx context.Context, first func()) error
 	}
 )
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -156,6 +156,7 @@
 	}
 }
 
+// awaitRevision waits until every VM has applied the revision of the customer's template.
 func (fl *fleet) awaitRevision(ctx context.Context, customer string, revision uint64) error {
 	for ix := range fl.sets {
 		for {
