--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -199,11 +199,11 @@
 	if class == "findings" {
 		note = strings.Repeat(note, 50)
 	}
-	return fl.chatOf(cl, class, key, note, tokens)
+	return fl.chatWithNote(cl, class, key, note, tokens)
 }
 
-// chatOf starts a request to the model with the given note.
-func (fl *fleet) chatOf(cl *client.Client, class, key, note string, tokens int) *ongoing {
+// chatWithNote starts a request to the model with the given note.
+func (fl *fleet) chatWithNote(cl *client.Client, class, key, note string, tokens int) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: true, Request: invariant.Chat{Prompt: promptOf(note), Tokens: tokens}}
 	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
 		_, err := cl.Chat(ctx, client.ChatRequest{
@@ -215,17 +215,17 @@
 	})
 }
 
-// record starts an idempotent call of the plain service.
-func (fl *fleet) record(cl *client.Client, key string) *ongoing {
-	return fl.plain(cl, http.MethodGet, "/records/"+key, key, true)
+// fetchRecord starts an idempotent call of the plain service.
+func (fl *fleet) fetchRecord(cl *client.Client, key string) *ongoing {
+	return fl.callPlain(cl, http.MethodGet, "/records/"+key, key, true)
 }
 
-// payment starts a call of the plain service that may run at most once.
-func (fl *fleet) payment(cl *client.Client, key string) *ongoing {
-	return fl.plain(cl, http.MethodPost, "/payments/"+key, key, false)
+// sendPayment starts a call of the plain service that may run at most once.
+func (fl *fleet) sendPayment(cl *client.Client, key string) *ongoing {
+	return fl.callPlain(cl, http.MethodPost, "/payments/"+key, key, false)
 }
 
-func (fl *fleet) plain(cl *client.Client, method, path, key string, idempotent bool) *ongoing {
+func (fl *fleet) callPlain(cl *client.Client, method, path, key string, idempotent bool) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: idempotent, Request: invariant.Plain{Method: method, Path: path}}
 	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
 		ans, err := cl.Call(ctx, client.PlainRequest{Service: service, Method: method, Path: path, Key: key, Idempotent: idempotent})
@@ -234,17 +234,17 @@
 	})
 }
 
-// paymentAt sends a payment to one VM, once, without the client library.
-func (fl *fleet) paymentAt(vm *vm, key string) *ongoing {
-	return fl.plainAt(vm, http.MethodPost, "/payments/"+key, key, false)
+// sendPaymentAt sends a payment to one VM, once, without the client library.
+func (fl *fleet) sendPaymentAt(vm *vm, key string) *ongoing {
+	return fl.callPlainAt(vm, http.MethodPost, "/payments/"+key, key, false)
 }
 
-// recordAt sends an idempotent call of the plain service to one VM, once.
-func (fl *fleet) recordAt(vm *vm, key string) *ongoing {
-	return fl.plainAt(vm, http.MethodGet, "/records/"+key, key, true)
+// fetchRecordAt sends an idempotent call of the plain service to one VM, once.
+func (fl *fleet) fetchRecordAt(vm *vm, key string) *ongoing {
+	return fl.callPlainAt(vm, http.MethodGet, "/records/"+key, key, true)
 }
 
-func (fl *fleet) plainAt(vm *vm, method, path, key string, idempotent bool) *ongoing {
+func (fl *fleet) callPlainAt(vm *vm, method, path, key string, idempotent bool) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: idempotent, Request: invariant.Plain{Method: method, Path: path}}
 	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
 		body, err := sendTo(ctx, vm, method, "/services/"+service+path, key, nil)
--- a/internal/integration/configuration_test.go
+++ b/internal/integration/configuration_test.go
@@ -173,14 +173,14 @@
 	began := time.Now()
 	fl.awaitRevision(base, fresh)
 	results.recordDuration("a VM that starts during a log outage has the configuration", time.Since(began))
-	eventually(t, "the new VM serves", func() bool { return fl.recordAt(fresh, fmt.Sprint("early-", time.Now().UnixNano())).wait() == nil })
+	eventually(t, "the new VM serves", func() bool { return fl.fetchRecordAt(fresh, fmt.Sprint("early-", time.Now().UnixNano())).wait() == nil })
 	assert.Check(t, fl.chatAt(fresh, "early-chat", 10).wait())
 	fl.dp.Logs.Set(logsim.Faults{})
 	fl.publishRevision(fresh, "after", base, 8)
 	for _, vm := range fl.vms {
 		fl.awaitServing(vm)
 	}
-	assert.Check(t, fl.paymentAt(fresh, "after-the-outage").wait())
+	assert.Check(t, fl.sendPaymentAt(fresh, "after-the-outage").wait())
 	fl.checkInvariants()
 }
 
--- a/internal/integration/connection_test.go
+++ b/internal/integration/connection_test.go
@@ -50,7 +50,7 @@
 	var calls []*ongoing
 	for ix := range 6 {
 		calls = append(calls, fl.chat(fl.client(), "fieldnote", fmt.Sprintf("slow-%d", ix), 50),
-			fl.payment(fl.client(), fmt.Sprintf("slow-payment-%d", ix)))
+			fl.sendPayment(fl.client(), fmt.Sprintf("slow-payment-%d", ix)))
 	}
 	for _, og := range calls {
 		assert.Check(t, og.wait())
@@ -67,11 +67,11 @@
 	for ix := range 4 {
 		key := fmt.Sprintf("reconnect-%d", ix)
 		first := fl.vms[ix%len(fl.vms)]
-		og := fl.paymentAt(first, key)
+		og := fl.sendPaymentAt(first, key)
 		eventually(t, "the payment runs", func() bool { return fl.serviceRuns(key) == 1 })
 		og.hangUp()
 		for _, vm := range fl.otherVMs(first) {
-			assert.Check(t, fl.paymentAt(vm, key).wait())
+			assert.Check(t, fl.sendPaymentAt(vm, key).wait())
 		}
 		assert.Equal(t, fl.serviceRuns(key), 1)
 	}
@@ -86,8 +86,8 @@
 	cl := fl.client()
 	var records, payments []*ongoing
 	for ix := range 6 {
-		records = append(records, fl.record(cl, fmt.Sprintf("dies-record-%d", ix)))
-		payments = append(payments, fl.payment(cl, fmt.Sprintf("dies-payment-%d", ix)))
+		records = append(records, fl.fetchRecord(cl, fmt.Sprintf("dies-record-%d", ix)))
+		payments = append(payments, fl.sendPayment(cl, fmt.Sprintf("dies-payment-%d", ix)))
 	}
 	first := fl.dp.Services[0]
 	eventually(t, "the server has running calls", func() bool { return first.History().Running > 0 })
--- a/internal/integration/deadly_test.go
+++ b/internal/integration/deadly_test.go
@@ -66,7 +66,7 @@
 }
 
 func (fl *fleet) sendDeadly(vm *vm, key string) *ongoing {
-	return fl.chatOf(fl.clientAt(vm), "findings", key, deadlyNote, 50)
+	return fl.chatWithNote(fl.clientAt(vm), "findings", key, deadlyNote, 50)
 }
 
 // tryAllVMs sends a deadly request repeatedly, each time to another VM with a new
@@ -102,8 +102,8 @@
 	assert.Check(fl.t, px.Start())
 }
 
-// crashWhile crashes a server whenever a condition holds, until the test ends.
-func (fl *fleet) crashWhile(id string, ct *standin.Control, crashes *atomic.Int64, holds func() bool) {
+// crashWhenever crashes a server whenever a condition holds, until the test ends.
+func (fl *fleet) crashWhenever(id string, ct *standin.Control, crashes *atomic.Int64, holds func() bool) {
 	var watch sync.WaitGroup
 	watch.Go(func() {
 		for clock.Sleep(fl.t.Context(), 2) {
@@ -125,7 +125,7 @@
 		if en.Role != role {
 			continue
 		}
-		fl.crashWhile(en.ID, &en.Control, &count, func() bool {
+		fl.crashWhenever(en.ID, &en.Control, &count, func() bool {
 			return slices.ContainsFunc(en.History().Runs, func(rec *enginesim.Run) bool {
 				return rec.Outcome == "" && len(rec.Stages) > 0 && strings.HasPrefix(rec.Request, customer+"/deadly-") && state(rec)
 			})
@@ -151,7 +151,7 @@
 		name   string
 		decode int  // engines
 		slow   bool // slow prefills and transfers, so that engines can crash in the middle of one
-		crash  func(fl *fleet) (ended func() int)
+		crash  func(fl *fleet) (crashes func() int)
 	}{
 		{"Decode", 6, false, func(fl *fleet) func() int { return fl.crashOnDecode(fl.t, "deadly-", restartTime) }},
 		{"ThirdToken", 6, false, func(fl *fleet) func() int { return fl.crashEngines(board.Decode, pastThirdToken) }},
@@ -200,10 +200,10 @@
 			fl := startFleet(t, deadlyPlan())
 			var crashes atomic.Int64
 			for _, sv := range fl.dp.Services {
-				fl.crashWhile(sv.ID, &sv.Control, &crashes, func() bool { return sv.History().Running > 0 })
+				fl.crashWhenever(sv.ID, &sv.Control, &crashes, func() bool { return sv.History().Running > 0 })
 			}
 			last := fl.tryAllVMs(func(vm *vm, key string) *ongoing {
-				return fl.plain(fl.clientAt(vm), method, path, key, method == http.MethodGet)
+				return fl.callPlain(fl.clientAt(vm), method, path, key, method == http.MethodGet)
 			})
 			fl.checkContained(int(crashes.Load()), last)
 		})
@@ -243,7 +243,7 @@
 	crashes := fl.crashOnDecode(t, "deadly-", restartTime)
 	cl := fl.client()
 	cl.Wait = waitBriefly
-	og := fl.chatOf(cl, "findings", "deadly-own", deadlyNote, 50)
+	og := fl.chatWithNote(cl, "findings", "deadly-own", deadlyNote, 50)
 	for before := range 3 {
 		eventually(t, "an engine crashes or the call ends", func() bool { return crashes() > before || og.ended() })
 		if lost := fl.newestRunner("deadly-own"); !og.ended() && lost != nil {
@@ -304,7 +304,7 @@
 		if ix > 0 {
 			note = fmt.Sprint(prefix, ix)
 		}
-		calls = append(calls, fl.chatOf(fl.clientAt(fl.vms[(round+ix)%len(fl.vms)]), "findings", fmt.Sprint(prefix, ix), note, 10))
+		calls = append(calls, fl.chatWithNote(fl.clientAt(fl.vms[(round+ix)%len(fl.vms)]), "findings", fmt.Sprint(prefix, ix), note, 10))
 	}
 	var busy []*enginesim.Engine
 	eventually(fl.t, "an engine decodes", func() bool {
@@ -329,16 +329,16 @@
 	t.Parallel()
 	fl := startFleet(t, deadlyPlan())
 	round := 0
-	ask := func() (calls []*ongoing) {
+	send := func() (calls []*ongoing) {
 		for ix, vm := range fl.vms {
-			calls = append(calls, fl.chatOf(fl.clientAt(vm), "findings", fmt.Sprintf("cut-%d-%d", round, ix), fmt.Sprintf("note %d", ix), 10))
+			calls = append(calls, fl.chatWithNote(fl.clientAt(vm), "findings", fmt.Sprintf("cut-%d-%d", round, ix), fmt.Sprintf("note %d", ix), 10))
 		}
 		round++
 		return calls
 	}
-	askFor := func(span time.Duration) {
+	sendFor := func(span time.Duration) {
 		for began := time.Now(); time.Since(began) < span; {
-			for _, og := range ask() {
+			for _, og := range send() {
 				og.wait()
 			}
 		}
@@ -352,13 +352,13 @@
 	for _, px := range links {
 		px.reset(t)
 	}
-	askFor(2 * time.Second)
+	sendFor(2 * time.Second)
 	for _, px := range links {
 		px.heal(t)
 	}
-	askFor(3 * time.Second)
+	sendFor(3 * time.Second)
 	for range 4 {
-		for _, og := range ask() {
+		for _, og := range send() {
 			assert.Check(t, og.wait(), "%v", og.waitRefusal())
 		}
 	}
--- a/internal/integration/engine_test.go
+++ b/internal/integration/engine_test.go
@@ -118,7 +118,7 @@
 // to all requests: if only the declined request observed it, each later load
 // report would make the cell send the engine the next request.
 func TestEngineRetryAfterIsHonored(t *testing.T) {
-	const rest = 5 * clock.Second
+	const retryAfter = 5 * clock.Second
 	for _, path := range []string{wire.PrefillPath, wire.ImportPath} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
@@ -128,15 +128,15 @@
 			if path == wire.PrefillPath {
 				role = board.Prefill
 			}
-			resting := fl.firstEngine(role)
-			resting.Control.Set(standin.Faults{Paths: []string{path}, Refuse: true, RetryAfter: rest})
+			declining := fl.firstEngine(role)
+			declining.Control.Set(standin.Faults{Paths: []string{path}, Refuse: true, RetryAfter: retryAfter})
 			cl := fl.client()
-			for began, ix := time.Now(), 0; time.Since(began) < rest.Std(); ix++ {
+			for began, ix := time.Now(), 0; time.Since(began) < retryAfter.Std(); ix++ {
 				sent := time.Now()
 				assert.Check(t, fl.chat(cl, "findings", fmt.Sprintf("rest-%d", ix), 5).wait())
-				assert.Check(t, time.Since(sent) < rest.Std(), "the other engine has no delay")
+				assert.Check(t, time.Since(sent) < retryAfter.Std(), "the other engine has no delay")
 			}
-			declined := resting.Control.Hits()
+			declined := declining.Control.Hits()
 			assert.Assert(t, declined > 0 && declined <= 2, "the engine declined %d orders", declined)
 			fl.checkInvariants()
 		})
@@ -213,8 +213,8 @@
 	}
 	hit := make(map[string]bool)
 	for range 2 {
-		before := fl.tokensMade()
-		eventually(t, "answers continue", func() bool { return fl.tokensMade() > before+200 })
+		before := fl.generatedTokens()
+		eventually(t, "answers continue", func() bool { return fl.generatedTokens() > before+200 })
 		en, lost := fl.awaitLiveDecode()
 		results.countFault("engine died")
 		en.Control.Set(standin.Faults{Dead: true})
@@ -234,9 +234,9 @@
 	fl.checkInvariants()
 }
 
-// tokensMade returns the number of tokens that decode engines have generated so
+// generatedTokens returns the number of tokens that decode engines have generated so
 // far.
-func (fl *fleet) tokensMade() int {
+func (fl *fleet) generatedTokens() int {
 	made := 0
 	for _, en := range fl.dp.Engines {
 		for _, rec := range en.History().Runs {
@@ -284,7 +284,7 @@
 	crashes := fl.crashOnDecode(t, "deadly-", restart)
 	cl := fl.client()
 	for ix := range tries {
-		fl.chatOf(cl, "findings", fmt.Sprintf("deadly-%d", ix), note, 50).wait()
+		fl.chatWithNote(cl, "findings", fmt.Sprintf("deadly-%d", ix), note, 50).wait()
 	}
 	assert.Assert(t, crashes() <= maxCrashes, "%d engines crashed", crashes())
 }
--- a/internal/integration/leave_test.go
+++ b/internal/integration/leave_test.go
@@ -36,8 +36,8 @@
 		ld.callRepeatedly(func(round int) *ongoing {
 			return fl.chat(cl, "fieldnote", fmt.Sprintf("%s-note-%d-%d", name, ix, round), 10)
 		})
-		ld.callRepeatedly(func(round int) *ongoing { return fl.record(cl, fmt.Sprintf("%s-record-%d-%d", name, ix, round)) })
-		ld.callRepeatedly(func(round int) *ongoing { return fl.payment(cl, fmt.Sprintf("%s-payment-%d-%d", name, ix, round)) })
+		ld.callRepeatedly(func(round int) *ongoing { return fl.fetchRecord(cl, fmt.Sprintf("%s-record-%d-%d", name, ix, round)) })
+		ld.callRepeatedly(func(round int) *ongoing { return fl.sendPayment(cl, fmt.Sprintf("%s-payment-%d-%d", name, ix, round)) })
 	}
 	return ld
 }
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -28,7 +28,7 @@
 		key := fmt.Sprintf("all-%d", round)
 		var calls []*ongoing
 		for _, vm := range fl.vms {
-			calls = append(calls, fl.paymentAt(vm, key))
+			calls = append(calls, fl.sendPaymentAt(vm, key))
 		}
 		for _, og := range calls {
 			assert.Check(t, og.wait())
@@ -45,18 +45,18 @@
 	t.Parallel()
 	fl := startFleet(t, slowServicePlan())
 	first := fl.vms[0]
-	og := fl.paymentAt(first, "killed")
+	og := fl.sendPaymentAt(first, "killed")
 	eventually(t, "the payment runs", func() bool { return fl.serviceRuns("killed") == 1 })
 	killed := time.Now()
 	first.kill(t)
 	assert.Check(t, og.wait() != nil)
 	for _, vm := range fl.otherVMs(first) {
-		rf := fl.paymentAt(vm, "killed").waitRefusal()
+		rf := fl.sendPaymentAt(vm, "killed").waitRefusal()
 		assert.Check(t, rf.Ran != refusal.NotRun, "%v", rf)
 	}
 	for _, vm := range fl.otherVMs(first) {
 		results.recordDuration("a dead VM is detected", fl.awaitDead(vm, first, killed))
-		rf := fl.paymentAt(vm, "killed").waitRefusal()
+		rf := fl.sendPaymentAt(vm, "killed").waitRefusal()
 		assert.Check(t, rf.Ran != refusal.NotRun, "%v", rf)
 	}
 	assert.Equal(t, fl.serviceRuns("killed"), 1)
@@ -70,7 +70,7 @@
 	t.Parallel()
 	fl := startFleet(t, slowServicePlan())
 	first := fl.vms[0]
-	og := fl.paymentAt(first, "paused")
+	og := fl.sendPaymentAt(first, "paused")
 	eventually(t, "the payment runs", func() bool { return fl.serviceRuns("paused") == 1 })
 	paused := time.Now()
 	first.pause(t)
@@ -79,7 +79,7 @@
 	}
 	var calls []*ongoing
 	for _, vm := range fl.otherVMs(first) {
-		calls = append(calls, fl.paymentAt(vm, "paused"))
+		calls = append(calls, fl.sendPaymentAt(vm, "paused"))
 	}
 	for _, call := range calls {
 		assert.Check(t, call.waitRefusal().Ran != refusal.NotRun)
@@ -88,7 +88,7 @@
 	og.wait()
 	fl.awaitServing(first)
 	for _, vm := range fl.vms {
-		fl.paymentAt(vm, "paused").wait()
+		fl.sendPaymentAt(vm, "paused").wait()
 	}
 	assert.Equal(t, fl.serviceRuns("paused"), 1)
 	fl.checkInvariants()
@@ -103,13 +103,13 @@
 	first := fl.vms[0]
 	var calls []*ongoing
 	for ix := range 20 {
-		calls = append(calls, fl.paymentAt(first, fmt.Sprintf("sleep-%d", ix)))
+		calls = append(calls, fl.sendPaymentAt(first, fmt.Sprintf("sleep-%d", ix)))
 	}
 	paused := time.Now()
 	first.pause(t)
 	fl.awaitDead(fl.vms[1], first, paused)
 	for ix := range 20 {
-		calls = append(calls, fl.paymentAt(fl.vms[1+ix%2], fmt.Sprintf("sleep-%d", ix)))
+		calls = append(calls, fl.sendPaymentAt(fl.vms[1+ix%2], fmt.Sprintf("sleep-%d", ix)))
 	}
 	for _, og := range calls[20:] {
 		og.wait()
@@ -131,7 +131,7 @@
 		sv.Control.Set(standin.Faults{Paths: []string{"/payments/lost-reply"}, LoseReply: true})
 	}
 	for _, vm := range fl.vms {
-		rf := fl.paymentAt(vm, "lost-reply").waitRefusal()
+		rf := fl.sendPaymentAt(vm, "lost-reply").waitRefusal()
 		assert.Check(t, rf.Ran == refusal.MayHaveRun, "%v", rf)
 	}
 	assert.Equal(t, fl.serviceRuns("lost-reply"), 1)
--- a/internal/integration/pause_test.go
+++ b/internal/integration/pause_test.go
@@ -83,7 +83,7 @@
 	for ix := range 4 {
 		key := fmt.Sprintf("parted-early-%d", ix)
 		for _, vm := range fl.vms {
-			calls = append(calls, fl.paymentAt(vm, key))
+			calls = append(calls, fl.sendPaymentAt(vm, key))
 		}
 	}
 	for _, one := range few {
@@ -96,11 +96,11 @@
 	for ix := range 4 {
 		key := fmt.Sprintf("parted-late-%d", ix)
 		for _, vm := range fl.vms {
-			calls = append(calls, fl.paymentAt(vm, key))
+			calls = append(calls, fl.sendPaymentAt(vm, key))
 		}
 	}
 	for ix, vm := range fl.vms {
-		assert.Check(t, fl.recordAt(vm, fmt.Sprintf("parted-record-%d", ix)).wait())
+		assert.Check(t, fl.fetchRecordAt(vm, fmt.Sprintf("parted-record-%d", ix)).wait())
 		assert.Check(t, fl.chatAt(vm, fmt.Sprintf("parted-chat-%d", ix), 10).wait())
 	}
 	for _, og := range calls {
--- a/internal/integration/storm_test.go
+++ b/internal/integration/storm_test.go
@@ -60,15 +60,15 @@
 // and waits until all VMs are ready to serve.
 func (st *storm) runRound(t *testing.T) {
 	victim := st.fl.vms[st.rnd.IntN(len(st.fl.vms))]
-	inner := []faultStarter{st.kill(victim), st.pause(victim), st.cutOff(victim), st.cutCallers(victim)}
-	outer := []faultStarter{st.engineDies(), st.enginesLoseReplies(), st.cutBackend(), st.serviceLosesReplies(), st.platformOutage()}
-	one, other := st.rnd.IntN(len(inner)), st.rnd.IntN(len(outer))
+	vmFaults := []faultStarter{st.kill(victim), st.pause(victim), st.cutOff(victim), st.cutCallers(victim)}
+	serviceFaults := []faultStarter{st.engineDies(), st.enginesLoseReplies(), st.cutBackend(), st.serviceLosesReplies(), st.platformOutage()}
+	one, other := st.rnd.IntN(len(vmFaults)), st.rnd.IntN(len(serviceFaults))
 	began := time.Now()
-	first, second := inner[one](t), outer[other](t)
+	healVMFault, healServiceFault := vmFaults[one](t), serviceFaults[other](t)
 	st.fl.awaitCalls(stormCalls)
 	defer func() { t.Logf("faults %d and %d at %s took %v", one, other, victim.set.ID, time.Since(began)) }()
-	first()
-	second()
+	healVMFault()
+	healServiceFault()
 	for _, vm := range st.fl.vms {
 		st.fl.awaitServing(vm)
 	}
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -98,13 +98,13 @@
 // visibleEvents returns the events from a number on whose delay has passed.
 func (pc *prefixCache) visibleEvents(from uint64, now time.Time) wire.CacheEvents {
 	out := wire.CacheEvents{Next: from}
-	for _, se := range pc.events {
-		if se.at.After(now) {
+	for _, de := range pc.events {
+		if de.at.After(now) {
 			break
 		}
-		if se.ev.Number >= from {
-			out.Events = append(out.Events, se.ev)
-			out.Next = se.ev.Number + 1
+		if de.ev.Number >= from {
+			out.Events = append(out.Events, de.ev)
+			out.Next = de.ev.Number + 1
 		}
 	}
 	return out
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -21,7 +21,7 @@
 )
 
 func TestPrefillToDecodeInVirtualTime(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		begin := time.Now()
 		bn.prefillAndImport("r1", "a prompt", 100)
 		// 100 ms of prefill, then 1000 bytes at 1000 bytes per second. The two
@@ -43,7 +43,7 @@
 }
 
 func TestKVExpires(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		kv := bn.prefill("r1", "p", 100).KV
 		assert.Equal(t, bn.pre.History().KVKept, 1)
 		time.Sleep(810 * time.Millisecond)
@@ -59,7 +59,7 @@
 // A transfer that starts before the KV cache expires completes, even if it takes
 // longer than the retention of the KV cache.
 func TestTransferOutlivesKVRetention(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		bn.prefillAndImport("r1", "p", 200) // 2 s on the link
 		time.Sleep(time.Millisecond)
 		assert.Equal(t, bn.pre.History().KVKept, 0)
@@ -67,38 +67,38 @@
 }
 
 func TestCancelFreesEveryStage(t *testing.T) {
-	start := map[sched.Stage]func(bn *bench) board.BackendServer{
-		wire.Queued: func(bn *bench) board.BackendServer {
+	start := map[sched.Stage]func(bn *testBench) board.BackendServer{
+		wire.Queued: func(bn *testBench) board.BackendServer {
 			go bn.tryPrefill("other", 1000)
 			synctest.Wait()
 			go bn.tryPrefill("r1", 100)
 			return bn.preSrv
 		},
-		sched.Prefilling: func(bn *bench) board.BackendServer {
+		sched.Prefilling: func(bn *testBench) board.BackendServer {
 			go bn.tryPrefill("r1", 1000)
 			time.Sleep(100 * time.Millisecond)
 			return bn.preSrv
 		},
-		sched.Prefilled: func(bn *bench) board.BackendServer {
+		sched.Prefilled: func(bn *testBench) board.BackendServer {
 			bn.prefill("r1", "p", 100)
 			return bn.preSrv
 		},
-		sched.Transferring: func(bn *bench) board.BackendServer {
+		sched.Transferring: func(bn *testBench) board.BackendServer {
 			kv := bn.prefill("r1", "p", 100).KV
 			go func() { _ = bn.ec.Import(bn.baseCtx, bn.decSrv, bn.importOrder("r1", kv)) }()
 			time.Sleep(100 * time.Millisecond)
 			return bn.decSrv
 		},
-		wire.Imported: func(bn *bench) board.BackendServer {
+		wire.Imported: func(bn *testBench) board.BackendServer {
 			bn.prefillAndImport("r1", "p", 100)
 			return bn.decSrv
 		},
-		sched.Decoding: func(bn *bench) board.BackendServer {
+		sched.Decoding: func(bn *testBench) board.BackendServer {
 			bn.prefillAndImport("r1", "p", 100)
 			bn.decode("r1", 100)
 			return bn.decSrv
 		},
-		sched.Ended: func(bn *bench) board.BackendServer {
+		sched.Ended: func(bn *testBench) board.BackendServer {
 			bn.prefillAndImport("r1", "p", 100)
 			_, err := collect(bn.baseCtx, bn.decode("r1", 3))
 			assert.NilError(bn.t, err)
@@ -107,7 +107,7 @@
 	}
 	for stage, fn := range start {
 		t.Run(string(stage), func(t *testing.T) {
-			withEngines(t, settings(), func(t *testing.T, bn *bench) {
+			withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 				srv := fn(bn)
 				synctest.Wait()
 				assert.Equal(t, bn.stages(srv)["r1"], stage)
@@ -123,11 +123,11 @@
 	}
 }
 
-func (bn *bench) tryPrefill(request string, tokens int) {
+func (bn *testBench) tryPrefill(request string, tokens int) {
 	_, _ = bn.ec.Prefill(bn.baseCtx, bn.preSrv, wire.PrefillOrder{Request: request, Attempt: 1, PromptTokens: tokens})
 }
 
-func (bn *bench) assertLateOrdersDeclined(srv board.BackendServer) {
+func (bn *testBench) assertLateOrdersDeclined(srv board.BackendServer) {
 	bn.t.Helper()
 	var err error
 	if srv.ID == bn.preSrv.ID {
@@ -139,7 +139,7 @@
 }
 
 func TestCancelOfAnAttemptLeavesLaterOnes(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		// The cancel order arrives before the order that it cancels.
 		assert.NilError(t, bn.ec.CancelAttempt(t.Context(), bn.preSrv, "r1", 1))
 		od := wire.PrefillOrder{Request: "r1", Attempt: 1, PromptTokens: 1}
@@ -154,7 +154,7 @@
 // A decode whose reader has disconnected continues and holds its slot. A resumed
 // stream continues with the next token, without a gap or a repetition.
 func TestDecodeContinuesWithoutReader(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		bn.prefillAndImport("r1", "p", 10)
 		st := bn.decode("r1", 50)
 		tok, err := st.Next(t.Context())
@@ -181,7 +181,7 @@
 }
 
 func TestQuickOvertakesPatient(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		long, short := make(chan struct{}), make(chan struct{})
 		order := func(request string, quick bool, tokens int, done chan struct{}) {
 			defer close(done)
@@ -213,7 +213,7 @@
 }
 
 func TestStalledTransferHoldsOnlyItsSlot(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		kv := bn.prefill("r1", "p", 10).KV
 		bn.prefillAndImport("r2", "q", 10)
 		bn.dec.Control.Set(standin.Faults{StallTransfer: true})
@@ -242,7 +242,7 @@
 func TestSlotsAreLimitedAndBatchesSlowDown(t *testing.T) {
 	set := settings()
 	set.BatchSlowdown = 0.5
-	withEngines(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *testBench) {
 		for _, request := range []string{"r1", "r2", "r3"} {
 			bn.prefillAndImport(request, request, 1)
 		}
@@ -261,7 +261,7 @@
 func TestSlowedEngineAndVariedLength(t *testing.T) {
 	set := settings()
 	set.VaryLength = true
-	withEngines(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *testBench) {
 		bn.prefillAndImport("r1", "p", 1)
 		bn.dec.Control.Set(standin.Faults{Slowdown: 3})
 		begin := time.Now()
@@ -276,7 +276,7 @@
 func TestPrefixCacheAndItsEvents(t *testing.T) {
 	set := settings()
 	set.CacheBlocks, set.CacheEventLag, set.CacheEventLoss = 5, 1000, 0.4
-	withEngines(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *testBench) {
 		shared := strings.Repeat("s", 2*wire.BlockBytes)
 		assert.Equal(t, bn.prefill("r1", shared+strings.Repeat("a", 2*wire.BlockBytes), 400).CachedTokens, 0)
 		assert.Equal(t, bn.prefill("r2", shared+strings.Repeat("b", 2*wire.BlockBytes), 400).CachedTokens, 200)
@@ -298,7 +298,7 @@
 func TestLoadReportsLag(t *testing.T) {
 	set := settings()
 	set.LoadLag = 500
-	withEngines(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *testBench) {
 		time.Sleep(time.Second)
 		bn.prefillAndImport("r1", "p", 1)
 		bn.dec.Control.Set(standin.Faults{Leaving: true})
@@ -324,7 +324,7 @@
 	for _, checks := range []bool{true, false} {
 		set := settings()
 		set.ChecksFencing = checks
-		withEngines(t, set, func(t *testing.T, bn *bench) {
+		withEngines(t, set, func(t *testing.T, bn *testBench) {
 			give := func(name string, fence uint64) (wire.OrderResult, error) {
 				return bn.ec.Order(t.Context(), bn.decSrv, wire.Order{Kind: wire.LoadModel, Name: name, Fence: fence})
 			}
@@ -349,7 +349,7 @@
 }
 
 func TestChangeRole(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		bn.prefillAndImport("r1", "p", 1)
 		st := bn.decode("r1", 5)
 		_, err := bn.ec.Order(t.Context(), bn.decSrv, wire.Order{Kind: wire.ChangeRole, Role: board.Prefill, Fence: 1})
@@ -363,7 +363,7 @@
 }
 
 func TestPauseAndDeath(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		bn.prefillAndImport("r1", "p", 1)
 		st := bn.decode("r1", 100)
 		_, err := st.Next(t.Context())
@@ -392,7 +392,7 @@
 
 // The slot is freed if the prefill engine dies during the transfer.
 func TestTransferFromDyingEngineFreesSlot(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		kv := bn.prefill("r1", "p", 100).KV
 		done := make(chan error, 1)
 		go func() { done <- bn.ec.Import(bn.baseCtx, bn.decSrv, bn.importOrder("r1", kv)) }()
@@ -407,7 +407,7 @@
 func TestPrefillQueueIsBounded(t *testing.T) {
 	set := settings()
 	set.PrefillQueue = 2
-	withEngines(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *testBench) {
 		go bn.tryPrefill("r1", 1000)
 		go bn.tryPrefill("r2", 1000)
 		synctest.Wait()
@@ -446,7 +446,7 @@
 func TestEveryCallRequiresToken(t *testing.T) {
 	set := settings()
 	set.Token = "s3cret"
-	withEngines(t, set, func(t *testing.T, bn *bench) {
+	withEngines(t, set, func(t *testing.T, bn *testBench) {
 		_, err := bn.ec.Load(t.Context(), bn.decSrv)
 		assert.Equal(t, reasonOf(err), backend.Unauthorized)
 		bn.ec.Token = "s3cret"
@@ -496,7 +496,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			withEngines(t, settings(), func(t *testing.T, bn *bench) {
+			withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 				res, err := bn.ec.Prefill(bn.baseCtx, bn.preSrv, wire.PrefillOrder{
 					Request: "r1", Attempt: 1, Prompt: prompt, PromptTokens: 10, Answered: tc.answered,
 				})
@@ -521,7 +521,7 @@
 }
 
 func TestResumeReassignsDecodeButFollowDoesNot(t *testing.T) {
-	withEngines(t, settings(), func(t *testing.T, bn *bench) {
+	withEngines(t, settings(), func(t *testing.T, bn *testBench) {
 		bn.prefillAndImport("r1", "notes", 10)
 		bn.decode("r1", 50)
 		other := &wire.Client{HTTP: bn.hc, Self: board.VMRef{ID: "vm-2", Incarnation: 9}}
--- a/internal/standin/engine/rig_test.go
+++ b/internal/standin/engine/rig_test.go
@@ -17,9 +17,9 @@
 	"alderdyke/internal/standin/engine"
 )
 
-// bench holds one prefill and one decode engine on an in-memory network, and a
+// testBench holds one prefill and one decode engine on an in-memory network, and a
 // client.
-type bench struct {
+type testBench struct {
 	t       *testing.T
 	nw      *standin.Network
 	hc      *http.Client
@@ -40,10 +40,10 @@
 	}
 }
 
-func withEngines(t *testing.T, set engine.Settings, fn func(t *testing.T, bn *bench)) {
+func withEngines(t *testing.T, set engine.Settings, fn func(t *testing.T, bn *testBench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		bn := &bench{t: t, nw: &standin.Network{}, baseCtx: t.Context()}
+		bn := &testBench{t: t, nw: &standin.Network{}, baseCtx: t.Context()}
 		bn.hc = backend.NewHTTP(backend.Limits{Dial: bn.nw.Dial})
 		bn.ec = &wire.Client{HTTP: bn.hc, Self: board.VMRef{ID: "vm-1", Incarnation: 7}}
 		bn.pre = &engine.Engine{ID: "p1", Role: board.Prefill, Settings: set, HTTP: bn.hc}
@@ -55,7 +55,7 @@
 	})
 }
 
-func (bn *bench) serve(en *engine.Engine, addr string) board.BackendServer {
+func (bn *testBench) serve(en *engine.Engine, addr string) board.BackendServer {
 	hs := &http.Server{Handler: en.Handler()}
 	ls := bn.nw.Listen(addr)
 	go func() { _ = hs.Serve(ls) }()
@@ -67,7 +67,7 @@
 	return board.BackendServer{ID: en.ID, Role: en.Role, Address: addr}
 }
 
-func (bn *bench) prefill(request, prompt string, tokens int) wire.PrefillResult {
+func (bn *testBench) prefill(request, prompt string, tokens int) wire.PrefillResult {
 	bn.t.Helper()
 	res, err := bn.ec.Prefill(bn.baseCtx, bn.preSrv, wire.PrefillOrder{
 		Request: request, Customer: "c1", Attempt: 1, Prompt: prompt, PromptTokens: tokens,
@@ -76,18 +76,18 @@
 	return res
 }
 
-func (bn *bench) importOrder(request, kv string) wire.ImportOrder {
+func (bn *testBench) importOrder(request, kv string) wire.ImportOrder {
 	return wire.ImportOrder{Request: request, Customer: "c1", Attempt: 1, KV: kv, From: bn.preSrv.Address}
 }
 
 // prefillAndImport runs the prefill of a request and imports its KV cache.
-func (bn *bench) prefillAndImport(request, prompt string, tokens int) {
+func (bn *testBench) prefillAndImport(request, prompt string, tokens int) {
 	bn.t.Helper()
 	kv := bn.prefill(request, prompt, tokens).KV
 	assert.NilError(bn.t, bn.ec.Import(bn.baseCtx, bn.decSrv, bn.importOrder(request, kv)))
 }
 
-func (bn *bench) decode(request string, tokens int) *wire.Stream {
+func (bn *testBench) decode(request string, tokens int) *wire.Stream {
 	bn.t.Helper()
 	st, err := bn.ec.Decode(bn.baseCtx, bn.decSrv, wire.DecodeOrder{Request: request, Attempt: 1, MaxTokens: tokens})
 	assert.NilError(bn.t, err)
@@ -95,7 +95,7 @@
 	return st
 }
 
-func (bn *bench) stages(srv board.BackendServer) map[string]sched.Stage {
+func (bn *testBench) stages(srv board.BackendServer) map[string]sched.Stage {
 	bn.t.Helper()
 	runs, err := bn.ec.Running(bn.baseCtx, srv)
 	assert.NilError(bn.t, err)
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -115,9 +115,9 @@
 		return doc, "", srv.faults.Outage, allowed
 	}
 	asOf := srv.now() - srv.faults.Lag
-	for ix, st := range srv.revisions {
-		if ix == 0 || st.at <= asOf {
-			doc, tag = st.doc, fmt.Sprintf("%q", strconv.Itoa(ix))
+	for ix, rv := range srv.revisions {
+		if ix == 0 || rv.at <= asOf {
+			doc, tag = rv.doc, fmt.Sprintf("%q", strconv.Itoa(ix))
 		}
 	}
 	if srv.faults.NoETag {
