--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -32,6 +32,8 @@
 
 var errCallerLeft = errors.New("the caller has left")
 
+// isAttemptOf reports whether an engine's name of a request, which is
+// "CUSTOMER/KEY/ATTEMPT", contains the given key.
 func isAttemptOf(name, key string) bool { return strings.HasPrefix(name, customer+"/"+key+"/") }
 
 // keyOf returns the key in an engine's name of a request, which also contains the
@@ -225,6 +227,7 @@
 	return fl.callPlain(cl, http.MethodPost, "/payments/"+key, key, false)
 }
 
+// callPlain starts a call of the plain service through the client library.
 func (fl *fleet) callPlain(cl *client.Client, method, path, key string, idempotent bool) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: idempotent, Request: invariant.Plain{Method: method, Path: path}}
 	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
@@ -244,6 +247,8 @@
 	return fl.callPlainAt(vm, http.MethodGet, "/records/"+key, key, true)
 }
 
+// callPlainAt sends a call of the plain service to one VM, once, without the
+// client library.
 func (fl *fleet) callPlainAt(vm *vm, method, path, key string, idempotent bool) *ongoing {
 	call := invariant.Call{Key: key, Idempotent: idempotent, Request: invariant.Plain{Method: method, Path: path}}
 	return fl.startCall(call, func(ctx context.Context, og *ongoing) error {
--- a/internal/integration/deadly_test.go
+++ b/internal/integration/deadly_test.go
@@ -27,13 +27,16 @@
 
 const (
 	maxServerCrashes = 5 // maximum number of servers that one request may crash
-	deadlyTries      = 8
-	deadlyNote       = "the field notes that break engines"
-	restartTime      = 300 * time.Millisecond // time until a crashed server is up again
-	shortWait        = 500 * clock.Millis(1)  // after which callers retry, even if they are told to wait longer
-	longWait         = 30 * clock.Second      // callers give up if they are told to wait longer than this
+	deadlyTries      = 8 // number of calls with which a test sends the same deadly request
+	// deadlyNote is the content of a deadly request: one that crashes each engine
+	// that runs it. The tests crash the engines when such a request reaches them.
+	deadlyNote  = "the field notes that break engines"
+	restartTime = 300 * time.Millisecond // time until a crashed server is up again
+	shortWait   = 500 * clock.Millis(1)  // after which callers retry, even if they are told to wait longer
+	longWait    = 30 * clock.Second      // callers give up if they are told to wait longer than this
 )
 
+// deadlyPlan returns a plan with more decode engines than one request may crash.
 func deadlyPlan() plan {
 	pl := defaultPlan()
 	pl.vms, pl.prefill, pl.decode, pl.plain = 5, 3, 6, 3
@@ -65,6 +68,7 @@
 	return nil
 }
 
+// sendDeadly starts a deadly request that is sent only to one VM.
 func (fl *fleet) sendDeadly(vm *vm, key string) *ongoing {
 	return fl.chatWithNote(fl.clientAt(vm), "findings", key, deadlyNote, 50)
 }
--- a/internal/integration/doc.go
+++ b/internal/integration/doc.go
@@ -15,5 +15,6 @@
 //	go test ./internal/integration -results docs/RESULTS-faults.md   # and write the table of results
 //
 // A test that fails because of a known fault is listed in KNOWN-RED.txt at the
-// root of the repository. It prints its entry and is skipped.
+// root of the repository. It prints its entry and is skipped, unless -run
+// selects the tests.
 package integration
--- a/internal/integration/engine_test.go
+++ b/internal/integration/engine_test.go
@@ -234,8 +234,8 @@
 	fl.checkInvariants()
 }
 
-// generatedTokens returns the number of tokens that decode engines have generated so
-// far.
+// generatedTokens returns the number of tokens that all engines have generated
+// so far.
 func (fl *fleet) generatedTokens() int {
 	made := 0
 	for _, en := range fl.dp.Engines {
--- a/internal/integration/fleet_test.go
+++ b/internal/integration/fleet_test.go
@@ -88,8 +88,11 @@
 `
 
 var (
+	// processOctet is the second octet of all loopback addresses of this process.
+	// It depends on the process ID, so that concurrent processes rarely use the
+	// same addresses.
 	processOctet = byte(32 + os.Getpid()%192)
-	fleetCount   atomic.Int32
+	fleetCount   atomic.Int32 // number of fleets that this process has created
 )
 
 type (
@@ -110,9 +113,9 @@
 		dp      *deployment.Deployment
 		vms     []*vm
 		net     *peerNet
-		number  int
+		number  int // third octet of the loopback addresses of the fleet
 		proxies map[deployment.Link]*proxy
-		seeds   []string
+		seeds   []string // addresses at which the VMs reach each other, in the order of vms
 		tpl     template.Template
 
 		mu   sync.Mutex
@@ -179,6 +182,7 @@
 // to it.
 func (fl *fleet) interceptLink(lk deployment.Link, addr netip.AddrPort) (netip.AddrPort, error) {
 	if lk.Kind == deployment.PeerLink {
+		// The relay belongs to the VM that is being added, which vms does not contain yet.
 		at := netip.MustParseAddrPort(fl.seeds[len(fl.vms)])
 		return at, fl.net.startRelay(fl.t, at, addr)
 	}
@@ -353,6 +357,7 @@
 	return time.Since(since)
 }
 
+// updateHistory calls write with the history while the fleet's mutex is held.
 func (fl *fleet) updateHistory(write func(hs *invariant.History)) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -390,6 +395,8 @@
 	return time.Since(since)
 }
 
+// heldByEngines returns the number of unfinished runs, memory slots in use and
+// retained KV caches at all engines.
 func (fl *fleet) heldByEngines() int {
 	count := 0
 	for _, en := range fl.dp.Engines {
--- a/internal/integration/pause_test.go
+++ b/internal/integration/pause_test.go
@@ -141,9 +141,9 @@
 
 // A caller's connection breaks, its VM is then paused for longer than it waits for
 // callers to return, and the caller meanwhile continues to read its answer through
-// another VM. When the first VM resumes, it has no contact from the caller. It must
-// not conclude that the caller has left, or else it would cancel the decode that the
-// other VM reads, and a second decode would start.
+// another VM. When the first VM resumes, its caller has not reconnected to it. It
+// must not conclude that the caller has left, or else it would cancel the decode
+// that the other VM reads, and a second decode would start.
 func TestResumedVMWaitsForItsCaller(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -70,7 +70,7 @@
 		cmd  *exec.Cmd
 		out  output
 		done chan struct{}
-		code int // exit code; valid once done is closed
+		code int // exit code, or -2 if waiting for the process failed; valid once done is closed
 	}
 
 	// output collects the output of a process.
--- a/internal/integration/relay_test.go
+++ b/internal/integration/relay_test.go
@@ -64,6 +64,8 @@
 	}
 }
 
+// cutState reports whether the traffic between two addresses is cut. The channel
+// is closed when any cut starts or ends.
 func (pn *peerNet) cutState(from, to netip.Addr) (off bool, changed <-chan struct{}) {
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
@@ -153,8 +155,8 @@
 	}
 }
 
-// awaitUncut waits while the pair is cut. It returns false when the relay is
-// closed.
+// awaitUncut waits while the traffic with the other VM is cut. It returns false
+// when the relay is closed.
 func (rl *relay) awaitUncut(from netip.Addr) bool {
 	for {
 		off, changed := rl.pn.cutState(from, rl.to.Addr())
@@ -169,6 +171,8 @@
 	}
 }
 
+// track registers connections that close must close. It returns false if the
+// relay is already closed.
 func (rl *relay) track(conns ...net.Conn) bool {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
--- a/internal/integration/storm_test.go
+++ b/internal/integration/storm_test.go
@@ -81,6 +81,8 @@
 	}
 }
 
+// kill kills a VM. For a random half of the faults, the VM starts again only after
+// another VM considers it dead.
 func (st *storm) kill(victim *vm) faultStarter {
 	long := st.rnd.IntN(2) == 0
 	return func(t *testing.T) func() {
@@ -93,6 +95,8 @@
 	}
 }
 
+// pause pauses a VM. For a random half of the faults, the VM resumes only after
+// another VM considers it dead.
 func (st *storm) pause(victim *vm) faultStarter {
 	long := st.rnd.IntN(2) == 0
 	return func(t *testing.T) func() {
@@ -105,7 +109,8 @@
 	}
 }
 
-// cutOff cuts a VM off from the other VMs and from the log service.
+// cutOff cuts a VM off from the other VMs and from the log service. For a random
+// half of the faults, the cut ends only after another VM considers the VM dead.
 func (st *storm) cutOff(victim *vm) faultStarter {
 	long := st.rnd.IntN(2) == 0
 	return func(t *testing.T) func() {
@@ -121,6 +126,7 @@
 	}
 }
 
+// cutCallers resets the connections of callers to a VM.
 func (st *storm) cutCallers(victim *vm) faultStarter {
 	return func(t *testing.T) func() {
 		px := st.fl.proxy(deployment.CallerLink, victim.set.ID)
@@ -182,6 +188,7 @@
 	}
 }
 
+// platformOutage takes the log service and the VM list down.
 func (st *storm) platformOutage() faultStarter {
 	return func(*testing.T) func() {
 		results.countFault("log outage")
