--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -42,7 +42,7 @@
 		Count int
 
 		Pause         bool         // suspends all work, as if the process were stopped; calls are handled afterwards
-		Dead          bool         // closes all connections and discards all state
+		Dead          bool         // closes all connections; work in progress is lost
 		Refuse        bool         // declines calls without running them
 		RetryAfter    clock.Millis // delay that a refusal suggests; zero suggests none
 		Fail          bool         // answers status 500 without stating the outcome; the call has no effect
@@ -64,9 +64,9 @@
 
 		mu      sync.Mutex
 		faults  Faults
-		hits    int
-		deaths  uint64
-		changed chan struct{}
+		hits    int           // affected calls since the faults were set
+		deaths  uint64        // how often Dead was set
+		changed chan struct{} // closed when the faults are next set; nil until it is needed
 	}
 
 	// abortingWriter aborts the connection instead of sending a reply.
@@ -260,6 +260,8 @@
 	WriteJSON(rw, ct.Faults())
 }
 
+// waitWhile blocks while the faults fulfil a condition. It fails if the context
+// ends.
 func (ct *Control) waitWhile(ctx context.Context, held func(Faults) bool) error {
 	for {
 		changed := ct.nextChange()
@@ -284,6 +286,7 @@
 	return ct.changed
 }
 
+// notifyWaiters wakes all that wait for a change. The caller holds the mutex.
 func (ct *Control) notifyWaiters() {
 	if ct.changed != nil {
 		close(ct.changed)
