--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -193,6 +193,7 @@
 	return nil
 }
 
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (dp *Deployment) serve(handler http.Handler) (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
