--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -17,19 +17,19 @@
 	// prefixCache holds blocks of prompts and evicts the least recently used
 	// one when it is full. It is guarded by the engine's mutex.
 	prefixCache struct {
-		limit      int
-		lag        time.Duration
-		loss       float64
+		limit      int           // maximum number of blocks
+		lag        time.Duration // delay until an event becomes visible
+		loss       float64       // fraction of events that are lost
 		rng        *rand.Rand
-		blocks     map[uint64]*block
-		uses       uint64
-		lastNumber uint64
-		events     []delayedEvent
+		blocks     map[uint64]*block // by prefix hash
+		uses       uint64            // number of calls of match and store so far
+		lastNumber uint64            // number of the newest event
+		events     []delayedEvent    // oldest first
 	}
 
 	block struct {
-		used   uint64
-		tokens int
+		used   uint64 // value of uses when the block was last used
+		tokens int    // tokens from the start of the prompt to the end of the block
 	}
 
 	delayedEvent struct {
@@ -71,6 +71,7 @@
 	}
 }
 
+// evict removes the least recently used block.
 func (pc *prefixCache) evict(now time.Time) {
 	var oldest uint64
 	least := pc.uses + 1
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -92,6 +92,8 @@
 	return time.Duration(float64(en.Settings.TPOT.Std()) * by)
 }
 
+// emitToken appends a token to the answer. After the last token the memory slot
+// is free, and the answer can be resumed until AnswerRetention has passed.
 func (en *Engine) emitToken(rn *run, index int, last bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -84,19 +84,19 @@
 		ctx        context.Context
 		stop       context.CancelFunc
 		work       sync.WaitGroup
-		prefills   lane
-		egress     lane
-		ingress    lane
+		prefills   lane // computes prefills
+		egress     lane // sends KV caches
+		ingress    lane // receives KV caches
 		mu         sync.Mutex
 		role       board.Role
 		runs       map[runKey]*run
-		seq        uint64
-		cancelled  map[string]tombstone
+		seq        uint64               // number of runs so far
+		cancelled  map[string]tombstone // by request
 		cache      prefixCache
 		loads      []loadSample
-		linkBytes  int64
-		orderState wire.OrderResult
-		fences     map[string]uint64
+		linkBytes  int64             // bytes of current exports that have not passed the egress link yet
+		orderState wire.OrderResult  // role, model, adapters and version that the orders have set
+		fences     map[string]uint64 // highest accepted fencing number, by kind
 		history    History
 	}
 
@@ -127,17 +127,20 @@
 		changed    chan struct{}
 	}
 
+	// kvCache describes the KV cache of a prompt and of the output tokens that
+	// earlier attempts generated.
 	kvCache struct {
 		name      string
-		hash      uint64
-		tokens    int
-		base      int // number of output tokens that earlier attempts generated
-		length    int // length of the answer if Settings.Length is set; zero otherwise
+		hash      uint64 // hash that the answer is derived from, see contextHash
+		tokens    int    // number of prompt tokens
+		base      int    // number of output tokens that earlier attempts generated
+		length    int    // length of the answer if Settings.Length is set; zero otherwise
 		bytes     int64
 		expiresAt time.Time
 		pins      int // number of transfers in progress
 	}
 
+	// tombstone records that a request was cancelled up to an attempt.
 	tombstone struct {
 		attempt   int
 		expiresAt time.Time
@@ -346,6 +349,8 @@
 	}
 }
 
+// slotsHeld returns the number of memory slots in use. The caller holds the
+// mutex.
 func (en *Engine) slotsHeld() int {
 	held := 0
 	for _, rn := range en.runs {
@@ -356,6 +361,8 @@
 	return held
 }
 
+// faultsChanged samples the load. If the engine has died, it first ends all runs as
+// lost and discards the tombstones and the fencing numbers.
 func (en *Engine) faultsChanged(ft standin.Faults) {
 	en.initOnce()
 	en.mu.Lock()
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -123,10 +123,13 @@
 	}
 }
 
+// tryPrefill orders a prefill and ignores its result.
 func (bn *testBench) tryPrefill(request string, tokens int) {
 	_, _ = bn.ec.Prefill(bn.baseCtx, bn.preSrv, wire.PrefillOrder{Request: request, Attempt: 1, PromptTokens: tokens})
 }
 
+// assertLateOrdersDeclined checks that an engine declines an order of the
+// cancelled request r1 that arrives after the cancel order.
 func (bn *testBench) assertLateOrdersDeclined(srv board.BackendServer) {
 	bn.t.Helper()
 	var err error
--- a/internal/standin/engine/rig_test.go
+++ b/internal/standin/engine/rig_test.go
@@ -40,6 +40,8 @@
 	}
 }
 
+// withEngines runs fn in virtual time with a prefill and a decode engine that
+// have the given settings.
 func withEngines(t *testing.T, set engine.Settings, fn func(t *testing.T, bn *testBench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -107,6 +109,7 @@
 	return out
 }
 
+// collect reads a stream to its end and returns the texts of the tokens.
 func collect(ctx context.Context, st *wire.Stream) ([]string, error) {
 	var out []string
 	for {
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -33,6 +33,8 @@
 		Bytes  int64
 	}
 
+	// kvPart reports bytes that have passed the link since the last part, or the
+	// end of the transfer.
 	kvPart struct {
 		Bytes int64
 		Done  bool
