--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	maxRecord = 1 << 20
-	maxWait   = clock.Minute
+	maxRecord = 1 << 20      // maximum size of a record, in bytes
+	maxWait   = clock.Minute // maximum time that a read waits for records
 )
 
 type (
@@ -46,11 +46,11 @@
 		Appends     int
 		LostReplies int // appends that took effect but got no reply
 		Reads       int
-		Refused     int // calls that failed because of an outage or a wrong token
+		Refused     int // calls that failed because of an outage, Refuse or a wrong token
 		BytesIn     int64
 		BytesOut    int64 // response bodies only
-		Trimmed     int
-		MaxRecord   int // size of the largest record, in bytes
+		Trimmed     int   // records removed by retention or Trim
+		MaxRecord   int   // size of the largest record, in bytes
 	}
 
 	// Server is the stand-in. Set Token and Clock before the first call.
