--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -247,6 +247,7 @@
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.running--
+	// Zero would mean that the call still runs.
 	rec.EndedAt = max(1, sv.now())
 	sv.sampleLoad()
 	return err == nil
