--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -163,6 +163,8 @@
 	return dp.addServer(id, dp.PlainService, board.Plain, addr)
 }
 
+// interceptLink returns the address for a link: that of its intermediary if
+// Intercept is set, and otherwise the given one.
 func (dp *Deployment) interceptLink(kind LinkKind, id string, addr netip.AddrPort) (netip.AddrPort, error) {
 	if dp.Intercept == nil {
 		return addr, nil
@@ -174,6 +176,7 @@
 	return out, nil
 }
 
+// addServer adds a backend server to the next VM list that is published.
 func (dp *Deployment) addServer(id, service string, role board.Role, addr netip.AddrPort) error {
 	addr, err := dp.interceptLink(BackendLink, id, addr)
 	if err != nil {
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -28,6 +28,8 @@
 	en.streamTokens(rw, req, rn, rn.kv.base)
 }
 
+// admitDecode starts the decode of an imported run, or returns the reason to
+// decline it.
 func (en *Engine) admitDecode(od wire.DecodeOrder) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -401,6 +401,7 @@
 	return ok && attempt <= tb.attempt && time.Now().Before(tb.expiresAt)
 }
 
+// vmOf returns the VM that sent a call.
 func vmOf(req *http.Request) board.VMRef {
 	inc, _ := strconv.ParseUint(req.Header.Get(wire.IncarnationHeader), 10, 64) // zero if the header is absent
 	return board.VMRef{ID: req.Header.Get(wire.VMHeader), Incarnation: inc}
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// admitPrefill starts a run for a prefill, or returns the reason to decline it.
 func (en *Engine) admitPrefill(od wire.PrefillOrder, vm board.VMRef) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -181,6 +181,8 @@
 	}
 }
 
+// admitImport starts a run with a memory slot and the transfer of its KV cache, or
+// returns the reason to decline it.
 func (en *Engine) admitImport(od wire.ImportOrder, vm board.VMRef) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -124,6 +124,8 @@
 	mux.ServeHTTP(rw, req)
 }
 
+// admit checks the token and applies the faults that affect every call. It
+// returns false if the call must not be served.
 func (srv *Server) admit(rw http.ResponseWriter, req *http.Request) bool {
 	srv.mu.Lock()
 	fl := srv.faults
@@ -170,6 +172,8 @@
 	srv.writeReply(rw, appendReply{Offset: offset})
 }
 
+// append stores a record and returns its offset, and whether the reply must be
+// lost.
 func (srv *Server) append(name string, data []byte) (offset uint64, lost bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -221,6 +225,8 @@
 	}
 }
 
+// read returns the records from an offset on, except those that Lag hides, and a
+// channel that is closed when the stream or the faults change.
 func (srv *Server) read(name string, from uint64, limit int) (wire.Batch, <-chan struct{}) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
