--- a/internal/integration/pause_test.go
+++ b/internal/integration/pause_test.go
@@ -83,7 +83,7 @@
 	for ix := range 4 {
 		key := fmt.Sprintf("parted-early-%d", ix)
 		for _, vm := range fl.vms {
-			calls = append(calls, fl.paymentAt(vm, key))
+			calls = append(calls, fl.sendPaymentAt(vm, key))
 		}
 	}
 	for _, one := range few {
@@ -96,11 +96,11 @@
 	for ix := range 4 {
 		key := fmt.Sprintf("parted-late-%d", ix)
 		for _, vm := range fl.vms {
-			calls = append(calls, fl.paymentAt(vm, key))
+			calls = append(calls, fl.sendPaymentAt(vm, key))
 		}
 	}
 	for ix, vm := range fl.vms {
-		assert.Check(t, fl.recordAt(vm, fmt.Sprintf("parted-record-%d", ix)).wait())
+		assert.Check(t, fl.fetchRecordAt(vm, fmt.Sprintf("parted-record-%d", ix)).wait())
 		assert.Check(t, fl.chatAt(vm, fmt.Sprintf("parted-chat-%d", ix), 10).wait())
 	}
 	for _, og := range calls {
@@ -141,9 +141,9 @@
 
 // A caller's connection breaks, its VM is then paused for longer than it waits for
 // callers to return, and the caller meanwhile continues to read its answer through
-// another VM. When the first VM resumes, it has no contact from the caller. It must
-// not conclude that the caller has left, or else it would cancel the decode that the
-// other VM reads, and a second decode would start.
+// another VM. When the first VM resumes, its caller has not reconnected to it. It
+// must not conclude that the caller has left, or else it would cancel the decode
+// that the other VM reads, and a second decode would start.
 func TestResumedVMWaitsForItsCaller(t *testing.T) {
 	t.Parallel()
 	fl := startFleet(t, defaultPlan())
--- a/internal/standin/deployment/deployment.go
+++ b/internal/standin/deployment/deployment.go
@@ -163,6 +163,8 @@
 	return dp.addServer(id, dp.PlainService, board.Plain, addr)
 }
 
+// interceptLink returns the address for a link: that of its intermediary if
+// Intercept is set, and otherwise the given one.
 func (dp *Deployment) interceptLink(kind LinkKind, id string, addr netip.AddrPort) (netip.AddrPort, error) {
 	if dp.Intercept == nil {
 		return addr, nil
@@ -174,6 +176,7 @@
 	return out, nil
 }
 
+// addServer adds a backend server to the next VM list that is published.
 func (dp *Deployment) addServer(id, service string, role board.Role, addr netip.AddrPort) error {
 	addr, err := dp.interceptLink(BackendLink, id, addr)
 	if err != nil {
@@ -193,6 +196,7 @@
 	return nil
 }
 
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (dp *Deployment) serve(handler http.Handler) (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -17,19 +17,19 @@
 	// prefixCache holds blocks of prompts and evicts the least recently used
 	// one when it is full. It is guarded by the engine's mutex.
 	prefixCache struct {
-		limit      int
-		lag        time.Duration
-		loss       float64
+		limit      int           // maximum number of blocks
+		lag        time.Duration // delay until an event becomes visible
+		loss       float64       // fraction of events that are lost
 		rng        *rand.Rand
-		blocks     map[uint64]*block
-		uses       uint64
-		lastNumber uint64
-		events     []delayedEvent
+		blocks     map[uint64]*block // by prefix hash
+		uses       uint64            // number of calls of match and store so far
+		lastNumber uint64            // number of the newest event
+		events     []delayedEvent    // oldest first
 	}
 
 	block struct {
-		used   uint64
-		tokens int
+		used   uint64 // value of uses when the block was last used
+		tokens int    // tokens from the start of the prompt to the end of the block
 	}
 
 	delayedEvent struct {
@@ -71,6 +71,7 @@
 	}
 }
 
+// evict removes the least recently used block.
 func (pc *prefixCache) evict(now time.Time) {
 	var oldest uint64
 	least := pc.uses + 1
@@ -98,13 +99,13 @@
 // visibleEvents returns the events from a number on whose delay has passed.
 func (pc *prefixCache) visibleEvents(from uint64, now time.Time) wire.CacheEvents {
 	out := wire.CacheEvents{Next: from}
-	for _, se := range pc.events {
-		if se.at.After(now) {
+	for _, de := range pc.events {
+		if de.at.After(now) {
 			break
 		}
-		if se.ev.Number >= from {
-			out.Events = append(out.Events, se.ev)
-			out.Next = se.ev.Number + 1
+		if de.ev.Number >= from {
+			out.Events = append(out.Events, de.ev)
+			out.Next = de.ev.Number + 1
 		}
 	}
 	return out
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -28,6 +28,8 @@
 	en.streamTokens(rw, req, rn, rn.kv.base)
 }
 
+// admitDecode starts the decode of an imported run, or returns the reason to
+// decline it.
 func (en *Engine) admitDecode(od wire.DecodeOrder) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -92,6 +94,8 @@
 	return time.Duration(float64(en.Settings.TPOT.Std()) * by)
 }
 
+// emitToken appends a token to the answer. After the last token the memory slot
+// is free, and the answer can be resumed until AnswerRetention has passed.
 func (en *Engine) emitToken(rn *run, index int, last bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -33,6 +33,8 @@
 		Bytes  int64
 	}
 
+	// kvPart reports bytes that have passed the link since the last part, or the
+	// end of the transfer.
 	kvPart struct {
 		Bytes int64
 		Done  bool
@@ -179,6 +181,8 @@
 	}
 }
 
+// admitImport starts a run with a memory slot and the transfer of its KV cache, or
+// returns the reason to decline it.
 func (en *Engine) admitImport(od wire.ImportOrder, vm board.VMRef) (*run, backend.Reason) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	maxRecord = 1 << 20
-	maxWait   = clock.Minute
+	maxRecord = 1 << 20      // maximum size of a record, in bytes
+	maxWait   = clock.Minute // maximum time that a read waits for records
 )
 
 type (
@@ -46,11 +46,11 @@
 		Appends     int
 		LostReplies int // appends that took effect but got no reply
 		Reads       int
-		Refused     int // calls that failed because of an outage or a wrong token
+		Refused     int // calls that failed because of an outage, Refuse or a wrong token
 		BytesIn     int64
 		BytesOut    int64 // response bodies only
-		Trimmed     int
-		MaxRecord   int // size of the largest record, in bytes
+		Trimmed     int   // records removed by retention or Trim
+		MaxRecord   int   // size of the largest record, in bytes
 	}
 
 	// Server is the stand-in. Set Token and Clock before the first call.
@@ -124,6 +124,8 @@
 	mux.ServeHTTP(rw, req)
 }
 
+// admit checks the token and applies the faults that affect every call. It
+// returns false if the call must not be served.
 func (srv *Server) admit(rw http.ResponseWriter, req *http.Request) bool {
 	srv.mu.Lock()
 	fl := srv.faults
@@ -170,6 +172,8 @@
 	srv.writeReply(rw, appendReply{Offset: offset})
 }
 
+// append stores a record and returns its offset, and whether the reply must be
+// lost.
 func (srv *Server) append(name string, data []byte) (offset uint64, lost bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -221,6 +225,8 @@
 	}
 }
 
+// read returns the records from an offset on, except those that Lag hides, and a
+// channel that is closed when the stream or the faults change.
 func (srv *Server) read(name string, from uint64, limit int) (wire.Batch, <-chan struct{}) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
